--- /dev/null
+++ b/crates/sparrouter-fleet/tests/recorded_bytes.rs
@@ -0,0 +1,360 @@
+//! Bytes between nodes and in the configuration's shard, as the release of 2026-12-02 wrote them: nodes of two releases
+//! run side by side. Each line of the fixture is a name and the bytes in hexadecimal.
+use nanoserde::{DeBin, SerBin};
+use sparrouter_codec::Blob;
+use sparrouter_consensus::{Applied, Machine};
+use sparrouter_fleet::configuration_state::{
+    Change, ConfigurationMachine, ConfigurationState, NamedVersion, Verdict,
+};
+use sparrouter_fleet::wire::{
+    Call, ConfigUpdate, ConfirmedRead, EditUpdate, KeptAt, ModelUpdate, PieceUpdate, Poll, Reply,
+    TextUpdate, Update, VersionsUpdate,
+};
+use sparrouter_membership::{Delta, ModelAt, NodeRow, Note, ServerRow, Standing};
+use std::fmt::Write;
+
+const RECORDED: &str = include_str!("recorded/messages.hex");
+
+fn node() -> NodeRow {
+    NodeRow {
+        name: "n1".to_owned(),
+        internal: "10.0.0.1:7360".to_owned(),
+        control: "10.0.0.1:8683".to_owned(),
+        zone: "a".to_owned(),
+        region: "r".to_owned(),
+        counted: true,
+        front: true,
+        disk: 0x0102_0304_0506_0708,
+        life: 5,
+        nonce: 0x1112_1314_1516_1718,
+        leaving: false,
+        silent: true,
+    }
+}
+
+fn server(id: &str, standing: Standing) -> ServerRow {
+    ServerRow {
+        id: id.to_owned(),
+        service: "chat".to_owned(),
+        address: "10.0.1.1:9000".to_owned(),
+        zone: "a".to_owned(),
+        slot_count: 300,
+        standing,
+        call_sequence: 9,
+        models: vec![ModelAt {
+            name: "daka".to_owned(),
+            version: 3,
+        }]
+        .into(),
+        registrar: "n1".to_owned(),
+        silent: false,
+    }
+}
+
+fn delta() -> Delta {
+    Delta {
+        epoch: 0x2122_2324_2526_2728,
+        revision: 400,
+        servers: vec![
+            server("i-1", Standing::Ready),
+            server("i-2", Standing::Draining),
+            server("i-3", Standing::Gone),
+        ]
+        .into(),
+        nodes: vec![node()].into(),
+        notes: vec![Note {
+            key: "load/i-1/daka".to_owned(),
+            fence: 12,
+            number: 2,
+            value: 3,
+            over: true,
+        }]
+        .into(),
+    }
+}
+
+fn model() -> ModelUpdate {
+    ModelUpdate {
+        name: "daka".to_owned(),
+        version: 3,
+        age_ms: 1_500,
+    }
+}
+
+fn config(text: TextUpdate) -> ConfigUpdate {
+    ConfigUpdate {
+        seq: 41,
+        version: 7,
+        text,
+        versions: VersionsUpdate {
+            models: vec![model()].into(),
+            core_changed_age_ms: Some(250),
+        },
+    }
+}
+
+fn edits() -> TextUpdate {
+    let piece = PieceUpdate {
+        start: 2,
+        length: 5,
+        text: "new".to_owned(),
+    };
+    let edit = EditUpdate {
+        from: 1,
+        to: 2,
+        pieces: vec![piece].into(),
+    };
+    TextUpdate::Edits(vec![edit].into())
+}
+
+fn blob(text: &str) -> Blob {
+    Blob(text.as_bytes().to_vec())
+}
+
+fn calls() -> Vec<(&'static str, Vec<u8>)> {
+    let poll = Poll {
+        name: "n1".to_owned(),
+        row: Some(node()),
+        epoch: 3,
+        revision: 4,
+        config_seq: 41,
+        config_digest: 0x3132,
+        hold_ms: 800,
+        models: vec![model()].into(),
+    };
+    let consensus = Call::Consensus {
+        part: 4,
+        disk: 2,
+        name: "n2".to_owned(),
+        address: "10.0.0.2:7360".to_owned(),
+        message: blob("message"),
+    };
+    let kept = Call::Kept {
+        source: 6,
+        void: true,
+        rows: vec![KeptAt { key: 7, tokens: 64 }].into(),
+    };
+    let wait = Call::Wait {
+        server: 8,
+        token: 9,
+        cost: 500,
+        urgency: 2,
+        most_ms: 40,
+    };
+    vec![
+        ("call-poll", Call::Poll(poll).serialize_bin()),
+        ("call-notify", Call::Notify(delta()).serialize_bin()),
+        ("call-consensus", consensus.serialize_bin()),
+        (
+            "call-change",
+            Call::Change {
+                part: 4,
+                change: blob("change"),
+                patience_ms: 900,
+            }
+            .serialize_bin(),
+        ),
+        (
+            "call-prefix",
+            Call::Prefix {
+                key: 1,
+                server: 2,
+                store: 3,
+            }
+            .serialize_bin(),
+        ),
+        ("call-kept", kept.serialize_bin()),
+        ("call-wait", wait.serialize_bin()),
+        (
+            "call-over",
+            Call::Over {
+                server: 8,
+                token: 9,
+                began: true,
+            }
+            .serialize_bin(),
+        ),
+        (
+            "call-failed",
+            Call::Failed {
+                server: 8,
+                key: 9,
+                answered_milli: 1_250,
+            }
+            .serialize_bin(),
+        ),
+        (
+            "call-served-elsewhere",
+            Call::ServedElsewhere { server: 8 }.serialize_bin(),
+        ),
+        (
+            "call-found",
+            Call::Found {
+                records: vec![blob("one"), blob("two")].into(),
+            }
+            .serialize_bin(),
+        ),
+    ]
+}
+
+fn replies() -> Vec<(&'static str, Vec<u8>)> {
+    let update = |text| {
+        Reply::Update(Update {
+            rows: Blob(delta().pack()),
+            config: Some(config(text)),
+            confirmed: Some(ConfirmedRead { began_ms: -12 }),
+        })
+    };
+    vec![
+        (
+            "reply-update-text",
+            update(TextUpdate::Whole("{}".to_owned())).serialize_bin(),
+        ),
+        ("reply-update-edits", update(edits()).serialize_bin()),
+        ("reply-done", Reply::Done.serialize_bin()),
+        ("reply-changed", Reply::Changed(blob("b")).serialize_bin()),
+        (
+            "reply-not-changed",
+            Reply::NotChanged("why".to_owned()).serialize_bin(),
+        ),
+        ("reply-unknown", Reply::Unknown.serialize_bin()),
+        (
+            "reply-prefix",
+            Reply::Prefix {
+                save: true,
+                held: false,
+                holders: vec![4, 5].into(),
+                reader: 6,
+            }
+            .serialize_bin(),
+        ),
+        ("reply-wait", Reply::Wait { ms: 12 }.serialize_bin()),
+        ("reply-no", Reply::No("why".to_owned()).serialize_bin()),
+    ]
+}
+
+const DOCUMENT: &str = "{\"version\":1,\"routes\":[],\"services\":[]}";
+
+fn changes() -> Vec<(&'static str, Vec<u8>)> {
+    let put = Change::Put {
+        if_match: Some(0),
+        body: blob(DOCUMENT),
+    };
+    let patch = Change::Patch {
+        if_match: None,
+        body: blob("{}"),
+    };
+    let name = Change::Name {
+        model: "daka".to_owned(),
+        version: 3,
+    };
+    vec![
+        ("change-put", put.serialize_bin()),
+        ("change-patch", patch.serialize_bin()),
+        ("change-name", name.serialize_bin()),
+        ("change-get", Change::Get.serialize_bin()),
+    ]
+}
+
+/// The state after one configuration and one named version, made by the machine that every member runs.
+fn state() -> Vec<u8> {
+    let apply = |body: &[u8], change: Vec<u8>| match ConfigurationMachine.apply(body, &change) {
+        Applied::Changed { body, .. } => body,
+        Applied::Unchanged { answer } => {
+            panic!(
+                "unchanged: {:?}",
+                sparrouter_codec::read::<Verdict>(&answer)
+            )
+        }
+    };
+    let put = Change::Put {
+        if_match: None,
+        body: blob(DOCUMENT),
+    };
+    let name = Change::Name {
+        model: "daka".to_owned(),
+        version: 3,
+    };
+    apply(&apply(&[], put.serialize_bin()), name.serialize_bin())
+}
+
+fn values() -> Vec<(&'static str, Vec<u8>)> {
+    let verdict = Verdict {
+        status: 412,
+        text: "stale".to_owned(),
+        binding: false,
+    };
+    let mut values = calls();
+    values.extend(replies());
+    values.extend(changes());
+    values.push(("state", state()));
+    values.push(("verdict", verdict.serialize_bin()));
+    values.push(("rows-packed", delta().pack()));
+    values
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        write!(text, "{byte:02x}").expect("writing to a string");
+        text
+    })
+}
+
+fn recorded(name: &str) -> Vec<u8> {
+    let line = RECORDED
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let digits = line.unwrap_or_else(|| panic!("the fixture has no `{name}`"));
+    (0..digits.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal"))
+        .collect()
+}
+
+fn reads_back<T: DeBin + SerBin>(name: &str) {
+    let read: T = sparrouter_codec::read(&recorded(name)).expect(name);
+    assert_eq!(hex(&read.serialize_bin()), hex(&recorded(name)), "{name}");
+}
+
+#[test]
+fn given_values_when_written_then_their_bytes_are_as_recorded() {
+    let values = values();
+    assert_eq!(
+        values.len(),
+        RECORDED.lines().count(),
+        "every line is checked"
+    );
+    for (name, written) in values {
+        assert_eq!(hex(&written), hex(&recorded(name)), "bytes of {name}");
+    }
+}
+
+#[test]
+fn given_recorded_bytes_when_read_then_nothing_of_them_is_lost() {
+    for (name, _) in calls() {
+        reads_back::<Call>(name);
+    }
+    for (name, _) in replies() {
+        reads_back::<Reply>(name);
+    }
+    for (name, _) in changes() {
+        reads_back::<Change>(name);
+    }
+    reads_back::<Verdict>("verdict");
+}
+
+#[test]
+fn given_recorded_state_when_read_then_configuration_and_weights_are_there() {
+    let state = ConfigurationState::read(&recorded("state")).expect("readable");
+    assert_eq!((state.version, state.text.as_str()), (1, DOCUMENT));
+    let daka = NamedVersion {
+        model: "daka".to_owned(),
+        version: 3,
+    };
+    assert_eq!(state.models.0, [daka]);
+}
+
+#[test]
+fn given_recorded_rows_when_unpacked_then_they_are_the_rows_that_were_packed() {
+    assert_eq!(Delta::unpack(&recorded("rows-packed")), Some(delta()));
+}
