--- a/crates/sparrouter-consensus/examples/messages.rs
+++ b/crates/sparrouter-consensus/examples/messages.rs
@@ -23,14 +23,14 @@
 
 fn member(node: usize) -> Member {
     Member {
-        disk: node as u64 + 1,
+        disk_id: node as u64 + 1,
         name: format!("node-{node}"),
         address: format!("10.0.0.{node}:7360"),
     }
 }
 
 fn group(size: usize) -> Vec<Register<Overwrite>> {
-    let record = Record::found((0..size).map(member).collect(), Vec::new()).encode();
+    let record = Record::bootstrap((0..size).map(member).collect(), Vec::new()).encode();
     let start = |node| {
         let rng = fastrand::Rng::with_seed(node as u64);
         let settings = Settings::default();
@@ -51,13 +51,13 @@
                 match action {
                     Action::Send { to, message } => {
                         counts.messages += 1;
-                        nodes[to.disk as usize - 1].handle(member(node), message, 0);
+                        nodes[to.disk_id as usize - 1].handle(member(node), message, 0);
                     }
                     Action::Store { token, .. } => {
                         counts.stores += 1;
                         nodes[node].stored(token, true, 0);
                     }
-                    Action::Chosen(_) | Action::Done { .. } => {}
+                    Action::Chosen(_) | Action::Completed { .. } => {}
                 }
             }
         }
--- a/crates/sparrouter-consensus/src/acceptor.rs
+++ b/crates/sparrouter-consensus/src/acceptor.rs
@@ -7,7 +7,7 @@
 //! that no record means no vote under this id. A wiped or damaged folder gets another id, and is in no group.
 use crate::message::{Message, Reason};
 use crate::settings::Settings;
-use crate::types::{Ballot, Member, Record, SharedVote, VoteId};
+use crate::types::{Member, ProposalNumber, Record, SharedVote, VoteId};
 use crate::{MILLISECOND, Nanos};
 
 /// Answers held for one store; more are dropped, as if lost on the way.
@@ -62,7 +62,7 @@
         self.record.accepted.as_ref()
     }
 
-    pub fn promised(&self) -> Ballot {
+    pub fn promised(&self) -> ProposalNumber {
         self.record.promised
     }
 
@@ -74,7 +74,7 @@
     pub fn prepare(
         &mut self,
         from: &Member,
-        ballot: Ballot,
+        ballot: ProposalNumber,
         known: Option<VoteId>,
         settings: &Settings,
     ) {
@@ -87,26 +87,26 @@
                 self.version += 1;
             }
         }
-        let at = self.accepted().map(|v| v.at());
+        let at = self.accepted().map(|v| v.id());
         let newer = self
             .accepted()
-            .filter(|v| known.is_none_or(|k| v.at() > k))
+            .filter(|v| known.is_none_or(|k| v.id() > k))
             .cloned();
         self.hold(from, Message::Promise { ballot, at, newer });
     }
 
     pub fn accept(&mut self, from: &Member, vote: SharedVote, settings: &Settings) {
-        if vote.state.body.len() > settings.most_body {
-            return self.reject(from, vote.ballot, Reason::Disk);
+        if vote.state.body.len() > settings.max_body_bytes {
+            return self.reject(from, vote.number, Reason::Disk);
         }
-        let (at, mine) = (vote.at(), self.accepted().map(|v| v.at()));
-        let low = vote.ballot < self.record.promised && !settings.defects.accept_below_promise;
+        let (at, mine) = (vote.id(), self.accepted().map(|v| v.id()));
+        let low = vote.number < self.record.promised && !settings.defects.accept_below_promise;
         // An older slot is decided, whatever this proposer thinks.
-        if low || mine.is_some_and(|m| m.seq > at.seq) {
-            return self.reject(from, vote.ballot, Reason::Outrun);
+        if low || mine.is_some_and(|m| m.slot > at.slot) {
+            return self.reject(from, vote.number, Reason::Outrun);
         }
         if mine != Some(at) {
-            self.record.promised = self.record.promised.max(vote.ballot);
+            self.record.promised = self.record.promised.max(vote.number);
             self.record.accepted = Some(vote);
             self.version += 1;
         }
@@ -115,13 +115,13 @@
 
     /// Takes over a chosen vote: no promise stands against it, since every later ballot finds it.
     pub fn learn(&mut self, vote: &SharedVote) {
-        if self.accepted().is_none_or(|mine| vote.at() > mine.at()) {
-            self.record.promised = self.record.promised.max(vote.ballot);
+        if self.accepted().is_none_or(|mine| vote.id() > mine.id()) {
+            self.record.promised = self.record.promised.max(vote.number);
             self.record.accepted = Some(vote.clone());
             self.version += 1;
         } else if self
             .accepted()
-            .is_some_and(|mine| mine.at() == vote.at() && mine.before.is_some())
+            .is_some_and(|mine| mine.id() == vote.id() && mine.previous_members.is_some())
         {
             // Known to be chosen, it needs the group before no more.
             self.record.accepted = Some(vote.clone());
@@ -130,10 +130,10 @@
     }
 
     pub fn query(&mut self, from: &Member, nonce: u64, known: Option<VoteId>) {
-        let at = self.lasting().map(|v| v.at());
+        let at = self.lasting().map(|v| v.id());
         let newer = self
             .lasting()
-            .filter(|v| known.is_none_or(|k| v.at() > k))
+            .filter(|v| known.is_none_or(|k| v.id() > k))
             .cloned();
         let promised = self.record.promised;
         // Nothing is promised here, so no store need be waited for: `lasting` is on disk by its name.
@@ -150,7 +150,7 @@
         });
     }
 
-    fn reject(&mut self, to: &Member, ballot: Ballot, reason: Reason) {
+    fn reject(&mut self, to: &Member, ballot: ProposalNumber, reason: Reason) {
         let message = Message::Reject {
             ballot,
             promised: self.record.promised,
@@ -207,7 +207,7 @@
             record.promised = record
                 .accepted
                 .as_ref()
-                .map(|v| v.ballot)
+                .map(|v| v.number)
                 .unwrap_or_default();
         }
         Some((self.tokens, record.encode()))
@@ -230,7 +230,7 @@
             match held.message {
                 // The record in memory is ahead of the disk, which harms nobody: it was told to nobody.
                 Message::Promise { ballot, .. } => self.reject(&held.to, ballot, Reason::Disk),
-                Message::Accepted { at } => self.reject(&held.to, at.ballot, Reason::Disk),
+                Message::Accepted { at } => self.reject(&held.to, at.number, Reason::Disk),
                 message => self.held.push(Held { message, ..held }),
             }
         }
--- a/crates/sparrouter-consensus/src/candidate.rs
+++ b/crates/sparrouter-consensus/src/candidate.rs
@@ -37,16 +37,16 @@
     ) -> Vec<Member> {
         let asked = &candidates[..candidates.len().min(MOST_CANDIDATES)];
         self.confirmations
-            .retain(|disk, _| asked.iter().any(|c| c.disk == *disk));
+            .retain(|disk, _| asked.iter().any(|c| c.disk_id == *disk));
         let mut due = Vec::new();
         for candidate in asked {
-            let confirmation = self
-                .confirmations
-                .entry(candidate.disk)
-                .or_insert(Confirmation {
-                    asked: chosen,
-                    confirmed: None,
-                });
+            let confirmation =
+                self.confirmations
+                    .entry(candidate.disk_id)
+                    .or_insert(Confirmation {
+                        asked: chosen,
+                        confirmed: None,
+                    });
             let age = confirmation.confirmed.map(|at| now.saturating_sub(at));
             if age.is_some_and(|age| age < valid_for / REFRESH_PARTS) {
                 continue;
--- a/crates/sparrouter-consensus/src/codec.rs
+++ b/crates/sparrouter-consensus/src/codec.rs
@@ -6,7 +6,7 @@
 /// First byte of all that is written; a reader refuses others.
 pub const FORMAT: u8 = 1;
 /// Longest name or address.
-pub const MOST_TEXT: usize = 256;
+pub const MAX_TEXT_BYTES: usize = 256;
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
@@ -68,7 +68,7 @@
 
 pub(crate) fn read_text(at: &mut usize, input: &[u8]) -> Result<String, DeBinErr> {
     let from = *at;
-    let bytes = read_bytes(at, input, MOST_TEXT)?;
+    let bytes = read_bytes(at, input, MAX_TEXT_BYTES)?;
     String::from_utf8(bytes).map_err(|_| DeBinErr::new(from, 0, input.len()))
 }
 
--- a/crates/sparrouter-consensus/src/evaluation.rs
+++ b/crates/sparrouter-consensus/src/evaluation.rs
@@ -1,9 +1,9 @@
 //! Waiting calls put on a chosen state, in the order in which they came: what they make of it, and what was lost or
 //! won of those that had left before.
 use crate::machine::{Applied, Machine};
-use crate::operation::{Kind, MOST_SENT, Operation, Outcome, Refused};
+use crate::operation::{Kind, MOST_SENT, Operation, Outcome, Rejection};
 use crate::settings::Settings;
-use crate::types::{Ballot, MOST_MEMBERS, Member, ORIGINS, State, Vote};
+use crate::types::{MAX_MEMBERS, MAX_RECENT_PROPOSALS, Member, ProposalNumber, State, Vote};
 
 /// What a chosen state says about a call that had left.
 #[derive(Debug, PartialEq, Eq)]
@@ -23,15 +23,15 @@
     if let Some(sent) = operation
         .sent
         .iter()
-        .find(|s| chosen.origins.contains(&s.origin))
+        .find(|s| chosen.recent_proposals.contains(&s.origin))
     {
         return Fate::Chosen(sent.answer.clone());
     }
-    let told = chosen.seq - (chosen.origins.len() as u64).min(chosen.seq);
+    let told = chosen.slot - (chosen.recent_proposals.len() as u64).min(chosen.slot);
     if operation.sent.iter().any(|s| s.seq <= told) {
         return Fate::Untold;
     }
-    operation.sent.retain(|s| s.seq > chosen.seq);
+    operation.sent.retain(|s| s.seq > chosen.slot);
     if operation.sent.len() >= MOST_SENT {
         Fate::Untold
     } else {
@@ -60,7 +60,7 @@
     machine: &M,
     operations: &[Operation],
     from: &Vote,
-    ballot: Ballot,
+    ballot: ProposalNumber,
     origin: u64,
     settings: &Settings,
 ) -> Batch {
@@ -73,8 +73,8 @@
             Kind::Read | Kind::Settle => (Outcome::Answered(now.clone()), false),
             Kind::Change(change) => match machine.apply(now, change) {
                 Applied::Unchanged { answer } => (Outcome::Answered(answer), false),
-                Applied::Changed { body: new, .. } if new.len() > settings.most_body => {
-                    (Outcome::Refused(Refused::TooLarge), false)
+                Applied::Changed { body: new, .. } if new.len() > settings.max_body_bytes => {
+                    (Outcome::Rejected(Rejection::TooLarge), false)
                 }
                 Applied::Changed { body: new, answer } => {
                     body = Some(new);
@@ -85,12 +85,12 @@
                 if body.is_some() {
                     break;
                 }
-                let fits = may_follow(&from.state.members, to)
+                let fits = is_single_member_change(&from.state.members, to)
                     && from
                         .state
                         .members
                         .iter()
-                        .map(|m| m.disk)
+                        .map(|m| m.disk_id)
                         .eq(expected.iter().copied());
                 members = fits.then(|| to.clone());
                 (Outcome::Answered(Vec::new()), fits)
@@ -112,20 +112,25 @@
         .take(judged.len())
         .any(|o| !o.sent.is_empty());
     let vote = (body.is_some() || members.is_some() || open).then(|| {
-        let mut origins = Vec::with_capacity(ORIGINS);
+        let mut origins = Vec::with_capacity(MAX_RECENT_PROPOSALS);
         origins.push(origin);
-        origins.extend(from.state.origins.iter().take(ORIGINS - 1));
+        origins.extend(
+            from.state
+                .recent_proposals
+                .iter()
+                .take(MAX_RECENT_PROPOSALS - 1),
+        );
         let before = members.as_ref().map(|_| from.state.members.clone());
         let state = State {
-            seq: from.state.seq + 1,
+            slot: from.state.slot + 1,
             members: members.unwrap_or_else(|| from.state.members.clone()),
-            founding: from.state.founding,
-            origins,
+            initial_size: from.state.initial_size,
+            recent_proposals: origins,
             body: body.unwrap_or_else(|| from.state.body.clone()),
         };
         Vote {
-            ballot,
-            before,
+            number: ballot,
+            previous_members: before,
             state,
         }
     });
@@ -133,9 +138,9 @@
 }
 
 /// One member more, one less, or one for another.
-pub fn may_follow(old: &[Member], new: &[Member]) -> bool {
+pub fn is_single_member_change(old: &[Member], new: &[Member]) -> bool {
     let (fewer, more) = (missing(old, new), missing(new, old));
-    (1..=MOST_MEMBERS).contains(&new.len())
+    (1..=MAX_MEMBERS).contains(&new.len())
         && fewer <= 1
         && more <= 1
         && fewer + more > 0
@@ -144,7 +149,7 @@
 
 fn missing(of: &[Member], from: &[Member]) -> usize {
     of.iter()
-        .filter(|m| from.iter().all(|n| n.disk != m.disk))
+        .filter(|m| from.iter().all(|n| n.disk_id != m.disk_id))
         .count()
 }
 
@@ -152,5 +157,5 @@
     members
         .iter()
         .enumerate()
-        .all(|(i, m)| members[..i].iter().all(|n| n.disk != m.disk))
+        .all(|(i, m)| members[..i].iter().all(|n| n.disk_id != m.disk_id))
 }
--- a/crates/sparrouter-consensus/src/handover.rs
+++ b/crates/sparrouter-consensus/src/handover.rs
@@ -39,10 +39,11 @@
         let mine = &self.vote;
         // A later slot is proposed on top of a chosen one only; the same slot may be held under a later ballot.
         let holds_newer = newer.is_some_and(|vote| {
-            let is_same_state = vote.state.origins == mine.state.origins;
-            vote.state.seq > mine.state.seq || (vote.state.seq == mine.state.seq && is_same_state)
+            let is_same_state = vote.state.recent_proposals == mine.state.recent_proposals;
+            vote.state.slot > mine.state.slot
+                || (vote.state.slot == mine.state.slot && is_same_state)
         });
-        if at == Some(mine.at()) || holds_newer {
+        if at == Some(mine.id()) || holds_newer {
             self.holders.insert(disk, now);
         }
     }
@@ -59,12 +60,12 @@
         let Some(chosen) = self.learner.chosen().cloned() else {
             return;
         };
-        let me = self.me.disk;
+        let me = self.me.disk_id;
         let others: Vec<Member> = chosen
             .state
             .members
             .iter()
-            .filter(|m| m.disk != me)
+            .filter(|m| m.disk_id != me)
             .cloned()
             .collect();
         let question = if others.len() == chosen.state.members.len() {
@@ -79,11 +80,11 @@
     }
 
     fn handover_query(&mut self, chosen: SharedVote) -> Message {
-        let known = Some(chosen.at());
+        let known = Some(chosen.id());
         if self
             .handover
             .as_ref()
-            .is_none_or(|check| check.vote.at() != chosen.at())
+            .is_none_or(|check| check.vote.id() != chosen.id())
         {
             self.handover = Some(HandoverCheck {
                 nonce: self.rng.u64(..),
@@ -100,12 +101,17 @@
         let Some(chosen) = self.learner.chosen() else {
             return self.newest().is_none();
         };
-        if chosen.state.members.iter().all(|m| m.disk != self.me.disk) {
+        if chosen
+            .state
+            .members
+            .iter()
+            .all(|m| m.disk_id != self.me.disk_id)
+        {
             return self.may_leave();
         }
         let is_settled = self
             .newest()
-            .is_some_and(|newest| newest.at() == chosen.at());
+            .is_some_and(|newest| newest.id() == chosen.id());
         is_settled && !self.successor_waits && self.others_hold(chosen, now)
     }
 
@@ -113,14 +119,15 @@
         let Some(check) = self
             .handover
             .as_ref()
-            .filter(|check| check.vote.at() == chosen.at())
+            .filter(|check| check.vote.id() == chosen.id())
         else {
             return false;
         };
-        let valid_for = ANSWER_VALID_EXCHANGES * self.settings.exchange;
+        let valid_for = ANSWER_VALID_EXCHANGES * self.settings.exchange_interval;
         majority(&chosen.state.members, |disk| {
             let answered = check.holders.get(&disk);
-            disk != self.me.disk && answered.is_some_and(|at| now.saturating_sub(*at) < valid_for)
+            disk != self.me.disk_id
+                && answered.is_some_and(|at| now.saturating_sub(*at) < valid_for)
         })
     }
 }
--- a/crates/sparrouter-consensus/src/learner.rs
+++ b/crates/sparrouter-consensus/src/learner.rs
@@ -37,7 +37,7 @@
     }
 
     pub fn seq(&self) -> Option<u64> {
-        self.chosen.as_ref().map(|v| v.state.seq)
+        self.chosen.as_ref().map(|v| v.state.slot)
     }
 
     /// Whether this vote, known to be chosen, is news. A slot is published once, by whichever ballot came first: they
@@ -45,19 +45,20 @@
     pub fn learn(&mut self, vote: &SharedVote) -> bool {
         let mine = self.chosen.as_deref();
         let other = mine.is_some_and(|m| {
-            m.state.seq == vote.state.seq && m.state.origins != vote.state.origins
+            m.state.slot == vote.state.slot
+                && m.state.recent_proposals != vote.state.recent_proposals
         });
         debug_assert!(
             !other,
             "two states of slot {} are called chosen",
-            vote.state.seq
+            vote.state.slot
         );
         self.conflicts += u64::from(other);
-        let news = mine.is_none_or(|m| vote.state.seq > m.state.seq);
+        let news = mine.is_none_or(|m| vote.state.slot > m.state.slot);
         if news {
-            let belongs = |disk| vote.state.members.iter().any(|m| m.disk == disk);
+            let belongs = |disk| vote.state.members.iter().any(|m| m.disk_id == disk);
             self.told.retain(|&disk, _| belongs(disk));
-            self.out_since = (!belongs(self.me)).then(|| self.out_since.unwrap_or(vote.state.seq));
+            self.out_since = (!belongs(self.me)).then(|| self.out_since.unwrap_or(vote.state.slot));
             self.chosen = Some(vote.clone());
         }
         news
@@ -66,7 +67,7 @@
     /// A node told up to which slot it keeps what is chosen.
     pub fn heard(&mut self, disk: u64, kept: u64) {
         let members = self.chosen.as_ref().map_or(&[][..], |v| &v.state.members);
-        if members.iter().any(|m| m.disk == disk) {
+        if members.iter().any(|m| m.disk_id == disk) {
             self.told.insert(disk, kept);
         }
     }
@@ -86,9 +87,9 @@
         let mine = self
             .chosen
             .as_ref()
-            .filter(|v| chosen < Some(v.state.seq))?;
+            .filter(|v| chosen < Some(v.state.slot))?;
         Some(match at {
-            Some(at) if at == mine.at() => Message::Chosen { at },
+            Some(at) if at == mine.id() => Message::Chosen { at },
             _ => Message::Learn { vote: mine.clone() },
         })
     }
--- a/crates/sparrouter-consensus/src/lease.rs
+++ b/crates/sparrouter-consensus/src/lease.rs
@@ -12,36 +12,36 @@
 
 /// Who holds a duty: the node's name, and its life, which another start of it does not share.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Holder {
+pub struct LeaseHolder {
     pub name: String,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Lease {
     /// The highest number that was handed out.
-    pub fence: u64,
-    pub holder: Option<Holder>,
+    pub fencing_token: u64,
+    pub holder: Option<LeaseHolder>,
     /// Of the holder.
-    pub span: Nanos,
+    pub duration: Nanos,
     /// What the holder had to wait out, and its successor must if it goes before it has.
-    pub wait: Nanos,
+    pub takeover_wait: Nanos,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum LeaseChange {
     Acquire {
-        holder: Holder,
-        span: Nanos,
+        holder: LeaseHolder,
+        duration: Nanos,
     },
     Renew {
-        holder: Holder,
-        fence: u64,
+        holder: LeaseHolder,
+        fencing_token: u64,
     },
     /// `waited`: whether the holder's own wait was over, so that no earlier one is left.
     Release {
-        holder: Holder,
-        fence: u64,
+        holder: LeaseHolder,
+        fencing_token: u64,
         waited: bool,
     },
 }
@@ -50,20 +50,20 @@
 pub enum LeaseAnswer {
     /// Wait `wait` from now, then act under `fence`.
     Acquired {
-        fence: u64,
-        wait: Nanos,
+        fencing_token: u64,
+        takeover_wait: Nanos,
     },
     Renewed,
     Released,
     /// Another holds it, or did; `fence` is the highest handed out.
-    Refused {
-        fence: u64,
+    Rejected {
+        fencing_token: u64,
     },
     Malformed,
 }
 
 /// Longest body, change or answer.
-const MOST: usize = 4 * codec::MOST_TEXT;
+const MOST: usize = 4 * codec::MAX_TEXT_BYTES;
 
 impl Lease {
     pub fn decode(body: &[u8]) -> Option<Lease> {
@@ -102,45 +102,59 @@
         ) else {
             return unchanged(LeaseAnswer::Malformed);
         };
-        let refused = LeaseAnswer::Refused { fence: lease.fence };
-        let holds = |holder: &Holder, fence: u64| {
-            lease.holder.as_ref() == Some(holder) && lease.fence == fence
+        let refused = LeaseAnswer::Rejected {
+            fencing_token: lease.fencing_token,
+        };
+        let holds = |holder: &LeaseHolder, fence: u64| {
+            lease.holder.as_ref() == Some(holder) && lease.fencing_token == fence
         };
         let (next, answer) = match change {
-            LeaseChange::Acquire { holder, span } => {
+            LeaseChange::Acquire {
+                holder,
+                duration: span,
+            } => {
                 // The same life again holds nobody up but by what it had to wait itself.
                 let own = lease.holder.as_ref().is_none_or(|h| *h == holder);
                 let wait = if own {
-                    lease.wait
+                    lease.takeover_wait
                 } else {
-                    lease.wait.max(lease.span)
+                    lease.takeover_wait.max(lease.duration)
                 };
-                let Some(fence) = lease.fence.checked_add(1) else {
+                let Some(fence) = lease.fencing_token.checked_add(1) else {
                     return unchanged(refused);
                 };
                 let next = Lease {
-                    fence,
+                    fencing_token: fence,
                     holder: Some(holder),
-                    span,
-                    wait,
+                    duration: span,
+                    takeover_wait: wait,
                 };
-                (next, LeaseAnswer::Acquired { fence, wait })
+                (
+                    next,
+                    LeaseAnswer::Acquired {
+                        fencing_token: fence,
+                        takeover_wait: wait,
+                    },
+                )
             }
-            LeaseChange::Renew { holder, fence } if holds(&holder, fence) => {
+            LeaseChange::Renew {
+                holder,
+                fencing_token: fence,
+            } if holds(&holder, fence) => {
                 return unchanged(LeaseAnswer::Renewed);
             }
             LeaseChange::Release {
                 holder,
-                fence,
+                fencing_token: fence,
                 waited,
             } if holds(&holder, fence) => {
-                let wait = if waited { 0 } else { lease.wait };
+                let wait = if waited { 0 } else { lease.takeover_wait };
                 (
                     Lease {
-                        fence,
+                        fencing_token: fence,
                         holder: None,
-                        span: 0,
-                        wait,
+                        duration: 0,
+                        takeover_wait: wait,
                     },
                     LeaseAnswer::Released,
                 )
@@ -154,18 +168,18 @@
     }
 }
 
-impl SerBin for Holder {
+impl SerBin for LeaseHolder {
     fn ser_bin(&self, out: &mut Vec<u8>) {
         write_bytes(self.name.as_bytes(), out);
-        self.life.ser_bin(out);
+        self.incarnation.ser_bin(out);
     }
 }
 
-impl DeBin for Holder {
-    fn de_bin(at: &mut usize, input: &[u8]) -> Result<Holder, DeBinErr> {
-        Ok(Holder {
+impl DeBin for LeaseHolder {
+    fn de_bin(at: &mut usize, input: &[u8]) -> Result<LeaseHolder, DeBinErr> {
+        Ok(LeaseHolder {
             name: read_text(at, input)?,
-            life: u64::de_bin(at, input)?,
+            incarnation: u64::de_bin(at, input)?,
         })
     }
 }
--- a/crates/sparrouter-consensus/src/lib.rs
+++ b/crates/sparrouter-consensus/src/lib.rs
@@ -36,12 +36,12 @@
 pub use lease::Leases;
 pub use machine::{Applied, Machine};
 pub use message::Message;
-pub use operation::{Outcome, Refused};
+pub use operation::{Outcome, Rejection};
 pub use owner::owner;
 pub use reconfiguration::NodeObservation;
 pub use register::{Action, Register, RegisterError};
 pub use settings::{Defects, Settings};
-pub use types::{Ballot, Member, Record, SharedVote, State, Vote, VoteId};
+pub use types::{Member, ProposalNumber, Record, SharedVote, State, Vote, VoteId};
 
 /// Of a steady clock.
 pub type Nanos = u64;
--- a/crates/sparrouter-consensus/src/message.rs
+++ b/crates/sparrouter-consensus/src/message.rs
@@ -2,7 +2,7 @@
 //! does harm.
 use crate::codec::{self, CodecError, read_bytes, write_bytes};
 use crate::transfer::{BodyReference, Purpose};
-use crate::types::{Ballot, SharedVote, VoteId};
+use crate::types::{ProposalNumber, SharedVote, VoteId};
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
@@ -17,13 +17,13 @@
 pub enum Message {
     /// `known`: the newest vote that the proposer has, which need not be sent to it.
     Prepare {
-        ballot: Ballot,
+        ballot: ProposalNumber,
         known: Option<VoteId>,
     },
     /// The acceptor takes no lower ballot from now on. `at` is its newest vote, `newer` that vote if it is above
     /// `known`.
     Promise {
-        ballot: Ballot,
+        ballot: ProposalNumber,
         at: Option<VoteId>,
         newer: Option<SharedVote>,
     },
@@ -35,8 +35,8 @@
     },
     /// No to `ballot`; `promised` is what outran it.
     Reject {
-        ballot: Ballot,
-        promised: Ballot,
+        ballot: ProposalNumber,
+        promised: ProposalNumber,
         reason: Reason,
     },
     /// What is your newest vote on disk? Promises nothing. `nonce` ties the answer to this very question.
@@ -46,7 +46,7 @@
     },
     Report {
         nonce: u64,
-        promised: Ballot,
+        promised: ProposalNumber,
         at: Option<VoteId>,
         newer: Option<SharedVote>,
     },
@@ -62,7 +62,7 @@
     /// From a member to a node outside of its group, or from such a node to a member: up to this slot my disk keeps
     /// what is chosen, without a group before. Never answered, or two that each hold the other for an outsider would
     /// go on for ever.
-    Kept {
+    Stored {
         chosen: u64,
     },
     /// A chosen vote, whole.
@@ -81,36 +81,36 @@
         body: BodyReference,
         offset: u32,
     },
-    BodyPiece {
+    BodyChunk {
         body: BodyReference,
         offset: u32,
-        bytes: PieceBytes,
+        bytes: ChunkBytes,
     },
     /// I have this body no more, as newer ones came.
-    BodyGone {
+    BodyUnavailable {
         body: BodyReference,
     },
 }
 
 /// Bytes of a body, written as one block.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PieceBytes(pub Vec<u8>);
+pub struct ChunkBytes(pub Vec<u8>);
 
-impl From<&[u8]> for PieceBytes {
-    fn from(bytes: &[u8]) -> PieceBytes {
-        PieceBytes(bytes.to_vec())
+impl From<&[u8]> for ChunkBytes {
+    fn from(bytes: &[u8]) -> ChunkBytes {
+        ChunkBytes(bytes.to_vec())
     }
 }
 
-impl SerBin for PieceBytes {
+impl SerBin for ChunkBytes {
     fn ser_bin(&self, out: &mut Vec<u8>) {
         write_bytes(&self.0, out);
     }
 }
 
-impl DeBin for PieceBytes {
-    fn de_bin(at: &mut usize, input: &[u8]) -> Result<PieceBytes, DeBinErr> {
-        Ok(PieceBytes(read_bytes(at, input, input.len())?))
+impl DeBin for ChunkBytes {
+    fn de_bin(at: &mut usize, input: &[u8]) -> Result<ChunkBytes, DeBinErr> {
+        Ok(ChunkBytes(read_bytes(at, input, input.len())?))
     }
 }
 
--- a/crates/sparrouter-consensus/src/operation.rs
+++ b/crates/sparrouter-consensus/src/operation.rs
@@ -7,13 +7,13 @@
     /// By a state that a quorum chose in or after the call.
     Answered(Vec<u8>),
     /// It is not in force and never will be by this call.
-    Refused(Refused),
+    Rejected(Rejection),
     /// It left this node and no quorum told what became of it: it is in force, or will be, or never.
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum Rejection {
     #[error("too many calls wait for this part: repeat after those before it")]
     Busy,
     #[error("no quorum of the part's group answered in time: see which members are down")]
@@ -69,7 +69,7 @@
     /// What to tell when the time is up.
     pub fn expired(&self) -> Outcome {
         if self.sent.is_empty() {
-            Outcome::Refused(Refused::NoQuorum)
+            Outcome::Rejected(Rejection::NoQuorum)
         } else {
             Outcome::Unknown
         }
--- a/crates/sparrouter-consensus/src/proposer.rs
+++ b/crates/sparrouter-consensus/src/proposer.rs
@@ -13,10 +13,10 @@
 use crate::evaluation::{self, Fate, Judged};
 use crate::machine::Machine;
 use crate::message::Message;
-use crate::operation::{Operation, Outcome, Refused, Sent};
+use crate::operation::{Operation, Outcome, Rejection, Sent};
 use crate::quorum::reached;
 use crate::register::Register;
-use crate::types::{Ballot, Member, SharedVote, VoteId};
+use crate::types::{Member, ProposalNumber, SharedVote, VoteId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Queries that find no agreement before a ballot is taken: mostly a vote is just under way.
@@ -28,7 +28,7 @@
 /// The right to propose the slot after `chosen` under `ballot`.
 #[derive(Clone, Debug)]
 pub(crate) struct Lead {
-    pub ballot: Ballot,
+    pub ballot: ProposalNumber,
     pub chosen: SharedVote,
     /// Step at which the round that proved it began: calls older than that may be answered by it.
     pub proved: u64,
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Goal {
     Query { nonce: u64, tries: u32 },
-    Prepare { ballot: Ballot },
+    Prepare { ballot: ProposalNumber },
     Accept { judged: Vec<Judged> },
 }
 
@@ -76,7 +76,7 @@
 
 impl Round {
     fn message(&self) -> Message {
-        let known = Some(self.vote.at());
+        let known = Some(self.vote.id());
         match &self.goal {
             Goal::Query { nonce, .. } => Message::Query {
                 nonce: *nonce,
@@ -99,7 +99,7 @@
         while matches!(self.phase, Phase::Idle) && !self.operations.is_empty() {
             let Some(newest) = self.newest().cloned() else {
                 for operation in std::mem::take(&mut self.operations) {
-                    self.finish(operation.id, Outcome::Refused(Refused::NoGroup));
+                    self.finish(operation.id, Outcome::Rejected(Rejection::NoGroup));
                 }
                 return;
             };
@@ -140,7 +140,7 @@
                 let operation = self.operations.iter_mut().find(|o| o.step == judged.step);
                 if let (Some(operation), Outcome::Answered(answer)) = (operation, &judged.outcome) {
                     operation.sent.push(Sent {
-                        seq: vote.state.seq,
+                        seq: vote.state.slot,
                         origin,
                         answer: answer.clone(),
                     });
@@ -219,15 +219,15 @@
         self.lead = None;
         self.round += 1;
         let ballot = match self.settings.defects.ballots_shared {
-            true => Ballot {
-                round: self.round,
-                disk: 0,
-                life: 0,
+            true => ProposalNumber {
+                term: self.round,
+                replica: 0,
+                incarnation: 0,
             },
-            false => Ballot {
-                round: self.round,
-                disk: self.me.disk,
-                life: self.life,
+            false => ProposalNumber {
+                term: self.round,
+                replica: self.me.disk_id,
+                incarnation: self.incarnation,
             },
         };
         self.begin(Goal::Prepare { ballot }, vote, now);
@@ -273,16 +273,16 @@
         let Phase::Round(round) = &mut self.phase else {
             return false;
         };
-        if !fits(round) || round.asked.iter().all(|m| m.disk != from.disk) {
+        if !fits(round) || round.asked.iter().all(|m| m.disk_id != from.disk_id) {
             return false;
         }
-        if round.repeats == 0 && from.disk != self.me.disk {
+        if round.repeats == 0 && from.disk_id != self.me.disk_id {
             self.round_trip = (self.round_trip * 7 + now.saturating_sub(round.began)) / 8;
         }
         let first = round.heard.is_empty();
-        round.heard.insert(from.disk, at);
+        round.heard.insert(from.disk_id, at);
         if let Some(vote) = newer {
-            if vote.at() > round.vote.at() && (!any || first) {
+            if vote.id() > round.vote.id() && (!any || first) {
                 self.take_up(vote);
             } else {
                 round.seen.push(vote);
@@ -297,9 +297,9 @@
             return;
         };
         let mut asks = vote.electorate();
-        asks.retain(|m| round.asked.iter().all(|a| a.disk != m.disk));
+        asks.retain(|m| round.asked.iter().all(|a| a.disk_id != m.disk_id));
         round.asked.extend(asks.iter().cloned());
-        round.seen.retain(|v| v.at() != vote.at());
+        round.seen.retain(|v| v.id() != vote.id());
         round.seen.push(vote.clone());
         round.vote = vote;
         let message = round.message();
@@ -315,11 +315,11 @@
             return;
         };
         match round.goal {
-            Goal::Accept { .. } if vote.state.seq >= round.vote.state.seq => {
+            Goal::Accept { .. } if vote.state.slot >= round.vote.state.slot => {
                 (self.phase, self.lead) = (Phase::Idle, None);
             }
             Goal::Accept { .. } => {}
-            _ if vote.at() < round.vote.at() => {}
+            _ if vote.id() < round.vote.id() => {}
             Goal::Query { .. } => {
                 self.take_up(vote.clone());
                 self.count_reports(now);
@@ -353,7 +353,7 @@
         let agreed = |v: &&SharedVote| {
             reached(
                 v,
-                |d| round.heard.get(&d) == Some(&Some(v.at())),
+                |d| round.heard.get(&d) == Some(&Some(v.id())),
                 &self.at_start,
                 &self.settings.defects,
             )
@@ -362,7 +362,7 @@
             if round
                 .asked
                 .iter()
-                .all(|m| round.heard.contains_key(&m.disk))
+                .all(|m| round.heard.contains_key(&m.disk_id))
             {
                 round.repeat_at = round.repeat_at.min(now + self.round_trip);
             }
@@ -374,17 +374,17 @@
             .filter(|m| {
                 round
                     .heard
-                    .get(&m.disk)
-                    .is_some_and(|h| *h != Some(chosen.at()))
+                    .get(&m.disk_id)
+                    .is_some_and(|h| *h != Some(chosen.id()))
             })
             .collect();
         self.phase = Phase::Idle;
         self.publish(&chosen, now);
         for member in behind {
-            self.send(member, Message::Chosen { at: chosen.at() });
+            self.send(member, Message::Chosen { at: chosen.id() });
         }
         match &mut self.lead {
-            Some(lead) if lead.chosen.at() == chosen.at() => lead.proved = lead.proved.max(step),
+            Some(lead) if lead.chosen.id() == chosen.id() => lead.proved = lead.proved.max(step),
             _ => {
                 // Somebody else went on from here, or nobody leads.
                 self.lead = None;
@@ -407,7 +407,7 @@
     pub(crate) fn promised(
         &mut self,
         from: Member,
-        ballot: Ballot,
+        ballot: ProposalNumber,
         at: Option<VoteId>,
         newer: Option<SharedVote>,
         now: Nanos,
@@ -436,7 +436,7 @@
             return;
         }
         let (vote, step) = (round.vote.clone(), round.step);
-        let held = |d| round.heard.get(&d) == Some(&Some(vote.at()));
+        let held = |d| round.heard.get(&d) == Some(&Some(vote.id()));
         if defects.judge_unchosen || reached(&vote, held, &self.at_start, defects) {
             self.phase = Phase::Idle;
             let chosen = self.publish(&vote, now);
@@ -447,7 +447,7 @@
             });
         } else {
             let vote = crate::types::Vote {
-                ballot,
+                number: ballot,
                 ..(*vote.0).clone()
             };
             self.accept(vote.into(), Vec::new(), now);
@@ -455,7 +455,7 @@
     }
 
     pub(crate) fn accepted(&mut self, from: Member, at: VoteId, now: Nanos) {
-        let fits = |r: &Round| matches!(r.goal, Goal::Accept { .. }) && r.vote.at() == at;
+        let fits = |r: &Round| matches!(r.goal, Goal::Accept { .. }) && r.vote.id() == at;
         if !self.hear(&from, Some(at), None, now, fits) {
             return;
         }
@@ -476,7 +476,7 @@
         self.back_offs = 0;
         let chosen = self.publish(&round.vote, now);
         for member in round.asked {
-            if member.disk != self.me.disk {
+            if member.disk_id != self.me.disk_id {
                 self.send(member, Message::Chosen { at });
             }
         }
@@ -484,25 +484,25 @@
             self.answer(judged);
         }
         self.lead = Some(Lead {
-            ballot: at.ballot,
+            ballot: at.number,
             chosen,
             proved: round.step,
         });
     }
 
-    pub(crate) fn rejected(&mut self, from: Member, ballot: Ballot, now: Nanos) {
+    pub(crate) fn rejected(&mut self, from: Member, ballot: ProposalNumber, now: Nanos) {
         let Phase::Round(round) = &mut self.phase else {
             return;
         };
         let mine = match round.goal {
             Goal::Query { .. } => return,
             Goal::Prepare { ballot } => ballot,
-            Goal::Accept { .. } => round.vote.ballot,
+            Goal::Accept { .. } => round.vote.number,
         };
         if mine != ballot {
             return;
         }
-        round.refused.insert(from.disk);
+        round.refused.insert(from.disk_id);
         let possible = |d| !round.refused.contains(&d) || round.heard.contains_key(&d);
         if !reached(
             &round.vote,
@@ -528,7 +528,7 @@
         if self.phase.next_wake().is_none_or(|at| at > now) {
             return;
         }
-        let newest = self.newest().map(|v| v.at());
+        let newest = self.newest().map(|v| v.id());
         let Phase::Round(round) = &mut self.phase else {
             self.phase = Phase::Idle;
             return;
@@ -549,19 +549,19 @@
                 };
             }
         } else if !round.refused.is_empty()
-            || newest > Some(round.vote.at())
+            || newest > Some(round.vote.id())
             || round.repeats >= REPEATS
         {
             // What it asks for, or whom, may be out of date.
             return self.back_off(now);
         }
         round.repeats += 1;
-        round.repeat_at =
-            now + ((4 * self.round_trip) << round.repeats.min(4)).min(self.settings.contact);
+        round.repeat_at = now
+            + ((4 * self.round_trip) << round.repeats.min(4)).min(self.settings.contact_timeout);
         let silent: Vec<Member> = round
             .asked
             .iter()
-            .filter(|m| !round.heard.contains_key(&m.disk))
+            .filter(|m| !round.heard.contains_key(&m.disk_id))
             .cloned()
             .collect();
         let message = round.message();
--- a/crates/sparrouter-consensus/src/quorum.rs
+++ b/crates/sparrouter-consensus/src/quorum.rs
@@ -3,7 +3,7 @@
 use crate::types::{Member, Vote};
 
 pub fn majority(members: &[Member], has: impl Fn(u64) -> bool) -> bool {
-    !members.is_empty() && members.iter().filter(|m| has(m.disk)).count() > members.len() / 2
+    !members.is_empty() && members.iter().filter(|m| has(m.disk_id)).count() > members.len() / 2
 }
 
 /// Whether those that `has` names choose this vote, or may go on from it: a majority of the group that governs its
@@ -15,7 +15,7 @@
     defects: &Defects,
 ) -> bool {
     let enough = |members: &[Member]| match defects.half_is_majority {
-        true => members.iter().filter(|m| has(m.disk)).count() * 2 >= members.len(),
+        true => members.iter().filter(|m| has(m.disk_id)).count() * 2 >= members.len(),
         false => majority(members, has),
     };
     if defects.old_group_only && !at_start.is_empty() {
--- a/crates/sparrouter-consensus/src/reconfiguration.rs
+++ b/crates/sparrouter-consensus/src/reconfiguration.rs
@@ -16,16 +16,16 @@
 use crate::candidate::Candidates;
 use crate::owner::ranked;
 use crate::settings::Settings;
-use crate::types::{MOST_MEMBERS, Member, State};
+use crate::types::{MAX_MEMBERS, Member, State};
 
 /// A node as discovery has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeObservation {
     pub member: Member,
     /// Whether it may belong to a group.
-    pub counted: bool,
+    pub counts_toward_quorum: bool,
     /// Since it was last heard of; `None` if it never was.
-    pub heard: Option<Nanos>,
+    pub since_last_contact: Option<Nanos>,
     pub leaving: bool,
 }
 
@@ -59,13 +59,13 @@
             me,
             state,
             seen,
-            contact: settings.contact,
+            contact: settings.contact_timeout,
             looking,
             is_eligible: &is_eligible,
         };
         let Some(to) = view
             .change(part)
-            .filter(|_| state.members.iter().any(|m| m.disk == me.disk))
+            .filter(|_| state.members.iter().any(|m| m.disk_id == me.disk_id))
         else {
             self.wanted = None;
             return None;
@@ -79,15 +79,15 @@
         };
         let live = ranked(part, &state.members)
             .into_iter()
-            .filter(|m| m.disk == me.disk || view.stays(m));
-        let rank = live.take_while(|m| m.disk != me.disk).count() as u64;
+            .filter(|m| m.disk_id == me.disk_id || view.stays(m));
+        let rank = live.take_while(|m| m.disk_id != me.disk_id).count() as u64;
         // A new node may stand in for a member whose silence nobody has noticed yet: then it is swapped, not added.
         let patience = if to.len() > state.members.len() {
-            settings.contact
+            settings.contact_timeout
         } else {
             0
         };
-        (now - since >= patience + rank * settings.contact / 10).then_some(to)
+        (now - since >= patience + rank * settings.contact_timeout / 10).then_some(to)
     }
 
     /// The nodes that may join the group, if their disks confirm that they hold its state.
@@ -102,8 +102,8 @@
             me,
             state,
             seen,
-            contact: settings.contact,
-            looking: settings.contact,
+            contact: settings.contact_timeout,
+            looking: settings.contact_timeout,
             is_eligible: &|_| true,
         };
         view.waiting(part)
@@ -129,7 +129,7 @@
 
 /// How long a candidate's answer counts: a proposal that lets in a node that has gone meanwhile may hold up the group.
 fn confirmation_valid_for(settings: &Settings) -> Nanos {
-    settings.contact / 2
+    settings.contact_timeout / 2
 }
 
 struct View<'a> {
@@ -144,13 +144,15 @@
 
 impl View<'_> {
     fn find(&self, member: &Member) -> Option<&NodeObservation> {
-        self.seen.iter().find(|s| s.member.disk == member.disk)
+        self.seen
+            .iter()
+            .find(|s| s.member.disk_id == member.disk_id)
     }
 
     /// Since it was heard of, or since this node listens.
     fn silent(&self, member: &Member) -> Nanos {
-        match self.find(member).and_then(|s| s.heard) {
-            _ if member.disk == self.me.disk => 0,
+        match self.find(member).and_then(|s| s.since_last_contact) {
+            _ if member.disk_id == self.me.disk_id => 0,
             Some(ago) => ago,
             None => self.looking,
         }
@@ -159,8 +161,8 @@
     /// Whether a member is there for a group that needs one more vote. Half of `contact`, since a proposal to a member
     /// that has just been cut off holds up the group until it is back.
     fn is_present(&self, member: &Member) -> bool {
-        let heard = self.find(member).and_then(|s| s.heard);
-        member.disk == self.me.disk || heard.is_some_and(|ago| ago < self.contact / 2)
+        let heard = self.find(member).and_then(|s| s.since_last_contact);
+        member.disk_id == self.me.disk_id || heard.is_some_and(|ago| ago < self.contact / 2)
     }
 
     fn stays(&self, member: &Member) -> bool {
@@ -169,8 +171,12 @@
 
     /// Counted nodes outside the group, in the order in which the part would take them.
     fn waiting(&self, part: u16) -> Vec<Member> {
-        let outside =
-            |s: &&NodeObservation| self.state.members.iter().all(|m| m.disk != s.member.disk);
+        let outside = |s: &&NodeObservation| {
+            self.state
+                .members
+                .iter()
+                .all(|m| m.disk_id != s.member.disk_id)
+        };
         // Word of a disk that was wiped may go round longer than the disk lived.
         let newest = |s: &&NodeObservation| {
             let same = self
@@ -180,10 +186,11 @@
                 .find(|m| m.address == s.member.address);
             same.is_none_or(|m| self.silent(m) > self.silent(&s.member))
         };
-        let fit = self
-            .seen
-            .iter()
-            .filter(|s| s.counted && !s.leaving && s.heard.is_some_and(|h| h < self.contact));
+        let fit = self.seen.iter().filter(|s| {
+            s.counts_toward_quorum
+                && !s.leaving
+                && s.since_last_contact.is_some_and(|h| h < self.contact)
+        });
         let nodes: Vec<Member> = fit
             .filter(outside)
             .filter(newest)
@@ -195,7 +202,7 @@
             let returns = |m: &Member| m.address == node.address;
             !self.state.members.iter().any(returns)
         });
-        waiting.retain(|node| (self.is_eligible)(node.disk));
+        waiting.retain(|node| (self.is_eligible)(node.disk_id));
         waiting
     }
 
@@ -212,12 +219,12 @@
         let going = lost.or_else(|| members.iter().position(|m| !self.stays(m)));
         match (going, waiting.first()) {
             (Some(index), Some(new)) => Some(self.with(index, Some(new))),
-            (Some(index), None) if members.len() > usize::from(self.state.founding) => {
+            (Some(index), None) if members.len() > usize::from(self.state.initial_size) => {
                 Some(self.with(index, None))
             }
             // One more beside a lost one would leave fewer to spare than before.
             (None, Some(new))
-                if members.len() < MOST_MEMBERS && members.iter().all(|m| self.is_present(m)) =>
+                if members.len() < MAX_MEMBERS && members.iter().all(|m| self.is_present(m)) =>
             {
                 let mut to = members.clone();
                 to.push(new.clone());
--- a/crates/sparrouter-consensus/src/register.rs
+++ b/crates/sparrouter-consensus/src/register.rs
@@ -6,12 +6,12 @@
 use crate::learner::Learner;
 use crate::machine::Machine;
 use crate::message::Message;
-use crate::operation::{Kind, Operation, Outcome, Refused};
+use crate::operation::{Kind, Operation, Outcome, Rejection};
 use crate::proposer::{Lead, Phase};
 use crate::reconfiguration::{NodeObservation, Reconfiguration};
 use crate::settings::Settings;
 use crate::transfer::{TransferCounts, Transfers};
-use crate::types::{Ballot, Member, Record, SharedVote, State, Vote, VoteId};
+use crate::types::{Member, ProposalNumber, Record, SharedVote, State, Vote, VoteId};
 use fastrand::Rng;
 use std::collections::VecDeque;
 
@@ -29,7 +29,7 @@
     /// News, in rising `seq`: this state is chosen.
     Chosen(State),
     /// The end of a call, told once.
-    Done {
+    Completed {
         op: u64,
         outcome: Outcome,
     },
@@ -38,20 +38,20 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RegisterError {
     #[error(
-        "the record of part {part} can't be read: {source}; treat the disk as wiped, so that it joins under a new id"
+        "the record of shard {shard} can't be read: {source}; treat the disk as wiped, so that it joins under a new id"
     )]
-    Record { part: u16, source: CodecError },
+    Record { shard: u16, source: CodecError },
 }
 
 #[derive(Clone, Debug)]
 pub struct Register<M: Machine> {
-    pub(crate) part: u16,
+    pub(crate) shard: u16,
     pub(crate) me: Member,
     pub(crate) machine: M,
     pub(crate) settings: Settings,
     pub(crate) rng: Rng,
-    /// Of this start; see `Ballot`.
-    pub(crate) life: u64,
+    /// Of this start; see `ProposalNumber`.
+    pub(crate) incarnation: u64,
     pub(crate) acceptor: Acceptor,
     pub(crate) learner: Learner,
     pub(crate) operations: Vec<Operation>,
@@ -84,7 +84,7 @@
     /// `record`: what the last store of this part kept, `None` if there never was one. `rng` must differ from start to
     /// start of a machine: it names its ballots. A group's first record is `Record::found`.
     pub fn new(
-        part: u16,
+        shard: u16,
         me: Member,
         record: Option<&[u8]>,
         machine: M,
@@ -92,25 +92,25 @@
         settings: Settings,
         now: Nanos,
     ) -> Result<Register<M>, RegisterError> {
-        let most = settings.most_message();
+        let most = settings.max_message_bytes();
         let record = record.map(|bytes| Record::decode(bytes, most)).transpose();
         let record = record
-            .map_err(|source| RegisterError::Record { part, source })?
+            .map_err(|source| RegisterError::Record { shard, source })?
             .unwrap_or_default();
         let life = rng.u64(..);
         let at_start = record
             .accepted
             .as_ref()
             .map_or_else(Vec::new, |v| v.state.members.clone());
-        let exchange_at = now + rng.u64(0..=settings.exchange);
+        let exchange_at = now + rng.u64(0..=settings.exchange_interval);
         Ok(Register {
-            part,
+            shard,
             machine,
             rng,
-            life,
-            round: record.promised.round,
+            incarnation: life,
+            round: record.promised.term,
             acceptor: Acceptor::new(record),
-            learner: Learner::new(me.disk),
+            learner: Learner::new(me.disk_id),
             me,
             operations: Vec::new(),
             step: 0,
@@ -133,8 +133,8 @@
         })
     }
 
-    pub fn part(&self) -> u16 {
-        self.part
+    pub fn shard(&self) -> u16 {
+        self.shard
     }
 
     /// The newest state known to be chosen.
@@ -170,12 +170,12 @@
 
     /// The newest vote that this node accepted, on disk or about to be.
     pub fn accepted_vote(&self) -> Option<VoteId> {
-        self.newest().map(|vote| vote.at())
+        self.newest().map(|vote| vote.id())
     }
 
     /// Whether this node's vote counts in the newest group that it knows.
     pub fn is_member(&self) -> bool {
-        self.members().iter().any(|m| m.disk == self.me.disk)
+        self.members().iter().any(|m| m.disk_id == self.me.disk_id)
     }
 
     pub(crate) fn newest(&self) -> Option<&SharedVote> {
@@ -184,8 +184,8 @@
 
     /// Applies `change` to the newest state; ends in `Done` by `deadline`. `op` names the call, the caller's choice.
     pub fn propose(&mut self, op: u64, change: Vec<u8>, deadline: Nanos, now: Nanos) {
-        if change.len() > self.settings.most_change {
-            return self.done(op, Outcome::Refused(Refused::TooLarge));
+        if change.len() > self.settings.max_change_bytes {
+            return self.done(op, Outcome::Rejected(Rejection::TooLarge));
         }
         self.call(op, Kind::Change(change), deadline, now);
     }
@@ -196,8 +196,8 @@
     }
 
     fn call(&mut self, op: u64, kind: Kind, deadline: Nanos, now: Nanos) {
-        if self.operations.len() >= self.settings.most_pending {
-            return self.done(op, Outcome::Refused(Refused::Busy));
+        if self.operations.len() >= self.settings.max_pending {
+            return self.done(op, Outcome::Rejected(Rejection::Busy));
         }
         self.enqueue(Some(op), kind, deadline);
         self.work(now);
@@ -233,7 +233,7 @@
     }
 
     /// Asks a node, who may know the part's group, for what it knows.
-    pub fn ask(&mut self, of: Member, now: Nanos) {
+    pub fn request_state(&mut self, of: Member, now: Nanos) {
         let message = self.have();
         self.send(of, message);
         self.work(now);
@@ -266,16 +266,22 @@
                     .iter()
                     .any(|o| matches!(o.kind, Kind::Settle))
             {
-                self.enqueue(None, Kind::Settle, now + 8 * self.settings.exchange);
+                self.enqueue(
+                    None,
+                    Kind::Settle,
+                    now + 8 * self.settings.exchange_interval,
+                );
             }
         }
         self.work(now);
     }
 
     /// Looks at who is there, and changes the group by at most one member; call it at each news and now and then.
-    pub fn tend(&mut self, seen: &[NodeObservation], now: Nanos) {
+    pub fn observe_nodes(&mut self, seen: &[NodeObservation], now: Nanos) {
         let live = |s: &&NodeObservation| {
-            s.member.disk != self.me.disk && s.heard.is_some_and(|h| h < self.settings.contact)
+            s.member.disk_id != self.me.disk_id
+                && s.since_last_contact
+                    .is_some_and(|h| h < self.settings.contact_timeout)
         };
         let count = seen.iter().filter(live).count();
         let chance = self.rng.usize(..count.max(1));
@@ -288,11 +294,11 @@
             return;
         };
         let candidates =
-            Reconfiguration::candidates(self.part, &self.me, &chosen.state, seen, &self.settings);
+            Reconfiguration::candidates(self.shard, &self.me, &chosen.state, seen, &self.settings);
         self.successor_waits = !candidates.is_empty();
         let due = self.reconfiguration.choose_questions(
             &candidates,
-            chosen.state.seq,
+            chosen.state.slot,
             &self.settings,
             now,
         );
@@ -308,7 +314,7 @@
             .iter()
             .any(|o| matches!(o.kind, Kind::Members { .. }));
         let to = self.reconfiguration.decide(
-            self.part,
+            self.shard,
             &self.me,
             &chosen.state,
             seen,
@@ -316,11 +322,11 @@
             now,
         );
         if let (Some(to), false) = (to, busy) {
-            let from = chosen.state.members.iter().map(|m| m.disk).collect();
+            let from = chosen.state.members.iter().map(|m| m.disk_id).collect();
             self.enqueue(
                 None,
                 Kind::Members { from, to },
-                now + self.settings.contact,
+                now + self.settings.contact_timeout,
             );
             self.work(now);
         }
@@ -345,7 +351,7 @@
     }
 
     pub(crate) fn send(&mut self, to: Member, message: Message) {
-        if to.disk == self.me.disk {
+        if to.disk_id == self.me.disk_id {
             self.inbox.push_back((to, message));
         } else {
             let message = self.transfers.outline(message, &self.settings);
@@ -366,7 +372,7 @@
     }
 
     fn done(&mut self, op: u64, outcome: Outcome) {
-        self.actions.push(Action::Done { op, outcome });
+        self.actions.push(Action::Completed { op, outcome });
     }
 
     /// Messages to oneself and calls until nothing is left to do now; then what the acceptor may tell, and its store.
@@ -387,7 +393,7 @@
             }
         }
         if self.unsettled() && self.settle_at.is_none() {
-            self.settle_at = Some(now + self.spread(self.settings.exchange));
+            self.settle_at = Some(now + self.spread(self.settings.exchange_interval));
         }
     }
 
@@ -398,7 +404,7 @@
                 self.acceptor.prepare(&from, ballot, known, &self.settings);
             }
             Message::Accept { vote } => {
-                self.meet(vote.ballot);
+                self.meet(vote.number);
                 self.acceptor.accept(&from, vote, &self.settings);
                 if self.settings.defects.publish_accepted
                     && let Some(vote) = self.newest().cloned()
@@ -423,14 +429,14 @@
             } => {
                 self.meet(promised);
                 if let Some(check) = self.handover.as_mut().filter(|c| c.is_answer(nonce)) {
-                    check.report(from.disk, at, newer.as_ref(), now);
+                    check.report(from.disk_id, at, newer.as_ref(), now);
                     return self.bring_up_to_date(from, at);
                 }
                 self.reported(from, nonce, at, newer, now);
             }
-            Message::Chosen { at } => match self.newest().filter(|v| v.at() == at).cloned() {
+            Message::Chosen { at } => match self.newest().filter(|v| v.id() == at).cloned() {
                 Some(vote) => drop(self.publish(&vote, now)),
-                None if self.learner.seq().is_none_or(|seq| seq < at.seq) => {
+                None if self.learner.seq().is_none_or(|seq| seq < at.slot) => {
                     let message = self.have();
                     self.send(from, message);
                 }
@@ -446,10 +452,10 @@
                     self.send(from, message);
                 }
             }
-            Message::Kept { chosen } => {
-                self.learner.heard(from.disk, chosen);
+            Message::Stored { chosen } => {
+                self.learner.heard(from.disk_id, chosen);
                 self.reconfiguration
-                    .confirm_candidate(from.disk, chosen, now);
+                    .confirm_candidate(from.disk_id, chosen, now);
             }
             Message::Learn { vote } => drop(self.publish(&vote, now)),
             Message::Outline {
@@ -474,7 +480,7 @@
                 let answer = self.transfers.asked(body, offset, &self.settings);
                 self.send(from, answer);
             }
-            Message::BodyPiece {
+            Message::BodyChunk {
                 body,
                 offset,
                 bytes,
@@ -485,28 +491,28 @@
                 self.inbox.extend(ready);
                 self.send_all(sends);
             }
-            Message::BodyGone { body } => {
+            Message::BodyUnavailable { body } => {
                 let sends = self.transfers.gone(&from, body, &self.settings, now);
                 self.send_all(sends);
             }
         }
     }
 
-    fn meet(&mut self, ballot: Ballot) {
-        self.round = self.round.max(ballot.round);
+    fn meet(&mut self, ballot: ProposalNumber) {
+        self.round = self.round.max(ballot.term);
     }
 
     /// This vote is known to be chosen. Gives it without the group before, which has no more say and may be gone.
     pub(crate) fn publish(&mut self, vote: &SharedVote, now: Nanos) -> SharedVote {
-        let vote = match vote.before {
+        let vote = match vote.previous_members {
             Some(_) => Vote {
-                before: None,
+                previous_members: None,
                 ..(*vote.0).clone()
             }
             .into(),
             None => vote.clone(),
         };
-        self.meet(vote.ballot);
+        self.meet(vote.number);
         self.acceptor.learn(&vote);
         if self.at_start.is_empty() {
             self.at_start = vote.state.members.clone();
@@ -522,7 +528,7 @@
 
     /// Tells a member whose disk answered with an older vote that the newest one here is chosen.
     fn bring_up_to_date(&mut self, member: Member, at: Option<VoteId>) {
-        if let Some(chosen) = self.learner.chosen().map(|v| v.at())
+        if let Some(chosen) = self.learner.chosen().map(|v| v.id())
             && at < Some(chosen)
         {
             self.send(member, Message::Chosen { at: chosen });
@@ -531,7 +537,7 @@
 
     pub(crate) fn have(&self) -> Message {
         Message::Have {
-            at: self.newest().map(|v| v.at()),
+            at: self.newest().map(|v| v.id()),
             chosen: self.learner.seq(),
         }
     }
@@ -539,33 +545,36 @@
     /// Tells what this disk keeps where just one of the two is in the group: a node that leaves waits to hear whether
     /// it is missed, a member whether the other one may join.
     fn kept_for(&self, from: &Member) -> Option<Message> {
-        if self.is_chosen_member(self.me.disk) == self.is_chosen_member(from.disk) {
+        if self.is_chosen_member(self.me.disk_id) == self.is_chosen_member(from.disk_id) {
             return None;
         }
         let chosen = self.kept_slot()?;
-        Some(Message::Kept { chosen })
+        Some(Message::Stored { chosen })
     }
 
     /// Whether a disk is in the group of the newest state that is known to be chosen.
     fn is_chosen_member(&self, disk: u64) -> bool {
         let group = self.learner.chosen().map_or(&[][..], |v| &v.state.members);
-        group.iter().any(|m| m.disk == disk)
+        group.iter().any(|m| m.disk_id == disk)
     }
 
     /// The newest chosen slot, if it is on disk.
     fn kept_slot(&self) -> Option<u64> {
         let chosen = self.learner.seq()?;
-        let is_kept = self.acceptor.lasting().is_some_and(|v| match v.before {
-            // A later slot on disk says as much of this one.
-            Some(_) => v.state.seq > chosen,
-            None => v.state.seq >= chosen,
-        });
+        let is_kept = self
+            .acceptor
+            .lasting()
+            .is_some_and(|v| match v.previous_members {
+                // A later slot on disk says as much of this one.
+                Some(_) => v.state.slot > chosen,
+                None => v.state.slot >= chosen,
+            });
         is_kept.then_some(chosen)
     }
 
     /// A node outside the group tells the members as soon as its disk holds what they handed over.
     fn announce_copy(&mut self) {
-        if self.is_chosen_member(self.me.disk) {
+        if self.is_chosen_member(self.me.disk_id) {
             return;
         }
         let (Some(chosen), Some(vote)) = (self.kept_slot(), self.learner.chosen().cloned()) else {
@@ -575,7 +584,7 @@
             return;
         }
         for member in &vote.state.members {
-            self.send(member.clone(), Message::Kept { chosen });
+            self.send(member.clone(), Message::Stored { chosen });
         }
     }
 
@@ -583,7 +592,8 @@
     /// it keeps that as chosen. Before, a vote of its own may be needed to find that out.
     pub fn may_leave(&self) -> bool {
         self.newest().is_none_or(|v| {
-            v.electorate().iter().all(|m| m.disk != self.me.disk) && self.learner.missed_by_none()
+            v.electorate().iter().all(|m| m.disk_id != self.me.disk_id)
+                && self.learner.missed_by_none()
         })
     }
 
@@ -591,13 +601,13 @@
     fn unsettled(&self) -> bool {
         let newest = self.newest();
         newest.is_some_and(|v| {
-            self.learner.seq().is_none_or(|seq| seq < v.state.seq)
-                && v.electorate().iter().any(|m| m.disk == self.me.disk)
+            self.learner.seq().is_none_or(|seq| seq < v.state.slot)
+                && v.electorate().iter().any(|m| m.disk_id == self.me.disk_id)
         })
     }
 
     fn exchange(&mut self, now: Nanos) {
-        self.exchange_at = now + self.spread(self.settings.exchange);
+        self.exchange_at = now + self.spread(self.settings.exchange_interval);
         if self.settings.defects.exchange_silent {
             return;
         }
@@ -605,7 +615,7 @@
         let others: Vec<&Member> = self
             .members()
             .iter()
-            .filter(|m| m.disk != self.me.disk)
+            .filter(|m| m.disk_id != self.me.disk_id)
             .collect();
         // A group that has been replaced altogether meanwhile has nobody left to tell so.
         let stranger = self
--- a/crates/sparrouter-consensus/src/settings.rs
+++ b/crates/sparrouter-consensus/src/settings.rs
@@ -4,35 +4,35 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// A member unheard of for so long may be replaced (`bounds.contact_ms`).
-    pub contact: Nanos,
+    pub contact_timeout: Nanos,
     /// Between two exchanges with one other member; spread by half of it either way.
-    pub exchange: Nanos,
+    pub exchange_interval: Nanos,
     /// Guess at a message there, a sync and the answer, until it was measured.
     pub round_trip: Nanos,
     /// Calls that wait at one register; further ones are `Busy`.
-    pub most_pending: usize,
+    pub max_pending: usize,
     /// Largest body, bytes.
-    pub most_body: usize,
+    pub max_body_bytes: usize,
     /// Largest change, bytes.
-    pub most_change: usize,
+    pub max_change_bytes: usize,
     /// Largest body that goes with the messages that carry a vote, bytes; larger ones are fetched in pieces.
-    pub inline_body: usize,
+    pub max_inline_body_bytes: usize,
     /// Length of a piece, bytes. A small message on the same connection waits behind a few of them at most.
-    pub piece: usize,
+    pub chunk_bytes: usize,
     pub defects: Defects,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            contact: 3_000 * MILLISECOND,
-            exchange: 500 * MILLISECOND,
+            contact_timeout: 3_000 * MILLISECOND,
+            exchange_interval: 500 * MILLISECOND,
             round_trip: 20 * MILLISECOND,
-            most_pending: 256,
-            most_body: 8 << 20,
-            most_change: 8 << 20,
-            inline_body: 16 << 10,
-            piece: 32 << 10,
+            max_pending: 256,
+            max_body_bytes: 8 << 20,
+            max_change_bytes: 8 << 20,
+            max_inline_body_bytes: 16 << 10,
+            chunk_bytes: 32 << 10,
             defects: Defects::default(),
         }
     }
@@ -40,8 +40,10 @@
 
 impl Settings {
     /// Longest encoded message or record: a body with its head.
-    pub fn most_message(&self) -> usize {
-        self.most_body + crate::types::MOST_MEMBERS * 4 * (crate::codec::MOST_TEXT + 16) + 1024
+    pub fn max_message_bytes(&self) -> usize {
+        self.max_body_bytes
+            + crate::types::MAX_MEMBERS * 4 * (crate::codec::MAX_TEXT_BYTES + 16)
+            + 1024
     }
 }
 
--- a/crates/sparrouter-consensus/src/transfer.rs
+++ b/crates/sparrouter-consensus/src/transfer.rs
@@ -1,6 +1,6 @@
 //! Large bodies between members: left out of messages, fetched once in pieces, checked by a digest.
 //!
-//! A message whose vote has a body above `Settings::inline_body` leaves as an `Outline`: all but the body, and the
+//! A message whose vote has a body above `Settings::max_inline_body_bytes` leaves as an `Outline`: all but the body, and the
 //! body's reference. A receiver that has this body already, under whatever ballot or slot, fills it in. Any other
 //! parks the outline and fetches the body from whoever offered it, `WINDOW` pieces at a time; then the message is
 //! handled as if it had only now arrived. To the protocol an outline is therefore a message that was long under way.
@@ -16,7 +16,7 @@
 //! | asking | outline of another body | parked: the newest one is fetched next, so that no change overtakes for ever |
 use crate::message::Message;
 use crate::settings::Settings;
-use crate::types::{Ballot, Member, SharedVote, Vote};
+use crate::types::{Member, ProposalNumber, SharedVote, Vote};
 use crate::{MILLISECOND, Nanos};
 use nanoserde::{DeBin, SerBin};
 use sha2::{Digest, Sha256};
@@ -56,18 +56,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Purpose {
     /// `Message::Promise` under this ballot.
-    Promise { ballot: Ballot },
+    Promise { ballot: ProposalNumber },
     /// `Message::Accept`.
     Accept,
     /// `Message::Report` to the question with this nonce.
-    Report { nonce: u64, promised: Ballot },
+    Report {
+        nonce: u64,
+        promised: ProposalNumber,
+    },
     /// `Message::Learn`.
     Learn,
 }
 
 impl Purpose {
     fn message(self, vote: SharedVote) -> Message {
-        let at = Some(vote.at());
+        let at = Some(vote.id());
         match self {
             Purpose::Promise { ballot } => Message::Promise {
                 ballot,
@@ -118,16 +121,16 @@
 
 fn with_body(vote: &Vote, body: Vec<u8>) -> SharedVote {
     let mut state = crate::types::State {
-        seq: vote.state.seq,
+        slot: vote.state.slot,
         members: vote.state.members.clone(),
-        founding: vote.state.founding,
-        origins: vote.state.origins.clone(),
+        initial_size: vote.state.initial_size,
+        recent_proposals: vote.state.recent_proposals.clone(),
         body: Vec::new(),
     };
     state.body = body;
     Vote {
-        ballot: vote.ballot,
-        before: vote.before.clone(),
+        number: vote.number,
+        previous_members: vote.previous_members.clone(),
         state,
     }
     .into()
@@ -206,7 +209,8 @@
         let Some((purpose, vote)) = carried(&message) else {
             return message;
         };
-        if vote.state.body.len() <= settings.inline_body || settings.defects.bodies_pushed {
+        if vote.state.body.len() <= settings.max_inline_body_bytes || settings.defects.bodies_pushed
+        {
             return message;
         }
         let body = self.hold_vote(vote);
@@ -264,7 +268,7 @@
         settings: &Settings,
         now: Nanos,
     ) -> (Option<Message>, Sends) {
-        if body.length as usize > settings.most_body {
+        if body.length as usize > settings.max_body_bytes {
             return (None, Sends::new());
         }
         if let Some(newest) = newest.filter(|v| v.state.body.len() == body.length as usize) {
@@ -277,7 +281,7 @@
         if settings.defects.promise_without_body
             && let Purpose::Promise { ballot } = purpose
         {
-            let at = Some(vote.at());
+            let at = Some(vote.id());
             let promise = Message::Promise {
                 ballot,
                 at,
@@ -286,7 +290,7 @@
             return (Some(promise), Sends::new());
         }
         self.parked
-            .retain(|p| p.from.disk != from.disk || !p.purpose.same_kind(&purpose));
+            .retain(|p| p.from.disk_id != from.disk_id || !p.purpose.same_kind(&purpose));
         if self.parked.len() == MOST_PARKED {
             self.parked.remove(0);
         }
@@ -309,7 +313,7 @@
     ) -> Sends {
         match &mut self.fetch {
             Some(fetch) if fetch.body == body => {
-                if fetch.sources.iter().all(|s| s.disk != from.disk) {
+                if fetch.sources.iter().all(|s| s.disk_id != from.disk_id) {
                     fetch.sources.push(from.clone());
                 }
                 if fetch.is_asking() {
@@ -330,12 +334,12 @@
     /// Another node asks for a piece.
     pub fn asked(&mut self, body: BodyReference, offset: u32, settings: &Settings) -> Message {
         let Some(held) = self.held(body) else {
-            return Message::BodyGone { body };
+            return Message::BodyUnavailable { body };
         };
         let bytes = held.as_slice();
         let start = (offset as usize).min(bytes.len());
-        let end = start.saturating_add(settings.piece).min(bytes.len());
-        Message::BodyPiece {
+        let end = start.saturating_add(settings.chunk_bytes).min(bytes.len());
+        Message::BodyChunk {
             body,
             offset,
             bytes: bytes[start..end].into(),
@@ -381,7 +385,7 @@
             // offered again.
             self.counts.damaged += 1;
             self.parked
-                .retain(|p| p.body != body || p.from.disk != from.disk);
+                .retain(|p| p.body != body || p.from.disk_id != from.disk_id);
         }
         let ready = self.take_ready();
         (ready, self.fetch_next(settings, now))
@@ -401,7 +405,7 @@
 
     /// Begins with the newest vote that waits.
     fn fetch_next(&mut self, settings: &Settings, now: Nanos) -> Sends {
-        let newest = self.parked.iter().max_by_key(|p| p.vote.at());
+        let newest = self.parked.iter().max_by_key(|p| p.vote.id());
         let Some((from, body)) = newest.map(|p| (p.from.clone(), p.body)) else {
             return Sends::new();
         };
@@ -409,8 +413,8 @@
         let sources: Vec<Member> = offers.map(|p| p.from.clone()).collect();
         let sends = self.want(from, body, settings, now);
         if let Some(fetch) = &mut self.fetch {
-            let first = fetch.sources[0].disk;
-            let others = sources.into_iter().filter(|s| s.disk != first);
+            let first = fetch.sources[0].disk_id;
+            let others = sources.into_iter().filter(|s| s.disk_id != first);
             fetch.sources.extend(others);
         }
         sends
@@ -498,9 +502,9 @@
     /// Whether this is one of the pieces that the body is cut into.
     fn fits(&self, offset: u32, length: usize, settings: &Settings) -> bool {
         let left = (self.body.length as usize).saturating_sub(offset as usize);
-        (offset as usize).is_multiple_of(settings.piece)
+        (offset as usize).is_multiple_of(settings.chunk_bytes)
             && left > 0
-            && length == left.min(settings.piece)
+            && length == left.min(settings.chunk_bytes)
     }
 
     /// Asks for the first missing pieces.
@@ -510,12 +514,12 @@
     }
 
     fn ask_next(&mut self, of: &Member, count: usize, settings: &Settings, now: Nanos) -> Sends {
-        let patience = (2 * settings.exchange).max(MILLISECOND) << self.silent.min(2);
+        let patience = (2 * settings.exchange_interval).max(MILLISECOND) << self.silent.min(2);
         self.retry_at = Some(now + patience);
         let mut sends = Sends::new();
         while sends.len() < count && self.next < self.body.length {
             let offset = self.next;
-            self.next = offset.saturating_add(settings.piece as u32);
+            self.next = offset.saturating_add(settings.chunk_bytes as u32);
             if !self.pieces.contains_key(&offset) {
                 let ask = Message::FetchBody {
                     body: self.body,
--- a/crates/sparrouter-consensus/tests/catch_up.rs
+++ b/crates/sparrouter-consensus/tests/catch_up.rs
@@ -2,7 +2,7 @@
 mod narrow_links;
 
 use narrow_links::Group;
-use sparrouter_consensus::message::PieceBytes;
+use sparrouter_consensus::message::ChunkBytes;
 use sparrouter_consensus::transfer::{BodyReference, Purpose};
 use sparrouter_consensus::{
     Action, Defects, MILLISECOND, Member, Message, Nanos, Outcome, Record, Register, SECOND,
@@ -18,7 +18,7 @@
 
 fn settings(defects: Defects) -> Settings {
     Settings {
-        piece: 8 << 10,
+        chunk_bytes: 8 << 10,
         defects,
         ..Settings::default()
     }
@@ -162,7 +162,7 @@
 
 fn member(disk: u64) -> Member {
     Member {
-        disk,
+        disk_id: disk,
         name: format!("node-{disk}"),
         address: format!("10.0.0.{disk}:8689"),
     }
@@ -178,7 +178,7 @@
 impl Behind {
     fn new(defects: Defects) -> Behind {
         let all: Vec<Member> = (1..=3).map(member).collect();
-        let record = Record::found(all, vec![0; BODY]);
+        let record = Record::bootstrap(all, vec![0; BODY]);
         let bodies = [1u8, 2].map(|fill| vec![fill; BODY]);
         let outline = |seq: u64, body: &[u8]| {
             let mut vote = record
@@ -188,9 +188,9 @@
                 .0
                 .as_ref()
                 .clone();
-            vote.state.seq = seq;
-            vote.state.origins = vec![seq];
-            vote.ballot.round = seq;
+            vote.state.slot = seq;
+            vote.state.recent_proposals = vec![seq];
+            vote.number.term = seq;
             vote.state.body = Vec::new();
             Message::Outline {
                 purpose: Purpose::Learn,
@@ -234,10 +234,10 @@
                 let end = (offset as usize + (8 << 10)).min(whole.len());
                 let mut bytes = whole[offset as usize..end].to_vec();
                 garble(&mut bytes);
-                let piece = Message::BodyPiece {
+                let piece = Message::BodyChunk {
                     body,
                     offset,
-                    bytes: PieceBytes(bytes),
+                    bytes: ChunkBytes(bytes),
                 };
                 self.register.handle(to, piece, 1);
                 (fetched, served) = (true, served + 1);
@@ -250,7 +250,7 @@
     }
 
     fn seq(&self) -> Option<u64> {
-        self.register.chosen().map(|s| s.seq)
+        self.register.chosen().map(|s| s.slot)
     }
 }
 
@@ -315,10 +315,10 @@
 fn given_pieces_that_were_not_asked_for_or_are_no_pieces_then_nothing_is_kept() {
     let mut behind = Behind::new(Defects::default());
     let body = BodyReference::of(&behind.bodies[1]);
-    let piece = |offset: u32, length: usize| Message::BodyPiece {
+    let piece = |offset: u32, length: usize| Message::BodyChunk {
         body,
         offset,
-        bytes: PieceBytes(vec![2; length]),
+        bytes: ChunkBytes(vec![2; length]),
     };
     behind.register.handle(member(2), piece(0, 8 << 10), 0);
     behind
@@ -341,11 +341,11 @@
     behind.register.take_actions();
     behind
         .register
-        .handle(member(2), Message::BodyGone { body }, 0);
+        .handle(member(2), Message::BodyUnavailable { body }, 0);
     // To each piece of the window it says so: one answer counts.
     behind
         .register
-        .handle(member(2), Message::BodyGone { body }, 0);
+        .handle(member(2), Message::BodyUnavailable { body }, 0);
     assert_eq!(behind.serve(|_| ()), BODY.div_ceil(8 << 10));
     assert_eq!(behind.seq(), Some(9));
 }
@@ -405,12 +405,12 @@
             return None;
         };
         match message {
-            Message::Accept { vote } => Some(vote.state.seq),
+            Message::Accept { vote } => Some(vote.state.slot),
             Message::Outline {
                 purpose: Purpose::Accept,
                 vote,
                 ..
-            } => Some(vote.state.seq),
+            } => Some(vote.state.slot),
             _ => None,
         }
     };
@@ -427,8 +427,8 @@
     let mut later = Vec::new();
     while let Some((body, offset)) = fetches.pop() {
         let end = (offset as usize + (8 << 10)).min(BODY);
-        let bytes = PieceBytes(behind.bodies[0][offset as usize..end].to_vec());
-        let piece = Message::BodyPiece {
+        let bytes = ChunkBytes(behind.bodies[0][offset as usize..end].to_vec());
+        let piece = Message::BodyChunk {
             body,
             offset,
             bytes,
@@ -490,10 +490,10 @@
     let asked = asked.collect();
     for offset in (0..BODY).step_by(8 << 10) {
         let end = (offset + (8 << 10)).min(BODY);
-        let piece = Message::BodyPiece {
+        let piece = Message::BodyChunk {
             body: first,
             offset: offset as u32,
-            bytes: PieceBytes(behind.bodies[0][offset..end].to_vec()),
+            bytes: ChunkBytes(behind.bodies[0][offset..end].to_vec()),
         };
         behind.register.handle(member(2), piece, 1);
     }
--- a/crates/sparrouter-consensus/tests/explore/history.rs
+++ b/crates/sparrouter-consensus/tests/explore/history.rs
@@ -33,7 +33,7 @@
     }
 
     fn may_happen(&self) -> bool {
-        !matches!(self.outcome, Some(Outcome::Refused(_)))
+        !matches!(self.outcome, Some(Outcome::Rejected(_)))
     }
 
     /// The word after it, if it can happen on this one.
--- a/crates/sparrouter-consensus/tests/explore/node.rs
+++ b/crates/sparrouter-consensus/tests/explore/node.rs
@@ -84,7 +84,7 @@
 pub fn first_member(node: usize) -> Member {
     let number = node as u64 + 1;
     Member {
-        disk: number,
+        disk_id: number,
         name: format!("node-{number}"),
         address: format!("10.0.0.{number}:7360"),
     }
@@ -96,7 +96,7 @@
 
 impl Node {
     pub fn start(scope: &Scope, member: Member, life: u64, disk: Option<Vec<u8>>) -> Node {
-        let seed = scope.seed ^ (member.disk << 32) ^ life;
+        let seed = scope.seed ^ (member.disk_id << 32) ^ life;
         let register = Register::new(
             SHARD,
             member.clone(),
@@ -117,7 +117,7 @@
             on_disk: None,
             digest: 0,
         };
-        node.on_disk = node.record().accepted.map(|vote| vote.at());
+        node.on_disk = node.record().accepted.map(|vote| vote.id());
         node.refresh_digest();
         node
     }
@@ -126,7 +126,7 @@
     fn write(&mut self) {
         if let Some(pending) = &self.pending {
             self.disk = Some(pending.bytes.clone());
-            self.on_disk = self.record().accepted.map(|vote| vote.at());
+            self.on_disk = self.record().accepted.map(|vote| vote.id());
         }
     }
 
@@ -159,7 +159,7 @@
             Input::Wipe => {
                 let mut member = self.member.clone();
                 if !scope.defects.wiped_keeps_id {
-                    member.disk += NEXT_DISK;
+                    member.disk_id += NEXT_DISK;
                 }
                 self.restart(scope, member, None);
             }
@@ -178,9 +178,9 @@
             Input::Observe { seen, contact } => {
                 // Twice, as whoever is not the first in turn waits a tenth of `contact` for each before it. A candidate's
                 // confirmation counts for half of `contact`.
-                register.tend(&seen, self.now);
+                register.observe_nodes(&seen, self.now);
                 self.now += contact * 2 / 5;
-                register.tend(&seen, self.now);
+                register.observe_nodes(&seen, self.now);
             }
         }
         let actions = self.register.take_actions();
@@ -202,7 +202,7 @@
     /// A store may begin before the last vote that the same step accepted: that one rides on the next store.
     fn begin_store(&mut self, store: Action) {
         if let Action::Store { token, bytes } = store {
-            let held = decoded(&bytes).accepted.map(|vote| vote.at());
+            let held = decoded(&bytes).accepted.map(|vote| vote.id());
             let covered = |at: &mut VoteId| Some(*at) <= held;
             let votes = self.unsaved.extract_if(.., covered).collect();
             self.pending = Some(Pending {
--- a/crates/sparrouter-consensus/tests/explore/system.rs
+++ b/crates/sparrouter-consensus/tests/explore/system.rs
@@ -113,7 +113,7 @@
     /// All nodes run; the members have the group's first record on disk.
     pub fn new(scope: Scope) -> System {
         let members: Vec<Member> = (0..scope.members).map(first_member).collect();
-        let first = Record::found(members, FIRST.to_vec());
+        let first = Record::bootstrap(members, FIRST.to_vec());
         let mut votes = Votes::default();
         let vote = first.accepted.clone().expect("a first record has a vote");
         votes.found((*vote.0).clone());
@@ -319,7 +319,7 @@
         let effects = actions.into_iter().filter_map(|action| match action {
             Action::Send { to, message } => self.envelope(index, &to, message).map(Effect::Send),
             Action::Chosen(state) => Some(Effect::Publish(state)),
-            Action::Done { op, outcome } => Some(Effect::End {
+            Action::Completed { op, outcome } => Some(Effect::End {
                 call: op as usize,
                 outcome,
             }),
@@ -403,7 +403,7 @@
         let node = self.nodes[node].clone();
         let votes = Rc::make_mut(&mut self.votes);
         let mut synced = node.pending.iter().flat_map(|p| &p.votes);
-        synced.try_for_each(|at| votes.sync(*at, node.member.disk))
+        synced.try_for_each(|at| votes.sync(*at, node.member.disk_id))
     }
 
     fn sync(&mut self, node: usize) -> Result<(), String> {
@@ -440,7 +440,7 @@
 
     fn wipe(&mut self, node: usize) -> Result<(), String> {
         self.used.wipes += 1;
-        self.wiped.insert(self.nodes[node].member.disk);
+        self.wiped.insert(self.nodes[node].member.disk_id);
         self.run(node, Input::Wipe)
     }
 
@@ -450,16 +450,16 @@
             return Ok(());
         };
         self.used.swaps += 1;
-        let contact = settings(&self.scope).contact;
+        let contact = settings(&self.scope).contact_timeout;
         let observation = |member: Member, heard| NodeObservation {
             member,
-            counted: true,
-            heard: Some(heard),
+            counts_toward_quorum: true,
+            since_last_contact: Some(heard),
             leaving: false,
         };
         let mut seen: Vec<NodeObservation> = Vec::new();
         for (index, node) in self.nodes.iter().enumerate() {
-            let old_disk = node.member.disk == first_member(index).disk;
+            let old_disk = node.member.disk_id == first_member(index).disk_id;
             let heard = if index == swap.leaves && old_disk {
                 contact
             } else {
@@ -468,7 +468,7 @@
             seen.push(observation(node.member.clone(), heard));
         }
         for member in (0..self.scope.members).map(first_member) {
-            if self.wiped.contains(&member.disk) {
+            if self.wiped.contains(&member.disk_id) {
                 seen.push(observation(member, contact));
             }
         }
@@ -477,7 +477,7 @@
 
     fn check_disks(&self) -> Result<(), String> {
         let on_disk = |disk: u64| {
-            let node = self.nodes.iter().find(|n| n.member.disk == disk)?;
+            let node = self.nodes.iter().find(|n| n.member.disk_id == disk)?;
             node.on_disk
         };
         self.votes.kept(on_disk, &self.wiped)
--- a/crates/sparrouter-consensus/tests/explore/votes.rs
+++ b/crates/sparrouter-consensus/tests/explore/votes.rs
@@ -15,7 +15,7 @@
 }
 
 fn majority(members: &[Member], has: impl Fn(u64) -> bool) -> bool {
-    let count = members.iter().filter(|m| has(m.disk)).count();
+    let count = members.iter().filter(|m| has(m.disk_id)).count();
     2 * count > members.len()
 }
 
@@ -28,8 +28,8 @@
     /// The first record of a group is chosen by definition.
     pub fn found(&mut self, first: Vote) {
         let first = Rc::new(first);
-        self.proposed.insert(first.at(), first.clone());
-        self.chosen.insert(first.state.seq, first);
+        self.proposed.insert(first.id(), first.clone());
+        self.chosen.insert(first.state.slot, first);
     }
 
     /// A proposer asks for this vote.
@@ -37,14 +37,14 @@
     /// # Errors
     /// Another value was proposed under the same ballot.
     pub fn propose(&mut self, vote: &Vote) -> Result<(), String> {
-        match self.proposed.get(&vote.at()) {
+        match self.proposed.get(&vote.id()) {
             Some(known) if !same_value(known, vote) => {
-                Err(format!("two values proposed under {:?}", vote.at()))
+                Err(format!("two values proposed under {:?}", vote.id()))
             }
             Some(_) => Ok(()),
             None => {
                 self.digest = self.digest.wrapping_add(digest_of(vote));
-                self.proposed.insert(vote.at(), Rc::new(vote.clone()));
+                self.proposed.insert(vote.id(), Rc::new(vote.clone()));
                 Ok(())
             }
         }
@@ -64,18 +64,21 @@
         }
         self.digest = self.digest.wrapping_add(digest_of(&(at, disk)));
         let has = |disk| disks.contains(&disk);
-        let old = vote.before.as_deref().unwrap_or(&vote.state.members);
+        let old = vote
+            .previous_members
+            .as_deref()
+            .unwrap_or(&vote.state.members);
         if !majority(old, has) || !majority(&vote.state.members, has) {
             return Ok(());
         }
-        match self.chosen.get(&at.seq) {
+        match self.chosen.get(&at.slot) {
             Some(known) if !same_value(known, &vote) => Err(format!(
                 "two values chosen at slot {}: {:?} and {:?}",
-                at.seq, known.state.body, vote.state.body
+                at.slot, known.state.body, vote.state.body
             )),
             Some(_) => Ok(()),
             None => {
-                self.chosen.insert(at.seq, vote);
+                self.chosen.insert(at.slot, vote);
                 Ok(())
             }
         }
@@ -84,15 +87,15 @@
     /// # Errors
     /// A node was told that this state is chosen, and it is not.
     pub fn published(&self, state: &State) -> Result<(), String> {
-        match self.chosen.get(&state.seq) {
+        match self.chosen.get(&state.slot) {
             Some(known) if known.state == *state => Ok(()),
             Some(_) => Err(format!(
                 "another state than the chosen one published at slot {}",
-                state.seq
+                state.slot
             )),
             None => Err(format!(
                 "slot {} published before a state was chosen",
-                state.seq
+                state.slot
             )),
         }
     }
@@ -127,8 +130,8 @@
     }
 
     fn includes(&self, at: VoteId, chosen: &Vote) -> bool {
-        if at.seq != chosen.state.seq {
-            return at.seq > chosen.state.seq;
+        if at.slot != chosen.state.slot {
+            return at.slot > chosen.state.slot;
         }
         let held = self.proposed.get(&at);
         held.is_some_and(|held| same_value(held, chosen))
--- a/crates/sparrouter-consensus/tests/fleet/clients.rs
+++ b/crates/sparrouter-consensus/tests/fleet/clients.rs
@@ -1,8 +1,8 @@
 //! Operators that race on versions and repeat what was not answered, readers, and holders of a duty.
 use super::machine::{Answer, Change, Config};
 use super::{Fleet, MILLISECOND, Nanos};
-use sparrouter_consensus::lease::{Holder, LeaseAnswer, LeaseChange};
-use sparrouter_consensus::{Outcome, Refused};
+use sparrouter_consensus::lease::{LeaseAnswer, LeaseChange, LeaseHolder};
+use sparrouter_consensus::{Outcome, Rejection};
 
 pub const CALL: Nanos = 1_000 * MILLISECOND;
 const SPAN: Nanos = 900 * MILLISECOND;
@@ -33,7 +33,7 @@
 
 #[derive(Debug)]
 pub struct Hold {
-    fence: u64,
+    fencing_token: u64,
     from: Nanos,
     until: Nanos,
 }
@@ -99,9 +99,9 @@
                 })
             }
             Client::Holder { name, life, hold } => {
-                let holder = Holder {
+                let holder = LeaseHolder {
                     name: format!("holder-{name}"),
-                    life: *life,
+                    incarnation: *life,
                 };
                 Some(Change::Lease(match hold {
                     Some(hold) if now < hold.until => {
@@ -109,12 +109,12 @@
                         match fresh % 12 {
                             0 => LeaseChange::Release {
                                 holder,
-                                fence: hold.fence,
+                                fencing_token: hold.fencing_token,
                                 waited: now >= hold.from,
                             },
                             _ => LeaseChange::Renew {
                                 holder,
-                                fence: hold.fence,
+                                fencing_token: hold.fencing_token,
                             },
                         }
                     }
@@ -123,11 +123,11 @@
                         // Now and then it is another life of the same name.
                         *life += u64::from(fresh.is_multiple_of(5));
                         LeaseChange::Acquire {
-                            holder: Holder {
-                                life: *life,
+                            holder: LeaseHolder {
+                                incarnation: *life,
                                 ..holder
                             },
-                            span: SPAN,
+                            duration: SPAN,
                         }
                     }
                 }))
@@ -169,7 +169,7 @@
                 && self.now >= hold.from
                 && self.now < hold.until
             {
-                self.judge.act(hold.fence);
+                self.judge.act(hold.fencing_token);
             }
         }
     }
@@ -205,13 +205,13 @@
                         *put = None;
                     }
                     Outcome::Unknown => open.open = true,
-                    Outcome::Refused(Refused::NoQuorum | Refused::NoGroup | Refused::Busy)
-                        if !open.open =>
-                    {
+                    Outcome::Rejected(
+                        Rejection::NoQuorum | Rejection::NoGroup | Rejection::Busy,
+                    ) if !open.open => {
                         self.judge.refused(open.id);
                         *put = None;
                     }
-                    Outcome::Refused(_) => {}
+                    Outcome::Rejected(_) => {}
                 }
             }
             Client::Holder { hold, name, .. } => {
@@ -219,18 +219,24 @@
                     return;
                 };
                 match (Answer::decode(&answer), hold) {
-                    (Answer::Lease(LeaseAnswer::Acquired { fence, wait }), hold) => {
-                        self.judge.handed(fence, *name, op);
+                    (
+                        Answer::Lease(LeaseAnswer::Acquired {
+                            fencing_token,
+                            takeover_wait,
+                        }),
+                        hold,
+                    ) => {
+                        self.judge.handed(fencing_token, *name, op);
                         *hold = Some(Hold {
-                            fence,
-                            from: now + wait,
+                            fencing_token,
+                            from: now + takeover_wait,
                             until: call.begun + SPAN,
                         });
                     }
                     (Answer::Lease(LeaseAnswer::Renewed), Some(hold)) if call.renews => {
                         hold.until = hold.until.max(call.begun + SPAN);
                     }
-                    (Answer::Lease(LeaseAnswer::Refused { .. }), hold) => *hold = None,
+                    (Answer::Lease(LeaseAnswer::Rejected { .. }), hold) => *hold = None,
                     (Answer::Lease(_), _) => {}
                     (other, _) => self.judge.broken(format!("a holder was told {other:?}")),
                 }
--- a/crates/sparrouter-consensus/tests/fleet/copies.rs
+++ b/crates/sparrouter-consensus/tests/fleet/copies.rs
@@ -15,7 +15,7 @@
         let votes: Vec<SharedVote> = state
             .members
             .iter()
-            .filter_map(|member| self.present(member.disk))
+            .filter_map(|member| self.present(member.disk_id))
             .filter_map(synced_vote)
             .collect();
         let holders = votes.iter().filter(|vote| holds(vote, &state)).count();
@@ -23,14 +23,14 @@
         if holders <= spare {
             self.judge.broken(format!(
                 "slot {} is on {holders} disks and {spare} more may be lost",
-                state.seq
+                state.slot
             ));
         }
         if votes.len() < majority + spare {
             self.judge.broken(format!(
                 "{} members of the group of slot {} have a copy, {majority} must vote, {spare} more may be lost",
                 votes.len(),
-                state.seq
+                state.slot
             ));
         }
     }
@@ -43,7 +43,7 @@
     fn present(&self, disk: u64) -> Option<&Node> {
         self.nodes
             .iter()
-            .find(|node| !node.gone && node.member.disk == disk)
+            .find(|node| !node.gone && node.member.disk_id == disk)
     }
 }
 
@@ -60,6 +60,7 @@
 
 /// Whether a vote is of this chosen state, or of a later slot, which is only proposed on top of it.
 fn holds(vote: &SharedVote, state: &State) -> bool {
-    let is_later = vote.state.seq > state.seq;
-    is_later || (vote.state.seq == state.seq && vote.state.origins == state.origins)
+    let is_later = vote.state.slot > state.slot;
+    is_later
+        || (vote.state.slot == state.slot && vote.state.recent_proposals == state.recent_proposals)
 }
--- a/crates/sparrouter-consensus/tests/fleet/faults.rs
+++ b/crates/sparrouter-consensus/tests/fleet/faults.rs
@@ -203,7 +203,7 @@
         let (newest, members) = self
             .judge
             .newest_state()
-            .map(|s| (s.seq, s.members.clone()))
+            .map(|s| (s.slot, s.members.clone()))
             .unwrap_or_default();
         let votes = self
             .nodes
@@ -211,14 +211,19 @@
             .filter(|n| !n.gone)
             .filter_map(synced_vote);
         let under_way = votes
-            .filter(|v| v.state.seq >= newest)
+            .filter(|v| v.state.slot >= newest)
             .flat_map(|v| v.electorate());
         let mut dead: Vec<u64> = members
             .into_iter()
             .chain(under_way)
-            .map(|m| m.disk)
+            .map(|m| m.disk_id)
             .collect();
-        dead.retain(|&disk| !self.nodes.iter().any(|n| !n.gone && n.member.disk == disk));
+        dead.retain(|&disk| {
+            !self
+                .nodes
+                .iter()
+                .any(|n| !n.gone && n.member.disk_id == disk)
+        });
         dead.extend(
             self.lost
                 .iter()
@@ -255,11 +260,11 @@
         let ran = self.nodes[node].register.take().is_some();
         self.nodes[node].files.wipe();
         self.nodes[node].store = None;
-        self.lost.push((self.nodes[node].member.disk, self.now));
+        self.lost.push((self.nodes[node].member.disk_id, self.now));
         self.copies_changed = true;
         // From now on nobody has this disk any more, also while its machine is down.
         if !self.defects.wiped_keeps_id {
-            self.nodes[node].member.disk = 0;
+            self.nodes[node].member.disk_id = 0;
         }
         if ran {
             self.at(back, Event::Start { node });
@@ -270,7 +275,7 @@
         self.nodes[node].register = None;
         self.nodes[node].gone = true;
         self.copies_changed = true;
-        self.lost.push((self.nodes[node].member.disk, self.now));
+        self.lost.push((self.nodes[node].member.disk_id, self.now));
         if self.nodes[node].leaving {
             // Its successor came when it began to leave.
             return self.log(|| format!("{node} is lost while it leaves"));
--- a/crates/sparrouter-consensus/tests/fleet/judge.rs
+++ b/crates/sparrouter-consensus/tests/fleet/judge.rs
@@ -35,20 +35,20 @@
 
     /// `before`: the slot that this life of the node published last.
     pub fn chosen(&mut self, node: usize, before: Option<u64>, state: &State) {
-        self.must(before < Some(state.seq), || {
-            format!("node {node} published {} after {before:?}", state.seq)
+        self.must(before < Some(state.slot), || {
+            format!("node {node} published {} after {before:?}", state.slot)
         });
-        match self.chain.get(&state.seq) {
+        match self.chain.get(&state.slot) {
             Some(there) => {
                 let same = there == state;
                 self.must(same, || {
                     format!(
                         "two states at slot {}: node {node} published another",
-                        state.seq
+                        state.slot
                     )
                 });
             }
-            None => drop(self.chain.insert(state.seq, state.clone())),
+            None => drop(self.chain.insert(state.slot, state.clone())),
         }
         self.body(&state.body);
     }
--- a/crates/sparrouter-consensus/tests/fleet/mod.rs
+++ b/crates/sparrouter-consensus/tests/fleet/mod.rs
@@ -41,11 +41,11 @@
 }
 
 impl Plan {
-    fn inline_body(&self) -> usize {
+    fn max_inline_body_bytes(&self) -> usize {
         if self.pieces {
             LEAST_BODY
         } else {
-            Settings::default().inline_body
+            Settings::default().max_inline_body_bytes
         }
     }
 }
@@ -129,7 +129,7 @@
     pub lost: Vec<(u64, Nanos)>,
     pub defects: Defects,
     /// Bodies above it are fetched in pieces.
-    pub inline_body: usize,
+    pub max_inline_body_bytes: usize,
     pub acknowledgements: u64,
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
     events: BTreeMap<u64, Event>,
@@ -147,7 +147,7 @@
     let verdict = fleet.whole_story();
     let played = Played {
         acknowledgements: fleet.acknowledgements,
-        slots: fleet.judge.newest_state().map_or(0, |s| s.seq),
+        slots: fleet.judge.newest_state().map_or(0, |s| s.slot),
         steps: fleet.steps,
         digest: fleet.digest,
     };
@@ -198,7 +198,7 @@
             weather: plan.weather,
             lost: Vec::new(),
             defects: plan.defects.clone(),
-            inline_body: plan.inline_body(),
+            max_inline_body_bytes: plan.max_inline_body_bytes(),
             acknowledgements: 0,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
@@ -212,14 +212,14 @@
             fleet.add_machine();
         }
         for node in &mut fleet.nodes {
-            node.member.disk = fleet.rng.u64(1..);
+            node.member.disk_id = fleet.rng.u64(1..);
         }
         let group: Vec<Member> = fleet.nodes.iter().map(|n| n.member.clone()).collect();
-        let first = Record::found(group, Config::default().encode()).encode();
+        let first = Record::bootstrap(group, Config::default().encode()).encode();
         for node in 0..plan.nodes {
             let (mut store, _) = Store::open(fleet.nodes[node].files.clone()).unwrap();
             store
-                .save("disk", &fleet.nodes[node].member.disk.to_le_bytes())
+                .save("disk", &fleet.nodes[node].member.disk_id.to_le_bytes())
                 .unwrap();
             store.save("part-7", &first).unwrap();
             let late = fleet.rng.u64(..300) * MILLISECOND;
@@ -236,7 +236,7 @@
     pub fn add_machine(&mut self) -> usize {
         let number = self.nodes.len();
         let member = Member {
-            disk: 0,
+            disk_id: 0,
             name: format!("node-{number}"),
             address: format!("10.0.0.{number}:7360"),
         };
@@ -316,7 +316,7 @@
                 return Err(format!("{} is down {when}", node.member.name));
             };
             let group = register.members();
-            if !group.iter().any(|m| m.disk == node.member.disk) {
+            if !group.iter().any(|m| m.disk_id == node.member.disk_id) {
                 return Err(format!(
                     "{} is in no group {when}: {newest:?}",
                     node.member.name
@@ -326,7 +326,7 @@
                 !self
                     .nodes
                     .iter()
-                    .any(|n| !n.gone && n.member.disk == m.disk)
+                    .any(|n| !n.gone && n.member.disk_id == m.disk_id)
             }) {
                 return Err(format!("a lost disk is in the group {when}: {newest:?}"));
             }
@@ -418,7 +418,7 @@
             } => {
                 let now = self.now;
                 self.digest = sparrouter_rendezvous::mix(
-                    self.digest ^ sparrouter_rendezvous::hash(&bytes) ^ sender.disk,
+                    self.digest ^ sparrouter_rendezvous::hash(&bytes) ^ sender.disk_id,
                 );
                 let Some(register) = &mut self.nodes[to].register else {
                     return;
@@ -454,22 +454,22 @@
         let (mut store, opened) = Store::open(it.files.clone()).expect("no crash damages a record");
         let mut records = match opened {
             Opened::Fresh => {
-                if it.member.disk == 0 || !self.defects.wiped_keeps_id {
-                    it.member.disk = disk;
+                if it.member.disk_id == 0 || !self.defects.wiped_keeps_id {
+                    it.member.disk_id = disk;
                 }
                 store
-                    .save("disk", &it.member.disk.to_le_bytes())
+                    .save("disk", &it.member.disk_id.to_le_bytes())
                     .expect("the disk is well at a start");
                 BTreeMap::new()
             }
             Opened::Existing(records) => records,
         };
         let settings = Settings {
-            contact: CONTACT,
-            exchange: 100 * MILLISECOND,
+            contact_timeout: CONTACT,
+            exchange_interval: 100 * MILLISECOND,
             round_trip: 10 * MILLISECOND,
-            inline_body: self.inline_body,
-            piece: 48,
+            max_inline_body_bytes: self.max_inline_body_bytes,
+            chunk_bytes: 48,
             defects: self.defects.clone(),
             ..Settings::default()
         };
@@ -484,7 +484,7 @@
         it.saving = None;
         it.frozen_until = 0;
         it.heard.clear();
-        let disk = it.member.disk;
+        let disk = it.member.disk_id;
         self.log(|| format!("start {node} as disk {disk:x}"));
     }
 
@@ -573,12 +573,12 @@
                     );
                 }
                 Action::Chosen(state) => {
-                    self.log(|| format!("node {node} publishes slot {}", state.seq));
-                    let before = self.nodes[node].published.replace(state.seq);
+                    self.log(|| format!("node {node} publishes slot {}", state.slot));
+                    let before = self.nodes[node].published.replace(state.slot);
                     self.judge.chosen(node, before, &state);
                     self.copies_changed = true;
                 }
-                Action::Done { op, outcome } => self.done(op, outcome),
+                Action::Completed { op, outcome } => self.done(op, outcome),
             }
         }
     }
@@ -640,14 +640,14 @@
             for other in (0..self.nodes.len()).filter(|&o| runs[o]) {
                 if other == node || self.open(other, node) {
                     let member = self.nodes[other].member.clone();
-                    self.nodes[node].heard.insert(member.disk, (member, now));
+                    self.nodes[node].heard.insert(member.disk_id, (member, now));
                 }
             }
             let leaving: Vec<u64> = self
                 .nodes
                 .iter()
                 .filter(|n| n.leaving)
-                .map(|n| n.member.disk)
+                .map(|n| n.member.disk_id)
                 .collect();
             let it = &mut self.nodes[node];
             let seen: Vec<NodeObservation> = it
@@ -655,23 +655,23 @@
                 .values()
                 .map(|(member, at)| NodeObservation {
                     member: member.clone(),
-                    counted: true,
-                    heard: Some(now - at),
-                    leaving: leaving.contains(&member.disk),
+                    counts_toward_quorum: true,
+                    since_last_contact: Some(now - at),
+                    leaving: leaving.contains(&member.disk_id),
                 })
                 .collect();
             let others: Vec<Member> = it
                 .heard
                 .values()
                 .map(|(m, _)| m.clone())
-                .filter(|m| m.disk != it.member.disk)
+                .filter(|m| m.disk_id != it.member.disk_id)
                 .collect();
             let Some(register) = &mut it.register else {
                 continue;
             };
-            register.tend(&seen, now);
+            register.observe_nodes(&seen, now);
             if register.chosen().is_none() && !others.is_empty() {
-                register.ask(others[self.rng.usize(..others.len())].clone(), now);
+                register.request_state(others[self.rng.usize(..others.len())].clone(), now);
             }
             self.drain(node);
         }
@@ -684,7 +684,7 @@
             let group = |members: &[Member]| {
                 members
                     .iter()
-                    .map(|m| format!("{}/{:x}", m.name, m.disk >> 48))
+                    .map(|m| format!("{}/{:x}", m.name, m.disk_id >> 48))
                     .collect()
             };
             let (before, members): (Vec<String>, Vec<String>) =
@@ -696,11 +696,11 @@
             };
             format!(
                 "Accept {:?} {groups} members {}",
-                vote.at(),
+                vote.id(),
                 members.join(" ")
             )
         }
-        Message::Learn { vote } => format!("Learn {:?}", vote.at()),
+        Message::Learn { vote } => format!("Learn {:?}", vote.id()),
         Message::Promise { ballot, at, .. } => format!("Promise {ballot:?} holding {at:?}"),
         Message::Report { at, .. } => format!("Report {at:?}"),
         other => format!("{other:?}"),
--- a/crates/sparrouter-consensus/tests/narrow_links/mod.rs
+++ b/crates/sparrouter-consensus/tests/narrow_links/mod.rs
@@ -101,7 +101,7 @@
     /// `body`: length of the state in bytes; `bytes_per_second`: of each line.
     pub fn new(members: usize, body: usize, bytes_per_second: u64, settings: Settings) -> Group {
         let member = |i: usize| Member {
-            disk: 1 + i as u64,
+            disk_id: 1 + i as u64,
             name: format!("node-{i}"),
             address: format!("10.0.0.{i}:8689"),
         };
@@ -109,7 +109,7 @@
         let mut rng = Rng::with_seed(members as u64);
         let mut first = vec![0; 8];
         first.extend(std::iter::repeat_with(|| rng.u8(..)).take(body.saturating_sub(8)));
-        let record = Record::found(all.clone(), first).encode();
+        let record = Record::bootstrap(all.clone(), first).encode();
         let nodes = all.into_iter().map(|member| Node {
             member,
             register: None,
@@ -289,7 +289,10 @@
     fn act(&mut self, node: usize, action: Action) {
         match action {
             Action::Send { to, message } => {
-                let other = self.nodes.iter().position(|n| n.member.disk == to.disk);
+                let other = self
+                    .nodes
+                    .iter()
+                    .position(|n| n.member.disk_id == to.disk_id);
                 self.send(node, other.expect("a known member"), message.encode());
             }
             Action::Store { token, bytes } => {
@@ -302,7 +305,7 @@
                 };
                 self.schedule(self.now + SYNC, stored);
             }
-            Action::Done { op, outcome } => {
+            Action::Completed { op, outcome } => {
                 self.ended.insert(op, outcome);
             }
             Action::Chosen(_) => {}
--- a/crates/sparrouter-consensus/tests/recorded_bytes.rs
+++ b/crates/sparrouter-consensus/tests/recorded_bytes.rs
@@ -2,10 +2,12 @@
 //! nodes of two releases exchange these messages. Each line of the fixture is a name and the bytes in hexadecimal.
 use nanoserde::{DeBin, SerBin};
 use sparrouter_consensus::codec::{decode, encode};
-use sparrouter_consensus::lease::{Holder, Lease, LeaseAnswer, LeaseChange};
-use sparrouter_consensus::message::{PieceBytes, Reason};
+use sparrouter_consensus::lease::{Lease, LeaseAnswer, LeaseChange, LeaseHolder};
+use sparrouter_consensus::message::{ChunkBytes, Reason};
 use sparrouter_consensus::transfer::{BodyReference, Purpose};
-use sparrouter_consensus::{Ballot, Member, Message, Record, SharedVote, State, Vote, VoteId};
+use sparrouter_consensus::{
+    Member, Message, ProposalNumber, Record, SharedVote, State, Vote, VoteId,
+};
 use std::fmt::{Debug, Write};
 
 const RECORDED: &str = include_str!("recorded/messages.hex");
@@ -13,36 +15,36 @@
 
 fn member(disk: u64) -> Member {
     Member {
-        disk,
+        disk_id: disk,
         name: format!("n{disk}"),
         address: format!("10.0.0.{disk}:7400"),
     }
 }
 
-fn ballot(round: u64) -> Ballot {
-    Ballot {
-        round,
-        disk: 2,
-        life: 0x0102_0304_0506_0708,
+fn ballot(round: u64) -> ProposalNumber {
+    ProposalNumber {
+        term: round,
+        replica: 2,
+        incarnation: 0x0102_0304_0506_0708,
     }
 }
 
 fn vote_id() -> VoteId {
     VoteId {
-        seq: 41,
-        ballot: ballot(7),
+        slot: 41,
+        number: ballot(7),
     }
 }
 
 fn vote(before: Option<Vec<Member>>) -> SharedVote {
     Vote {
-        ballot: ballot(7),
-        before,
+        number: ballot(7),
+        previous_members: before,
         state: State {
-            seq: 41,
+            slot: 41,
             members: vec![member(1), member(2), member(3)],
-            founding: 3,
-            origins: vec![0xa1, 0xa2],
+            initial_size: 3,
+            recent_proposals: vec![0xa1, 0xa2],
             body: b"body".to_vec(),
         },
     }
@@ -118,7 +120,7 @@
                 chosen: Some(41),
             },
         ),
-        ("kept", Message::Kept { chosen: 41 }),
+        ("kept", Message::Stored { chosen: 41 }),
         ("learn", Message::Learn { vote: vote(None) }),
         (
             "outline-promise",
@@ -142,13 +144,13 @@
         ),
         (
             "body-piece",
-            Message::BodyPiece {
+            Message::BodyChunk {
                 body: body(),
                 offset: 32_768,
-                bytes: PieceBytes(b"a piece".to_vec()),
+                bytes: ChunkBytes(b"a piece".to_vec()),
             },
         ),
-        ("body-gone", Message::BodyGone { body: body() }),
+        ("body-gone", Message::BodyUnavailable { body: body() }),
     ]
 }
 
@@ -164,7 +166,7 @@
     vec![
         (
             "record-first-group",
-            Record::found(vec![member(3), member(1), member(2)], b"first".to_vec()),
+            Record::bootstrap(vec![member(3), member(1), member(2)], b"first".to_vec()),
         ),
         (
             "record-accepted",
@@ -177,19 +179,19 @@
     ]
 }
 
-fn holder() -> Holder {
-    Holder {
+fn holder() -> LeaseHolder {
+    LeaseHolder {
         name: "n1".to_owned(),
-        life: 0x1122,
+        incarnation: 0x1122,
     }
 }
 
 fn leases() -> Vec<(&'static str, Lease)> {
     let lease = Lease {
-        fence: 12,
+        fencing_token: 12,
         holder: Some(holder()),
-        span: 3_000_000_000,
-        wait: 4_000_000_000,
+        duration: 3_000_000_000,
+        takeover_wait: 4_000_000_000,
     };
     vec![("lease-held", lease), ("lease-free", Lease::default())]
 }
@@ -200,21 +202,21 @@
             "lease-acquire",
             LeaseChange::Acquire {
                 holder: holder(),
-                span: 3_000_000_000,
+                duration: 3_000_000_000,
             },
         ),
         (
             "lease-renew",
             LeaseChange::Renew {
                 holder: holder(),
-                fence: 12,
+                fencing_token: 12,
             },
         ),
         (
             "lease-release",
             LeaseChange::Release {
                 holder: holder(),
-                fence: 12,
+                fencing_token: 12,
                 waited: true,
             },
         ),
@@ -226,13 +228,13 @@
         (
             "lease-acquired",
             LeaseAnswer::Acquired {
-                fence: 13,
-                wait: 4_000_000_000,
+                fencing_token: 13,
+                takeover_wait: 4_000_000_000,
             },
         ),
         ("lease-renewed", LeaseAnswer::Renewed),
         ("lease-released", LeaseAnswer::Released),
-        ("lease-refused", LeaseAnswer::Refused { fence: 13 }),
+        ("lease-refused", LeaseAnswer::Rejected { fencing_token: 13 }),
         ("lease-malformed", LeaseAnswer::Malformed),
     ]
 }
--- a/crates/sparrouter-consensus/tests/register.rs
+++ b/crates/sparrouter-consensus/tests/register.rs
@@ -1,7 +1,8 @@
 //! The doors of a few registers with messages and stores carried by hand.
 use sparrouter_consensus::message::{Message, Reason};
 use sparrouter_consensus::{
-    Action, Applied, Ballot, Machine, Member, Outcome, Record, Refused, Register, SECOND, Settings,
+    Action, Applied, Machine, Member, Outcome, ProposalNumber, Record, Register, Rejection, SECOND,
+    Settings,
 };
 use std::collections::VecDeque;
 
@@ -25,14 +26,14 @@
 
 fn member(n: u64) -> Member {
     Member {
-        disk: n,
+        disk_id: n,
         name: format!("node-{n}"),
         address: format!("10.0.0.{n}:7360"),
     }
 }
 
 fn register(n: u64, group: u64) -> Register<Swap> {
-    let record = Record::found((1..=group).map(member).collect(), b"a".to_vec()).encode();
+    let record = Record::bootstrap((1..=group).map(member).collect(), b"a".to_vec()).encode();
     let rng = fastrand::Rng::with_seed(n);
     Register::new(
         7,
@@ -70,14 +71,14 @@
                         seen.stores += 1;
                         node.stored(token, true, now);
                     }
-                    Action::Chosen(state) => seen.chosen.push(state.seq),
-                    Action::Done { op, outcome } => seen.done.push((op, outcome)),
+                    Action::Chosen(state) => seen.chosen.push(state.slot),
+                    Action::Completed { op, outcome } => seen.done.push((op, outcome)),
                 }
             }
         }
         for (from, to, message) in mail {
             let message = Message::decode(&message.encode(), 1 << 20).unwrap();
-            if let Some(node) = nodes.get_mut(to.disk as usize - 1) {
+            if let Some(node) = nodes.get_mut(to.disk_id as usize - 1) {
                 node.handle(from, message, now);
             }
         }
@@ -135,24 +136,29 @@
     alone[0].tick(3 * SECOND);
     assert_eq!(
         carry(&mut alone, 3 * SECOND).done,
-        [(3, Outcome::Refused(Refused::NoQuorum))]
+        [(3, Outcome::Rejected(Rejection::NoQuorum))]
     );
 }
 
 #[test]
 fn given_too_many_or_too_large_calls_then_they_are_refused_at_once() {
     let mut node = vec![register(1, 3)];
-    for op in 0..=Settings::default().most_pending as u64 {
+    for op in 0..=Settings::default().max_pending as u64 {
         node[0].propose(op, b"ab".to_vec(), SECOND, 0);
     }
     assert_eq!(
         carry(&mut node, 0).done,
-        [(256, Outcome::Refused(Refused::Busy))]
+        [(256, Outcome::Rejected(Rejection::Busy))]
+    );
+    node[0].propose(
+        999,
+        vec![0; Settings::default().max_change_bytes + 1],
+        SECOND,
+        0,
     );
-    node[0].propose(999, vec![0; Settings::default().most_change + 1], SECOND, 0);
     assert_eq!(
         carry(&mut node, 0).done,
-        [(999, Outcome::Refused(Refused::TooLarge))]
+        [(999, Outcome::Rejected(Rejection::TooLarge))]
     );
 }
 
@@ -160,10 +166,10 @@
 fn given_a_store_that_fails_when_a_promise_waits_for_it_then_it_is_refused_with_its_reason_and_mends_itself()
  {
     let mut node = register(1, 3);
-    let ballot = Ballot {
-        round: 5,
-        disk: 2,
-        life: 9,
+    let ballot = ProposalNumber {
+        term: 5,
+        replica: 2,
+        incarnation: 9,
     };
     let prepare = Message::Prepare {
         ballot,
--- a/crates/sparrouter-fleet/src/configuration_state.rs
+++ b/crates/sparrouter-fleet/src/configuration_state.rs
@@ -217,7 +217,7 @@
             return unchanged(verdict);
         }
         let body = after.encode();
-        let limit = Settings::default().most_body;
+        let limit = Settings::default().max_body_bytes;
         if body.len() > limit {
             // The register would not take it either, but has no clear answer for the caller.
             let refusal = Refusal::TooLarge {
--- a/crates/sparrouter-fleet/src/control.rs
+++ b/crates/sparrouter-fleet/src/control.rs
@@ -23,7 +23,8 @@
 use quorum_contact::QuorumContact;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{
-    Action, Applied, Leases, Machine, Member, Message, Outcome, Record, Refused, Register, Settings,
+    Action, Applied, Leases, Machine, Member, Message, Outcome, Record, Register, Rejection,
+    Settings,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -59,7 +60,7 @@
 fn settings(node: &Node) -> Settings {
     let contact = nanos(node.boot.borrow().bounds.contact);
     Settings {
-        contact,
+        contact_timeout: contact,
         defects: planted::of_registers(),
         ..Settings::default()
     }
@@ -94,10 +95,10 @@
     pub fn start(node: Rc<Node>, stock: DiskContents) -> Rc<Control> {
         let (name, address) = {
             let me = node.me.borrow();
-            (me.name.clone(), me.internal.clone())
+            (me.name.clone(), me.internal_address.clone())
         };
         let me = Member {
-            disk: stock.disk,
+            disk_id: stock.disk,
             name,
             address,
         };
@@ -155,7 +156,7 @@
                 .ok()
                 .and_then(|r| r.accepted)
         {
-            control.publish(vote.state.seq, &vote.state.body);
+            control.publish(vote.state.slot, &vote.state.body);
         }
         let (done, stored) = mpsc::unbounded_channel();
         *control.disk.borrow_mut() = stock.keeper.map(|keeper| keeper.begin(done));
@@ -171,7 +172,7 @@
     }
 
     pub fn disk(&self) -> u64 {
-        self.me.disk
+        self.me.disk_id
     }
 
     /// The group of a part, as far as it is known here.
@@ -255,7 +256,7 @@
                     let me = &self.me;
                     let call = Call::Consensus {
                         part,
-                        disk: me.disk,
+                        disk: me.disk_id,
                         name: me.name.clone(),
                         address: me.address.clone(),
                         message: Blob(message.encode()),
@@ -273,11 +274,11 @@
             },
             Action::Chosen(state) => {
                 if part == CONFIG {
-                    self.publish(state.seq, &state.body);
+                    self.publish(state.slot, &state.body);
                 }
                 self.node.changed();
             }
-            Action::Done { op, outcome } => {
+            Action::Completed { op, outcome } => {
                 if let Some(waiting) = self.ops.borrow_mut().remove(&op) {
                     // Whoever asked may have left.
                     let _ = waiting.send(outcome);
@@ -314,7 +315,7 @@
             let now = self.node.now();
             let mut registers = self.registers.borrow_mut();
             let Some(register) = registers.get_mut(usize::from(part)) else {
-                return Outcome::Refused(Refused::NoGroup);
+                return Outcome::Rejected(Rejection::NoGroup);
             };
             let deadline = now + nanos(patience);
             match change {
--- a/crates/sparrouter-fleet/src/control/change.rs
+++ b/crates/sparrouter-fleet/src/control/change.rs
@@ -20,7 +20,7 @@
     patience: Duration,
 ) -> Result<Answered, NoChange> {
     let until = Instant::now() + patience;
-    let own = node.me.borrow().internal.clone();
+    let own = node.me.borrow().internal_address.clone();
     let member = control.is_some_and(|c| c.is_member());
     let mut to: Vec<SocketAddr> = Vec::new();
     let known: Vec<Member> = control.map(|c| c.members(part)).unwrap_or_default();
@@ -28,7 +28,7 @@
         node.rows
             .borrow()
             .node(name)
-            .is_some_and(|n| n.silent || n.leaving)
+            .is_some_and(|n| n.unresponsive || n.leaving)
     };
     let ranked = sparrouter_consensus::owner::ranked(part, &known);
     let live = ranked
@@ -77,7 +77,7 @@
             };
             match control.change_here(part, change.clone(), share).await {
                 Outcome::Answered(answer) => return Ok(answered(answer, &worst)),
-                Outcome::Refused(why) => {
+                Outcome::Rejected(why) => {
                     worst = worst.or(NoChange::NotMade(control.explain(&why.to_string())));
                 }
                 Outcome::Unknown => worst = NoChange::Unknown,
--- a/crates/sparrouter-fleet/src/control/groups.rs
+++ b/crates/sparrouter-fleet/src/control/groups.rs
@@ -33,7 +33,7 @@
             let others: Vec<Member> = seen
                 .iter()
                 .map(|s| s.member.clone())
-                .filter(|m| m.disk != self.me.disk)
+                .filter(|m| m.disk_id != self.me.disk_id)
                 .collect();
             {
                 let mut registers = self.registers.borrow_mut();
@@ -45,10 +45,10 @@
                 };
                 for register in registers.iter_mut() {
                     if let (true, Some(other)) = (ask(register), &other) {
-                        register.ask(other.clone(), now);
+                        register.request_state(other.clone(), now);
                     }
                     if register.is_member() {
-                        register.tend(&seen, now);
+                        register.observe_nodes(&seen, now);
                     }
                 }
             }
@@ -60,18 +60,18 @@
     fn seen(&self) -> Vec<NodeObservation> {
         let live = self.node.live_nodes();
         let now = self.node.now();
-        let fit = live.control_rows().iter().filter(|n| n.disk != 0);
+        let fit = live.control_rows().iter().filter(|n| n.disk_id != 0);
         fit.map(|n| {
-            let own = n.disk == self.me.disk;
+            let own = n.disk_id == self.me.disk_id;
             let at = self.contacts.borrow().get(&n.name).copied();
             NodeObservation {
                 member: Member {
-                    disk: n.disk,
+                    disk_id: n.disk_id,
                     name: n.name.clone(),
-                    address: n.internal.clone(),
+                    address: n.internal_address.clone(),
                 },
-                counted: true,
-                heard: if own {
+                counts_toward_quorum: true,
+                since_last_contact: if own {
                     Some(0)
                 } else {
                     at.map(|at| self.listening.get().silence(at, now))
@@ -135,17 +135,19 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
         let now: Vec<(String, u64, String)> = {
             let rows = node.rows.borrow();
-            let any = rows.nodes().any(|n| n.counted && !n.control.is_empty());
-            let fit = rows
+            let any = rows
                 .nodes()
-                .filter(|n| !n.control.is_empty() && n.disk != 0 && (n.counted || !any));
-            fit.map(|n| (n.name.clone(), n.disk, n.internal.clone()))
+                .any(|n| n.counts_toward_quorum && !n.control_address.is_empty());
+            let fit = rows.nodes().filter(|n| {
+                !n.control_address.is_empty() && n.disk_id != 0 && (n.counts_toward_quorum || !any)
+            });
+            fit.map(|n| (n.name.clone(), n.disk_id, n.internal_address.clone()))
                 .collect()
         };
         if now != last {
             (last, since) = (now, Instant::now());
         }
-        let counted = node.rows.borrow().nodes().any(|n| n.counted);
+        let counted = node.rows.borrow().nodes().any(|n| n.counts_toward_quorum);
         let enough = since.elapsed() >= SETTLED && (counted || started.elapsed() >= FOUNDING);
         if enough && !last.is_empty() {
             break last;
@@ -154,14 +156,14 @@
     let members: Vec<Member> = members
         .into_iter()
         .map(|(name, disk, address)| Member {
-            disk,
+            disk_id: disk,
             name,
             address,
         })
         .take(9)
         .collect();
     let records: Vec<Blob> = (0..=LEASE_SHARDS)
-        .map(|_| Blob(Record::found(members.clone(), Vec::new()).encode()))
+        .map(|_| Blob(Record::bootstrap(members.clone(), Vec::new()).encode()))
         .collect();
     log::info!("founding the control state with {} members", members.len());
     let call = Rc::new(Call::Found {
--- a/crates/sparrouter-fleet/src/control/handover.rs
+++ b/crates/sparrouter-fleet/src/control/handover.rs
@@ -32,7 +32,7 @@
         let registers = self.registers.borrow();
         let parts = registers.iter().filter(|r| !r.is_handed_over(now));
         parts
-            .map(|register| match register.part() {
+            .map(|register| match register.shard() {
                 CONFIG => "configuration".to_owned(),
                 shard => format!("leases {shard}"),
             })
--- a/crates/sparrouter-fleet/src/control/presence.rs
+++ b/crates/sparrouter-fleet/src/control/presence.rs
@@ -56,7 +56,11 @@
         });
         let mut changed = false;
         for name in quiet {
-            changed |= self.node.rows.borrow_mut().node_silent(&name, now);
+            changed |= self
+                .node
+                .rows
+                .borrow_mut()
+                .mark_node_unresponsive(&name, now);
         }
         self.node.pollers.set(self.pollers.borrow().len());
         if changed {
@@ -113,12 +117,12 @@
                 .is_some_and(|n| n.leaving)
         };
         let live = |m: &&Member| {
-            m.disk == self.me.disk || (self.heard_within(&m.name, TOUCH) && !leaving(&m.name))
+            m.disk_id == self.me.disk_id || (self.heard_within(&m.name, TOUCH) && !leaving(&m.name))
         };
         sparrouter_consensus::owner::ranked(part, &members)
             .into_iter()
             .find(live)
-            .is_some_and(|m| m.disk == self.me.disk)
+            .is_some_and(|m| m.disk_id == self.me.disk_id)
     }
 
     fn heard_within(&self, name: &str, span: Duration) -> bool {
@@ -148,7 +152,7 @@
         let members = self.members(CONFIG);
         let there = members
             .iter()
-            .filter(|m| m.disk == self.me.disk || self.heard_within(&m.name, TOUCH))
+            .filter(|m| m.disk_id == self.me.disk_id || self.heard_within(&m.name, TOUCH))
             .count();
         self.is_member() && there * 2 > members.len()
     }
--- a/crates/sparrouter-fleet/src/disk.rs
+++ b/crates/sparrouter-fleet/src/disk.rs
@@ -155,7 +155,7 @@
         return Ok(());
     }
     let name = record_name(part);
-    match Record::decode(record, Settings::default().most_message()) {
+    match Record::decode(record, Settings::default().max_message_bytes()) {
         Ok(_) => Ok(()),
         Err(CodecError::Format { found }) if found > codec::FORMAT => {
             Err(DiskError::Newer(format!(
--- a/crates/sparrouter-fleet/src/event_follower.rs
+++ b/crates/sparrouter-fleet/src/event_follower.rs
@@ -10,7 +10,7 @@
 use miniserde::{Deserialize, json};
 use sparrouter_config::Service;
 use sparrouter_http::{head, reading};
-use sparrouter_membership::{Delta, Note};
+use sparrouter_membership::{MembershipDelta, ServerDirective};
 use sparrouter_prefix_index::{Change, Page, Source};
 use sparrouter_rendezvous::SlotTable;
 use sparrouter_routing::Server;
@@ -222,21 +222,21 @@
 /// A word on a store's life goes out when it changes. Notes of nodes that followed it before are outbid.
 fn tell_life(node: &Rc<Node>, store: SocketAddr, epoch: u64) {
     let key = format!("store/{store}");
-    let known = node.rows.borrow().note(&key).cloned();
-    if known.as_ref().is_some_and(|k| k.value == epoch) {
+    let known = node.rows.borrow().directive(&key).cloned();
+    if known.as_ref().is_some_and(|k| k.version == epoch) {
         return;
     }
-    let number = known.map_or(1, |k| k.number + 1);
-    let note = Note {
+    let number = known.map_or(1, |k| k.sequence + 1);
+    let note = ServerDirective {
         key,
-        fence: 0,
-        number,
-        value: epoch,
-        over: false,
+        fencing_token: 0,
+        sequence: number,
+        version: epoch,
+        withdrawn: false,
     };
-    node.learn(Delta {
-        notes: vec![note].into(),
-        ..Delta::default()
+    node.learn(MembershipDelta {
+        directives: vec![note].into(),
+        ..MembershipDelta::default()
     });
 }
 
--- a/crates/sparrouter-fleet/src/exchange/speaking.rs
+++ b/crates/sparrouter-fleet/src/exchange/speaking.rs
@@ -11,7 +11,7 @@
 use sparrouter_config::Kind;
 use sparrouter_http::head::{self, Framing, ReplyHead};
 use sparrouter_http::reading::{self};
-use sparrouter_membership::Standing;
+use sparrouter_membership::LifecycleState;
 use sparrouter_routing::Pick;
 use std::time::Duration;
 use tokio::io::ReadHalf;
@@ -172,7 +172,7 @@
         let server_table = self.node.server_table.borrow();
         let now = self.node.now();
         server_table.get(pick.server).is_some_and(|s| {
-            s.standing() == Standing::Ready
+            s.standing() == LifecycleState::Ready
                 && !s.loading()
                 && match (&self.model, pick.version) {
                     (Some(model), Some(version)) => {
@@ -308,7 +308,7 @@
             if !other.is_empty() && other != id {
                 // Another one has its address: ours is not there any more.
                 let mut rows = self.node.rows.borrow_mut();
-                if rows.fall_silent(&id, now) {
+                if rows.mark_server_unresponsive(&id, now) {
                     self.node.server_table.borrow_mut().sync(&rows, now);
                 }
                 self.node
--- a/crates/sparrouter-fleet/src/node.rs
+++ b/crates/sparrouter-fleet/src/node.rs
@@ -17,7 +17,7 @@
 use fastrand::Rng;
 pub use live_nodes::{ControlNodeState, LiveNodes};
 use sparrouter_config::{Edits, Table};
-use sparrouter_membership::{NodeRow, Pace, Rows};
+use sparrouter_membership::{MembershipTable, NodeRecord, PublishSchedule};
 use sparrouter_prefix_index::{Index, Terms};
 use sparrouter_routing::{
     Backlog, Budget, Durations, Nanos, Outliers, Patience, ServerTable, UsualOutput,
@@ -85,8 +85,8 @@
 pub struct Node {
     pub boot: RefCell<Boot>,
     started: Instant,
-    pub rows: RefCell<Rows>,
-    pub me: RefCell<NodeRow>,
+    pub rows: RefCell<MembershipTable>,
+    pub me: RefCell<NodeRecord>,
     /// The name in `me`, which holds for the life of the process.
     own_name: String,
     /// What was worked out from the node rows, until one of them changes.
@@ -111,7 +111,7 @@
     /// Raised with everything that pollers want to hear of.
     changes: Rc<Changes>,
     /// When rows that changed go out, and answers that were made since.
-    pace: RefCell<Pace>,
+    pace: RefCell<PublishSchedule>,
     answers: RefCell<Vec<(u64, Vec<u8>)>>,
     /// How many nodes ask this one.
     pub pollers: Cell<usize>,
@@ -152,21 +152,21 @@
     ) -> Rc<Node> {
         let internal = boot.internal_of(boot.ip);
         let text = |a: Option<SocketAddr>| a.map(|a| a.to_string()).unwrap_or_default();
-        let me = NodeRow {
+        let me = NodeRecord {
             name: boot.node_name.clone(),
-            internal: internal.to_string(),
-            control: text(boot.listen.control),
+            internal_address: internal.to_string(),
+            control_address: text(boot.listen.control),
             zone: boot.zone.clone(),
             region: boot.region.clone(),
-            counted: boot.counted,
-            front: boot.listen.front.is_some(),
-            disk,
-            life: 1,
+            counts_toward_quorum: boot.counted,
+            serves_clients: boot.listen.front.is_some(),
+            disk_id: disk,
+            incarnation: 1,
             nonce: rng.u64(1..),
             leaving: false,
-            silent: false,
+            unresponsive: false,
         };
-        let mut rows = Rows::new(rng.u64(1..), TOMBSTONE, MOST_ROWS);
+        let mut rows = MembershipTable::new(rng.u64(1..), TOMBSTONE, MOST_ROWS);
         rows.merge_node(me.clone(), 0);
         let mut server_table = ServerTable::new(version_patience(&boot), rng.fork());
         let configuration_lease = ConfigurationLease::new(&boot.bounds);
--- a/crates/sparrouter-fleet/src/node/config.rs
+++ b/crates/sparrouter-fleet/src/node/config.rs
@@ -86,7 +86,7 @@
                 }
             };
             let digest = digest_of_text(&text);
-            if digest != known.digest && self.me.borrow().disk != 0 {
+            if digest != known.digest && self.me.borrow().disk_id != 0 {
                 self.edits.borrow_mut().add(&known.text, &text);
             }
             let next = InForce {
--- a/crates/sparrouter-fleet/src/node/live_nodes.rs
+++ b/crates/sparrouter-fleet/src/node/live_nodes.rs
@@ -1,7 +1,7 @@
 //! What a node works out from all node rows at once, held as a snapshot that is made anew only when one of them changes:
 //! who owns which keys, who keeps the control state, how many take clients.
 use super::Node;
-use sparrouter_membership::{NodeRow, Rows};
+use sparrouter_membership::{MembershipTable, NodeRecord};
 use sparrouter_rendezvous::{Member, SlotTable};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -50,19 +50,19 @@
     /// Nodes that keep control state: name and internal address.
     control_nodes: Vec<(String, SocketAddr)>,
     /// The same nodes' rows.
-    control_rows: Vec<NodeRow>,
+    control_rows: Vec<NodeRecord>,
     /// Of the counted ones, what decides whether something befell them.
     counted_states: Vec<ControlNodeState>,
 }
 
 impl LiveNodes {
     /// Made from the rows and from the snapshot before, whose owners it keeps as far as they are the same.
-    fn made_from(rows: &Rows, own_name: &str, before: &LiveNodes) -> LiveNodes {
+    fn made_from(rows: &MembershipTable, own_name: &str, before: &LiveNodes) -> LiveNodes {
         let (mut owners, mut addresses) = (Vec::new(), HashMap::new());
         let mut front_count = 0;
-        let mut control_rows: Vec<&NodeRow> = Vec::new();
+        let mut control_rows: Vec<&NodeRecord> = Vec::new();
         for row in rows.nodes() {
-            front_count += usize::from(row.front);
+            front_count += usize::from(row.serves_clients);
             if owns_keys(row) {
                 let name = sparrouter_rendezvous::hash(row.name.as_bytes());
                 owners.push(Member {
@@ -70,14 +70,17 @@
                     process: row.nonce,
                 });
                 let remote = row.name != own_name;
-                addresses.insert(name, remote.then(|| row.internal.parse().ok()).flatten());
+                addresses.insert(
+                    name,
+                    remote.then(|| row.internal_address.parse().ok()).flatten(),
+                );
             }
-            if !row.control.is_empty() {
+            if !row.control_address.is_empty() {
                 control_rows.push(row);
             }
         }
-        if control_rows.iter().any(|row| row.counted) {
-            control_rows.retain(|row| row.counted);
+        if control_rows.iter().any(|row| row.counts_toward_quorum) {
+            control_rows.retain(|row| row.counts_toward_quorum);
         }
         owners.sort_unstable();
         let owners = if before.owners.members() == owners {
@@ -130,7 +133,7 @@
     }
 
     /// The rows of the nodes that keep the control state.
-    pub fn control_rows(&self) -> &[NodeRow] {
+    pub fn control_rows(&self) -> &[NodeRecord] {
         &self.control_rows
     }
 
@@ -154,19 +157,19 @@
 }
 
 /// Keys are divided among the nodes that take clients.
-fn owns_keys(row: &NodeRow) -> bool {
-    row.front && !row.silent && !row.leaving
+fn owns_keys(row: &NodeRecord) -> bool {
+    row.serves_clients && !row.unresponsive && !row.leaving
 }
 
-fn address_of(row: &NodeRow) -> Option<(String, SocketAddr)> {
-    Some((row.name.clone(), row.internal.parse().ok()?))
+fn address_of(row: &NodeRecord) -> Option<(String, SocketAddr)> {
+    Some((row.name.clone(), row.internal_address.parse().ok()?))
 }
 
-fn counted_state(row: &NodeRow) -> Option<ControlNodeState> {
-    row.counted.then(|| ControlNodeState {
+fn counted_state(row: &NodeRecord) -> Option<ControlNodeState> {
+    row.counts_toward_quorum.then(|| ControlNodeState {
         name: row.name.clone(),
         process: row.nonce,
-        silent: row.silent,
+        silent: row.unresponsive,
         leaving: row.leaving,
     })
 }
--- a/crates/sparrouter-fleet/src/node/outliers.rs
+++ b/crates/sparrouter-fleet/src/node/outliers.rs
@@ -5,7 +5,7 @@
 use crate::planted::{Defect, has};
 use crate::polls;
 use crate::wire::Call;
-use sparrouter_membership::{Delta, Note};
+use sparrouter_membership::{MembershipDelta, ServerDirective};
 use sparrouter_routing::{Failure, Server, ServerIx};
 use std::rc::Rc;
 use std::time::Duration;
@@ -86,18 +86,22 @@
     /// Tells all nodes to prefer other servers for a while.
     fn tell_outlier(self: &Rc<Self>, id: &str) {
         let key = format!("avoid/{id}/");
-        let number = self.rows.borrow().note(&key).map_or(1, |n| n.number + 1);
-        let note = Note {
+        let number = self
+            .rows
+            .borrow()
+            .directive(&key)
+            .map_or(1, |n| n.sequence + 1);
+        let note = ServerDirective {
             key,
-            fence: 0,
-            number,
-            value: 0,
+            fencing_token: 0,
+            sequence: number,
+            version: 0,
             // It holds by its age alone, and is dropped like what is over.
-            over: true,
+            withdrawn: true,
         };
-        let delta = Delta {
-            notes: vec![note].into(),
-            ..Delta::default()
+        let delta = MembershipDelta {
+            directives: vec![note].into(),
+            ..MembershipDelta::default()
         };
         log::info!("{id} fails requests that others would serve: others come first for a while");
         count(&self.counters.servers_avoided);
--- a/crates/sparrouter-fleet/src/node/ownership.rs
+++ b/crates/sparrouter-fleet/src/node/ownership.rs
@@ -104,12 +104,12 @@
     pub(super) fn look_at_stores(&self) {
         let rows = self.rows.borrow();
         let mut stores = self.stores.borrow_mut();
-        for (note, _) in rows.notes_under(STORE_NOTES) {
+        for (note, _) in rows.directives_with_prefix(STORE_NOTES) {
             let address = &note.key[STORE_NOTES.len()..];
             let store = sparrouter_rendezvous::hash(address.as_bytes());
             if stores
-                .insert(store, note.value)
-                .is_some_and(|before| before != note.value)
+                .insert(store, note.version)
+                .is_some_and(|before| before != note.version)
             {
                 self.index.borrow_mut().lost(store);
             }
--- a/crates/sparrouter-fleet/src/node/updates.rs
+++ b/crates/sparrouter-fleet/src/node/updates.rs
@@ -4,7 +4,7 @@
 use crate::boot::nanos;
 use crate::metrics::count;
 use crate::planted::{Defect, has};
-use sparrouter_membership::Delta;
+use sparrouter_membership::MembershipDelta;
 use sparrouter_routing::Nanos;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 
 impl Node {
     /// Rows that were heard of here or told by another node.
-    pub fn learn(&self, delta: Delta) {
+    pub fn learn(&self, delta: MembershipDelta) {
         let now = self.now();
         let changed = self.rows.borrow_mut().merge(delta, now);
         if changed {
@@ -46,7 +46,7 @@
         let rows = self.rows.borrow();
         let mut next = None;
         if self.unsynced.get() {
-            let gap = SYNC + SYNC_A_SERVER * rows.servers_held() as Nanos;
+            let gap = SYNC + SYNC_A_SERVER * rows.server_count() as Nanos;
             let due = self.synced.get().map_or(now, |at| at + gap);
             if due <= now {
                 self.server_table.borrow_mut().sync(&rows, now);
@@ -56,7 +56,10 @@
                 next = Some(due);
             }
         }
-        let due = self.pace.borrow_mut().due(&rows, self.pollers.get(), now);
+        let due = self
+            .pace
+            .borrow_mut()
+            .next_publish_at(&rows, self.pollers.get(), now);
         match due {
             Some(due) if due <= now => {
                 self.pace.borrow_mut().publish(&rows, now);
@@ -98,7 +101,7 @@
             return Some(packed.clone());
         }
         let packed = rows
-            .between(rows.epoch(), from, up_to, MOST_ROWS_TOLD)
+            .delta_between(rows.epoch(), from, up_to, MOST_ROWS_TOLD)
             .pack();
         if answers.len() < MOST_ANSWERS {
             answers.push((from, packed.clone()));
@@ -110,9 +113,9 @@
     fn refute(&self) {
         let mut me = self.me.borrow_mut();
         let mut rows = self.rows.borrow_mut();
-        let life = rows.life_for(&me);
-        if life != me.life {
-            me.life = life;
+        let life = rows.next_incarnation(&me);
+        if life != me.incarnation {
+            me.incarnation = life;
             let now = self.now();
             rows.merge_node(me.clone(), now);
         }
--- a/crates/sparrouter-fleet/src/peer_api.rs
+++ b/crates/sparrouter-fleet/src/peer_api.rs
@@ -5,7 +5,7 @@
 use crate::wire::{Call, ConfirmedRead, Poll, Reply, Update};
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Member, Outcome};
-use sparrouter_membership::Delta;
+use sparrouter_membership::MembershipDelta;
 use sparrouter_prefix_index::{Advice, Question};
 use sparrouter_routing::Nanos;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
             message,
         } => {
             let member = Member {
-                disk,
+                disk_id: disk,
                 name,
                 address,
             };
@@ -102,9 +102,9 @@
         node.take_models(&poll.models);
     }
     if let Some(row) = poll.row {
-        node.learn(Delta {
+        node.learn(MembershipDelta {
             nodes: vec![row].into(),
-            ..Delta::default()
+            ..MembershipDelta::default()
         });
     }
     let mut changes = node.changes();
@@ -145,7 +145,7 @@
 
 /// Takes rows that changed at the sender, which acknowledges to servers what this node confirms: nodes that have a quorum
 /// must hear of it from here.
-fn take_notification(services: &ControlServices, delta: Delta) -> Reply {
+fn take_notification(services: &ControlServices, delta: MembershipDelta) -> Reply {
     services.node.learn(delta);
     if services.has_quorum_contact() || has(Defect::NotifyWithoutContact) {
         Reply::Done
@@ -181,7 +181,7 @@
     let patience = Duration::from_millis(u64::from(patience_ms.min(LONGEST_PATIENCE_MS)));
     match control.change_here(shard, change.0, patience).await {
         Outcome::Answered(answer) => Reply::Changed(Blob(answer)),
-        Outcome::Refused(why) => Reply::NotChanged(control.explain(&why.to_string())),
+        Outcome::Rejected(why) => Reply::NotChanged(control.explain(&why.to_string())),
         Outcome::Unknown => Reply::Unknown,
     }
 }
--- a/crates/sparrouter-fleet/src/polls.rs
+++ b/crates/sparrouter-fleet/src/polls.rs
@@ -5,7 +5,7 @@
 use crate::planted::{Defect, has};
 use crate::wire::{Call, Poll, Reply, Update};
 use sparrouter_codec::Seq;
-use sparrouter_membership::{Delta, SOURCES, sources};
+use sparrouter_membership::{MembershipDelta, SOURCE_COUNT, sources};
 use sparrouter_routing::{Moment, Nanos};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -66,7 +66,7 @@
             node.rows
                 .borrow()
                 .node(name)
-                .is_some_and(|n| n.silent || n.leaving)
+                .is_some_and(|n| n.unresponsive || n.leaving)
         };
         if all {
             return core.get(place).map(|c| c.1);
@@ -143,8 +143,8 @@
     if in_core {
         spawn_local(ask_all(node, state.clone()));
     } else {
-        state.asked.borrow_mut().resize(SOURCES, None);
-        for place in 0..SOURCES {
+        state.asked.borrow_mut().resize(SOURCE_COUNT, None);
+        for place in 0..SOURCE_COUNT {
             spawn_local(ask_few(node.clone(), state.clone(), place));
         }
     }
@@ -215,7 +215,7 @@
         .unwrap_or_default();
     let hold = node.configuration_lease.borrow().hold(hold);
     let row = node.me.borrow().clone();
-    let form = (row.life, row.leaving);
+    let form = (row.incarnation, row.leaving);
     let has_row = state.has_row.borrow().get(&source) == Some(&(epoch, form));
     let poll = Poll {
         name: row.name.clone(),
@@ -259,7 +259,7 @@
         confirmed,
     } = told;
     if !rows.is_empty() {
-        let delta = Delta::unpack(&rows)?;
+        let delta = MembershipDelta::unpack(&rows)?;
         state
             .known
             .borrow_mut()
@@ -311,10 +311,15 @@
 }
 
 /// Tells the members of rows that changed here. True once another machine has them that is in contact with a quorum.
-pub async fn notify(node: &Rc<Node>, delta: &Delta, patience: Duration) -> bool {
+pub async fn notify(node: &Rc<Node>, delta: &MembershipDelta, patience: Duration) -> bool {
     let own = node.boot.borrow().internal_of(node.boot.borrow().ip);
     let core = node.core();
-    let silent = |name: &str| node.rows.borrow().node(name).is_some_and(|n| n.silent);
+    let silent = |name: &str| {
+        node.rows
+            .borrow()
+            .node(name)
+            .is_some_and(|n| n.unresponsive)
+    };
     let mut to: Vec<SocketAddr> = core
         .iter()
         .filter(|c| c.1 != own && !silent(&c.0))
--- a/crates/sparrouter-fleet/src/registry.rs
+++ b/crates/sparrouter-fleet/src/registry.rs
@@ -6,7 +6,7 @@
 use crate::planted::{Defect, has};
 use crate::polls;
 use miniserde::{Deserialize, json};
-use sparrouter_membership::{Delta, ModelAt, ServerRow, Standing};
+use sparrouter_membership::{LifecycleState, LoadedModel, MembershipDelta, ServerRecord};
 use sparrouter_rendezvous::{hash, order};
 use sparrouter_routing::Nanos;
 use std::cell::RefCell;
@@ -77,8 +77,8 @@
         let registrar = target
             .as_ref()
             .map_or_else(|| node.me.borrow().name.clone(), |t| t.0.clone());
-        let row = ServerRow { registrar, ..row };
-        let standing = row.standing;
+        let row = ServerRecord { registrar, ..row };
+        let standing = row.state;
         let told_before = self
             .heard
             .borrow()
@@ -87,20 +87,20 @@
         let late = !self.record_heard(&row, node.now());
         #[cfg(feature = "planted")]
         if late && has(Defect::DrainUndone) {
-            node.rows.borrow_mut().put_back(row.clone(), node.now());
-            node.server_table.borrow_mut().put_back(id, row.standing);
+            node.rows.borrow_mut().overwrite(row.clone(), node.now());
+            node.server_table.borrow_mut().overwrite(id, row.state);
         }
         let same = says_nothing_new(node, &row);
         let is_news = !late && !same;
         if is_news {
-            node.learn(Delta {
+            node.learn(MembershipDelta {
                 servers: vec![row].into(),
-                ..Delta::default()
+                ..MembershipDelta::default()
             });
         }
         let told_before = told_before || (has(Defect::DrainRepeatAcked) && (same || late));
         // Sent again after a refusal it still binds: what counts is whether others were told, not whether it is news.
-        let must_spread = standing == Standing::Draining && !told_before;
+        let must_spread = standing == LifecycleState::Draining && !told_before;
         if (must_spread || is_news) && !self.spread(node, control, id, must_spread).await {
             return Answer::later(TRY_ANOTHER);
         }
@@ -108,7 +108,7 @@
             heard.draining_told = true;
         }
         // Rows of a machine that is cut off reach nobody: another one should look after the server.
-        let cut_off = standing == Standing::Ready && !may_acknowledge(node, control);
+        let cut_off = standing == LifecycleState::Ready && !may_acknowledge(node, control);
         if cut_off && !has(Defect::HeartbeatWithoutContact) {
             return Answer::later(TRY_ANOTHER);
         }
@@ -117,7 +117,7 @@
     }
 
     /// Records that a server called; false where a later call of it came before.
-    fn record_heard(&self, row: &ServerRow, now: Nanos) -> bool {
+    fn record_heard(&self, row: &ServerRecord, now: Nanos) -> bool {
         let mut heard = self.heard.borrow_mut();
         let known = heard.get(&row.id).copied();
         if known.is_some_and(|known| known.call_sequence > row.call_sequence) {
@@ -138,7 +138,7 @@
             return Answer::plain(400, "no such id");
         }
         let now = node.now();
-        let changed = node.rows.borrow_mut().leave(id, now);
+        let changed = node.rows.borrow_mut().mark_server_left(id, now);
         if changed {
             node.stir();
         }
@@ -161,9 +161,9 @@
         let Some(row) = node.rows.borrow().server(id).cloned() else {
             return true;
         };
-        let delta = Delta {
+        let delta = MembershipDelta {
             servers: vec![row].into(),
-            ..Delta::default()
+            ..MembershipDelta::default()
         };
         if binds && !has(Defect::AckAlone) {
             let told = polls::notify(node, &delta, SPREAD).await;
@@ -201,17 +201,17 @@
             });
             if core {
                 let mut orphaned = self.orphaned.borrow_mut();
-                let lost = |r: &ServerRow| {
+                let lost = |r: &ServerRecord| {
                     r.registrar != own
-                        && rows.node(&r.registrar).is_none_or(|n| n.silent)
-                        && !r.silent
+                        && rows.node(&r.registrar).is_none_or(|n| n.unresponsive)
+                        && !r.unresponsive
                 };
-                for row in rows.servers().filter(|r| r.standing != Standing::Gone) {
+                for row in rows.servers().filter(|r| r.state != LifecycleState::Left) {
                     if lost(row)
                         || (row.registrar == own && !self.heard.borrow().contains_key(&row.id))
                     {
                         let since = *orphaned.entry(row.id.clone()).or_insert(now);
-                        if now.saturating_sub(since) > limit && !row.silent {
+                        if now.saturating_sub(since) > limit && !row.unresponsive {
                             silent.push(row.id.clone());
                         }
                     } else {
@@ -223,7 +223,7 @@
         }
         let mut changed = false;
         for id in silent {
-            changed |= node.rows.borrow_mut().fall_silent(&id, now);
+            changed |= node.rows.borrow_mut().mark_server_unresponsive(&id, now);
         }
         if changed {
             node.stir();
@@ -232,7 +232,7 @@
 }
 
 /// The row that a heartbeat makes, without its registrar; else the refusal.
-fn read_heartbeat(id: &str, body: &[u8]) -> Result<ServerRow, Answer> {
+fn read_heartbeat(id: &str, body: &[u8]) -> Result<ServerRecord, Answer> {
     let text = std::str::from_utf8(body).unwrap_or_default();
     let beat: Beat = json::from_str(text).map_err(|_| {
         Answer::plain(
@@ -241,8 +241,8 @@
         )
     })?;
     let standing = match beat.state.as_str() {
-        "ready" => Standing::Ready,
-        "draining" => Standing::Draining,
+        "ready" => LifecycleState::Ready,
+        "draining" => LifecycleState::Draining,
         _ => return Err(Answer::plain(400, "state is ready or draining")),
     };
     let is_short = |text: &str| !text.is_empty() && text.len() <= MOST_TEXT;
@@ -256,29 +256,29 @@
         .unwrap_or_default()
         .into_iter()
         .take(MOST_MODELS);
-    let model = |m: ModelBeat| ModelAt {
+    let model = |m: ModelBeat| LoadedModel {
         name: m.name,
         version: m.version,
     };
-    Ok(ServerRow {
+    Ok(ServerRecord {
         id: id.to_owned(),
         service: beat.service,
         address: beat.address,
         zone: beat.zone.unwrap_or_default(),
         slot_count: beat.slot_count.unwrap_or(1),
-        standing,
+        state: standing,
         call_sequence: beat.call_sequence,
         models: models.map(model).collect(),
         registrar: String::new(),
-        silent: false,
+        unresponsive: false,
     })
 }
 
 /// Whether a row differs from the known one in nothing but its call sequence: then it is news to nobody.
-fn says_nothing_new(node: &Node, row: &ServerRow) -> bool {
+fn says_nothing_new(node: &Node, row: &ServerRecord) -> bool {
     let rows = node.rows.borrow();
     rows.server(&row.id).is_some_and(|known| {
-        ServerRow {
+        ServerRecord {
             call_sequence: known.call_sequence,
             ..row.clone()
         } == *known
@@ -310,12 +310,12 @@
     let fit = live
         .control_rows()
         .iter()
-        .filter(|n| n.counted && !n.silent && !n.leaving);
+        .filter(|n| n.counts_toward_quorum && !n.unresponsive && !n.leaving);
     let ranked: Vec<(&str, &str, &str)> = order(
         fit.map(|n| {
             (
                 hash(n.name.as_bytes()),
-                (n.zone.as_str(), n.name.as_str(), n.control.as_str()),
+                (n.zone.as_str(), n.name.as_str(), n.control_address.as_str()),
             )
         }),
         hash(id.as_bytes()),
--- a/crates/sparrouter-fleet/src/run.rs
+++ b/crates/sparrouter-fleet/src/run.rs
@@ -21,7 +21,7 @@
 use crate::weights;
 use fastrand::Rng;
 use nanoserde::SerBin;
-use sparrouter_membership::Delta;
+use sparrouter_membership::MembershipDelta;
 use sparrouter_routing::Nanos;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -211,7 +211,7 @@
 /// Starts what needs no listener: the rows of the last life, the control state, rollouts.
 fn start_node(node: Rc<Node>, stock: DiskContents, in_core: bool) -> Rc<ControlServices> {
     let rows = stock.rows.as_deref();
-    if let Some(rows) = rows.and_then(sparrouter_codec::read::<Delta>) {
+    if let Some(rows) = rows.and_then(sparrouter_codec::read::<MembershipDelta>) {
         node.learn(rows);
     }
     spawn_local(node.clone().carry_out());
@@ -384,11 +384,16 @@
             let revision = node.rows.borrow().revision();
             if rounds.is_multiple_of(4) && revision != kept {
                 kept = revision;
-                control.keep_rows(node.rows.borrow().since(0, 0, usize::MAX).serialize_bin());
+                control.keep_rows(
+                    node.rows
+                        .borrow()
+                        .delta_since(0, 0, usize::MAX)
+                        .serialize_bin(),
+                );
             }
         }
         if rounds.is_multiple_of(16) {
-            node.rows.borrow_mut().sweep(now);
+            node.rows.borrow_mut().drop_expired(now);
             // What changed without a word to others goes out by now, and words on servers run out.
             node.stir();
         }
--- a/crates/sparrouter-fleet/src/status.rs
+++ b/crates/sparrouter-fleet/src/status.rs
@@ -4,7 +4,7 @@
 use crate::control::Control;
 use crate::node::Node;
 use miniserde::{Deserialize, Serialize, json};
-use sparrouter_membership::{NodeRow, ServerRow};
+use sparrouter_membership::{NodeRecord, ServerRecord};
 use std::rc::Rc;
 
 /// A model and a version of its weights.
@@ -130,7 +130,7 @@
 fn servers(node: &Node) -> Vec<ServerStatus> {
     let server_table = node.server_table.borrow();
     let rows = node.rows.borrow();
-    let status = |row: &ServerRow| {
+    let status = |row: &ServerRecord| {
         let known = server_table
             .find(&row.id)
             .and_then(|ix| server_table.get(ix));
@@ -139,8 +139,8 @@
             service: row.service.clone(),
             address: row.address.clone(),
             zone: row.zone.clone(),
-            standing: format!("{:?}", row.standing).to_lowercase(),
-            silent: row.silent,
+            standing: format!("{:?}", row.state).to_lowercase(),
+            silent: row.unresponsive,
             suspected: known.is_some_and(|server| server.suspected()),
             loading: known.is_some_and(|server| server.loading()),
             in_flight: known.map_or(0, |server| server.in_flight()),
@@ -156,14 +156,14 @@
 
 fn nodes(node: &Node) -> Vec<NodeStatus> {
     let rows = node.rows.borrow();
-    let status = |row: &NodeRow| NodeStatus {
+    let status = |row: &NodeRecord| NodeStatus {
         name: row.name.clone(),
-        internal: row.internal.clone(),
-        control: row.control.clone(),
+        internal: row.internal_address.clone(),
+        control: row.control_address.clone(),
         zone: row.zone.clone(),
-        counted: row.counted,
+        counted: row.counts_toward_quorum,
         leaving: row.leaving,
-        silent: row.silent,
+        silent: row.unresponsive,
     };
     rows.nodes().map(status).collect()
 }
--- a/crates/sparrouter-fleet/src/weights.rs
+++ b/crates/sparrouter-fleet/src/weights.rs
@@ -14,8 +14,8 @@
 use crate::node::Node;
 use crate::planted::{Defect, has};
 use calls::CALL;
-use sparrouter_consensus::lease::{Holder, LeaseAnswer, LeaseChange};
-use sparrouter_membership::{Delta, Note};
+use sparrouter_consensus::lease::{LeaseAnswer, LeaseChange, LeaseHolder};
+use sparrouter_membership::{MembershipDelta, ServerDirective};
 use sparrouter_routing::Nanos;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -52,7 +52,7 @@
 /// The lease of one shard at this node.
 #[derive(Clone, Copy)]
 struct Held {
-    fence: u64,
+    fencing_token: u64,
     /// Nothing is ordered before.
     from: u64,
 }
@@ -100,13 +100,13 @@
 }
 
 impl RolloutTask {
-    fn holder(&self) -> Holder {
+    fn holder(&self) -> LeaseHolder {
         let me = self.node.me.borrow();
         // A process that starts anew on its machine is the same holder: the one before it has ended for certain. On
         // another machine it is another.
-        Holder {
-            name: format!("{}@{}", me.name, me.internal),
-            life: 0,
+        LeaseHolder {
+            name: format!("{}@{}", me.name, me.internal_address),
+            incarnation: 0,
         }
     }
 
@@ -156,13 +156,19 @@
         let span = nanos(self.lease());
         let change = LeaseChange::Acquire {
             holder: self.holder(),
-            span,
+            duration: span,
         };
         match self.change_lease(&change, CALL).await {
-            Some(LeaseAnswer::Acquired { fence, wait }) => {
+            Some(LeaseAnswer::Acquired {
+                fencing_token,
+                takeover_wait,
+            }) => {
                 // A tenth more, for clocks that run unlike.
-                let from = self.node.now() + wait + wait / 10;
-                let held = Held { fence, from };
+                let from = self.node.now() + takeover_wait + takeover_wait / 10;
+                let held = Held {
+                    fencing_token,
+                    from,
+                };
                 self.held.set(Some(held));
                 self.clear(held);
             }
@@ -177,14 +183,17 @@
             return false;
         };
         let from = self.node.now();
-        let fence = lease.fence;
-        self.held.set(Some(Held { fence, from }));
+        let fence = lease.fencing_token;
+        self.held.set(Some(Held {
+            fencing_token: fence,
+            from,
+        }));
         true
     }
 
     /// What holders before this one told of servers and did not take back: nobody is at work there any more.
     fn clear(&self, held: Held) {
-        let left: Vec<Note> = {
+        let left: Vec<ServerDirective> = {
             let (rows, server_table) = (self.node.rows.borrow(), self.node.server_table.borrow());
             let mine = |key: &str| {
                 let id = key.split('/').nth(1).unwrap_or_default();
@@ -192,22 +201,22 @@
                 server.is_some_and(|s| shard_of(&s.service) == self.shard)
             };
             let kind = |key: &str| key.starts_with("load/") || key.starts_with("soon/");
-            let left = rows
-                .notes()
-                .filter(|n| !n.over && n.fence < held.fence && kind(&n.key) && mine(&n.key));
+            let left = rows.directives().filter(|n| {
+                !n.withdrawn && n.fencing_token < held.fencing_token && kind(&n.key) && mine(&n.key)
+            });
             left.cloned().collect()
         };
         for note in left {
-            let over = Note {
-                fence: held.fence,
-                number: 0,
-                value: 0,
-                over: true,
+            let over = ServerDirective {
+                fencing_token: held.fencing_token,
+                sequence: 0,
+                version: 0,
+                withdrawn: true,
                 ..note
             };
-            self.node.learn(Delta {
-                notes: vec![over].into(),
-                ..Delta::default()
+            self.node.learn(MembershipDelta {
+                directives: vec![over].into(),
+                ..MembershipDelta::default()
             });
         }
     }
@@ -218,7 +227,7 @@
         let waited = self.node.now() >= held.from;
         let change = LeaseChange::Release {
             holder: self.holder(),
-            fence: held.fence,
+            fencing_token: held.fencing_token,
             waited,
         };
         // Unheard, the lease runs out by itself.
@@ -245,14 +254,14 @@
         }
         let renew = LeaseChange::Renew {
             holder: self.holder(),
-            fence: held.fence,
+            fencing_token: held.fencing_token,
         };
         match self.change_lease(&renew, CALL).await {
             Some(LeaseAnswer::Renewed) => {
                 self.renewed.set(began);
                 true
             }
-            Some(LeaseAnswer::Refused { .. }) => {
+            Some(LeaseAnswer::Rejected { .. }) => {
                 self.held.set(None);
                 false
             }
@@ -272,16 +281,16 @@
     ) {
         let number = self.directives.get() + 1;
         self.directives.set(number);
-        let note = Note {
+        let note = ServerDirective {
             key: format!("{}/{id}/{model}", kind.key()),
-            fence: held.fence,
-            number,
-            value: version,
-            over,
+            fencing_token: held.fencing_token,
+            sequence: number,
+            version: version,
+            withdrawn: over,
         };
-        self.node.learn(Delta {
-            notes: vec![note].into(),
-            ..Delta::default()
+        self.node.learn(MembershipDelta {
+            directives: vec![note].into(),
+            ..MembershipDelta::default()
         });
     }
 }
--- a/crates/sparrouter-fleet/src/weights/choice.rs
+++ b/crates/sparrouter-fleet/src/weights/choice.rs
@@ -2,7 +2,7 @@
 use super::calls::report;
 use super::{DirectiveKind, Held, RolloutTask};
 use crate::control::shard_of;
-use sparrouter_membership::Standing;
+use sparrouter_membership::LifecycleState;
 use sparrouter_routing::{OutdatedServer, Server, next_step};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -128,7 +128,7 @@
             .collect();
         let (mut outdated, mut ready) = (Vec::new(), 0);
         for (_, server) in server_table.of(service) {
-            if server.standing() != Standing::Ready || server.silent() {
+            if server.standing() != LifecycleState::Ready || server.silent() {
                 continue;
             }
             ready += 1;
--- a/crates/sparrouter-fleet/src/weights/load.rs
+++ b/crates/sparrouter-fleet/src/weights/load.rs
@@ -6,7 +6,7 @@
 use crate::planted::{Defect, has};
 use crate::upstream::{Sent, Upstream};
 use bytes::Bytes;
-use sparrouter_membership::Standing;
+use sparrouter_membership::LifecycleState;
 use sparrouter_routing::Nanos;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -140,13 +140,16 @@
 
     /// Where the server is and the newest version of the model, while it is this node's to bring there.
     fn still_to_do(&self, held: Held, id: &str, model: &str) -> Option<(SocketAddr, u64)> {
-        let holds = self.held.get().is_some_and(|now| now.fence == held.fence);
+        let holds = self
+            .held
+            .get()
+            .is_some_and(|now| now.fencing_token == held.fencing_token);
         let is_ready = self
             .node
             .rows
             .borrow()
             .server(id)
-            .is_some_and(|row| row.standing == Standing::Ready && !row.silent);
+            .is_some_and(|row| row.state == LifecycleState::Ready && !row.unresponsive);
         if !holds || !is_ready {
             return None;
         }
@@ -190,7 +193,7 @@
     fn is_gone(&self, id: &str) {
         let now = self.node.now();
         let mut rows = self.node.rows.borrow_mut();
-        if rows.fall_silent(id, now) {
+        if rows.mark_server_unresponsive(id, now) {
             self.node.server_table.borrow_mut().sync(&rows, now);
         }
     }
@@ -217,7 +220,7 @@
         let body = format!(
             "{{\"operation\":\"version\",\"model\":\"{model}\",\"version\":{version},\"method\":\"queue\",\
              \"holder_id\":\"{holder}\",\"fence_token\":{}{count}}}",
-            held.fence
+            held.fencing_token
         );
         // Guards against a restarted server, or another one that has its address: both take an order without it.
         let instance = if has(Defect::OrderUnnamed) {
@@ -252,7 +255,7 @@
         });
         log::info!(
             "ordered {id} to version {version} of {model} under {}: {status:?}",
-            held.fence
+            held.fencing_token
         );
     }
 }
--- a/crates/sparrouter-fleet/src/wire.rs
+++ b/crates/sparrouter-fleet/src/wire.rs
@@ -2,7 +2,7 @@
 use nanoserde::{DeBin, SerBin};
 use sparrouter_codec::{Blob, Seq};
 use sparrouter_config::{Edit, Piece};
-use sparrouter_membership::{Delta, NodeRow};
+use sparrouter_membership::{MembershipDelta, NodeRecord};
 
 /// First bytes of a connection: name and version of this protocol.
 pub const HELLO: &[u8; 8] = b"sprtrfl5";
@@ -14,7 +14,7 @@
 pub struct Poll {
     /// Name of the node that asks; its row goes with it until the source has it.
     pub name: String,
-    pub row: Option<NodeRow>,
+    pub row: Option<NodeRecord>,
     pub epoch: u64,
     pub revision: u64,
     /// Sequence number of the configuration's register, and digest of the text that is held: 0 asks for it whole.
@@ -147,7 +147,7 @@
 pub enum Call {
     Poll(Poll),
     /// Rows that changed here, for a source.
-    Notify(Delta),
+    Notify(MembershipDelta),
     /// A message of a part's register, from the member with this disk.
     Consensus {
         part: u16,
--- a/crates/sparrouter-fleet/tests/listening.rs
+++ b/crates/sparrouter-fleet/tests/listening.rs
@@ -10,7 +10,7 @@
 
 fn member(disk: u64) -> Member {
     Member {
-        disk,
+        disk_id: disk,
         name: format!("core-{disk}"),
         address: format!("10.0.0.{disk}:7360"),
     }
@@ -19,10 +19,10 @@
 /// A group of four that was founded with three.
 fn grown_group() -> State {
     State {
-        seq: 1,
+        slot: 1,
         members: (1..=4).map(member).collect(),
-        founding: 3,
-        origins: Vec::new(),
+        initial_size: 3,
+        recent_proposals: Vec::new(),
         body: Vec::new(),
     }
 }
@@ -40,7 +40,7 @@
 /// how long after the thaw it proposes a group, and which.
 fn proposal_after_a_freeze(judges: Judges, speaks_again: &[u64]) -> Option<(Nanos, Vec<Member>)> {
     let settings = Settings {
-        contact: CONTACT,
+        contact_timeout: CONTACT,
         ..Settings::default()
     };
     let state = grown_group();
@@ -49,8 +49,8 @@
         listening.look(CONTACT, now);
         let observation = |(disk, at): (u64, Nanos)| NodeObservation {
             member: member(disk),
-            counted: true,
-            heard: Some(match judges {
+            counts_toward_quorum: true,
+            since_last_contact: Some(match judges {
                 Judges::ByListening => listening.silence(at, now),
                 Judges::ByLastWord => now - at,
             }),
@@ -96,5 +96,5 @@
     let proposal = proposal_after_a_freeze(Judges::ByListening, &[2, 4]);
     let (after, to) = proposal.expect("a proposal");
     assert!((CONTACT..CONTACT + 2 * SECOND).contains(&after), "{after}");
-    assert!(to.iter().all(|m| m.disk != 3) && to.len() == 3, "{to:?}");
+    assert!(to.iter().all(|m| m.disk_id != 3) && to.len() == 3, "{to:?}");
 }
--- a/crates/sparrouter-fleet/tests/order_answers.rs
+++ b/crates/sparrouter-fleet/tests/order_answers.rs
@@ -322,7 +322,7 @@
 #[test]
 fn given_a_change_that_makes_the_state_too_large_when_sent_then_it_is_refused_clearly_and_not_left_open()
  {
-    let most = sparrouter_consensus::Settings::default().most_body;
+    let most = sparrouter_consensus::Settings::default().max_body_bytes;
     let note = "n".repeat(most - 200);
     let mut shard = Shard::default();
     let large = Change::Put {
--- a/crates/sparrouter-fleet/tests/recorded_bytes.rs
+++ b/crates/sparrouter-fleet/tests/recorded_bytes.rs
@@ -10,64 +10,66 @@
     Call, ConfigUpdate, ConfirmedRead, EditUpdate, KeptAt, ModelUpdate, PieceUpdate, Poll, Reply,
     TextUpdate, Update, VersionsUpdate,
 };
-use sparrouter_membership::{Delta, ModelAt, NodeRow, Note, ServerRow, Standing};
+use sparrouter_membership::{
+    LifecycleState, LoadedModel, MembershipDelta, NodeRecord, ServerDirective, ServerRecord,
+};
 use std::fmt::Write;
 
 const RECORDED: &str = include_str!("recorded/messages.hex");
 
-fn node() -> NodeRow {
-    NodeRow {
+fn node() -> NodeRecord {
+    NodeRecord {
         name: "n1".to_owned(),
-        internal: "10.0.0.1:7360".to_owned(),
-        control: "10.0.0.1:8683".to_owned(),
+        internal_address: "10.0.0.1:7360".to_owned(),
+        control_address: "10.0.0.1:8683".to_owned(),
         zone: "a".to_owned(),
         region: "r".to_owned(),
-        counted: true,
-        front: true,
-        disk: 0x0102_0304_0506_0708,
-        life: 5,
+        counts_toward_quorum: true,
+        serves_clients: true,
+        disk_id: 0x0102_0304_0506_0708,
+        incarnation: 5,
         nonce: 0x1112_1314_1516_1718,
         leaving: false,
-        silent: true,
+        unresponsive: true,
     }
 }
 
-fn server(id: &str, standing: Standing) -> ServerRow {
-    ServerRow {
+fn server(id: &str, standing: LifecycleState) -> ServerRecord {
+    ServerRecord {
         id: id.to_owned(),
         service: "chat".to_owned(),
         address: "10.0.1.1:9000".to_owned(),
         zone: "a".to_owned(),
         slot_count: 300,
-        standing,
+        state: standing,
         call_sequence: 9,
-        models: vec![ModelAt {
+        models: vec![LoadedModel {
             name: "daka".to_owned(),
             version: 3,
         }]
         .into(),
         registrar: "n1".to_owned(),
-        silent: false,
+        unresponsive: false,
     }
 }
 
-fn delta() -> Delta {
-    Delta {
+fn delta() -> MembershipDelta {
+    MembershipDelta {
         epoch: 0x2122_2324_2526_2728,
         revision: 400,
         servers: vec![
-            server("i-1", Standing::Ready),
-            server("i-2", Standing::Draining),
-            server("i-3", Standing::Gone),
+            server("i-1", LifecycleState::Ready),
+            server("i-2", LifecycleState::Draining),
+            server("i-3", LifecycleState::Left),
         ]
         .into(),
         nodes: vec![node()].into(),
-        notes: vec![Note {
+        directives: vec![ServerDirective {
             key: "load/i-1/daka".to_owned(),
-            fence: 12,
-            number: 2,
-            value: 3,
-            over: true,
+            fencing_token: 12,
+            sequence: 2,
+            version: 3,
+            withdrawn: true,
         }]
         .into(),
     }
@@ -356,5 +358,8 @@
 
 #[test]
 fn given_recorded_rows_when_unpacked_then_they_are_the_rows_that_were_packed() {
-    assert_eq!(Delta::unpack(&recorded("rows-packed")), Some(delta()));
+    assert_eq!(
+        MembershipDelta::unpack(&recorded("rows-packed")),
+        Some(delta())
+    );
 }
--- a/crates/sparrouter-membership/src/lib.rs
+++ b/crates/sparrouter-membership/src/lib.rs
@@ -23,10 +23,13 @@
 mod rows;
 mod sources;
 
-pub use directives::Note;
-pub use pace::Pace;
-pub use rows::{ChangedRow, Delta, ModelAt, NodeRow, Rows, ServerRow, Standing};
-pub use sources::{SOURCES, sources};
+pub use directives::ServerDirective;
+pub use pace::PublishSchedule;
+pub use rows::{
+    ChangedRecord, LifecycleState, LoadedModel, MembershipDelta, MembershipTable, NodeRecord,
+    ServerRecord,
+};
+pub use sources::{SOURCE_COUNT, sources};
 
 /// Nanoseconds of a monotonic clock.
 pub type Nanos = u64;
--- a/crates/sparrouter-membership/src/pace.rs
+++ b/crates/sparrouter-membership/src/pace.rs
@@ -2,7 +2,7 @@
 //!
 //! When a thousand servers start one after the other, publishing each change alone would be a message to every poller for
 //! each. All pollers are sent rows up to the same revision, so that the same bytes serve all of them.
-use crate::{Nanos, Rows};
+use crate::{MembershipTable, Nanos};
 
 /// How long changes that are not urgent are gathered, and how much longer for each poller.
 const GATHER: Nanos = 60_000_000;
@@ -13,7 +13,7 @@
 
 /// The schedule of publications at one node.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct PublishSchedule {
     published: u64,
     /// When that was published.
     at: Nanos,
@@ -21,21 +21,26 @@
     since: Option<Nanos>,
 }
 
-impl Pace {
+impl PublishSchedule {
     /// The revision up to which pollers are sent rows.
     pub fn published(&self) -> u64 {
         self.published
     }
 
     /// When the rows are to be published next; `None` while nothing has changed.
-    pub fn due(&mut self, rows: &Rows, pollers: usize, now: Nanos) -> Option<Nanos> {
+    pub fn next_publish_at(
+        &mut self,
+        rows: &MembershipTable,
+        pollers: usize,
+        now: Nanos,
+    ) -> Option<Nanos> {
         if rows.revision() == self.published {
             self.since = None;
             return None;
         }
         let since = *self.since.get_or_insert(now);
         let pollers = pollers as Nanos;
-        Some(if rows.urgent() > self.published {
+        Some(if rows.urgent_revision() > self.published {
             since.max(self.at + URGENT + URGENT_A_POLLER * pollers)
         } else {
             since + GATHER + GATHER_A_POLLER * pollers
@@ -43,7 +48,7 @@
     }
 
     /// Publishes all changes up to now.
-    pub fn publish(&mut self, rows: &Rows, now: Nanos) {
+    pub fn publish(&mut self, rows: &MembershipTable, now: Nanos) {
         (self.published, self.at, self.since) = (rows.revision(), now, None);
     }
 }
--- a/crates/sparrouter-membership/src/packed.rs
+++ b/crates/sparrouter-membership/src/packed.rs
@@ -1,6 +1,8 @@
 //! Rows as bytes. Thousands of rows name the same few services, zones and nodes, so a name is written once a message and
 //! then by its index; numbers have a variable length (LEB128), and IPv4 addresses with a port take six bytes.
-use crate::{Delta, ModelAt, NodeRow, Note, ServerRow, Standing};
+use crate::{
+    LifecycleState, LoadedModel, MembershipDelta, NodeRecord, ServerDirective, ServerRecord,
+};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
@@ -64,16 +66,16 @@
         );
     }
 
-    fn server(&mut self, row: &'a ServerRow) {
+    fn server(&mut self, row: &'a ServerRecord) {
         self.text(&row.id);
         self.name(&row.service);
         self.address(&row.address);
         self.name(&row.zone);
         self.number(u64::from(row.slot_count));
         self.flags(&[
-            row.silent,
-            row.standing == Standing::Draining,
-            row.standing == Standing::Gone,
+            row.unresponsive,
+            row.state == LifecycleState::Draining,
+            row.state == LifecycleState::Left,
         ]);
         self.number(row.call_sequence);
         self.number(row.models.len() as u64);
@@ -84,24 +86,29 @@
         self.name(&row.registrar);
     }
 
-    fn node(&mut self, row: &'a NodeRow) {
+    fn node(&mut self, row: &'a NodeRecord) {
         self.name(&row.name);
-        self.address(&row.internal);
-        self.address(&row.control);
+        self.address(&row.internal_address);
+        self.address(&row.control_address);
         self.name(&row.zone);
         self.name(&row.region);
-        self.flags(&[row.counted, row.front, row.leaving, row.silent]);
-        self.out.extend_from_slice(&row.disk.to_le_bytes());
-        self.number(row.life);
+        self.flags(&[
+            row.counts_toward_quorum,
+            row.serves_clients,
+            row.leaving,
+            row.unresponsive,
+        ]);
+        self.out.extend_from_slice(&row.disk_id.to_le_bytes());
+        self.number(row.incarnation);
         self.out.extend_from_slice(&row.nonce.to_le_bytes());
     }
 
-    fn note(&mut self, note: &'a Note) {
+    fn note(&mut self, note: &'a ServerDirective) {
         self.text(&note.key);
-        self.number(note.fence);
-        self.number(note.number);
-        self.number(note.value);
-        self.flags(&[note.over]);
+        self.number(note.fencing_token);
+        self.number(note.sequence);
+        self.number(note.version);
+        self.flags(&[note.withdrawn]);
     }
 }
 
@@ -195,77 +202,77 @@
         Some(std::array::from_fn(|i| byte >> i & 1 == 1))
     }
 
-    fn server(&mut self) -> Option<ServerRow> {
+    fn server(&mut self) -> Option<ServerRecord> {
         let (id, service, address, zone) =
             (self.text()?, self.name()?, self.address()?, self.name()?);
         let slot_count = u32::try_from(self.number()?).ok()?;
         let [silent, draining, gone] = self.flags()?;
         let standing = match (draining, gone) {
-            (_, true) => Standing::Gone,
-            (true, false) => Standing::Draining,
-            (false, false) => Standing::Ready,
+            (_, true) => LifecycleState::Left,
+            (true, false) => LifecycleState::Draining,
+            (false, false) => LifecycleState::Ready,
         };
         let call_sequence = self.number()?;
         let mut models = Vec::new();
         for _ in 0..self.count()? {
-            models.push(ModelAt {
+            models.push(LoadedModel {
                 name: self.name()?,
                 version: self.number()?,
             });
         }
         let (models, registrar) = (models.into(), self.name()?);
-        Some(ServerRow {
+        Some(ServerRecord {
             id,
             service,
             address,
             zone,
             slot_count,
-            standing,
+            state: standing,
             call_sequence,
             models,
             registrar,
-            silent,
+            unresponsive: silent,
         })
     }
 
-    fn node(&mut self) -> Option<NodeRow> {
+    fn node(&mut self) -> Option<NodeRecord> {
         let (name, internal, control) = (self.name()?, self.address()?, self.address()?);
         let (zone, region) = (self.name()?, self.name()?);
         let [counted, front, leaving, silent] = self.flags()?;
         let disk = u64::from_le_bytes(self.fixed()?);
         let life = self.number()?;
         let nonce = u64::from_le_bytes(self.fixed()?);
-        Some(NodeRow {
+        Some(NodeRecord {
             name,
-            internal,
-            control,
+            internal_address: internal,
+            control_address: control,
             zone,
             region,
-            counted,
-            front,
-            disk,
-            life,
+            counts_toward_quorum: counted,
+            serves_clients: front,
+            disk_id: disk,
+            incarnation: life,
             nonce,
             leaving,
-            silent,
+            unresponsive: silent,
         })
     }
 
-    fn note(&mut self) -> Option<Note> {
+    fn note(&mut self) -> Option<ServerDirective> {
         let (key, fence, number, value) =
             (self.text()?, self.number()?, self.number()?, self.number()?);
         let [over] = self.flags()?;
-        Some(Note {
+        Some(ServerDirective {
             key,
-            fence,
-            number,
-            value,
-            over,
+            fencing_token: fence,
+            sequence: number,
+            version: value,
+            withdrawn: over,
         })
     }
 }
 
-impl Delta {
+impl MembershipDelta {
     /// The rows as bytes; see [`Delta::unpack`].
     pub fn pack(&self) -> Vec<u8> {
         let mut writer = Writer::default();
@@ -275,23 +282,23 @@
         self.servers.iter().for_each(|row| writer.server(row));
         writer.number(self.nodes.len() as u64);
         self.nodes.iter().for_each(|row| writer.node(row));
-        writer.number(self.notes.len() as u64);
-        self.notes.iter().for_each(|note| writer.note(note));
+        writer.number(self.directives.len() as u64);
+        self.directives.iter().for_each(|note| writer.note(note));
         writer.out
     }
 
     /// Reads the bytes of [`Delta::pack`]; `None` if they are malformed. Allocates at most 64 bytes of text a byte of input.
-    pub fn unpack(bytes: &[u8]) -> Option<Delta> {
+    pub fn unpack(bytes: &[u8]) -> Option<MembershipDelta> {
         let room = bytes.len().saturating_mul(MOST_TEXT_A_BYTE);
         let mut reader = Reader {
             left: bytes,
             names: Vec::new(),
             room,
         };
-        let mut delta = Delta {
+        let mut delta = MembershipDelta {
             epoch: u64::from_le_bytes(reader.fixed()?),
             revision: reader.number()?,
-            ..Delta::default()
+            ..MembershipDelta::default()
         };
         for _ in 0..reader.count()? {
             delta.servers.push(reader.server()?);
@@ -300,7 +307,7 @@
             delta.nodes.push(reader.node()?);
         }
         for _ in 0..reader.count()? {
-            delta.notes.push(reader.note()?);
+            delta.directives.push(reader.note()?);
         }
         reader.left.is_empty().then_some(delta)
     }
--- a/crates/sparrouter-membership/src/sources.rs
+++ b/crates/sparrouter-membership/src/sources.rs
@@ -2,7 +2,7 @@
 use sparrouter_rendezvous::{hash, order};
 
 /// How many sources a node polls at a time: one may freeze or be cut off without notice.
-pub const SOURCES: usize = 2;
+pub const SOURCE_COUNT: usize = 2;
 
 /// The first `most` candidates in this node's rendezvous order, those with quorum contact first. `candidates`: name, and
 /// whether it has quorum contact.
--- a/crates/sparrouter-membership/tests/pace.rs
+++ b/crates/sparrouter-membership/tests/pace.rs
@@ -1,28 +1,35 @@
 //! When changed rows are published.
-use sparrouter_membership::{NodeRow, Pace, Rows, ServerRow, Standing};
+use sparrouter_membership::{
+    LifecycleState, MembershipTable, NodeRecord, PublishSchedule, ServerRecord,
+};
 
 const MS: u64 = 1_000_000;
 
-fn come(rows: &mut Rows, id: usize, standing: Standing, now: u64) {
+fn come(rows: &mut MembershipTable, id: usize, standing: LifecycleState, now: u64) {
     let address = format!("10.0.{}.{}:80", id / 250, id % 250);
-    let row = ServerRow {
+    let row = ServerRecord {
         id: format!("s{id}"),
         address,
         call_sequence: 1,
-        standing,
-        ..ServerRow::default()
+        state: standing,
+        ..ServerRecord::default()
     };
     assert!(rows.merge_server(row, now));
 }
 
 #[test]
 fn given_a_thousand_servers_that_appear_one_by_one_then_few_publications_cover_all() {
-    let (mut rows, mut pace) = (Rows::new(1, 1, 10_000), Pace::default());
+    let (mut rows, mut pace) = (
+        MembershipTable::new(1, 1, 10_000),
+        PublishSchedule::default(),
+    );
     let mut told = 0;
     for id in 0..1_000 {
         let now = id as u64 * MS;
-        come(&mut rows, id, Standing::Ready, now);
-        let due = pace.due(&rows, 10, now).expect("something is new");
+        come(&mut rows, id, LifecycleState::Ready, now);
+        let due = pace
+            .next_publish_at(&rows, 10, now)
+            .expect("something is new");
         assert!(
             due <= now + 70 * MS,
             "nothing waits longer than it takes to gather"
@@ -37,17 +44,20 @@
 
 #[test]
 fn given_a_quiet_period_when_a_server_drains_then_all_pending_rows_are_published_at_once() {
-    let (mut rows, mut pace) = (Rows::new(1, 1, 10_000), Pace::default());
-    come(&mut rows, 1, Standing::Ready, 100 * MS);
-    assert_eq!(pace.due(&rows, 200, 100 * MS), Some(360 * MS));
-    come(&mut rows, 2, Standing::Draining, 110 * MS);
+    let (mut rows, mut pace) = (
+        MembershipTable::new(1, 1, 10_000),
+        PublishSchedule::default(),
+    );
+    come(&mut rows, 1, LifecycleState::Ready, 100 * MS);
+    assert_eq!(pace.next_publish_at(&rows, 200, 100 * MS), Some(360 * MS));
+    come(&mut rows, 2, LifecycleState::Draining, 110 * MS);
     assert!(
-        pace.due(&rows, 200, 110 * MS)
+        pace.next_publish_at(&rows, 200, 110 * MS)
             .is_some_and(|due| due <= 110 * MS)
     );
     pace.publish(&rows, 110 * MS);
     assert_eq!(
-        (pace.published(), pace.due(&rows, 200, 111 * MS)),
+        (pace.published(), pace.next_publish_at(&rows, 200, 111 * MS)),
         (2, None)
     );
 }
@@ -55,12 +65,18 @@
 #[test]
 fn given_many_servers_that_drain_at_once_when_many_poll_then_they_are_published_together_and_soon()
 {
-    let (mut rows, mut pace) = (Rows::new(1, 1, 10_000), Pace::default());
+    let (mut rows, mut pace) = (
+        MembershipTable::new(1, 1, 10_000),
+        PublishSchedule::default(),
+    );
     let mut published = Vec::new();
     for id in 0..500 {
         let now = (1_000 + id as u64) * MS;
-        come(&mut rows, id, Standing::Draining, now);
-        if pace.due(&rows, 200, now).is_some_and(|due| due <= now) {
+        come(&mut rows, id, LifecycleState::Draining, now);
+        if pace
+            .next_publish_at(&rows, 200, now)
+            .is_some_and(|due| due <= now)
+        {
             pace.publish(&rows, now);
             published.push(now);
         }
@@ -77,23 +93,26 @@
 
 #[test]
 fn given_published_rows_when_one_changes_later_then_it_is_in_the_next_publication_only() {
-    let (mut rows, mut pace) = (Rows::new(1, 1, 10_000), Pace::default());
-    come(&mut rows, 1, Standing::Ready, 0);
-    come(&mut rows, 2, Standing::Ready, 0);
+    let (mut rows, mut pace) = (
+        MembershipTable::new(1, 1, 10_000),
+        PublishSchedule::default(),
+    );
+    come(&mut rows, 1, LifecycleState::Ready, 0);
+    come(&mut rows, 2, LifecycleState::Ready, 0);
     pace.publish(&rows, 0);
-    come(&mut rows, 1, Standing::Draining, 1);
-    let told = rows.between(1, 0, pace.published(), usize::MAX);
+    come(&mut rows, 1, LifecycleState::Draining, 1);
+    let told = rows.delta_between(1, 0, pace.published(), usize::MAX);
     assert_eq!((told.revision, told.servers.len()), (2, 1));
-    let rest = rows.between(1, told.revision, rows.revision(), usize::MAX);
+    let rest = rows.delta_between(1, told.revision, rows.revision(), usize::MAX);
     assert_eq!((rest.revision, rest.servers.len()), (3, 1));
-    let node = NodeRow {
+    let node = NodeRecord {
         name: "n".into(),
-        life: 1,
-        ..NodeRow::default()
+        incarnation: 1,
+        ..NodeRecord::default()
     };
     rows.merge_node(node, 2);
     assert!(
-        rows.between(1, 3, 3, usize::MAX).is_empty(),
+        rows.delta_between(1, 3, 3, usize::MAX).is_empty(),
         "what is not published is not told"
     );
 }
--- a/crates/sparrouter-node/src/routing/module.rs
+++ b/crates/sparrouter-node/src/routing/module.rs
@@ -532,7 +532,7 @@
                 .filter(|d| d.missing)
                 .map(|d| d.endpoint);
             if let Some(endpoint) = missing.filter(|_| !self.policy.keeps(cache)) {
-                self.bind(cache, endpoint, Standing::Gone, false);
+                self.bind(cache, endpoint, LifecycleState::Gone, false);
             }
         }
         let keep = 2 * self.timeouts.iter().max().copied().unwrap_or_default();
@@ -565,12 +565,12 @@
             if let Some(endpoint) = self.doors[cache].as_ref().map(|d| d.endpoint)
                 && !named.contains(&cache)
             {
-                self.door(cache, endpoint, Standing::Gone);
+                self.door(cache, endpoint, LifecycleState::Gone);
             }
         }
     }
 
-    fn door(&mut self, cache: CacheIx, endpoint: SocketAddr, standing: Standing) {
+    fn door(&mut self, cache: CacheIx, endpoint: SocketAddr, standing: LifecycleState) {
         if self.doors.len() <= cache {
             self.doors.resize_with(cache + 1, || None);
         }
@@ -581,12 +581,18 @@
             cache,
             endpoint,
             standing,
-            self.policy.gone_is_advice() && standing == Standing::Gone && open,
+            self.policy.gone_is_advice() && standing == LifecycleState::Gone && open,
         );
     }
 
-    fn bind(&mut self, cache: CacheIx, endpoint: SocketAddr, standing: Standing, missing: bool) {
-        let gone = standing == Standing::Gone && !missing;
+    fn bind(
+        &mut self,
+        cache: CacheIx,
+        endpoint: SocketAddr,
+        standing: LifecycleState,
+        missing: bool,
+    ) {
+        let gone = standing == LifecycleState::Gone && !missing;
         if gone {
             let now = self.clock.now();
             self.gone_at.entry(cache).or_insert(now);
@@ -606,9 +612,9 @@
             missing,
         });
         (door.endpoint, door.gone, door.missing) = (endpoint, gone, missing);
-        door.drains = standing == Standing::Draining;
+        door.drains = standing == LifecycleState::Draining;
         door.peer
-            .listed(endpoint, missing || standing == Standing::Ready);
+            .listed(endpoint, missing || standing == LifecycleState::Ready);
         if door.gone && door.out == 0 {
             self.doors[cache] = None;
         }
