--- a/crates/sparrouter-routing/src/election.rs
+++ b/crates/sparrouter-routing/src/election.rs
@@ -5,7 +5,7 @@
 use crate::sync::SyncState;
 use crate::{Ending, Nanos, Patience, Server, ServerIx, Versions};
 use fastrand::Rng;
-use sparrouter_membership::Standing;
+use sparrouter_membership::LifecycleState;
 use std::cell::Cell;
 use std::collections::{BTreeSet, HashMap};
 
@@ -62,7 +62,7 @@
     /// Rises when a server comes, goes, falls silent, or is heard of again.
     pub(crate) changes: u64,
     /// Servers that were handed out by walks over all of them, or over those of a service.
-    walked: Cell<u64>,
+    records_visited: Cell<u64>,
     pub(crate) sync_state: SyncState,
     /// The versions of weights that requests may begin on.
     pub versions: Versions,
@@ -80,7 +80,7 @@
             free: BTreeSet::new(),
             suspected: BTreeSet::new(),
             changes: 0,
-            walked: Cell::new(0),
+            records_visited: Cell::new(0),
             sync_state: SyncState::default(),
             by_service: HashMap::new(),
             versions,
@@ -111,7 +111,7 @@
             .iter()
             .enumerate()
             .filter_map(|(ix, s)| Some((ix, s.as_ref()?)))
-            .inspect(|_| self.count_walked())
+            .inspect(|_| self.count_visit())
     }
     /// The servers of a service.
     pub fn of<'a>(&'a self, service: &str) -> impl Iterator<Item = (ServerIx, &'a Server)> {
@@ -123,22 +123,23 @@
     fn entries_of(&self, service: &str) -> impl Iterator<Item = Entry> {
         let all = self.by_service.get(service);
         let entries = all.map(|s| s.entries.as_slice()).unwrap_or_default();
-        self.walked.set(self.walked.get() + entries.len() as u64);
+        self.records_visited
+            .set(self.records_visited.get() + entries.len() as u64);
         entries.iter().copied()
     }
 
     /// How many servers were handed out by walks so far: what shows that work grows with the size of the fleet.
-    pub fn walked(&self) -> u64 {
-        self.walked.get()
+    pub fn records_visited(&self) -> u64 {
+        self.records_visited.get()
     }
 
-    fn count_walked(&self) {
-        self.walked.set(self.walked.get() + 1);
+    fn count_visit(&self) {
+        self.records_visited.set(self.records_visited.get() + 1);
     }
 
     /// Overwrites a server's standing, whatever is known: the mistake that `sync` guards against, planted for tests.
     #[cfg(feature = "planted")]
-    pub fn put_back(&mut self, id: &str, standing: Standing) {
+    pub fn overwrite(&mut self, id: &str, standing: LifecycleState) {
         if let Some(ix) = self.find(id) {
             self.update(ix, |server| server.standing = standing);
         }
@@ -201,7 +202,7 @@
 
     /// Servers that may take something new, at all or for this model.
     fn ready(&self, ask: &Ask, server: &Server, now: Nanos) -> bool {
-        server.standing == Standing::Ready
+        server.standing == LifecycleState::Ready
             && !server.loading
             && server.suspect.is_none()
             && server.full_until <= now
@@ -261,7 +262,7 @@
             }
         }
         let Some(winner) = election.winner() else {
-            let open = |s: &Server| s.standing == Standing::Ready;
+            let open = |s: &Server| s.standing == LifecycleState::Ready;
             return Err(if self.untried(ask).any(|(_, s)| open(s)) {
                 Turned::Unready
             } else {
@@ -296,7 +297,7 @@
     fn heeds_avoided(&self, service: &str, now: Nanos) -> bool {
         let (mut ready, mut avoided) = (0, 0);
         for (_, server) in self.of(service) {
-            if server.standing == Standing::Ready {
+            if server.standing == LifecycleState::Ready {
                 ready += 1;
                 avoided += usize::from(server.avoided(now));
             }
@@ -367,7 +368,7 @@
         for &ix in &self.suspected {
             let Some(server) = self.servers[ix]
                 .as_mut()
-                .filter(|s| s.standing == Standing::Ready)
+                .filter(|s| s.standing == LifecycleState::Ready)
             else {
                 continue;
             };
--- a/crates/sparrouter-routing/src/server.rs
+++ b/crates/sparrouter-routing/src/server.rs
@@ -1,6 +1,6 @@
 //! What is known of one server: its row, this node's requests in flight there, and how they ended.
 use crate::{FadingCount, Nanos};
-use sparrouter_membership::{ServerRow, Standing};
+use sparrouter_membership::{LifecycleState, ServerRecord};
 use std::net::SocketAddr;
 
 /// Index of a server in the server table. It is reused once the server is removed.
@@ -39,7 +39,7 @@
     /// Requests that it works on at a time, 1 or more.
     pub slot_count: u32,
     pub(crate) hash: u64,
-    pub(crate) standing: Standing,
+    pub(crate) standing: LifecycleState,
     pub(crate) silent: bool,
     /// It is loading new weights, or will at once: it gets no new requests.
     pub(crate) loading: bool,
@@ -75,7 +75,7 @@
 }
 
 impl Server {
-    pub(crate) fn new(row: &ServerRow, address: SocketAddr) -> Server {
+    pub(crate) fn new(row: &ServerRecord, address: SocketAddr) -> Server {
         Server {
             id: row.id.clone(),
             service: row.service.clone(),
@@ -83,8 +83,8 @@
             zone: row.zone.clone(),
             slot_count: row.slot_count.max(1),
             hash: sparrouter_rendezvous::hash(row.id.as_bytes()),
-            standing: row.standing,
-            silent: row.silent,
+            standing: row.state,
+            silent: row.unresponsive,
             loading: false,
             soon: false,
             models: row
@@ -111,7 +111,7 @@
         self.hash
     }
     /// Whether it takes requests, by its own heartbeats.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> LifecycleState {
         self.standing
     }
     /// This node's requests in flight there.
--- a/crates/sparrouter-routing/src/service_servers.rs
+++ b/crates/sparrouter-routing/src/service_servers.rs
@@ -1,7 +1,7 @@
 //! The servers of one service, as an election passes over them: their hashes side by side, and how loaded those are
 //! that this node has used.
 use crate::{Server, ServerIx};
-use sparrouter_membership::Standing;
+use sparrouter_membership::LifecycleState;
 
 /// In flight beyond both of these a server is passed over: a ratio to the mean, and a floor.
 const BAR_RATIO: f64 = 2.0;
@@ -24,7 +24,7 @@
 
 impl Load {
     pub(crate) fn of(server: &Server) -> Load {
-        if server.used && server.standing == Standing::Ready {
+        if server.used && server.standing == LifecycleState::Ready {
             Load {
                 used: 1,
                 in_flight: u64::from(server.in_flight),
--- a/crates/sparrouter-routing/src/sync.rs
+++ b/crates/sparrouter-routing/src/sync.rs
@@ -1,7 +1,7 @@
 //! Brings the server table up to date with the rows: only servers whose rows changed are looked at, since a fleet of
 //! thousands of servers has a change every few milliseconds.
 use crate::{AVOIDED, Nanos, Server, ServerIx, ServerTable};
-use sparrouter_membership::{ChangedRow, Rows, ServerRow, Standing};
+use sparrouter_membership::{ChangedRecord, LifecycleState, MembershipTable, ServerRecord};
 use std::collections::BTreeSet;
 
 /// A directive under `load/SERVER/MODEL`: the server takes new weights, or (over) runs what is named.
@@ -27,7 +27,7 @@
 
 impl ServerTable {
     /// What the rows say now. Servers that are gone stay until their last request has ended.
-    pub fn sync(&mut self, rows: &Rows, now: Nanos) {
+    pub fn sync(&mut self, rows: &MembershipTable, now: Nanos) {
         let ids = self.ids_to_look_at(rows);
         self.sync_state.epoch = rows.epoch();
         self.sync_state.revision = rows.revision();
@@ -38,7 +38,7 @@
     }
 
     /// Ids of servers whose rows or directives changed since the last look, and of those that time may change.
-    fn ids_to_look_at(&self, rows: &Rows) -> BTreeSet<String> {
+    fn ids_to_look_at(&self, rows: &MembershipTable) -> BTreeSet<String> {
         let state = &self.sync_state;
         let same_rows = state.epoch == rows.epoch()
             && state.revision <= rows.revision()
@@ -54,16 +54,16 @@
         let changed = rows
             .changed_since(state.revision)
             .filter_map(|row| match row {
-                ChangedRow::Server(id) => Some(id.to_owned()),
-                ChangedRow::Note(key) => server_of_directive(key).map(str::to_owned),
-                ChangedRow::Node(_) => None,
+                ChangedRecord::Server(id) => Some(id.to_owned()),
+                ChangedRecord::Directive(key) => server_of_directive(key).map(str::to_owned),
+                ChangedRecord::Node(_) => None,
             });
         let by_time = state.directed.iter().chain(&state.leaving);
         let by_time = by_time.filter_map(|&ix| self.get(ix).map(|server| server.id.clone()));
         changed.chain(by_time).collect()
     }
 
-    fn sync_server(&mut self, rows: &Rows, id: &str, now: Nanos) {
+    fn sync_server(&mut self, rows: &MembershipTable, id: &str, now: Nanos) {
         let row = rows.server(id);
         if let Some(row) = row {
             self.add_if_new(row);
@@ -78,8 +78,8 @@
         self.remove_if_over(ix, row);
     }
 
-    fn add_if_new(&mut self, row: &ServerRow) {
-        let over = row.standing == Standing::Gone || row.service.is_empty();
+    fn add_if_new(&mut self, row: &ServerRecord) {
+        let over = row.state == LifecycleState::Left || row.service.is_empty();
         if over || self.find(&row.id).is_some() {
             return;
         }
@@ -88,18 +88,18 @@
         }
     }
 
-    fn take_row(&mut self, ix: ServerIx, row: &ServerRow) {
+    fn take_row(&mut self, ix: ServerIx, row: &ServerRecord) {
         self.update(ix, |server| {
-            server.standing = server.standing.max(row.standing);
+            server.standing = server.standing.max(row.state);
         });
         let Some(server) = self.servers[ix].as_mut() else {
             return;
         };
-        if server.silent && !row.silent {
+        if server.silent && !row.unresponsive {
             server.suspect = None;
         }
-        if server.silent != row.silent {
-            server.silent = row.silent;
+        if server.silent != row.unresponsive {
+            server.silent = row.unresponsive;
             self.changes += 1;
         }
         if row.call_sequence > server.told_at {
@@ -112,7 +112,7 @@
 
     /// The holder of the rollout lease announces `soon/SERVER/MODEL`, then `load/SERVER/MODEL` while the server loads; the
     /// latter ends with the version that the server runs.
-    fn take_directives(&mut self, rows: &Rows, ix: ServerIx, id: &str, now: Nanos) {
+    fn take_directives(&mut self, rows: &MembershipTable, ix: ServerIx, id: &str, now: Nanos) {
         let lasts = self.versions.patience().saturating_mul(2);
         let Some(server) = self.servers[ix].as_mut() else {
             return;
@@ -121,18 +121,18 @@
         let stands = |over: bool, at: Nanos| !over && now.saturating_sub(at) < lasts;
         server.loading = false;
         let load = format!("{LOAD}/{id}/");
-        for (note, at) in rows.notes_under(&load) {
-            if note.over && note.value > 0 {
-                server.runs(&note.key[load.len()..], note.value);
+        for (note, at) in rows.directives_with_prefix(&load) {
+            if note.withdrawn && note.version > 0 {
+                server.runs(&note.key[load.len()..], note.version);
             }
-            server.loading |= stands(note.over, at);
+            server.loading |= stands(note.withdrawn, at);
         }
         let soon = format!("{SOON}/{id}/");
         server.soon = rows
-            .notes_under(&soon)
-            .any(|(note, at)| stands(note.over, at));
+            .directives_with_prefix(&soon)
+            .any(|(note, at)| stands(note.withdrawn, at));
         let avoid = format!("{AVOID}/{id}/");
-        for (_, at) in rows.notes_under(&avoid) {
+        for (_, at) in rows.directives_with_prefix(&avoid) {
             server.avoided_until = server.avoided_until.max(at.saturating_add(AVOIDED));
         }
         if server.loading || server.soon {
@@ -142,8 +142,8 @@
         }
     }
 
-    fn remove_if_over(&mut self, ix: ServerIx, row: Option<&ServerRow>) {
-        let gone = row.is_none_or(|row| row.standing == Standing::Gone);
+    fn remove_if_over(&mut self, ix: ServerIx, row: Option<&ServerRecord>) {
+        let gone = row.is_none_or(|row| row.state == LifecycleState::Left);
         let in_flight = self.get(ix).is_some_and(|server| server.in_flight > 0);
         if gone && !in_flight {
             self.remove(ix);
--- a/crates/sparrouter-routing/tests/directives.rs
+++ b/crates/sparrouter-routing/tests/directives.rs
@@ -1,37 +1,37 @@
 //! Server directives of the rollout's lease holder, and how long they apply.
 use fastrand::Rng;
-use sparrouter_membership::{ModelAt, Note, Rows, ServerRow};
+use sparrouter_membership::{LoadedModel, MembershipTable, ServerDirective, ServerRecord};
 use sparrouter_routing::{Ask, Patience, ServerTable, Turned, Wanted};
 
 const SECOND: u64 = 1_000_000_000;
 
-fn rows(servers: &[&str]) -> Rows {
-    let mut rows = Rows::new(1, 60 * SECOND, 100);
+fn rows(servers: &[&str]) -> MembershipTable {
+    let mut rows = MembershipTable::new(1, 60 * SECOND, 100);
     for (i, id) in servers.iter().enumerate() {
-        let row = ServerRow {
+        let row = ServerRecord {
             id: (*id).into(),
             service: "s".into(),
             address: format!("10.0.0.{i}:80"),
             call_sequence: 1,
-            models: vec![ModelAt {
+            models: vec![LoadedModel {
                 name: "m".into(),
                 version: 1,
             }]
             .into(),
-            ..ServerRow::default()
+            ..ServerRecord::default()
         };
         rows.merge_server(row, 0);
     }
     rows
 }
 
-fn note(key: &str, fence: u64, value: u64, over: bool) -> Note {
-    Note {
+fn note(key: &str, fence: u64, value: u64, over: bool) -> ServerDirective {
+    ServerDirective {
         key: key.into(),
-        fence,
-        number: 1,
-        value,
-        over,
+        fencing_token: fence,
+        sequence: 1,
+        version: value,
+        withdrawn: over,
     }
 }
 
@@ -50,7 +50,7 @@
     let mut rows = rows(&["a"]);
     let mut server_table =
         ServerTable::new(Patience::in_one_stretch(6 * SECOND), Rng::with_seed(1));
-    rows.merge_note(note("load/a/m", 3, 2, false), 0);
+    rows.merge_directive(note("load/a/m", 3, 2, false), 0);
     server_table.sync(&rows, 0);
     assert_eq!(server_table.choose(&ask(7, 0), 0), Err(Turned::Unready));
     // Nobody ends the directive: it applies no longer than loading can take.
@@ -63,14 +63,14 @@
     let mut rows = rows(&["a"]);
     let mut server_table =
         ServerTable::new(Patience::in_one_stretch(6 * SECOND), Rng::with_seed(1));
-    rows.merge_note(note("load/a/m", 3, 2, false), 0);
-    rows.merge_note(note("load/a/m", 4, 0, true), SECOND);
+    rows.merge_directive(note("load/a/m", 3, 2, false), 0);
+    rows.merge_directive(note("load/a/m", 4, 0, true), SECOND);
     server_table.sync(&rows, SECOND);
     assert!(server_table.choose(&ask(7, 0), SECOND).is_ok());
     // The old holder, no longer frozen, repeats it with a lower fencing token.
-    assert!(!rows.merge_note(
-        Note {
-            number: 9,
+    assert!(!rows.merge_directive(
+        ServerDirective {
+            sequence: 9,
             ..note("load/a/m", 3, 2, false)
         },
         2 * SECOND
@@ -83,7 +83,7 @@
     let mut rows = rows(&["a"]);
     let mut server_table =
         ServerTable::new(Patience::in_one_stretch(6 * SECOND), Rng::with_seed(1));
-    rows.merge_note(note("load/a/m", 3, 2, true), 0);
+    rows.merge_directive(note("load/a/m", 3, 2, true), 0);
     server_table.sync(&rows, 0);
     assert_eq!(server_table.choose(&ask(7, 0), 0).unwrap().version, Some(2));
     server_table.runs(server_table.find("a").unwrap(), "m", 1);
@@ -128,7 +128,7 @@
                 == "a"
         })
         .unwrap();
-    rows.merge_note(note("soon/a/m", 1, 2, false), 0);
+    rows.merge_directive(note("soon/a/m", 1, 2, false), 0);
     server_table.sync(&rows, 0);
     let to = |server_table: &ServerTable, out| {
         server_table
--- a/crates/sparrouter-routing/tests/election.rs
+++ b/crates/sparrouter-routing/tests/election.rs
@@ -1,6 +1,6 @@
 //! The election, bounded load, the fallback, the retry budget and the backlog.
 use fastrand::Rng;
-use sparrouter_membership::{Note, Rows, ServerRow, Standing};
+use sparrouter_membership::{LifecycleState, MembershipTable, ServerDirective, ServerRecord};
 use sparrouter_routing::{
     AVOIDED, Ask, Backlog, Budget, BudgetTerms, Ending, Patience, Prompt, ServerTable, Turned,
     UsualOutput,
@@ -8,15 +8,15 @@
 
 const SECOND: u64 = 1_000_000_000;
 
-fn server_table(servers: usize) -> (ServerTable, Rows) {
-    let mut rows = Rows::new(1, 60 * SECOND, 1_000);
+fn server_table(servers: usize) -> (ServerTable, MembershipTable) {
+    let mut rows = MembershipTable::new(1, 60 * SECOND, 1_000);
     for i in 0..servers {
-        let row = ServerRow {
+        let row = ServerRecord {
             id: format!("i-{i}"),
             service: "s".into(),
             address: format!("10.0.0.{i}:80"),
             call_sequence: 1,
-            ..ServerRow::default()
+            ..ServerRecord::default()
         };
         rows.merge_server(row, 0);
     }
@@ -77,8 +77,8 @@
     let id = server_table.get(first).unwrap().id.clone();
     let row = rows.server(&id).unwrap().clone();
     rows.merge_server(
-        ServerRow {
-            standing: Standing::Draining,
+        ServerRecord {
+            state: LifecycleState::Draining,
             call_sequence: 2,
             ..row
         },
@@ -87,7 +87,7 @@
     server_table.sync(&rows, 0);
     assert_ne!(server_table.choose(&ask(5, &[]), 0).unwrap().server, first);
     let other = server_table.get(1 - first).unwrap().id.clone();
-    rows.leave(&other, 0);
+    rows.mark_server_left(&other, 0);
     server_table.sync(&rows, 0);
     assert_eq!(server_table.choose(&ask(5, &[]), 0), Err(Turned::None));
 }
@@ -193,16 +193,16 @@
 }
 
 /// Tells the table of servers that fail requests which others would serve.
-fn avoid(server_table: &mut ServerTable, rows: &mut Rows, servers: &[usize], now: u64) {
+fn avoid(server_table: &mut ServerTable, rows: &mut MembershipTable, servers: &[usize], now: u64) {
     for &server in servers {
         let id = server_table.get(server).unwrap().id.clone();
-        let note = Note {
+        let note = ServerDirective {
             key: format!("avoid/{id}/"),
-            number: now + 1,
-            over: true,
-            ..Note::default()
+            sequence: now + 1,
+            withdrawn: true,
+            ..ServerDirective::default()
         };
-        rows.merge_note(note, now);
+        rows.merge_directive(note, now);
     }
     server_table.sync(rows, now);
 }
--- a/crates/sparrouter-routing/tests/sync.rs
+++ b/crates/sparrouter-routing/tests/sync.rs
@@ -1,6 +1,8 @@
 //! The server table follows the rows by what changed, and comes to the same as a table that reads all of them.
 use fastrand::Rng;
-use sparrouter_membership::{ModelAt, Note, Rows, ServerRow, Standing};
+use sparrouter_membership::{
+    LifecycleState, LoadedModel, MembershipTable, ServerDirective, ServerRecord,
+};
 use sparrouter_routing::{Ask, Ending, Patience, ServerIx, ServerTable};
 
 const SECOND: u64 = 1_000_000_000;
@@ -11,32 +13,32 @@
     ServerTable::new(Patience::in_one_stretch(6 * SECOND), Rng::with_seed(1))
 }
 
-fn empty_rows() -> Rows {
-    Rows::new(1, 20 * SECOND, 10_000)
+fn empty_rows() -> MembershipTable {
+    MembershipTable::new(1, 20 * SECOND, 10_000)
 }
 
-fn row(number: usize, call_sequence: u64) -> ServerRow {
-    ServerRow {
+fn row(number: usize, call_sequence: u64) -> ServerRecord {
+    ServerRecord {
         id: format!("i-{number}"),
         service: SERVICE.into(),
         address: format!("10.0.{}.{}:80", number / 250, number % 250),
         call_sequence,
-        models: vec![ModelAt {
+        models: vec![LoadedModel {
             name: MODEL.into(),
             version: 1,
         }]
         .into(),
-        ..ServerRow::default()
+        ..ServerRecord::default()
     }
 }
 
-fn directive(rng: &mut Rng, number: usize, step: u64) -> Note {
-    Note {
+fn directive(rng: &mut Rng, number: usize, step: u64) -> ServerDirective {
+    ServerDirective {
         key: format!("{}/i-{number}/{MODEL}", ["load", "soon"][rng.usize(..2)]),
-        fence: 1,
-        number: step,
-        value: rng.u64(..4),
-        over: rng.bool(),
+        fencing_token: 1,
+        sequence: step,
+        version: rng.u64(..4),
+        withdrawn: rng.bool(),
     }
 }
 
@@ -61,17 +63,17 @@
 }
 
 /// One change of the rows, drawn.
-fn change(rows: &mut Rows, rng: &mut Rng, step: u64, now: u64) {
+fn change(rows: &mut MembershipTable, rng: &mut Rng, step: u64, now: u64) {
     let number = rng.usize(..12);
     let id = format!("i-{number}");
     match rng.u32(..6) {
-        0 => drop(rows.leave(&id, now)),
-        1 => drop(rows.fall_silent(&id, now)),
-        2 => rows.sweep(now),
-        3 => drop(rows.merge_note(directive(rng, number, step), now)),
+        0 => drop(rows.mark_server_left(&id, now)),
+        1 => drop(rows.mark_server_unresponsive(&id, now)),
+        2 => rows.drop_expired(now),
+        3 => drop(rows.merge_directive(directive(rng, number, step), now)),
         4 => drop(rows.merge_server(
-            ServerRow {
-                standing: Standing::Draining,
+            ServerRecord {
+                state: LifecycleState::Draining,
                 ..row(number, step)
             },
             now,
@@ -115,7 +117,7 @@
     table.sync(&rows, 0);
     let ix = table.find("i-1").unwrap();
     table.begin(ix, 10);
-    rows.leave("i-1", 0);
+    rows.mark_server_left("i-1", 0);
     table.sync(&rows, 0);
     assert!(table.get(ix).is_some());
     table.end(ix, 10, Ending::Answered, 0);
@@ -125,31 +127,31 @@
 
 #[test]
 fn given_thousands_of_servers_when_one_changes_then_a_look_walks_that_one() {
-    let walked = |servers: usize| {
+    let records_visited = |servers: usize| {
         let (mut rows, mut table) = (empty_rows(), empty_table());
         for number in 0..servers {
             rows.merge_server(row(number, 1), 0);
         }
         table.sync(&rows, 0);
         rows.merge_server(
-            ServerRow {
-                standing: Standing::Draining,
+            ServerRecord {
+                state: LifecycleState::Draining,
                 ..row(3, 2)
             },
             1,
         );
-        let before = rows.walked();
+        let before = rows.records_visited();
         table.sync(&rows, 1);
-        rows.walked() - before
+        rows.records_visited() - before
     };
-    assert_eq!((walked(10), walked(5_000)), (1, 1));
+    assert_eq!((records_visited(10), records_visited(5_000)), (1, 1));
 }
 
 /// The order that the pass over all candidates must agree with: by score, those that are kept back last.
 fn by_sorting(table: &ServerTable, ask: &Ask) -> Vec<ServerIx> {
     let fit = table
         .of(SERVICE)
-        .filter(|(ix, s)| !ask.tried.contains(ix) && s.standing() == Standing::Ready)
+        .filter(|(ix, s)| !ask.tried.contains(ix) && s.standing() == LifecycleState::Ready)
         .filter(|(_, s)| !s.loading());
     let mut order = sparrouter_rendezvous::order(fit.map(|(ix, s)| (s.hash(), ix)), ask.key);
     order.sort_by_key(|&ix| {
@@ -198,7 +200,7 @@
             let in_flight = |ix: &ServerIx| table.get(*ix).unwrap().in_flight();
             let used: Vec<u32> = table
                 .of(SERVICE)
-                .filter(|(_, s)| s.standing() == Standing::Ready && s.used())
+                .filter(|(_, s)| s.standing() == LifecycleState::Ready && s.used())
                 .map(|(_, s)| s.in_flight())
                 .collect();
             let mean = f64::from(used.iter().sum::<u32>()) / used.len().max(1) as f64;
--- a/crates/sparrouter-settings/src/names.rs
+++ b/crates/sparrouter-settings/src/names.rs
@@ -98,9 +98,9 @@
 
     pub fn row(&mut self, l: &Listed) -> Result<Row, String> {
         let standing = match l.state {
-            "in_service" => Standing::Ready,
-            "terminating" => Standing::Draining,
-            "terminated" => Standing::Gone,
+            "in_service" => LifecycleState::Ready,
+            "terminating" => LifecycleState::Draining,
+            "terminated" => LifecycleState::Gone,
             other => return Err(format!("unknown state {other}")),
         };
         let (ids, free) = (&mut self.ids, &mut self.free);
--- a/crates/sparrouter-simulation/examples/node_work.rs
+++ b/crates/sparrouter-simulation/examples/node_work.rs
@@ -17,7 +17,7 @@
 fn main() {
     let all: Vec<NodeWork> = SIZES.into_iter().map(measure).collect();
     println!(
-        "rows walked / servers walked / microseconds, and the slope of time from 30 % to 100 % of the last size"
+        "rows records_visited / servers records_visited / microseconds, and the slope of time from 30 % to 100 % of the last size"
     );
     for (name, cost) in STEPS {
         print!("{name:24}");
--- a/crates/sparrouter-simulation/src/copies.rs
+++ b/crates/sparrouter-simulation/src/copies.rs
@@ -78,7 +78,7 @@
             && self
                 .chosen
                 .get(part)
-                .is_none_or(|known| known.at() < newest.at())
+                .is_none_or(|known| known.id() < newest.id())
         {
             self.chosen.insert(part.to_owned(), newest.clone());
         }
@@ -90,7 +90,11 @@
     let parts = votes_by_part(world, &running(world));
     let is_whole = |votes: &Votes| {
         newest_chosen(votes).is_some_and(|chosen| {
-            let has_copy = |m: &Member| votes.get(&m.disk).is_some_and(|vote| holds(vote, chosen));
+            let has_copy = |m: &Member| {
+                votes
+                    .get(&m.disk_id)
+                    .is_some_and(|vote| holds(vote, chosen))
+            };
             chosen.state.members.iter().all(has_copy)
         })
     };
@@ -116,44 +120,48 @@
     votes
         .values()
         .filter(|vote| is_chosen(vote, votes))
-        .max_by_key(|vote| vote.at())
+        .max_by_key(|vote| vote.id())
 }
 
 /// Why a part would not survive `spare` more losses; the worst ones take the members that hold the state.
 fn weakness(chosen: &SharedVote, votes: &Votes, spare: usize) -> Option<String> {
     let members = &chosen.state.members;
-    let present = |m: &&Member| votes.contains_key(&m.disk);
+    let present = |m: &&Member| votes.contains_key(&m.disk_id);
     let able = members.iter().filter(present).count();
     let holders = members
         .iter()
-        .filter(|m| votes.get(&m.disk).is_some_and(|vote| holds(vote, chosen)))
+        .filter(|m| {
+            votes
+                .get(&m.disk_id)
+                .is_some_and(|vote| holds(vote, chosen))
+        })
         .count();
     let majority = members.len() / 2 + 1;
     if holders <= spare {
         return Some(format!(
             "slot {} is on {holders} disks and {spare} more may be lost",
-            chosen.state.seq
+            chosen.state.slot
         ));
     }
     (able < majority + spare).then(|| {
         format!(
             "{able} members of the group of slot {} are there, {majority} must vote, {spare} more may be lost",
-            chosen.state.seq
+            chosen.state.slot
         )
     })
 }
 
 /// Whether a vote is of this chosen state or of a later slot, which is only proposed on top of it.
 fn holds(vote: &SharedVote, chosen: &SharedVote) -> bool {
-    let is_same = vote.state.origins == chosen.state.origins;
-    vote.state.seq > chosen.state.seq || (vote.state.seq == chosen.state.seq && is_same)
+    let is_same = vote.state.recent_proposals == chosen.state.recent_proposals;
+    vote.state.slot > chosen.state.slot || (vote.state.slot == chosen.state.slot && is_same)
 }
 
 fn is_chosen(vote: &SharedVote, votes: &Votes) -> bool {
-    let at: VoteId = vote.at();
-    let has = |disk| votes.get(&disk).is_some_and(|v| v.at() == at);
+    let at: VoteId = vote.id();
+    let has = |disk| votes.get(&disk).is_some_and(|v| v.id() == at);
     let majority =
-        |members: &[Member]| members.iter().filter(|m| has(m.disk)).count() > members.len() / 2;
+        |members: &[Member]| members.iter().filter(|m| has(m.disk_id)).count() > members.len() / 2;
     majority(vote.governing()) && majority(&vote.state.members)
 }
 
--- a/crates/sparrouter-simulation/src/node_work.rs
+++ b/crates/sparrouter-simulation/src/node_work.rs
@@ -12,7 +12,7 @@
 use sparrouter_fleet::net::{Later, Listener, Net, Stream};
 use sparrouter_fleet::node::Node;
 use sparrouter_fleet::wire::{ConfigUpdate, TextUpdate};
-use sparrouter_membership::{Delta, NodeRow, ServerRow};
+use sparrouter_membership::{MembershipDelta, NodeRecord, ServerRecord};
 use sparrouter_prefix_index::{Change, Page, Source};
 use sparrouter_routing::Ask;
 use std::io;
@@ -40,9 +40,9 @@
 /// What one step costs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
-    /// Rows of the membership tables that were walked.
+    /// Rows of the membership tables that were records_visited.
     pub rows: u64,
-    /// Servers of the server table that were walked.
+    /// Servers of the server table that were records_visited.
     pub servers: u64,
     pub microseconds: f64,
 }
@@ -120,12 +120,12 @@
             text: TextUpdate::Whole(plan.json()),
             ..ConfigUpdate::default()
         });
-        node.learn(Delta {
+        node.learn(MembershipDelta {
             nodes: (1..nodes).map(|number| node_row(number, 1)).collect(),
             servers: (0..nodes * SERVERS_A_NODE)
                 .map(|number| server_row(number, 1))
                 .collect(),
-            ..Delta::default()
+            ..MembershipDelta::default()
         });
         spawn_local(node.clone().carry_out());
         spawn_local(event_follower::follow(node.clone()));
@@ -141,21 +141,21 @@
         }
     }
 
-    fn walked(&self) -> (u64, u64) {
-        let rows = self.node.rows.borrow().walked();
-        (rows, self.node.server_table.borrow().walked())
+    fn records_visited(&self) -> (u64, u64) {
+        let rows = self.node.rows.borrow().records_visited();
+        (rows, self.node.server_table.borrow().records_visited())
     }
 
     /// The mean cost of `REPEATS` steps.
     async fn cost(&mut self, step: impl AsyncFn(&mut Fleet)) -> Cost {
-        let (rows, servers) = self.walked();
+        let (rows, servers) = self.records_visited();
         let began = Instant::now();
         for _ in 0..REPEATS {
             self.step += 1;
             step(self).await;
         }
         let microseconds = began.elapsed().as_secs_f64() * 1e6 / REPEATS as f64;
-        let (rows_after, servers_after) = self.walked();
+        let (rows_after, servers_after) = self.records_visited();
         Cost {
             rows: (rows_after - rows).div_ceil(REPEATS),
             servers: (servers_after - servers).div_ceil(REPEATS),
@@ -201,9 +201,9 @@
 
     async fn server_polls(&mut self) -> Cost {
         self.cost(async |fleet| {
-            fleet.node.learn(Delta {
+            fleet.node.learn(MembershipDelta {
                 servers: vec![server_row(1, fleet.step)].into(),
-                ..Delta::default()
+                ..MembershipDelta::default()
             });
             sleep(SETTLED).await;
         })
@@ -212,13 +212,13 @@
 
     async fn node_polls(&mut self) -> Cost {
         self.cost(async |fleet| {
-            let row = NodeRow {
+            let row = NodeRecord {
                 leaving: fleet.step.is_multiple_of(2),
                 ..node_row(fleet.nodes - 1, fleet.step)
             };
-            fleet.node.learn(Delta {
+            fleet.node.learn(MembershipDelta {
                 nodes: vec![row].into(),
-                ..Delta::default()
+                ..MembershipDelta::default()
             });
             fleet.node.tell_kept(&mut fleet.source, 1, false);
         })
@@ -226,34 +226,34 @@
     }
 }
 
-fn node_row(number: usize, life: u64) -> NodeRow {
+fn node_row(number: usize, life: u64) -> NodeRecord {
     let address = |port: u16| format!("10.{}.{}.2:{port}", 100 + number / 250, number % 250);
     let counted = number < COUNTED;
-    NodeRow {
+    NodeRecord {
         name: format!("machine-{number}"),
-        internal: address(7360),
-        control: if counted {
+        internal_address: address(7360),
+        control_address: if counted {
             address(8683)
         } else {
             String::new()
         },
         zone: format!("zone-{}", number % 3),
-        counted,
-        front: true,
-        life,
+        counts_toward_quorum: counted,
+        serves_clients: true,
+        incarnation: life,
         nonce: life,
-        ..NodeRow::default()
+        ..NodeRecord::default()
     }
 }
 
-fn server_row(number: usize, call_sequence: u64) -> ServerRow {
-    ServerRow {
+fn server_row(number: usize, call_sequence: u64) -> ServerRecord {
+    ServerRecord {
         id: format!("i-{number:06}"),
         service: SERVICE.into(),
         address: format!("10.{}.{}.3:80", number / 250, number % 250),
         slot_count: 64,
         call_sequence,
-        ..ServerRow::default()
+        ..ServerRecord::default()
     }
 }
 
--- a/crates/sparrouter-simulation/tests/many_changes.rs
+++ b/crates/sparrouter-simulation/tests/many_changes.rs
@@ -99,7 +99,8 @@
         return 0;
     };
     let record = records.get("part-0");
-    let record = record.and_then(|r| Record::decode(r, Settings::default().most_message()).ok());
+    let record =
+        record.and_then(|r| Record::decode(r, Settings::default().max_message_bytes()).ok());
     let vote = record.and_then(|r| r.accepted);
     let state = vote.and_then(|v| ConfigurationState::read(&v.state.body).ok());
     state.map_or(0, |s| s.version)
@@ -169,7 +170,7 @@
     let mut plan = large_plan();
     assert_eq!(world.operator.put(&plan, 1).await, 200);
     let size = plan.json().len() as u64;
-    let inline = Settings::default().inline_body;
+    let inline = Settings::default().max_inline_body_bytes;
     assert!(size > inline as u64, "it is fetched in pieces");
     let before = written_in_core(&world);
     let began = Instant::now();
--- a/crates/sparrouter-simulation/tests/quorum_contact.rs
+++ b/crates/sparrouter-simulation/tests/quorum_contact.rs
@@ -7,7 +7,7 @@
 use sparrouter_fleet::planted::{Defect, plant};
 use sparrouter_fleet::polls::is_timely;
 use sparrouter_fleet::wire::{self, Call};
-use sparrouter_membership::Delta;
+use sparrouter_membership::MembershipDelta;
 use sparrouter_simulation::contact_watch::{
     CLOSELY, CONTACT_WINDOW, Caller, ContactWatch, internal_of,
 };
@@ -694,7 +694,7 @@
     let update = caller.poll(to).await.expect("an answer");
     assert!(!update.has_quorum_contact(), "poll");
     let patience = Duration::from_secs(1);
-    let notify = Call::Notify(Delta::default());
+    let notify = Call::Notify(MembershipDelta::default());
     let reply = caller.call(to, &notify, patience).await;
     assert!(
         matches!(reply, Some(wire::Reply::No(_))),
@@ -813,12 +813,12 @@
 fn cost_of_a_read(members: usize, value_bytes: usize) -> (usize, usize, usize) {
     let group: Vec<Member> = (0..members as u64)
         .map(|n| Member {
-            disk: n + 1,
+            disk_id: n + 1,
             name: format!("frontend-lalitpur-hall-{n}"),
             address: format!("10.128.0.{n}:7360"),
         })
         .collect();
-    let record = Record::found(group.clone(), vec![b'x'; value_bytes]).encode();
+    let record = Record::bootstrap(group.clone(), vec![b'x'; value_bytes]).encode();
     let mut registers: Vec<Register<Leases>> = (group.iter().zip(0..))
         .map(|(member, seed)| {
             let rng = fastrand::Rng::with_seed(seed);
@@ -865,7 +865,7 @@
                     bytes += message.encode().len();
                     let index = group
                         .iter()
-                        .position(|m| m.disk == to.disk)
+                        .position(|m| m.disk_id == to.disk_id)
                         .expect("a member");
                     registers[index].handle(group[from].clone(), message, 0);
                 }
@@ -873,7 +873,7 @@
                     stores += 1;
                     registers[from].stored(token, true, 0);
                 }
-                Action::Done { outcome, .. } => {
+                Action::Completed { outcome, .. } => {
                     answered = matches!(outcome, Outcome::Answered(_));
                 }
                 Action::Chosen(_) => {}
--- a/crates/sparrouter-simulation/tests/reconfiguration.rs
+++ b/crates/sparrouter-simulation/tests/reconfiguration.rs
@@ -157,7 +157,7 @@
     let members: Vec<Member> = (1..)
         .zip(world.core())
         .map(|(disk, name)| Member {
-            disk,
+            disk_id: disk,
             name,
             address: String::new(),
         })
--- a/crates/sparrouter-simulation/tests/state_files.rs
+++ b/crates/sparrouter-simulation/tests/state_files.rs
@@ -6,7 +6,7 @@
 use sparrouter_fleet::disk::{DiskContents, DiskError, Keeper, Saves, open_with};
 use sparrouter_fleet::log_buffer::LogBuffer;
 use sparrouter_fleet::planted::{Defect, plant};
-use sparrouter_membership::Delta;
+use sparrouter_membership::MembershipDelta;
 use sparrouter_storage::{Files, SimulatedFiles, Store, frame};
 use std::collections::BTreeMap;
 
@@ -88,7 +88,8 @@
 }
 
 fn record(bytes: &[u8]) -> Record {
-    Record::decode(bytes, Settings::default().most_message()).expect("a record of this release")
+    Record::decode(bytes, Settings::default().max_message_bytes())
+        .expect("a record of this release")
 }
 
 /// The file with another record in a frame that is whole.
@@ -144,7 +145,7 @@
     assert!(state.text.contains("rota.example"), "{}", state.text);
     assert!(bodies[1..].iter().all(|b| Lease::decode(b).is_some()));
     let rows = contents.rows.expect("rows");
-    assert!(sparrouter_codec::read::<Delta>(&rows).is_some());
+    assert!(sparrouter_codec::read::<MembershipDelta>(&rows).is_some());
 }
 
 #[test]
--- a/crates/sparrouter/src/policy.rs
+++ b/crates/sparrouter/src/policy.rs
@@ -19,7 +19,7 @@
 fn may_forward(
     inv: &Inv, op: &Operation, limits: &ForwardLimits, to: &Cache, fleet: &Fleet, now: Nanos,
 ) -> bool {
-    let free = inv.live() && now < inv.arrival.due && to.standing == Standing::Ready;
+    let free = inv.live() && now < inv.arrival.due && to.standing == LifecycleState::Ready;
     let room = inv.forwards.len() < limits.max_forwards && (limits.second_copies || inv.open() == 0);
     let effect = match (op.effect, inv.first_effect()) {
         (Effect::Idempotent, _) | (_, None) => true,
@@ -55,9 +55,9 @@
 impl Cache {
     /// Guards against a list that is wrong: where gone is advice, one that never drained stays in the
     /// election until own forwards show that it is out of reach.
-    fn listed(&mut self, standing: Standing, advice: bool) {
-        self.missing = advice && standing == Standing::Gone && self.standing == Standing::Ready;
-        self.standing = if self.missing { Standing::Ready } else { standing };
+    fn listed(&mut self, standing: LifecycleState, advice: bool) {
+        self.missing = advice && standing == LifecycleState::Gone && self.standing == LifecycleState::Ready;
+        self.standing = if self.missing { LifecycleState::Ready } else { standing };
     }
     fn started(&mut self, at: Nanos, now: Nanos, tokens: f64) {
         (self.ready_at, self.tokens, self.filled_at) = (at.max(self.ready_at), tokens, now);
@@ -110,7 +110,7 @@
         let advice = self.rules.gone_is_advice;
         self.count(now);
         if form != Form::Changes {
-            self.caches.iter_mut().flatten().for_each(|c| c.listed(Standing::Gone, advice));
+            self.caches.iter_mut().flatten().for_each(|c| c.listed(LifecycleState::Gone, advice));
         }
         for row in rows {
             if self.caches.len() <= row.cache {
@@ -136,7 +136,7 @@
             c.listed(row.standing, advice);
             (c.weight, c.zone, c.cell) = (weight, row.zone, row.cell);
         }
-        let up = |c: &CacheIx| self.caches[*c].as_ref().is_some_and(|c| c.standing == Standing::Ready);
+        let up = |c: &CacheIx| self.caches[*c].as_ref().is_some_and(|c| c.standing == LifecycleState::Ready);
         let all = (0..self.caches.len()).filter(up);
         let (origin, ready): (Vec<_>, _) = all.partition(|&c| self.is_origin(c));
         (self.origin, self.ready) = (origin.first().copied(), ready);
@@ -208,7 +208,7 @@
 
     /// Counts answers: what is only sent says nothing of what can be done.
     fn answered(&mut self, c: CacheIx, now: Nanos) {
-        self.answers += f64::from(u8::from(self.get(c).standing == Standing::Ready));
+        self.answers += f64::from(u8::from(self.get(c).standing == LifecycleState::Ready));
         self.silence *= 0.95;
         if now > self.counted_at + SECOND {
             self.count(now);
@@ -250,7 +250,7 @@
             let cache = self.at(c);
             // List and own forwards have agreed for long: it is kept no more, until it is listed again.
             if cache.missing && backoff > first * LOOKS {
-                (cache.standing, cache.missing) = (Standing::Gone, false);
+                (cache.standing, cache.missing) = (LifecycleState::Gone, false);
                 self.ready.retain(|&r| r != c);
             }
         }
@@ -626,7 +626,7 @@
         let row = |n: usize| Row {
             cache: n,
             id_hash: mix(n as u64 + 1),
-            standing: Standing::Ready,
+            standing: LifecycleState::Ready,
             zone: 0,
             cell: 0,
             kind: 0,
@@ -649,7 +649,11 @@
     }
     /// Whether this cache server may still be sent to, whatever the list says.
     pub fn keeps(&self, cache: CacheIx) -> bool {
-        self.fleet.caches.get(cache).and_then(|c| c.as_ref()).is_some_and(|c| c.standing == Standing::Ready)
+        self.fleet
+            .caches
+            .get(cache)
+            .and_then(|c| c.as_ref())
+            .is_some_and(|c| c.standing == LifecycleState::Ready)
     }
 
     pub fn drain(&mut self) -> std::vec::Drain<'_, Action> {
@@ -1152,7 +1156,7 @@
     fn again(&mut self, ix: InvIx) {
         let inv = &self.invs[&ix];
         let missed = inv.forwards.iter().rev().find(|f| f.fate == Fate::NeverRan).map(|f| f.cache);
-        let good = |c: &Cache| c.standing == Standing::Ready && c.doubt.is_none();
+        let good = |c: &Cache| c.standing == LifecycleState::Ready && c.doubt.is_none();
         match missed.filter(|&c| good(self.fleet.get(c))) {
             Some(c) => self.send(ix, c, Policy::after_cache),
             None => self.try_cache(ix),
--- a/crates/sparrouter/src/records.rs
+++ b/crates/sparrouter/src/records.rs
@@ -67,7 +67,7 @@
 #[derive(Default)]
 pub struct Cache {
     pub id_hash: u64,
-    pub standing: Standing,
+    pub standing: LifecycleState,
     /// The list has it no more, which is advice here: it may still be sent to.
     pub missing: bool,
     pub zone: usize,
--- a/crates/sparrouter/src/types.rs
+++ b/crates/sparrouter/src/types.rs
@@ -102,7 +102,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum LifecycleState {
     Ready,
     Draining,
     #[default]
@@ -114,7 +114,7 @@
     pub cache: CacheIx,
     /// Same at every node for the same cache server.
     pub id_hash: u64,
-    pub standing: Standing,
+    pub standing: LifecycleState,
     pub zone: usize,
     pub cell: i64,
     pub kind: usize,
--- a/crates/sparrouter/tests/rules.rs
+++ b/crates/sparrouter/tests/rules.rs
@@ -96,7 +96,12 @@
         13 => {
             let cache = pick % 8;
             let mut r = row(cache, if cache == 7 { 9 } else { 0 });
-            r.standing = [Standing::Ready, Standing::Draining, Standing::Gone, Standing::Ready][pick / 8 % 4];
+            r.standing = [
+                LifecycleState::Ready,
+                LifecycleState::Draining,
+                LifecycleState::Gone,
+                LifecycleState::Ready,
+            ][pick / 8 % 4];
             r.ready_at = if n & 0x100000 == 0 { w.now } else { 0 };
             w.list(Form::Changes, vec![r]);
         }
@@ -166,7 +171,7 @@
     let (mut a, mut b) = (World::new(site(), fleet(10)), World::new(other, fleet(10)));
     let before: Vec<_> = (0..500).map(|k| winner(&mut a, k)).collect();
     assert_eq!(before, (0..500).map(|k| winner(&mut b, k)).collect::<Vec<_>>());
-    a.list(Form::Changes, vec![Row { standing: Standing::Gone, ..row(3, 0) }]);
+    a.list(Form::Changes, vec![Row { standing: LifecycleState::Gone, ..row(3, 0) }]);
     for (key, was) in before.into_iter().enumerate() {
         let now = winner(&mut a, key as u64);
         assert!(now == was || was == 3, "key {key} moved from {was} to {now}");
@@ -295,7 +300,7 @@
     let mut rows = fleet(6);
     rows[0] = new.clone();
     let (mut a, mut b) = (World::new(site(), fleet(6)), World::new(site(), rows));
-    a.list(Form::Changes, vec![Row { standing: Standing::Gone, ..row(0, 0) }]);
+    a.list(Form::Changes, vec![Row { standing: LifecycleState::Gone, ..row(0, 0) }]);
     a.pass(10 * SECOND);
     a.list(Form::Changes, vec![new]);
     let winners = |w: &mut World| (0..100).map(|k| winner(w, k)).collect::<Vec<_>>();
--- a/crates/sparrouter/tests/world/mod.rs
+++ b/crates/sparrouter/tests/world/mod.rs
@@ -68,7 +68,7 @@
     Row {
         cache,
         id_hash: (cache as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
-        standing: Standing::Ready,
+        standing: LifecycleState::Ready,
         zone: cache % 3,
         cell: (cache % 2) as i64,
         kind,
@@ -170,12 +170,12 @@
     pub fn list(&mut self, form: Form, rows: Vec<Row>) {
         // What binds: where gone is advice, only what was listed as draining, until it is listed as ready.
         let advice = self.site.rules.gone_is_advice;
-        let binding = |old: Option<Standing>, new| match (old, new) {
-            (Some(Standing::Ready), Standing::Gone) if advice => Standing::Ready,
+        let binding = |old: Option<LifecycleState>, new| match (old, new) {
+            (Some(LifecycleState::Ready), LifecycleState::Gone) if advice => LifecycleState::Ready,
             (_, new) => new,
         };
         if matches!(form, Form::Full | Form::Saved) {
-            self.rows.values_mut().for_each(|r| r.standing = binding(Some(r.standing), Standing::Gone));
+            self.rows.values_mut().for_each(|r| r.standing = binding(Some(r.standing), LifecycleState::Gone));
         }
         for r in &rows {
             let old = self.rows.get(&r.cache).map(|r| r.standing);
@@ -343,7 +343,7 @@
         assert!(!h.answered && !h.begun, "rule 1: {inv} forwarded after its answer");
         assert!(h.sent.len() < h.limits.max_forwards, "more forwards than allowed");
         let to = &self.rows[&cache];
-        assert_eq!(to.standing, Standing::Ready, "rule 3: sent to a drained cache server");
+        assert_eq!(to.standing, LifecycleState::Ready, "rule 3: sent to a drained cache server");
         let open = h.sent.iter().any(|s| s.open);
         assert!(h.limits.second_copies || !open, "rule 2: overlapping forwards");
         let mut ran = h.sent.iter().filter(|s| s.open || s.may_have_run);
@@ -382,7 +382,8 @@
         };
         self.sends.push(now);
         let lately = self.sends.iter().filter(|&&t| t + SECOND >= now).count() as f64;
-        let weight: f64 = self.rows.values().filter(|r| r.standing == Standing::Ready).map(&warmth).sum();
+        let weight: f64 =
+            self.rows.values().filter(|r| r.standing == LifecycleState::Ready).map(&warmth).sum();
         self.peak = self.peak.max(lately / weight.max(1e-9));
         let (to, share) = (&self.rows[&cache], warmth(&self.rows[&cache]));
         if share < 1.0 {
--- a/crates/sparrouter/tests/wrong_lists.rs
+++ b/crates/sparrouter/tests/wrong_lists.rs
@@ -9,7 +9,7 @@
     s
 }
 
-fn rows(n: usize, standing: Standing) -> Vec<Row> {
+fn rows(n: usize, standing: LifecycleState) -> Vec<Row> {
     fleet(n).into_iter().map(|r| Row { standing, ..r }).collect()
 }
 
@@ -29,7 +29,7 @@
 /// A list that called all running cache servers gone emptied the election: nine tenths were turned away.
 #[test]
 fn all_called_gone_or_left_out_stay_in_the_election_while_they_answer() {
-    for (form, list) in [(Form::Full, vec![]), (Form::Changes, rows(6, Standing::Gone))] {
+    for (form, list) in [(Form::Full, vec![]), (Form::Changes, rows(6, LifecycleState::Gone))] {
         let mut w = World::new(advised(), fleet(6));
         let before: Vec<_> = (0..50).map(|k| winner(&mut w, k)).collect();
         w.list(form, list.clone());
@@ -50,14 +50,14 @@
     let mut w = World::new(advised(), fleet(3));
     let home = winner(&mut w, 1);
     let with = |standing| vec![Row { standing, ..row(home, 0) }];
-    w.list(Form::Changes, with(Standing::Draining));
+    w.list(Form::Changes, with(LifecycleState::Draining));
     assert_ne!(winner(&mut w, 1), home);
-    w.list(Form::Changes, with(Standing::Gone));
+    w.list(Form::Changes, with(LifecycleState::Gone));
     assert_ne!(winner(&mut w, 1), home);
     // A whole list that leaves it out, or has it drain still, changes nothing.
     w.list(Form::Full, fleet(3).into_iter().filter(|r| r.cache != home).collect());
     assert_ne!(winner(&mut w, 1), home);
-    w.list(Form::Changes, with(Standing::Ready));
+    w.list(Form::Changes, with(LifecycleState::Ready));
     assert_eq!(winner(&mut w, 1), home);
 }
 
@@ -66,7 +66,7 @@
 fn one_that_is_gone_in_truth_costs_few_forwards() {
     let mut w = World::new(advised(), fleet(4));
     let home = winner(&mut w, 1);
-    w.list(Form::Changes, vec![Row { standing: Standing::Gone, ..row(home, 0) }]);
+    w.list(Form::Changes, vec![Row { standing: LifecycleState::Gone, ..row(home, 0) }]);
     let mut tried = 0;
     for k in 0..1200 {
         let inv = w.arrive(0, Some(k % 40), false, SECOND);
@@ -97,7 +97,7 @@
 #[test]
 fn an_old_list_that_comes_again_moves_keys_only_to_those_that_answer() {
     let mut w = World::new(advised(), fleet(8));
-    let drained: Vec<Row> = (0..4).map(|c| Row { standing: Standing::Draining, ..row(c, 0) }).collect();
+    let drained: Vec<Row> = (0..4).map(|c| Row { standing: LifecycleState::Draining, ..row(c, 0) }).collect();
     w.list(Form::Changes, drained);
     // The replaced are listed as they were, the others are left out.
     w.list(Form::Full, (0..4).map(|c| row(c, 0)).chain([row(8, 9)]).collect());
