--- a/crates/sparrouter-fleet/src/weights.rs
+++ b/crates/sparrouter-fleet/src/weights.rs
@@ -285,7 +285,7 @@
             key: format!("{}/{id}/{model}", kind.key()),
             fencing_token: held.fencing_token,
             sequence: number,
-            version: version,
+            version,
             withdrawn: over,
         };
         self.node.learn(MembershipDelta {
