--- a/crates/sparrouter-prefix-index/tests/index.rs
+++ b/crates/sparrouter-prefix-index/tests/index.rs
@@ -1,22 +1,22 @@
 //! The answers of a part's owner.
-use sparrouter_prefix_index::{Advice, Index, Question, Terms};
+use sparrouter_prefix_index::{IndexSettings, PrefixIndex, PrefixLocation, PrefixQuery};
 
 const S: u64 = 1_000_000_000;
-const TERMS: Terms = Terms {
-    most: 64,
-    keeps: 30 * S,
-    again: 120 * S,
-    heard: 4 * S,
+const TERMS: IndexSettings = IndexSettings {
+    max_blocks: 64,
+    assumed_retention: 30 * S,
+    save_retry_interval: 120 * S,
+    max_report_delay: 4 * S,
 };
 const PART: u64 = 7;
 const STORE: u64 = 99;
 
-fn index() -> Index {
-    Index::new(TERMS)
+fn index() -> PrefixIndex {
+    PrefixIndex::new(TERMS)
 }
 
-fn about(server: u64, store: u64) -> Question {
-    Question {
+fn about(server: u64, store: u64) -> PrefixQuery {
+    PrefixQuery {
         key: PART,
         server,
         store,
@@ -27,41 +27,41 @@
 fn given_nothing_known_when_asked_then_the_store_is_asked_to_save_once() {
     let mut index = index();
     assert_eq!(
-        index.ask(about(1, STORE), 0),
-        Advice {
+        index.query(about(1, STORE), 0),
+        PrefixLocation {
             save: true,
-            ..Advice::default()
+            ..PrefixLocation::default()
         }
     );
-    let second = index.ask(about(2, STORE), S);
+    let second = index.query(about(2, STORE), S);
     assert!(!second.save, "the store was asked a second ago");
     assert_eq!(
-        second.holders,
+        second.cached_at,
         [STORE],
         "the store has no follower, so the request to save counts"
     );
-    assert_eq!(second.reader, 1);
-    assert!(index.ask(about(2, STORE), 121 * S).save);
+    assert_eq!(second.prefilling_server, 1);
+    assert!(index.query(about(2, STORE), 121 * S).save);
 }
 
 #[test]
 fn given_a_followed_store_when_it_does_not_report_the_part_then_it_is_asked_again_soon() {
     let mut index = index();
-    index.told(STORE, 3, 500, 0);
-    assert!(index.ask(about(1, STORE), 0).save);
-    let soon = index.ask(about(2, STORE), S);
+    index.record_cached(STORE, 3, 500, 0);
+    assert!(index.query(about(1, STORE), 0).save);
+    let soon = index.query(about(2, STORE), S);
     assert!(
-        !soon.save && soon.holders.is_empty(),
+        !soon.save && soon.cached_at.is_empty(),
         "being saved, but not reported yet: {soon:?}"
     );
     assert!(
-        index.ask(about(2, STORE), 5 * S).save,
+        index.query(about(2, STORE), 5 * S).save,
         "the request to save had no effect"
     );
-    index.told(STORE, PART, 500, 5 * S);
-    let there = index.ask(about(2, STORE), 20 * S);
+    index.record_cached(STORE, PART, 500, 5 * S);
+    let there = index.query(about(2, STORE), 20 * S);
     assert!(!there.save);
-    assert_eq!(there.holders, [STORE]);
+    assert_eq!(there.cached_at, [STORE]);
 }
 
 #[test]
@@ -69,62 +69,62 @@
 {
     let mut index = index();
     for (at, source) in [(1, 10), (2, 11), (3, 12)] {
-        index.told(source, PART, 800, at * S);
+        index.record_cached(source, PART, 800, at * S);
     }
-    let advice = index.ask(about(11, 0), 4 * S);
-    assert!(advice.held);
-    assert_eq!(advice.holders, [12, 10]);
+    let advice = index.query(about(11, 0), 4 * S);
+    assert!(advice.is_cached);
+    assert_eq!(advice.cached_at, [12, 10]);
 }
 
 #[test]
 fn given_a_holder_that_dropped_the_part_when_asked_then_it_is_not_named() {
     let mut index = index();
-    index.told(10, PART, 800, 0);
-    index.told(10, PART, 0, S);
-    assert_eq!(index.ask(about(11, 0), 2 * S), Advice::default());
+    index.record_cached(10, PART, 800, 0);
+    index.record_cached(10, PART, 0, S);
+    assert_eq!(index.query(about(11, 0), 2 * S), PrefixLocation::default());
 }
 
 #[test]
 fn given_a_followed_reader_when_its_follower_reports_nothing_then_it_is_named_for_the_report_time_only()
  {
     let mut index = index();
-    index.told(10, 3, 500, 0);
-    index.ask(about(10, 0), 0);
-    assert_eq!(index.ask(about(11, 0), 3 * S).reader, 10);
+    index.record_cached(10, 3, 500, 0);
+    index.query(about(10, 0), 0);
+    assert_eq!(index.query(about(11, 0), 3 * S).prefilling_server, 10);
     assert_ne!(
-        index.ask(about(12, 0), 5 * S).reader,
+        index.query(about(12, 0), 5 * S).prefilling_server,
         10,
         "its follower would have reported the part by now"
     );
     // Nobody reports for a server without a follower.
-    let unfollowed = Question {
+    let unfollowed = PrefixQuery {
         key: 8,
         server: 13,
         store: 0,
     };
-    index.ask(unfollowed, 0);
+    index.query(unfollowed, 0);
     assert_eq!(
         index
-            .ask(
-                Question {
+            .query(
+                PrefixQuery {
                     server: 14,
                     ..unfollowed
                 },
                 20 * S
             )
-            .reader,
+            .prefilling_server,
         13
     );
     assert_eq!(
         index
-            .ask(
-                Question {
+            .query(
+                PrefixQuery {
                     server: 15,
                     ..unfollowed
                 },
                 51 * S
             )
-            .reader,
+            .prefilling_server,
         0
     );
 }
@@ -132,37 +132,37 @@
 #[test]
 fn given_a_lost_source_when_asked_then_it_is_not_named() {
     let mut index = index();
-    index.told(STORE, PART, 800, 0);
-    index.told(10, PART, 800, 0);
-    index.lost(STORE);
-    let advice = index.ask(about(11, STORE), S);
-    assert_eq!((advice.save, advice.holders), (true, vec![10]));
+    index.record_cached(STORE, PART, 800, 0);
+    index.record_cached(10, PART, 800, 0);
+    index.remove_source(STORE);
+    let advice = index.query(about(11, STORE), S);
+    assert_eq!((advice.save, advice.cached_at), (true, vec![10]));
 }
 
 #[test]
 fn given_more_parts_than_fit_when_reported_then_the_index_stays_bounded_and_used_parts_stay() {
     let mut index = index();
     for key in 0..10_000 {
-        index.told(10, key + 100, 800, key * S / 1_000);
-        index.ask(
-            Question {
+        index.record_cached(10, key + 100, 800, key * S / 1_000);
+        index.query(
+            PrefixQuery {
                 key: PART,
                 server: 10,
                 store: 0,
             },
             key * S / 1_000,
         );
-        assert!(index.len() <= TERMS.most + 1, "{}", index.len());
+        assert!(index.len() <= TERMS.max_blocks + 1, "{}", index.len());
     }
-    index.told(10, PART, 800, 10 * S);
-    assert!(index.ask(about(11, 0), 10 * S).holders.contains(&10));
+    index.record_cached(10, PART, 800, 10 * S);
+    assert!(index.query(about(11, 0), 10 * S).cached_at.contains(&10));
 }
 
 #[test]
 fn given_many_holders_when_reported_then_the_newest_few_are_remembered() {
     let mut index = index();
-    (1..=50).for_each(|source| index.told(source, PART, 800, source));
-    let advice = index.ask(about(1_000, 0), S);
-    assert_eq!(advice.holders.first(), Some(&50));
-    assert!(advice.holders.len() < 10);
+    (1..=50).for_each(|source| index.record_cached(source, PART, 800, source));
+    let advice = index.query(about(1_000, 0), S);
+    assert_eq!(advice.cached_at.first(), Some(&50));
+    assert!(advice.cached_at.len() < 10);
 }
--- a/crates/sparrouter-prefix-index/tests/source.rs
+++ b/crates/sparrouter-prefix-index/tests/source.rs
@@ -1,15 +1,15 @@
 //! What a follower derives from a source's events.
-use sparrouter_prefix_index::{Change, Page, Source};
+use sparrouter_prefix_index::{BlockChange, EventPage, Source};
 use sparrouter_rendezvous::{Member, SlotTable, mix};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-fn kept(key: u64, tokens: u32) -> Change {
-    Change { key, tokens }
+fn kept(key: u64, tokens: u32) -> BlockChange {
+    BlockChange { key, tokens }
 }
 
-fn page(epoch: u64, next: u64, events: &[Change]) -> Page {
-    Page {
+fn page(epoch: u64, next: u64, events: &[BlockChange]) -> EventPage {
+    EventPage {
         epoch,
         next,
         gap: false,
@@ -45,7 +45,7 @@
     let owners = owners(&[0, 1]);
     let (zeroth, first) = (keys_of(&owners, 0, 2), keys_of(&owners, 1, 1));
     let mut source = Source::default();
-    assert!(!source.take(page(
+    assert!(!source.apply_page(page(
         5,
         40,
         &[
@@ -56,7 +56,7 @@
             kept(zeroth[1], 0)
         ]
     )));
-    assert_eq!(source.since(), 40);
+    assert_eq!(source.next_event(), 40);
     let expected = BTreeMap::from([
         (
             place_of(&owners, 0),
@@ -64,32 +64,35 @@
         ),
         (place_of(&owners, 1), vec![kept(first[0], 700)]),
     ]);
-    assert_eq!(source.tell(&owners), expected);
-    assert!(source.tell(&owners).is_empty(), "there is nothing new");
+    assert_eq!(source.take_changes(&owners), expected);
+    assert!(
+        source.take_changes(&owners).is_empty(),
+        "there is nothing new"
+    );
 }
 
 #[test]
 fn given_an_owner_that_goes_when_told_then_all_that_it_had_and_nothing_else_is_told_again() {
     let before = owners(&[0, 1, 2]);
     let mut source = Source::default();
-    let all: Vec<Change> = (0..300).map(|key| kept(key, 160)).collect();
-    source.take(page(5, 40, &all));
-    source.tell(&before);
+    let all: Vec<BlockChange> = (0..300).map(|key| kept(key, 160)).collect();
+    source.apply_page(page(5, 40, &all));
+    source.take_changes(&before);
     let after = Rc::new(before.with_members(vec![owner(0), owner(2)]));
-    let again: Vec<u64> = told_keys(source.tell(&after));
+    let again: Vec<u64> = told_keys(source.take_changes(&after));
     let had = |key: &u64| before.owner(*key) == Some(owner(1));
     assert_eq!(again, (0..300).filter(had).collect::<Vec<u64>>());
     assert!((60..140).contains(&again.len()));
-    assert!(source.tell(&after).is_empty());
+    assert!(source.take_changes(&after).is_empty());
 }
 
 #[test]
 fn given_an_owner_that_restarts_when_told_then_its_new_process_hears_of_all_that_is_kept() {
     let before = owners(&[0, 1, 2]);
     let mut source = Source::default();
-    let all: Vec<Change> = (0..300).map(|key| kept(key, 160)).collect();
-    source.take(page(5, 40, &all));
-    source.tell(&before);
+    let all: Vec<BlockChange> = (0..300).map(|key| kept(key, 160)).collect();
+    source.apply_page(page(5, 40, &all));
+    source.take_changes(&before);
     let restarted = Member {
         process: 77,
         ..owner(1)
@@ -97,18 +100,18 @@
     let after = Rc::new(before.with_members(vec![owner(0), restarted, owner(2)]));
     let had = |key: &u64| before.owner(*key) == Some(owner(1));
     let expected: Vec<u64> = (0..300).filter(had).collect();
-    assert_eq!(told_keys(source.tell(&after)), expected);
+    assert_eq!(told_keys(source.take_changes(&after)), expected);
 }
 
 #[test]
 fn given_no_owner_at_first_when_one_is_known_then_it_hears_of_all_that_is_kept() {
     let mut source = Source::default();
-    source.take(page(5, 40, &[kept(2, 160), kept(3, 700)]));
-    assert!(source.tell(&owners(&[])).is_empty());
-    assert_eq!(told_keys(source.tell(&owners(&[1]))), [2, 3]);
+    source.apply_page(page(5, 40, &[kept(2, 160), kept(3, 700)]));
+    assert!(source.take_changes(&owners(&[])).is_empty());
+    assert_eq!(told_keys(source.take_changes(&owners(&[1]))), [2, 3]);
 }
 
-fn told_keys(told: BTreeMap<usize, Vec<Change>>) -> Vec<u64> {
+fn told_keys(told: BTreeMap<usize, Vec<BlockChange>>) -> Vec<u64> {
     let mut keys: Vec<u64> = told.into_values().flatten().map(|c| c.key).collect();
     keys.sort_unstable();
     keys
@@ -117,25 +120,25 @@
 #[test]
 fn given_a_restarted_source_when_its_answer_is_applied_then_earlier_state_is_void() {
     let mut source = Source::default();
-    source.take(page(5, 40, &[kept(2, 160)]));
-    assert!(source.take(page(6, 1, &[kept(3, 700)])));
+    source.apply_page(page(5, 40, &[kept(2, 160)]));
+    assert!(source.apply_page(page(6, 1, &[kept(3, 700)])));
     assert_eq!(source.len(), 1);
-    assert_eq!(source.since(), 1);
+    assert_eq!(source.next_event(), 1);
 }
 
 #[test]
 fn given_a_gap_when_it_is_in_the_first_answer_then_nothing_is_void_and_later_everything_is() {
     let mut source = Source::default();
-    let gap = |next, key| Page {
+    let gap = |next, key| EventPage {
         gap: true,
         ..page(5, next, &[kept(key, 100)])
     };
     assert!(
-        !source.take(gap(40, 2)),
+        !source.apply_page(gap(40, 2)),
         "nothing was known that the gap could invalidate"
     );
     assert!(
-        source.take(gap(90, 3)),
+        source.apply_page(gap(90, 3)),
         "parts dropped meanwhile would be kept for ever"
     );
     assert_eq!(source.len(), 1);
@@ -145,8 +148,8 @@
 fn given_an_unknown_part_when_it_is_dropped_then_its_owner_is_still_notified() {
     // An earlier follower may have reported it.
     let mut source = Source::default();
-    source.take(page(5, 40, &[kept(3, 0)]));
-    let told = source.tell(&owners(&[1]));
+    source.apply_page(page(5, 40, &[kept(3, 0)]));
+    let told = source.take_changes(&owners(&[1]));
     assert_eq!(told, BTreeMap::from([(0, vec![kept(3, 0)])]));
     assert!(source.is_empty());
 }
--- a/crates/sparrouter-rendezvous/src/slots.rs
+++ b/crates/sparrouter-rendezvous/src/slots.rs
@@ -64,14 +64,14 @@
     }
 
     /// The place of a key's owner in [`SlotTable::members`]; None without members.
-    pub fn owner_place(&self, key: u64) -> Option<usize> {
+    pub fn owner_index(&self, key: u64) -> Option<usize> {
         let slot = (mix(key) >> (u64::BITS - SLOT_BITS)) as usize;
         self.owners.get(slot).map(|&place| place as usize)
     }
 
     /// The owner of a key; None without members.
     pub fn owner(&self, key: u64) -> Option<Member> {
-        self.owner_place(key).map(|place| self.members[place])
+        self.owner_index(key).map(|place| self.members[place])
     }
 
     /// Scores that were computed to make this table from the one before.
--- a/crates/sparrouter-rendezvous/tests/slots.rs
+++ b/crates/sparrouter-rendezvous/tests/slots.rs
@@ -34,7 +34,7 @@
 fn given_340_members_when_keys_are_looked_up_then_each_owns_about_its_part() {
     let table = table(members(340));
     let mut owned = vec![0u32; 340];
-    keys().for_each(|key| owned[table.owner_place(key).unwrap()] += 1);
+    keys().for_each(|key| owned[table.owner_index(key).unwrap()] += 1);
     let mean = 50_000.0 / 340.0;
     assert!(
         owned
--- a/crates/sparrouter-routing/src/backlog.rs
+++ b/crates/sparrouter-routing/src/backlog.rs
@@ -72,7 +72,7 @@
 impl Backlog {
     /// How long a prompt would wait before it is read. More urgent ones (lower numbers) go first, also if they come while it
     /// waits, and so do earlier ones of the same urgency.
-    pub fn wait(&mut self, urgency: u32, now: Nanos) -> Nanos {
+    pub fn estimate_wait(&mut self, urgency: u32, now: Nanos) -> Nanos {
         self.used = now;
         self.waiting.retain(|_, w| now.saturating_sub(w.at) < LOST);
         self.fade(now);
@@ -97,7 +97,7 @@
     }
 
     /// Adds a prompt of `cost` tokens under a token that is unique for this server.
-    pub fn sent(&mut self, token: u64, cost: f64, urgency: u32, now: Nanos) {
+    pub fn enqueue(&mut self, token: u64, cost: f64, urgency: u32, now: Nanos) {
         if self.waiting.len() < MOST {
             let ahead = self.ahead(urgency) + cost;
             let before = more_urgent(&self.sent, urgency);
@@ -120,7 +120,7 @@
     }
 
     /// Removes a prompt. `began`: its first token came; otherwise it ended without one.
-    pub fn over(&mut self, token: u64, began: bool, now: Nanos) {
+    pub fn remove(&mut self, token: u64, began: bool, now: Nanos) {
         let Some(waiting) = self.waiting.remove(&token) else {
             return;
         };
@@ -133,11 +133,11 @@
     }
 
     /// When the queue was last used.
-    pub fn used(&self) -> Nanos {
+    pub fn last_used_at(&self) -> Nanos {
         self.used
     }
     /// How many prompts wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 }
--- a/crates/sparrouter-routing/src/budget.rs
+++ b/crates/sparrouter-routing/src/budget.rs
@@ -10,7 +10,7 @@
 
 /// The limits of a retry budget.
 #[derive(Clone, Copy, Debug)]
-pub struct BudgetTerms {
+pub struct RetryBudgetSettings {
     /// Retries allowed a request.
     pub ratio: f64,
     /// Further retries that all nodes together may make in a window.
@@ -21,8 +21,8 @@
 
 /// One service's budget at this node.
 #[derive(Clone, Debug)]
-pub struct Budget {
-    terms: BudgetTerms,
+pub struct RetryBudget {
+    terms: RetryBudgetSettings,
     piece: Nanos,
     /// Requests and retries of each piece; the newest is at `at % len`.
     counts: [(f64, f64); PIECES + 1],
@@ -31,12 +31,12 @@
     slack_from: Nanos,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget of a process that was started at `started`.
-    pub fn new(terms: BudgetTerms, started: Nanos, now: Nanos) -> Budget {
+    pub fn new(terms: RetryBudgetSettings, started: Nanos, now: Nanos) -> RetryBudget {
         let piece = (terms.window / PIECES as u64).max(1);
         let slack_from = started + terms.window;
-        Budget {
+        RetryBudget {
             terms,
             piece,
             counts: [(0.0, 0.0); PIECES + 1],
@@ -57,13 +57,13 @@
     }
 
     /// Counts a request for the service.
-    pub fn asked(&mut self, now: Nanos) {
+    pub fn record_request(&mut self, now: Nanos) {
         let ix = self.turn(now);
         self.counts[ix].0 += 1.0;
     }
 
     /// Spends one retry if this node's share of the budget has one left. `nodes`: how many nodes share the slack.
-    pub fn take(&mut self, nodes: usize, now: Nanos) -> bool {
+    pub fn try_acquire(&mut self, nodes: usize, now: Nanos) -> bool {
         let ix = self.turn(now);
         let spent: f64 = self.counts.iter().map(|c| c.1).sum();
         // The oldest piece may lie outside of the window, so its requests do not count any more.
--- a/crates/sparrouter-routing/src/candidate.rs
+++ b/crates/sparrouter-routing/src/candidate.rs
@@ -1,17 +1,22 @@
 //! One pass over candidates that finds the winner of an election, without a list of them and without sorting.
-use crate::{Ask, Server, ServerIx};
+use crate::{SelectionRequest, Server, ServerIndex};
 
 /// A server that may take the request, with what its place in the order goes by.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
-    pub(crate) server: ServerIx,
+    pub(crate) server: ServerIndex,
     kept_back: KeptBack,
     draw: Draw,
 }
 
 impl Candidate {
     /// `avoided`: it fails requests that others would serve.
-    pub(crate) fn new(ask: &Ask, ix: ServerIx, server: &Server, avoided: bool) -> Candidate {
+    pub(crate) fn new(
+        ask: &SelectionRequest,
+        ix: ServerIndex,
+        server: &Server,
+        avoided: bool,
+    ) -> Candidate {
         Candidate {
             server: ix,
             kept_back: KeptBack {
@@ -59,16 +64,16 @@
     loads_soon: bool,
 }
 
-fn kept_back(ask: &Ask, server: &Server) -> KeptBack {
+fn kept_back(ask: &SelectionRequest, server: &Server) -> KeptBack {
     KeptBack {
         silent: server.silent,
         avoided: false,
-        loads_soon: ask.is_long && server.soon,
+        loads_soon: ask.is_long_generation && server.soon,
     }
 }
 
 /// Whether others come before a server whatever its draw.
-pub(crate) fn is_kept_back(ask: &Ask, server: &Server) -> bool {
+pub(crate) fn is_kept_back(ask: &SelectionRequest, server: &Server) -> bool {
     kept_back(ask, server) != KeptBack::default()
 }
 
--- a/crates/sparrouter-routing/src/durations.rs
+++ b/crates/sparrouter-routing/src/durations.rs
@@ -10,13 +10,13 @@
 
 /// The longest recent duration of each route, by the route's name.
 #[derive(Debug, Default)]
-pub struct Durations {
+pub struct RouteDurations {
     window_start: Nanos,
     current: HashMap<String, Nanos>,
     previous: HashMap<String, Nanos>,
 }
 
-impl Durations {
+impl RouteDurations {
     /// Records that a request of `route` ended at `now`, `duration` after it was read.
     pub fn record(&mut self, route: &str, duration: Nanos, now: Nanos) {
         self.rotate(now);
--- a/crates/sparrouter-routing/src/election.rs
+++ b/crates/sparrouter-routing/src/election.rs
@@ -3,7 +3,7 @@
 use crate::server::Suspicion;
 use crate::service_servers::{Entry, Load, ServiceServers};
 use crate::sync::SyncState;
-use crate::{Ending, Nanos, Patience, Server, ServerIx, Versions};
+use crate::{Nanos, OutdatedVersionLimits, RequestOutcome, Server, ServerIndex, Versions};
 use fastrand::Rng;
 use sparrouter_membership::LifecycleState;
 use std::cell::Cell;
@@ -15,50 +15,50 @@
 
 /// A request that needs a server.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct SelectionRequest<'a> {
     /// The service of its route.
     pub service: &'a str,
     /// Key of the election.
     pub key: u64,
     /// The model that must run it; `None`: any server of the service.
     pub model: Option<&'a str>,
-    /// It generates more tokens than requests usually do; see [`UsualOutput`](crate::UsualOutput).
-    pub is_long: bool,
+    /// It generates more tokens than requests usually do; see [`TypicalOutput`](crate::TypicalOutput).
+    pub is_long_generation: bool,
     /// Servers that it was sent to before.
-    pub tried: &'a [ServerIx],
+    pub attempted: &'a [ServerIndex],
 }
 
 /// The server that was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pick {
+pub struct Selection {
     /// Its index.
-    pub server: ServerIx,
+    pub server: ServerIndex,
     /// The version of the model that it runs, if known.
     pub version: Option<u64>,
     /// Its place in the order of the election; 0 is the winner.
-    pub place: usize,
+    pub rank: usize,
 }
 
 /// Why no server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
+pub enum SelectionError {
     /// No server is known, or all were tried.
-    None,
+    NoServer,
     /// There are untried servers, but each is loading new weights, on an older version, unreachable or full.
-    Unready,
+    NoneReady,
 }
 
 /// All that this node knows of servers.
 pub struct ServerTable {
     pub(crate) servers: Vec<Option<Server>>,
-    by_id: HashMap<String, ServerIx>,
+    by_id: HashMap<String, ServerIndex>,
     /// By the hash of the id.
-    by_hash: HashMap<u64, ServerIx>,
+    by_hash: HashMap<u64, ServerIndex>,
     by_service: HashMap<String, ServiceServers>,
     /// Places in `servers` that are empty.
-    free: BTreeSet<ServerIx>,
+    free: BTreeSet<ServerIndex>,
     /// Servers that own sends could not reach, or that were so lately.
-    suspected: BTreeSet<ServerIx>,
+    suspected: BTreeSet<ServerIndex>,
     /// Rises when a server comes, goes, falls silent, or is heard of again.
     pub(crate) changes: u64,
     /// Servers that were handed out by walks over all of them, or over those of a service.
@@ -70,9 +70,9 @@
 }
 
 impl ServerTable {
-    /// An empty table. `version_patience`: see [`Versions::new`].
-    pub fn new(version_patience: Patience, rng: Rng) -> ServerTable {
-        let versions = Versions::new(version_patience);
+    /// An empty table. `version_limits`: see [`Versions::new`].
+    pub fn new(version_limits: OutdatedVersionLimits, rng: Rng) -> ServerTable {
+        let versions = Versions::new(version_limits);
         ServerTable {
             servers: Vec::new(),
             by_id: HashMap::new(),
@@ -89,15 +89,15 @@
     }
 
     /// The server with this index.
-    pub fn get(&self, ix: ServerIx) -> Option<&Server> {
+    pub fn get(&self, ix: ServerIndex) -> Option<&Server> {
         self.servers.get(ix)?.as_ref()
     }
     /// The index of a server, by its instance id.
-    pub fn find(&self, id: &str) -> Option<ServerIx> {
+    pub fn find(&self, id: &str) -> Option<ServerIndex> {
         self.by_id.get(id).copied()
     }
     /// The server whose instance id has this hash. Takes time proportional to the number of servers.
-    pub fn hashed(&self, hash: u64) -> Option<&Server> {
+    pub fn by_id_hash(&self, hash: u64) -> Option<&Server> {
         self.get(*self.by_hash.get(&hash)?)
     }
     /// Rises when a server comes, goes, falls silent, or is heard of again: what was worked out from the set of them
@@ -106,7 +106,7 @@
         self.changes
     }
     /// All servers.
-    pub fn all(&self) -> impl Iterator<Item = (ServerIx, &Server)> {
+    pub fn iter(&self) -> impl Iterator<Item = (ServerIndex, &Server)> {
         self.servers
             .iter()
             .enumerate()
@@ -114,7 +114,10 @@
             .inspect(|_| self.count_visit())
     }
     /// The servers of a service.
-    pub fn of<'a>(&'a self, service: &str) -> impl Iterator<Item = (ServerIx, &'a Server)> {
+    pub fn of_service<'a>(
+        &'a self,
+        service: &str,
+    ) -> impl Iterator<Item = (ServerIndex, &'a Server)> {
         self.entries_of(service)
             .filter_map(|entry| Some((entry.server, self.get(entry.server)?)))
     }
@@ -145,7 +148,7 @@
         }
     }
 
-    pub(crate) fn add(&mut self, server: Server) -> ServerIx {
+    pub(crate) fn add(&mut self, server: Server) -> ServerIndex {
         self.changes += 1;
         let ix = self.free.pop_first().unwrap_or(self.servers.len());
         self.by_id.insert(server.id.clone(), ix);
@@ -166,7 +169,7 @@
         ix
     }
 
-    pub(crate) fn remove(&mut self, ix: ServerIx) {
+    pub(crate) fn remove(&mut self, ix: ServerIndex) {
         let Some(server) = self.servers[ix].take() else {
             return;
         };
@@ -186,7 +189,7 @@
     }
 
     /// Changes a server, and with it the load of its service.
-    pub(crate) fn update(&mut self, ix: ServerIx, change: impl FnOnce(&mut Server)) {
+    pub(crate) fn update(&mut self, ix: ServerIndex, change: impl FnOnce(&mut Server)) {
         let Some(server) = self.servers.get_mut(ix).and_then(Option::as_mut) else {
             return;
         };
@@ -201,7 +204,7 @@
     }
 
     /// Servers that may take something new, at all or for this model.
-    fn ready(&self, ask: &Ask, server: &Server, now: Nanos) -> bool {
+    fn ready(&self, ask: &SelectionRequest, server: &Server, now: Nanos) -> bool {
         server.standing == LifecycleState::Ready
             && !server.loading
             && server.suspect.is_none()
@@ -209,7 +212,7 @@
             && self.suits(ask, server, now)
     }
 
-    fn suits(&self, ask: &Ask, server: &Server, now: Nanos) -> bool {
+    fn suits(&self, ask: &SelectionRequest, server: &Server, now: Nanos) -> bool {
         ask.model
             .is_none_or(|model| match server.version_of(model) {
                 Some(version) => self.versions.allows(model, version, now),
@@ -219,7 +222,7 @@
     }
 
     /// The winner of the election, or the next in order where that one may not take it.
-    pub fn choose(&self, ask: &Ask, now: Nanos) -> Result<Pick, Turned> {
+    pub fn select(&self, ask: &SelectionRequest, now: Nanos) -> Result<Selection, SelectionError> {
         let Some(winner) = self.undisputed(ask, now) else {
             return self.choose_of_all(ask, now);
         };
@@ -228,7 +231,7 @@
 
     /// The best of all by score, found by a look at no more servers than had a better score than those before them. None
     /// where it is kept back, over the bar, or not there: then all have to be weighed.
-    fn undisputed(&self, ask: &Ask, now: Nanos) -> Option<ServerIx> {
+    fn undisputed(&self, ask: &SelectionRequest, now: Nanos) -> Option<ServerIndex> {
         let bar = self.by_service.get(ask.service)?.bar();
         let (mut best, mut best_draw) = (None, None);
         for entry in self.entries_of(ask.service) {
@@ -239,24 +242,32 @@
             let Some(server) = self.get(entry.server) else {
                 continue;
             };
-            if ask.tried.contains(&entry.server) || !self.ready(ask, server, now) {
+            if ask.attempted.contains(&entry.server) || !self.ready(ask, server, now) {
                 continue;
             }
             let first_choice =
-                !is_over(server, bar) && !is_kept_back(ask, server) && !server.avoided(now);
+                !is_over(server, bar) && !is_kept_back(ask, server) && !server.is_ejected(now);
             best = first_choice.then_some(entry.server);
             best_draw = draw;
         }
         best
     }
 
-    fn choose_of_all(&self, ask: &Ask, now: Nanos) -> Result<Pick, Turned> {
-        let bar = self.by_service.get(ask.service).ok_or(Turned::None)?.bar();
+    fn choose_of_all(
+        &self,
+        ask: &SelectionRequest,
+        now: Nanos,
+    ) -> Result<Selection, SelectionError> {
+        let bar = self
+            .by_service
+            .get(ask.service)
+            .ok_or(SelectionError::NoServer)?
+            .bar();
         let mut election = Election::default();
         let heeds_avoided = self.heeds_avoided(ask.service, now);
         for (ix, server) in self.untried(ask) {
             if self.ready(ask, server, now) {
-                let avoided = heeds_avoided && server.avoided(now);
+                let avoided = heeds_avoided && server.is_ejected(now);
                 let candidate = Candidate::new(ask, ix, server, avoided);
                 election.enter(candidate, is_over(server, bar), server.in_flight);
             }
@@ -264,9 +275,9 @@
         let Some(winner) = election.winner() else {
             let open = |s: &Server| s.standing == LifecycleState::Ready;
             return Err(if self.untried(ask).any(|(_, s)| open(s)) {
-                Turned::Unready
+                SelectionError::NoneReady
             } else {
-                Turned::None
+                SelectionError::NoServer
             });
         };
         let place = if election.is_first(&winner) {
@@ -277,47 +288,56 @@
         Ok(self.pick(ask, winner.server, place))
     }
 
-    fn pick(&self, ask: &Ask, server: ServerIx, place: usize) -> Pick {
+    fn pick(&self, ask: &SelectionRequest, server: ServerIndex, place: usize) -> Selection {
         let version = ask.model.and_then(|m| self.get(server)?.version_of(m));
-        Pick {
+        Selection {
             server,
             version,
-            place,
+            rank: place,
         }
     }
 
     /// Servers of the service that did not have the request before.
-    fn untried<'a>(&'a self, ask: &'a Ask) -> impl Iterator<Item = (ServerIx, &'a Server)> {
-        self.of(ask.service)
-            .filter(|(ix, _)| !ask.tried.contains(ix))
+    fn untried<'a>(
+        &'a self,
+        ask: &'a SelectionRequest,
+    ) -> impl Iterator<Item = (ServerIndex, &'a Server)> {
+        self.of_service(ask.service)
+            .filter(|(ix, _)| !ask.attempted.contains(ix))
     }
 
     /// Whether servers that fail requests come behind others: not where that would leave half of them or fewer, as the
     /// fault is hardly theirs then.
     fn heeds_avoided(&self, service: &str, now: Nanos) -> bool {
         let (mut ready, mut avoided) = (0, 0);
-        for (_, server) in self.of(service) {
+        for (_, server) in self.of_service(service) {
             if server.standing == LifecycleState::Ready {
                 ready += 1;
-                avoided += usize::from(server.avoided(now));
+                avoided += usize::from(server.is_ejected(now));
             }
         }
         avoided > 0 && avoided * 2 < ready
     }
 
     /// How many that may take it come before the winner in the order, and were passed over.
-    fn ahead_of(&self, ask: &Ask, winner: &Candidate, heeds_avoided: bool, now: Nanos) -> usize {
+    fn ahead_of(
+        &self,
+        ask: &SelectionRequest,
+        winner: &Candidate,
+        heeds_avoided: bool,
+        now: Nanos,
+    ) -> usize {
         self.untried(ask)
             .filter(|(_, server)| self.ready(ask, server, now))
             .filter(|(ix, server)| {
-                let avoided = heeds_avoided && server.avoided(now);
+                let avoided = heeds_avoided && server.is_ejected(now);
                 Candidate::new(ask, *ix, server, avoided).beats(winner)
             })
             .count()
     }
 
     /// A request of `tokens` prompt tokens was sent to the server.
-    pub fn begin(&mut self, ix: ServerIx, tokens: u64) {
+    pub fn start_request(&mut self, ix: ServerIndex, tokens: u64) {
         self.update(ix, |server| {
             server.in_flight += 1;
             server.tokens += tokens;
@@ -326,28 +346,34 @@
     }
 
     /// Ends what [`ServerTable::begin`] began.
-    pub fn end(&mut self, ix: ServerIx, tokens: u64, ending: Ending, now: Nanos) {
+    pub fn finish_request(
+        &mut self,
+        ix: ServerIndex,
+        tokens: u64,
+        ending: RequestOutcome,
+        now: Nanos,
+    ) {
         self.update(ix, |server| {
             server.in_flight = server.in_flight.saturating_sub(1);
             server.tokens = server.tokens.saturating_sub(tokens);
         });
         match ending {
-            Ending::Answered => self.update(ix, |server| {
+            RequestOutcome::Answered => self.update(ix, |server| {
                 server.suspect = None;
                 server.full_until = 0;
                 server.answered.add(1.0, now);
             }),
-            Ending::Unreachable => self.suspect(ix, now),
-            Ending::Failed
-            | Ending::Declined
-            | Ending::Misdirected
-            | Ending::Broke
-            | Ending::Withdrawn => {}
+            RequestOutcome::Unreachable => self.suspect(ix, now),
+            RequestOutcome::Failed
+            | RequestOutcome::Declined
+            | RequestOutcome::Misdirected
+            | RequestOutcome::Broke
+            | RequestOutcome::Withdrawn => {}
         }
     }
 
     /// Suspects a server: it gets no requests until a probe connects.
-    pub fn suspect(&mut self, ix: ServerIx, now: Nanos) {
+    pub fn suspect(&mut self, ix: ServerIndex, now: Nanos) {
         let jitter = 0.5 + self.rng.f64();
         if let Some(Some(server)) = self.servers.get_mut(ix) {
             let wait = (FIRST_PROBE as f64 * jitter) as Nanos;
@@ -360,10 +386,10 @@
     }
 
     /// Suspected servers whose probe is due. The next probe of each is scheduled with twice the wait.
-    pub fn probes(&mut self, now: Nanos) -> Vec<ServerIx> {
+    pub fn due_health_checks(&mut self, now: Nanos) -> Vec<ServerIndex> {
         let servers = &self.servers;
         self.suspected
-            .retain(|&ix| servers[ix].as_ref().is_some_and(Server::suspected));
+            .retain(|&ix| servers[ix].as_ref().is_some_and(Server::is_suspected));
         let mut due = Vec::new();
         for &ix in &self.suspected {
             let Some(server) = self.servers[ix]
@@ -383,28 +409,28 @@
     }
 
     /// A probe connected: the server is not suspected any more.
-    pub fn reached(&mut self, ix: ServerIx) {
+    pub fn mark_reachable(&mut self, ix: ServerIndex) {
         if let Some(Some(server)) = self.servers.get_mut(ix) {
             server.suspect = None;
         }
     }
 
     /// The server answered that it is full: it gets no requests until then.
-    pub fn full(&mut self, ix: ServerIx, until: Nanos) {
+    pub fn mark_full(&mut self, ix: ServerIndex, until: Nanos) {
         if let Some(Some(server)) = self.servers.get_mut(ix) {
             server.full_until = until;
         }
     }
 
     /// Records the load that the server reported with an answer.
-    pub fn load(&mut self, ix: ServerIx, running: u32, waiting: u32, now: Nanos) {
+    pub fn record_load(&mut self, ix: ServerIndex, running: u32, waiting: u32, now: Nanos) {
         if let Some(Some(server)) = self.servers.get_mut(ix) {
             (server.running, server.waiting, server.load_at) = (running, waiting, now);
         }
     }
 
     /// Records the version that the server reported with an answer.
-    pub fn runs(&mut self, ix: ServerIx, model: &str, version: u64) {
+    pub fn record_loaded_version(&mut self, ix: ServerIndex, model: &str, version: u64) {
         if let Some(Some(server)) = self.servers.get_mut(ix) {
             server.runs(model, version);
         }
--- a/crates/sparrouter-routing/src/lib.rs
+++ b/crates/sparrouter-routing/src/lib.rs
@@ -33,14 +33,14 @@
 mod versions;
 
 pub use backlog::Backlog;
-pub use budget::{Budget, BudgetTerms};
-pub use durations::Durations;
-pub use election::{Ask, Pick, ServerTable, Turned};
-pub use outliers::{AVOIDED, FadingCount, Failure, Outliers};
-pub use prompt::{Part, Prompt, UsualOutput};
+pub use budget::{RetryBudget, RetryBudgetSettings};
+pub use durations::RouteDurations;
+pub use election::{Selection, SelectionError, SelectionRequest, ServerTable};
+pub use outliers::{DecayingCount, EJECTION_PERIOD, Failure, Outliers};
+pub use prompt::{PrefixBlock, Prompt, TypicalOutput};
 pub use rollout_order::{OutdatedServer, RolloutStep, next_step};
-pub use server::{Ending, Server, ServerIx};
-pub use versions::{Moment, Patience, Versions, Wanted, moment_before};
+pub use server::{RequestOutcome, Server, ServerIndex};
+pub use versions::{OutdatedVersionLimits, RequiredVersion, Timestamp, Versions, timestamp_before};
 
 /// Nanoseconds of a monotonic clock.
 pub type Nanos = u64;
--- a/crates/sparrouter-routing/src/outliers.rs
+++ b/crates/sparrouter-routing/src/outliers.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 
 /// For so long after a verdict a server is avoided.
-pub const AVOIDED: Nanos = 3_000_000_000;
+pub const EJECTION_PERIOD: Nanos = 3_000_000_000;
 
 /// Seconds in which what was counted fades to a third, about.
 const FADE: f64 = 4.0;
@@ -39,12 +39,12 @@
 
 /// A count that fades with time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct FadingCount {
+pub struct DecayingCount {
     value: f64,
     at: Nanos,
 }
 
-impl FadingCount {
+impl DecayingCount {
     /// What is left of it.
     pub fn value(&self, now: Nanos) -> f64 {
         let passed = now.saturating_sub(self.at) as f64 / 1e9;
@@ -53,7 +53,7 @@
 
     /// Adds to it.
     pub fn add(&mut self, count: f64, now: Nanos) {
-        *self = FadingCount {
+        *self = DecayingCount {
             value: self.value(now) + count,
             at: self.at.max(now),
         };
@@ -67,18 +67,18 @@
     pub server: u64,
     /// Key of the request's election.
     pub key: u64,
-    /// Requests that this server answered to the reporting node lately; see [`FadingCount`].
+    /// Requests that this server answered to the reporting node lately; see [`DecayingCount`].
     pub answered: f64,
 }
 
 /// What is known of one server.
 #[derive(Debug, Default)]
 struct Evidence {
-    failures: FadingCount,
+    failures: DecayingCount,
     /// Sum of what the reporting nodes had answered.
-    answered: FadingCount,
+    answered: DecayingCount,
     /// Requests that failed here and were answered elsewhere.
-    served_elsewhere: FadingCount,
+    served_elsewhere: DecayingCount,
     /// The last different keys, the newest last.
     keys: Vec<u64>,
     avoided_at: Option<Nanos>,
@@ -145,7 +145,7 @@
         evidence.take(failure, now);
         let is_told = evidence
             .avoided_at
-            .is_some_and(|at| now.saturating_sub(at) < AVOIDED / 2);
+            .is_some_and(|at| now.saturating_sub(at) < EJECTION_PERIOD / 2);
         let is_outlier = !is_told && evidence.is_outlier(nodes, now);
         if is_outlier {
             evidence.avoided_at = Some(now);
--- a/crates/sparrouter-routing/src/prompt.rs
+++ b/crates/sparrouter-routing/src/prompt.rs
@@ -3,7 +3,7 @@
 
 /// One part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct PrefixBlock {
     /// Its id in hexadecimal, as sent. It identifies the part together with all parts before it.
     pub id: String,
     /// Its length in tokens.
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// Its parts in order; the last one is the request's own.
-    pub parts: Vec<Part>,
+    pub blocks: Vec<PrefixBlock>,
     /// Length of the prompt in tokens.
     pub tokens_in: u64,
     /// Most tokens that are generated.
@@ -24,14 +24,14 @@
 /// How many tokens requests usually generate at most, as clients say: a moving average. What counts as a long generation
 /// differs between deployments, and clients name bounds that few of their requests reach.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct UsualOutput(Option<f64>);
+pub struct TypicalOutput(Option<f64>);
 
-impl UsualOutput {
+impl TypicalOutput {
     /// Weight of a new request in the average.
     const WEIGHT: f64 = 1.0 / 64.0;
 
     /// Takes in a request; whether it generates more than was usual before it.
-    pub fn take(&mut self, tokens_out: u64) -> bool {
+    pub fn observe(&mut self, tokens_out: u64) -> bool {
         let tokens = tokens_out as f64;
         let usual = self.0.unwrap_or(tokens);
         self.0 = Some(usual + (tokens - usual) * Self::WEIGHT);
@@ -48,12 +48,12 @@
     pub fn read(prefix: Option<&str>, usage: Option<&str>) -> Prompt {
         let part = |word: &str| {
             let (id, tokens) = word.trim().split_once(':')?;
-            Some(Part {
+            Some(PrefixBlock {
                 id: id.to_owned(),
                 tokens: tokens.parse().ok()?,
             })
         };
-        let parts: Vec<Part> = prefix
+        let parts: Vec<PrefixBlock> = prefix
             .unwrap_or_default()
             .split(',')
             .take(MOST_PARTS)
@@ -68,21 +68,21 @@
             .unwrap_or(0)
             .max(parts.iter().map(|p| p.tokens).sum());
         Prompt {
-            parts,
+            blocks: parts,
             tokens_in,
             tokens_out: usage.next().unwrap_or(0),
         }
     }
 
     /// The parts that other requests may share: all but the last.
-    pub fn shared(&self) -> &[Part] {
-        &self.parts[..self.parts.len().saturating_sub(1)]
+    pub fn shared_blocks(&self) -> &[PrefixBlock] {
+        &self.blocks[..self.blocks.len().saturating_sub(1)]
     }
 
     /// The key of the election: a hash of the deepest shared part, so that its KV cache is used at one server. A single
     /// part may belong to a session and is its own key. `None` without parts.
     pub fn key(&self, salt: &str) -> Option<u64> {
-        let part = self.shared().last().or(self.parts.last())?;
+        let part = self.shared_blocks().last().or(self.blocks.last())?;
         Some(hash(format!("{salt}/{}", part.id).as_bytes()))
     }
 }
--- a/crates/sparrouter-routing/src/rollout_order.rs
+++ b/crates/sparrouter-routing/src/rollout_order.rs
@@ -2,7 +2,7 @@
 //!
 //! Servers whose version may be begun on for the shortest time go first: once its limit has passed, a server is of no use
 //! until it has newer weights. So one that runs the version before the newest does not go ahead of one that runs an older.
-use crate::{Moment, Nanos};
+use crate::{Nanos, Timestamp};
 
 /// Servers that may be without service at a time, whatever else.
 const LEAST_AT_ONCE: usize = 2;
@@ -17,7 +17,7 @@
     /// Its instance id.
     pub id: String,
     /// Until when a request may begin on what it runs.
-    pub limit: Moment,
+    pub limit: Timestamp,
     /// It is taking new weights.
     pub is_loading: bool,
     /// All nodes were told that it takes new weights soon, and keep long generations away from it.
@@ -67,7 +67,7 @@
 
 /// As many at a time as it takes for each to be done by its own limit, within bounds.
 fn most_at_once(outdated: &[OutdatedServer], ready: usize, seconds_each: f64, now: Nanos) -> usize {
-    let mut limits: Vec<Moment> = outdated.iter().map(|server| server.limit).collect();
+    let mut limits: Vec<Timestamp> = outdated.iter().map(|server| server.limit).collect();
     limits.sort_unstable();
     let needed = limits.iter().zip(1..).map(|(limit, servers)| {
         let left = (*limit as f64 - now as f64) / 1e9;
--- a/crates/sparrouter-routing/src/server.rs
+++ b/crates/sparrouter-routing/src/server.rs
@@ -1,14 +1,14 @@
 //! What is known of one server: its row, this node's requests in flight there, and how they ended.
-use crate::{FadingCount, Nanos};
+use crate::{DecayingCount, Nanos};
 use sparrouter_membership::{LifecycleState, ServerRecord};
 use std::net::SocketAddr;
 
 /// Index of a server in the server table. It is reused once the server is removed.
-pub type ServerIx = usize;
+pub type ServerIndex = usize;
 
 /// How a request sent to a server ended, as far as the server's health is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// It answered, with whatever status but a failure of its own.
     Answered,
     /// It answered that it failed.
@@ -60,7 +60,7 @@
     pub(crate) waiting: u32,
     pub(crate) load_at: Nanos,
     /// Requests of this node that it answered lately.
-    pub(crate) answered: FadingCount,
+    pub(crate) answered: DecayingCount,
     /// It fails requests that others would serve: others come first until then.
     pub(crate) avoided_until: Nanos,
 }
@@ -101,7 +101,7 @@
             running: 0,
             waiting: 0,
             load_at: 0,
-            answered: FadingCount::default(),
+            answered: DecayingCount::default(),
             avoided_until: 0,
         }
     }
@@ -111,7 +111,7 @@
         self.hash
     }
     /// Whether it takes requests, by its own heartbeats.
-    pub fn standing(&self) -> LifecycleState {
+    pub fn state(&self) -> LifecycleState {
         self.standing
     }
     /// This node's requests in flight there.
@@ -119,31 +119,31 @@
         self.in_flight
     }
     /// Whether this node ever sent something there.
-    pub fn used(&self) -> bool {
+    pub fn has_been_used(&self) -> bool {
         self.used
     }
     /// Whether own requests could not reach it, or could not until lately.
-    pub fn suspected(&self) -> bool {
+    pub fn is_suspected(&self) -> bool {
         self.suspect.is_some()
     }
     /// Its heartbeats stopped.
-    pub fn silent(&self) -> bool {
+    pub fn is_unresponsive(&self) -> bool {
         self.silent
     }
     /// It will load new weights soon.
-    pub fn soon(&self) -> bool {
+    pub fn will_load_soon(&self) -> bool {
         self.soon
     }
     /// Requests of this node that it answered lately.
-    pub fn answered_lately(&self, now: Nanos) -> f64 {
+    pub fn recent_answers(&self, now: Nanos) -> f64 {
         self.answered.value(now)
     }
     /// It fails requests that others would serve.
-    pub fn avoided(&self, now: Nanos) -> bool {
+    pub fn is_ejected(&self, now: Nanos) -> bool {
         self.avoided_until > now
     }
     /// It is loading new weights, or will at once.
-    pub fn loading(&self) -> bool {
+    pub fn is_loading(&self) -> bool {
         self.loading
     }
     /// The version that it runs of a model, if it reported one.
--- a/crates/sparrouter-routing/src/service_servers.rs
+++ b/crates/sparrouter-routing/src/service_servers.rs
@@ -1,6 +1,6 @@
 //! The servers of one service, as an election passes over them: their hashes side by side, and how loaded those are
 //! that this node has used.
-use crate::{Server, ServerIx};
+use crate::{Server, ServerIndex};
 use sparrouter_membership::LifecycleState;
 
 /// In flight beyond both of these a server is passed over: a ratio to the mean, and a floor.
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Entry {
     pub(crate) hash: u64,
-    pub(crate) server: ServerIx,
+    pub(crate) server: ServerIndex,
 }
 
 /// What one server adds to the load of its service.
--- a/crates/sparrouter-routing/src/sync.rs
+++ b/crates/sparrouter-routing/src/sync.rs
@@ -1,6 +1,6 @@
 //! Brings the server table up to date with the rows: only servers whose rows changed are looked at, since a fleet of
 //! thousands of servers has a change every few milliseconds.
-use crate::{AVOIDED, Nanos, Server, ServerIx, ServerTable};
+use crate::{EJECTION_PERIOD, Nanos, Server, ServerIndex, ServerTable};
 use sparrouter_membership::{ChangedRecord, LifecycleState, MembershipTable, ServerRecord};
 use std::collections::BTreeSet;
 
@@ -20,9 +20,9 @@
     revision: u64,
     servers_dropped: u64,
     /// Servers under a directive, which runs out with time.
-    directed: BTreeSet<ServerIx>,
+    directed: BTreeSet<ServerIndex>,
     /// Servers that are gone, with requests in flight.
-    leaving: BTreeSet<ServerIx>,
+    leaving: BTreeSet<ServerIndex>,
 }
 
 impl ServerTable {
@@ -44,7 +44,7 @@
             && state.revision <= rows.revision()
             && state.servers_dropped == rows.servers_dropped();
         if !same_rows {
-            let known = self.all().map(|(_, server)| server.id.clone());
+            let known = self.iter().map(|(_, server)| server.id.clone());
             return rows
                 .servers()
                 .map(|row| row.id.clone())
@@ -88,7 +88,7 @@
         }
     }
 
-    fn take_row(&mut self, ix: ServerIx, row: &ServerRecord) {
+    fn take_row(&mut self, ix: ServerIndex, row: &ServerRecord) {
         self.update(ix, |server| {
             server.standing = server.standing.max(row.state);
         });
@@ -112,8 +112,8 @@
 
     /// The holder of the rollout lease announces `soon/SERVER/MODEL`, then `load/SERVER/MODEL` while the server loads; the
     /// latter ends with the version that the server runs.
-    fn take_directives(&mut self, rows: &MembershipTable, ix: ServerIx, id: &str, now: Nanos) {
-        let lasts = self.versions.patience().saturating_mul(2);
+    fn take_directives(&mut self, rows: &MembershipTable, ix: ServerIndex, id: &str, now: Nanos) {
+        let lasts = self.versions.stretch_limit().saturating_mul(2);
         let Some(server) = self.servers[ix].as_mut() else {
             return;
         };
@@ -133,7 +133,7 @@
             .any(|(note, at)| stands(note.withdrawn, at));
         let avoid = format!("{AVOID}/{id}/");
         for (_, at) in rows.directives_with_prefix(&avoid) {
-            server.avoided_until = server.avoided_until.max(at.saturating_add(AVOIDED));
+            server.avoided_until = server.avoided_until.max(at.saturating_add(EJECTION_PERIOD));
         }
         if server.loading || server.soon {
             self.sync_state.directed.insert(ix);
@@ -142,7 +142,7 @@
         }
     }
 
-    fn remove_if_over(&mut self, ix: ServerIx, row: Option<&ServerRecord>) {
+    fn remove_if_over(&mut self, ix: ServerIndex, row: Option<&ServerRecord>) {
         let gone = row.is_none_or(|row| row.state == LifecycleState::Left);
         let in_flight = self.get(ix).is_some_and(|server| server.in_flight > 0);
         if gone && !in_flight {
@@ -153,7 +153,7 @@
     }
 
     /// Forgets what was kept of a place in the table whose server was removed.
-    pub(crate) fn forget_sync_state(&mut self, ix: ServerIx) {
+    pub(crate) fn forget_sync_state(&mut self, ix: ServerIndex) {
         self.sync_state.directed.remove(&ix);
         self.sync_state.leaving.remove(&ix);
     }
--- a/crates/sparrouter-routing/tests/backlog.rs
+++ b/crates/sparrouter-routing/tests/backlog.rs
@@ -25,19 +25,23 @@
 
 #[test]
 fn given_an_empty_backlog_when_asked_then_there_is_no_wait() {
-    assert_eq!(Backlog::default().wait(3, 0), 0);
+    assert_eq!(Backlog::default().estimate_wait(3, 0), 0);
 }
 
 #[test]
 fn given_prompts_ahead_when_asked_then_only_those_as_urgent_count() {
     let mut backlog = Backlog::default();
-    backlog.sent(1, 4_000.0, 2, 0);
-    backlog.sent(2, 8_000.0, 5, 0);
-    let (urgent, middle, late) = (backlog.wait(1, 0), backlog.wait(2, 0), backlog.wait(5, 0));
+    backlog.enqueue(1, 4_000.0, 2, 0);
+    backlog.enqueue(2, 8_000.0, 5, 0);
+    let (urgent, middle, late) = (
+        backlog.estimate_wait(1, 0),
+        backlog.estimate_wait(2, 0),
+        backlog.estimate_wait(5, 0),
+    );
     assert_eq!(urgent, 0);
     assert!(urgent < middle && middle < late, "{middle} {late}");
-    backlog.over(1, true, MS);
-    assert_eq!(backlog.wait(2, MS), 0);
+    backlog.remove(1, true, MS);
+    assert_eq!(backlog.estimate_wait(2, MS), 0);
 }
 
 #[test]
@@ -46,12 +50,12 @@
     let mut arrivals: Vec<(u64, f64, u32, u64)> = (0..500).map(|n| (n * 10, 150.0, 0, n)).collect();
     let mut backlog = Backlog::default();
     for (at, cost, urgency, id) in arrivals.iter().take(300) {
-        backlog.sent(*id, *cost, *urgency, at * MS);
-        backlog.over(*id, true, (at + 5) * MS);
+        backlog.enqueue(*id, *cost, *urgency, at * MS);
+        backlog.remove(*id, true, (at + 5) * MS);
     }
     // 24,000 tokens are ahead: 0.6 s of reading, more with those that overtake.
-    (0..4).for_each(|n| backlog.sent(1_000 + n, 6_000.0, 4, 3_000 * MS));
-    let told = backlog.wait(4, 3_000 * MS) / MS;
+    (0..4).for_each(|n| backlog.enqueue(1_000 + n, 6_000.0, 4, 3_000 * MS));
+    let told = backlog.estimate_wait(4, 3_000 * MS) / MS;
     arrivals.extend((0..4).map(|n| (3_000, 6_000.0, 4, 1_000 + n)));
     arrivals.sort_by_key(|a| (a.0, a.3));
     let took = read_at(&arrivals, 40.0, 1_003) - 3_000;
@@ -68,14 +72,14 @@
     let mut backlog = Backlog::default();
     for n in 0..200u64 {
         let at = n * 1_000 * MS;
-        backlog.sent(n * 10, 3_000.0, 5, at);
-        backlog.sent(n * 10 + 1, 3_000.0, 0, at + 10 * MS);
-        backlog.over(n * 10 + 1, true, at + 160 * MS);
-        backlog.over(n * 10, true, at + 340 * MS);
+        backlog.enqueue(n * 10, 3_000.0, 5, at);
+        backlog.enqueue(n * 10 + 1, 3_000.0, 0, at + 10 * MS);
+        backlog.remove(n * 10 + 1, true, at + 160 * MS);
+        backlog.remove(n * 10, true, at + 340 * MS);
     }
     let now = 400_000 * MS;
-    backlog.sent(1, 20_000.0, 0, now);
-    let told = backlog.wait(0, now) / MS;
+    backlog.enqueue(1, 20_000.0, 0, now);
+    let told = backlog.estimate_wait(0, now) / MS;
     assert!(
         (800..=1_200).contains(&told),
         "20,000 tokens take 1 s, told {told} ms"
@@ -85,8 +89,8 @@
 #[test]
 fn given_prompts_that_are_never_reported_over_when_time_passes_then_they_stop_counting() {
     let mut backlog = Backlog::default();
-    (0..10_000).for_each(|n| backlog.sent(n, 1_000.0, 1, 0));
-    assert!(backlog.waiting() <= 4_096);
-    backlog.wait(1, 20_000 * MS);
-    assert_eq!(backlog.waiting(), 0);
+    (0..10_000).for_each(|n| backlog.enqueue(n, 1_000.0, 1, 0));
+    assert!(backlog.queued() <= 4_096);
+    backlog.estimate_wait(1, 20_000 * MS);
+    assert_eq!(backlog.queued(), 0);
 }
--- a/crates/sparrouter-routing/tests/durations.rs
+++ b/crates/sparrouter-routing/tests/durations.rs
@@ -1,16 +1,16 @@
 //! The longest recent duration of each route.
-use sparrouter_routing::Durations;
+use sparrouter_routing::RouteDurations;
 
 const SECOND: u64 = 1_000_000_000;
 
 #[test]
 fn given_nothing_measured_then_there_is_no_duration() {
-    assert_eq!(Durations::default().longest("route"), None);
+    assert_eq!(RouteDurations::default().longest("route"), None);
 }
 
 #[test]
 fn given_several_durations_then_the_longest_counts_and_routes_are_kept_apart() {
-    let mut durations = Durations::default();
+    let mut durations = RouteDurations::default();
     durations.record("slow", 3 * SECOND, SECOND);
     durations.record("slow", SECOND, 2 * SECOND);
     durations.record("fast", 2, 2 * SECOND);
@@ -20,7 +20,7 @@
 
 #[test]
 fn given_a_long_duration_when_two_windows_have_passed_then_it_is_forgotten() {
-    let mut durations = Durations::default();
+    let mut durations = RouteDurations::default();
     durations.record("route", 9 * SECOND, SECOND);
     durations.record("route", SECOND, 31 * SECOND);
     assert_eq!(durations.longest("route"), Some(9 * SECOND));
@@ -30,7 +30,7 @@
 
 #[test]
 fn given_a_pause_of_two_windows_then_nothing_old_is_left() {
-    let mut durations = Durations::default();
+    let mut durations = RouteDurations::default();
     durations.record("old", 9 * SECOND, SECOND);
     durations.record("new", SECOND, 120 * SECOND);
     assert_eq!(durations.longest("old"), None);
--- a/crates/sparrouter-routing/tests/outliers.rs
+++ b/crates/sparrouter-routing/tests/outliers.rs
@@ -1,6 +1,6 @@
 //! Servers that fail requests which others would serve, from the failures that nodes report.
 use fastrand::Rng;
-use sparrouter_routing::{AVOIDED, Failure, Outliers};
+use sparrouter_routing::{EJECTION_PERIOD, Failure, Outliers};
 
 const SECOND: u64 = 1_000_000_000;
 const NODES: usize = 90;
@@ -21,7 +21,7 @@
 fn verdicts(rate: f64, share: f64, seed: u64) -> usize {
     let mut rng = Rng::with_seed(seed);
     let mut outliers = Outliers::default();
-    let mut answered = vec![sparrouter_routing::FadingCount::default(); NODES];
+    let mut answered = vec![sparrouter_routing::DecayingCount::default(); NODES];
     let mut verdicts = 0;
     let requests = (rate * (SOUND + 10.0)) as u64;
     for request in 0..requests {
@@ -82,7 +82,7 @@
         .map(|n| outliers.failed(failure(n, 0.0), NODES, n))
         .collect();
     assert_eq!(verdicts, [false, false, true, false, false]);
-    assert!(outliers.failed(failure(9, 0.0), NODES, AVOIDED + SECOND));
+    assert!(outliers.failed(failure(9, 0.0), NODES, EJECTION_PERIOD + SECOND));
 }
 
 #[test]
--- a/crates/sparrouter-routing/tests/sync.rs
+++ b/crates/sparrouter-routing/tests/sync.rs
@@ -3,14 +3,19 @@
 use sparrouter_membership::{
     LifecycleState, LoadedModel, MembershipTable, ServerDirective, ServerRecord,
 };
-use sparrouter_routing::{Ask, Ending, Patience, ServerIx, ServerTable};
+use sparrouter_routing::{
+    OutdatedVersionLimits, RequestOutcome, SelectionRequest, ServerIndex, ServerTable,
+};
 
 const SECOND: u64 = 1_000_000_000;
 const SERVICE: &str = "s";
 const MODEL: &str = "m";
 
 fn empty_table() -> ServerTable {
-    ServerTable::new(Patience::in_one_stretch(6 * SECOND), Rng::with_seed(1))
+    ServerTable::new(
+        OutdatedVersionLimits::per_stretch_only(6 * SECOND),
+        Rng::with_seed(1),
+    )
 }
 
 fn empty_rows() -> MembershipTable {
@@ -45,15 +50,15 @@
 /// What counts of a table, in the order of ids.
 fn state(table: &ServerTable) -> Vec<String> {
     let mut all: Vec<String> = table
-        .all()
+        .iter()
         .map(|(_, s)| {
             format!(
                 "{} {:?} silent {} loading {} soon {} {:?}",
                 s.id,
-                s.standing(),
-                s.silent(),
-                s.loading(),
-                s.soon(),
+                s.state(),
+                s.is_unresponsive(),
+                s.is_loading(),
+                s.will_load_soon(),
                 s.models()
             )
         })
@@ -116,11 +121,11 @@
     rows.merge_server(row(1, 1), 0);
     table.sync(&rows, 0);
     let ix = table.find("i-1").unwrap();
-    table.begin(ix, 10);
+    table.start_request(ix, 10);
     rows.mark_server_left("i-1", 0);
     table.sync(&rows, 0);
     assert!(table.get(ix).is_some());
-    table.end(ix, 10, Ending::Answered, 0);
+    table.finish_request(ix, 10, RequestOutcome::Answered, 0);
     table.sync(&rows, 0);
     assert!(table.get(ix).is_none() && table.find("i-1").is_none());
 }
@@ -148,15 +153,18 @@
 }
 
 /// The order that the pass over all candidates must agree with: by score, those that are kept back last.
-fn by_sorting(table: &ServerTable, ask: &Ask) -> Vec<ServerIx> {
+fn by_sorting(table: &ServerTable, ask: &SelectionRequest) -> Vec<ServerIndex> {
     let fit = table
-        .of(SERVICE)
-        .filter(|(ix, s)| !ask.tried.contains(ix) && s.standing() == LifecycleState::Ready)
-        .filter(|(_, s)| !s.loading());
+        .of_service(SERVICE)
+        .filter(|(ix, s)| !ask.attempted.contains(ix) && s.state() == LifecycleState::Ready)
+        .filter(|(_, s)| !s.is_loading());
     let mut order = sparrouter_rendezvous::order(fit.map(|(ix, s)| (s.hash(), ix)), ask.key);
     order.sort_by_key(|&ix| {
         let server = table.get(ix).unwrap();
-        (server.silent(), ask.is_long && server.soon())
+        (
+            server.is_unresponsive(),
+            ask.is_long_generation && server.will_load_soon(),
+        )
     });
     order
 }
@@ -170,16 +178,16 @@
             change(&mut rows, &mut rng, step, SECOND);
         }
         table.sync(&rows, SECOND);
-        let mut all: Vec<ServerIx> = table.all().map(|(ix, _)| ix).collect();
+        let mut all: Vec<ServerIndex> = table.iter().map(|(ix, _)| ix).collect();
         for _ in 0..rng.usize(..40) {
             if !all.is_empty() {
-                table.begin(all[rng.usize(..all.len())], 1);
+                table.start_request(all[rng.usize(..all.len())], 1);
             }
         }
         // Loads change with what ends, and with servers that drain, leave and are removed.
         for &ix in all.iter().filter(|_| rng.u32(..4) == 0) {
             if table.get(ix).is_some_and(|server| server.in_flight() > 0) {
-                table.end(ix, 1, Ending::Answered, SECOND);
+                table.finish_request(ix, 1, RequestOutcome::Answered, SECOND);
             }
         }
         for step in 40..46 {
@@ -188,19 +196,20 @@
         table.sync(&rows, SECOND);
         all.retain(|&ix| table.get(ix).is_some());
         for key in 0..20 {
-            let tried: Vec<ServerIx> = all.iter().copied().filter(|_| rng.u32(..6) == 0).collect();
-            let ask = Ask {
+            let tried: Vec<ServerIndex> =
+                all.iter().copied().filter(|_| rng.u32(..6) == 0).collect();
+            let ask = SelectionRequest {
                 service: SERVICE,
                 key,
                 model: None,
-                is_long: rng.u64(..50) > 24,
-                tried: &tried,
+                is_long_generation: rng.u64(..50) > 24,
+                attempted: &tried,
             };
             let order = by_sorting(&table, &ask);
-            let in_flight = |ix: &ServerIx| table.get(*ix).unwrap().in_flight();
+            let in_flight = |ix: &ServerIndex| table.get(*ix).unwrap().in_flight();
             let used: Vec<u32> = table
-                .of(SERVICE)
-                .filter(|(_, s)| s.standing() == LifecycleState::Ready && s.used())
+                .of_service(SERVICE)
+                .filter(|(_, s)| s.state() == LifecycleState::Ready && s.has_been_used())
                 .map(|(_, s)| s.in_flight())
                 .collect();
             let mean = f64::from(used.iter().sum::<u32>()) / used.len().max(1) as f64;
@@ -209,9 +218,9 @@
                 .iter()
                 .position(|ix| f64::from(in_flight(ix)) <= bar)
                 .or((0..order.len()).min_by_key(|&place| in_flight(&order[place])));
-            let chosen = table.choose(&ask, SECOND).ok();
+            let chosen = table.select(&ask, SECOND).ok();
             assert_eq!(
-                chosen.map(|pick| (pick.place, pick.server)),
+                chosen.map(|pick| (pick.rank, pick.server)),
                 expected.map(|place| (place, order[place])),
                 "seed {seed}, key {key}"
             );
--- a/crates/sparrouter-routing/tests/versions.rs
+++ b/crates/sparrouter-routing/tests/versions.rs
@@ -1,20 +1,20 @@
 //! Time limits of versions of weights.
 use fastrand::Rng;
-use sparrouter_routing::{Patience, Versions, Wanted};
+use sparrouter_routing::{OutdatedVersionLimits, RequiredVersion, Versions};
 
 const SECOND: u64 = 1_000_000_000;
 const PATIENCE: u64 = 6 * SECOND;
 
 fn versions() -> Versions {
-    Versions::new(Patience::in_one_stretch(PATIENCE))
+    Versions::new(OutdatedVersionLimits::per_stretch_only(PATIENCE))
 }
 
 #[test]
 fn given_a_later_version_when_named_then_the_limit_of_the_earlier_one_stays() {
     let mut versions = versions();
-    versions.told("m", 2, 0, 10 * SECOND);
-    versions.told("m", 3, 0, 13 * SECOND);
-    versions.told("m", 4, 0, 15 * SECOND);
+    versions.record_named("m", 2, 0, 10 * SECOND);
+    versions.record_named("m", 3, 0, 13 * SECOND);
+    versions.record_named("m", 4, 0, 15 * SECOND);
     assert!(versions.allows("m", 1, 15 * SECOND));
     assert!(!versions.allows("m", 1, 16 * SECOND));
     // Version 2 is too old once version 3's limit has passed, and so on; the newest has no limit.
@@ -28,55 +28,55 @@
 #[test]
 fn given_versions_told_late_and_out_of_order_then_the_first_limit_counts() {
     let mut versions = versions();
-    versions.told("m", 3, SECOND, 10 * SECOND);
-    versions.told("m", 2, 4 * SECOND, 10 * SECOND);
-    versions.told("m", 2, 3 * SECOND, 10 * SECOND);
+    versions.record_named("m", 3, SECOND, 10 * SECOND);
+    versions.record_named("m", 2, 4 * SECOND, 10 * SECOND);
+    versions.record_named("m", 2, 3 * SECOND, 10 * SECOND);
     assert!(!versions.allows("m", 1, 12 * SECOND));
     assert!(versions.allows("m", 2, 14 * SECOND));
-    assert_eq!(versions.wanted("m").unwrap().version, 3);
-    assert_eq!(versions.time_left("m", 2, 14 * SECOND), SECOND);
-    assert_eq!(versions.time_left("m", 1, 14 * SECOND), 0);
-    assert_eq!(versions.time_left("m", 3, 14 * SECOND), u64::MAX);
+    assert_eq!(versions.required("m").unwrap().version, 3);
+    assert_eq!(versions.remaining_time("m", 2, 14 * SECOND), SECOND);
+    assert_eq!(versions.remaining_time("m", 1, 14 * SECOND), 0);
+    assert_eq!(versions.remaining_time("m", 3, 14 * SECOND), u64::MAX);
 }
 
 #[test]
 fn given_a_process_that_just_started_when_told_of_an_old_version_then_its_limit_has_passed() {
     let mut versions = versions();
-    versions.told("m", 2, 7 * SECOND, SECOND);
+    versions.record_named("m", 2, 7 * SECOND, SECOND);
     assert!(!versions.allows("m", 1, SECOND));
-    let since = versions.wanted("m").map(|wanted| wanted.since);
+    let since = versions.required("m").map(|wanted| wanted.named_at);
     assert_eq!(since, Some(-6 * SECOND as i64));
 }
 
 #[test]
 fn given_a_change_of_the_core_then_all_limits_start_anew_once() {
     let mut versions = versions();
-    versions.told("m", 2, 0, 0);
-    versions.told("m", 3, 0, 2 * SECOND);
-    versions.core_changed(5 * SECOND);
+    versions.record_named("m", 2, 0, 0);
+    versions.record_named("m", 3, 0, 2 * SECOND);
+    versions.record_core_change(5 * SECOND);
     assert!(versions.allows("m", 1, 10 * SECOND));
     assert!(!versions.allows("m", 1, 11 * SECOND));
     assert!(!versions.allows("m", 2, 11 * SECOND));
     // An older change, told by another node, moves nothing.
-    versions.core_was_changed(-3);
+    versions.record_core_change_at(-3);
     assert!(!versions.allows("m", 1, 11 * SECOND));
 }
 
 #[test]
 fn given_stretches_that_are_added_up_when_the_core_changes_then_the_sum_is_not_moved() {
-    let mut versions = Versions::new(Patience {
-        in_one: PATIENCE,
-        in_all: Some(10 * SECOND),
+    let mut versions = Versions::new(OutdatedVersionLimits {
+        per_stretch: PATIENCE,
+        in_total: Some(10 * SECOND),
     });
-    versions.told("m", 2, 0, 0);
-    versions.core_changed(3 * SECOND);
+    versions.record_named("m", 2, 0, 0);
+    versions.record_core_change(3 * SECOND);
     assert!(versions.allows("m", 1, 8 * SECOND));
     assert!(!versions.allows("m", 1, 9 * SECOND));
-    versions.core_changed(8 * SECOND);
+    versions.record_core_change(8 * SECOND);
     assert!(versions.allows("m", 1, 9 * SECOND));
     assert!(!versions.allows("m", 1, 10 * SECOND));
     // A version that is named later has a sum of its own.
-    versions.told("m", 3, 0, 9 * SECOND);
+    versions.record_named("m", 3, 0, 9 * SECOND);
     assert!(versions.allows("m", 2, 14 * SECOND));
     assert!(!versions.allows("m", 2, 15 * SECOND));
 }
@@ -86,18 +86,21 @@
     for seed in 0..50 {
         let mut rng = Rng::with_seed(seed);
         let mut versions = versions();
-        let mut named: Vec<Wanted> = Vec::new();
+        let mut named: Vec<RequiredVersion> = Vec::new();
         let mut now = 0;
         for version in 2..400 {
             now += rng.u64(..SECOND);
-            versions.told("m", version, 0, now);
+            versions.record_named("m", version, 0, now);
             let since = now as i64;
-            named.push(Wanted { version, since });
+            named.push(RequiredVersion {
+                version,
+                named_at: since,
+            });
             assert!(versions.all().count() <= 17, "{}", versions.all().count());
             for _ in 0..4 {
                 let (old, at) = (rng.u64(1..=version), now + rng.u64(..PATIENCE));
                 let first = named.iter().find(|wanted| wanted.version > old);
-                let allowed = first.is_none_or(|w| (at as i64) < w.since + PATIENCE as i64);
+                let allowed = first.is_none_or(|w| (at as i64) < w.named_at + PATIENCE as i64);
                 let too_late = versions.allows("m", old, at) && !allowed;
                 assert!(!too_late, "seed {seed}: {old} at {at}");
             }
--- a/crates/sparrouter-simulation/src/client.rs
+++ b/crates/sparrouter-simulation/src/client.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use fastrand::Rng;
 use sparrouter_fleet::net::Wire;
-use sparrouter_http::chunks::{Chunks, Piece};
+use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
 use sparrouter_http::head::{self, Framing};
 use sparrouter_http::reading;
 use std::cell::RefCell;
@@ -224,13 +224,13 @@
         let mut buffer = BytesMut::new();
         let bytes = match reading::head(stream, &mut buffer, head::REPLY, MAX_HEAD_BYTES).await {
             Ok(bytes) => bytes,
-            Err(reading::Broken::Bad(bad)) => {
+            Err(reading::ReadError::Bad(bad)) => {
                 answer.bad = Some(bad.0);
                 return (false, None);
             }
             Err(_) => return (false, None),
         };
-        let head = match head::reply(&bytes) {
+        let head = match head::parse_response(&bytes) {
             Ok(head) => head,
             Err(bad) => {
                 answer.bad = Some(bad.0);
@@ -245,7 +245,7 @@
         let after = text("retry-after")
             .and_then(|s| s.parse().ok())
             .map(Duration::from_secs_f64);
-        let mut chunks = Chunks::default();
+        let mut chunks = ChunkDecoder::default();
         loop {
             match head.framing {
                 Framing::Length(length) => {
@@ -256,9 +256,9 @@
                 }
                 Framing::Chunked => loop {
                     match chunks.next(&mut buffer) {
-                        Ok(Piece::Data(piece)) => answer.body.extend_from_slice(&piece),
-                        Ok(Piece::More) => break,
-                        Ok(Piece::End) => {
+                        Ok(ChunkEvent::Data(piece)) => answer.body.extend_from_slice(&piece),
+                        Ok(ChunkEvent::More) => break,
+                        Ok(ChunkEvent::End) => {
                             answer.whole = true;
                             break;
                         }
@@ -271,7 +271,7 @@
                 Framing::ToEnd => answer.body.extend_from_slice(&buffer.split()),
             }
             if answer.whole {
-                return (head.keep && buffer.is_empty(), after);
+                return (head.keep_alive && buffer.is_empty(), after);
             }
             match timeout(READ_TIMEOUT, reading::more(stream, &mut buffer)).await {
                 Ok(Ok(())) => {}
--- a/crates/sparrouter-simulation/src/copies.rs
+++ b/crates/sparrouter-simulation/src/copies.rs
@@ -167,7 +167,7 @@
 
 /// The votes that a machine would find after a loss of power: part, disk, vote.
 fn synced_votes(world: &World, name: &str) -> Vec<(String, u64, SharedVote)> {
-    let files = world.disk(name).files.synced_copy();
+    let files = world.disk(name).files.synced_snapshot();
     let Ok((_, Opened::Existing(records))) = Store::open(files) else {
         return Vec::new();
     };
--- a/crates/sparrouter-simulation/src/faults/core.rs
+++ b/crates/sparrouter-simulation/src/faults/core.rs
@@ -101,11 +101,11 @@
         match fault {
             DiskSlow => disk.delay.set(world.terms.sync * SLOW_DISK),
             DiskStall => disk.stalled.set(Instant::now() + duration),
-            _ => disk.files.set_room(Some(0)),
+            _ => disk.files.set_capacity(Some(0)),
         }
         sleep(duration).await;
         disk.delay.set(world.terms.sync);
-        disk.files.set_room(None);
+        disk.files.set_capacity(None);
         world.judge.calm(Some(world.ip(name)));
         world.judge.calm(None);
     }
--- a/crates/sparrouter-simulation/src/http_messages.rs
+++ b/crates/sparrouter-simulation/src/http_messages.rs
@@ -5,7 +5,7 @@
 use crate::net::MemoryNet;
 use bytes::{Bytes, BytesMut};
 use sparrouter_fleet::http;
-use sparrouter_http::head::{self, CallHead, ReplyHead};
+use sparrouter_http::head::{self, RequestHead, ResponseHead};
 use sparrouter_http::reading;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     /// HTTP status.
     pub status: u16,
     /// The head.
-    pub head: ReplyHead,
+    pub head: ResponseHead,
     /// The body.
     pub body: Bytes,
 }
@@ -76,8 +76,8 @@
             .map_err(|_| NoAnswer::Broken)?;
         let mut buffer = BytesMut::new();
         let bytes = reading::head(&mut stream, &mut buffer, head::REPLY, MAX_HEAD_BYTES).await;
-        let head =
-            head::reply(&bytes.map_err(|_| NoAnswer::Broken)?).map_err(|_| NoAnswer::Broken)?;
+        let head = head::parse_response(&bytes.map_err(|_| NoAnswer::Broken)?)
+            .map_err(|_| NoAnswer::Broken)?;
         let body = http::body(&mut stream, &mut buffer, head.framing, MAX_BODY_BYTES).await;
         let body = body.ok().flatten().ok_or(NoAnswer::Broken)?;
         Ok(Reply {
@@ -94,11 +94,11 @@
 }
 
 /// Reads the next request on a connection that a stand-in accepted; `None` once it ends.
-pub async fn next_call(stream: &mut End, buffer: &mut BytesMut) -> Option<(CallHead, Bytes)> {
+pub async fn next_call(stream: &mut End, buffer: &mut BytesMut) -> Option<(RequestHead, Bytes)> {
     let bytes = reading::head(stream, buffer, b"", MAX_HEAD_BYTES)
         .await
         .ok()?;
-    let head = head::call(&bytes).ok()?;
+    let head = head::parse_request(&bytes).ok()?;
     let body = http::body(stream, buffer, head.framing, MAX_BODY_BYTES)
         .await
         .ok()
--- a/crates/sparrouter-simulation/src/node_work.rs
+++ b/crates/sparrouter-simulation/src/node_work.rs
@@ -13,8 +13,8 @@
 use sparrouter_fleet::node::Node;
 use sparrouter_fleet::wire::{ConfigUpdate, TextUpdate};
 use sparrouter_membership::{MembershipDelta, NodeRecord, ServerRecord};
-use sparrouter_prefix_index::{Change, Page, Source};
-use sparrouter_routing::Ask;
+use sparrouter_prefix_index::{BlockChange, EventPage, Source};
+use sparrouter_routing::SelectionRequest;
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -131,7 +131,7 @@
         spawn_local(event_follower::follow(node.clone()));
         sleep(SETTLED).await;
         let mut source = Source::default();
-        source.take(page(0, (0..KEPT_PARTS).map(part_key)));
+        source.apply_page(page(0, (0..KEPT_PARTS).map(part_key)));
         node.tell_kept(&mut source, 1, false);
         Fleet {
             node,
@@ -171,7 +171,7 @@
     async fn events(&mut self) -> Cost {
         self.cost(async |fleet| {
             let key = part_key(KEPT_PARTS + fleet.step);
-            fleet.source.take(page(fleet.step, [key].into_iter()));
+            fleet.source.apply_page(page(fleet.step, [key].into_iter()));
             fleet.node.tell_kept(&mut fleet.source, 1, false);
         })
         .await
@@ -179,22 +179,22 @@
 
     async fn requests(&mut self) -> Cost {
         self.cost(async |fleet| {
-            let ask = Ask {
+            let ask = SelectionRequest {
                 service: SERVICE,
                 key: part_key(fleet.step),
                 model: None,
-                is_long: false,
-                tried: &[],
+                is_long_generation: false,
+                attempted: &[],
             };
             let now = fleet.node.now();
-            let picked = fleet.node.server_table.borrow().choose(&ask, now);
+            let picked = fleet.node.server_table.borrow().select(&ask, now);
             let server = picked.expect("all servers are ready").server as u64;
             let _ = fleet.node.keeps(server);
             for part in 0..PARTS_A_REQUEST {
                 let _ = fleet.node.keeps(part_key(fleet.step + part));
             }
             let table = fleet.node.server_table.borrow();
-            let _ = table.hashed(part_key(fleet.step));
+            let _ = table.by_id_hash(part_key(fleet.step));
         })
         .await
     }
@@ -261,11 +261,11 @@
     sparrouter_rendezvous::mix(number + 1)
 }
 
-fn page(next: u64, keys: impl Iterator<Item = u64>) -> Page {
-    Page {
+fn page(next: u64, keys: impl Iterator<Item = u64>) -> EventPage {
+    EventPage {
         epoch: 1,
         next,
         gap: false,
-        events: keys.map(|key| Change { key, tokens: 200 }).collect(),
+        events: keys.map(|key| BlockChange { key, tokens: 200 }).collect(),
     }
 }
--- a/crates/sparrouter-simulation/src/server.rs
+++ b/crates/sparrouter-simulation/src/server.rs
@@ -13,7 +13,7 @@
 use crate::net::MemoryNet;
 use bytes::{Bytes, BytesMut};
 use fastrand::Rng;
-use sparrouter_http::head::CallHead;
+use sparrouter_http::head::RequestHead;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -178,7 +178,7 @@
                     None => return stream.abort(),
                 },
             };
-            if stream.write_all(answer.as_bytes()).await.is_err() || !head.keep {
+            if stream.write_all(answer.as_bytes()).await.is_err() || !head.keep_alive {
                 return;
             }
         }
@@ -206,7 +206,7 @@
     }
 
     /// Held until there are some, or for as long as was asked.
-    async fn events(&self, path: &str, head: &CallHead) -> String {
+    async fn events(&self, path: &str, head: &RequestHead) -> String {
         let since = path
             .split("since_time=")
             .nth(1)
@@ -233,7 +233,7 @@
         )
     }
 
-    fn order(self: Rc<Self>, head: &CallHead, body: &Bytes, from: SocketAddr) -> String {
+    fn order(self: Rc<Self>, head: &RequestHead, body: &Bytes, from: SocketAddr) -> String {
         let expected = head.fields.text("sparrouter-expected-instance");
         if expected.is_some_and(|id| id != self.terms.id) {
             let own = format!("Sparrouter-Instance-Id: {}\r\n", self.terms.id);
--- a/crates/sparrouter-simulation/src/server/work.rs
+++ b/crates/sparrouter-simulation/src/server/work.rs
@@ -4,7 +4,7 @@
 use crate::http_messages::whole;
 use crate::judge::{Made, Run};
 use bytes::{Bytes, BytesMut};
-use sparrouter_http::head::{CallHead, Fields};
+use sparrouter_http::head::{Fields, RequestHead};
 use sparrouter_http::reading;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
         &self,
         stream: &mut End,
         talk: &mut Talk,
-        head: &CallHead,
+        head: &RequestHead,
         body: &Bytes,
         path: &str,
         from: SocketAddr,
@@ -91,13 +91,13 @@
             () = tokio::time::sleep_until(until) => Some(false),
         };
         drop(slot);
-        ended.map(|keep| keep && head.keep)
+        ended.map(|keep| keep && head.keep_alive)
     }
 
     fn begin(
         &self,
         fields: &Fields,
-        head: &CallHead,
+        head: &RequestHead,
         body: &Bytes,
         path: &str,
         id: &str,
--- a/crates/sparrouter-simulation/tests/disks.rs
+++ b/crates/sparrouter-simulation/tests/disks.rs
@@ -34,10 +34,10 @@
 fn given_one_full_disk_then_the_others_take_changes_and_it_catches_up() {
     run_judged(|| async {
         let world = World::serving(Terms::seeded(101)).await;
-        world.disk("core-0").files.set_room(Some(0));
+        world.disk("core-0").files.set_capacity(Some(0));
         let plan = with_route(&first_plan(), "new");
         assert_eq!(world.operator.put(&plan, 1).await, 200);
-        world.disk("core-0").files.set_room(None);
+        world.disk("core-0").files.set_capacity(None);
         sleep(Duration::from_secs(4)).await;
         world.kill("core-1");
         let next = with_route(&plan, "newer");
@@ -57,7 +57,7 @@
     run_judged(|| async {
         let world = World::serving(Terms::seeded(102)).await;
         for name in world.core() {
-            world.disk(&name).files.set_room(Some(0));
+            world.disk(&name).files.set_capacity(Some(0));
         }
         let plan = with_route(&first_plan(), "new");
         sleep(Duration::from_secs(1)).await;
@@ -71,7 +71,7 @@
             again.text()
         );
         for name in world.core() {
-            world.disk(&name).files.set_room(None);
+            world.disk(&name).files.set_capacity(None);
         }
         sleep(Duration::from_secs(2)).await;
         assert_eq!(world.operator.put(&plan, 1).await, 200);
--- a/crates/sparrouter-simulation/tests/leaving.rs
+++ b/crates/sparrouter-simulation/tests/leaving.rs
@@ -200,7 +200,7 @@
         for name in ["core-1", "core-2"] {
             world.kill(name);
         }
-        world.disk("core-0").files.set_room(Some(0));
+        world.disk("core-0").files.set_capacity(Some(0));
         sleep(ms(1_000)).await;
         let ended = leaves(&world, "core-0").await.expect("the process ends");
         assert!(ended <= world.terms.bounds.grace, "{ended:?}");
@@ -271,7 +271,8 @@
     stream.write_all(b"b").await.expect("the node reads");
     let mut buffer = BytesMut::new();
     let bytes = reading::head(&mut stream, &mut buffer, head::REPLY, 64 << 10).await;
-    let reply = head::reply(&bytes.expect("an answer")).expect("an answer in the protocol");
+    let reply =
+        head::parse_response(&bytes.expect("an answer")).expect("an answer in the protocol");
     ending.await.expect("the process ends");
     let retry_after = reply.fields.get("retry-after").is_some();
     (reply.status, retry_after)
--- a/crates/sparrouter-simulation/tests/many_changes.rs
+++ b/crates/sparrouter-simulation/tests/many_changes.rs
@@ -56,7 +56,7 @@
             Trouble::Freeze => world.freeze(name, true),
             Trouble::Cut => world.cut_off(&[name], Some(Cut::Silent)),
             Trouble::PowerLoss => world.power_off(name),
-            Trouble::FullDisk => world.disk(name).files.set_room(Some(0)),
+            Trouble::FullDisk => world.disk(name).files.set_capacity(Some(0)),
             Trouble::StalledDisk => {
                 let far = Instant::now() + Duration::from_secs(3_600);
                 world.disk(name).stalled.set(far);
@@ -75,7 +75,7 @@
             Trouble::Freeze => world.freeze(name, false),
             Trouble::Cut => world.cut_off(&[name], None),
             Trouble::PowerLoss => world.power_on(name),
-            Trouble::FullDisk => world.disk(name).files.set_room(None),
+            Trouble::FullDisk => world.disk(name).files.set_capacity(None),
             Trouble::StalledDisk => world.disk(name).stalled.set(Instant::now()),
         }
     }
--- a/crates/sparrouter-simulation/tests/planted.rs
+++ b/crates/sparrouter-simulation/tests/planted.rs
@@ -50,7 +50,7 @@
     memory_of_an_isolated_tenant: SaltWithoutWall in 1 [], false;
     whichever_server_has_the_address: InstanceUnnamed in 7 [0], false;
     what_may_have_run_sent_again: SecondSend in 12 [4], false;
-    promised_what_may_have_run: PromiseBroken in 12 [4], false;
+    promised_what_may_have_run: NeverRunPromiseBroken in 12 [4], false;
     a_broken_stream_closed_as_whole: StreamClosedWhole in 7 [0], false;
     a_stream_taken_up_from_its_beginning: ResumedFromStart in 10 [0, 1], false;
     the_answer_to_another_request: ForeignAnswer in 33 [5, 6], false;
--- a/crates/sparrouter-simulation/tests/scripted/mod.rs
+++ b/crates/sparrouter-simulation/tests/scripted/mod.rs
@@ -2,9 +2,9 @@
 #![allow(dead_code)] // Each test file is a program of its own and uses a part.
 use bytes::{Bytes, BytesMut};
 use sparrouter_fleet::http;
-use sparrouter_http::chunks::{Chunks, Piece};
-use sparrouter_http::head::{self, CallHead};
-use sparrouter_http::reading::{self, Broken};
+use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
+use sparrouter_http::head::{self, RequestHead};
+use sparrouter_http::reading::{self, ReadError};
 use sparrouter_simulation::connection::End;
 use sparrouter_simulation::http_messages;
 use sparrouter_simulation::net::MemoryNet;
@@ -49,7 +49,7 @@
     pub at: Instant,
     pub server: usize,
     pub connection: usize,
-    pub head: CallHead,
+    pub head: RequestHead,
     /// None where it was not read whole.
     pub body: Option<Bytes>,
 }
@@ -64,7 +64,7 @@
     }
 }
 
-type Script = Rc<dyn Fn(&CallHead, usize) -> Act>;
+type Script = Rc<dyn Fn(&RequestHead, usize) -> Act>;
 
 /// Servers that follow one script, and what they saw.
 pub struct Servers {
@@ -98,7 +98,7 @@
     pub async fn start(
         world: &World,
         count: usize,
-        script: impl Fn(&CallHead, usize) -> Act + 'static,
+        script: impl Fn(&RequestHead, usize) -> Act + 'static,
     ) -> Rc<Servers> {
         let servers = Rc::new(Servers {
             script: Rc::new(script),
@@ -164,10 +164,10 @@
         loop {
             let bytes = match reading::head(&mut stream, &mut buffer, b"", 64 << 10).await {
                 Ok(bytes) => bytes,
-                Err(Broken::Bad(bad)) => return self.spoilt.borrow_mut().push(bad.0.to_owned()),
+                Err(ReadError::Bad(bad)) => return self.spoilt.borrow_mut().push(bad.0.to_owned()),
                 Err(_) => return,
             };
-            let head = match head::call(&bytes) {
+            let head = match head::parse_request(&bytes) {
                 Ok(head) => head,
                 Err(bad) => return self.spoilt.borrow_mut().push(bad.0.to_owned()),
             };
@@ -360,11 +360,11 @@
     let bytes = reading::head(stream, &mut buffer, head::REPLY, 64 << 10)
         .await
         .ok()?;
-    let head = head::reply(&bytes).ok()?;
+    let head = head::parse_response(&bytes).ok()?;
     got.status = head.status;
     got.sealed = head.fields.get("sparrouter-response-seal").is_some();
     got.retry_after = head.fields.get("retry-after").is_some();
-    let mut chunks = Chunks::default();
+    let mut chunks = ChunkDecoder::default();
     if let head::Framing::Length(length) = head.framing {
         while buffer.len() < length {
             reading::more(stream, &mut buffer).await.ok()?;
@@ -375,9 +375,9 @@
     }
     loop {
         match chunks.next(&mut buffer) {
-            Ok(Piece::Data(piece)) => got.text.push_str(&String::from_utf8_lossy(&piece)),
-            Ok(Piece::More) => reading::more(stream, &mut buffer).await.ok()?,
-            Ok(Piece::End) => {
+            Ok(ChunkEvent::Data(piece)) => got.text.push_str(&String::from_utf8_lossy(&piece)),
+            Ok(ChunkEvent::More) => reading::more(stream, &mut buffer).await.ok()?,
+            Ok(ChunkEvent::End) => {
                 got.whole = true;
                 return Some(());
             }
--- a/crates/sparrouter-simulation/tests/server_orders.rs
+++ b/crates/sparrouter-simulation/tests/server_orders.rs
@@ -3,7 +3,7 @@
 
 use scripted::{Act, Heard, Servers, answer, id_of};
 use sparrouter_fleet::planted::{Defect, plant};
-use sparrouter_http::head::CallHead;
+use sparrouter_http::head::RequestHead;
 use sparrouter_simulation::scenario::play;
 use sparrouter_simulation::server::MODEL;
 use std::cell::Cell;
@@ -20,7 +20,7 @@
     Act::Answer(answer(200, "", &body))
 }
 
-fn is_order(head: &CallHead) -> bool {
+fn is_order(head: &RequestHead) -> bool {
     &head.target[..] == b"/api/order"
 }
 
@@ -28,7 +28,7 @@
 async fn orders(
     seed: u64,
     count: usize,
-    script: impl Fn(&CallHead) -> Act + 'static,
+    script: impl Fn(&RequestHead) -> Act + 'static,
 ) -> Vec<Heard> {
     let world = scripted::world(seed).await;
     let servers = Servers::start(&world, count, move |head, _| script(head)).await;
--- a/crates/sparrouter-simulation/tests/state_files.rs
+++ b/crates/sparrouter-simulation/tests/state_files.rs
@@ -240,7 +240,7 @@
     disk.fail_at(0, sparrouter_storage::simulated::DiskFailure::Before);
     let contents = open(&disk).expect("a process without a disk");
     assert!(contents.keeper.is_none() && contents.disk != recorded_disk());
-    disk.mend();
+    disk.clear_failure();
     assert_eq!(files_of(&disk), recorded());
     let _ = Store::open(disk).expect("as it was");
 }
--- a/crates/sparrouter-storage/src/simulated.rs
+++ b/crates/sparrouter-storage/src/simulated.rs
@@ -99,12 +99,12 @@
     }
 
     /// Limits the bytes of all files together; `None`: no limit.
-    pub fn set_room(&self, capacity: Option<usize>) {
+    pub fn set_capacity(&self, capacity: Option<usize>) {
         self.disk().capacity = capacity;
     }
 
     /// Lets operations succeed again. What the failed ones left stays as it is.
-    pub fn mend(&self) {
+    pub fn clear_failure(&self) {
         let mut disk = self.disk();
         (disk.failure, disk.is_down) = (None, false);
     }
@@ -165,7 +165,7 @@
     }
 
     /// A disk of its own with what the worst power loss would leave of this one: nothing that was not synced.
-    pub fn synced_copy(&self) -> SimulatedFiles {
+    pub fn synced_snapshot(&self) -> SimulatedFiles {
         let disk = self.disk();
         let copy = SimulatedFiles::new(0);
         for (name, content) in &disk.durable {
--- a/crates/sparrouter-storage/tests/saves.rs
+++ b/crates/sparrouter-storage/tests/saves.rs
@@ -70,7 +70,7 @@
 fn given_any_crash_point_when_power_is_lost_after_the_restart_then_what_the_restart_read_stays() {
     for crash in crashes(operations_of_a_save()) {
         let (files, _) = crash_while_replacing(crash);
-        files.mend();
+        files.clear_failure();
         let read = value(files.clone(), "part-1").unwrap();
         files.lose_power();
         assert_eq!(value(files, "part-1").unwrap(), read, "{crash:?}");
@@ -105,7 +105,7 @@
             store.save("part-1", OLD).unwrap();
             files.fail_at(nth, failure);
             let _ = store.save("part-1", NEW);
-            files.mend();
+            files.clear_failure();
             store.save("part-1", b"third").unwrap();
             files.lose_power();
             assert_eq!(
@@ -122,7 +122,7 @@
     let files = SimulatedFiles::new(1);
     let (mut store, _) = Store::open(files.clone()).unwrap();
     store.save("part-1", OLD).unwrap();
-    files.set_room(Some(60));
+    files.set_capacity(Some(60));
     let error = store.save("part-1", NEW).unwrap_err();
     assert!(matches!(error, StorageError::Full { .. }), "{error:?}");
     assert!(
@@ -135,7 +135,7 @@
     for _ in 0..100 {
         store.save("part-1", NEW).unwrap_err();
     }
-    files.set_room(None);
+    files.set_capacity(None);
     store.save("part-1", NEW).unwrap();
     files.lose_power();
     assert_eq!(value(files.clone(), "part-1").unwrap(), NEW);
