--- a/crates/sparrouter-fleet-lab/src/client.rs
+++ b/crates/sparrouter-fleet-lab/src/client.rs
@@ -5,7 +5,7 @@
 use crate::{HOST, MODEL};
 use bytes::BytesMut;
 use sparrouter_fleet::client::call::{Call, Outcome, once};
-use sparrouter_fleet::net::Sockets;
+use sparrouter_fleet::platform::net::Sockets;
 use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
 use sparrouter_http::head::{self, Framing};
 use sparrouter_http::reading::{self, ReadError};
--- a/crates/sparrouter-fleet-lab/src/operator.rs
+++ b/crates/sparrouter-fleet-lab/src/operator.rs
@@ -3,7 +3,7 @@
 use sparrouter_fleet::client::ClientError;
 use sparrouter_fleet::client::call::Call;
 use sparrouter_fleet::client::fleet::Fleet;
-use sparrouter_fleet::net::Sockets;
+use sparrouter_fleet::platform::net::Sockets;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/sparrouter-fleet/src/control_api.rs
+++ b/crates/sparrouter-fleet/src/api/control.rs
@@ -1,10 +1,10 @@
 //! The calls of servers and operators, each to its place in the tree.
-use crate::configuration_state::Change;
+use crate::api::endpoint::{self, Matcher};
+use crate::control::configuration_state::Change;
 use crate::control::{self, NoChange};
-use crate::endpoint::{self, Matcher};
-use crate::http::{Answer, Request};
-use crate::planted::{Defect, has};
-use crate::run::ControlServices;
+use crate::platform::defects::{Defect, is_injected};
+use crate::platform::http::{Answer, Request};
+use crate::process::run::ControlServices;
 use sparrouter_codec::Blob;
 use std::rc::Rc;
 use std::time::Duration;
@@ -139,7 +139,7 @@
             Some(verdict)
                 if !verdict.binding
                     && answered.copies_under_way
-                    && !has(Defect::CopyAheadRefused) =>
+                    && !is_injected(Defect::CopyAheadRefused) =>
             {
                 unknown(&services)
             }
@@ -154,7 +154,9 @@
             body: why,
             ..Answer::later(services.node.jitter(Duration::from_millis(150)))
         },
-        Err(NoChange::Unknown) if has(Defect::MinorityAcks) && !get => Answer::plain(200, "taken"),
+        Err(NoChange::Unknown) if is_injected(Defect::MinorityAcks) && !get => {
+            Answer::plain(200, "taken")
+        }
         // A read changes nothing: what it would have found is all that is not known.
         Err(NoChange::Unknown) if get => Answer {
             body: "no quorum answered in time, so the newest configuration is not known here"
@@ -179,6 +181,6 @@
 async fn status(services: Rc<ControlServices>) -> Answer {
     Answer::json(
         200,
-        crate::status::show(&services.node, services.control.as_ref()),
+        crate::api::status::show(&services.node, services.control.as_ref()),
     )
 }
--- a/crates/sparrouter-fleet/src/endpoint.rs
+++ b/crates/sparrouter-fleet/src/api/endpoint.rs
@@ -1,8 +1,8 @@
 //! HTTP endpoints for servers, operators and readiness checks: a tree of handlers by path and method.
 #![deny(missing_docs)]
 
-use crate::http::{self, Answer, NoRequest, Request, Room};
-use crate::net::{self, Listener, Stream};
+use crate::platform::http::{self, Answer, NoRequest, Request, Room};
+use crate::platform::net::{self, Listener, Stream};
 use bytes::BytesMut;
 use sparrouter_http::reading;
 use std::future::Future;
--- a/crates/sparrouter-fleet/src/peer_api.rs
+++ b/crates/sparrouter-fleet/src/api/peer.rs
@@ -1,8 +1,8 @@
 //! Answers to the calls of other nodes: long polls, notifications, messages and changes of the control state, questions
 //! on kept prompts and on waiting prompts.
-use crate::planted::{Defect, has};
-use crate::run::ControlServices;
-use crate::wire::{Call, ConfirmedRead, Poll, Reply, Update};
+use crate::peer::messages::{Call, ConfirmedRead, Poll, Reply, Update};
+use crate::platform::defects::{Defect, is_injected};
+use crate::process::run::ControlServices;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Member, Outcome};
 use sparrouter_membership::MembershipDelta;
@@ -98,7 +98,7 @@
         control.heard_of(&poll.name);
         control.polled(&poll.name);
     }
-    if !has(Defect::VersionAgeUnreturned) {
+    if !is_injected(Defect::VersionAgeUnreturned) {
         node.take_models(&poll.models);
     }
     if let Some(row) = poll.row {
@@ -120,7 +120,7 @@
         let until = came + Duration::from_millis(u64::from(poll.hold_ms.min(longest)));
         let rows = node.rows_since(poll.epoch, poll.revision);
         let known = node.in_force();
-        let older = has(Defect::OlderTaken) && known.seq > 0 && known.seq < poll.config_seq;
+        let older = is_injected(Defect::OlderTaken) && known.seq > 0 && known.seq < poll.config_seq;
         let is_newer = known.seq > poll.config_seq || older;
         if is_newer || rows.is_some() || Instant::now() >= until {
             return Reply::Update(Update {
@@ -147,7 +147,7 @@
 /// must hear of it from here.
 fn take_notification(services: &ControlServices, delta: MembershipDelta) -> Reply {
     services.node.learn(delta);
-    if services.has_quorum_contact() || has(Defect::NotifyWithoutContact) {
+    if services.has_quorum_contact() || is_injected(Defect::NotifyWithoutContact) {
         Reply::Done
     } else {
         Reply::No("this node has no contact with a quorum".into())
@@ -173,7 +173,7 @@
     };
     // Nothing was proposed, so the sender may try another member at once. A call that waited in a frozen process ends here
     // too: its sender gave it up long ago.
-    if control.lost_quorum_contact() && !has(Defect::RelayWithoutContact) {
+    if control.lost_quorum_contact() && !is_injected(Defect::RelayWithoutContact) {
         return Reply::NotChanged(
             "this node has no contact with a quorum: see which members are down".into(),
         );
--- a/crates/sparrouter-fleet/src/client/call.rs
+++ b/crates/sparrouter-fleet/src/client/call.rs
@@ -1,6 +1,6 @@
 //! One HTTP call to one node.
-use crate::http;
-use crate::net::Net;
+use crate::platform::http;
+use crate::platform::net::Net;
 use bytes::BytesMut;
 use sparrouter_http::{head, reading};
 use std::net::SocketAddr;
--- a/crates/sparrouter-fleet/src/client/commands.rs
+++ b/crates/sparrouter-fleet/src/client/commands.rs
@@ -1,12 +1,12 @@
 //! What each subcommand sends and prints: results on standard output, diagnostics on standard error.
-use crate::boot::Boot;
+use crate::api::status::Status;
 use crate::client::call::Call;
 use crate::client::error::ClientError;
 use crate::client::fleet::Fleet;
 use crate::client::options::FleetCommand;
 use crate::client::page;
-use crate::net::SharedNet;
-use crate::status::Status;
+use crate::platform::net::SharedNet;
+use crate::process::settings::Boot;
 use miniserde::{Serialize, json};
 use sparrouter_config::{ConfigError, Document, Method, RouteTable};
 use std::io::Write;
@@ -79,7 +79,7 @@
             all.dedup();
             Ok(all)
         }
-        Err(crate::boot::BootError::NoVariable) => Err(ClientError::NoAddress),
+        Err(crate::process::settings::BootError::NoVariable) => Err(ClientError::NoAddress),
         Err(why) => Err(why.into()),
     }
 }
--- a/crates/sparrouter-fleet/src/client/fleet.rs
+++ b/crates/sparrouter-fleet/src/client/fleet.rs
@@ -1,7 +1,7 @@
 //! Sends the same call to one node after another until the answer is clear or time is up.
 use crate::client::call::{self, Call, Outcome, Reply};
 use crate::client::error::ClientError;
-use crate::net::SharedNet;
+use crate::platform::net::SharedNet;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
--- a/crates/sparrouter-fleet/src/client/page.rs
+++ b/crates/sparrouter-fleet/src/client/page.rs
@@ -1,5 +1,5 @@
 //! The status of nodes as text tables: the nodes that answered, and what the first of them knows of nodes and servers.
-use crate::status::{ModelStatus, NodeStatus, ServerStatus, Status};
+use crate::api::status::{ModelStatus, NodeStatus, ServerStatus, Status};
 use std::fmt::Write;
 use std::net::SocketAddr;
 
--- a/crates/sparrouter-fleet/src/control/change.rs
+++ b/crates/sparrouter-fleet/src/control/change.rs
@@ -1,9 +1,9 @@
 //! One change of a part, made through whoever may, and what a caller is told where it was not.
 use super::Control;
-use crate::configuration_state::{Change, Verdict};
-use crate::links::LinkError;
+use crate::control::configuration_state::{Change, Verdict};
 use crate::node::Node;
-use crate::wire::{Call, Reply};
+use crate::peer::links::LinkError;
+use crate::peer::messages::{Call, Reply};
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Member, Outcome};
 use std::net::SocketAddr;
--- a/crates/sparrouter-fleet/src/configuration_lease.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_lease.rs
@@ -12,8 +12,8 @@
 //! Source: Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency",
 //! 1989; the lease here is of one read and is renewed by reads.
 #![deny(missing_docs)]
-use crate::boot::{Bounds, nanos};
-use crate::planted::{Defect, has};
+use crate::platform::defects::{Defect, is_injected};
+use crate::process::settings::{Bounds, nanos};
 use sparrouter_routing::{Nanos, Timestamp};
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
         let length = bounds.revoke_timeout.mul_f64(LENGTH);
         ConfigurationLease {
             length: bounds.strict_revocation.then_some(length),
-            confirmed_at: has(Defect::LeaseFromStart).then_some(0),
+            confirmed_at: is_injected(Defect::LeaseFromStart).then_some(0),
         }
     }
 
@@ -49,7 +49,7 @@
 
     /// All that was acknowledged before `at` is in force here. `now`: when that became known.
     pub fn confirm(&mut self, at: Timestamp, now: Nanos) {
-        let at = if has(Defect::LeaseFromAnswer) {
+        let at = if is_injected(Defect::LeaseFromAnswer) {
             Timestamp::try_from(now).unwrap_or(Timestamp::MAX)
         } else {
             at
--- a/crates/sparrouter-fleet/src/configuration_state.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state.rs
@@ -9,7 +9,7 @@
 pub use format::{FORM, StateFormatError};
 pub use history::{MOST_KNOWN_ORDERS, OrderFate, OrderHistory, TakenOrder};
 
-use crate::planted::{Defect, has};
+use crate::platform::defects::{Defect, is_injected};
 use nanoserde::{DeBin, SerBin};
 use sparrouter_codec::{Blob, Seq};
 use sparrouter_config::{Accepted, ConfigError, Document, Method, Order, base_of};
@@ -99,11 +99,11 @@
     /// Judges an order: it is taken if it builds on the version in force and is valid. One that builds on another
     /// version is known again, refused, or neither.
     fn submit(&mut self, method: Method, if_match: Option<u64>, body: &[u8]) -> Verdict {
-        let if_match = match has(Defect::BaseIgnored) {
+        let if_match = match is_injected(Defect::BaseIgnored) {
             true => Some(self.version),
             false => if_match,
         };
-        if base_of(if_match) != self.version && !has(Defect::SameBodyRefused) {
+        if base_of(if_match) != self.version && !is_injected(Defect::SameBodyRefused) {
             return self.recognize(method, if_match, body);
         }
         match sparrouter_config::accept(method, body, if_match, self.document().as_ref()) {
@@ -150,11 +150,11 @@
     fn fate_of(&self, order: &Order) -> OrderFate {
         match self.orders.fate(order) {
             OrderFate::Taken
-                if has(Defect::TakenOrdersForgotten) && order.number != self.version =>
+                if is_injected(Defect::TakenOrdersForgotten) && order.number != self.version =>
             {
                 OrderFate::Lost
             }
-            OrderFate::Unknown if has(Defect::OldOrderRefused) => OrderFate::Lost,
+            OrderFate::Unknown if is_injected(Defect::OldOrderRefused) => OrderFate::Lost,
             fate => fate,
         }
     }
--- a/crates/sparrouter-fleet/src/disk.rs
+++ b/crates/sparrouter-fleet/src/control/disk.rs
@@ -2,8 +2,8 @@
 //!
 //! The program's keeper is a thread. Where stories are told it is a task in virtual time, over a disk that lies.
 use crate::control::LEASE_SHARDS;
-use crate::log_buffer::LogBuffer;
-use crate::planted::{Defect, has};
+use crate::platform::defects::{Defect, is_injected};
+use crate::process::log_buffer::LogBuffer;
 use fastrand::Rng;
 use sparrouter_consensus::codec::{self, CodecError};
 use sparrouter_consensus::{Record, Settings};
@@ -151,7 +151,7 @@
 }
 
 fn check_record(part: u16, record: &[u8]) -> Result<(), DiskError> {
-    if has(Defect::RecordForgotten) {
+    if is_injected(Defect::RecordForgotten) {
         return Ok(());
     }
     let name = record_name(part);
@@ -231,7 +231,9 @@
     for again in [false, true] {
         match read(&files, log_buffer, rng, &keeper) {
             Ok(contents) => return Ok(contents),
-            Err(why @ DiskError::Newer(_)) if !has(Defect::NewerFolderEmptied) => return Err(why),
+            Err(why @ DiskError::Newer(_)) if !is_injected(Defect::NewerFolderEmptied) => {
+                return Err(why);
+            }
             Err(why @ DiskError::Unreadable(_)) => {
                 log_buffer.breach(&format!("the data directory cannot be used: {why}"));
                 break;
--- a/crates/sparrouter-fleet/src/control/groups.rs
+++ b/crates/sparrouter-fleet/src/control/groups.rs
@@ -1,9 +1,9 @@
 //! Who belongs to the parts' groups: the first ones founded, a member's catching up, and what is seen of the others.
 use super::{Control, LEASE_SHARDS, ShardMachine};
-use crate::boot::nanos;
-use crate::disk::Save;
+use crate::control::disk::Save;
 use crate::node::Node;
-use crate::wire::{Call, Reply};
+use crate::peer::messages::{Call, Reply};
+use crate::process::settings::nanos;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Member, NodeObservation, Record, Register};
 use std::net::SocketAddr;
--- a/crates/sparrouter-fleet/src/control/handover.rs
+++ b/crates/sparrouter-fleet/src/control/handover.rs
@@ -1,6 +1,6 @@
 //! A process that leaves hands its control state over to the other members before it ends.
 use super::{CONFIG, Control};
-use crate::planted::{Defect, has};
+use crate::platform::defects::{Defect, is_injected};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -23,7 +23,8 @@
     /// Whether the other members hold everything that this one holds, and can act without it; calls that wait for an
     /// answer of the group here are over, too.
     pub fn is_handed_over(&self) -> bool {
-        has(Defect::LeavesAtOnce) || (self.ops.borrow().is_empty() && self.held_back().is_empty())
+        is_injected(Defect::LeavesAtOnce)
+            || (self.ops.borrow().is_empty() && self.held_back().is_empty())
     }
 
     /// The parts that are not handed over, by name.
--- a/crates/sparrouter-fleet/src/control.rs
+++ b/crates/sparrouter-fleet/src/control/mod.rs
@@ -3,6 +3,9 @@
 //! What must hold is decided in `sparrouter-consensus`; here its actions are carried out. `presence`: whom this node hears, and
 //! whose duty a part is; `groups`: who belongs to the groups, and the first ones; `handover`: leaving them; `change`: a change through whoever may.
 mod change;
+pub mod configuration_lease;
+pub mod configuration_state;
+pub mod disk;
 mod groups;
 mod handover;
 pub mod listening;
@@ -12,12 +15,12 @@
 pub use change::{NoChange, change, encode, verdict};
 pub use groups::found;
 
-use crate::boot::nanos;
-use crate::configuration_state::{ConfigurationMachine, ConfigurationState, NamedVersion};
-use crate::disk::{DiskContents, Kept, Save, Saves};
+use crate::control::configuration_state::{ConfigurationMachine, ConfigurationState, NamedVersion};
+use crate::control::disk::{DiskContents, Kept, Save, Saves};
 use crate::node::Node;
-use crate::planted::{self, Defect};
-use crate::wire::{Call, ConfigUpdate, ModelUpdate, TextUpdate, VersionsUpdate};
+use crate::peer::messages::{Call, ConfigUpdate, ModelUpdate, TextUpdate, VersionsUpdate};
+use crate::platform::defects::{self, Defect};
+use crate::process::settings::nanos;
 use listening::Listening;
 use presence::CONTACT_WINDOW;
 use quorum_contact::QuorumContact;
@@ -61,7 +64,7 @@
     let contact = nanos(node.boot.borrow().bounds.contact);
     Settings {
         contact_timeout: contact,
-        defects: planted::of_registers(),
+        defects: defects::of_registers(),
         ..Settings::default()
     }
 }
@@ -150,7 +153,7 @@
             quorum_contact: RefCell::new(QuorumContact::new(nanos(CONTACT_WINDOW))),
             founded: Cell::new(founded),
         });
-        if planted::has(Defect::LostRaceInForce)
+        if defects::is_injected(Defect::LostRaceInForce)
             && let Some(record) = stock.records.first().and_then(Option::as_deref)
             && let Some(vote) = Record::decode(record, MOST_MESSAGE)
                 .ok()
--- a/crates/sparrouter-fleet/src/control/presence.rs
+++ b/crates/sparrouter-fleet/src/control/presence.rs
@@ -1,7 +1,7 @@
 //! Whom this member hears, its contact with a quorum, whose silence it tells of, and whether a shard's lease is its own.
 use super::{CONFIG, Control};
-use crate::boot::nanos;
-use crate::planted::{self, Defect, has};
+use crate::platform::defects::{self, Defect, is_injected};
+use crate::process::settings::nanos;
 use sparrouter_consensus::lease::Lease;
 use sparrouter_consensus::{Member, Outcome};
 use sparrouter_routing::{Nanos, timestamp_before};
@@ -43,7 +43,7 @@
     pub fn watch(&self) {
         let now = self.node.now();
         let mut quiet = Vec::new();
-        if !self.has_quorum_contact() && !has(Defect::SilenceWithoutContact) {
+        if !self.has_quorum_contact() && !is_injected(Defect::SilenceWithoutContact) {
             // Cut off or just thawed: the others are not silent, they ask elsewhere.
             self.pollers.borrow_mut().clear();
         }
@@ -135,7 +135,7 @@
 
     /// Whether this member knows, by a quorum's recent answer, everything that was acknowledged until then.
     pub fn has_quorum_contact(&self) -> bool {
-        if has(Defect::ContactByHearsay) {
+        if is_injected(Defect::ContactByHearsay) {
             return self.hears_majority();
         }
         self.is_member() && self.quorum_contact.borrow().holds(self.node.now())
@@ -167,7 +167,7 @@
     /// A read that finds the members agreed costs one small frame to each other member and one back, and no write.
     pub(super) async fn keep_contact(self: Rc<Self>) {
         loop {
-            let pause = if self.is_member() && !(planted::hidden_by_reads() && self.caught_up()) {
+            let pause = if self.is_member() && !(defects::hidden_by_reads() && self.caught_up()) {
                 if self.confirm_contact().await {
                     self.contact_renewal()
                 } else {
@@ -189,10 +189,10 @@
     /// When the read began that quorum contact rests on now; `None` without contact.
     pub fn confirmed_read(&self) -> Option<Nanos> {
         if !self.has_quorum_contact() {
-            return has(Defect::LeaseFromAnySource).then(|| self.node.now());
+            return is_injected(Defect::LeaseFromAnySource).then(|| self.node.now());
         }
         let read_began = self.quorum_contact.borrow().newest_read();
-        read_began.or_else(|| has(Defect::ContactByHearsay).then(|| self.node.now()))
+        read_began.or_else(|| is_injected(Defect::ContactByHearsay).then(|| self.node.now()))
     }
 
     /// One confirmed read; returns whether there is contact after it.
--- a/crates/sparrouter-fleet/src/lib.rs
+++ b/crates/sparrouter-fleet/src/lib.rs
@@ -1,47 +1,29 @@
 //! The router fleet: one process of it, and the operators' client. `docs/architecture.md` shows how the modules work
 //! together; `docs/design/system.md` says what was weighed.
 //!
-//! | module | its one job |
+//! Each folder answers one question of an engineer; a folder uses those below it:
+//!
+//! | folder | its job |
 //! | --- | --- |
-//! | [`boot`], [`log_buffer`] | settings, read and validated; the log |
-//! | [`run`], [`departure`] | a process from start to end; which requests a leaving process still takes |
-//! | [`node`] | the state of one process: membership rows, the configuration in force, the server table |
-//! | [`net`], [`links`], [`wire`] | connections to other machines; calls between nodes; their messages |
-//! | [`polls`], [`peer_api`] | long polls of other nodes; the answers to theirs |
-//! | [`control`], [`disk`], [`configuration_state`] | replicated registers: carried out, saved, and what a change means |
-//! | [`configuration_lease`] | whether the configuration here is fresh enough for requests with API keys |
-//! | [`endpoint`], [`control_api`], [`registry`] | HTTP endpoints; calls of servers and operators; heartbeats of servers |
-//! | [`front`], [`http`], [`exchange`], [`upstream`], [`events`] | connections of clients, one request, connections to servers, event streams |
-//! | [`weights`] | rollout of new weights |
-//! | [`event_follower`] | follows which prompts servers and stores keep, and updates the owners of the parts |
-//! | [`status`] | what a node reports of itself |
-//! | [`client`] | the operators' client |
-//! | [`planted`] | mistakes planted for tests, behind a feature |
-pub mod boot;
+//! | [`process`] | a process: settings, start, signals, shutdown, log |
+//! | [`client`] | the operators' command line |
+//! | [`api`] | control endpoints for operators and servers; answers to other nodes; status |
+//! | [`proxy`] | one client request from accept to the last byte |
+//! | [`rollout`] | new weights, brought to servers a few at a time |
+//! | [`prefix_cache`] | who has which prompt in its cache |
+//! | [`membership`] | heartbeats of servers, long polls between nodes, liveness |
+//! | [`control`] | configuration and leases by quorum; what is on disk |
+//! | [`node`] | what the folders above share: the state of one process |
+//! | [`peer`] | messages and connections between nodes |
+//! | [`platform`] | network, HTTP messages, injected defects |
+pub mod api;
 pub mod client;
-pub mod configuration_lease;
-pub mod configuration_state;
 pub mod control;
-pub mod control_api;
-pub mod departure;
-pub mod disk;
-pub mod endpoint;
-pub mod event_follower;
-pub mod events;
-pub mod exchange;
-pub mod front;
-pub mod http;
-pub mod links;
-pub mod log_buffer;
-pub mod metrics;
-pub mod net;
+pub mod membership;
 pub mod node;
-pub mod peer_api;
-pub mod planted;
-pub mod polls;
-pub mod registry;
-pub mod run;
-pub mod status;
-pub mod upstream;
-pub mod weights;
-pub mod wire;
+pub mod peer;
+pub mod platform;
+pub mod prefix_cache;
+pub mod process;
+pub mod proxy;
+pub mod rollout;
--- /dev/null
+++ b/crates/sparrouter-fleet/src/membership/mod.rs
@@ -0,0 +1,5 @@
+//! Which nodes and servers exist: heartbeats of servers, long polls between nodes, and who counts as unresponsive.
+//!
+//! The table itself is `sparrouter_membership::MembershipTable`, owned by `node`.
+pub mod polls;
+pub mod registry;
--- a/crates/sparrouter-fleet/src/polls.rs
+++ b/crates/sparrouter-fleet/src/membership/polls.rs
@@ -1,9 +1,9 @@
 //! Asking sources for what is new, and telling them what was heard here.
-use crate::boot::nanos;
-use crate::links::LinkError;
 use crate::node::Node;
-use crate::planted::{Defect, has};
-use crate::wire::{Call, Poll, Reply, Update};
+use crate::peer::links::LinkError;
+use crate::peer::messages::{Call, Poll, Reply, Update};
+use crate::platform::defects::{Defect, is_injected};
+use crate::process::settings::nanos;
 use sparrouter_codec::Seq;
 use sparrouter_membership::{MembershipDelta, SOURCE_COUNT, sources};
 use sparrouter_routing::{Nanos, Timestamp};
@@ -122,7 +122,7 @@
 
     /// How long a poll may take that is held for `hold` at most.
     fn patience(&self, node: &Node, hold: Duration) -> Duration {
-        let doublings = if node.in_force().seq == 0 && !has(Defect::PatienceUnmoved) {
+        let doublings = if node.in_force().seq == 0 && !is_injected(Defect::PatienceUnmoved) {
             self.unanswered.get().min(MOST_DOUBLINGS)
         } else {
             0
@@ -307,7 +307,7 @@
 /// Whether the answer to a call that was sent at `asked` still says what is so. One that waited while this process was
 /// frozen says what was, and the timer of the call has not fired if the answer was read before it.
 pub fn is_timely(asked: Nanos, now: Nanos, patience: Duration) -> bool {
-    now.saturating_sub(asked) <= nanos(patience) || has(Defect::StaleAnswerInforms)
+    now.saturating_sub(asked) <= nanos(patience) || is_injected(Defect::StaleAnswerInforms)
 }
 
 /// Tells the members of rows that changed here. True once another machine has them that is in contact with a quorum.
--- a/crates/sparrouter-fleet/src/registry.rs
+++ b/crates/sparrouter-fleet/src/membership/registry.rs
@@ -1,10 +1,10 @@
 //! What servers say of themselves: beats, draining, leaving, and who falls silent.
-use crate::boot::nanos;
 use crate::control::{CONFIG, Control};
-use crate::http::Answer;
+use crate::membership::polls;
 use crate::node::Node;
-use crate::planted::{Defect, has};
-use crate::polls;
+use crate::platform::defects::{Defect, is_injected};
+use crate::platform::http::Answer;
+use crate::process::settings::nanos;
 use miniserde::{Deserialize, json};
 use sparrouter_membership::{LifecycleState, LoadedModel, MembershipDelta, ServerRecord};
 use sparrouter_rendezvous::{hash, order};
@@ -85,8 +85,8 @@
             .get(id)
             .is_some_and(|heard| heard.draining_told);
         let late = !self.record_heard(&row, node.now());
-        #[cfg(feature = "planted")]
-        if late && has(Defect::DrainUndone) {
+        #[cfg(feature = "injected-defects")]
+        if late && is_injected(Defect::DrainUndone) {
             node.rows.borrow_mut().overwrite(row.clone(), node.now());
             node.server_table.borrow_mut().overwrite(id, row.state);
         }
@@ -98,7 +98,7 @@
                 ..MembershipDelta::default()
             });
         }
-        let told_before = told_before || (has(Defect::DrainRepeatAcked) && (same || late));
+        let told_before = told_before || (is_injected(Defect::DrainRepeatAcked) && (same || late));
         // Sent again after a refusal it still binds: what counts is whether others were told, not whether it is news.
         let must_spread = standing == LifecycleState::Draining && !told_before;
         if (must_spread || is_news) && !self.spread(node, control, id, must_spread).await {
@@ -109,7 +109,7 @@
         }
         // Rows of a machine that is cut off reach nobody: another one should look after the server.
         let cut_off = standing == LifecycleState::Ready && !may_acknowledge(node, control);
-        if cut_off && !has(Defect::HeartbeatWithoutContact) {
+        if cut_off && !is_injected(Defect::HeartbeatWithoutContact) {
             return Answer::later(TRY_ANOTHER);
         }
         let told = |(_, at): (String, String)| format!("{{\"heartbeat_target\":\"{at}\"}}");
@@ -165,7 +165,7 @@
             servers: vec![row].into(),
             ..MembershipDelta::default()
         };
-        if binds && !has(Defect::AckAlone) {
+        if binds && !is_injected(Defect::AckAlone) {
             let told = polls::notify(node, &delta, SPREAD).await;
             // Where this node is the only member there is nobody else to tell.
             let only_member =
@@ -174,7 +174,7 @@
         }
         let node = node.clone();
         spawn_local(async move {
-            if has(Defect::AckAlone) {
+            if is_injected(Defect::AckAlone) {
                 tokio::time::sleep(SPREAD).await;
             }
             // What is lost here the next beat brings, or the sources' own polls.
--- a/crates/sparrouter-fleet/src/node/config.rs
+++ b/crates/sparrouter-fleet/src/node/config.rs
@@ -1,7 +1,7 @@
 //! The configuration in force: taken whole or as changes of its text, and told on.
 use super::{InForce, Node};
-use crate::planted::{self, Defect, has};
-use crate::wire::{ConfigUpdate, EditUpdate, ModelUpdate, TextUpdate, VersionsUpdate};
+use crate::peer::messages::{ConfigUpdate, EditUpdate, ModelUpdate, TextUpdate, VersionsUpdate};
+use crate::platform::defects::{self, Defect, is_injected};
 use sparrouter_codec::Seq;
 use sparrouter_config::{Document, Edit, RouteTable, digest_of_text};
 use sparrouter_routing::{Nanos, RequiredVersion, Timestamp, timestamp_before};
@@ -51,8 +51,9 @@
     /// a change of another text than the one here.
     pub fn take(&self, told: ConfigUpdate) -> bool {
         let known = self.in_force();
-        let skipped = has(Defect::CatchUpSkips) && known.seq > 0 && told.seq > known.seq + 1;
-        if told.seq > known.seq || (has(Defect::OlderTaken) && told.seq != known.seq) {
+        let skipped =
+            is_injected(Defect::CatchUpSkips) && known.seq > 0 && told.seq > known.seq + 1;
+        if told.seq > known.seq || (is_injected(Defect::OlderTaken) && told.seq != known.seq) {
             let text: Rc<str> = match told.text {
                 TextUpdate::Whole(text) => text.into(),
                 TextUpdate::Edits(edits) => {
@@ -69,7 +70,7 @@
             } else {
                 let document = Document {
                     version: told.version,
-                    text: planted::half(&text, &known.text),
+                    text: defects::half(&text, &known.text),
                 };
                 let read = RouteTable::read(&document);
                 is_readable = read.is_ok();
@@ -129,8 +130,8 @@
                 let (version, name, age) = (model.version, &model.name, model.age_ms);
                 log::info!("version {version} of {name} was named {age} ms ago");
             }
-            #[cfg(feature = "planted")]
-            if has(Defect::LimitReplaced) {
+            #[cfg(feature = "injected-defects")]
+            if is_injected(Defect::LimitReplaced) {
                 versions.forget_older(&model.name, model.version);
             }
             versions.record_named(&model.name, model.version, nanos_of_ms(model.age_ms), now);
@@ -179,7 +180,7 @@
 
 /// How long ago a moment was, in whole milliseconds.
 fn age_ms(at: Timestamp, now: Nanos) -> u64 {
-    if has(Defect::VersionAgeUntold) {
+    if is_injected(Defect::VersionAgeUntold) {
         return 0;
     }
     let age = i128::from(now) - i128::from(at);
--- a/crates/sparrouter-fleet/src/node.rs
+++ b/crates/sparrouter-fleet/src/node/mod.rs
@@ -2,18 +2,19 @@
 //! immutable and swapped whole.
 mod config;
 mod live_nodes;
+pub mod metrics;
 mod outliers;
 mod ownership;
 mod updates;
 
-use crate::boot::{Boot, nanos};
-use crate::configuration_lease::ConfigurationLease;
-use crate::departure::Departure;
-use crate::links::Links;
-use crate::log_buffer::LogBuffer;
-use crate::metrics::Counters;
-use crate::net::SharedNet;
-use crate::planted::{Defect, has};
+use crate::control::configuration_lease::ConfigurationLease;
+use crate::node::metrics::Counters;
+use crate::peer::links::Links;
+use crate::platform::defects::{Defect, is_injected};
+use crate::platform::net::SharedNet;
+use crate::process::log_buffer::LogBuffer;
+use crate::process::settings::{Boot, nanos};
+use crate::process::shutdown::Departure;
 use fastrand::Rng;
 pub use live_nodes::{ControlNodeState, LiveNodes};
 use sparrouter_config::{EditHistory, RouteTable};
@@ -263,7 +264,7 @@
     pub fn budget<T>(&self, service: &str, f: impl FnOnce(&mut RetryBudget, Nanos) -> T) -> T {
         let now = self.now();
         // The slack waits for a window, since a process before this one may have spent it.
-        let minted = if has(Defect::SlackMinted) {
+        let minted = if is_injected(Defect::SlackMinted) {
             nanos(self.boot.borrow().bounds.budget_window)
         } else {
             0
@@ -285,7 +286,7 @@
     /// have spent all that its requests had earned, and the window that is judged holds both.
     pub fn may_repeat(&self, service: &str) -> bool {
         let window = nanos(self.boot.borrow().bounds.budget_window);
-        let settled = self.now() >= window || has(Defect::SlackMinted);
+        let settled = self.now() >= window || is_injected(Defect::SlackMinted);
         settled && self.budget(service, |b, now| b.try_acquire(self.sharers(), now))
     }
 
@@ -302,7 +303,7 @@
 fn version_limits(boot: &Boot) -> OutdatedVersionLimits {
     let part_of = |bound: Duration| nanos(bound.mul_f64(VERSION_PATIENCE));
     let all = boot.bounds.version_all;
-    let is_added_up = !all.is_zero() && !has(Defect::VersionSumIgnored);
+    let is_added_up = !all.is_zero() && !is_injected(Defect::VersionSumIgnored);
     OutdatedVersionLimits {
         per_stretch: part_of(boot.bounds.version),
         in_total: is_added_up.then(|| part_of(all)),
--- a/crates/sparrouter-fleet/src/node/outliers.rs
+++ b/crates/sparrouter-fleet/src/node/outliers.rs
@@ -1,10 +1,10 @@
 //! Failures at servers: reported to the node that keeps count of each server, which tells all nodes of those that fail
 //! what others would serve.
 use super::Node;
-use crate::metrics::count;
-use crate::planted::{Defect, has};
-use crate::polls;
-use crate::wire::Call;
+use crate::membership::polls;
+use crate::node::metrics::count;
+use crate::peer::messages::Call;
+use crate::platform::defects::{Defect, is_injected};
 use sparrouter_membership::{MembershipDelta, ServerDirective};
 use sparrouter_routing::{Failure, Server, ServerIndex};
 use std::rc::Rc;
@@ -78,7 +78,7 @@
             .borrow()
             .by_id_hash(failure.server)
             .map(|server| server.id.clone());
-        if let Some(id) = id.filter(|_| is_outlier && !has(Defect::OutlierUntold)) {
+        if let Some(id) = id.filter(|_| is_outlier && !is_injected(Defect::OutlierUntold)) {
             self.tell_outlier(&id);
         }
     }
--- a/crates/sparrouter-fleet/src/node/ownership.rs
+++ b/crates/sparrouter-fleet/src/node/ownership.rs
@@ -1,6 +1,6 @@
 //! What falls to one node by rendezvous: waits at servers, owners of parts of prompts, followers of their sources.
 use super::{KEPT, Node};
-use crate::wire::{Call, KeptAt, Reply};
+use crate::peer::messages::{Call, KeptAt, Reply};
 use sparrouter_prefix_index::{BlockChange, PrefixLocation, PrefixQuery};
 use sparrouter_routing::Nanos;
 use std::net::SocketAddr;
--- a/crates/sparrouter-fleet/src/node/updates.rs
+++ b/crates/sparrouter-fleet/src/node/updates.rs
@@ -1,9 +1,9 @@
 //! Rows that were heard of: learnt at once, looked at with the next few, sent on together.
 use super::Node;
 use super::live_nodes::has_core_changed;
-use crate::boot::nanos;
-use crate::metrics::count;
-use crate::planted::{Defect, has};
+use crate::node::metrics::count;
+use crate::platform::defects::{Defect, is_injected};
+use crate::process::settings::nanos;
 use sparrouter_membership::MembershipDelta;
 use sparrouter_routing::Nanos;
 use std::rc::Rc;
@@ -139,8 +139,8 @@
         if known.as_slice() == states {
             return;
         }
-        let first_looks =
-            self.now() < nanos(self.boot.borrow().bounds.contact) && !has(Defect::StartMovesLimits);
+        let first_looks = self.now() < nanos(self.boot.borrow().bounds.contact)
+            && !is_injected(Defect::StartMovesLimits);
         if has_core_changed(&known, states, first_looks) {
             count(&self.counters.core_changes);
             log::info!("the core changed: {states:?}");
--- a/crates/sparrouter-fleet/src/planted.rs
+++ b/crates/sparrouter-fleet/src/platform/defects.rs
@@ -226,24 +226,24 @@
     ];
 }
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "injected-defects")]
 thread_local! {
     static NOW: std::cell::Cell<Option<Defect>> = const { std::cell::Cell::new(None) };
 }
 
 /// Plants a defect in all processes of this thread, or takes it out.
-#[cfg(feature = "planted")]
-pub fn plant(defect: Option<Defect>) {
+#[cfg(feature = "injected-defects")]
+pub fn inject(defect: Option<Defect>) {
     NOW.set(defect);
 }
 
-#[cfg(feature = "planted")]
-pub(crate) fn has(defect: Defect) -> bool {
+#[cfg(feature = "injected-defects")]
+pub(crate) fn is_injected(defect: Defect) -> bool {
     NOW.get() == Some(defect)
 }
 
-#[cfg(not(feature = "planted"))]
-pub(crate) const fn has(_: Defect) -> bool {
+#[cfg(not(feature = "injected-defects"))]
+pub(crate) const fn is_injected(_: Defect) -> bool {
     false
 }
 
@@ -251,18 +251,18 @@
 /// those reads once a process has caught up. A member that reads learns what it missed, and one that cannot read gives up
 /// the lead with which it could go on without the old group.
 pub(crate) fn hidden_by_reads() -> bool {
-    has(Defect::OldGroupUnasked) || has(Defect::ExchangeSilent)
+    is_injected(Defect::OldGroupUnasked) || is_injected(Defect::ExchangeSilent)
 }
 
 /// Those that lie in the registers.
 pub(crate) fn of_registers() -> sparrouter_consensus::Defects {
     sparrouter_consensus::Defects {
-        ack_before_sync: has(Defect::AckBeforeSync),
-        old_group_only: has(Defect::OldGroupCounts),
-        skip_joint: has(Defect::OldGroupUnasked),
-        answer_unchosen: has(Defect::AnsweredUnchosen),
-        unconfirmed_candidates: has(Defect::UnconfirmedJoins),
-        exchange_silent: has(Defect::ExchangeSilent),
+        ack_before_sync: is_injected(Defect::AckBeforeSync),
+        old_group_only: is_injected(Defect::OldGroupCounts),
+        skip_joint: is_injected(Defect::OldGroupUnasked),
+        answer_unchosen: is_injected(Defect::AnsweredUnchosen),
+        unconfirmed_candidates: is_injected(Defect::UnconfirmedJoins),
+        exchange_silent: is_injected(Defect::ExchangeSilent),
         ..sparrouter_consensus::Defects::default()
     }
 }
@@ -271,7 +271,7 @@
 pub(crate) fn half(text: &str, known: &str) -> String {
     let cut = |of: &str| of.find("\"tenants\":");
     match (cut(text), cut(known)) {
-        (Some(new), Some(old)) if has(Defect::HalfSnapshot) => {
+        (Some(new), Some(old)) if is_injected(Defect::HalfSnapshot) => {
             format!("{}{}", &text[..new], &known[old..])
         }
         _ => text.to_owned(),
--- /dev/null
+++ b/crates/sparrouter-fleet/src/platform/mod.rs
@@ -0,0 +1,5 @@
+//! What lies below everything else: the network, HTTP messages, and the defects that tests inject. The simulation puts
+//! a network of its own in place of the sockets.
+pub mod defects;
+pub mod http;
+pub mod net;
--- a/crates/sparrouter-fleet/src/event_follower.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
@@ -2,9 +2,9 @@
 //!
 //! A store's life is told to all nodes as well: one that does not answer is not named, one that came back empty is told
 //! to keep things again.
-use crate::net::Net;
 use crate::node::Node;
-use crate::upstream::{Sent, Upstream};
+use crate::platform::net::Net;
+use crate::proxy::upstream::{Sent, Upstream};
 use bytes::Bytes;
 use miniserde::json::{Number, Value};
 use miniserde::{Deserialize, json};
@@ -263,7 +263,12 @@
             .await
             .ok()?;
         let head = head::parse_response(&bytes).ok()?;
-        let body = crate::http::body(&mut link.stream, &mut link.buffer, head.framing, MOST_BODY);
+        let body = crate::platform::http::body(
+            &mut link.stream,
+            &mut link.buffer,
+            head.framing,
+            MOST_BODY,
+        );
         let body = body.await.ok()??;
         let page = if head.status == 200 {
             page(&body)
--- a/crates/sparrouter-fleet/src/run.rs
+++ b/crates/sparrouter-fleet/src/process/run.rs
@@ -1,24 +1,24 @@
 //! The life of a process: doors open, tasks started, orders heeded, an end without loss. `run` is the program's, with
 //! signals and files; `serve` is the same without either, for the in-memory fleet too.
-use crate::boot::{Boot, nanos};
+use crate::api::control as api_control;
+use crate::api::endpoint::{self, Matcher};
+use crate::api::peer::answer;
+use crate::control::disk::{self, DiskContents, DiskError};
 use crate::control::{self, Control};
-use crate::control_api;
-use crate::departure::Departure;
-use crate::disk::{self, DiskContents, DiskError};
-use crate::endpoint::{self, Matcher};
-use crate::event_follower;
-use crate::front::{self, Stage};
-use crate::http::Answer;
-use crate::links;
-use crate::log_buffer::LogBuffer;
-use crate::metrics;
-use crate::net::{Listener, Net, SharedNet};
+use crate::membership::polls;
+use crate::membership::registry::Registry;
 use crate::node::Node;
-use crate::peer_api::answer;
-use crate::planted::{Defect, has};
-use crate::polls;
-use crate::registry::Registry;
-use crate::weights;
+use crate::node::metrics;
+use crate::peer::links;
+use crate::platform::defects::{Defect, is_injected};
+use crate::platform::http::Answer;
+use crate::platform::net::{Listener, Net, SharedNet};
+use crate::prefix_cache::event_follower;
+use crate::process::log_buffer::LogBuffer;
+use crate::process::settings::{Boot, nanos};
+use crate::process::shutdown::Departure;
+use crate::proxy::frontend::{self, Stage};
+use crate::rollout;
 use fastrand::Rng;
 use nanoserde::SerBin;
 use sparrouter_membership::MembershipDelta;
@@ -186,7 +186,7 @@
     let keeps = boot.listen.control.is_some();
     let data = boot.data.clone().filter(|_| keeps);
     let mut stock = open(data.as_deref(), &log_buffer, &mut rng)?;
-    if has(Defect::WipedVotes) {
+    if is_injected(Defect::WipedVotes) {
         stock.disk = sparrouter_rendezvous::hash(boot.node_name.as_bytes());
     }
     let (grace, contact) = (boot.bounds.grace, boot.bounds.contact);
@@ -200,7 +200,7 @@
     spawn_local(event_follower::follow(node.clone()));
     spawn_local(report_no_quorum(node.clone(), contact));
     while let Some(Order::Seeds(seeds)) = orders.recv().await {
-        if !has(Defect::SeedsAtStart) {
+        if !is_injected(Defect::SeedsAtStart) {
             node.boot.borrow_mut().seeds = seeds;
         }
     }
@@ -217,7 +217,7 @@
     spawn_local(node.clone().carry_out());
     let control = in_core.then(|| Control::start(node.clone(), stock));
     if let Some(control) = &control {
-        weights::start(node.clone(), control.clone());
+        rollout::start(node.clone(), control.clone());
     }
     Rc::new(ControlServices {
         node,
@@ -242,7 +242,7 @@
         spawn_local(control::found(node.clone()));
     }
     if let Some(listener) = listeners.control {
-        let tree = Rc::new(control_api::tree(services));
+        let tree = Rc::new(api_control::tree(services));
         spawn_local(endpoint::listen(listener, tree));
     }
     if let Some(listener) = listeners.readiness {
@@ -254,7 +254,7 @@
     if let Some(listener) = listeners.front {
         let open_files = node.boot.borrow().open_files;
         let most = (open_files.saturating_sub(FILES_ASIDE) * 6 / 10) as usize;
-        spawn_local(front::listen(node.clone(), listener, staged, most));
+        spawn_local(frontend::listen(node.clone(), listener, staged, most));
     }
     stage
 }
@@ -334,7 +334,7 @@
 }
 
 fn is_ready(node: &Node) -> bool {
-    let leaving = node.leaving.get() && !has(Defect::ReadyWhileLeaving);
+    let leaving = node.leaving.get() && !is_injected(Defect::ReadyWhileLeaving);
     node.is_confirmed() && !leaving && node.in_force().table.is_some()
 }
 
@@ -346,7 +346,7 @@
         node.log_buffer.breach(
             "no quorum of the control state is heard of since the start: not ready, the configuration here may be old",
         );
-        if has(Defect::UnconfirmedReady) {
+        if is_injected(Defect::UnconfirmedReady) {
             node.informed.set(true);
         }
     }
--- a/crates/sparrouter-fleet/src/boot/fields.rs
+++ b/crates/sparrouter-fleet/src/process/settings/fields.rs
@@ -1,5 +1,5 @@
 //! Typed access to the fields of a settings file. Each field that is read is recorded for [`Fields::show`].
-use crate::boot::BootError;
+use crate::process::settings::BootError;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
--- a/crates/sparrouter-fleet/src/exchange.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange.rs
@@ -1,24 +1,24 @@
 //! One request of a client, from the route to the last byte: election, send, fallback, stream, resumption.
 mod admission;
-mod keys;
-mod memory;
-mod passing;
-mod speaking;
+mod api_key;
+mod attempt;
+mod prefix_lookup;
+mod relay;
 
-use crate::boot::nanos;
-use crate::events::Events;
-use crate::http::{Answer, Request};
-use crate::net::Stream;
 use crate::node::Node;
-use crate::planted::{Defect, has};
-use crate::upstream::Pool;
+use crate::platform::defects::{Defect, is_injected};
+use crate::platform::http::{Answer, Request};
+use crate::platform::net::Stream;
+use crate::process::settings::nanos;
+use crate::proxy::event_stream::Events;
+use crate::proxy::upstream::Pool;
 use admission::Counted;
+use attempt::Turn;
 use bytes::BytesMut;
-use passing::Passed;
+use relay::Passed;
 use sparrouter_config::{Route, RouteTable, Tenant};
 use sparrouter_http::reading;
 use sparrouter_routing::{Nanos, Prompt, RequestOutcome, ServerIndex};
-use speaking::Turn;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{ReadHalf, split};
@@ -89,8 +89,8 @@
         return Ended::Own(Answer::plain(404, "no route has this host and path"));
     };
     let key = fields.text("sparrouter-key");
-    if key.is_some() && !keys::may_go_by(node) {
-        return Ended::Own(keys::unconfirmed(node));
+    if key.is_some() && !api_key::may_go_by(node) {
+        return Ended::Own(api_key::unconfirmed(node));
     }
     let tenant = key.and_then(|key| table.tenant_of(key));
     if tenant.is_none() && !table.tenants.is_empty() && !route.public_access {
@@ -160,7 +160,7 @@
     let Some(departure) = node
         .departure
         .get()
-        .filter(|_| !has(Defect::TakenWhileLeaving))
+        .filter(|_| !is_injected(Defect::TakenWhileLeaving))
     else {
         return true;
     };
@@ -180,7 +180,7 @@
                 Err(_) if begun => return Ended::Closed,
                 Err(answer) => return Ended::Own(answer),
             };
-            let from_start = has(Defect::ResumedFromStart);
+            let from_start = is_injected(Defect::ResumedFromStart);
             let resumed = events.as_ref().filter(|_| !from_start);
             let last_id = resumed.and_then(|e| e.last_id().map(str::to_owned));
             self.tried.push(pick.server);
@@ -217,7 +217,7 @@
                 Turn::Unknown => {
                     guard.ending = RequestOutcome::Broke;
                     self.failed.push(pick.server);
-                    proved = has(Defect::SecondSend);
+                    proved = is_injected(Defect::SecondSend);
                 }
                 Turn::ClientGone => return Ended::Closed,
                 Turn::TimeUp if begun => return Ended::Closed,
--- a/crates/sparrouter-fleet/src/exchange/admission.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
@@ -1,9 +1,9 @@
 //! Whom a request goes to next: the winner of the election, those behind it where it would be late, or nobody.
 use super::{Exchange, time_is_over};
-use crate::boot::nanos;
-use crate::http::Answer;
-use crate::metrics::count;
-use crate::planted::{Defect, has};
+use crate::node::metrics::count;
+use crate::platform::defects::{Defect, is_injected};
+use crate::platform::http::Answer;
+use crate::process::settings::nanos;
 use sparrouter_routing::{Selection, SelectionError, SelectionRequest, ServerIndex};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -191,7 +191,7 @@
         let later = |ms: u64| Answer::later(self.node.jitter(Duration::from_millis(ms)));
         let gone = may_have_run();
         if again && !proved && !self.route.is_idempotent() {
-            return Err(if has(Defect::NeverRunPromiseBroken) {
+            return Err(if is_injected(Defect::NeverRunPromiseBroken) {
                 later(120)
             } else {
                 gone
@@ -199,7 +199,7 @@
         }
         let refused = || if proved { later(120) } else { gone.clone() };
         let most = self.route.max_attempts.max(1);
-        if again && self.sent >= most && !has(Defect::AttemptsUncounted) {
+        if again && self.sent >= most && !is_injected(Defect::AttemptsUncounted) {
             return Err(refused());
         }
         if Instant::now() >= self.until {
@@ -222,7 +222,7 @@
         }
         let pick = pick.map_err(|turned| match turned {
             SelectionError::NoneReady | SelectionError::NoServer
-                if has(Defect::NoServerNoRoute) =>
+                if is_injected(Defect::NoServerNoRoute) =>
             {
                 Answer::plain(404, "no route")
             }
--- a/crates/sparrouter-fleet/src/exchange/keys.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/api_key.rs
@@ -3,10 +3,10 @@
 //! A request is asked when it comes and again before each server that it goes to: it may have waited meanwhile, and a
 //! further server may be asked long after the first.
 use super::{Exchange, admission};
-use crate::http::Answer;
-use crate::metrics::count;
 use crate::node::Node;
-use crate::planted::{Defect, has};
+use crate::node::metrics::count;
+use crate::platform::defects::{Defect, is_injected};
+use crate::platform::http::Answer;
 use std::time::Duration;
 
 /// After so long a client that is refused for want of a confirmed configuration may ask another node.
@@ -25,7 +25,7 @@
 
 /// Whether requests with keys may go by what is in force here.
 pub(super) fn may_go_by(node: &Node) -> bool {
-    node.holds_configuration_lease() || has(Defect::LeaseUnasked)
+    node.holds_configuration_lease() || is_injected(Defect::LeaseUnasked)
 }
 
 /// The answer to a request that has not run, where the configuration here may be old.
@@ -51,7 +51,7 @@
             .table
             .as_deref()
             .is_some_and(|table| std::ptr::eq(table, self.table));
-        if is_same || has(Defect::RemovedKeyRetries) {
+        if is_same || is_injected(Defect::RemovedKeyRetries) {
             return KeyState::Good;
         }
         let key = self.request.head.fields.text("sparrouter-key");
--- a/crates/sparrouter-fleet/src/exchange/speaking.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/attempt.rs
@@ -1,12 +1,12 @@
 //! One server's turn: the request sent once, and the head of the answer that is its own.
 use super::admission::urgency;
-use super::keys::KeyState;
-use super::memory::Memory;
+use super::api_key::KeyState;
+use super::prefix_lookup::Memory;
 use super::{Exchange, left};
-use crate::metrics::count;
-use crate::net::Stream;
-use crate::planted::{Defect, has};
-use crate::upstream::{Sent, Upstream};
+use crate::node::metrics::count;
+use crate::platform::defects::{Defect, is_injected};
+use crate::platform::net::Stream;
+use crate::proxy::upstream::{Sent, Upstream};
 use bytes::{BufMut, Bytes, BytesMut};
 use sparrouter_config::RouteKind;
 use sparrouter_http::head::{self, Framing, ResponseHead};
@@ -78,7 +78,8 @@
         b"sparrouter-token-usage",
         b"sparrouter-prompt-prefix",
     ];
-    NAMES.iter().any(|n| name.eq_ignore_ascii_case(n)) && !has(Defect::ConnectionStripsFields)
+    NAMES.iter().any(|n| name.eq_ignore_ascii_case(n))
+        && !is_injected(Defect::ConnectionStripsFields)
 }
 
 impl Exchange<'_> {
@@ -101,7 +102,7 @@
             return Turn::Unsent;
         };
         let until = self.until;
-        if has(Defect::SentAfterClientLeft) {
+        if is_injected(Defect::SentAfterClientLeft) {
             return tokio::select! {
                 biased;
                 turn = self.speak(pick, &id, address, last_id, begun) => turn,
@@ -209,11 +210,16 @@
                 continue;
             }
             let other = head.fields.get("sparrouter-attempt-id") != attempt_id.as_ref();
-            if other && !has(Defect::ForeignAnswer) {
+            if other && !is_injected(Defect::ForeignAnswer) {
                 // An answer to an earlier request: its bytes belong to nobody. An answer that names an id is not that
                 // of a request without one either.
-                match crate::http::body(&mut link.stream, &mut link.buffer, head.framing, 1 << 20)
-                    .await
+                match crate::platform::http::body(
+                    &mut link.stream,
+                    &mut link.buffer,
+                    head.framing,
+                    1 << 20,
+                )
+                .await
                 {
                     Ok(Some(_)) if head.keep_alive => continue,
                     _ => return Turn::Unknown,
@@ -227,8 +233,12 @@
                 let id = self.instance(pick.server);
                 let status = head.status;
                 self.declined(pick, &head);
-                let whole =
-                    crate::http::body(&mut link.stream, &mut link.buffer, head.framing, 1 << 20);
+                let whole = crate::platform::http::body(
+                    &mut link.stream,
+                    &mut link.buffer,
+                    head.framing,
+                    1 << 20,
+                );
                 if let Ok(Some(_)) = whole.await {
                     self.pool.put(&id, link, &head);
                 }
@@ -240,7 +250,7 @@
                 return Turn::Unknown;
             }
             // Only a success goes on with a stream that the client already has the beginning of.
-            if begun && !success && !has(Defect::ErrorInStream) {
+            if begun && !success && !is_injected(Defect::ErrorInStream) {
                 return Turn::Unknown;
             }
             // A promise that only a server's own word for it could make.
@@ -305,7 +315,7 @@
 
     pub(super) fn declined(&self, pick: &Selection, head: &ResponseHead) {
         let now = self.node.now();
-        let jitter = crate::boot::nanos(self.node.jitter(Duration::from_millis(60)));
+        let jitter = crate::process::settings::nanos(self.node.jitter(Duration::from_millis(60)));
         if head.status == 421 {
             let other = head
                 .fields
@@ -378,7 +388,7 @@
             .as_millis()
             .max(1);
         field("Sparrouter-Deadline-Ms", &left.to_string());
-        if !has(Defect::InstanceUnnamed) {
+        if !is_injected(Defect::InstanceUnnamed) {
             field("Sparrouter-Expected-Instance", id);
         }
         if let Some(tenant) = self.tenant {
--- a/crates/sparrouter-fleet/src/exchange/passing.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/relay.rs
@@ -1,10 +1,10 @@
 //! An answer on its way to the client: piece by piece as it comes, whole events where it may be resumed.
-use super::speaking::hop_by_hop;
+use super::attempt::hop_by_hop;
 use super::{Exchange, left};
-use crate::events::Events;
-use crate::net::Stream;
-use crate::planted::{Defect, has};
-use crate::upstream::Upstream;
+use crate::platform::defects::{Defect, is_injected};
+use crate::platform::net::Stream;
+use crate::proxy::event_stream::Events;
+use crate::proxy::upstream::Upstream;
 use bytes::{BufMut, Bytes, BytesMut};
 use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
 use sparrouter_http::head::{Framing, ResponseHead};
@@ -158,18 +158,18 @@
                     Ok(()) => {}
                     Err(ReadError::Closed) if head.framing == Framing::ToEnd => body.ended = true,
                     Err(ReadError::Reset)
-                        if head.framing == Framing::ToEnd && has(Defect::ResetTakenAsEnd) =>
+                        if head.framing == Framing::ToEnd && is_injected(Defect::ResetTakenAsEnd) =>
                     {
                         body.ended = true;
                     }
-                    Err(_) if has(Defect::StreamClosedWhole) && length.is_none() => {
+                    Err(_) if is_injected(Defect::StreamClosedWhole) && length.is_none() => {
                         // Whether the client still hears it changes nothing.
                         let _ = to.write_all(b"0\r\n\r\n").await;
                         return Passed::Whole;
                     }
                     Err(_) => return Passed::Broke,
                 },
-                () = left(from, ahead), if !has(Defect::ClientUnwatched) => return Passed::ClientGone,
+                () = left(from, ahead), if !is_injected(Defect::ClientUnwatched) => return Passed::ClientGone,
                 () = tokio::time::sleep_until(self.until) => return Passed::TimeUp,
             }
         }
@@ -185,7 +185,7 @@
             format!(
                 "HTTP/1.1 {} {}\r\n",
                 head.status,
-                crate::http::reason(head.status)
+                crate::platform::http::reason(head.status)
             )
             .as_bytes(),
         );
--- a/crates/sparrouter-fleet/src/front.rs
+++ b/crates/sparrouter-fleet/src/proxy/frontend.rs
@@ -1,10 +1,10 @@
 //! The client edge: connections, one request at a time on each, limits of the configuration, an honest end.
-use crate::exchange::{self, Ended};
-use crate::http::{self, Answer, NoRequest, Room};
-use crate::net::{self, Listener, Stream};
 use crate::node::Node;
-use crate::planted::{Defect, has};
-use crate::upstream::Pool;
+use crate::platform::defects::{Defect, is_injected};
+use crate::platform::http::{self, Answer, NoRequest, Room};
+use crate::platform::net::{self, Listener, Stream};
+use crate::proxy::exchange::{self, Ended};
+use crate::proxy::upstream::Pool;
 use bytes::BytesMut;
 use sparrouter_http::reading;
 use std::rc::Rc;
@@ -58,7 +58,7 @@
         let (stream, _) = tokio::select! {
             biased;
             accepted = net::accept(&*door) => accepted,
-            _ = closing.wait_for(|s| *s >= Stage::Closing), if !has(Defect::TakenWhileLeaving) => return,
+            _ = closing.wait_for(|s| *s >= Stage::Closing), if !is_injected(Defect::TakenWhileLeaving) => return,
         };
         let (node, pool, stage) = (node.clone(), pool.clone(), stage.clone());
         spawn_local(async move {
@@ -116,7 +116,7 @@
                 return http::linger(stream).await;
             }
         };
-        let came = if has(Defect::DeadlineFromBody) {
+        let came = if is_injected(Defect::DeadlineFromBody) {
             Instant::now()
         } else {
             came
--- a/crates/sparrouter-fleet/src/weights/calls.rs
+++ b/crates/sparrouter-fleet/src/rollout/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to a server: what it runs, and the bytes of an answer.
-use crate::net::Net;
-use crate::upstream::{Sent, Upstream};
+use crate::platform::net::Net;
+use crate::proxy::upstream::{Sent, Upstream};
 use bytes::Bytes;
 use miniserde::{Deserialize, json};
 use sparrouter_http::head;
@@ -68,7 +68,7 @@
             .await
             .ok()?;
         let head = head::parse_response(&bytes).ok()?;
-        let body = crate::http::body(stream, buffer, head.framing, MOST_BODY_BYTES)
+        let body = crate::platform::http::body(stream, buffer, head.framing, MOST_BODY_BYTES)
             .await
             .ok()??;
         Some((head.status, body))
--- a/crates/sparrouter-fleet/src/weights/load.rs
+++ b/crates/sparrouter-fleet/src/rollout/load.rs
@@ -1,10 +1,10 @@
 //! One server taken to the newest weights: nothing new goes to it, one order a version, until it runs the newest.
 use super::calls::{Report, answer, report};
 use super::{DirectiveKind, FRESH, Held, RolloutTask};
-use crate::boot::nanos;
-use crate::metrics::count;
-use crate::planted::{Defect, has};
-use crate::upstream::{Sent, Upstream};
+use crate::node::metrics::count;
+use crate::platform::defects::{Defect, is_injected};
+use crate::process::settings::nanos;
+use crate::proxy::upstream::{Sent, Upstream};
 use bytes::Bytes;
 use sparrouter_membership::LifecycleState;
 use sparrouter_routing::Nanos;
@@ -223,7 +223,7 @@
             held.fencing_token
         );
         // Guards against a restarted server, or another one that has its address: both take an order without it.
-        let instance = if has(Defect::OrderUnnamed) {
+        let instance = if is_injected(Defect::OrderUnnamed) {
             String::new()
         } else {
             format!("Sparrouter-Expected-Instance: {id}\r\n")
--- a/crates/sparrouter-fleet/src/weights.rs
+++ b/crates/sparrouter-fleet/src/rollout/mod.rs
@@ -9,10 +9,10 @@
 mod choice;
 mod load;
 
-use crate::boot::nanos;
 use crate::control::{self, Control, LEASE_SHARDS, shard_of};
 use crate::node::Node;
-use crate::planted::{Defect, has};
+use crate::platform::defects::{Defect, is_injected};
+use crate::process::settings::nanos;
 use calls::CALL;
 use sparrouter_consensus::lease::{LeaseAnswer, LeaseChange, LeaseHolder};
 use sparrouter_membership::{MembershipDelta, ServerDirective};
@@ -150,7 +150,7 @@
     /// Takes the lease under a new fencing token, as a quorum confirms it. Neither the disk nor memory of an earlier
     /// process gives a token.
     async fn acquire(&self) {
-        if has(Defect::FenceFromDisk) && self.take_from_disk() {
+        if is_injected(Defect::FenceFromDisk) && self.take_from_disk() {
             return;
         }
         let span = nanos(self.lease());
@@ -248,7 +248,7 @@
 
     async fn renew(&self, held: Held) -> bool {
         let began = self.node.now();
-        if has(Defect::LeaseUnrenewed) || has(Defect::FenceFromDisk) {
+        if is_injected(Defect::LeaseUnrenewed) || is_injected(Defect::FenceFromDisk) {
             self.renewed.set(began);
             return true;
         }
--- a/crates/sparrouter-fleet/tests/boot.rs
+++ b/crates/sparrouter-fleet/tests/boot.rs
@@ -1,5 +1,5 @@
 //! Settings files: what is read, what is filled in, and how each error is reported.
-use sparrouter_fleet::boot::{Boot, BootError};
+use sparrouter_fleet::process::settings::{Boot, BootError};
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/sparrouter-fleet/tests/client.rs
+++ b/crates/sparrouter-fleet/tests/client.rs
@@ -6,7 +6,7 @@
 use sparrouter_fleet::client::commands::{self, Output};
 use sparrouter_fleet::client::fleet::Fleet;
 use sparrouter_fleet::client::{ClientError, Command, FleetCommand};
-use sparrouter_fleet::run::Role;
+use sparrouter_fleet::process::run::Role;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/sparrouter-fleet/tests/common/mod.rs
+++ b/crates/sparrouter-fleet/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A network in memory of scripted nodes, for tests of what calls them.
 #![allow(dead_code)] // Each test file is a program of its own and uses a part.
-use sparrouter_fleet::net::{Later, Listener, Net, Stream, Wire};
+use sparrouter_fleet::platform::net::{Later, Listener, Net, Stream, Wire};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::io;
--- a/crates/sparrouter-fleet/tests/configuration_format.rs
+++ b/crates/sparrouter-fleet/tests/configuration_format.rs
@@ -2,7 +2,7 @@
 use nanoserde::SerBin;
 use sparrouter_codec::{Blob, Seq};
 use sparrouter_consensus::{Applied, Machine};
-use sparrouter_fleet::configuration_state::{
+use sparrouter_fleet::control::configuration_state::{
     Change, ConfigurationMachine, ConfigurationState, FORM, NamedVersion, StateFormatError, Verdict,
 };
 
--- a/crates/sparrouter-fleet/tests/configuration_state.rs
+++ b/crates/sparrouter-fleet/tests/configuration_state.rs
@@ -2,7 +2,7 @@
 use nanoserde::SerBin;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Applied, Machine};
-use sparrouter_fleet::configuration_state::{
+use sparrouter_fleet::control::configuration_state::{
     Change, ConfigurationMachine, ConfigurationState, MOST_KNOWN_ORDERS, Verdict,
 };
 
--- a/crates/sparrouter-fleet/tests/endpoint.rs
+++ b/crates/sparrouter-fleet/tests/endpoint.rs
@@ -1,7 +1,7 @@
 //! The tree of handlers: which handler a request reaches, and what is not found.
 use bytes::Bytes;
-use sparrouter_fleet::endpoint::{self, Matcher};
-use sparrouter_fleet::http::{Answer, Request};
+use sparrouter_fleet::api::endpoint::{self, Matcher};
+use sparrouter_fleet::platform::http::{Answer, Request};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/sparrouter-fleet/tests/event_follower.rs
+++ b/crates/sparrouter-fleet/tests/event_follower.rs
@@ -1,5 +1,5 @@
 //! What is read from a server's or store's answer to the question for events.
-use sparrouter_fleet::event_follower::page;
+use sparrouter_fleet::prefix_cache::event_follower::page;
 use sparrouter_prefix_index::BlockChange;
 
 fn key(of: &str) -> u64 {
--- a/crates/sparrouter-fleet/tests/events.rs
+++ b/crates/sparrouter-fleet/tests/events.rs
@@ -1,5 +1,5 @@
 //! Streams cut into whole events, wherever their bytes are cut.
-use sparrouter_fleet::events::Events;
+use sparrouter_fleet::proxy::event_stream::Events;
 
 const STREAM: &str = "id: 1\ndata: one\n\nid: 2\r\ndata: two\r\n\r\n: a comment\n\nid:3\ndata: three\ndata: more\n\n";
 
--- a/crates/sparrouter-fleet/tests/http.rs
+++ b/crates/sparrouter-fleet/tests/http.rs
@@ -1,6 +1,6 @@
 //! Whole requests and answers over a pipe, in virtual time: limits, slow bytes, chunks, our own answers.
 use bytes::BytesMut;
-use sparrouter_fleet::http::{Answer, NoRequest, Request, Room, linger, request};
+use sparrouter_fleet::platform::http::{Answer, NoRequest, Request, Room, linger, request};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::time::{Instant, sleep};
--- a/crates/sparrouter-fleet/tests/log_buffer.rs
+++ b/crates/sparrouter-fleet/tests/log_buffer.rs
@@ -1,5 +1,5 @@
 //! The log: bounded, and written out when something goes wrong.
-use sparrouter_fleet::log_buffer::{LINES, LONGEST, LogBuffer, MOST_DUMPS};
+use sparrouter_fleet::process::log_buffer::{LINES, LONGEST, LogBuffer, MOST_DUMPS};
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
--- a/crates/sparrouter-fleet/tests/recorded_bytes.rs
+++ b/crates/sparrouter-fleet/tests/recorded_bytes.rs
@@ -3,10 +3,10 @@
 use nanoserde::{DeBin, SerBin};
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Applied, Machine};
-use sparrouter_fleet::configuration_state::{
+use sparrouter_fleet::control::configuration_state::{
     Change, ConfigurationMachine, ConfigurationState, NamedVersion, Verdict,
 };
-use sparrouter_fleet::wire::{
+use sparrouter_fleet::peer::messages::{
     Call, ConfigUpdate, ConfirmedRead, EditUpdate, KeptAt, ModelUpdate, PieceUpdate, Poll, Reply,
     TextUpdate, Update, VersionsUpdate,
 };
--- a/crates/sparrouter-fleet/tests/upstream.rs
+++ b/crates/sparrouter-fleet/tests/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to servers: what left of a request that broke off, early answers, and what may rest in the pool.
 use bytes::{Bytes, BytesMut};
-use sparrouter_fleet::net::{Later, Listener, Net, Stream, Wire};
-use sparrouter_fleet::upstream::{Pool, Sent, Upstream};
+use sparrouter_fleet::platform::net::{Later, Listener, Net, Stream, Wire};
+use sparrouter_fleet::proxy::upstream::{Pool, Sent, Upstream};
 use sparrouter_http::head::{self, ResponseHead};
 use sparrouter_http::reading;
 use std::cell::RefCell;
@@ -113,9 +113,14 @@
         .await
         .expect("a head");
     let head = head::parse_response(&bytes).expect("an answer");
-    sparrouter_fleet::http::body(&mut link.stream, &mut link.buffer, head.framing, 1 << 20)
-        .await
-        .expect("a whole body");
+    sparrouter_fleet::platform::http::body(
+        &mut link.stream,
+        &mut link.buffer,
+        head.framing,
+        1 << 20,
+    )
+    .await
+    .expect("a whole body");
     head
 }
 
@@ -281,7 +286,7 @@
 async fn given_a_real_socket_that_is_reset_in_a_body_when_sent_then_it_may_have_run() {
     for read in [1, HEAD.len(), 100_000] {
         let server = resets_after(read).await;
-        let link = Upstream::dial(&sparrouter_fleet::net::Sockets, server).await;
+        let link = Upstream::dial(&sparrouter_fleet::platform::net::Sockets, server).await;
         let mut link = link.expect("a connection");
         let body = Bytes::from(vec![b'x'; HUGE_BODY]);
         let sent = link.send(&Bytes::from_static(HEAD), &body).await;
@@ -294,7 +299,7 @@
 #[tokio::test]
 async fn given_a_real_socket_that_was_reset_before_when_sent_then_nothing_left() {
     let server = resets_after(0).await;
-    let link = Upstream::dial(&sparrouter_fleet::net::Sockets, server).await;
+    let link = Upstream::dial(&sparrouter_fleet::platform::net::Sockets, server).await;
     let mut link = link.expect("a connection");
     while link.is_silent() {
         tokio::task::yield_now().await;
--- a/crates/sparrouter-membership/src/rows.rs
+++ b/crates/sparrouter-membership/src/rows.rs
@@ -287,7 +287,7 @@
     }
 
     /// Overwrites a row, whatever is known: the mistake that `merge_server` guards against, planted for tests.
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-defects")]
     pub fn overwrite(&mut self, row: ServerRecord, now: Nanos) {
         let before = self.servers.get(&row.id).map(|k| k.revision);
         let revision = self.next(Key::Server(row.id.clone()), before, true);
--- a/crates/sparrouter-routing/src/election.rs
+++ b/crates/sparrouter-routing/src/election.rs
@@ -141,7 +141,7 @@
     }
 
     /// Overwrites a server's standing, whatever is known: the mistake that `sync` guards against, planted for tests.
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-defects")]
     pub fn overwrite(&mut self, id: &str, standing: LifecycleState) {
         if let Some(ix) = self.find(id) {
             self.update(ix, |server| server.standing = standing);
--- a/crates/sparrouter-routing/src/versions.rs
+++ b/crates/sparrouter-routing/src/versions.rs
@@ -125,7 +125,7 @@
     }
 
     /// Forgets the versions before this one with their limits: the mistake that `told` guards against, planted for tests.
-    #[cfg(feature = "planted")]
+    #[cfg(feature = "injected-defects")]
     pub fn forget_older(&mut self, model: &str, version: u64) {
         if let Some(named) = self.named.get_mut(model) {
             named.retain(|wanted| wanted.version >= version);
--- a/crates/sparrouter-simulation/examples/hunt.rs
+++ b/crates/sparrouter-simulation/examples/hunt.rs
@@ -7,9 +7,9 @@
 //! | `--all` | go on after a day with violations |
 //! | `--story` | print the log of each day, with each request |
 //! | `--shrink` | print a smallest day that still has a violation |
-//! | `--defect NAME` | plant a mistake first (`sparrouter_fleet::planted`) |
+//! | `--defect NAME` | plant a mistake first (`sparrouter_fleet::platform::defects`) |
 //! | `--planted` | plant each mistake in turn, and print after how many days it was found |
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::faults::{self, Day, Report};
 use sparrouter_simulation::scenario;
 use std::collections::BTreeSet;
@@ -41,7 +41,7 @@
 
 /// The first seed that finds a mistake, and the rules that were violated.
 fn first_found(defect: Defect, first: u64, days: u64) -> Option<(u64, String)> {
-    plant(Some(defect));
+    inject(Some(defect));
     let found = (first..first + days).find_map(|seed| {
         let Some(report) = played(&Day::drawn(seed)) else {
             return Some((seed, "the day could not be played to its end".to_owned()));
@@ -53,7 +53,7 @@
             .collect();
         (!rules.is_empty()).then(|| (seed, rules.into_iter().collect::<Vec<_>>().join(", ")))
     });
-    plant(None);
+    inject(None);
     // The day must have no violation without the mistake.
     let (seed, rules) = found?;
     if played(&Day::drawn(seed)).is_some_and(|sound| sound.breaches.is_empty()) {
@@ -88,12 +88,12 @@
         let took = began.elapsed().as_secs_f64();
         match found {
             Some((seed, rules)) if shrink => {
-                plant(Some(defect));
+                inject(Some(defect));
                 println!(
                     "{defect:?} from {seed} {}; then {rules}",
                     shrunk(&Day::drawn(seed))
                 );
-                plant(None);
+                inject(None);
             }
             Some((seed, rules)) => println!(
                 "| {defect:?} | {} | {took:.1} | {rules} |",
@@ -121,7 +121,7 @@
     if arguments.iter().any(|a| a == "--planted") {
         return table(first, days, named(&arguments), shrink);
     }
-    plant(named(&arguments));
+    inject(named(&arguments));
     let print_log = arguments.iter().any(|a| a == "--story");
     let go_on = arguments.iter().any(|a| a == "--all");
     let began = Instant::now();
--- a/crates/sparrouter-simulation/examples/order_storm.rs
+++ b/crates/sparrouter-simulation/examples/order_storm.rs
@@ -2,7 +2,7 @@
 //! `cargo run --release -p sparrouter-simulation --example order_storm -- FIRST COUNT [DEFECT]`.
 //!
 //! With DEFECT that mistake is planted, to see which seeds find it.
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::{order_storm, scenario};
 use std::process::ExitCode;
 use std::time::Instant;
@@ -24,7 +24,7 @@
             .find(|d| format!("{d:?}") == name);
         known.unwrap_or_else(|| panic!("no defect is called {name}: one of {:?}", Defect::ALL))
     });
-    plant(defect);
+    inject(defect);
     let began = Instant::now();
     let (mut calls, mut acknowledged, mut refused, mut unclear) = (0, 0, 0, 0);
     let mut broken = 0;
--- a/crates/sparrouter-simulation/src/client.rs
+++ b/crates/sparrouter-simulation/src/client.rs
@@ -9,7 +9,7 @@
 use crate::server::MODEL;
 use bytes::{Bytes, BytesMut};
 use fastrand::Rng;
-use sparrouter_fleet::net::Wire;
+use sparrouter_fleet::platform::net::Wire;
 use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
 use sparrouter_http::head::{self, Framing};
 use sparrouter_http::reading;
--- a/crates/sparrouter-simulation/src/connection.rs
+++ b/crates/sparrouter-simulation/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection: what is on its way in each direction, and the two ends that processes hold.
 use crate::fabric::{Fabric, UNACKNOWLEDGED};
 use bytes::{Buf, Bytes, BytesMut};
-use sparrouter_fleet::net::Wire;
+use sparrouter_fleet::platform::net::Wire;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::future::Future;
--- a/crates/sparrouter-simulation/src/contact_watch.rs
+++ b/crates/sparrouter-simulation/src/contact_watch.rs
@@ -4,8 +4,8 @@
 //! window before it was asked. Answers that took longer than a node would wait are left out, as a node leaves them out.
 use crate::net::MemoryNet;
 use crate::world::World;
-use sparrouter_fleet::links::Links;
-use sparrouter_fleet::wire::{Call, Poll, Reply, Update};
+use sparrouter_fleet::peer::links::Links;
+use sparrouter_fleet::peer::messages::{Call, Poll, Reply, Update};
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
--- a/crates/sparrouter-simulation/src/disk.rs
+++ b/crates/sparrouter-simulation/src/disk.rs
@@ -1,7 +1,9 @@
 //! A machine's simulated disk: it loses what was not synced, answers late in virtual time, stalls, fills up, or is lost.
 use fastrand::Rng;
-use sparrouter_fleet::disk::{DiskContents, DiskError, Keeper, Kept, Save, Saves, keep, open_with};
-use sparrouter_fleet::log_buffer::LogBuffer;
+use sparrouter_fleet::control::disk::{
+    DiskContents, DiskError, Keeper, Kept, Save, Saves, keep, open_with,
+};
+use sparrouter_fleet::process::log_buffer::LogBuffer;
 use sparrouter_storage::{SimulatedFiles, Store};
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/sparrouter-simulation/src/http_messages.rs
+++ b/crates/sparrouter-simulation/src/http_messages.rs
@@ -4,7 +4,7 @@
 use crate::connection::End;
 use crate::net::MemoryNet;
 use bytes::{Bytes, BytesMut};
-use sparrouter_fleet::http;
+use sparrouter_fleet::platform::http;
 use sparrouter_http::head::{self, RequestHead, ResponseHead};
 use sparrouter_http::reading;
 use std::net::SocketAddr;
--- a/crates/sparrouter-simulation/src/net.rs
+++ b/crates/sparrouter-simulation/src/net.rs
@@ -3,7 +3,7 @@
 
 use crate::connection::End;
 use crate::fabric::Fabric;
-use sparrouter_fleet::net::{Later, Listener, Net, Stream};
+use sparrouter_fleet::platform::net::{Later, Listener, Net, Stream};
 use std::cell::RefCell;
 use std::future::poll_fn;
 use std::io;
--- a/crates/sparrouter-simulation/src/node_work.rs
+++ b/crates/sparrouter-simulation/src/node_work.rs
@@ -6,12 +6,12 @@
 use crate::plan::Plan;
 use crate::scenario;
 use crate::world::first_plan;
-use sparrouter_fleet::boot::Boot;
-use sparrouter_fleet::event_follower;
-use sparrouter_fleet::log_buffer::LogBuffer;
-use sparrouter_fleet::net::{Later, Listener, Net, Stream};
 use sparrouter_fleet::node::Node;
-use sparrouter_fleet::wire::{ConfigUpdate, TextUpdate};
+use sparrouter_fleet::peer::messages::{ConfigUpdate, TextUpdate};
+use sparrouter_fleet::platform::net::{Later, Listener, Net, Stream};
+use sparrouter_fleet::prefix_cache::event_follower;
+use sparrouter_fleet::process::log_buffer::LogBuffer;
+use sparrouter_fleet::process::settings::Boot;
 use sparrouter_membership::{MembershipDelta, NodeRecord, ServerRecord};
 use sparrouter_prefix_index::{BlockChange, EventPage, Source};
 use sparrouter_routing::SelectionRequest;
--- a/crates/sparrouter-simulation/src/world/machines.rs
+++ b/crates/sparrouter-simulation/src/world/machines.rs
@@ -4,9 +4,9 @@
 use crate::net::MemoryNet;
 use crate::process::SimulatedProcess;
 use fastrand::Rng;
-use sparrouter_fleet::boot::Boot;
-use sparrouter_fleet::log_buffer::LogBuffer;
-use sparrouter_fleet::run::{Order, Role, serve};
+use sparrouter_fleet::process::log_buffer::LogBuffer;
+use sparrouter_fleet::process::run::{Order, Role, serve};
+use sparrouter_fleet::process::settings::Boot;
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
 use std::rc::Rc;
@@ -91,7 +91,7 @@
         machine.process = Some(SimulatedProcess::start(async move {
             let open = move |_: Option<&Path>, log_buffer: &LogBuffer, rng: &mut Rng| match &disk {
                 Some(disk) => disk.stock(log_buffer, rng),
-                None => Ok(sparrouter_fleet::disk::DiskContents::empty(rng)),
+                None => Ok(sparrouter_fleet::control::disk::DiskContents::empty(rng)),
             };
             let rng = rng.fork();
             if let Err(why) = serve(Role::Proxy, boot, open, log_buffer, net, rng, orders).await {
--- a/crates/sparrouter-simulation/tests/calls.rs
+++ b/crates/sparrouter-simulation/tests/calls.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use scripted::{Act, Ask, Got, Servers, answer, declined, success};
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::scenario::play;
 use std::rc::Rc;
 use std::time::Duration;
@@ -51,9 +51,9 @@
 
 /// Whether a story's check fails under a planted mistake.
 fn fails(defect: Defect, story: impl FnOnce() -> bool) -> bool {
-    plant(Some(defect));
+    inject(Some(defect));
     let kept = story();
-    plant(None);
+    inject(None);
     !kept
 }
 
--- a/crates/sparrouter-simulation/tests/edge.rs
+++ b/crates/sparrouter-simulation/tests/edge.rs
@@ -3,7 +3,7 @@
 mod scripted;
 
 use scripted::{Act, Ask, Servers};
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::http_messages;
 use sparrouter_simulation::scenario::play;
 use sparrouter_simulation::world::{Terms, World};
@@ -118,9 +118,9 @@
 #[test]
 fn given_all_machines_told_to_end_when_four_seconds_have_gone_then_none_is_ready() {
     assert!(none_is_ready_while_leaving());
-    plant(Some(Defect::ReadyWhileLeaving));
+    inject(Some(Defect::ReadyWhileLeaving));
     let kept = none_is_ready_while_leaving();
-    plant(None);
+    inject(None);
     assert!(!kept);
 }
 
--- a/crates/sparrouter-simulation/tests/edits.rs
+++ b/crates/sparrouter-simulation/tests/edits.rs
@@ -1,9 +1,9 @@
 //! Configurations told as changes of their text: whoever can't use one is told the whole, and all end with the same.
-use sparrouter_fleet::boot::Boot;
-use sparrouter_fleet::log_buffer::LogBuffer;
-use sparrouter_fleet::net::Sockets;
 use sparrouter_fleet::node::Node;
-use sparrouter_fleet::wire::{ConfigUpdate, TextUpdate};
+use sparrouter_fleet::peer::messages::{ConfigUpdate, TextUpdate};
+use sparrouter_fleet::platform::net::Sockets;
+use sparrouter_fleet::process::log_buffer::LogBuffer;
+use sparrouter_fleet::process::settings::Boot;
 use sparrouter_simulation::http_messages;
 use sparrouter_simulation::load;
 use sparrouter_simulation::plan::{Kind, Plan, Route};
--- a/crates/sparrouter-simulation/tests/lease_restart.rs
+++ b/crates/sparrouter-simulation/tests/lease_restart.rs
@@ -1,5 +1,5 @@
 //! A lease holder that starts anew over an old disk: it orders nothing under a fencing token that was replaced.
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::judge::Bounds;
 use sparrouter_simulation::scenario::play;
 use sparrouter_simulation::world::{Terms, World};
@@ -58,9 +58,9 @@
 
 #[test]
 fn given_a_token_taken_from_the_disk_then_an_order_under_a_lower_one_is_found() {
-    plant(Some(Defect::FenceFromDisk));
+    inject(Some(Defect::FenceFromDisk));
     let broken: Vec<String> = SEEDS.flat_map(|seed| play(breaches(seed))).collect();
-    plant(None);
+    inject(None);
     let found = broken.iter().any(|b| b.contains("lower than before"));
     assert!(found, "{broken:?}");
 }
@@ -99,10 +99,10 @@
 
 #[test]
 fn given_a_lease_that_is_believed_without_renewal_then_an_order_after_a_freeze_is_found() {
-    plant(Some(Defect::LeaseUnrenewed));
+    inject(Some(Defect::LeaseUnrenewed));
     let broken: Vec<String> = SEEDS
         .flat_map(|seed| play(breaches_after_a_freeze(seed)))
         .collect();
-    plant(None);
+    inject(None);
     assert!(broken.iter().any(|b| b.contains("ONE")), "{broken:?}");
 }
--- a/crates/sparrouter-simulation/tests/leaving.rs
+++ b/crates/sparrouter-simulation/tests/leaving.rs
@@ -1,6 +1,6 @@
 //! SIGTERM: what was taken is answered, what is not taken is told so at once, at every moment of a departure.
 use bytes::BytesMut;
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_http::head;
 use sparrouter_http::reading;
 use sparrouter_simulation::client::{Client, ClientRequest, RequestOutcome};
@@ -79,13 +79,13 @@
 
 #[test]
 fn given_a_process_that_takes_whatever_comes_while_it_leaves_then_the_loss_is_found() {
-    plant(Some(Defect::TakenWhileLeaving));
+    inject(Some(Defect::TakenWhileLeaving));
     let breaches = play(async {
         let world = World::serving(Terms::seeded(300)).await;
         long_requests_through_a_departure(&world, "edge-0").await;
         world.judge.breaches()
     });
-    plant(None);
+    inject(None);
     assert!(breaches.iter().any(|b| b.contains("LOST")), "{breaches:?}");
 }
 
--- a/crates/sparrouter-simulation/tests/links.rs
+++ b/crates/sparrouter-simulation/tests/links.rs
@@ -4,10 +4,10 @@
 
 use common::Wired;
 use nanoserde::{DeBin, SerBin};
-use sparrouter_fleet::links::{LinkError, Links};
-use sparrouter_fleet::net::{Later, Listener, Net, Stream};
-use sparrouter_fleet::planted::{Defect, plant};
-use sparrouter_fleet::wire::{Call, HELLO, MAX_FRAME, Reply};
+use sparrouter_fleet::peer::links::{LinkError, Links};
+use sparrouter_fleet::peer::messages::{Call, HELLO, MAX_FRAME, Reply};
+use sparrouter_fleet::platform::defects::{Defect, inject};
+use sparrouter_fleet::platform::net::{Later, Listener, Net, Stream};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -146,7 +146,7 @@
 #[test]
 fn given_call_ids_that_are_used_again_when_an_answer_is_late_then_a_later_call_gets_it() {
     tell(|mut story| async move {
-        plant(Some(Defect::CallIdReused));
+        inject(Some(Defect::CallIdReused));
         let first = story.call(1);
         let mut peer = story.connection().await;
         let (old, _) = peer.next().await;
@@ -155,7 +155,7 @@
         peer.next().await;
         peer.answer(old, 1).await;
         assert_eq!(number(second).await, Ok(1));
-        plant(None);
+        inject(None);
     });
 }
 
--- a/crates/sparrouter-simulation/tests/lost_race.rs
+++ b/crates/sparrouter-simulation/tests/lost_race.rs
@@ -1,6 +1,6 @@
 //! A change that one machine alone accepted, and that lost its slot to another: it is in force nowhere, also not at that
 //! machine once it starts anew over its disk.
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::fabric::Cut;
 use sparrouter_simulation::http_messages;
 use sparrouter_simulation::plan::{Kind, Plan, Route};
@@ -97,10 +97,10 @@
 
 #[test]
 fn given_what_the_disk_has_accepted_put_in_force_at_the_start_then_the_difference_is_found() {
-    plant(Some(Defect::LostRaceInForce));
+    inject(Some(Defect::LostRaceInForce));
     let found = (4_950..)
         .zip(CORE)
         .any(|(seed, alone)| !play(all_have_the_same(seed, alone)));
-    plant(None);
+    inject(None);
     assert!(found);
 }
--- a/crates/sparrouter-simulation/tests/many_changes.rs
+++ b/crates/sparrouter-simulation/tests/many_changes.rs
@@ -2,8 +2,8 @@
 //! ends with the newest state on disk soon after, none answers with an older one, and bytes stay within bounds.
 use fastrand::Rng;
 use sparrouter_consensus::{Record, Settings};
-use sparrouter_fleet::configuration_state::ConfigurationState;
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::control::configuration_state::ConfigurationState;
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::fabric::Cut;
 use sparrouter_simulation::http_messages;
 use sparrouter_simulation::plan::{Kind, Plan, Route, Tenant};
@@ -257,8 +257,8 @@
 fn given_members_that_do_not_compare_what_they_have_then_a_short_day_finds_it() {
     let day = || play(day_of_many_changes(497, 14 * SPELL));
     day().judge.assert_kept();
-    plant(Some(Defect::ExchangeSilent));
+    inject(Some(Defect::ExchangeSilent));
     let broken = catch_unwind(AssertUnwindSafe(day)).is_err();
-    plant(None);
+    inject(None);
     assert!(broken);
 }
--- a/crates/sparrouter-simulation/tests/narrow_lines.rs
+++ b/crates/sparrouter-simulation/tests/narrow_lines.rs
@@ -1,6 +1,6 @@
 //! A configuration of 500 KB where each machine's line carries 10 Mbit/s: nodes that start anew, several at once, get it
 //! soon and not again and again.
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::plan::Tenant;
 use sparrouter_simulation::scenario::play;
 use sparrouter_simulation::world::{Terms, World, first_plan};
@@ -75,8 +75,8 @@
 
 #[test]
 fn given_answers_given_up_while_they_come_in_then_nodes_that_ask_again_and_again_are_found() {
-    plant(Some(Defect::PatienceUnmoved));
+    inject(Some(Defect::PatienceUnmoved));
     let (took, copies) = play_restart(12);
-    plant(None);
+    inject(None);
     assert!(took > Duration::from_secs(5) || copies > 2.5 * 12.0);
 }
--- a/crates/sparrouter-simulation/tests/older_state.rs
+++ b/crates/sparrouter-simulation/tests/older_state.rs
@@ -2,7 +2,7 @@
 use nanoserde::SerBin;
 use sparrouter_codec::Seq;
 use sparrouter_consensus::{Record, SharedVote, Vote};
-use sparrouter_fleet::configuration_state::{ConfigurationState, FORM, NamedVersion};
+use sparrouter_fleet::control::configuration_state::{ConfigurationState, FORM, NamedVersion};
 use sparrouter_simulation::operator::{How, Order};
 use sparrouter_simulation::plan::{Kind, Plan, Route};
 use sparrouter_simulation::scenario::run_judged;
--- a/crates/sparrouter-simulation/tests/outliers.rs
+++ b/crates/sparrouter-simulation/tests/outliers.rs
@@ -1,6 +1,6 @@
 //! Servers that fail requests while their health check is good: others come first on all nodes, and no longer than the
 //! fault lasts.
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::load;
 use sparrouter_simulation::scenario::play;
 use sparrouter_simulation::server::Faults;
@@ -60,9 +60,9 @@
         assert!(during > 0.96, "seed {seed}: {during:.3}");
         assert!(after > 0.99, "seed {seed}: {after:.3}");
     }
-    plant(Some(Defect::OutlierUntold));
+    inject(Some(Defect::OutlierUntold));
     let (during, _) = play(shares_served(800, 1));
-    plant(None);
+    inject(None);
     assert!(during < 0.93, "the mistake is not found: {during:.3}");
 }
 
--- a/crates/sparrouter-simulation/tests/planted.rs
+++ b/crates/sparrouter-simulation/tests/planted.rs
@@ -1,6 +1,6 @@
 //! Each planted mistake is found by a fixed day, of which only what it takes is played; the long hunt is the example
 //! `hunt`, and its `--planted --shrink` gives these days.
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::faults::{self, Day};
 use sparrouter_simulation::scenario::play;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -9,14 +9,14 @@
 const TRIES: usize = 3;
 
 fn is_found(defect: Defect, seed: u64, places: &[usize], closing: bool) -> bool {
-    plant(Some(defect));
+    inject(Some(defect));
     let day = Day::drawn(seed).only(places, closing);
     let found = (0..TRIES).any(|_| {
         // A core may notice it itself, by an assertion without which the story cannot go on.
         let played = catch_unwind(AssertUnwindSafe(|| play(faults::play(&day))));
         played.map_or(true, |report| !report.breaches.is_empty())
     });
-    plant(None);
+    inject(None);
     found
 }
 
--- a/crates/sparrouter-simulation/tests/planted_directed.rs
+++ b/crates/sparrouter-simulation/tests/planted_directed.rs
@@ -1,6 +1,6 @@
 //! Planted mistakes that no drawn day finds, each brought about step by step: the scenario breaks a rule with the mistake
 //! and keeps them all without.
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::client::{ClientRequest, RequestOutcome};
 use sparrouter_simulation::fabric::Cut;
 use sparrouter_simulation::http_messages::call;
@@ -61,12 +61,12 @@
     defect: Option<Defect>,
     scenario: impl FnOnce() -> F,
 ) -> Vec<String> {
-    plant(defect);
+    inject(defect);
     // A register may notice it itself, by an assertion without which the scenario cannot go on.
     let played = catch_unwind(AssertUnwindSafe(|| {
         play(async { scenario().await.judge.breaches() })
     }));
-    plant(None);
+    inject(None);
     played.unwrap_or_else(|_| vec!["an assertion of the register".to_owned()])
 }
 
--- a/crates/sparrouter-simulation/tests/planted_orders.rs
+++ b/crates/sparrouter-simulation/tests/planted_orders.rs
@@ -2,10 +2,10 @@
 use nanoserde::SerBin;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Applied, Machine};
-use sparrouter_fleet::configuration_state::{
+use sparrouter_fleet::control::configuration_state::{
     Change, ConfigurationMachine, MOST_KNOWN_ORDERS, Verdict,
 };
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::operator::{How, Order};
 use sparrouter_simulation::plan::{Kind, Plan, Route};
 use sparrouter_simulation::scenario::play;
@@ -36,9 +36,9 @@
 
 fn assert_found<F: Future<Output = Rc<World>>>(defect: Defect, story: fn() -> F) {
     assert_eq!(violation(story), Vec::<String>::new(), "without a defect");
-    plant(Some(defect));
+    inject(Some(defect));
     let found = violation(story);
-    plant(None);
+    inject(None);
     assert!(
         found.iter().any(|b| b.starts_with("LINEAR")),
         "{defect:?} is not found: {found:?}"
@@ -174,8 +174,8 @@
         assert_eq!(judge(&order(number)), 200);
     }
     assert_eq!(judge(&order(1)), 504);
-    plant(Some(Defect::OldOrderRefused));
+    inject(Some(Defect::OldOrderRefused));
     let refused = judge(&order(1));
-    plant(None);
+    inject(None);
     assert_eq!(refused, 412, "the mistake refuses an order that was taken");
 }
--- a/crates/sparrouter-simulation/tests/quorum_contact.rs
+++ b/crates/sparrouter-simulation/tests/quorum_contact.rs
@@ -1,12 +1,12 @@
 //! Quorum contact: what a core machine that is cut off, frozen or only just back claims, hands out and answers.
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Action, Leases, Member, Outcome, Record, Register, Settings};
-use sparrouter_fleet::configuration_state::Change;
+use sparrouter_fleet::control::configuration_state::Change;
 use sparrouter_fleet::control::quorum_contact::QuorumContact;
 use sparrouter_fleet::control::{CONFIG, encode};
-use sparrouter_fleet::planted::{Defect, plant};
-use sparrouter_fleet::polls::is_timely;
-use sparrouter_fleet::wire::{self, Call};
+use sparrouter_fleet::membership::polls::is_timely;
+use sparrouter_fleet::peer::messages::{self, Call};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_membership::MembershipDelta;
 use sparrouter_simulation::contact_watch::{
     CLOSELY, CONTACT_WINDOW, Caller, ContactWatch, internal_of,
@@ -48,11 +48,11 @@
 
 /// Whether a scenario shows the planted mistake, by a breach or by an assertion.
 fn is_found<F: Future<Output = Rc<World>>>(defect: Defect, scenario: impl FnOnce() -> F) -> bool {
-    plant(Some(defect));
+    inject(Some(defect));
     let played = catch_unwind(AssertUnwindSafe(|| {
         play(async move { scenario().await.judge.breaches() })
     }));
-    plant(None);
+    inject(None);
     played.map_or(true, |breaches| !breaches.is_empty())
 }
 
@@ -120,9 +120,9 @@
 #[test]
 fn given_mistakes_planted_in_the_decision_then_the_model_finds_them() {
     for defect in [Defect::ContactNeverLost, Defect::LateAnswerConfirms] {
-        plant(Some(defect));
+        inject(Some(defect));
         let found = (0..5_000).any(|seed| !agrees_with_model(seed));
-        plant(None);
+        inject(None);
         assert!(found, "{defect:?}");
     }
 }
@@ -513,9 +513,9 @@
         !after(0) || !after(1_700) || after(1_701) || after(20_000)
     };
     assert!(!found());
-    plant(Some(Defect::StaleAnswerInforms));
+    inject(Some(Defect::StaleAnswerInforms));
     let planted = found();
-    plant(None);
+    inject(None);
     assert!(planted);
 }
 
@@ -697,7 +697,7 @@
     let notify = Call::Notify(MembershipDelta::default());
     let reply = caller.call(to, &notify, patience).await;
     assert!(
-        matches!(reply, Some(wire::Reply::No(_))),
+        matches!(reply, Some(messages::Reply::No(_))),
         "notify: {reply:?}"
     );
     let change = Call::Change {
@@ -707,7 +707,7 @@
     };
     let reply = caller.call(to, &change, patience).await;
     assert!(
-        matches!(reply, Some(wire::Reply::NotChanged(_))),
+        matches!(reply, Some(messages::Reply::NotChanged(_))),
         "change: {reply:?}"
     );
 }
--- a/crates/sparrouter-simulation/tests/reconfiguration.rs
+++ b/crates/sparrouter-simulation/tests/reconfiguration.rs
@@ -5,7 +5,7 @@
 use sparrouter_consensus::Member;
 use sparrouter_consensus::owner::ranked;
 use sparrouter_fleet::control::CONFIG;
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::fabric::Cut;
 use sparrouter_simulation::scenario::{heed_panics, panics, play, run_judged};
 use sparrouter_simulation::world::{Terms, World, ZONES, first_plan};
@@ -186,11 +186,11 @@
 /// What a planted mistake breaks on a day, with the assertions of the program that failed.
 fn breaches<F: Future<Output = Rc<World>>>(defect: Defect, day: impl FnOnce() -> F) -> Vec<String> {
     heed_panics();
-    plant(Some(defect));
+    inject(Some(defect));
     let played = catch_unwind(AssertUnwindSafe(|| {
         play(async { day().await.judge.breaches() })
     }));
-    plant(None);
+    inject(None);
     let mut found = panics();
     found.extend(played.unwrap_or_default());
     found
--- a/crates/sparrouter-simulation/tests/revocation.rs
+++ b/crates/sparrouter-simulation/tests/revocation.rs
@@ -1,5 +1,5 @@
 //! Strict revocation: on no machine, in touch or not, does anything run that was sent long after its key was removed.
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::client::{ClientRequest, RequestOutcome};
 use sparrouter_simulation::fabric::Cut;
 use sparrouter_simulation::judge::Bounds;
@@ -165,9 +165,9 @@
     defect: Defect,
     story: impl FnOnce() -> F,
 ) -> Vec<String> {
-    plant(Some(defect));
+    inject(Some(defect));
     let broken = play(async { story().await.judge.breaches() });
-    plant(None);
+    inject(None);
     broken
 }
 
@@ -275,8 +275,8 @@
 fn given_a_key_removed_while_a_request_hangs_when_its_server_crashes_then_it_goes_to_no_other() {
     let count = || play(runs_of_a_request_whose_key_is_removed(750));
     assert_eq!(count(), 1);
-    plant(Some(Defect::RemovedKeyRetries));
+    inject(Some(Defect::RemovedKeyRetries));
     let with_the_mistake = count();
-    plant(None);
+    inject(None);
     assert_eq!(with_the_mistake, 2);
 }
--- a/crates/sparrouter-simulation/tests/scripted/mod.rs
+++ b/crates/sparrouter-simulation/tests/scripted/mod.rs
@@ -1,7 +1,7 @@
 //! Servers and clients that do exactly what a test says, in a world of real nodes.
 #![allow(dead_code)] // Each test file is a program of its own and uses a part.
 use bytes::{Bytes, BytesMut};
-use sparrouter_fleet::http;
+use sparrouter_fleet::platform::http;
 use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
 use sparrouter_http::head::{self, RequestHead};
 use sparrouter_http::reading::{self, ReadError};
--- a/crates/sparrouter-simulation/tests/server_orders.rs
+++ b/crates/sparrouter-simulation/tests/server_orders.rs
@@ -2,7 +2,7 @@
 mod scripted;
 
 use scripted::{Act, Heard, Servers, answer, id_of};
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_http::head::RequestHead;
 use sparrouter_simulation::scenario::play;
 use sparrouter_simulation::server::MODEL;
@@ -61,9 +61,9 @@
 #[test]
 fn given_new_weights_then_each_order_names_the_server_that_it_is_for() {
     assert!(orders_name_their_server());
-    plant(Some(Defect::OrderUnnamed));
+    inject(Some(Defect::OrderUnnamed));
     let named = orders_name_their_server();
-    plant(None);
+    inject(None);
     assert!(!named);
 }
 
--- a/crates/sparrouter-simulation/tests/state_files.rs
+++ b/crates/sparrouter-simulation/tests/state_files.rs
@@ -2,10 +2,10 @@
 use fastrand::Rng;
 use sparrouter_consensus::lease::Lease;
 use sparrouter_consensus::{Record, Settings};
-use sparrouter_fleet::configuration_state::ConfigurationState;
-use sparrouter_fleet::disk::{DiskContents, DiskError, Keeper, Saves, open_with};
-use sparrouter_fleet::log_buffer::LogBuffer;
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::control::configuration_state::ConfigurationState;
+use sparrouter_fleet::control::disk::{DiskContents, DiskError, Keeper, Saves, open_with};
+use sparrouter_fleet::platform::defects::{Defect, inject};
+use sparrouter_fleet::process::log_buffer::LogBuffer;
 use sparrouter_membership::MembershipDelta;
 use sparrouter_storage::{Files, SimulatedFiles, Store, frame};
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
 impl Keeper for NoKeeper {
     fn begin(
         self: Box<Self>,
-        _: tokio::sync::mpsc::UnboundedSender<sparrouter_fleet::disk::Kept>,
+        _: tokio::sync::mpsc::UnboundedSender<sparrouter_fleet::control::disk::Kept>,
     ) -> Saves {
         Box::new(|_| ())
     }
@@ -168,10 +168,10 @@
 
 #[test]
 fn given_a_folder_of_a_newer_release_that_is_emptied_then_these_tests_find_it() {
-    plant(Some(Defect::NewerFolderEmptied));
+    inject(Some(Defect::NewerFolderEmptied));
     let files = with_record(CONFIGURATION, |r| r[0] += 1);
     let refused = is_refused(&files);
-    plant(None);
+    inject(None);
     assert!(!refused);
 }
 
@@ -211,10 +211,10 @@
 
 #[test]
 fn given_a_record_that_counts_as_none_under_the_old_disk_then_these_tests_find_it() {
-    plant(Some(Defect::RecordForgotten));
+    inject(Some(Defect::RecordForgotten));
     let cut = with_record(CONFIGURATION, |r| r.truncate(r.len() - 1));
     let joins = joins_as_new(&cut);
-    plant(None);
+    inject(None);
     assert!(!joins);
 }
 
--- a/crates/sparrouter-simulation/tests/versions.rs
+++ b/crates/sparrouter-simulation/tests/versions.rs
@@ -1,7 +1,7 @@
 //! Time limits of versions of weights: each version has its own, which neither a later version, nor the start of a process,
 //! nor a quiet core moves. Each guard is shown by a mistake that takes it out.
 use fastrand::Rng;
-use sparrouter_fleet::planted::{Defect, plant};
+use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::judge::Bounds;
 use sparrouter_simulation::load;
 use sparrouter_simulation::scenario::{play, run_judged};
@@ -91,9 +91,9 @@
 ) -> Vec<String> {
     let mut all = Vec::new();
     for seed in seeds {
-        plant(Some(defect));
+        inject(Some(defect));
         let broken = play(async { scenario(seed).await.judge.breaches() });
-        plant(None);
+        inject(None);
         all.extend(broken);
     }
     all
