--- a/crates/sparrouter-fleet/tests/listening.rs
+++ b/crates/sparrouter-fleet/tests/listening.rs
@@ -46,12 +46,12 @@
     let state = grown_group();
     let (mut reconfiguration, mut listening) = (Reconfiguration::default(), Listening::default());
     let mut decide = |now: Nanos, heard_at: [(u64, Nanos); 3]| {
-        listening.look(CONTACT, now);
+        listening.observe(CONTACT, now);
         let observation = |(disk, at): (u64, Nanos)| NodeObservation {
             member: member(disk),
             counts_toward_quorum: true,
             since_last_contact: Some(match judges {
-                Judges::ByListening => listening.silence(at, now),
+                Judges::ByListening => listening.unresponsive_for(at, now),
                 Judges::ByLastWord => now - at,
             }),
             leaving: false,
--- a/crates/sparrouter-fleet/tests/log_buffer.rs
+++ b/crates/sparrouter-fleet/tests/log_buffer.rs
@@ -1,5 +1,5 @@
 //! The log: bounded, and written out when something goes wrong.
-use sparrouter_fleet::process::log_buffer::{LINES, LONGEST, LogBuffer, MOST_DUMPS};
+use sparrouter_fleet::process::log_buffer::{LINES, LONGEST, LogBuffer, MAX_DUMPS};
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
@@ -95,7 +95,7 @@
         text.lines()
             .filter(|l| l.starts_with("sparrouter: "))
             .count(),
-        MOST_DUMPS as usize
+        MAX_DUMPS as usize
     );
     assert!(
         text.lines()
--- a/crates/sparrouter-fleet/tests/order_answers.rs
+++ b/crates/sparrouter-fleet/tests/order_answers.rs
@@ -4,7 +4,7 @@
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Applied, Machine};
 use sparrouter_fleet::control::configuration_state::{
-    Change, ConfigurationMachine, ConfigurationState, MOST_KNOWN_ORDERS, Verdict,
+    Change, ConfigurationMachine, ConfigurationState, MAX_KNOWN_ORDERS, Verdict,
 };
 
 #[derive(Clone, Copy, Debug)]
@@ -117,7 +117,7 @@
         let mut shard = Shard::begun();
         let sent = order(method, 5, 8, "a");
         shard.submit(&sent);
-        for changes in [1, 255, 256, MOST_KNOWN_ORDERS - 513] {
+        for changes in [1, 255, 256, MAX_KNOWN_ORDERS - 513] {
             shard.overtake(changes);
             assert_eq!(
                 shard.unchanged(&sent),
@@ -135,7 +135,7 @@
         let mut shard = Shard::begun();
         let (taken, lost) = (order(method, 5, 8, "a"), order(method, 5, 8, "b"));
         shard.submit(&taken);
-        shard.overtake(MOST_KNOWN_ORDERS);
+        shard.overtake(MAX_KNOWN_ORDERS);
         for sent in [&taken, &lost] {
             let before = shard.0.clone();
             let verdict = shard.judge(sent);
--- a/crates/sparrouter-fleet/tests/recorded_bytes.rs
+++ b/crates/sparrouter-fleet/tests/recorded_bytes.rs
@@ -7,8 +7,8 @@
     Change, ConfigurationMachine, ConfigurationState, NamedVersion, Verdict,
 };
 use sparrouter_fleet::peer::messages::{
-    Call, ConfigUpdate, ConfirmedRead, EditUpdate, KeptAt, ModelUpdate, PieceUpdate, Poll, Reply,
-    TextUpdate, Update, VersionsUpdate,
+    CachedBlock, Call, ConfigUpdate, ConfirmedRead, EditUpdate, HunkUpdate, ModelUpdate, Poll,
+    Reply, TextUpdate, Update, VersionsUpdate,
 };
 use sparrouter_membership::{
     LifecycleState, LoadedModel, MembershipDelta, NodeRecord, ServerDirective, ServerRecord,
@@ -85,7 +85,7 @@
 
 fn config(text: TextUpdate) -> ConfigUpdate {
     ConfigUpdate {
-        seq: 41,
+        slot: 41,
         version: 7,
         text,
         versions: VersionsUpdate {
@@ -96,7 +96,7 @@
 }
 
 fn edits() -> TextUpdate {
-    let piece = PieceUpdate {
+    let piece = HunkUpdate {
         start: 2,
         length: 5,
         text: "new".to_owned(),
@@ -104,7 +104,7 @@
     let edit = EditUpdate {
         from: 1,
         to: 2,
-        pieces: vec![piece].into(),
+        hunks: vec![piece].into(),
     };
     TextUpdate::Edits(vec![edit].into())
 }
@@ -116,32 +116,32 @@
 fn calls() -> Vec<(&'static str, Vec<u8>)> {
     let poll = Poll {
         name: "n1".to_owned(),
-        row: Some(node()),
+        record: Some(node()),
         epoch: 3,
         revision: 4,
-        config_seq: 41,
+        config_slot: 41,
         config_digest: 0x3132,
-        hold_ms: 800,
+        max_wait_ms: 800,
         models: vec![model()].into(),
     };
     let consensus = Call::Consensus {
-        part: 4,
-        disk: 2,
+        shard: 4,
+        disk_id: 2,
         name: "n2".to_owned(),
         address: "10.0.0.2:7360".to_owned(),
         message: blob("message"),
     };
-    let kept = Call::Kept {
+    let kept = Call::CachedBlocks {
         source: 6,
-        void: true,
-        rows: vec![KeptAt { key: 7, tokens: 64 }].into(),
+        replaces_all: true,
+        blocks: vec![CachedBlock { key: 7, tokens: 64 }].into(),
     };
-    let wait = Call::Wait {
+    let wait = Call::EstimateWait {
         server: 8,
         token: 9,
         cost: 500,
         urgency: 2,
-        most_ms: 40,
+        max_wait_ms: 40,
     };
     vec![
         ("call-poll", Call::Poll(poll).serialize_bin()),
@@ -150,15 +150,15 @@
         (
             "call-change",
             Call::Change {
-                part: 4,
+                shard: 4,
                 change: blob("change"),
-                patience_ms: 900,
+                timeout_ms: 900,
             }
             .serialize_bin(),
         ),
         (
             "call-prefix",
-            Call::Prefix {
+            Call::QueryPrefix {
                 key: 1,
                 server: 2,
                 store: 3,
@@ -169,7 +169,7 @@
         ("call-wait", wait.serialize_bin()),
         (
             "call-over",
-            Call::Over {
+            Call::PromptFinished {
                 server: 8,
                 token: 9,
                 began: true,
@@ -178,7 +178,7 @@
         ),
         (
             "call-failed",
-            Call::Failed {
+            Call::RequestFailed {
                 server: 8,
                 key: 9,
                 answered_milli: 1_250,
@@ -191,7 +191,7 @@
         ),
         (
             "call-found",
-            Call::Found {
+            Call::Bootstrap {
                 records: vec![blob("one"), blob("two")].into(),
             }
             .serialize_bin(),
@@ -202,7 +202,7 @@
 fn replies() -> Vec<(&'static str, Vec<u8>)> {
     let update = |text| {
         Reply::Update(Update {
-            rows: Blob(delta().pack()),
+            records: Blob(delta().pack()),
             config: Some(config(text)),
             confirmed: Some(ConfirmedRead { began_ms: -12 }),
         })
@@ -210,28 +210,31 @@
     vec![
         (
             "reply-update-text",
-            update(TextUpdate::Whole("{}".to_owned())).serialize_bin(),
+            update(TextUpdate::Complete("{}".to_owned())).serialize_bin(),
         ),
         ("reply-update-edits", update(edits()).serialize_bin()),
-        ("reply-done", Reply::Done.serialize_bin()),
-        ("reply-changed", Reply::Changed(blob("b")).serialize_bin()),
+        ("reply-done", Reply::Acknowledged.serialize_bin()),
+        ("reply-changed", Reply::Applied(blob("b")).serialize_bin()),
         (
             "reply-not-changed",
-            Reply::NotChanged("why".to_owned()).serialize_bin(),
+            Reply::NotApplied("why".to_owned()).serialize_bin(),
         ),
         ("reply-unknown", Reply::Unknown.serialize_bin()),
         (
             "reply-prefix",
-            Reply::Prefix {
+            Reply::PrefixLocation {
                 save: true,
-                held: false,
-                holders: vec![4, 5].into(),
-                reader: 6,
+                is_cached: false,
+                cached_at: vec![4, 5].into(),
+                prefilling_server: 6,
             }
             .serialize_bin(),
         ),
         ("reply-wait", Reply::Wait { ms: 12 }.serialize_bin()),
-        ("reply-no", Reply::No("why".to_owned()).serialize_bin()),
+        (
+            "reply-no",
+            Reply::Rejected("why".to_owned()).serialize_bin(),
+        ),
     ]
 }
 
--- a/crates/sparrouter-fleet/tests/upstream.rs
+++ b/crates/sparrouter-fleet/tests/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to servers: what left of a request that broke off, early answers, and what may rest in the pool.
 use bytes::{Bytes, BytesMut};
-use sparrouter_fleet::platform::net::{Later, Listener, Net, Stream, Wire};
-use sparrouter_fleet::proxy::upstream::{Pool, Sent, Upstream};
+use sparrouter_fleet::platform::net::{BoxFuture, Connection, Listener, Net, Stream};
+use sparrouter_fleet::proxy::upstream::{Pool, SendOutcome, Upstream};
 use sparrouter_http::head::{self, ResponseHead};
 use sparrouter_http::reading;
 use std::cell::RefCell;
@@ -77,15 +77,15 @@
     }
 }
 
-impl Wire for Line {
-    fn at_hand(&self, _: &mut [u8]) -> Option<io::Result<usize>> {
+impl Connection for Line {
+    fn read_available(&self, _: &mut [u8]) -> Option<io::Result<usize>> {
         let script = self.0.borrow();
         (!script.answer.is_empty()).then_some(Ok(1))
     }
 }
 
 impl Net for Line {
-    fn dial(&self, _: SocketAddr) -> Later<'_, io::Result<Stream>> {
+    fn dial(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Stream>> {
         Box::pin(async move { Ok(Box::new(self.clone()) as Stream) })
     }
     fn listen(&self, _: SocketAddr) -> io::Result<Box<dyn Listener>> {
@@ -102,7 +102,7 @@
     Upstream::dial(line, server).await.expect("a connection")
 }
 
-async fn send_long(link: &mut Upstream) -> Sent {
+async fn send_long(link: &mut Upstream) -> SendOutcome {
     let body = Bytes::from(vec![b'x'; LONG_BODY]);
     link.send(&Bytes::from_static(HEAD), &body).await
 }
@@ -113,7 +113,7 @@
         .await
         .expect("a head");
     let head = head::parse_response(&bytes).expect("an answer");
-    sparrouter_fleet::platform::http::body(
+    sparrouter_fleet::platform::http::read_body(
         &mut link.stream,
         &mut link.buffer,
         head.framing,
@@ -131,14 +131,14 @@
         ..Script::default()
     });
     let mut link = dial(&line).await;
-    assert_eq!(send_long(&mut link).await, Sent::Nothing);
+    assert_eq!(send_long(&mut link).await, SendOutcome::Nothing);
     let small = link
         .send(
             &Bytes::from_static(b"GET / HTTP/1.1\r\n\r\n"),
             &Bytes::new(),
         )
         .await;
-    assert_eq!(small, Sent::Nothing);
+    assert_eq!(small, SendOutcome::Nothing);
 }
 
 #[tokio::test]
@@ -152,7 +152,11 @@
             ..Script::default()
         });
         let mut link = dial(&line).await;
-        assert_eq!(send_long(&mut link).await, Sent::Begun, "{accepts} bytes");
+        assert_eq!(
+            send_long(&mut link).await,
+            SendOutcome::Begun,
+            "{accepts} bytes"
+        );
     }
 }
 
@@ -170,7 +174,7 @@
             &Bytes::new(),
         )
         .await;
-    assert_eq!(sent, Sent::Begun);
+    assert_eq!(sent, SendOutcome::Begun);
 }
 
 #[tokio::test]
@@ -182,7 +186,7 @@
         ..Script::default()
     });
     let mut link = dial(&line).await;
-    assert_eq!(send_long(&mut link).await, Sent::Begun);
+    assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
     let head = read_answer(&mut link).await;
     assert_eq!(head.status, 200);
     assert!(
@@ -209,7 +213,7 @@
         ..Script::default()
     });
     let mut link = dial(&line).await;
-    assert_eq!(send_long(&mut link).await, Sent::Begun);
+    assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
     line.0.borrow_mut().accepts = usize::MAX;
     let head = read_answer(&mut link).await;
     assert!(link.is_reusable(&head));
@@ -227,7 +231,7 @@
         ..Script::default()
     });
     let mut link = dial(&line).await;
-    assert_eq!(send_long(&mut link).await, Sent::Begun);
+    assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
     let head = read_answer(&mut link).await;
     assert!(!link.is_reusable(&head));
 }
@@ -240,7 +244,7 @@
         ..Script::default()
     });
     let mut link = dial(&line).await;
-    assert_eq!(send_long(&mut link).await, Sent::Begun);
+    assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
 }
 
 #[tokio::test]
@@ -251,7 +255,7 @@
         ..Script::default()
     });
     let mut link = dial(&line).await;
-    assert_eq!(send_long(&mut link).await, Sent::Begun);
+    assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
     let head = read_answer(&mut link).await;
     let pool = Pool::default();
     pool.put("i-1", link, &head);
@@ -290,7 +294,7 @@
         let mut link = link.expect("a connection");
         let body = Bytes::from(vec![b'x'; HUGE_BODY]);
         let sent = link.send(&Bytes::from_static(HEAD), &body).await;
-        assert_eq!(sent, Sent::Begun, "{read} bytes");
+        assert_eq!(sent, SendOutcome::Begun, "{read} bytes");
         let answer = reading::head(&mut link.stream, &mut link.buffer, head::REPLY, 4096).await;
         assert!(answer.is_err(), "{read} bytes");
     }
@@ -310,5 +314,5 @@
             &Bytes::new(),
         )
         .await;
-    assert_eq!(sent, Sent::Nothing);
+    assert_eq!(sent, SendOutcome::Nothing);
 }
--- a/crates/sparrouter-simulation/src/client.rs
+++ b/crates/sparrouter-simulation/src/client.rs
@@ -9,7 +9,7 @@
 use crate::server::MODEL;
 use bytes::{Bytes, BytesMut};
 use fastrand::Rng;
-use sparrouter_fleet::platform::net::Wire;
+use sparrouter_fleet::platform::net::Connection;
 use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
 use sparrouter_http::head::{self, Framing};
 use sparrouter_http::reading;
@@ -197,7 +197,7 @@
         direct: Option<(SocketAddr, u64)>,
     ) -> Option<(End, SocketAddr, u64, bool)> {
         let kept = self.kept.borrow_mut().take();
-        let kept = kept.filter(|(end, ..)| match end.at_hand(&mut [0; 64]) {
+        let kept = kept.filter(|(end, ..)| match end.read_available(&mut [0; 64]) {
             None => true,
             Some(Ok(0) | Err(_)) => false,
             Some(Ok(_)) => {
--- a/crates/sparrouter-simulation/src/connection.rs
+++ b/crates/sparrouter-simulation/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection: what is on its way in each direction, and the two ends that processes hold.
 use crate::fabric::{Fabric, UNACKNOWLEDGED};
 use bytes::{Buf, Bytes, BytesMut};
-use sparrouter_fleet::platform::net::Wire;
+use sparrouter_fleet::platform::net::Connection;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::future::Future;
@@ -231,8 +231,8 @@
     }
 }
 
-impl Wire for End {
-    fn at_hand(&self, buffer: &mut [u8]) -> Option<io::Result<usize>> {
+impl Connection for End {
+    fn read_available(&self, buffer: &mut [u8]) -> Option<io::Result<usize>> {
         self.line.take(self.at, buffer, &self.fabric)
     }
 }
--- a/crates/sparrouter-simulation/src/disk.rs
+++ b/crates/sparrouter-simulation/src/disk.rs
@@ -1,7 +1,7 @@
 //! A machine's simulated disk: it loses what was not synced, answers late in virtual time, stalls, fills up, or is lost.
 use fastrand::Rng;
 use sparrouter_fleet::control::disk::{
-    DiskContents, DiskError, Keeper, Kept, Save, Saves, keep, open_with,
+    DiskContents, DiskError, DiskWriter, WriteOutcome, WriteQueue, WriteRequest, open_with, write,
 };
 use sparrouter_fleet::process::log_buffer::LogBuffer;
 use sparrouter_storage::{SimulatedFiles, Store};
@@ -66,8 +66,8 @@
     disk: SimulatedDisk,
 }
 
-impl Keeper for Late {
-    fn begin(self: Box<Self>, done: UnboundedSender<Kept>) -> Saves {
+impl DiskWriter for Late {
+    fn start(self: Box<Self>, done: UnboundedSender<WriteOutcome>) -> WriteQueue {
         let (give, queue) = unbounded_channel();
         spawn_local(carry_out(*self, queue, done));
         Box::new(move |save| {
@@ -77,7 +77,11 @@
     }
 }
 
-async fn carry_out(late: Late, mut queue: UnboundedReceiver<Save>, done: UnboundedSender<Kept>) {
+async fn carry_out(
+    late: Late,
+    mut queue: UnboundedReceiver<WriteRequest>,
+    done: UnboundedSender<WriteOutcome>,
+) {
     let Late { mut store, disk } = late;
     while let Some(save) = queue.recv().await {
         // Half of its time before the bytes last and half after: a process may end on either side.
@@ -86,7 +90,7 @@
             // A stall may be ended before its time.
             sleep_until(disk.stalled.get().min(Instant::now() + STALL_LOOK)).await;
         }
-        let kept = keep(&mut store, save);
+        let kept = write(&mut store, save);
         sleep(disk.delay.get() / 2).await;
         if let Some(kept) = kept {
             let _ = done.send(kept);
--- a/crates/sparrouter-simulation/src/http_messages.rs
+++ b/crates/sparrouter-simulation/src/http_messages.rs
@@ -78,7 +78,7 @@
         let bytes = reading::head(&mut stream, &mut buffer, head::REPLY, MAX_HEAD_BYTES).await;
         let head = head::parse_response(&bytes.map_err(|_| NoAnswer::Broken)?)
             .map_err(|_| NoAnswer::Broken)?;
-        let body = http::body(&mut stream, &mut buffer, head.framing, MAX_BODY_BYTES).await;
+        let body = http::read_body(&mut stream, &mut buffer, head.framing, MAX_BODY_BYTES).await;
         let body = body.ok().flatten().ok_or(NoAnswer::Broken)?;
         Ok(Reply {
             status: head.status,
@@ -99,7 +99,7 @@
         .await
         .ok()?;
     let head = head::parse_request(&bytes).ok()?;
-    let body = http::body(stream, buffer, head.framing, MAX_BODY_BYTES)
+    let body = http::read_body(stream, buffer, head.framing, MAX_BODY_BYTES)
         .await
         .ok()
         .flatten()?;
--- a/crates/sparrouter-simulation/src/net.rs
+++ b/crates/sparrouter-simulation/src/net.rs
@@ -3,7 +3,7 @@
 
 use crate::connection::End;
 use crate::fabric::Fabric;
-use sparrouter_fleet::platform::net::{Later, Listener, Net, Stream};
+use sparrouter_fleet::platform::net::{BoxFuture, Listener, Net, Stream};
 use std::cell::RefCell;
 use std::future::poll_fn;
 use std::io;
@@ -45,7 +45,7 @@
 }
 
 impl Net for MemoryNet {
-    fn dial(&self, to: SocketAddr) -> Later<'_, io::Result<Stream>> {
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Stream>> {
         Box::pin(async move { Ok(Box::new(self.fabric.dial(self.ip, to, true).await?) as Stream) })
     }
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
@@ -72,7 +72,7 @@
 }
 
 impl Listener for MemoryListener {
-    fn accept(&self) -> Later<'_, io::Result<(Stream, SocketAddr)>> {
+    fn accept(&self) -> BoxFuture<'_, io::Result<(Stream, SocketAddr)>> {
         Box::pin(async move {
             let (end, from) = self.next().await;
             Ok((Box::new(end) as Stream, from))
--- a/crates/sparrouter-simulation/src/node_work.rs
+++ b/crates/sparrouter-simulation/src/node_work.rs
@@ -8,10 +8,10 @@
 use crate::world::first_plan;
 use sparrouter_fleet::node::Node;
 use sparrouter_fleet::peer::messages::{ConfigUpdate, TextUpdate};
-use sparrouter_fleet::platform::net::{Later, Listener, Net, Stream};
+use sparrouter_fleet::platform::net::{BoxFuture, Listener, Net, Stream};
 use sparrouter_fleet::prefix_cache::event_follower;
 use sparrouter_fleet::process::log_buffer::LogBuffer;
-use sparrouter_fleet::process::settings::Boot;
+use sparrouter_fleet::process::settings::ProcessSettings;
 use sparrouter_membership::{MembershipDelta, NodeRecord, ServerRecord};
 use sparrouter_prefix_index::{BlockChange, EventPage, Source};
 use sparrouter_routing::SelectionRequest;
@@ -82,7 +82,7 @@
 struct Nobody;
 
 impl Net for Nobody {
-    fn dial(&self, _: SocketAddr) -> Later<'_, io::Result<Stream>> {
+    fn dial(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Stream>> {
         Box::pin(async { Err(io::ErrorKind::ConnectionRefused.into()) })
     }
     fn listen(&self, _: SocketAddr) -> io::Result<Box<dyn Listener>> {
@@ -102,7 +102,8 @@
 impl Fleet {
     async fn new(nodes: usize) -> Fleet {
         let settings = include_str!("../../sparrouter-fleet/tests/settings/page.conf");
-        let boot = Boot::parse(Path::new("boot.conf"), settings).expect("the page's settings");
+        let boot =
+            ProcessSettings::parse(Path::new("boot.conf"), settings).expect("the page's settings");
         let node = Node::new(
             boot,
             0,
@@ -114,13 +115,13 @@
             store: None,
             ..first_plan()
         };
-        node.take(ConfigUpdate {
-            seq: 1,
+        node.apply_configuration(ConfigUpdate {
+            slot: 1,
             version: 1,
-            text: TextUpdate::Whole(plan.json()),
+            text: TextUpdate::Complete(plan.json()),
             ..ConfigUpdate::default()
         });
-        node.learn(MembershipDelta {
+        node.merge_records(MembershipDelta {
             nodes: (1..nodes).map(|number| node_row(number, 1)).collect(),
             servers: (0..nodes * SERVERS_A_NODE)
                 .map(|number| server_row(number, 1))
@@ -132,7 +133,7 @@
         sleep(SETTLED).await;
         let mut source = Source::default();
         source.apply_page(page(0, (0..KEPT_PARTS).map(part_key)));
-        node.tell_kept(&mut source, 1, false);
+        node.report_cached_blocks(&mut source, 1, false);
         Fleet {
             node,
             nodes,
@@ -142,7 +143,7 @@
     }
 
     fn records_visited(&self) -> (u64, u64) {
-        let rows = self.node.rows.borrow().records_visited();
+        let rows = self.node.membership.borrow().records_visited();
         (rows, self.node.server_table.borrow().records_visited())
     }
 
@@ -172,7 +173,7 @@
         self.cost(async |fleet| {
             let key = part_key(KEPT_PARTS + fleet.step);
             fleet.source.apply_page(page(fleet.step, [key].into_iter()));
-            fleet.node.tell_kept(&mut fleet.source, 1, false);
+            fleet.node.report_cached_blocks(&mut fleet.source, 1, false);
         })
         .await
     }
@@ -201,7 +202,7 @@
 
     async fn server_polls(&mut self) -> Cost {
         self.cost(async |fleet| {
-            fleet.node.learn(MembershipDelta {
+            fleet.node.merge_records(MembershipDelta {
                 servers: vec![server_row(1, fleet.step)].into(),
                 ..MembershipDelta::default()
             });
@@ -216,11 +217,11 @@
                 leaving: fleet.step.is_multiple_of(2),
                 ..node_row(fleet.nodes - 1, fleet.step)
             };
-            fleet.node.learn(MembershipDelta {
+            fleet.node.merge_records(MembershipDelta {
                 nodes: vec![row].into(),
                 ..MembershipDelta::default()
             });
-            fleet.node.tell_kept(&mut fleet.source, 1, false);
+            fleet.node.report_cached_blocks(&mut fleet.source, 1, false);
         })
         .await
     }
--- a/crates/sparrouter-simulation/src/world.rs
+++ b/crates/sparrouter-simulation/src/world.rs
@@ -19,7 +19,7 @@
 use crate::server::{Memories, Memory, Server};
 use fastrand::Rng;
 use sparrouter_fleet::process::log_buffer::LogBuffer;
-use sparrouter_fleet::process::run::Order;
+use sparrouter_fleet::process::run::ProcessSignal;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -105,7 +105,7 @@
     counted: bool,
     disk: Option<SimulatedDisk>,
     process: Option<SimulatedProcess>,
-    orders: Option<UnboundedSender<Order>>,
+    orders: Option<UnboundedSender<ProcessSignal>>,
     log_buffer: LogBuffer,
     written: Written,
     started: bool,
--- a/crates/sparrouter-simulation/src/world/machines.rs
+++ b/crates/sparrouter-simulation/src/world/machines.rs
@@ -5,8 +5,8 @@
 use crate::process::SimulatedProcess;
 use fastrand::Rng;
 use sparrouter_fleet::process::log_buffer::LogBuffer;
-use sparrouter_fleet::process::run::{Order, Role, serve};
-use sparrouter_fleet::process::settings::Boot;
+use sparrouter_fleet::process::run::{ProcessSignal, Role, serve};
+use sparrouter_fleet::process::settings::ProcessSettings;
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
 use std::rc::Rc;
@@ -76,8 +76,8 @@
     /// Starts a process on a machine that has power; `first`: the whole system starts for the first time.
     pub fn start(&self, name: &str, first: bool) {
         let text = self.boot_text(name, first);
-        let mut boot =
-            Boot::parse(Path::new("story"), &text).expect("settings that the page describes");
+        let mut boot = ProcessSettings::parse(Path::new("story"), &text)
+            .expect("settings that the page describes");
         boot.listen.metrics = Some(self.metrics_of(name));
         let mut rng = self.rng.borrow_mut().fork();
         let net = Rc::new(MemoryNet::new(self.fabric.clone(), self.ip(name)));
@@ -267,7 +267,7 @@
         }
         if let Some(orders) = &self.machines.borrow()[name].orders {
             // One that has ended already needs none.
-            let _ = orders.send(Order::Leave);
+            let _ = orders.send(ProcessSignal::Leave);
         }
         let began = Instant::now();
         while self.runs(name) && began.elapsed() < self.terms.bounds.grace {
@@ -348,7 +348,7 @@
         for machine in self.machines.borrow().values() {
             if let Some(orders) = &machine.orders {
                 // A process that ended needs none.
-                let _ = orders.send(Order::Seeds(seeds.to_vec()));
+                let _ = orders.send(ProcessSignal::Seeds(seeds.to_vec()));
             }
         }
     }
--- a/crates/sparrouter-simulation/tests/calls.rs
+++ b/crates/sparrouter-simulation/tests/calls.rs
@@ -118,7 +118,7 @@
 fn given_a_partial_send_counted_as_unsent_then_the_request_is_sent_twice() {
     assert!(sent_once_when_reset_in_a_long_body());
     assert!(fails(
-        Defect::PartialSendUnrun,
+        Defect::PartialSendTreatedAsUnsent,
         sent_once_when_reset_in_a_long_body
     ));
 }
@@ -231,7 +231,7 @@
 #[test]
 fn given_an_early_answer_then_nothing_else_comes_where_the_rest_of_the_body_is_due() {
     assert!(bodies_kept_apart());
-    assert!(fails(Defect::UnfinishedPooled, bodies_kept_apart));
+    assert!(fails(Defect::UnfinishedConnectionPooled, bodies_kept_apart));
 }
 
 #[test]
@@ -278,7 +278,7 @@
 #[test]
 fn given_an_answer_without_a_length_when_its_connection_is_reset_then_it_is_not_complete() {
     assert!(reset_is_no_end());
-    assert!(fails(Defect::ResetTakenAsEnd, reset_is_no_end));
+    assert!(fails(Defect::ResetTreatedAsEnd, reset_is_no_end));
 }
 
 /// A resumable stream breaks off; the servers that take it up answer with a failure.
--- a/crates/sparrouter-simulation/tests/edits.rs
+++ b/crates/sparrouter-simulation/tests/edits.rs
@@ -3,7 +3,7 @@
 use sparrouter_fleet::peer::messages::{ConfigUpdate, TextUpdate};
 use sparrouter_fleet::platform::net::Sockets;
 use sparrouter_fleet::process::log_buffer::LogBuffer;
-use sparrouter_fleet::process::settings::Boot;
+use sparrouter_fleet::process::settings::ProcessSettings;
 use sparrouter_simulation::http_messages;
 use sparrouter_simulation::load;
 use sparrouter_simulation::plan::{Kind, Plan, Route};
@@ -17,7 +17,7 @@
 /// A node that keeps control state, and so tells others.
 fn node(seed: u64) -> Rc<Node> {
     let settings = include_str!("../../sparrouter-fleet/tests/settings/page.conf");
-    let boot = Boot::parse(Path::new("story"), settings).expect("the page's settings");
+    let boot = ProcessSettings::parse(Path::new("story"), settings).expect("the page's settings");
     Node::new(
         boot,
         seed,
@@ -43,37 +43,37 @@
 fn chosen(seq: u64) -> ConfigUpdate {
     let plan = plan(seq);
     ConfigUpdate {
-        seq,
+        slot: seq,
         version: plan.version,
-        text: TextUpdate::Whole(plan.json()),
+        text: TextUpdate::Complete(plan.json()),
         ..ConfigUpdate::default()
     }
 }
 
 fn is_whole(told: &ConfigUpdate) -> bool {
-    matches!(told.text, TextUpdate::Whole(_))
+    matches!(told.text, TextUpdate::Complete(_))
 }
 
 /// What a poll of the one brings from the other; true where it was of use.
 fn polls(poller: &Node, source: &Node) -> (bool, bool) {
-    let told = source.config_update(poller.in_force().digest);
-    (is_whole(&told), poller.take(told))
+    let told = source.config_update(poller.active_configuration().digest);
+    (is_whole(&told), poller.apply_configuration(told))
 }
 
 #[test]
 fn given_a_poller_with_the_version_before_when_it_asks_then_the_change_makes_the_same_text() {
     play(async {
         let (source, poller) = (node(1), node(2));
-        source.take(chosen(1));
+        source.apply_configuration(chosen(1));
         assert_eq!(
             polls(&poller, &source),
             (true, true),
             "the first comes whole"
         );
-        source.take(chosen(2));
+        source.apply_configuration(chosen(2));
         assert_eq!(polls(&poller, &source), (false, true));
-        let (held, known) = (poller.in_force(), source.in_force());
-        assert_eq!((held.seq, held.version, &held.text), (2, 2, &known.text));
+        let (held, known) = (poller.active_configuration(), source.active_configuration());
+        assert_eq!((held.slot, held.version, &held.text), (2, 2, &known.text));
         assert_eq!(*held.text, *plan(2).json());
         assert!(held.table.as_ref().is_some_and(|t| t.version == 2));
     });
@@ -83,18 +83,21 @@
 fn given_a_poller_that_missed_versions_when_it_asks_then_all_changes_come_together() {
     play(async {
         let (source, poller) = (node(1), node(2));
-        source.take(chosen(1));
+        source.apply_configuration(chosen(1));
         polls(&poller, &source);
-        (2..=6).for_each(|seq| assert!(source.take(chosen(seq))));
+        (2..=6).for_each(|seq| assert!(source.apply_configuration(chosen(seq))));
         assert_eq!(polls(&poller, &source), (false, true));
         assert_eq!(
-            (poller.in_force().seq, &*poller.in_force().text),
+            (
+                poller.active_configuration().slot,
+                &*poller.active_configuration().text
+            ),
             (6, &*plan(6).json())
         );
         // So far back that the source knows the way no more.
-        (7..=80).for_each(|seq| assert!(source.take(chosen(seq))));
+        (7..=80).for_each(|seq| assert!(source.apply_configuration(chosen(seq))));
         assert_eq!(polls(&poller, &source), (true, true));
-        assert_eq!(&*poller.in_force().text, &*plan(80).json());
+        assert_eq!(&*poller.active_configuration().text, &*plan(80).json());
     });
 }
 
@@ -102,18 +105,18 @@
 fn given_a_source_that_restarted_when_it_is_asked_then_it_tells_the_whole() {
     play(async {
         let (source, poller) = (node(1), node(2));
-        source.take(chosen(1));
+        source.apply_configuration(chosen(1));
         polls(&poller, &source);
         let again = node(3);
-        again.take(chosen(3));
+        again.apply_configuration(chosen(3));
         assert_eq!(polls(&poller, &again), (true, true));
-        again.take(chosen(4));
+        again.apply_configuration(chosen(4));
         assert_eq!(
             polls(&poller, &again),
             (false, true),
             "from there on changes do"
         );
-        assert_eq!(&*poller.in_force().text, &*plan(4).json());
+        assert_eq!(&*poller.active_configuration().text, &*plan(4).json());
     });
 }
 
@@ -126,18 +129,18 @@
         for seq in 1..40 {
             // Each misses every third or fourth, as one that was cut off does.
             if seq % 3 != 0 {
-                one.take(chosen(seq));
+                one.apply_configuration(chosen(seq));
             }
             if seq % 4 != 0 {
-                other.take(chosen(seq));
+                other.apply_configuration(chosen(seq));
             }
             let source = if seq % 2 == 0 { &one } else { &other };
-            if source.in_force().seq > poller.in_force().seq {
+            if source.active_configuration().slot > poller.active_configuration().slot {
                 assert!(polls(&poller, source).1);
             }
-            let held = poller.in_force();
-            assert!(held.seq >= last && *held.text == *plan(held.seq).json());
-            last = held.seq;
+            let held = poller.active_configuration();
+            assert!(held.slot >= last && *held.text == *plan(held.slot).json());
+            last = held.slot;
         }
     });
 }
@@ -147,22 +150,28 @@
 {
     play(async {
         let (source, poller) = (node(1), node(2));
-        source.take(chosen(1));
+        source.apply_configuration(chosen(1));
         let other = ConfigUpdate {
-            text: TextUpdate::Whole(plan(9).json()),
+            text: TextUpdate::Complete(plan(9).json()),
             ..chosen(1)
         };
-        poller.take(other);
-        source.take(chosen(2));
+        poller.apply_configuration(other);
+        source.apply_configuration(chosen(2));
         // As though it had the text that the source made its change from.
         let change = source.config_update(sparrouter_config::digest_of_text(&plan(1).json()));
-        assert!(!is_whole(&change) && !poller.take(change));
+        assert!(!is_whole(&change) && !poller.apply_configuration(change));
         assert_eq!(
-            (poller.in_force().seq, &*poller.in_force().text),
+            (
+                poller.active_configuration().slot,
+                &*poller.active_configuration().text
+            ),
             (1, &*plan(9).json())
         );
-        assert!(poller.take(source.config_update(0)), "0 asks for it whole");
-        assert_eq!(&*poller.in_force().text, &*plan(2).json());
+        assert!(
+            poller.apply_configuration(source.config_update(0)),
+            "0 asks for it whole"
+        );
+        assert_eq!(&*poller.active_configuration().text, &*plan(2).json());
     });
 }
 
@@ -170,15 +179,15 @@
 fn given_only_weights_named_when_told_then_no_text_goes_with_it() {
     play(async {
         let (source, poller) = (node(1), node(2));
-        source.take(chosen(1));
+        source.apply_configuration(chosen(1));
         polls(&poller, &source);
-        source.take(ConfigUpdate {
-            seq: 2,
+        source.apply_configuration(ConfigUpdate {
+            slot: 2,
             ..chosen(1)
         });
-        let told = source.config_update(poller.in_force().digest);
+        let told = source.config_update(poller.active_configuration().digest);
         assert!(matches!(&told.text, TextUpdate::Edits(edits) if edits.is_empty()));
-        assert!(poller.take(told) && poller.in_force().seq == 2);
+        assert!(poller.apply_configuration(told) && poller.active_configuration().slot == 2);
     });
 }
 
--- a/crates/sparrouter-simulation/tests/leaving.rs
+++ b/crates/sparrouter-simulation/tests/leaving.rs
@@ -79,7 +79,7 @@
 
 #[test]
 fn given_a_process_that_takes_whatever_comes_while_it_leaves_then_the_loss_is_found() {
-    inject(Some(Defect::TakenWhileLeaving));
+    inject(Some(Defect::RequestsAdmittedWhileLeaving));
     let breaches = play(async {
         let world = World::serving(Terms::seeded(300)).await;
         long_requests_through_a_departure(&world, "edge-0").await;
--- a/crates/sparrouter-simulation/tests/links.rs
+++ b/crates/sparrouter-simulation/tests/links.rs
@@ -7,7 +7,7 @@
 use sparrouter_fleet::peer::links::{LinkError, Links};
 use sparrouter_fleet::peer::messages::{Call, HELLO, MAX_FRAME, Reply};
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_fleet::platform::net::{Later, Listener, Net, Stream};
+use sparrouter_fleet::platform::net::{BoxFuture, Listener, Net, Stream};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 struct Dialled(UnboundedSender<DuplexStream>);
 
 impl Net for Dialled {
-    fn dial(&self, _: SocketAddr) -> Later<'_, io::Result<Stream>> {
+    fn dial(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Stream>> {
         let (near, far) = duplex(1 << 20);
         let dialled = self.0.send(far);
         Box::pin(async move {
@@ -60,7 +60,7 @@
     /// Begins a call that can be told by its number.
     fn call(&self, number: u64) -> JoinHandle<Result<Reply, LinkError>> {
         let links = self.links.clone();
-        let call = Call::Prefix {
+        let call = Call::QueryPrefix {
             key: number,
             server: 0,
             store: 0,
@@ -87,7 +87,7 @@
         let mut body = vec![0; length - 8];
         self.0.read_exact(&mut body).await.expect("a body");
         match Call::deserialize_bin(&body).expect("a call") {
-            Call::Prefix { key, .. } => (id, key),
+            Call::QueryPrefix { key, .. } => (id, key),
             other => panic!("another call: {other:?}"),
         }
     }
@@ -133,7 +133,7 @@
         let first = story.call(1);
         let mut peer = story.connection().await;
         let (old, _) = peer.next().await;
-        assert_eq!(number(first).await, Err(LinkError::Silent));
+        assert_eq!(number(first).await, Err(LinkError::TimedOut));
         let second = story.call(2);
         let (new, _) = peer.next().await;
         assert_ne!(old, new);
@@ -150,7 +150,7 @@
         let first = story.call(1);
         let mut peer = story.connection().await;
         let (old, _) = peer.next().await;
-        assert_eq!(number(first).await, Err(LinkError::Silent));
+        assert_eq!(number(first).await, Err(LinkError::TimedOut));
         let second = story.call(2);
         peer.next().await;
         peer.answer(old, 1).await;
@@ -204,7 +204,7 @@
     tell(|story| async move {
         let Story { links, dialled } = story;
         drop(dialled);
-        let call = Call::Prefix {
+        let call = Call::QueryPrefix {
             key: 1,
             server: 0,
             store: 0,
--- a/crates/sparrouter-simulation/tests/lost_race.rs
+++ b/crates/sparrouter-simulation/tests/lost_race.rs
@@ -97,7 +97,7 @@
 
 #[test]
 fn given_what_the_disk_has_accepted_put_in_force_at_the_start_then_the_difference_is_found() {
-    inject(Some(Defect::LostRaceInForce));
+    inject(Some(Defect::LosingProposalInForce));
     let found = (4_950..)
         .zip(CORE)
         .any(|(seed, alone)| !play(all_have_the_same(seed, alone)));
--- a/crates/sparrouter-simulation/tests/many_changes.rs
+++ b/crates/sparrouter-simulation/tests/many_changes.rs
@@ -257,7 +257,7 @@
 fn given_members_that_do_not_compare_what_they_have_then_a_short_day_finds_it() {
     let day = || play(day_of_many_changes(497, 14 * SPELL));
     day().judge.assert_kept();
-    inject(Some(Defect::ExchangeSilent));
+    inject(Some(Defect::AntiEntropyDisabled));
     let broken = catch_unwind(AssertUnwindSafe(day)).is_err();
     inject(None);
     assert!(broken);
--- a/crates/sparrouter-simulation/tests/narrow_lines.rs
+++ b/crates/sparrouter-simulation/tests/narrow_lines.rs
@@ -75,7 +75,7 @@
 
 #[test]
 fn given_answers_given_up_while_they_come_in_then_nodes_that_ask_again_and_again_are_found() {
-    inject(Some(Defect::PatienceUnmoved));
+    inject(Some(Defect::VersionLimitNotRestarted));
     let (took, copies) = play_restart(12);
     inject(None);
     assert!(took > Duration::from_secs(5) || copies > 2.5 * 12.0);
--- a/crates/sparrouter-simulation/tests/outliers.rs
+++ b/crates/sparrouter-simulation/tests/outliers.rs
@@ -60,7 +60,7 @@
         assert!(during > 0.96, "seed {seed}: {during:.3}");
         assert!(after > 0.99, "seed {seed}: {after:.3}");
     }
-    inject(Some(Defect::OutlierUntold));
+    inject(Some(Defect::OutlierUnreported));
     let (during, _) = play(shares_served(800, 1));
     inject(None);
     assert!(during < 0.93, "the mistake is not found: {during:.3}");
--- a/crates/sparrouter-simulation/tests/planted.rs
+++ b/crates/sparrouter-simulation/tests/planted.rs
@@ -30,29 +30,29 @@
     )*};
 }
 
-// LostRaceInForce, OldGroupUnasked and OldGroupCounts are in `planted_directed.rs`.
-// Mistakes that no drawn day finds have tests of their own: those in quorum contact and OlderTaken in `quorum_contact`,
-// LeaseUnrenewed and FenceFromDisk in `lease_restart`, LostRaceInForce in `lost_race`, OldGroupUnasked, OldGroupCounts and
-// LostRaceInForce in `planted_directed`, UnconfirmedJoins and LeavesAtOnce in `reconfiguration`.
+// LosingProposalInForce, OldGroupNotAsked and OldGroupCounts are in `planted_directed.rs`.
+// Mistakes that no drawn day finds have tests of their own: those in quorum contact and OlderConfigurationApplied in `quorum_contact`,
+// LeaseUnrenewed and FenceFromDisk in `lease_restart`, LosingProposalInForce in `lost_race`, OldGroupNotAsked, OldGroupCounts and
+// LosingProposalInForce in `planted_directed`, UnconfirmedJoins and LeavesWithoutHandover in `reconfiguration`.
 found! {
     acknowledged_before_it_is_on_disk: AckBeforeSync in 25 [], true;
-    a_wiped_machine_votes: WipedVotes in 15 [3], false;
-    answered_before_it_is_chosen: AnsweredUnchosen in 15 [0, 3, 4], true;
+    a_wiped_machine_votes: WipedDiskVotes in 15 [3], false;
+    answered_before_it_is_chosen: AnsweredBeforeChosen in 15 [0, 3, 4], true;
     the_same_change_refused: SameBodyRefused in 26 [3], false;
     the_minority_acknowledges: MinorityAcks in 15 [1], false;
-    new_routes_and_old_keys: HalfSnapshot in 5 [0], false;
+    new_routes_and_old_keys: MixedSnapshot in 5 [0], false;
     a_version_that_was_missed_counts_as_taken: CatchUpSkips in 19 [2], false;
-    seeds_read_at_the_start_only: SeedsAtStart in 19 [2], false;
-    a_late_beat_undoes_draining: DrainUndone in 2 [0], false;
-    draining_acknowledged_alone: AckAlone in 3 [0], false;
-    a_slack_for_every_start: SlackMinted in 14 [1], false;
+    seeds_read_at_the_start_only: SeedsReadAtStartOnly in 19 [2], false;
+    a_late_beat_undoes_draining: DrainReverted in 2 [0], false;
+    draining_acknowledged_alone: AckWithoutReplica in 3 [0], false;
+    a_slack_for_every_start: RetrySlackRenewedByRestart in 14 [1], false;
     memory_of_older_weights: SaltWithoutVersion in 3 [2], false;
-    memory_of_an_isolated_tenant: SaltWithoutWall in 1 [], false;
-    whichever_server_has_the_address: InstanceUnnamed in 7 [0], false;
-    what_may_have_run_sent_again: SecondSend in 12 [4], false;
+    memory_of_an_isolated_tenant: SaltWithoutTenant in 1 [], false;
+    whichever_server_has_the_address: ExpectedInstanceOmitted in 7 [0], false;
+    what_may_have_run_sent_again: NonIdempotentRetried in 12 [4], false;
     promised_what_may_have_run: NeverRunPromiseBroken in 12 [4], false;
-    a_broken_stream_closed_as_whole: StreamClosedWhole in 7 [0], false;
+    a_broken_stream_closed_as_whole: BrokenStreamClosedAsComplete in 7 [0], false;
     a_stream_taken_up_from_its_beginning: ResumedFromStart in 10 [0, 1], false;
     the_answer_to_another_request: ForeignAnswer in 33 [5, 6], false;
-    no_server_called_no_route: NoServerNoRoute in 12 [4], false;
+    no_server_called_no_route: NoServerReportedAsNoRoute in 12 [4], false;
 }
--- a/crates/sparrouter-simulation/tests/planted_directed.rs
+++ b/crates/sparrouter-simulation/tests/planted_directed.rs
@@ -184,12 +184,12 @@
 
 #[test]
 fn given_a_change_that_lost_its_slot_when_its_proposer_restarts_then_it_is_not_in_force() {
-    assert_finds(Defect::LostRaceInForce, lost_race);
+    assert_finds(Defect::LosingProposalInForce, lost_race);
 }
 
 #[test]
 fn given_a_member_that_missed_a_change_when_it_sees_only_a_stand_in_then_they_do_not_go_on_alone() {
-    assert_finds(Defect::OldGroupUnasked, swap_without_the_old_group);
+    assert_finds(Defect::OldGroupNotAsked, swap_without_the_old_group);
 }
 
 #[test]
--- a/crates/sparrouter-simulation/tests/planted_orders.rs
+++ b/crates/sparrouter-simulation/tests/planted_orders.rs
@@ -3,7 +3,7 @@
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Applied, Machine};
 use sparrouter_fleet::control::configuration_state::{
-    Change, ConfigurationMachine, MOST_KNOWN_ORDERS, Verdict,
+    Change, ConfigurationMachine, MAX_KNOWN_ORDERS, Verdict,
 };
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::operator::{How, Order};
@@ -143,12 +143,15 @@
 
 #[test]
 fn given_taken_orders_forgotten_when_an_overtaken_one_comes_again_then_it_is_found() {
-    assert_found(Defect::TakenOrdersForgotten, a_repeat_after_another_change);
+    assert_found(
+        Defect::AppliedOrdersForgotten,
+        a_repeat_after_another_change,
+    );
 }
 
 #[test]
 fn given_a_refusal_passed_on_while_a_copy_waits_when_the_copy_is_judged_then_it_is_found() {
-    assert_found(Defect::CopyAheadRefused, a_copy_that_waits);
+    assert_found(Defect::EarlyReplicaRejected, a_copy_that_waits);
 }
 
 /// Too many changes for a whole fleet: the machine alone.
@@ -170,7 +173,7 @@
         let verdict: Verdict = sparrouter_codec::read(&answer).expect("a verdict");
         verdict.status
     };
-    for number in 1..=MOST_KNOWN_ORDERS as u64 + 1 {
+    for number in 1..=MAX_KNOWN_ORDERS as u64 + 1 {
         assert_eq!(judge(&order(number)), 200);
     }
     assert_eq!(judge(&order(1)), 504);
--- a/crates/sparrouter-simulation/tests/quorum_contact.rs
+++ b/crates/sparrouter-simulation/tests/quorum_contact.rs
@@ -103,7 +103,7 @@
             real.confirm(began, now);
         }
         // Not looked at in between: nobody may have to notice a loss for it to count.
-        if rng.bool() && real.holds(now) != model.contact {
+        if rng.bool() && real.is_confirmed(now) != model.contact {
             return false;
         }
     }
@@ -131,11 +131,11 @@
 fn given_an_answer_to_a_question_from_before_the_loss_then_there_is_no_contact() {
     let mut contact = QuorumContact::new(WINDOW);
     assert!(contact.confirm(0, 1));
-    assert!(contact.holds(9) && !contact.holds(10));
+    assert!(contact.is_confirmed(9) && !contact.is_confirmed(10));
     assert!(!contact.confirm(8, 11), "asked before the loss at 10");
     assert!(contact.is_lost(11));
     assert!(contact.confirm(10, 12));
-    assert!(contact.holds(19) && !contact.holds(20));
+    assert!(contact.is_confirmed(19) && !contact.is_confirmed(20));
 }
 
 // Claims towards other nodes.
@@ -200,7 +200,7 @@
 
 #[test]
 fn given_contact_by_frames_that_arrive_then_a_cut_of_one_direction_shows_it() {
-    assert!(is_found(Defect::ContactByHearsay, || cut_and_heal(
+    assert!(is_found(Defect::ContactFromAnyFrame, || cut_and_heal(
         741,
         CutWay::Outward
     )));
@@ -281,7 +281,7 @@
 #[test]
 fn given_silence_called_without_contact_then_a_thaw_shows_it() {
     let found = (0..8).any(|seed| {
-        is_found(Defect::SilenceWithoutContact, || {
+        is_found(Defect::MarksUnresponsiveWithoutContact, || {
             freeze_and_thaw(760 + seed)
         })
     });
@@ -557,9 +557,9 @@
 
 #[test]
 fn given_older_configurations_taken_then_a_node_left_with_an_older_machine_shows_it() {
-    assert!(is_found(Defect::OlderTaken, || left_with_an_older_machine(
-        840
-    )));
+    assert!(is_found(Defect::OlderConfigurationApplied, || {
+        left_with_an_older_machine(840)
+    }));
 }
 
 // What is answered without contact: a row of the table in docs/design/control-state/quorum-contact.md each.
@@ -697,17 +697,17 @@
     let notify = Call::Notify(MembershipDelta::default());
     let reply = caller.call(to, &notify, patience).await;
     assert!(
-        matches!(reply, Some(messages::Reply::No(_))),
+        matches!(reply, Some(messages::Reply::Rejected(_))),
         "notify: {reply:?}"
     );
     let change = Call::Change {
-        part: CONFIG,
+        shard: CONFIG,
         change: Blob(encode(&Change::Get)),
-        patience_ms: 500,
+        timeout_ms: 500,
     };
     let reply = caller.call(to, &change, patience).await;
     assert!(
-        matches!(reply, Some(messages::Reply::NotChanged(_))),
+        matches!(reply, Some(messages::Reply::NotApplied(_))),
         "change: {reply:?}"
     );
 }
@@ -779,9 +779,9 @@
         body: Blob(late.json().into_bytes()),
     };
     let call = Call::Change {
-        part: CONFIG,
+        shard: CONFIG,
         change: Blob(encode(&change)),
-        patience_ms: 3_000,
+        timeout_ms: 3_000,
     };
     let reply = caller.call(to, &call, Duration::from_millis(500)).await;
     assert!(reply.is_none(), "{reply:?}");
--- a/crates/sparrouter-simulation/tests/reconfiguration.rs
+++ b/crates/sparrouter-simulation/tests/reconfiguration.rs
@@ -207,14 +207,14 @@
 #[test]
 fn given_the_only_copy_at_a_member_when_told_to_end_then_it_hands_over_first() {
     run_judged(leaving_with_the_only_copy);
-    let found = breaches(Defect::LeavesAtOnce, leaving_with_the_only_copy);
+    let found = breaches(Defect::LeavesWithoutHandover, leaving_with_the_only_copy);
     assert!(!found.is_empty(), "an end without a handover is found");
 }
 
 #[test]
 fn given_a_swap_on_one_side_of_a_cut_then_the_old_group_is_asked() {
     run_judged(cut_in_two_beside_a_new_machine);
-    let found = breaches(Defect::OldGroupUnasked, cut_in_two_beside_a_new_machine);
+    let found = breaches(Defect::OldGroupNotAsked, cut_in_two_beside_a_new_machine);
     assert!(!found.is_empty(), "a swap without the old group is found");
 }
 
--- a/crates/sparrouter-simulation/tests/revocation.rs
+++ b/crates/sparrouter-simulation/tests/revocation.rs
@@ -178,7 +178,7 @@
 
 #[test]
 fn given_a_lease_that_nobody_asks_for_when_a_node_is_cut_off_then_it_is_found() {
-    let defect = Defect::LeaseUnasked;
+    let defect = Defect::LeaseUnchecked;
     let broken = breaches(defect, || revoked_behind_a_cut("edge-0", 700));
     assert_found(defect, &broken);
 }
--- a/crates/sparrouter-simulation/tests/scripted/mod.rs
+++ b/crates/sparrouter-simulation/tests/scripted/mod.rs
@@ -201,7 +201,7 @@
                 }
                 sleep(*pause).await;
             }
-            match http::body(&mut stream, &mut buffer, head.framing, 16 << 20).await {
+            match http::read_body(&mut stream, &mut buffer, head.framing, 16 << 20).await {
                 Ok(body) => self.heard.borrow_mut()[place].body = body,
                 Err(_) => return,
             }
--- a/crates/sparrouter-simulation/tests/server_orders.rs
+++ b/crates/sparrouter-simulation/tests/server_orders.rs
@@ -61,7 +61,7 @@
 #[test]
 fn given_new_weights_then_each_order_names_the_server_that_it_is_for() {
     assert!(orders_name_their_server());
-    inject(Some(Defect::OrderUnnamed));
+    inject(Some(Defect::OrderInstanceOmitted));
     let named = orders_name_their_server();
     inject(None);
     assert!(!named);
--- a/crates/sparrouter-simulation/tests/state_files.rs
+++ b/crates/sparrouter-simulation/tests/state_files.rs
@@ -3,7 +3,7 @@
 use sparrouter_consensus::lease::Lease;
 use sparrouter_consensus::{Record, Settings};
 use sparrouter_fleet::control::configuration_state::ConfigurationState;
-use sparrouter_fleet::control::disk::{DiskContents, DiskError, Keeper, Saves, open_with};
+use sparrouter_fleet::control::disk::{DiskContents, DiskError, DiskWriter, WriteQueue, open_with};
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_fleet::process::log_buffer::LogBuffer;
 use sparrouter_membership::MembershipDelta;
@@ -41,11 +41,11 @@
 
 struct NoKeeper;
 
-impl Keeper for NoKeeper {
-    fn begin(
+impl DiskWriter for NoKeeper {
+    fn start(
         self: Box<Self>,
-        _: tokio::sync::mpsc::UnboundedSender<sparrouter_fleet::control::disk::Kept>,
-    ) -> Saves {
+        _: tokio::sync::mpsc::UnboundedSender<sparrouter_fleet::control::disk::WriteOutcome>,
+    ) -> WriteQueue {
         Box::new(|_| ())
     }
 }
@@ -84,7 +84,7 @@
 fn recorded_disk() -> u64 {
     open(&disk_of(&recorded()))
         .expect("this release reads it")
-        .disk
+        .disk_id
 }
 
 fn record(bytes: &[u8]) -> Record {
@@ -125,7 +125,9 @@
         return false;
     };
     let forgotten = contents.records.iter().all(Option::is_none) && contents.rows.is_none();
-    contents.disk != recorded_disk() && forgotten && files_of(&disk).keys().all(|n| n == "disk.1")
+    contents.disk_id != recorded_disk()
+        && forgotten
+        && files_of(&disk).keys().all(|n| n == "disk.1")
 }
 
 #[test]
@@ -239,7 +241,7 @@
     let disk = disk_of(&recorded());
     disk.fail_at(0, sparrouter_storage::simulated::DiskFailure::Before);
     let contents = open(&disk).expect("a process without a disk");
-    assert!(contents.keeper.is_none() && contents.disk != recorded_disk());
+    assert!(contents.writer.is_none() && contents.disk_id != recorded_disk());
     disk.clear_failure();
     assert_eq!(files_of(&disk), recorded());
     let _ = Store::open(disk).expect("as it was");
--- a/crates/sparrouter-simulation/tests/versions.rs
+++ b/crates/sparrouter-simulation/tests/versions.rs
@@ -116,7 +116,7 @@
     for seed in 320..323 {
         run_judged(|| restarted_between(seed));
     }
-    for defect in [Defect::StartMovesLimits, Defect::VersionAgeUntold] {
+    for defect in [Defect::StartMovesLimits, Defect::VersionAgeUnreported] {
         let broken = breaches(defect, restarted_between, 320..323);
         let is_found = broken.iter().any(|b| b.starts_with("VERSION"));
         assert!(is_found, "{defect:?}: {broken:?}");
