--- a/crates/sparrouter/src/notes.rs
+++ b/crates/sparrouter-balancer/src/gossip.rs
@@ -78,12 +78,25 @@
         let (total, rest) = rest.split_first_chunk::<4>()?;
         let number = |b: &[u8]| {
             let n = f32::from_le_bytes([b[0], b[1], b[2], b[3]]);
-            if n.is_nan() { 0.0 } else { n.clamp(0.0, 1e6).into() }
+            if n.is_nan() {
+                0.0
+            } else {
+                n.clamp(0.0, 1e6).into()
+            }
+        };
+        let row = |b: &[u8]| {
+            (
+                u32::from_le_bytes([b[0], b[1], b[2], b[3]]),
+                number(&b[4..]),
+                number(&b[8..]),
+            )
         };
-        let row = |b: &[u8]| (u32::from_le_bytes([b[0], b[1], b[2], b[3]]), number(&b[4..]), number(&b[8..]));
         let mut rows: Vec<Sums> = rest.chunks_exact(ROW).map(row).collect();
         let keys = rows.split_off(rows.len().min(caches.into()));
-        let arrived = arrived.chunks_exact(2).map(|b| u16::from_le_bytes([b[0], b[1]])).collect();
+        let arrived = arrived
+            .chunks_exact(2)
+            .map(|b| u16::from_le_bytes([b[0], b[1]]))
+            .collect();
         Some(Telling {
             arrived,
             excess: number(excess),
--- a/crates/sparrouter/src/policy.rs
+++ b/crates/sparrouter-balancer/src/policy.rs
@@ -9,7 +9,7 @@
 //! hash(id, key), the highest score wins, a miss goes on to the origin. The rest of this file keeps
 //! that path standing when things break.
 
-use crate::notes::*;
+use crate::gossip::*;
 use crate::records::*;
 use crate::types::*;
 use std::collections::{BTreeMap, HashMap};
@@ -17,10 +17,16 @@
 // ---- The gate: rules 1 to 3. Every forward and every final answer asks here first. ----
 
 fn may_forward(
-    inv: &Inv, op: &Operation, limits: &ForwardLimits, to: &Cache, fleet: &Fleet, now: Nanos,
+    inv: &Inv,
+    op: &Operation,
+    limits: &ForwardLimits,
+    to: &Cache,
+    fleet: &Fleet,
+    now: Nanos,
 ) -> bool {
     let free = inv.live() && now < inv.arrival.due && to.standing == LifecycleState::Ready;
-    let room = inv.forwards.len() < limits.max_forwards && (limits.second_copies || inv.open() == 0);
+    let room =
+        inv.forwards.len() < limits.max_forwards && (limits.second_copies || inv.open() == 0);
     let effect = match (op.effect, inv.first_effect()) {
         (Effect::Idempotent, _) | (_, None) => true,
         (Effect::NonIdempotent, Some(_)) => false,
@@ -39,13 +45,18 @@
 
 /// Guards against a window that runs out between the decision and the last byte: a connection takes its time.
 fn leaves_before(inv: &Inv, op: &Operation) -> Option<Nanos> {
-    let Effect::Deduplicated { window, .. } = op.effect else { return None };
+    let Effect::Deduplicated { window, .. } = op.effect else {
+        return None;
+    };
     inv.first_effect().map(|first| first.at + window)
 }
 
 fn may_throttle(inv: &Inv, op: &Operation) -> bool {
     match op.effect {
-        Effect::Idempotent | Effect::Deduplicated { group: Group::All, .. } => true,
+        Effect::Idempotent
+        | Effect::Deduplicated {
+            group: Group::All, ..
+        } => true,
         _ => inv.first_effect().is_none(),
     }
 }
@@ -56,8 +67,13 @@
     /// Guards against a list that is wrong: where gone is advice, one that never drained stays in the
     /// election until own forwards show that it is out of reach.
     fn listed(&mut self, standing: LifecycleState, advice: bool) {
-        self.missing = advice && standing == LifecycleState::Gone && self.standing == LifecycleState::Ready;
-        self.standing = if self.missing { LifecycleState::Ready } else { standing };
+        self.missing =
+            advice && standing == LifecycleState::Gone && self.standing == LifecycleState::Ready;
+        self.standing = if self.missing {
+            LifecycleState::Ready
+        } else {
+            standing
+        };
     }
     fn started(&mut self, at: Nanos, now: Nanos, tokens: f64) {
         (self.ready_at, self.tokens, self.filled_at) = (at.max(self.ready_at), tokens, now);
@@ -110,13 +126,20 @@
         let advice = self.rules.gone_is_advice;
         self.count(now);
         if form != Form::Changes {
-            self.caches.iter_mut().flatten().for_each(|c| c.listed(LifecycleState::Gone, advice));
+            self.caches
+                .iter_mut()
+                .flatten()
+                .for_each(|c| c.listed(LifecycleState::Gone, advice));
         }
         for row in rows {
             if self.caches.len() <= row.cache {
                 self.caches.resize_with(row.cache + 1, || None);
             }
-            let weight = if self.live_weights || row.weight <= 0.0 { 1.0 } else { row.weight };
+            let weight = if self.live_weights || row.weight <= 0.0 {
+                1.0
+            } else {
+                row.weight
+            };
             // Also where another had that index and has long gone.
             let fresh = Cache {
                 id_hash: row.id_hash,
@@ -126,7 +149,10 @@
                 learnt_at: now,
                 ..Cache::default()
             };
-            let c = self.caches[row.cache].take().filter(|c| c.id_hash == row.id_hash).unwrap_or(fresh);
+            let c = self.caches[row.cache]
+                .take()
+                .filter(|c| c.id_hash == row.id_hash)
+                .unwrap_or(fresh);
             let c = self.caches[row.cache].insert(c);
             if row.ready_at > c.ready_at {
                 // A restart under the same id: what was held against the old process is void.
@@ -136,7 +162,11 @@
             c.listed(row.standing, advice);
             (c.weight, c.zone, c.cell) = (weight, row.zone, row.cell);
         }
-        let up = |c: &CacheIx| self.caches[*c].as_ref().is_some_and(|c| c.standing == LifecycleState::Ready);
+        let up = |c: &CacheIx| {
+            self.caches[*c]
+                .as_ref()
+                .is_some_and(|c| c.standing == LifecycleState::Ready)
+        };
         let all = (0..self.caches.len()).filter(up);
         let (origin, ready): (Vec<_>, _) = all.partition(|&c| self.is_origin(c));
         (self.origin, self.ready) = (origin.first().copied(), ready);
@@ -146,7 +176,11 @@
     fn warmth(&self, c: CacheIx, now: Nanos) -> f64 {
         let (ready_at, start) = (self.get(c).ready_at, self.rules.start_capacity);
         let age = now.saturating_sub(ready_at) as f64 / self.rules.cold.max(1) as f64;
-        if ready_at == 0 { 1.0 } else { (start + (1.0 - start) * age).min(1.0) }
+        if ready_at == 0 {
+            1.0
+        } else {
+            (start + (1.0 - start) * age).min(1.0)
+        }
     }
 
     /// All ready cache servers, highest score first. A weight's share of the keys is its part of
@@ -165,7 +199,12 @@
 
     /// The part of all keys that cold cache servers win.
     fn cold_part(&self, now: Nanos) -> f64 {
-        let part = |&c: &CacheIx| (self.warmth(c, now), self.warmth(c, now) * self.get(c).weight);
+        let part = |&c: &CacheIx| {
+            (
+                self.warmth(c, now),
+                self.warmth(c, now) * self.get(c).weight,
+            )
+        };
         let each = || self.ready.iter().map(part);
         each().filter(|p| p.0 < 1.0).map(|p| p.1).sum::<f64>() / each().map(|p| p.1).sum::<f64>()
     }
@@ -199,7 +238,11 @@
 
     fn sent(&mut self, c: CacheIx, now: Nanos) {
         let cold = self.warmth(c, now) < 1.0;
-        let tokens = if cold { self.cold_tokens(c, now) - 1.0 } else { 0.0 };
+        let tokens = if cold {
+            self.cold_tokens(c, now) - 1.0
+        } else {
+            0.0
+        };
         self.cold_sends += u64::from(cold);
         let cache = self.at(c);
         (cache.tokens, cache.filled_at) = (tokens, now);
@@ -218,10 +261,18 @@
     /// made the budget of a cold one many times what it can do, and so did the first few within a moment.
     fn count(&mut self, now: Nanos) {
         let time = (now - self.counted_at) as f64 / SECOND as f64;
-        let total: f64 = self.ready.iter().map(|&r| self.get(r).weight * self.warmth(r, now)).sum();
+        let total: f64 = self
+            .ready
+            .iter()
+            .map(|&r| self.get(r).weight * self.warmth(r, now))
+            .sum();
         if time > 0.0 && total > 0.0 {
             let per_s = self.answers / time / total;
-            let part = if self.rate == 0.0 { time.min(1.0) } else { 0.3 * time.min(1.0) };
+            let part = if self.rate == 0.0 {
+                time.min(1.0)
+            } else {
+                0.3 * time.min(1.0)
+            };
             self.rate += part * (per_s - self.rate);
         }
         (self.answers, self.counted_at) = (0.0, now);
@@ -244,8 +295,15 @@
                 true => Nanos::MAX,
                 false => first * if most { 1 } else { 8 },
             };
-            let backoff = cache.doubt.as_ref().map_or(first, |d| (d.backoff * 2).min(longest));
-            cache.doubt = Some(Doubt { until: now + backoff, backoff, trial: false });
+            let backoff = cache
+                .doubt
+                .as_ref()
+                .map_or(first, |d| (d.backoff * 2).min(longest));
+            cache.doubt = Some(Doubt {
+                until: now + backoff,
+                backoff,
+                trial: false,
+            });
             self.doubts += u64::from(!before);
             let cache = self.at(c);
             // List and own forwards have agreed for long: it is kept no more, until it is listed again.
@@ -282,14 +340,25 @@
         worst.iter().map(row).collect()
     }
     fn take(&mut self, (id, bad, all): Sums, now: Nanos) {
-        let Some(c) = self.caches.iter_mut().flatten().find(|c| c.id_hash as u32 == id) else { return };
+        let Some(c) = self
+            .caches
+            .iter_mut()
+            .flatten()
+            .find(|c| c.id_hash as u32 == id)
+        else {
+            return;
+        };
         let (old, kept) = (fade(now - c.learnt_at), fade((now - c.learnt_at) / 8));
         c.crowd = (c.crowd.0 * kept + bad.min(all), c.crowd.1 * kept + all);
         (c.bad, c.known, c.learnt_at) = (c.bad * old, c.known * old, now);
     }
 
     fn most_doubted(&self) -> bool {
-        let doubted = self.ready.iter().filter(|&&c| self.get(c).doubt.is_some()).count();
+        let doubted = self
+            .ready
+            .iter()
+            .filter(|&&c| self.get(c).doubt.is_some())
+            .count();
         doubted * 2 > self.ready.len()
     }
 
@@ -299,7 +368,11 @@
     /// traffic, a few crowded ones had the whole fleet shed; counted as long as that of one, what was
     /// learnt of two hundred outweighed all that had gone well since for five seconds.
     fn badness(&self, now: Nanos) -> f64 {
-        let each = self.ready.iter().map(|&c| self.get(c)).filter(|c| c.doubt.is_none() && c.known > 0.0);
+        let each = self
+            .ready
+            .iter()
+            .map(|&c| self.get(c))
+            .filter(|c| c.doubt.is_none() && c.known > 0.0);
         let sum = |(bad, known), c: &Cache| {
             let weight = (c.known * fade(STALE * (now - c.learnt_at))).min(LEARN_PART);
             (bad + weight * c.bad / c.known, known + weight)
@@ -348,8 +421,16 @@
                 (self.strikes, self.heard) = (0, now);
                 self.usual.learn(lag);
                 let (fast, slow) = (stale(0.1, age), stale(0.02, age));
-                self.mean = if self.mean == 0.0 { lag } else { self.mean + fast * (lag - self.mean) };
-                self.slow = if self.slow == 0.0 { lag } else { self.slow + slow * (lag - self.slow) };
+                self.mean = if self.mean == 0.0 {
+                    lag
+                } else {
+                    self.mean + fast * (lag - self.mean)
+                };
+                self.slow = if self.slow == 0.0 {
+                    lag
+                } else {
+                    self.slow + slow * (lag - self.slow)
+                };
                 // What it takes uncrowded. Taken from the first answers, a crowd at the start passed for the
                 // usual for good: now it begins at half of what is tolerated, falls back to that, and rises
                 // by long answers the less of them are out, as those few are no crowd.
@@ -370,7 +451,9 @@
             // A connection that broke, or fell silent while others were answered, is no sign of a crowd.
             Outcome::Reset | Outcome::Broken => self.strikes += 1,
             Outcome::TimedOut if self.heard + lag as Nanos > now => {}
-            _ => (self.strikes, self.limit) = (self.strikes + 1, (self.limit * 0.7).max(self.least)),
+            _ => {
+                (self.strikes, self.limit) = (self.strikes + 1, (self.limit * 0.7).max(self.least))
+            }
         }
         // A part of one fetch: it is out for that part of the time.
         let pause = lag * (1.0 / self.limit - 1.0);
@@ -395,14 +478,20 @@
     fn spread(&self, key: u64, caches: usize) -> usize {
         // Without the arrival at hand that is the mean part of a key seen so often, where popularity falls
         // as one over the rank. A few arrivals more than were seen keep the first from looking hot.
-        let n = self.counts.get(&((key >> 32) as u32)).copied().unwrap_or_default();
+        let n = self
+            .counts
+            .get(&((key >> 32) as u32))
+            .copied()
+            .unwrap_or_default();
         let others = n.arrived - 1.0;
         if others <= 0.0 {
             return 1;
         }
         let slow = (n.slow / others).min(1.0);
         let part = others / (self.total + HOT_FEW);
-        (HOT_SPREAD * slow * slow * caches as f64 * part).ceil().clamp(1.0, caches.max(1) as f64) as usize
+        (HOT_SPREAD * slow * slow * caches as f64 * part)
+            .ceil()
+            .clamp(1.0, caches.max(1) as f64) as usize
     }
 }
 
@@ -439,7 +528,9 @@
 
 impl Admission {
     fn within_quota(&mut self, tenant: Option<usize>, now: Nanos) -> bool {
-        tenant.and_then(|t| self.quotas.get_mut(t)).is_none_or(|q| q.take(now))
+        tenant
+            .and_then(|t| self.quotas.get_mut(t))
+            .is_none_or(|q| q.take(now))
     }
     /// One came: the part to be turned away, as far as what was done in time not long ago allows it. Guards
     /// against turning nearly all away for as long as old evidence lasts: what was done can be done.
@@ -452,7 +543,11 @@
     }
     /// What left when no more had been let in for an objective's time, and went badly: it can't be done now.
     fn late(&mut self, sent_at: Nanos, objective: Nanos) {
-        if self.proven.binds.is_some_and(|since| sent_at > since + objective) {
+        if self
+            .proven
+            .binds
+            .is_some_and(|since| sent_at > since + objective)
+        {
             self.proven.falls();
         }
     }
@@ -464,14 +559,25 @@
         self.bands.iter_mut().for_each(|b| b.1 *= 0.99);
         self.bands[band] = (density, self.bands[band].1 + work, value);
         let bound = self.bound(now);
-        let load = |of: &dyn Fn(f64) -> bool| self.bands.iter().filter(|b| of(b.0)).map(|b| b.1).sum::<f64>();
+        let load = |of: &dyn Fn(f64) -> bool| {
+            self.bands
+                .iter()
+                .filter(|b| of(b.0))
+                .map(|b| b.1)
+                .sum::<f64>()
+        };
         let total = load(&|_| true);
         let mean = self.bands.iter().map(|b| b.2 * b.1).sum::<f64>() / total;
         let over = bound * total;
         let chance = ((over - load(&|d| d < density)) / load(&|d| d == density)).clamp(0.0, 1.0);
         // The band that the excess has reached: the less it is worth, the sooner it goes.
-        let next = self.bands.iter().filter(|b| b.1 > 0.0 && load(&|d| d <= b.0) > over);
-        let next = next.min_by(|a, b| a.0.total_cmp(&b.0)).map_or(f64::INFINITY, |b| b.2);
+        let next = self
+            .bands
+            .iter()
+            .filter(|b| b.1 > 0.0 && load(&|d| d <= b.0) > over);
+        let next = next
+            .min_by(|a, b| a.0.total_cmp(&b.0))
+            .map_or(f64::INFINITY, |b| b.2);
         let tolerated = (TOLERATED * next / mean).min(1.0);
         let gap = now.saturating_sub(self.stepped_at) as f64 / SECOND as f64;
         self.stepped_at = now;
@@ -543,17 +649,35 @@
 
 impl Policy {
     pub fn new(
-        place: Surroundings, ops: Vec<Operation>, tenants: &[Tenant], limits: ForwardLimits, rules: Rules,
+        place: Surroundings,
+        ops: Vec<Operation>,
+        tenants: &[Tenant],
+        limits: ForwardLimits,
+        rules: Rules,
         mode: OriginMode,
     ) -> Policy {
-        let origin_kind = if let OriginMode::Aside { kind } = mode { Some(kind) } else { None };
+        let origin_kind = if let OriginMode::Aside { kind } = mode {
+            Some(kind)
+        } else {
+            None
+        };
         let part = 1.0 / place.nodes.max(1) as f64;
         let quota = |t: &Tenant| {
             let (per_s, tokens) = (t.quota_per_s, t.quota_per_s * part);
-            Quota { per_s, tokens, part, ..Quota::default() }
+            Quota {
+                per_s,
+                tokens,
+                part,
+                ..Quota::default()
+            }
         };
         let bands = vec![(0.0, 0.0, 0.0); 2 * ops.len()];
-        let first_look = ops.iter().map(|o| o.objective).min().unwrap_or(SECOND).max(1);
+        let first_look = ops
+            .iter()
+            .map(|o| o.objective)
+            .min()
+            .unwrap_or(SECOND)
+            .max(1);
         let tolerated = first_look as f64 / 3.0;
         let quotas = tenants.iter().map(quota).collect();
         Policy {
@@ -574,7 +698,11 @@
                 tolerated,
                 ..OriginGuard::default()
             },
-            admission: Admission { quotas, bands, ..Admission::default() },
+            admission: Admission {
+                quotas,
+                bands,
+                ..Admission::default()
+            },
             place,
             limits: vec![limits; ops.len()],
             ops,
@@ -585,10 +713,20 @@
 
     /// Other settings for what comes from now on, out of a policy made of them; what is in hand keeps those
     /// that it came under. `rows`: where each operation stands here; `tenants`: which each of them was.
-    pub fn take_up(&mut self, now: Nanos, fresh: Policy, rows: &[Taken], tenants: &[Option<usize>]) {
+    pub fn take_up(
+        &mut self,
+        now: Nanos,
+        fresh: Policy,
+        rows: &[Taken],
+        tenants: &[Option<usize>],
+    ) {
         self.now = now;
-        let (most, limits) =
-            (rows.iter().map(|r| r.at + 1).fold(self.ops.len(), usize::max), fresh.limits[0]);
+        let (most, limits) = (
+            rows.iter()
+                .map(|r| r.at + 1)
+                .fold(self.ops.len(), usize::max),
+            fresh.limits[0],
+        );
         self.usual.resize(most, Usual::default());
         self.limits.resize(most, limits);
         self.admission.bands.resize(2 * most, (0.0, 0.0, 0.0));
@@ -612,13 +750,22 @@
         (old.least, old.growth, old.tolerated) = (new.least, new.growth, new.tolerated);
         let old = std::mem::replace(&mut self.admission.quotas, fresh.admission.quotas);
         for (q, was) in self.admission.quotas.iter_mut().zip(tenants) {
-            let Some(old) = was.and_then(|t| old.get(t)) else { continue };
-            *q = Quota { per_s: q.per_s, part: (old.part * part).min(1.0), ..*old };
+            let Some(old) = was.and_then(|t| old.get(t)) else {
+                continue;
+            };
+            *q = Quota {
+                per_s: q.per_s,
+                part: (old.part * part).min(1.0),
+                ..*old
+            };
         }
         // Numbers of peers may mean others now: what they told ends with the next second. Forgotten at once,
         // a node at work took the first note for all that is known, like one that has just started.
         self.peers.values_mut().for_each(|told| told.0 = 0);
-        self.place = Surroundings { seed: self.place.seed, ..fresh.place };
+        self.place = Surroundings {
+            seed: self.place.seed,
+            ..fresh.place
+        };
     }
 
     /// A fingerprint of where keys go: nodes that differ here disagree on a key's cache server.
@@ -635,13 +782,22 @@
         };
         let mut fleet = Fleet::default();
         fleet.list(Form::Full, &(0..16).map(row).collect::<Vec<_>>(), 1);
-        (0..256).fold(0, |print, key| mix(print ^ (fleet.rank(mix(key), 0, 1)[0].1 as u64 + 1)))
+        (0..256).fold(0, |print, key| {
+            mix(print ^ (fleet.rank(mix(key), 0, 1)[0].1 as u64 + 1))
+        })
     }
 
     /// What an operator wants to know, counted since the start.
     pub fn told_of(&self) -> Tally {
-        let Fleet { doubts, cold_sends, .. } = self.fleet;
-        Tally { given_up: self.given_up, turned_away: self.admission.excess, doubts, cold_sends }
+        let Fleet {
+            doubts, cold_sends, ..
+        } = self.fleet;
+        Tally {
+            given_up: self.given_up,
+            turned_away: self.admission.excess,
+            doubts,
+            cold_sends,
+        }
     }
 
     pub fn gone_is_advice(&self) -> bool {
@@ -706,7 +862,11 @@
     fn follow(&mut self) {
         // Guards against a call that is never answered: silence counts as being informed.
         self.ask_at = self.now + (self.fleet.rules.ask_every / 2).max(SECOND);
-        self.actions.push(if self.place.must_ask { Action::Follow } else { Action::AskList });
+        self.actions.push(if self.place.must_ask {
+            Action::Follow
+        } else {
+            Action::AskList
+        });
         self.wake(self.ask_at, LIST);
     }
 
@@ -716,24 +876,44 @@
         // To a few, drawn anew each time: notes to all would grow with the square of the nodes.
         let (own, nodes) = (self.place.own_index, self.place.nodes);
         let steps = self.rng.choose_multiple(1..nodes.max(1), NOTES);
-        let arrived = self.admission.quotas.iter().take(NOTE_TENANTS).map(|q| q.arrived).collect();
+        let arrived = self
+            .admission
+            .quotas
+            .iter()
+            .take(NOTE_TENANTS)
+            .map(|q| q.arrived)
+            .collect();
         let tenants = Some(self.place.tenants);
-        let mut note = Telling { arrived, tenants, excess: self.admission.excess, ..Telling::default() };
+        let mut note = Telling {
+            arrived,
+            tenants,
+            excess: self.admission.excess,
+            ..Telling::default()
+        };
         if !self.peers.is_empty() {
             // Nothing is given away where no peer is heard: if notes are lost own counts must do.
-            (note.caches, note.keys) = (self.fleet.give(steps.len()), self.keys.give(steps.len(), NOTE_ROWS));
+            (note.caches, note.keys) = (
+                self.fleet.give(steps.len()),
+                self.keys.give(steps.len(), NOTE_ROWS),
+            );
             note.total = self.keys.total;
         }
         let text = note.write();
         for step in steps {
-            self.actions.push(Action::Tell { peer: (own + step) % nodes, text: text.clone() });
+            self.actions.push(Action::Tell {
+                peer: (own + step) % nodes,
+                text: text.clone(),
+            });
         }
         let fresh = self.now.saturating_sub(3 * SECOND);
         self.peers.retain(|_, told| told.0 > fresh);
         let missing = self.place.nodes.saturating_sub(1 + self.peers.len()) as f64;
         for (t, q) in self.admission.quotas.iter_mut().enumerate() {
-            let others: f64 =
-                self.peers.values().map(|(_, n, _)| n.get(t).copied().unwrap_or(0) as f64).sum();
+            let others: f64 = self
+                .peers
+                .values()
+                .map(|(_, n, _)| n.get(t).copied().unwrap_or(0) as f64)
+                .sum();
             let own = q.arrived as f64;
             let all = own + others + missing * (own + others) / (1.0 + self.peers.len() as f64);
             // What is told of nobody else's stays at this node's part by number.
@@ -746,21 +926,38 @@
     }
 
     fn told(&mut self, peer: usize, text: &[u8]) {
-        let Some(note) = Telling::read(text).filter(|_| peer != self.place.own_index) else { return };
-        note.caches.iter().for_each(|&row| self.fleet.take(row, self.now));
+        let Some(note) = Telling::read(text).filter(|_| peer != self.place.own_index) else {
+            return;
+        };
+        note.caches
+            .iter()
+            .for_each(|&row| self.fleet.take(row, self.now));
         self.keys.take(note.total, &note.keys);
         // A node that has just started knows of no overload yet: it let everything in. What many
         // arrivals of its own teach it stands.
-        let own: f64 = self.admission.quotas.iter().map(|q| f64::from(q.arrived)).sum();
-        let weight =
-            if self.peers.is_empty() && own < 4.0 { 1.0 } else { EXCESS_PEER.min(1.0 / (1.0 + own * own)) };
+        let own: f64 = self
+            .admission
+            .quotas
+            .iter()
+            .map(|q| f64::from(q.arrived))
+            .sum();
+        let weight = if self.peers.is_empty() && own < 4.0 {
+            1.0
+        } else {
+            EXCESS_PEER.min(1.0 / (1.0 + own * own))
+        };
         // A few alone are not believed over the others: liars had the whole fleet turn nine in ten away.
-        let others = self.peers.iter().filter(|(p, _)| **p != peer).map(|(_, told)| told.2);
+        let others = self
+            .peers
+            .iter()
+            .filter(|(p, _)| **p != peer)
+            .map(|(_, told)| told.2);
         let most = middle(others).map_or(EXCESS_MAX, |o| o.max(self.admission.excess));
         self.admission.excess += weight * (note.excess.min(most) - self.admission.excess);
         // Counted by other tenants, in the middle of a change: as if it were not heard.
         if note.tenants.is_none_or(|t| t == self.place.tenants) {
-            self.peers.insert(peer, (self.now, note.arrived, note.excess.min(EXCESS_MAX)));
+            self.peers
+                .insert(peer, (self.now, note.arrived, note.excess.min(EXCESS_MAX)));
         }
     }
 
@@ -773,25 +970,47 @@
         let due = arrival.due.saturating_sub(self.place.tick);
         // Past the objective an answer earns nothing here: what is not out by then is given up.
         let good_until = due.min(self.now + objective);
-        let give_up = if op.late_part > 0.0 || op.stream { due } else { good_until };
+        let give_up = if op.late_part > 0.0 || op.stream {
+            due
+        } else {
+            good_until
+        };
         let work = match (arrival.work, self.usual[arrival.operation].mean) {
             (Some(w), _) if w > 0 => w as f64,
             (_, m) if m > 0.0 => m,
             _ => op.objective.max(4) as f64 / 4.0,
         };
-        let within = arrival.within.unwrap_or(self.admission.within_quota(arrival.tenant, self.now));
-        let part = if within { 1.0 } else { self.place.over_share_part };
+        let within = arrival
+            .within
+            .unwrap_or(self.admission.within_quota(arrival.tenant, self.now));
+        let part = if within {
+            1.0
+        } else {
+            self.place.over_share_part
+        };
         let billed = op.billed_value * part;
         let value = billed * if arrival.write { 1e6 } else { 1.0 };
         let band = 2 * arrival.operation + usize::from(within);
-        let shed = self.admission.shed(band, billed, work, self.fleet.badness(self.now), self.now);
+        let shed = self
+            .admission
+            .shed(band, billed, work, self.fleet.badness(self.now), self.now);
         let key = arrival.key.unwrap_or_else(|| self.rng.u64(..));
         self.copies = (self.copies + COPIES.0).min(COPIES.1);
         let most = HOT_ARRIVALS * self.fleet.ready.len().max(1) as f64;
         self.keys.count(key, most, HOT_MEMORY, self.now);
         let origin_write = arrival.write && self.fleet.origin.is_some();
         let due_now = due <= self.now;
-        self.invs.insert(ix, Inv { key, value, good_until, give_up, arrival, ..Inv::default() });
+        self.invs.insert(
+            ix,
+            Inv {
+                key,
+                value,
+                good_until,
+                give_up,
+                arrival,
+                ..Inv::default()
+            },
+        );
         let fails = self.keys.get(key).map_or(1.0, |k| k.chance(self.now));
         let fails = fails < 1.0 && self.rng.f64() > fails;
         if due_now || fails || self.rng.f64() < shed {
@@ -799,7 +1018,11 @@
             return self.conclude(ix, if due_now { Why::Late } else { why });
         }
         self.wake(give_up, token(GIVE_UP, ix, 0));
-        if origin_write { self.try_origin(ix) } else { self.try_cache(ix) }
+        if origin_write {
+            self.try_origin(ix)
+        } else {
+            self.try_cache(ix)
+        }
     }
 
     /// Sends to the first in the key's order that nothing speaks against.
@@ -811,7 +1034,9 @@
             return waiting.push(ix);
         }
         // The last forward is the origin's, if there is one to turn to.
-        let left = self.limits[inv.arrival.operation].max_forwards.saturating_sub(inv.forwards.len());
+        let left = self.limits[inv.arrival.operation]
+            .max_forwards
+            .saturating_sub(inv.forwards.len());
         let origin = self.fleet.origin.filter(|_| read);
         if left <= 1 && origin.is_some() && !inv.forwards.is_empty() {
             return self.fetch(ix);
@@ -819,7 +1044,9 @@
         match self.pick(ix) {
             Some(c) => self.send(ix, c, Policy::after_cache),
             // Not because all are crowded: the origin would be the next to fall.
-            None if origin.is_some() && self.fleet.ready.iter().all(|&c| self.fleet.get(c).out == 0) => {
+            None if origin.is_some()
+                && self.fleet.ready.iter().all(|&c| self.fleet.get(c).out == 0) =>
+            {
                 self.fetch(ix)
             }
             None => self.conclude(ix, Why::NoRoom),
@@ -850,8 +1077,9 @@
         // A hot key is spread over the first few of its order, the least busy of them first.
         let few = self.keys.spread(inv.key, order.len()).min(order.len());
         // Each node begins elsewhere among them: that many nodes with one in flight each are a crowd.
-        order[..few]
-            .rotate_left(self.place.own_index % self.place.nodes.max(1) * few / self.place.nodes.max(1));
+        order[..few].rotate_left(
+            self.place.own_index % self.place.nodes.max(1) * few / self.place.nodes.max(1),
+        );
         // One in flight is no crowd: each copy costs fetches.
         order[..few].sort_by_key(|&(_, c)| self.fleet.get(c).out.max(1));
         for (_, c) in order {
@@ -892,22 +1120,46 @@
 
     fn may_forward(&self, inv: &Inv, to: CacheIx) -> bool {
         let op = inv.arrival.operation;
-        may_forward(inv, &self.ops[op], &self.limits[op], self.fleet.get(to), &self.fleet, self.now)
+        may_forward(
+            inv,
+            &self.ops[op],
+            &self.limits[op],
+            self.fleet.get(to),
+            &self.fleet,
+            self.now,
+        )
     }
 
     fn send(&mut self, ix: InvIx, c: CacheIx, then: Then) {
-        let Some(inv) = self.invs.get(&ix) else { return };
+        let Some(inv) = self.invs.get(&ix) else {
+            return;
+        };
         if !self.may_forward(inv, c) {
             return self.conclude(ix, Why::Gate);
         }
-        let Some(inv) = self.invs.get_mut(&ix) else { return };
+        let Some(inv) = self.invs.get_mut(&ix) else {
+            return;
+        };
         let before = leaves_before(inv, &self.ops[inv.arrival.operation]);
         let (wait, cold) = (inv.arrival.due - self.now, inv.cold);
         let (at, fate) = (self.now, Fate::Open);
-        inv.forwards.push(Forward { cache: c, at, fate, broke: false, erred: false, cold, then });
+        inv.forwards.push(Forward {
+            cache: c,
+            at,
+            fate,
+            broke: false,
+            erred: false,
+            cold,
+            then,
+        });
         let copy = inv.forwards.len() - 1;
         let (operation, origin) = (inv.arrival.operation, self.fleet.is_origin(c));
-        self.actions.push(Action::Forward { inv: ix, cache: c, wait, before });
+        self.actions.push(Action::Forward {
+            inv: ix,
+            cache: c,
+            wait,
+            before,
+        });
         if origin {
             self.guard.out += 1;
             self.guard.cold_out += usize::from(cold);
@@ -915,7 +1167,11 @@
         } else {
             self.fleet.sent(c, self.now);
         }
-        let usual = if origin { self.guard.usual } else { self.usual[operation] };
+        let usual = if origin {
+            self.guard.usual
+        } else {
+            self.usual[operation]
+        };
         let patience = usual.patience(self.place.tick);
         if usual.mean > 0.0 && patience < wait {
             self.wake(self.now + patience, token(PATIENCE, ix, copy));
@@ -934,7 +1190,9 @@
 
     fn try_origin(&mut self, ix: InvIx) {
         let inv = &self.invs[&ix];
-        let Some(origin) = self.fleet.origin else { return self.conclude(ix, Why::Origin) };
+        let Some(origin) = self.fleet.origin else {
+            return self.conclude(ix, Why::Origin);
+        };
         if self.guard.room(self.now) && self.guard.queue.is_empty() {
             return self.send(ix, origin, Policy::after_origin);
         }
@@ -945,7 +1203,12 @@
         }
         self.guard.queue.push((inv.value, ix));
         // Whoever is now too far back for an answer in time is told at once.
-        let worst = self.guard.queue.iter().copied().min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
+        let worst = self
+            .guard
+            .queue
+            .iter()
+            .copied()
+            .min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
         if let Some((value, last)) = worst.filter(|w| w.1 != ix)
             && self.now as f64 + self.guard.wait(value) > self.invs[&last].good_until as f64
         {
@@ -955,7 +1218,9 @@
 
     fn pump(&mut self) {
         while self.guard.room(self.now) {
-            let (Some(origin), Some(ix)) = (self.fleet.origin, self.guard.pop()) else { return };
+            let (Some(origin), Some(ix)) = (self.fleet.origin, self.guard.pop()) else {
+                return;
+            };
             if self.invs.get(&ix).is_some_and(|i| !i.over) {
                 self.send(ix, origin, Policy::after_origin);
             }
@@ -973,17 +1238,26 @@
             let twice = self.fails_anywhere(ix);
             if twice {
                 let key = self.invs[&ix].key;
-                self.keys.get(key).into_iter().for_each(|k| k.fails(self.now));
+                self.keys
+                    .get(key)
+                    .into_iter()
+                    .for_each(|k| k.fails(self.now));
                 self.rescued -= RESCUE_STEP * self.rescued;
             }
             // Guards against one that brings down what it reaches: it was there when its cache server died,
             // and the next would die too. Whoever was there by chance is told to come back.
             // Where the connection broke before all was sent it never ran, and killed nobody.
             let there = |f: &Forward| f.cache == e.cache && f.broke && f.fate == Fate::MayHaveRun;
-            let died = e.outcome == Outcome::Unavailable && self.invs[&ix].forwards.iter().any(there);
-            let worth =
-                !twice && !died && (e.outcome != Outcome::Error || self.rng.f64() < self.rescued.max(RARE));
-            if worth { self.try_cache(ix) } else { self.conclude(ix, Why::Fails) }
+            let died =
+                e.outcome == Outcome::Unavailable && self.invs[&ix].forwards.iter().any(there);
+            let worth = !twice
+                && !died
+                && (e.outcome != Outcome::Error || self.rng.f64() < self.rescued.max(RARE));
+            if worth {
+                self.try_cache(ix)
+            } else {
+                self.conclude(ix, Why::Fails)
+            }
         }
     }
 
@@ -1006,14 +1280,23 @@
     }
 
     fn ended(&mut self, e: Ending) {
-        let Some(inv) = self.invs.get_mut(&e.inv) else { return };
-        let Some(f) = inv.forwards.get_mut(e.copy).filter(|f| f.fate == Fate::Open && f.cache == e.cache)
+        let Some(inv) = self.invs.get_mut(&e.inv) else {
+            return;
+        };
+        let Some(f) = inv
+            .forwards
+            .get_mut(e.copy)
+            .filter(|f| f.fate == Fate::Open && f.cache == e.cache)
         else {
             return;
         };
         f.broke = matches!(e.outcome, Outcome::Reset | Outcome::Broken);
         f.erred = e.outcome == Outcome::Error;
-        f.fate = if e.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
+        f.fate = if e.outcome.never_ran() {
+            Fate::NeverRan
+        } else {
+            Fate::MayHaveRun
+        };
         let (then, sent_at, cold) = (f.then, f.at, f.cold);
         inv.over |= e.last;
         let cache = self.fleet.at(e.cache);
@@ -1061,7 +1344,11 @@
             Outcome::Succeeded | Outcome::Miss | Outcome::Error => {
                 self.fleet.cleared(e.cache, self.now);
                 self.fleet.answered(e.cache, self.now);
-                self.fleet.at(e.cache).learn(f64::from(u8::from(part > 1.0)), part.min(1.0), self.now);
+                self.fleet.at(e.cache).learn(
+                    f64::from(u8::from(part > 1.0)),
+                    part.min(1.0),
+                    self.now,
+                );
                 self.keys.took(key, part);
                 if e.outcome == Outcome::Succeeded {
                     self.usual[operation].learn(e.lag as f64);
@@ -1104,17 +1391,28 @@
 
     /// Gives the final answer: throttled where that is allowed, errored elsewhere.
     fn conclude(&mut self, ix: InvIx, why: Why) {
-        let Some(inv) = self.invs.get_mut(&ix).filter(|i| i.live()) else { return };
+        let Some(inv) = self.invs.get_mut(&ix).filter(|i| i.live()) else {
+            return;
+        };
         inv.over = true;
         self.given_up[why as usize] += 1;
         // Soon enough for a second try to count, or as late as may be told where none can.
         let op = &self.ops[inv.arrival.operation];
-        let longest = self.limits[inv.arrival.operation].max_retry_after.unwrap_or(0);
+        let longest = self.limits[inv.arrival.operation]
+            .max_retry_after
+            .unwrap_or(0);
         let hope = inv.give_up.saturating_sub(self.now) > op.objective / 2;
-        let retry_after = if hope { longest.min(op.objective / 8) } else { longest };
+        let retry_after = if hope {
+            longest.min(op.objective / 8)
+        } else {
+            longest
+        };
         let throttle = may_throttle(inv, op);
         self.actions.push(match throttle {
-            true => Action::Throttle { inv: ix, retry_after },
+            true => Action::Throttle {
+                inv: ix,
+                retry_after,
+            },
             false => Action::Error { inv: ix },
         });
         self.settle(ix, false);
@@ -1140,22 +1438,37 @@
         self.withdraw_open(ix, None);
         self.guard.queue.retain(|q| q.1 != ix);
         let inv = self.invs.get_mut(&ix).expect("inv");
-        let fetching = inv.forwards.iter().any(|f| f.fate == Fate::Open && self.fleet.is_origin(f.cache));
+        let fetching = inv
+            .forwards
+            .iter()
+            .any(|f| f.fate == Fate::Open && self.fleet.is_origin(f.cache));
         if !inv.leads || fetching {
             return;
         }
         inv.leads = false;
         for w in self.guard.flights.remove(&inv.key).unwrap_or_default() {
-            let Some(follower) = self.invs.get(&w).filter(|i| !i.over) else { continue };
-            let more = follower.forwards.len() < self.limits[follower.arrival.operation].max_forwards;
-            if stored && more { self.again(w) } else { self.fetch(w) }
+            let Some(follower) = self.invs.get(&w).filter(|i| !i.over) else {
+                continue;
+            };
+            let more =
+                follower.forwards.len() < self.limits[follower.arrival.operation].max_forwards;
+            if stored && more {
+                self.again(w)
+            } else {
+                self.fetch(w)
+            }
         }
     }
 
     /// The value is now where the key's order begins: one more forward there is a hit.
     fn again(&mut self, ix: InvIx) {
         let inv = &self.invs[&ix];
-        let missed = inv.forwards.iter().rev().find(|f| f.fate == Fate::NeverRan).map(|f| f.cache);
+        let missed = inv
+            .forwards
+            .iter()
+            .rev()
+            .find(|f| f.fate == Fate::NeverRan)
+            .map(|f| f.cache);
         let good = |c: &Cache| c.standing == LifecycleState::Ready && c.doubt.is_none();
         match missed.filter(|&c| good(self.fleet.get(c))) {
             Some(c) => self.send(ix, c, Policy::after_cache),
@@ -1170,15 +1483,21 @@
     }
 
     fn begun(&mut self, ix: InvIx, copy: usize) {
-        let Some(inv) = self.invs.get_mut(&ix) else { return };
+        let Some(inv) = self.invs.get_mut(&ix) else {
+            return;
+        };
         inv.begun = true;
-        let Some(cache) = inv.forwards.get(copy).map(|f| f.cache) else { return };
+        let Some(cache) = inv.forwards.get(copy).map(|f| f.cache) else {
+            return;
+        };
         self.withdraw_open(ix, Some(copy));
         self.fleet.cleared(cache, self.now);
     }
 
     fn left(&mut self, ix: InvIx) {
-        let Some(inv) = self.invs.get_mut(&ix).filter(|i| !i.over) else { return };
+        let Some(inv) = self.invs.get_mut(&ix).filter(|i| !i.over) else {
+            return;
+        };
         inv.over = true;
         self.settle(ix, false);
         self.forget(ix);
@@ -1187,7 +1506,11 @@
     // -- time --
 
     fn woke(&mut self, token_: u64) {
-        let (kind, copy, ix) = (token_ & 7, (token_ >> 3 & 0x1fff) as usize, (token_ >> 16) as InvIx);
+        let (kind, copy, ix) = (
+            token_ & 7,
+            (token_ >> 3 & 0x1fff) as usize,
+            (token_ >> 16) as InvIx,
+        );
         match kind {
             GIVE_UP => self.give_up(ix),
             PATIENCE => self.impatient(ix, copy),
@@ -1199,9 +1522,15 @@
     }
 
     fn give_up(&mut self, ix: InvIx) {
-        let Some(inv) = self.invs.get(&ix).filter(|i| i.live()) else { return };
-        let quiet: Vec<(CacheIx, Nanos)> =
-            inv.forwards.iter().filter(|f| f.fate == Fate::Open).map(|f| (f.cache, f.at)).collect();
+        let Some(inv) = self.invs.get(&ix).filter(|i| i.live()) else {
+            return;
+        };
+        let quiet: Vec<(CacheIx, Nanos)> = inv
+            .forwards
+            .iter()
+            .filter(|f| f.fate == Fate::Open)
+            .map(|f| (f.cache, f.at))
+            .collect();
         let due = inv.arrival.due.saturating_sub(self.place.tick);
         let wait_on = !quiet.is_empty() && !may_throttle(inv, &self.ops[inv.arrival.operation]);
         for (c, at) in quiet {
@@ -1219,8 +1548,12 @@
     /// A forward is out for longer than nearly all of its operation: if its cache server was silent
     /// all that time, or answers others while this one is far overdue, the invocation moves on.
     fn impatient(&mut self, ix: InvIx, copy: usize) {
-        let Some(inv) = self.invs.get(&ix).filter(|i| !i.begun) else { return };
-        let Some(f) = inv.forwards.get(copy).filter(|f| f.fate == Fate::Open) else { return };
+        let Some(inv) = self.invs.get(&ix).filter(|i| !i.begun) else {
+            return;
+        };
+        let Some(f) = inv.forwards.get(copy).filter(|f| f.fate == Fate::Open) else {
+            return;
+        };
         let (c, at, operation, over) = (f.cache, f.at, inv.arrival.operation, inv.over);
         let origin = self.fleet.is_origin(c);
         let (usual, heard) = match origin {
@@ -1244,15 +1577,22 @@
             self.fleet.strike(c, false, self.now);
         }
         let inv = &self.invs[&ix];
-        if !matches!(self.ops[operation].effect, Effect::Idempotent) || over && (!origin || inv.arrival.write)
+        if !matches!(self.ops[operation].effect, Effect::Idempotent)
+            || over && (!origin || inv.arrival.write)
         {
             return;
         }
-        let left = self.limits[operation].max_forwards.saturating_sub(inv.forwards.len());
+        let left = self.limits[operation]
+            .max_forwards
+            .saturating_sub(inv.forwards.len());
         if self.limits[operation].second_copies && !origin {
             // Few second copies: where all are slow they would double the load.
             let more = self.copies >= 1.0 && left > 1;
-            if more && let Some(to) = self.pick(ix).filter(|&to| self.fleet.get(to).doubt.is_none()) {
+            if more
+                && let Some(to) = self
+                    .pick(ix)
+                    .filter(|&to| self.fleet.get(to).doubt.is_none())
+            {
                 self.copies -= 1.0;
                 self.send(ix, to, Policy::after_cache);
             }
@@ -1262,7 +1602,12 @@
     }
 
     fn probed(&mut self, c: CacheIx, ok: bool) {
-        if let Some(d) = self.fleet.known(c).and_then(|c| c.doubt.as_mut()).filter(|_| ok) {
+        if let Some(d) = self
+            .fleet
+            .known(c)
+            .and_then(|c| c.doubt.as_mut())
+            .filter(|_| ok)
+        {
             d.trial = true;
         }
     }
--- a/crates/sparrouter/src/records.rs
+++ b/crates/sparrouter-balancer/src/records.rs
@@ -1,6 +1,6 @@
 //! What the decisions keep in mind: plain records and the arithmetic of their means. What is done
 //! with them is decided in `policy.rs`.
-use crate::notes::Sums;
+use crate::gossip::Sums;
 use crate::policy::Policy;
 use crate::types::*;
 use std::collections::{BTreeMap, HashMap};
@@ -46,7 +46,10 @@
 
 impl Inv {
     pub fn open(&self) -> usize {
-        self.forwards.iter().filter(|f| f.fate == Fate::Open).count()
+        self.forwards
+            .iter()
+            .filter(|f| f.fate == Fate::Open)
+            .count()
     }
     pub fn live(&self) -> bool {
         !self.over && !self.begun
@@ -102,12 +105,22 @@
 impl Cache {
     pub fn learn(&mut self, bad: f64, slow: f64, now: Nanos) {
         // Additive rise, multiplicative fall.
-        self.limit = if bad > 0.0 { self.limit * (1.0 - bad / 2.0) } else { self.limit + 0.5 / self.limit };
+        self.limit = if bad > 0.0 {
+            self.limit * (1.0 - bad / 2.0)
+        } else {
+            self.limit + 0.5 / self.limit
+        };
         self.limit = self.limit.clamp(1.0, LIMIT_MAX);
         let kept = (1.0 - LEARN_PART) * fade((now - self.learnt_at) / 4);
-        (self.bad, self.known) = (kept * self.bad + LEARN_PART * bad, kept * self.known + LEARN_PART);
+        (self.bad, self.known) = (
+            kept * self.bad + LEARN_PART * bad,
+            kept * self.known + LEARN_PART,
+        );
         let kept = fade((now - self.learnt_at) / 8);
-        self.crowd = (self.crowd.0 * kept + bad.max(slow * slow), self.crowd.1 * kept + 1.0);
+        self.crowd = (
+            self.crowd.0 * kept + bad.max(slow * slow),
+            self.crowd.1 * kept + 1.0,
+        );
         self.learnt_at = now;
     }
 }
@@ -177,7 +190,9 @@
 
 impl KeyCounts {
     pub fn scale(&mut self, part: f64) {
-        self.counts.values_mut().for_each(|n| (n.arrived, n.slow) = (n.arrived * part, n.slow * part));
+        self.counts
+            .values_mut()
+            .for_each(|n| (n.arrived, n.slow) = (n.arrived * part, n.slow * part));
         self.total *= part;
         // Small pieces from many peers add up: dropped at a tenth of an arrival, nothing ever mixed.
         let least = (self.total / 1000.0).min(0.1);
@@ -204,7 +219,11 @@
     /// Parts of the total stay right while single nodes see too few arrivals to tell a hot key.
     pub fn give(&mut self, to: usize, rows: usize) -> Vec<Sums> {
         self.scale(1.0 / (1 + to) as f64);
-        let mut top: Vec<Sums> = self.counts.iter().map(|(&key, n)| (key, n.arrived, n.slow)).collect();
+        let mut top: Vec<Sums> = self
+            .counts
+            .iter()
+            .map(|(&key, n)| (key, n.arrived, n.slow))
+            .collect();
         top.sort_unstable_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         top.truncate(rows);
         top
@@ -264,7 +283,8 @@
     fn pass(&mut self, now: Nanos) {
         let gap = now.saturating_sub(self.at) as f64 / SECOND as f64;
         let kept = |time: f64| (-gap / time).exp();
-        (self.came, self.good, self.at) = (self.came * kept(MEMORY.0), self.good * kept(MEMORY.1), now);
+        (self.came, self.good, self.at) =
+            (self.came * kept(MEMORY.0), self.good * kept(MEMORY.1), now);
         self.rate *= 0.5f64.powf(gap / MEMORY.2);
     }
     pub fn came(&mut self, now: Nanos) {
@@ -291,8 +311,13 @@
         self.arrived = self.arrived.saturating_add(1);
         let rate = self.per_s * self.part;
         let more = now.saturating_sub(self.filled_at) as f64 / SECOND as f64 * rate;
-        (self.tokens, self.filled_at) = ((self.tokens + more).min(QUOTA_DEPTH * rate.max(1.0)), now);
-        self.tokens -= if self.tokens >= 1.0 { 1.0 } else { return false };
+        (self.tokens, self.filled_at) =
+            ((self.tokens + more).min(QUOTA_DEPTH * rate.max(1.0)), now);
+        self.tokens -= if self.tokens >= 1.0 {
+            1.0
+        } else {
+            return false;
+        };
         true
     }
 }
--- a/crates/sparrouter/src/types.rs
+++ b/crates/sparrouter-balancer/src/types.rs
@@ -154,7 +154,11 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::Unavailable | Outcome::NotSent | Outcome::Miss | Outcome::Broken
+            Outcome::Full
+                | Outcome::Unavailable
+                | Outcome::NotSent
+                | Outcome::Miss
+                | Outcome::Broken
         )
     }
 }
@@ -203,26 +207,64 @@
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    Listed { form: Form, rows: Vec<Row> },
+    Listed {
+        form: Form,
+        rows: Vec<Row>,
+    },
     Arrived(Arrival),
-    Begun { inv: InvIx, copy: usize },
+    Begun {
+        inv: InvIx,
+        copy: usize,
+    },
     Ended(Ending),
-    Left { inv: InvIx },
-    Probed { cache: CacheIx, ok: bool, load: Option<Load> },
-    Told { peer: usize, text: Vec<u8> },
-    Woke { token: u64 },
+    Left {
+        inv: InvIx,
+    },
+    Probed {
+        cache: CacheIx,
+        ok: bool,
+        load: Option<Load>,
+    },
+    Told {
+        peer: usize,
+        text: Vec<u8>,
+    },
+    Woke {
+        token: u64,
+    },
 }
 
 /// A forward has left whole `before` that time of the clock or never does, where repeats are dropped only so long.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Forward { inv: InvIx, cache: CacheIx, wait: Nanos, before: Option<Nanos> },
-    Withdraw { inv: InvIx, copy: usize },
-    Throttle { inv: InvIx, retry_after: Nanos },
-    Error { inv: InvIx },
-    Wake { after: Nanos, token: u64 },
-    Probe { cache: CacheIx },
-    Tell { peer: usize, text: Vec<u8> },
+    Forward {
+        inv: InvIx,
+        cache: CacheIx,
+        wait: Nanos,
+        before: Option<Nanos>,
+    },
+    Withdraw {
+        inv: InvIx,
+        copy: usize,
+    },
+    Throttle {
+        inv: InvIx,
+        retry_after: Nanos,
+    },
+    Error {
+        inv: InvIx,
+    },
+    Wake {
+        after: Nanos,
+        token: u64,
+    },
+    Probe {
+        cache: CacheIx,
+    },
+    Tell {
+        peer: usize,
+        text: Vec<u8>,
+    },
     Follow,
     AskList,
 }
--- a/crates/sparrouter/tests/notes.rs
+++ b/crates/sparrouter-balancer/tests/gossip.rs
@@ -1,16 +1,17 @@
 //! Formats of notes: fixed bytes of each, and what a version back and one ahead makes of them.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sparrouter::notes::{Sums, Telling};
+use sparrouter_balancer::gossip::{Sums, Telling};
 
 /// What format 0 was written as and must be read as for as long as it is named in `FORMATS`.
-const ZERO: &str =
-    "0201070001010000003f0000c8410d0c0b0a000000400000404001000000000080400000803f02000000000000400000003f";
+const ZERO: &str = "0201070001010000003f0000c8410d0c0b0a000000400000404001000000000080400000803f02000000000000400000003f";
 /// The same as format 1.
 const ONE: &str = "0201070001010000003f0000c8410d0c0b0a000000400000404001000000000080400000803f02000000000000400000003fcdaba9b0";
 
 fn bytes(hex: &str) -> Vec<u8> {
-    (0..hex.len() / 2).map(|n| u8::from_str_radix(&hex[2 * n..2 * n + 2], 16).unwrap()).collect()
+    (0..hex.len() / 2)
+        .map(|n| u8::from_str_radix(&hex[2 * n..2 * n + 2], 16).unwrap())
+        .collect()
 }
 fn hex(text: &[u8]) -> String {
     text.iter().map(|b| format!("{b:02x}")).collect()
@@ -34,9 +35,22 @@
     let (_, rest) = rest.split_first_chunk::<4>()?;
     let four = |b: &[u8]| [b[0], b[1], b[2], b[3]];
     let number = |b: &[u8]| f64::from(f32::from_le_bytes(four(b)));
-    let row = |b: &[u8]| (u32::from_le_bytes(four(b)), number(&b[4..]), number(&b[8..]));
-    let arrived = arrived.chunks_exact(2).map(|b| u16::from_le_bytes([b[0], b[1]])).collect();
-    Some((arrived, f32::from_le_bytes(*excess), rest.chunks_exact(12).map(row).collect()))
+    let row = |b: &[u8]| {
+        (
+            u32::from_le_bytes(four(b)),
+            number(&b[4..]),
+            number(&b[8..]),
+        )
+    };
+    let arrived = arrived
+        .chunks_exact(2)
+        .map(|b| u16::from_le_bytes([b[0], b[1]]))
+        .collect();
+    Some((
+        arrived,
+        f32::from_le_bytes(*excess),
+        rest.chunks_exact(12).map(row).collect(),
+    ))
 }
 
 #[test]
--- a/crates/sparrouter/tests/rules.rs
+++ b/crates/sparrouter-balancer/tests/rules.rs
@@ -2,15 +2,18 @@
 mod world;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sparrouter::notes::Telling;
-use sparrouter::types::*;
+use sparrouter_balancer::gossip::Telling;
+use sparrouter_balancer::types::*;
 use world::*;
 
 fn effects() -> impl Strategy<Value = Effect> {
     let group = prop_oneof![Just(Group::All), Just(Group::Zone), Just(Group::Cell)];
     prop_oneof![
         Just(Effect::Idempotent),
-        (group, 100u64..3000).prop_map(|(group, w)| Effect::Deduplicated { group, window: w * MS }),
+        (group, 100u64..3000).prop_map(|(group, w)| Effect::Deduplicated {
+            group,
+            window: w * MS
+        }),
         Just(Effect::NonIdempotent),
     ]
 }
@@ -21,7 +24,13 @@
         |(effect, objective, value, late_part, s)| {
             let stream = s && late_part > 0.0;
             let objective = objective * MS;
-            Operation { objective, billed_value: value, late_part, stream, ..operation(effect) }
+            Operation {
+                objective,
+                billed_value: value,
+                late_part,
+                stream,
+                ..operation(effect)
+            }
         },
     )
 }
@@ -32,28 +41,62 @@
 
 fn sites() -> impl Strategy<Value = Site> {
     let flags = prop::array::uniform7(any::<bool>());
-    (prop::collection::vec(operations(), 1..4), flags, 1usize..7, nodes(), 0usize..3, any::<u64>()).prop_map(
-        |(
-            ops,
-            [second_copies, withdraw, may_probe, must_ask, through, advice, gone_is_advice],
-            max,
-            nodes,
-            tenants,
-            seed,
-        )| {
-            let mut s = site();
-            s.ops = ops;
-            s.limits = ForwardLimits { max_forwards: max, second_copies, withdraw, ..s.limits };
-            s.limits.max_retry_after = advice.then_some(SECOND);
-            s.rules.gone_is_advice = gone_is_advice;
-            s.place = Surroundings { nodes, seed, may_probe, must_ask, peers: advice, ..s.place };
-            s.tenants = vec![Tenant { share: 0.5, quota_per_s: 20.0 }; tenants];
-            if through {
-                s.mode = OriginMode::Through;
-            }
-            s
-        },
+    (
+        prop::collection::vec(operations(), 1..4),
+        flags,
+        1usize..7,
+        nodes(),
+        0usize..3,
+        any::<u64>(),
     )
+        .prop_map(
+            |(
+                ops,
+                [
+                    second_copies,
+                    withdraw,
+                    may_probe,
+                    must_ask,
+                    through,
+                    advice,
+                    gone_is_advice,
+                ],
+                max,
+                nodes,
+                tenants,
+                seed,
+            )| {
+                let mut s = site();
+                s.ops = ops;
+                s.limits = ForwardLimits {
+                    max_forwards: max,
+                    second_copies,
+                    withdraw,
+                    ..s.limits
+                };
+                s.limits.max_retry_after = advice.then_some(SECOND);
+                s.rules.gone_is_advice = gone_is_advice;
+                s.place = Surroundings {
+                    nodes,
+                    seed,
+                    may_probe,
+                    must_ask,
+                    peers: advice,
+                    ..s.place
+                };
+                s.tenants = vec![
+                    Tenant {
+                        share: 0.5,
+                        quota_per_s: 20.0
+                    };
+                    tenants
+                ];
+                if through {
+                    s.mode = OriginMode::Through;
+                }
+                s
+            },
+        )
 }
 
 const OUTCOMES: [Outcome; 10] = [
@@ -90,7 +133,11 @@
             let open = w.open();
             if !open.is_empty() {
                 let (inv, copy) = open[pick % open.len()];
-                if n & 0x100000 == 0 { w.begin(inv, copy) } else { w.leave(inv) }
+                if n & 0x100000 == 0 {
+                    w.begin(inv, copy)
+                } else {
+                    w.leave(inv)
+                }
             }
         }
         13 => {
@@ -107,7 +154,9 @@
         }
         14 if w.asked && n & 0x1000 == 0 => w.list(Form::Lost, vec![]),
         14 => {
-            let rows = (0..8).filter(|c| pick >> c & 1 == 0).map(|c| row(c, if c == 7 { 9 } else { 0 }));
+            let rows = (0..8)
+                .filter(|c| pick >> c & 1 == 0)
+                .map(|c| row(c, if c == 7 { 9 } else { 0 }));
             let rows = rows.collect();
             w.list(Form::Full, rows);
         }
@@ -119,15 +168,26 @@
             ops[last].effect = match n >> 14 & 3 {
                 0 => Effect::Idempotent,
                 1 => Effect::NonIdempotent,
-                _ => Effect::Deduplicated { group, window: 200 * MS },
+                _ => Effect::Deduplicated {
+                    group,
+                    window: 200 * MS,
+                },
             };
             ops[0].objective = (100 + u64::from(n >> 24)) * MS;
             let (second_copies, withdraw) = (n & 0x10000 != 0, n & 0x20000 != 0);
             let max_forwards = 1 + (n >> 20) as usize % 4;
-            let limits = ForwardLimits { max_forwards, second_copies, withdraw, ..w.site.limits };
+            let limits = ForwardLimits {
+                max_forwards,
+                second_copies,
+                withdraw,
+                ..w.site.limits
+            };
             w.take_up(ops, limits, 1 + (n >> 24) as usize % 5);
         }
-        _ => w.play(Event::Told { peer: 1 + pick % 4, text: vec![pick as u8; pick % 9] }),
+        _ => w.play(Event::Told {
+            peer: 1 + pick % 4,
+            text: vec![pick as u8; pick % 9],
+        }),
     }
     w.pass(u64::from(n >> 24) % 40 * MS);
 }
@@ -170,11 +230,23 @@
     other.place.seed = 99;
     let (mut a, mut b) = (World::new(site(), fleet(10)), World::new(other, fleet(10)));
     let before: Vec<_> = (0..500).map(|k| winner(&mut a, k)).collect();
-    assert_eq!(before, (0..500).map(|k| winner(&mut b, k)).collect::<Vec<_>>());
-    a.list(Form::Changes, vec![Row { standing: LifecycleState::Gone, ..row(3, 0) }]);
+    assert_eq!(
+        before,
+        (0..500).map(|k| winner(&mut b, k)).collect::<Vec<_>>()
+    );
+    a.list(
+        Form::Changes,
+        vec![Row {
+            standing: LifecycleState::Gone,
+            ..row(3, 0)
+        }],
+    );
     for (key, was) in before.into_iter().enumerate() {
         let now = winner(&mut a, key as u64);
-        assert!(now == was || was == 3, "key {key} moved from {was} to {now}");
+        assert!(
+            now == was || was == 3,
+            "key {key} moved from {was} to {now}"
+        );
     }
 }
 
@@ -183,7 +255,10 @@
     let mut w = World::new(site(), fleet(4));
     let first = winner(&mut w, 5);
     // Other keys of the same winner crowd it.
-    let crowd: Vec<u64> = (6..400).filter(|&k| winner(&mut w, k) == first).take(3).collect();
+    let crowd: Vec<u64> = (6..400)
+        .filter(|&k| winner(&mut w, k) == first)
+        .take(3)
+        .collect();
     for k in crowd {
         w.arrive(0, Some(k), false, SECOND);
     }
@@ -224,12 +299,17 @@
         let mut kept = 0;
         for n in 0..40 {
             w.pass(50 * MS);
-            let (a, b) = (w.arrive(0, Some(1), false, SECOND), w.arrive(0, Some(1), false, SECOND));
+            let (a, b) = (
+                w.arrive(0, Some(1), false, SECOND),
+                w.arrive(0, Some(1), false, SECOND),
+            );
             kept += usize::from(w.sent_to(a)[0] == home);
             w.pass(10 * MS);
             w.end(a, 0, Outcome::Succeeded);
             w.end(b, 0, if n % 3 == 0 { how } else { Outcome::Succeeded });
-            w.open().into_iter().for_each(|(inv, copy)| w.end(inv, copy, Outcome::Succeeded));
+            w.open()
+                .into_iter()
+                .for_each(|(inv, copy)| w.end(inv, copy, Outcome::Succeeded));
         }
         assert!(kept > 36, "{how:?}: {kept}");
     }
@@ -247,7 +327,15 @@
             next += 1;
             let inv = w.arrive(0, Some(next), false, SECOND);
             w.pass(10 * MS);
-            w.end(inv, 0, if next % 2 == 0 { Outcome::Miss } else { Outcome::Succeeded });
+            w.end(
+                inv,
+                0,
+                if next % 2 == 0 {
+                    Outcome::Miss
+                } else {
+                    Outcome::Succeeded
+                },
+            );
             if next % 2 == 0 {
                 w.pass(20 * MS);
                 w.end(inv, 1, Outcome::Succeeded);
@@ -271,7 +359,10 @@
 #[test]
 fn a_read_whose_connection_broke_asks_the_same_cache_once_more() {
     let mut w = World::new(site(), fleet(4));
-    let (a, b) = (w.arrive(0, Some(1), false, SECOND), w.arrive(0, Some(1), false, SECOND));
+    let (a, b) = (
+        w.arrive(0, Some(1), false, SECOND),
+        w.arrive(0, Some(1), false, SECOND),
+    );
     let home = w.sent_to(a)[0];
     w.pass(10 * MS);
     w.end(b, 0, Outcome::Succeeded);
@@ -296,11 +387,20 @@
 /// An index that was another's until that had long gone: the new one is elected by its own id.
 #[test]
 fn an_index_that_became_anothers_starts_anew() {
-    let new = Row { id_hash: 77, ..row(0, 0) };
+    let new = Row {
+        id_hash: 77,
+        ..row(0, 0)
+    };
     let mut rows = fleet(6);
     rows[0] = new.clone();
     let (mut a, mut b) = (World::new(site(), fleet(6)), World::new(site(), rows));
-    a.list(Form::Changes, vec![Row { standing: LifecycleState::Gone, ..row(0, 0) }]);
+    a.list(
+        Form::Changes,
+        vec![Row {
+            standing: LifecycleState::Gone,
+            ..row(0, 0)
+        }],
+    );
     a.pass(10 * SECOND);
     a.list(Form::Changes, vec![new]);
     let winners = |w: &mut World| (0..100).map(|k| winner(w, k)).collect::<Vec<_>>();
@@ -336,7 +436,9 @@
     let before = w.log.len();
     winner(&mut w, 2);
     assert!(matches!(
-        w.log[before..].iter().find(|a| !matches!(a, Action::Wake { .. })),
+        w.log[before..]
+            .iter()
+            .find(|a| !matches!(a, Action::Wake { .. })),
         Some(Action::Forward { .. })
     ));
 }
@@ -362,7 +464,10 @@
     let most = arrivals(&mut w, 60, Outcome::Full);
     assert!(most > 0.3, "an overload is noticed: {most}");
     let left = arrivals(&mut w, 60, Outcome::Succeeded);
-    assert!(left < 0.75 * most, "{left} left of {most} after three seconds");
+    assert!(
+        left < 0.75 * most,
+        "{left} left of {most} after three seconds"
+    );
 }
 
 /// Turned away by the origin, nothing asks it again at once: that fed its queue.
@@ -388,7 +493,9 @@
             used.extend(w.sent_to(inv));
         }
         if n % 6 == 5 {
-            w.open().into_iter().for_each(|(i, c)| w.end(i, c, Outcome::Succeeded));
+            w.open()
+                .into_iter()
+                .for_each(|(i, c)| w.end(i, c, Outcome::Succeeded));
         }
     }
     assert!(used.len() > 1 && used.len() <= 8, "{used:?}");
@@ -413,7 +520,9 @@
 fn early_throttling_advises_a_return_within_the_objective() {
     let mut w = World::new(site(), vec![]);
     w.arrive(0, Some(1), false, SECOND);
-    let Some(Action::Throttle { retry_after, .. }) = w.log.last() else { panic!("{:?}", w.log) };
+    let Some(Action::Throttle { retry_after, .. }) = w.log.last() else {
+        panic!("{:?}", w.log)
+    };
     assert!(*retry_after < 300 * MS / 2);
 }
 
@@ -460,8 +569,11 @@
     }
     let inv = w.arrive(0, Some(7), false, SECOND);
     w.pass(4 * MS);
-    let withdrawn =
-        |w: &World| w.log.iter().any(|a| matches!(a, Action::Withdraw { inv: i, .. } if *i == inv));
+    let withdrawn = |w: &World| {
+        w.log
+            .iter()
+            .any(|a| matches!(a, Action::Withdraw { inv: i, .. } if *i == inv))
+    };
     assert!(!withdrawn(&w) && w.sent_to(inv).len() == 1);
     // One that is far overdue by that measure still moves on, as others answer.
     let other = w.arrive(0, Some(7), false, SECOND);
@@ -476,8 +588,12 @@
 /// Successors left cold while the origin was busy kept it busy: the warm few overflowed and missed.
 #[test]
 fn a_cold_cache_is_used_though_the_origin_has_no_room() {
-    let rows =
-        |now| fleet(3).into_iter().map(move |r| Row { ready_at: if r.cache == 0 { now } else { 0 }, ..r });
+    let rows = |now| {
+        fleet(3).into_iter().map(move |r| Row {
+            ready_at: if r.cache == 0 { now } else { 0 },
+            ..r
+        })
+    };
     let mut w = World::new(site(), fleet(3));
     w.pass(SECOND);
     let now = w.now;
@@ -487,7 +603,9 @@
         w.pass(20 * MS);
         winner(&mut w, *k) == 0
     };
-    let key = (0..400).find(&mut key_of_the_cold_one).expect("a key of the cold one");
+    let key = (0..400)
+        .find(&mut key_of_the_cold_one)
+        .expect("a key of the cold one");
     w.pass(2 * SECOND);
     crowd_the_origin(&mut w, 3);
     assert_eq!(winner(&mut w, key), 0);
@@ -508,7 +626,13 @@
         let now = w.now;
         w.list(
             Form::Full,
-            fleet(3).into_iter().map(|r| Row { ready_at: if r.cache == 0 { now } else { 0 }, ..r }).collect(),
+            fleet(3)
+                .into_iter()
+                .map(|r| Row {
+                    ready_at: if r.cache == 0 { now } else { 0 },
+                    ..r
+                })
+                .collect(),
         );
         (0..10).filter(|&k| winner(&mut w, 100 + k) == 0).count()
     };
@@ -526,7 +650,13 @@
 
 fn deployment(nodes: usize, own_index: usize) -> Site {
     let mut s = site();
-    s.place = Surroundings { peers: true, nodes, own_index, seed: own_index as u64, ..s.place };
+    s.place = Surroundings {
+        peers: true,
+        nodes,
+        own_index,
+        seed: own_index as u64,
+        ..s.place
+    };
     s
 }
 
@@ -570,13 +700,26 @@
         // Hashes, as at the door: small numbers would share one count, as a single hot key.
         let key = |n: u64| n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let home = winner(&mut b, key(1));
-        a.play(Event::Told { peer: 1, text: vec![0; 10] });
+        a.play(Event::Told {
+            peer: 1,
+            text: vec![0; 10],
+        });
         for n in 0..120 {
             let inv = a.arrive(0, Some(key(n)), false, SECOND);
             a.pass(50 * MS);
             let full = a.sent_to(inv).first() == Some(&home);
-            a.end(inv, 0, if full { Outcome::Full } else { Outcome::Succeeded });
-            a.open().into_iter().for_each(|(i, c)| a.end(i, c, Outcome::Succeeded));
+            a.end(
+                inv,
+                0,
+                if full {
+                    Outcome::Full
+                } else {
+                    Outcome::Succeeded
+                },
+            );
+            a.open()
+                .into_iter()
+                .for_each(|(i, c)| a.end(i, c, Outcome::Succeeded));
         }
         if told {
             b.pass(a.now - b.now);
@@ -585,9 +728,16 @@
                 b.play(Event::Told { peer: 0, text });
             }
         }
-        (1000..1400).filter(|&k| winner(&mut b, key(k)) == home).count()
+        (1000..1400)
+            .filter(|&k| winner(&mut b, key(k)) == home)
+            .count()
     };
-    assert!(home_share(true) * 10 < home_share(false) * 9, "{} {}", home_share(true), home_share(false));
+    assert!(
+        home_share(true) * 10 < home_share(false) * 9,
+        "{} {}",
+        home_share(true),
+        home_share(false)
+    );
 }
 
 /// Each node of hundreds began at a hot key's home with one in flight: together a crowd.
@@ -600,7 +750,9 @@
         for n in 0..60 {
             w.arrive(0, Some(if n % 2 == 0 { 7 } else { 100 + n }), false, SECOND);
             w.pass(100 * MS);
-            w.open().into_iter().for_each(|(i, c)| w.end(i, c, Outcome::Succeeded));
+            w.open()
+                .into_iter()
+                .for_each(|(i, c)| w.end(i, c, Outcome::Succeeded));
         }
         let inv = w.arrive(0, Some(7), false, SECOND);
         w.sent_to(inv)[0]
@@ -616,7 +768,12 @@
     let home = winner(&mut w, 1);
     w.arrive(0, Some(1), false, 2 * SECOND);
     w.pass(30 * SECOND);
-    let probes = |w: &World| w.log.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
+    let probes = |w: &World| {
+        w.log
+            .iter()
+            .filter(|a| matches!(a, Action::Probe { .. }))
+            .count()
+    };
     assert_eq!(probes(&w), 0);
     assert_ne!(winner(&mut w, 1), home);
     assert_eq!(probes(&w), 1);
@@ -626,7 +783,12 @@
 #[test]
 fn the_origin_takes_misses_within_quota_first() {
     let mut s = site();
-    s.tenants = [1000.0, 0.001].map(|quota_per_s| Tenant { share: 0.5, quota_per_s }).to_vec();
+    s.tenants = [1000.0, 0.001]
+        .map(|quota_per_s| Tenant {
+            share: 0.5,
+            quota_per_s,
+        })
+        .to_vec();
     let mut w = World::new(s, fleet(3));
     let out = crowd_the_origin(&mut w, 3);
     let next = w.arrive(0, Some(1), false, SECOND);
@@ -634,20 +796,42 @@
     for inv in [next, after] {
         w.end(inv, 0, Outcome::Miss);
     }
-    let (within, beyond) = if next.is_multiple_of(2) { (next, after) } else { (after, next) };
+    let (within, beyond) = if next.is_multiple_of(2) {
+        (next, after)
+    } else {
+        (after, next)
+    };
     w.end(out[0], 1, Outcome::Succeeded);
-    assert_eq!((w.sent_to(within).last(), w.sent_to(beyond).contains(&3)), (Some(&3), false));
+    assert_eq!(
+        (w.sent_to(within).last(), w.sent_to(beyond).contains(&3)),
+        (Some(&3), false)
+    );
 }
 
 /// A fleet that grows: what one of three nodes answered is no longer a cold cache server's budget at each of forty.
 #[test]
 fn a_fleet_that_grows_does_not_push_a_cold_one_over() {
     let cold_sends = |nodes: usize| {
-        let mut w = World::new(Site { place: Surroundings { nodes: 3, ..site().place }, ..site() }, fleet(6));
+        let mut w = World::new(
+            Site {
+                place: Surroundings {
+                    nodes: 3,
+                    ..site().place
+                },
+                ..site()
+            },
+            fleet(6),
+        );
         let mut sent = 0;
         for n in 0..2000 {
             if n == 1500 {
-                w.list(Form::Changes, vec![Row { ready_at: w.now, ..row(2, 0) }]);
+                w.list(
+                    Form::Changes,
+                    vec![Row {
+                        ready_at: w.now,
+                        ..row(2, 0)
+                    }],
+                );
                 w.take_up(site().ops, site().limits, nodes);
             }
             let inv = w.arrive(if n < 1500 { 0 } else { 2 }, Some(n), false, SECOND);
@@ -669,12 +853,22 @@
 fn few_liars_do_not_have_the_fleet_turn_work_away() {
     let throttled = |liars: usize, answered: bool| {
         let mut w = World::new(deployment(16, 0), fleet(6));
-        let note = |excess: f64| Telling { arrived: vec![4], excess, ..Telling::default() }.write();
+        let note = |excess: f64| {
+            Telling {
+                arrived: vec![4],
+                excess,
+                ..Telling::default()
+            }
+            .write()
+        };
         let mut gone = 0;
         for n in 0..400 {
             for peer in 1..16 {
                 if peer <= liars || n % 20 == peer {
-                    w.play(Event::Told { peer, text: note(if peer <= liars { 0.9 } else { 0.0 }) });
+                    w.play(Event::Told {
+                        peer,
+                        text: note(if peer <= liars { 0.9 } else { 0.0 }),
+                    });
                 }
             }
             let inv = w.arrive(0, Some(n as u64), false, SECOND);
@@ -696,18 +890,40 @@
     let alone = throttled(12, false).0;
     assert!(alone > 100, "{alone}");
     // It follows the most; its own good answers bound what comes of it, but at first it has none.
-    assert!(most.1 > 0.5 && (8..100).contains(&most.0), "{} {}", most.0, most.1);
+    assert!(
+        most.1 > 0.5 && (8..100).contains(&most.0),
+        "{} {}",
+        most.0,
+        most.1
+    );
 }
 
 /// New settings, and a liar is the first to speak: what others told before still stands against it.
 #[test]
 fn a_liar_right_after_a_change_of_settings_is_not_believed() {
     let mut w = World::new(deployment(16, 0), fleet(6));
-    let note = |excess: f64| Telling { arrived: vec![4], excess, ..Telling::default() }.write();
+    let note = |excess: f64| {
+        Telling {
+            arrived: vec![4],
+            excess,
+            ..Telling::default()
+        }
+        .write()
+    };
     for peer in 1..8 {
-        w.play(Event::Told { peer, text: note(0.0) });
+        w.play(Event::Told {
+            peer,
+            text: note(0.0),
+        });
     }
     w.take_up(site().ops, site().limits, 16);
-    w.play(Event::Told { peer: 9, text: note(0.9) });
-    assert!(w.policy.told_of().turned_away < 0.1, "{}", w.policy.told_of().turned_away);
+    w.play(Event::Told {
+        peer: 9,
+        text: note(0.9),
+    });
+    assert!(
+        w.policy.told_of().turned_away < 0.1,
+        "{}",
+        w.policy.told_of().turned_away
+    );
 }
--- a/crates/sparrouter/tests/turns_of_trouble.rs
+++ b/crates/sparrouter-balancer/tests/turns_of_trouble.rs
@@ -1,6 +1,6 @@
 //! Cache servers that fail and recover by turns, invocations that bring down what they reach, reports that lie.
 mod world;
-use sparrouter::types::*;
+use sparrouter_balancer::types::*;
 use world::*;
 
 fn key(n: u64) -> u64 {
@@ -10,7 +10,10 @@
 /// Reads at 50 a second for a while; `how` says what a cache server makes of a forward. Returns the time from
 /// `since` until cache server 0 first answered, and how many forwards it got.
 fn play(
-    w: &mut World, time: Nanos, next: &mut u64, how: &dyn Fn(CacheIx) -> Option<Outcome>,
+    w: &mut World,
+    time: Nanos,
+    next: &mut u64,
+    how: &dyn Fn(CacheIx) -> Option<Outcome>,
 ) -> (Option<Nanos>, usize) {
     let (start, mut back, mut sent) = (w.now, None, 0);
     while w.now < start + time {
@@ -41,15 +44,24 @@
             let mut w = World::new(s, fleet(4));
             let mut next = 0;
             for _ in 0..2 {
-                play(&mut w, turn * SECOND / 2, &mut next, &|_| Some(Outcome::Succeeded));
+                play(&mut w, turn * SECOND / 2, &mut next, &|_| {
+                    Some(Outcome::Succeeded)
+                });
                 play(&mut w, turn * SECOND / 2, &mut next, &|c| {
-                    if c == 0 { how } else { Some(Outcome::Succeeded) }
+                    if c == 0 {
+                        how
+                    } else {
+                        Some(Outcome::Succeeded)
+                    }
                 });
             }
             let (back, _) = play(&mut w, 8 * SECOND, &mut next, &|_| Some(Outcome::Succeeded));
             // Looks are at most eight of the shortest objective apart, and want a key that belongs there.
             let most = 9 * 300 * MS;
-            assert!(back.is_some_and(|b| b <= most), "{how:?} for {turn} s: {back:?}");
+            assert!(
+                back.is_some_and(|b| b <= most),
+                "{how:?} for {turn} s: {back:?}"
+            );
         }
     }
 }
@@ -62,12 +74,19 @@
     let mut next = 0;
     let (_, before) = play(&mut w, 5 * SECOND, &mut next, &|_| Some(Outcome::Succeeded));
     play(&mut w, 3 * SECOND, &mut next, &|c| {
-        Some(if c == 0 { Outcome::Unavailable } else { Outcome::Succeeded })
+        Some(if c == 0 {
+            Outcome::Unavailable
+        } else {
+            Outcome::Succeeded
+        })
     });
     let (back, _) = play(&mut w, 5 * SECOND, &mut next, &|_| Some(Outcome::Succeeded));
     assert!(back.is_some());
     let (_, after) = play(&mut w, SECOND, &mut next, &|_| Some(Outcome::Succeeded));
-    assert!(after * 5 < before, "{after} in a second, {before} in five while warm");
+    assert!(
+        after * 5 < before,
+        "{after} in a second, {before} in five while warm"
+    );
 }
 
 /// Load reports that are stuck, idle or full change nothing: own forwards decide.
@@ -78,14 +97,26 @@
         w.load = load;
         let mut next = 0;
         play(&mut w, 2 * SECOND, &mut next, &|_| Some(Outcome::Succeeded));
-        play(&mut w, 3 * SECOND, &mut next, &|c| (c != 0).then_some(Outcome::Succeeded));
         play(&mut w, 3 * SECOND, &mut next, &|c| {
-            Some(if c == 1 { Outcome::Full } else { Outcome::Succeeded })
+            (c != 0).then_some(Outcome::Succeeded)
+        });
+        play(&mut w, 3 * SECOND, &mut next, &|c| {
+            Some(if c == 1 {
+                Outcome::Full
+            } else {
+                Outcome::Succeeded
+            })
         });
         w.log
     };
-    let idle = run(Some(Load { active: Some(0.0), waiting: Some(0.0) }));
-    let full = run(Some(Load { active: Some(64.0), waiting: Some(999.0) }));
+    let idle = run(Some(Load {
+        active: Some(0.0),
+        waiting: Some(0.0),
+    }));
+    let full = run(Some(Load {
+        active: Some(64.0),
+        waiting: Some(999.0),
+    }));
     assert!(idle == full && idle == run(None));
 }
 
@@ -102,22 +133,42 @@
     for n in 0..4 {
         let inv = w.arrive(0, Some(key(7_000_000 + n)), false, SECOND);
         for copy in 0..3 {
-            let Some(&to) = w.sent_to(inv).get(copy) else { break };
+            let Some(&to) = w.sent_to(inv).get(copy) else {
+                break;
+            };
             w.pass(10 * MS);
-            w.end(inv, copy, if dead.insert(to) { Outcome::Reset } else { Outcome::Unavailable });
+            w.end(
+                inv,
+                copy,
+                if dead.insert(to) {
+                    Outcome::Reset
+                } else {
+                    Outcome::Unavailable
+                },
+            );
         }
         assert!(w.answered(inv));
         play(&mut w, SECOND, &mut next, &|c| {
-            Some(if dead.contains(&c) { Outcome::Unavailable } else { Outcome::Succeeded })
+            Some(if dead.contains(&c) {
+                Outcome::Unavailable
+            } else {
+                Outcome::Succeeded
+            })
         });
     }
     assert!(dead.len() <= 4, "{dead:?}");
     // After it has ended no doubt remains.
-    let (back, _) = play(&mut w, 10 * SECOND, &mut next, &|_| Some(Outcome::Succeeded));
+    let (back, _) = play(&mut w, 10 * SECOND, &mut next, &|_| {
+        Some(Outcome::Succeeded)
+    });
     assert!(back.is_some());
     let before = w.log.len();
     play(&mut w, 2 * SECOND, &mut next, &|_| Some(Outcome::Succeeded));
-    assert!(!w.log[before..].iter().any(|a| matches!(a, Action::Probe { .. } | Action::Throttle { .. })));
+    assert!(
+        !w.log[before..]
+            .iter()
+            .any(|a| matches!(a, Action::Probe { .. } | Action::Throttle { .. }))
+    );
 }
 
 /// A connection that broke before all was sent proves that nothing ran: its invocation killed nobody, and goes on
@@ -132,7 +183,10 @@
     w.end(inv, 0, Outcome::Broken);
     w.end(inv, 1, Outcome::Unavailable);
     let sent = w.sent_to(inv);
-    assert!(sent.len() == 3 && sent[0] == sent[1] && sent[2] != sent[0], "{sent:?}");
+    assert!(
+        sent.len() == 3 && sent[0] == sent[1] && sent[2] != sent[0],
+        "{sent:?}"
+    );
 }
 
 /// Guards against turning away for as long as evidence of an overload lasts: after four seconds of four times the
@@ -152,7 +206,12 @@
             w.end(i, copy, Outcome::Full);
         }
     }
-    let refused = |w: &World| w.log.iter().filter(|a| matches!(a, Action::Throttle { .. })).count();
+    let refused = |w: &World| {
+        w.log
+            .iter()
+            .filter(|a| matches!(a, Action::Throttle { .. }))
+            .count()
+    };
     assert!(refused(&w) > 600, "{}", refused(&w));
     play(&mut w, 1500 * MS, &mut next, &|_| Some(Outcome::Succeeded));
     let before = refused(&w);
@@ -198,5 +257,8 @@
         }
     }
     let last = by_second[11] - by_second[8];
-    assert!(last > 50, "{last} of 150 turned away in the last three seconds: {by_second:?}");
+    assert!(
+        last > 50,
+        "{last} of 150 turned away in the last three seconds: {by_second:?}"
+    );
 }
--- a/crates/sparrouter/tests/who_failed.rs
+++ b/crates/sparrouter-balancer/tests/who_failed.rs
@@ -1,6 +1,6 @@
 //! Who failed: this cache server, this invocation wherever it goes, or everything.
 mod world;
-use sparrouter::types::*;
+use sparrouter_balancer::types::*;
 use world::*;
 
 /// Reads that err wherever they go had the origin's limit fall to nothing: for half a minute after they had
@@ -15,7 +15,9 @@
         let bad = n % 3 == 0;
         let inv = w.arrive(0, Some(if bad { n % 4 } else { 100 + n }), false, SECOND);
         for copy in 0..6 {
-            let Some(&to) = w.sent_to(inv).get(copy) else { break };
+            let Some(&to) = w.sent_to(inv).get(copy) else {
+                break;
+            };
             w.pass(5 * MS);
             let end = match bad {
                 true => Outcome::Error,
@@ -25,7 +27,11 @@
             w.end(inv, copy, end);
         }
         if bad {
-            assert!(w.sent_to(inv).len() <= 2 && !w.sent_to(inv).contains(&6), "{:?}", w.sent_to(inv));
+            assert!(
+                w.sent_to(inv).len() <= 2 && !w.sent_to(inv).contains(&6),
+                "{:?}",
+                w.sent_to(inv)
+            );
         } else {
             refused += usize::from(matches!(w.sent_to(inv).len(), 0));
         }
@@ -59,14 +65,19 @@
     s.limits.max_forwards = 2;
     let mut w = World::new(s, fleet(6));
     // Ends of fetches: who, when. One at a time, each after the one before.
-    let (mut queue, mut free, mut lags): (Vec<(InvIx, Nanos, Nanos)>, _, _) = (vec![], w.now, vec![]);
+    let (mut queue, mut free, mut lags): (Vec<(InvIx, Nanos, Nanos)>, _, _) =
+        (vec![], w.now, vec![]);
     for n in 0..2400u64 {
         let inv = w.arrive(0, Some(n), false, 1200 * MS);
         if w.sent_to(inv).len() == 1 {
             w.end(inv, 0, Outcome::Miss);
         }
         w.pass(rate);
-        for i in (0..queue.len()).rev().filter(|&i| queue[i].2 <= w.now).collect::<Vec<_>>() {
+        for i in (0..queue.len())
+            .rev()
+            .filter(|&i| queue[i].2 <= w.now)
+            .collect::<Vec<_>>()
+        {
             let (inv, at, _) = queue.remove(i);
             lags.push((n, w.now - at));
             w.end(inv, 1, Outcome::Succeeded);
@@ -80,7 +91,10 @@
         }
     }
     let late: Vec<Nanos> = lags.iter().filter(|l| l.0 > 1600).map(|l| l.1).collect();
-    (late.iter().sum::<Nanos>() / late.len().max(1) as Nanos, late.len())
+    (
+        late.iter().sum::<Nanos>() / late.len().max(1) as Nanos,
+        late.len(),
+    )
 }
 
 /// Asked for half as much again as it can do from the first second on, the origin's crowded time was taken for
@@ -88,18 +102,36 @@
 #[test]
 fn a_crowd_at_the_origin_from_the_start_is_told_from_a_slow_one() {
     let (lag, served) = origin_under(20 * MS, 30 * MS, 0);
-    assert!(lag < 200 * MS && served > 400, "crowded: {} ms, {served}", lag / MS);
+    assert!(
+        lag < 200 * MS && served > 400,
+        "crowded: {} ms, {served}",
+        lag / MS
+    );
     // One that takes longer than is tolerated however few ask is used all the same.
     let (lag, served) = origin_under(20 * MS, MS, 180 * MS);
-    assert!(lag < 250 * MS && served > 400, "slow by itself: {} ms, {served}", lag / MS);
+    assert!(
+        lag < 250 * MS && served > 400,
+        "slow by itself: {} ms, {served}",
+        lag / MS
+    );
 }
 
 /// Forwards that an arrival of this key leads to: it errs wherever it goes, or is answered at once.
 fn forwards(w: &mut World, key: u64, errs: impl Fn(CacheIx) -> bool) -> usize {
     let inv = w.arrive(0, Some(key), false, SECOND);
     for copy in 0..3 {
-        let Some(&to) = w.sent_to(inv).get(copy) else { break };
-        w.end(inv, copy, if errs(to) { Outcome::Error } else { Outcome::Succeeded });
+        let Some(&to) = w.sent_to(inv).get(copy) else {
+            break;
+        };
+        w.end(
+            inv,
+            copy,
+            if errs(to) {
+                Outcome::Error
+            } else {
+                Outcome::Succeeded
+            },
+        );
     }
     assert!(w.answered(inv), "given up is answered at once");
     w.sent_to(inv).len()
@@ -114,12 +146,18 @@
     let mut sent = 0;
     for n in 0..200 {
         sent += forwards(&mut w, key(1), |_| true);
-        assert_eq!(forwards(&mut w, key(100 + n), |_| false), 1, "others are served as before");
+        assert_eq!(
+            forwards(&mut w, key(100 + n), |_| false),
+            1,
+            "others are served as before"
+        );
         w.pass(25 * MS);
     }
     assert!(sent < 60, "{sent} forwards of 200 that fail");
     w.pass(2 * SECOND);
-    let served = (0..40).filter(|_| forwards(&mut w, key(1), |_| false) == 1).count();
+    let served = (0..40)
+        .filter(|_| forwards(&mut w, key(1), |_| false) == 1)
+        .count();
     assert!(served > 20, "{served} of 40 after two seconds");
 }
 
@@ -130,7 +168,9 @@
     let mut w = World::new(site(), fleet(6));
     let key = |n: u64| n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let run = |w: &mut World, from: u64, errs: &dyn Fn(CacheIx) -> bool| {
-        (from..from + 150).map(|n| forwards(w, key(n), errs)).sum::<usize>()
+        (from..from + 150)
+            .map(|n| forwards(w, key(n), errs))
+            .sum::<usize>()
     };
     run(&mut w, 0, &|_| true);
     let most = run(&mut w, 1000, &|_| true);
@@ -140,5 +180,8 @@
     let helped = run(&mut w, 4000, &|c| c == 0);
     let mut fresh = World::new(site(), fleet(6));
     let before = run(&mut fresh, 4000, &|c| c == 0);
-    assert!(helped > 150 && before - helped < 8, "{helped}, {before} at first");
+    assert!(
+        helped > 150 && before - helped < 8,
+        "{helped}, {before} at first"
+    );
 }
--- a/crates/sparrouter/tests/world/mod.rs
+++ b/crates/sparrouter-balancer/tests/world/mod.rs
@@ -1,8 +1,8 @@
 //! A legal environment for one node, with a model of the rules written apart from the module: it
 //! knows only what went in and what came out, and checks every action as it comes.
 #![allow(dead_code)]
-use sparrouter::policy::Policy;
-use sparrouter::types::*;
+use sparrouter_balancer::policy::Policy;
+use sparrouter_balancer::types::*;
 use std::collections::BTreeMap;
 
 pub const MS: Nanos = 1_000_000;
@@ -43,7 +43,10 @@
             over_share_part: 0.1,
             tenants: 0,
         },
-        ops: vec![operation(Effect::Idempotent), operation(Effect::NonIdempotent)],
+        ops: vec![
+            operation(Effect::Idempotent),
+            operation(Effect::NonIdempotent),
+        ],
         limits: ForwardLimits {
             max_forwards: 3,
             second_copies: false,
@@ -155,13 +158,31 @@
 
     /// Other settings: each operation moves to a place of its own, so that what is in hand keeps its rules.
     pub fn take_up(&mut self, ops: Vec<Operation>, limits: ForwardLimits, nodes: usize) {
-        let place = Surroundings { nodes, ..self.site.place.clone() };
+        let place = Surroundings {
+            nodes,
+            ..self.site.place.clone()
+        };
         let (tenants, rules) = (&self.site.tenants, self.site.rules.clone());
-        let fresh = Policy::new(place.clone(), ops.clone(), tenants, limits, rules, self.site.mode);
+        let fresh = Policy::new(
+            place.clone(),
+            ops.clone(),
+            tenants,
+            limits,
+            rules,
+            self.site.mode,
+        );
         let (most, kept, first) = (self.site.ops.len(), tenants.len(), self.first);
-        let taken = |n: usize| Taken { at: most + n, from: (first + n < most).then_some(first + n) };
+        let taken = |n: usize| Taken {
+            at: most + n,
+            from: (first + n < most).then_some(first + n),
+        };
         let rows: Vec<Taken> = (0..ops.len()).map(taken).collect();
-        self.policy.take_up(self.now, fresh, &rows, &(0..kept).map(Some).collect::<Vec<_>>());
+        self.policy.take_up(
+            self.now,
+            fresh,
+            &rows,
+            &(0..kept).map(Some).collect::<Vec<_>>(),
+        );
         self.site.ops.extend(ops);
         self.first = most;
         (self.site.limits, self.site.place) = (limits, place);
@@ -175,11 +196,19 @@
             (_, new) => new,
         };
         if matches!(form, Form::Full | Form::Saved) {
-            self.rows.values_mut().for_each(|r| r.standing = binding(Some(r.standing), LifecycleState::Gone));
+            self.rows
+                .values_mut()
+                .for_each(|r| r.standing = binding(Some(r.standing), LifecycleState::Gone));
         }
         for r in &rows {
             let old = self.rows.get(&r.cache).map(|r| r.standing);
-            self.rows.insert(r.cache, Row { standing: binding(old, r.standing), ..r.clone() });
+            self.rows.insert(
+                r.cache,
+                Row {
+                    standing: binding(old, r.standing),
+                    ..r.clone()
+                },
+            );
         }
         self.play(Event::Listed { form, rows });
     }
@@ -189,18 +218,36 @@
         self.next += 1;
         self.held.insert(
             inv,
-            Held { op, limits: self.site.limits, due, sent: vec![], answered: false, begun: false },
+            Held {
+                op,
+                limits: self.site.limits,
+                due,
+                sent: vec![],
+                answered: false,
+                begun: false,
+            },
         );
-        let tenant = (!self.site.tenants.is_empty()).then_some(inv as usize % self.site.tenants.len().max(1));
-        let arrival = Arrival { inv, operation: op, tenant, key, write, due, ..Arrival::default() };
+        let tenant = (!self.site.tenants.is_empty())
+            .then_some(inv as usize % self.site.tenants.len().max(1));
+        let arrival = Arrival {
+            inv,
+            operation: op,
+            tenant,
+            key,
+            write,
+            due,
+            ..Arrival::default()
+        };
         self.play(Event::Arrived(arrival));
         inv
     }
 
     /// The forwards that are out, oldest first.
     pub fn open(&self) -> Vec<(InvIx, usize)> {
-        let each =
-            self.held.iter().flat_map(|(&i, h)| h.sent.iter().enumerate().map(move |(n, s)| (i, n, s.open)));
+        let each = self
+            .held
+            .iter()
+            .flat_map(|(&i, h)| h.sent.iter().enumerate().map(move |(n, s)| (i, n, s.open)));
         each.filter(|e| e.2).map(|e| (e.0, e.1)).collect()
     }
     pub fn sent_to(&self, inv: InvIx) -> Vec<CacheIx> {
@@ -221,7 +268,16 @@
         h.answered |= outcome == Outcome::Succeeded || h.begun;
         let last = h.answered;
         let load = self.load;
-        self.play(Event::Ended(Ending { inv, copy, cache, outcome, lag, last, note: None, load }));
+        self.play(Event::Ended(Ending {
+            inv,
+            copy,
+            cache,
+            outcome,
+            lag,
+            last,
+            note: None,
+            load,
+        }));
     }
 
     pub fn begin(&mut self, inv: InvIx, copy: usize) {
@@ -252,7 +308,11 @@
             }
             for cache in std::mem::take(&mut self.probes) {
                 let ok = cache % 2 == 0;
-                self.play(Event::Probed { cache, ok, load: self.load });
+                self.play(Event::Probed {
+                    cache,
+                    ok,
+                    load: self.load,
+                });
             }
             for (inv, copy) in self.open() {
                 if self.held[&inv].sent[copy].until <= self.now {
@@ -288,11 +348,22 @@
     fn check(&mut self, action: &Action) {
         let now = self.now;
         match *action {
-            Action::Forward { inv, cache, wait, before } => {
+            Action::Forward {
+                inv,
+                cache,
+                wait,
+                before,
+            } => {
                 self.check_forward(inv, cache, before);
                 let h = self.held.get_mut(&inv).expect("rule 1: unknown invocation");
                 let until = now + wait;
-                h.sent.push(Sent { cache, at: now, until, open: true, may_have_run: false });
+                h.sent.push(Sent {
+                    cache,
+                    at: now,
+                    until,
+                    open: true,
+                    may_have_run: false,
+                });
             }
             Action::Throttle { inv, .. } => {
                 let h = self.held.get_mut(&inv).expect("rule 1: unknown invocation");
@@ -300,7 +371,10 @@
                 h.answered = true;
                 let open_to_doubt = h.sent.iter().any(|s| s.open || s.may_have_run);
                 let harmless = match self.site.ops[h.op].effect {
-                    Effect::Idempotent | Effect::Deduplicated { group: Group::All, .. } => true,
+                    Effect::Idempotent
+                    | Effect::Deduplicated {
+                        group: Group::All, ..
+                    } => true,
                     _ => !open_to_doubt,
                 };
                 assert!(harmless, "rule 2: {inv} throttled though it may have run");
@@ -311,7 +385,10 @@
                 h.answered = true;
             }
             Action::Withdraw { inv, copy } => {
-                assert!(self.held[&inv].limits.withdraw, "withdrawals are not allowed here");
+                assert!(
+                    self.held[&inv].limits.withdraw,
+                    "withdrawals are not allowed here"
+                );
                 let s = &self.held[&inv].sent[copy];
                 let (cache, outcome) = (s.cache, Outcome::Withdrawn);
                 self.coming.push(Ending {
@@ -332,7 +409,12 @@
             }
             Action::Tell { peer, ref text } => {
                 let place = &self.site.place;
-                assert!(place.peers && text.len() <= 256 && peer < place.nodes && peer != place.own_index)
+                assert!(
+                    place.peers
+                        && text.len() <= 256
+                        && peer < place.nodes
+                        && peer != place.own_index
+                )
             }
             Action::Follow | Action::AskList => self.asked = true,
         }
@@ -340,12 +422,25 @@
 
     fn check_forward(&mut self, inv: InvIx, cache: CacheIx, before: Option<Nanos>) {
         let h = self.held.get(&inv).expect("rule 1: unknown invocation");
-        assert!(!h.answered && !h.begun, "rule 1: {inv} forwarded after its answer");
-        assert!(h.sent.len() < h.limits.max_forwards, "more forwards than allowed");
+        assert!(
+            !h.answered && !h.begun,
+            "rule 1: {inv} forwarded after its answer"
+        );
+        assert!(
+            h.sent.len() < h.limits.max_forwards,
+            "more forwards than allowed"
+        );
         let to = &self.rows[&cache];
-        assert_eq!(to.standing, LifecycleState::Ready, "rule 3: sent to a drained cache server");
+        assert_eq!(
+            to.standing,
+            LifecycleState::Ready,
+            "rule 3: sent to a drained cache server"
+        );
         let open = h.sent.iter().any(|s| s.open);
-        assert!(h.limits.second_copies || !open, "rule 2: overlapping forwards");
+        assert!(
+            h.limits.second_copies || !open,
+            "rule 2: overlapping forwards"
+        );
         let mut ran = h.sent.iter().filter(|s| s.open || s.may_have_run);
         match self.site.ops[h.op].effect {
             Effect::Idempotent => {}
@@ -360,7 +455,10 @@
                         Group::Cell => from.cell == to.cell,
                     };
                     assert!(same, "rule 2: {inv} left its group");
-                    assert!(self.now < s.at + window, "rule 2: {inv} sent past its window");
+                    assert!(
+                        self.now < s.at + window,
+                        "rule 2: {inv} sent past its window"
+                    );
                     let in_time = before.is_some_and(|before| before <= s.at + window);
                     assert!(in_time, "rule 2: {inv} may leave past its window");
                 }
@@ -378,20 +476,33 @@
         let (now, r) = (self.now, self.site.rules.clone());
         let warmth = |row: &Row| match row.ready_at {
             0 => 1.0,
-            at => (r.start_capacity + (1.0 - r.start_capacity) * (now - at) as f64 / r.cold as f64).min(1.0),
+            at => (r.start_capacity + (1.0 - r.start_capacity) * (now - at) as f64 / r.cold as f64)
+                .min(1.0),
         };
         self.sends.push(now);
         let lately = self.sends.iter().filter(|&&t| t + SECOND >= now).count() as f64;
-        let weight: f64 =
-            self.rows.values().filter(|r| r.standing == LifecycleState::Ready).map(&warmth).sum();
+        let weight: f64 = self
+            .rows
+            .values()
+            .filter(|r| r.standing == LifecycleState::Ready)
+            .map(&warmth)
+            .sum();
         self.peak = self.peak.max(lately / weight.max(1e-9));
         let (to, share) = (&self.rows[&cache], warmth(&self.rows[&cache]));
         if share < 1.0 {
             let window = r.fall.max(SECOND);
             self.cold_sends.push((now, cache, share));
-            let sent = self.cold_sends.iter().filter(|s| s.1 == cache && s.0 + window > now).count() as f64;
-            let budget = r.fall_multiple * share * to.weight * self.peak * window as f64 / SECOND as f64;
-            assert!(sent <= budget.max(1.0), "rule 4: {sent} sent to cold {cache}, budget {budget}");
+            let sent = self
+                .cold_sends
+                .iter()
+                .filter(|s| s.1 == cache && s.0 + window > now)
+                .count() as f64;
+            let budget =
+                r.fall_multiple * share * to.weight * self.peak * window as f64 / SECOND as f64;
+            assert!(
+                sent <= budget.max(1.0),
+                "rule 4: {sent} sent to cold {cache}, budget {budget}"
+            );
         }
     }
 
--- a/crates/sparrouter/tests/wrong_lists.rs
+++ b/crates/sparrouter-balancer/tests/wrong_lists.rs
@@ -1,6 +1,6 @@
 //! Where gone is advice: lists that are wrong, and lists that are right about nearly everything.
 mod world;
-use sparrouter::types::*;
+use sparrouter_balancer::types::*;
 use world::*;
 
 fn advised() -> Site {
@@ -10,7 +10,10 @@
 }
 
 fn rows(n: usize, standing: LifecycleState) -> Vec<Row> {
-    fleet(n).into_iter().map(|r| Row { standing, ..r }).collect()
+    fleet(n)
+        .into_iter()
+        .map(|r| Row { standing, ..r })
+        .collect()
 }
 
 fn served(w: &mut World, keys: std::ops::Range<u64>) -> usize {
@@ -29,11 +32,17 @@
 /// A list that called all running cache servers gone emptied the election: nine tenths were turned away.
 #[test]
 fn all_called_gone_or_left_out_stay_in_the_election_while_they_answer() {
-    for (form, list) in [(Form::Full, vec![]), (Form::Changes, rows(6, LifecycleState::Gone))] {
+    for (form, list) in [
+        (Form::Full, vec![]),
+        (Form::Changes, rows(6, LifecycleState::Gone)),
+    ] {
         let mut w = World::new(advised(), fleet(6));
         let before: Vec<_> = (0..50).map(|k| winner(&mut w, k)).collect();
         w.list(form, list.clone());
-        assert_eq!(before, (0..50).map(|k| winner(&mut w, k)).collect::<Vec<_>>());
+        assert_eq!(
+            before,
+            (0..50).map(|k| winner(&mut w, k)).collect::<Vec<_>>()
+        );
         // Reads that miss still find the origin.
         let inv = w.arrive(0, Some(900), false, SECOND);
         w.end(inv, 0, Outcome::Miss);
@@ -49,13 +58,21 @@
 fn one_that_drained_before_it_was_gone_gets_nothing_until_it_is_listed_again() {
     let mut w = World::new(advised(), fleet(3));
     let home = winner(&mut w, 1);
-    let with = |standing| vec![Row { standing, ..row(home, 0) }];
+    let with = |standing| {
+        vec![Row {
+            standing,
+            ..row(home, 0)
+        }]
+    };
     w.list(Form::Changes, with(LifecycleState::Draining));
     assert_ne!(winner(&mut w, 1), home);
     w.list(Form::Changes, with(LifecycleState::Gone));
     assert_ne!(winner(&mut w, 1), home);
     // A whole list that leaves it out, or has it drain still, changes nothing.
-    w.list(Form::Full, fleet(3).into_iter().filter(|r| r.cache != home).collect());
+    w.list(
+        Form::Full,
+        fleet(3).into_iter().filter(|r| r.cache != home).collect(),
+    );
     assert_ne!(winner(&mut w, 1), home);
     w.list(Form::Changes, with(LifecycleState::Ready));
     assert_eq!(winner(&mut w, 1), home);
@@ -66,14 +83,30 @@
 fn one_that_is_gone_in_truth_costs_few_forwards() {
     let mut w = World::new(advised(), fleet(4));
     let home = winner(&mut w, 1);
-    w.list(Form::Changes, vec![Row { standing: LifecycleState::Gone, ..row(home, 0) }]);
+    w.list(
+        Form::Changes,
+        vec![Row {
+            standing: LifecycleState::Gone,
+            ..row(home, 0)
+        }],
+    );
     let mut tried = 0;
     for k in 0..1200 {
         let inv = w.arrive(0, Some(k % 40), false, SECOND);
         for copy in 0..3 {
-            let Some(&to) = w.sent_to(inv).get(copy) else { break };
+            let Some(&to) = w.sent_to(inv).get(copy) else {
+                break;
+            };
             tried += usize::from(to == home);
-            w.end(inv, copy, if to == home { Outcome::Unavailable } else { Outcome::Succeeded });
+            w.end(
+                inv,
+                copy,
+                if to == home {
+                    Outcome::Unavailable
+                } else {
+                    Outcome::Succeeded
+                },
+            );
         }
         assert!(w.answered(inv));
         w.pass(50 * MS);
@@ -87,27 +120,54 @@
 fn half_called_gone_keep_their_keys_beside_those_listed() {
     let mut w = World::new(advised(), fleet(8));
     let before: Vec<_> = (0..80).map(|k| winner(&mut w, k)).collect();
-    w.list(Form::Full, fleet(8).into_iter().filter(|r| r.cache % 2 == 0).collect());
-    assert_eq!(before, (0..80).map(|k| winner(&mut w, k)).collect::<Vec<_>>());
+    w.list(
+        Form::Full,
+        fleet(8).into_iter().filter(|r| r.cache % 2 == 0).collect(),
+    );
+    assert_eq!(
+        before,
+        (0..80).map(|k| winner(&mut w, k)).collect::<Vec<_>>()
+    );
     w.list(Form::Full, fleet(8));
-    assert_eq!(before, (0..80).map(|k| winner(&mut w, k)).collect::<Vec<_>>());
+    assert_eq!(
+        before,
+        (0..80).map(|k| winner(&mut w, k)).collect::<Vec<_>>()
+    );
 }
 
 /// An old list names cache servers long replaced, and not those that stand in for them now.
 #[test]
 fn an_old_list_that_comes_again_moves_keys_only_to_those_that_answer() {
     let mut w = World::new(advised(), fleet(8));
-    let drained: Vec<Row> = (0..4).map(|c| Row { standing: LifecycleState::Draining, ..row(c, 0) }).collect();
+    let drained: Vec<Row> = (0..4)
+        .map(|c| Row {
+            standing: LifecycleState::Draining,
+            ..row(c, 0)
+        })
+        .collect();
     w.list(Form::Changes, drained);
     // The replaced are listed as they were, the others are left out.
-    w.list(Form::Full, (0..4).map(|c| row(c, 0)).chain([row(8, 9)]).collect());
+    w.list(
+        Form::Full,
+        (0..4).map(|c| row(c, 0)).chain([row(8, 9)]).collect(),
+    );
     let mut answered = 0;
     for k in 0..600 {
         let inv = w.arrive(0, Some(k), false, SECOND);
         for copy in 0..3 {
-            let Some(&to) = w.sent_to(inv).get(copy) else { break };
+            let Some(&to) = w.sent_to(inv).get(copy) else {
+                break;
+            };
             w.pass(5 * MS);
-            w.end(inv, copy, if to < 4 { Outcome::Unavailable } else { Outcome::Succeeded });
+            w.end(
+                inv,
+                copy,
+                if to < 4 {
+                    Outcome::Unavailable
+                } else {
+                    Outcome::Succeeded
+                },
+            );
         }
         answered += usize::from(w.answered(inv) && !w.sent_to(inv).is_empty());
         w.pass(20 * MS);
@@ -131,9 +191,16 @@
                 let inv = w.arrive(0, Some(key), false, SECOND);
                 w.pass(5 * MS);
                 // The few that are left can do no more than they did before.
-                let end = if !shrunk || key % 20 == 0 { Outcome::Succeeded } else { Outcome::Full };
+                let end = if !shrunk || key % 20 == 0 {
+                    Outcome::Succeeded
+                } else {
+                    Outcome::Full
+                };
                 for copy in 0..3 {
-                    if w.sent_to(inv).get(copy).is_some_and(|&to| to != 2 || !shrunk) {
+                    if w.sent_to(inv)
+                        .get(copy)
+                        .is_some_and(|&to| to != 2 || !shrunk)
+                    {
                         w.end(inv, copy, end);
                     }
                 }
@@ -145,7 +212,18 @@
             half_a_second(&mut w, false);
         }
         let at = w.now;
-        w.list(Form::Full, vec![row(0, 0), row(1, 0), Row { ready_at: at, ..row(2, 0) }, row(40, 9)]);
+        w.list(
+            Form::Full,
+            vec![
+                row(0, 0),
+                row(1, 0),
+                Row {
+                    ready_at: at,
+                    ..row(2, 0)
+                },
+                row(40, 9),
+            ],
+        );
         let sent: usize = (0..4).map(|_| half_a_second(&mut w, true)).sum();
         // A warm unit of weight has answered 200 / 60 a second: of that 0.15 x 3 x a half at the most.
         assert!(sent <= 3, "advice {advice}: {sent}");
@@ -171,7 +249,16 @@
         play(&mut w, key, MS / 2);
     }
     let at = w.now;
-    let cold = |n: usize| if n == 2 { Row { ready_at: at, ..row(2, 0) } } else { row(n, 0) };
+    let cold = |n: usize| {
+        if n == 2 {
+            Row {
+                ready_at: at,
+                ..row(2, 0)
+            }
+        } else {
+            row(n, 0)
+        }
+    };
     w.list(Form::Full, (1..4).map(cold).chain([row(40, 9)]).collect());
     let sent: usize = (100..260).map(|key| play(&mut w, key, 3 * MS)).sum();
     // Half a second: 40 answers from 8 are 5 a unit, of that 0.15 x 3 x a half a second.
--- a/crates/sparrouter-node/src/program/reporter.rs
+++ b/crates/sparrouter-node/src/program/reporter.rs
@@ -2,9 +2,9 @@
 //! not be written costs nothing.
 use super::operator::{Identity, Report as Wanted};
 use crate::counted::{Often, breaches};
-use sparrouter::notes::FORMATS;
-use sparrouter::policy::Policy;
-use sparrouter::types::{Nanos, Operation as Rules, Tally, WHY};
+use sparrouter_balancer::gossip::FORMATS;
+use sparrouter_balancer::policy::Policy;
+use sparrouter_balancer::types::{Nanos, Operation as Rules, Tally, WHY};
 use sparrouter_report::{BUCKETS, Operation, Report, Share, bucket};
 use std::cell::Cell;
 use std::fs::{File, OpenOptions};
--- a/crates/sparrouter-node/src/protocol/messages.rs
+++ b/crates/sparrouter-node/src/protocol/messages.rs
@@ -2,7 +2,7 @@
 use super::head::{RequestHead, ResponseHead};
 use super::{ParseError, Parsed};
 use bytes::{BufMut, Bytes, BytesMut};
-use sparrouter::types::{Nanos, Note, Outcome};
+use sparrouter_balancer::types::{Nanos, Note, Outcome};
 use std::net::SocketAddr;
 
 /// What a client sent, in slices of what was read.
--- a/crates/sparrouter-node/src/routing/clock.rs
+++ b/crates/sparrouter-node/src/routing/clock.rs
@@ -1,5 +1,5 @@
 //! One reading of the wall clock at the start, then a clock that only advances.
-use sparrouter::types::Nanos;
+use sparrouter_balancer::types::Nanos;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/crates/sparrouter-node/src/routing/parts.rs
+++ b/crates/sparrouter-node/src/routing/parts.rs
@@ -1,7 +1,7 @@
 //! This node's parts of the limits that all nodes keep together: its settings, its notes, what is told of it. What is
 //! lent and borrowed is decided in `sparrouter-shares`.
 use crate::program::operator::Shares as Wanted;
-use sparrouter::types::Nanos;
+use sparrouter_balancer::types::Nanos;
 use sparrouter_report::Share;
 use sparrouter_settings::{Settings, hash};
 use sparrouter_shares::shares::Place;
@@ -133,4 +133,4 @@
     }
 }
 
-const _: () = assert!(SECOND == sparrouter::types::SECOND);
+const _: () = assert!(SECOND == sparrouter_balancer::types::SECOND);
--- a/crates/sparrouter-node/src/routing/peer.rs
+++ b/crates/sparrouter-node/src/routing/peer.rs
@@ -9,7 +9,7 @@
 use crate::transport::pool::Pool;
 use crate::transport::reading::ReadError;
 use bytes::Bytes;
-use sparrouter::types::{CacheIx, InvIx, Note, Outcome};
+use sparrouter_balancer::types::{CacheIx, InvIx, Note, Outcome};
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::io::ErrorKind;
--- a/crates/sparrouter-node/src/routing/tests/peer.rs
+++ b/crates/sparrouter-node/src/routing/tests/peer.rs
@@ -6,7 +6,7 @@
 use crate::transport::budget::{Room, Share};
 use crate::transport::pool::Pool;
 use bytes::Bytes;
-use sparrouter::types::Outcome;
+use sparrouter_balancer::types::Outcome;
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
--- a/crates/sparrouter-node/src/transport/client.rs
+++ b/crates/sparrouter-node/src/transport/client.rs
@@ -5,7 +5,7 @@
 use crate::protocol::head::{self, RequestHead};
 use crate::protocol::messages::{self, Answer, Invocation};
 use bytes::{Buf, Bytes, BytesMut};
-use sparrouter::types::InvIx;
+use sparrouter_balancer::types::InvIx;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/sparrouter-settings/src/changes.rs
+++ b/crates/sparrouter-settings/src/changes.rs
@@ -1,7 +1,7 @@
 //! Other settings for a node at work: what of them it can take up, and where their operations and tenants stand. No I/O.
 use crate::names::Names;
 use crate::object::Settings;
-use sparrouter::types::Taken;
+use sparrouter_balancer::types::Taken;
 
 /// Where what is new stands among what was there.
 #[derive(Debug, PartialEq)]
--- a/crates/sparrouter-settings/src/names.rs
+++ b/crates/sparrouter-settings/src/names.rs
@@ -1,6 +1,6 @@
 //! Names to small indices, in the order in which they are first met.
 use crate::object::Settings;
-use sparrouter::types::*;
+use sparrouter_balancer::types::*;
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/sparrouter-settings/src/parts.rs
+++ b/crates/sparrouter-settings/src/parts.rs
@@ -1,8 +1,8 @@
 //! What the module and the program take from the object, each their own part, in our words.
 use crate::names::hash;
 use crate::object::{Class, Settings};
-use sparrouter::policy::Policy;
-use sparrouter::types::*;
+use sparrouter_balancer::policy::Policy;
+use sparrouter_balancer::types::*;
 
 pub fn nanos(field: &str, us: i64) -> Result<Nanos, String> {
     let us = u64::try_from(us).map_err(|_| format!("field {field}: {us} is below 0"))?;
--- a/crates/sparrouter-simhost/src/node.rs
+++ b/crates/sparrouter-simhost/src/node.rs
@@ -1,8 +1,8 @@
 //! One instance: the decision module behind maps between the wire's ids and its small indices.
 use crate::wire::{self, Enlist, Incoming, Order};
 use base64::{Engine, engine::general_purpose::STANDARD as BASE64};
-use sparrouter::policy::Policy;
-use sparrouter::types::*;
+use sparrouter_balancer::policy::Policy;
+use sparrouter_balancer::types::*;
 use sparrouter_settings::{Listed, Names, hash, nanos};
 use std::collections::HashMap;
 
