--- a/crates/sparrouter-balancer/src/gossip.rs
+++ b/crates/sparrouter-balancer/src/gossip.rs
@@ -20,7 +20,7 @@
 pub type Sums = (u32, f64, f64);
 
 #[derive(Debug, Default, PartialEq)]
-pub struct Telling {
+pub struct GossipMessage {
     /// Arrivals by tenant in the last second.
     pub arrived: Vec<u16>,
     /// Part of the load that the sender turns away.
@@ -38,7 +38,7 @@
     (crc32fast::hash(text) as u16).to_le_bytes()
 }
 
-impl Telling {
+impl GossipMessage {
     pub fn write(&self) -> Vec<u8> {
         let mut text = vec![self.arrived.len() as u8, self.caches.len() as u8];
         text.extend(self.arrived.iter().flat_map(|n| n.to_le_bytes()));
@@ -58,7 +58,7 @@
 
     /// None where the text is cut short, spoilt, or of a format that has nothing in common with ours; numbers that
     /// are none count as 0.
-    pub fn read(text: &[u8]) -> Option<Telling> {
+    pub fn read(text: &[u8]) -> Option<GossipMessage> {
         let (&[tenants, caches], rest) = text.split_first_chunk()?;
         let (arrived, rest) = rest.split_at_checked(2 * usize::from(tenants))?;
         if tenants >= OTHERWISE {
@@ -97,7 +97,7 @@
             .chunks_exact(2)
             .map(|b| u16::from_le_bytes([b[0], b[1]]))
             .collect();
-        Some(Telling {
+        Some(GossipMessage {
             arrived,
             excess: number(excess),
             caches: rows,
--- a/crates/sparrouter-balancer/src/policy.rs
+++ b/crates/sparrouter-balancer/src/policy.rs
@@ -24,9 +24,9 @@
     fleet: &Fleet,
     now: Nanos,
 ) -> bool {
-    let free = inv.live() && now < inv.arrival.due && to.standing == LifecycleState::Ready;
+    let free = inv.live() && now < inv.arrival.deadline && to.standing == LifecycleState::Ready;
     let room =
-        inv.forwards.len() < limits.max_forwards && (limits.second_copies || inv.open() == 0);
+        inv.forwards.len() < limits.max_forwards && (limits.allows_hedging || inv.open() == 0);
     let effect = match (op.effect, inv.first_effect()) {
         (Effect::Idempotent, _) | (_, None) => true,
         (Effect::NonIdempotent, Some(_)) => false,
@@ -68,7 +68,7 @@
     /// election until own forwards show that it is out of reach.
     fn listed(&mut self, standing: LifecycleState, advice: bool) {
         self.missing =
-            advice && standing == LifecycleState::Gone && self.standing == LifecycleState::Ready;
+            advice && standing == LifecycleState::Left && self.standing == LifecycleState::Ready;
         self.standing = if self.missing {
             LifecycleState::Ready
         } else {
@@ -90,8 +90,8 @@
 struct Fleet {
     caches: Vec<Option<Cache>>,
     /// The members of the election.
-    ready: Vec<CacheIx>,
-    origin: Option<CacheIx>,
+    ready: Vec<CacheIndex>,
+    origin: Option<CacheIndex>,
     rules: Rules,
     origin_kind: Option<usize>,
     live_weights: bool,
@@ -109,27 +109,27 @@
 }
 
 impl Fleet {
-    fn get(&self, c: CacheIx) -> &Cache {
+    fn get(&self, c: CacheIndex) -> &Cache {
         self.caches[c].as_ref().expect("listed cache")
     }
-    fn known(&mut self, c: CacheIx) -> Option<&mut Cache> {
+    fn known(&mut self, c: CacheIndex) -> Option<&mut Cache> {
         self.caches.get_mut(c).and_then(|c| c.as_mut())
     }
-    fn at(&mut self, c: CacheIx) -> &mut Cache {
+    fn at(&mut self, c: CacheIndex) -> &mut Cache {
         self.known(c).expect("listed cache")
     }
-    fn is_origin(&self, c: CacheIx) -> bool {
+    fn is_origin(&self, c: CacheIndex) -> bool {
         self.origin_kind == Some(self.get(c).kind)
     }
 
-    fn list(&mut self, form: Form, rows: &[Row], now: Nanos) {
-        let advice = self.rules.gone_is_advice;
+    fn list(&mut self, form: ListKind, rows: &[CacheRecord], now: Nanos) {
+        let advice = self.rules.removal_is_advisory;
         self.count(now);
-        if form != Form::Changes {
+        if form != ListKind::Changes {
             self.caches
                 .iter_mut()
                 .flatten()
-                .for_each(|c| c.listed(LifecycleState::Gone, advice));
+                .for_each(|c| c.listed(LifecycleState::Left, advice));
         }
         for row in rows {
             if self.caches.len() <= row.cache {
@@ -159,10 +159,10 @@
                 (c.doubt, c.strikes, c.unreachable) = (None, 0, false);
                 c.started(row.ready_at, now, self.rng.f64());
             }
-            c.listed(row.standing, advice);
+            c.listed(row.state, advice);
             (c.weight, c.zone, c.cell) = (weight, row.zone, row.cell);
         }
-        let up = |c: &CacheIx| {
+        let up = |c: &CacheIndex| {
             self.caches[*c]
                 .as_ref()
                 .is_some_and(|c| c.standing == LifecycleState::Ready)
@@ -173,9 +173,9 @@
     }
 
     /// The part of its capacity that it has at least, by the stated climb.
-    fn warmth(&self, c: CacheIx, now: Nanos) -> f64 {
+    fn warmth(&self, c: CacheIndex, now: Nanos) -> f64 {
         let (ready_at, start) = (self.get(c).ready_at, self.rules.start_capacity);
-        let age = now.saturating_sub(ready_at) as f64 / self.rules.cold.max(1) as f64;
+        let age = now.saturating_sub(ready_at) as f64 / self.rules.warm_up_period.max(1) as f64;
         if ready_at == 0 {
             1.0
         } else {
@@ -185,9 +185,9 @@
 
     /// All ready cache servers, highest score first. A weight's share of the keys is its part of
     /// the sum; a cold cache server weighs as much as it is warm, alike at every node.
-    fn rank(&self, key: u64, peers: usize, now: Nanos) -> Vec<(f64, CacheIx)> {
+    fn rank(&self, key: u64, peers: usize, now: Nanos) -> Vec<(f64, CacheIndex)> {
         let prior = 1.0 / (1.0 + peers as f64);
-        let score = |&c: &CacheIx| {
+        let score = |&c: &CacheIndex| {
             let cache = self.get(c);
             let weight = cache.weight * self.warmth(c, now) * cache.health(prior, now);
             (sparrouter_rendezvous::score(cache.id_hash, key, weight), c)
@@ -199,7 +199,7 @@
 
     /// The part of all keys that cold cache servers win.
     fn cold_part(&self, now: Nanos) -> f64 {
-        let part = |&c: &CacheIx| {
+        let part = |&c: &CacheIndex| {
             (
                 self.warmth(c, now),
                 self.warmth(c, now) * self.get(c).weight,
@@ -218,7 +218,7 @@
 
     /// What this node may send a cold cache server: a second, and saved up at the most. What a warm
     /// unit of weight answers this node stands for the capacity that nobody tells.
-    fn cold_budget(&self, c: CacheIx, now: Nanos) -> (f64, f64) {
+    fn cold_budget(&self, c: CacheIndex, now: Nanos) -> (f64, f64) {
         let capacity = self.rate * self.get(c).weight * self.warmth(c, now);
         let per_s = capacity * self.rules.fall_multiple * COLD_MARGIN;
         let window = self.rules.fall.max(SECOND) as f64 / SECOND as f64;
@@ -226,17 +226,17 @@
     }
     /// Guards rule 4 alone. A part far below one forward is saved up from a start drawn by chance, so
     /// that of hundreds of nodes few send at once: 'one from each' pushed new cache servers over.
-    fn cold_tokens(&self, c: CacheIx, now: Nanos) -> f64 {
+    fn cold_tokens(&self, c: CacheIndex, now: Nanos) -> f64 {
         let (per_s, most) = self.cold_budget(c, now);
         let cache = self.get(c);
         let age = now.saturating_sub(cache.filled_at) as f64 / SECOND as f64;
         (cache.tokens + per_s * age).min(most)
     }
-    fn cold_room(&self, c: CacheIx, now: Nanos) -> bool {
+    fn cold_room(&self, c: CacheIndex, now: Nanos) -> bool {
         self.warmth(c, now) >= 1.0 || self.cold_tokens(c, now) >= 1.0
     }
 
-    fn sent(&mut self, c: CacheIx, now: Nanos) {
+    fn sent(&mut self, c: CacheIndex, now: Nanos) {
         let cold = self.warmth(c, now) < 1.0;
         let tokens = if cold {
             self.cold_tokens(c, now) - 1.0
@@ -250,7 +250,7 @@
     }
 
     /// Counts answers: what is only sent says nothing of what can be done.
-    fn answered(&mut self, c: CacheIx, now: Nanos) {
+    fn answered(&mut self, c: CacheIndex, now: Nanos) {
         self.answers += f64::from(u8::from(self.get(c).standing == LifecycleState::Ready));
         self.silence *= 0.95;
         if now > self.counted_at + SECOND {
@@ -279,7 +279,7 @@
     }
 
     /// One more piece of evidence against a cache server; `hard` is proof that it can't be reached.
-    fn strike(&mut self, c: CacheIx, hard: bool, now: Nanos) {
+    fn strike(&mut self, c: CacheIndex, hard: bool, now: Nanos) {
         let (first, most, usual) = (self.first_look, self.most_doubted(), self.silence);
         self.silence += 0.05 * (1.0 - self.silence);
         let cache = self.at(c);
@@ -308,7 +308,7 @@
             let cache = self.at(c);
             // List and own forwards have agreed for long: it is kept no more, until it is listed again.
             if cache.missing && backoff > first * LOOKS {
-                (cache.standing, cache.missing) = (LifecycleState::Gone, false);
+                (cache.standing, cache.missing) = (LifecycleState::Left, false);
                 self.ready.retain(|&r| r != c);
             }
         }
@@ -316,7 +316,7 @@
 
     /// It answered something: the doubt is over. One that was out of reach comes back as cold,
     /// whatever the list says yet: a crashed process restarts before the list knows.
-    fn cleared(&mut self, c: CacheIx, now: Nanos) {
+    fn cleared(&mut self, c: CacheIndex, now: Nanos) {
         let phase = self.rng.f64();
         let Some(cache) = self.known(c) else { return };
         if cache.unreachable {
@@ -328,11 +328,11 @@
     /// The worst of them, for peers: push-sum as with keys.
     fn give(&mut self, to: usize) -> Vec<Sums> {
         let part = 1.0 / (1 + to) as f64;
-        let mut worst: Vec<CacheIx> = self.ready.clone();
+        let mut worst: Vec<CacheIndex> = self.ready.clone();
         worst.retain(|&c| self.get(c).crowd.0 > 0.0);
         worst.sort_by(|&a, &b| self.get(b).crowd.0.total_cmp(&self.get(a).crowd.0));
         worst.truncate(NOTE_ROWS);
-        let row = |&c: &CacheIx| {
+        let row = |&c: &CacheIndex| {
             let cache = self.at(c);
             cache.crowd = (cache.crowd.0 * part, cache.crowd.1 * part);
             (cache.id_hash as u32, cache.crowd.0, cache.crowd.1)
@@ -460,7 +460,7 @@
         self.rests_until = self.rests_until.max(now + pause.max(0.0) as Nanos);
     }
     /// The dearest of those that wait, the eldest among equals.
-    fn pop(&mut self) -> Option<InvIx> {
+    fn pop(&mut self) -> Option<InvocationIndex> {
         let best = (0..self.queue.len())
             .min_by(|&a, &b| self.queue[b].0.total_cmp(&self.queue[a].0).then(a.cmp(&b)))?;
         Some(self.queue.remove(best).1)
@@ -614,12 +614,12 @@
     now: Nanos,
     actions: Vec<Action>,
     rng: fastrand::Rng,
-    place: Surroundings,
+    place: Environment,
     /// Operations, and what each may cost. Places of earlier settings stay for what came under them.
     ops: Vec<Operation>,
     limits: Vec<ForwardLimits>,
     usual: Vec<Usual>,
-    invs: HashMap<InvIx, Inv>,
+    invs: HashMap<InvocationIndex, Inv>,
     fleet: Fleet,
     guard: OriginGuard,
     keys: KeyCounts,
@@ -634,7 +634,7 @@
     /// Part of those that erred which the next cache server answered.
     rescued: f64,
     /// Invocations given up so far, by `Why`.
-    given_up: GivenUp,
+    given_up: ShedCounts,
 }
 
 const GIVE_UP: u64 = 0;
@@ -643,13 +643,13 @@
 const PEERS: u64 = 5;
 const ORIGIN: u64 = 6;
 
-fn token(kind: u64, inv: InvIx, copy: usize) -> u64 {
+fn token(kind: u64, inv: InvocationIndex, copy: usize) -> u64 {
     kind | (copy as u64) << 3 | (inv as u64) << 16
 }
 
 impl Policy {
     pub fn new(
-        place: Surroundings,
+        place: Environment,
         ops: Vec<Operation>,
         tenants: &[Tenant],
         limits: ForwardLimits,
@@ -674,7 +674,7 @@
         let bands = vec![(0.0, 0.0, 0.0); 2 * ops.len()];
         let first_look = ops
             .iter()
-            .map(|o| o.objective)
+            .map(|o| o.latency_target)
             .min()
             .unwrap_or(SECOND)
             .max(1);
@@ -713,31 +713,38 @@
 
     /// Other settings for what comes from now on, out of a policy made of them; what is in hand keeps those
     /// that it came under. `rows`: where each operation stands here; `tenants`: which each of them was.
-    pub fn take_up(
+    pub fn apply_settings(
         &mut self,
         now: Nanos,
         fresh: Policy,
-        rows: &[Taken],
+        rows: &[OperationMapping],
         tenants: &[Option<usize>],
     ) {
         self.now = now;
         let (most, limits) = (
             rows.iter()
-                .map(|r| r.at + 1)
+                .map(|r| r.new_index + 1)
                 .fold(self.ops.len(), usize::max),
             fresh.limits[0],
         );
         self.usual.resize(most, Usual::default());
         self.limits.resize(most, limits);
         self.admission.bands.resize(2 * most, (0.0, 0.0, 0.0));
-        for (&Taken { at, from }, op) in rows.iter().zip(fresh.ops) {
+        for (
+            &OperationMapping {
+                new_index,
+                old_index,
+            },
+            op,
+        ) in rows.iter().zip(fresh.ops)
+        {
             self.ops.resize(most, op.clone());
-            (self.ops[at], self.limits[at]) = (op, limits);
+            (self.ops[new_index], self.limits[new_index]) = (op, limits);
             // What was learnt of it stays; a place that was another's is not learnt from.
-            self.usual[at] = from.map_or(Usual::default(), |f| self.usual[f]);
+            self.usual[new_index] = old_index.map_or(Usual::default(), |f| self.usual[f]);
             for w in 0..2 {
                 let bands = &mut self.admission.bands;
-                bands[2 * at + w] = from.map_or((0.0, 0.0, 0.0), |f| bands[2 * f + w]);
+                bands[2 * new_index + w] = old_index.map_or((0.0, 0.0, 0.0), |f| bands[2 * f + w]);
             }
         }
         // Fewer or more nodes: this one's part of what all share. Own answers, which stand for a cold cache
@@ -762,7 +769,7 @@
         // Numbers of peers may mean others now: what they told ends with the next second. Forgotten at once,
         // a node at work took the first note for all that is known, like one that has just started.
         self.peers.values_mut().for_each(|told| told.0 = 0);
-        self.place = Surroundings {
+        self.place = Environment {
             seed: self.place.seed,
             ..fresh.place
         };
@@ -770,10 +777,10 @@
 
     /// A fingerprint of where keys go: nodes that differ here disagree on a key's cache server.
     pub fn placement() -> u64 {
-        let row = |n: usize| Row {
+        let row = |n: usize| CacheRecord {
             cache: n,
             id_hash: mix(n as u64 + 1),
-            standing: LifecycleState::Ready,
+            state: LifecycleState::Ready,
             zone: 0,
             cell: 0,
             kind: 0,
@@ -781,30 +788,30 @@
             ready_at: 0,
         };
         let mut fleet = Fleet::default();
-        fleet.list(Form::Full, &(0..16).map(row).collect::<Vec<_>>(), 1);
+        fleet.list(ListKind::Full, &(0..16).map(row).collect::<Vec<_>>(), 1);
         (0..256).fold(0, |print, key| {
             mix(print ^ (fleet.rank(mix(key), 0, 1)[0].1 as u64 + 1))
         })
     }
 
     /// What an operator wants to know, counted since the start.
-    pub fn told_of(&self) -> Tally {
+    pub fn counts(&self) -> PolicyCounts {
         let Fleet {
             doubts, cold_sends, ..
         } = self.fleet;
-        Tally {
-            given_up: self.given_up,
-            turned_away: self.admission.excess,
-            doubts,
-            cold_sends,
+        PolicyCounts {
+            shed: self.given_up,
+            shed_fraction: self.admission.excess,
+            suspicions: doubts,
+            warm_up_forwards: cold_sends,
         }
     }
 
-    pub fn gone_is_advice(&self) -> bool {
-        self.fleet.rules.gone_is_advice
+    pub fn removal_is_advisory(&self) -> bool {
+        self.fleet.rules.removal_is_advisory
     }
     /// Whether this cache server may still be sent to, whatever the list says.
-    pub fn keeps(&self, cache: CacheIx) -> bool {
+    pub fn has_record(&self, cache: CacheIndex) -> bool {
         self.fleet
             .caches
             .get(cache)
@@ -812,35 +819,35 @@
             .is_some_and(|c| c.standing == LifecycleState::Ready)
     }
 
-    pub fn drain(&mut self) -> std::vec::Drain<'_, Action> {
+    pub fn take_actions(&mut self) -> std::vec::Drain<'_, Action> {
         self.actions.drain(..)
     }
 
     pub fn handle(&mut self, now: Nanos, event: Event) {
         self.now = now;
         match event {
-            Event::Listed { form, rows } => self.listed(form, &rows),
+            Event::Listed { form, records } => self.listed(form, &records),
             Event::Arrived(arrival) => self.arrived(arrival),
-            Event::Begun { inv, copy } => self.begun(inv, copy),
-            Event::Ended(ending) => self.ended(ending),
-            Event::Left { inv } => self.left(inv),
-            Event::Probed { cache, ok, .. } => self.probed(cache, ok),
-            Event::Told { peer, text } => self.told(peer, &text),
-            Event::Woke { token } => self.woke(token),
+            Event::ResponseStarted { inv, copy } => self.begun(inv, copy),
+            Event::ForwardEnded(ending) => self.ended(ending),
+            Event::ClientLeft { inv } => self.left(inv),
+            Event::HealthChecked { cache, ok, .. } => self.probed(cache, ok),
+            Event::GossipReceived { peer, text } => self.told(peer, &text),
+            Event::TimerFired { token } => self.woke(token),
         }
     }
 
     fn wake(&mut self, at: Nanos, token: u64) {
         let after = at.saturating_sub(self.now).max(1);
-        self.actions.push(Action::Wake { after, token });
+        self.actions.push(Action::SetTimer { after, token });
     }
 
     // -- the list --
 
-    fn listed(&mut self, form: Form, rows: &[Row]) {
-        if form == Form::Lost {
+    fn listed(&mut self, form: ListKind, rows: &[CacheRecord]) {
+        if form == ListKind::Lost {
             // Any of our calls, or the subscription itself: a new one may always be asked for.
-            let longest = self.fleet.rules.ask_every / 4;
+            let longest = self.fleet.rules.poll_interval / 4;
             self.list_backoff = (self.list_backoff * 2).min(longest).max(SECOND / 4);
             let jitter = self.rng.f64() * self.list_backoff as f64;
             self.ask_at = self.now + self.list_backoff + jitter as Nanos;
@@ -848,8 +855,8 @@
         }
         (self.ask_at, self.list_backoff) = (0, 0);
         self.fleet.list(form, rows, self.now);
-        if form == Form::Saved {
-            if self.place.must_ask {
+        if form == ListKind::Saved {
+            if self.place.list_is_polled {
                 self.follow();
             }
             if self.place.peers {
@@ -861,11 +868,11 @@
 
     fn follow(&mut self) {
         // Guards against a call that is never answered: silence counts as being informed.
-        self.ask_at = self.now + (self.fleet.rules.ask_every / 2).max(SECOND);
-        self.actions.push(if self.place.must_ask {
-            Action::Follow
+        self.ask_at = self.now + (self.fleet.rules.poll_interval / 2).max(SECOND);
+        self.actions.push(if self.place.list_is_polled {
+            Action::FollowList
         } else {
-            Action::AskList
+            Action::RequestList
         });
         self.wake(self.ask_at, LIST);
     }
@@ -883,12 +890,12 @@
             .take(NOTE_TENANTS)
             .map(|q| q.arrived)
             .collect();
-        let tenants = Some(self.place.tenants);
-        let mut note = Telling {
+        let tenants = Some(self.place.tenants_fingerprint);
+        let mut note = GossipMessage {
             arrived,
             tenants,
             excess: self.admission.excess,
-            ..Telling::default()
+            ..GossipMessage::default()
         };
         if !self.peers.is_empty() {
             // Nothing is given away where no peer is heard: if notes are lost own counts must do.
@@ -900,7 +907,7 @@
         }
         let text = note.write();
         for step in steps {
-            self.actions.push(Action::Tell {
+            self.actions.push(Action::SendGossip {
                 peer: (own + step) % nodes,
                 text: text.clone(),
             });
@@ -926,7 +933,7 @@
     }
 
     fn told(&mut self, peer: usize, text: &[u8]) {
-        let Some(note) = Telling::read(text).filter(|_| peer != self.place.own_index) else {
+        let Some(note) = GossipMessage::read(text).filter(|_| peer != self.place.own_index) else {
             return;
         };
         note.caches
@@ -955,7 +962,10 @@
         let most = middle(others).map_or(EXCESS_MAX, |o| o.max(self.admission.excess));
         self.admission.excess += weight * (note.excess.min(most) - self.admission.excess);
         // Counted by other tenants, in the middle of a change: as if it were not heard.
-        if note.tenants.is_none_or(|t| t == self.place.tenants) {
+        if note
+            .tenants
+            .is_none_or(|t| t == self.place.tenants_fingerprint)
+        {
             self.peers
                 .insert(peer, (self.now, note.arrived, note.excess.min(EXCESS_MAX)));
         }
@@ -966,11 +976,12 @@
     fn arrived(&mut self, arrival: Arrival) {
         let ix = arrival.inv;
         let op = &self.ops[arrival.operation];
-        let objective = op.objective + (op.stretch * arrival.work.unwrap_or(0) as f64) as Nanos;
-        let due = arrival.due.saturating_sub(self.place.tick);
+        let objective =
+            op.latency_target + (op.stretch * arrival.work.unwrap_or(0) as f64) as Nanos;
+        let due = arrival.deadline.saturating_sub(self.place.tick);
         // Past the objective an answer earns nothing here: what is not out by then is given up.
         let good_until = due.min(self.now + objective);
-        let give_up = if op.late_part > 0.0 || op.stream {
+        let give_up = if op.late_value_fraction > 0.0 || op.stream {
             due
         } else {
             good_until
@@ -978,15 +989,15 @@
         let work = match (arrival.work, self.usual[arrival.operation].mean) {
             (Some(w), _) if w > 0 => w as f64,
             (_, m) if m > 0.0 => m,
-            _ => op.objective.max(4) as f64 / 4.0,
+            _ => op.latency_target.max(4) as f64 / 4.0,
         };
         let within = arrival
-            .within
+            .is_within_quota
             .unwrap_or(self.admission.within_quota(arrival.tenant, self.now));
         let part = if within {
             1.0
         } else {
-            self.place.over_share_part
+            self.place.over_quota_value_fraction
         };
         let billed = op.billed_value * part;
         let value = billed * if arrival.write { 1e6 } else { 1.0 };
@@ -1014,8 +1025,19 @@
         let fails = self.keys.get(key).map_or(1.0, |k| k.chance(self.now));
         let fails = fails < 1.0 && self.rng.f64() > fails;
         if due_now || fails || self.rng.f64() < shed {
-            let why = if fails { Why::Fails } else { Why::Shed };
-            return self.conclude(ix, if due_now { Why::Late } else { why });
+            let why = if fails {
+                ShedReason::FailsEverywhere
+            } else {
+                ShedReason::Overload
+            };
+            return self.conclude(
+                ix,
+                if due_now {
+                    ShedReason::DeadlineExceeded
+                } else {
+                    why
+                },
+            );
         }
         self.wake(give_up, token(GIVE_UP, ix, 0));
         if origin_write {
@@ -1026,7 +1048,7 @@
     }
 
     /// Sends to the first in the key's order that nothing speaks against.
-    fn try_cache(&mut self, ix: InvIx) {
+    fn try_cache(&mut self, ix: InvocationIndex) {
         let inv = &self.invs[&ix];
         let (key, read) = (inv.key, !inv.arrival.write);
         let first = read && inv.forwards.is_empty();
@@ -1049,22 +1071,22 @@
             {
                 self.fetch(ix)
             }
-            None => self.conclude(ix, Why::NoRoom),
+            None => self.conclude(ix, ShedReason::NoCapacity),
         }
     }
 
-    fn pick(&mut self, ix: InvIx) -> Option<CacheIx> {
+    fn pick(&mut self, ix: InvocationIndex) -> Option<CacheIndex> {
         let (chosen, look) = self.choose(ix);
         // Looked at only when wanted: nodes x doubted cache servers of probes add up.
         if let Some(d) = look.and_then(|c| self.fleet.at(c).doubt.as_mut().map(|d| (c, d))) {
             d.1.until = self.now + d.1.backoff;
-            self.actions.push(Action::Probe { cache: d.0 });
+            self.actions.push(Action::CheckHealth { cache: d.0 });
         }
         chosen
     }
 
     /// The cache server to send to, and a doubted one before it in the order to be probed.
-    fn choose(&self, ix: InvIx) -> (Option<CacheIx>, Option<CacheIx>) {
+    fn choose(&self, ix: InvocationIndex) -> (Option<CacheIndex>, Option<CacheIndex>) {
         let inv = &self.invs[&ix];
         let op = &self.ops[inv.arrival.operation];
         let bar = self.fleet.bar();
@@ -1099,11 +1121,11 @@
                 }
                 // If most look bad, the judgement may be what is bad: they need no probe, only time.
                 let due = d.until <= self.now;
-                let look = d.trial || due && (most || !self.place.may_probe);
+                let look = d.trial || due && (most || !self.place.allows_health_checks);
                 if look && cache.out == 0 && op.effect == Effect::Idempotent {
                     return (Some(c), probe);
                 }
-                probe = probe.or((due && !d.trial && self.place.may_probe).then_some(c));
+                probe = probe.or((due && !d.trial && self.place.allows_health_checks).then_some(c));
                 continue;
             }
             if f64::from(cache.out) >= cache.limit.floor() {
@@ -1118,7 +1140,7 @@
         (spare, probe)
     }
 
-    fn may_forward(&self, inv: &Inv, to: CacheIx) -> bool {
+    fn may_forward(&self, inv: &Inv, to: CacheIndex) -> bool {
         let op = inv.arrival.operation;
         may_forward(
             inv,
@@ -1130,18 +1152,18 @@
         )
     }
 
-    fn send(&mut self, ix: InvIx, c: CacheIx, then: Then) {
+    fn send(&mut self, ix: InvocationIndex, c: CacheIndex, then: Then) {
         let Some(inv) = self.invs.get(&ix) else {
             return;
         };
         if !self.may_forward(inv, c) {
-            return self.conclude(ix, Why::Gate);
+            return self.conclude(ix, ShedReason::ForbiddenByRules);
         }
         let Some(inv) = self.invs.get_mut(&ix) else {
             return;
         };
         let before = leaves_before(inv, &self.ops[inv.arrival.operation]);
-        let (wait, cold) = (inv.arrival.due - self.now, inv.cold);
+        let (wait, cold) = (inv.arrival.deadline - self.now, inv.cold);
         let (at, fate) = (self.now, Fate::Open);
         inv.forwards.push(Forward {
             cache: c,
@@ -1158,7 +1180,7 @@
             inv: ix,
             cache: c,
             wait,
-            before,
+            must_leave_before: before,
         });
         if origin {
             self.guard.out += 1;
@@ -1178,7 +1200,7 @@
         }
     }
 
-    fn fetch(&mut self, ix: InvIx) {
+    fn fetch(&mut self, ix: InvocationIndex) {
         let inv = self.invs.get_mut(&ix).expect("inv");
         if let Some(waiting) = self.guard.flights.get_mut(&inv.key) {
             return waiting.push(ix);
@@ -1188,10 +1210,10 @@
         self.try_origin(ix);
     }
 
-    fn try_origin(&mut self, ix: InvIx) {
+    fn try_origin(&mut self, ix: InvocationIndex) {
         let inv = &self.invs[&ix];
         let Some(origin) = self.fleet.origin else {
-            return self.conclude(ix, Why::Origin);
+            return self.conclude(ix, ShedReason::Origin);
         };
         if self.guard.room(self.now) && self.guard.queue.is_empty() {
             return self.send(ix, origin, Policy::after_origin);
@@ -1199,7 +1221,7 @@
         // Not worth waiting for: the answer would come late, or the origin gives none.
         let left = inv.good_until.saturating_sub(self.now) as f64;
         if self.guard.wait(inv.value) + self.guard.base > left || self.guard.strikes > 4 {
-            return self.conclude(ix, Why::Origin);
+            return self.conclude(ix, ShedReason::Origin);
         }
         self.guard.queue.push((inv.value, ix));
         // Whoever is now too far back for an answer in time is told at once.
@@ -1212,7 +1234,7 @@
         if let Some((value, last)) = worst.filter(|w| w.1 != ix)
             && self.now as f64 + self.guard.wait(value) > self.invs[&last].good_until as f64
         {
-            self.conclude(last, Why::Origin);
+            self.conclude(last, ShedReason::Origin);
         }
     }
 
@@ -1228,7 +1250,7 @@
     }
 
     /// A cache answered.
-    fn after_cache(&mut self, ix: InvIx, e: &Ending) {
+    fn after_cache(&mut self, ix: InvocationIndex, e: &ForwardOutcome) {
         let cold = self.fleet.warmth(e.cache, self.now) < 1.0;
         let inv = self.invs.get_mut(&ix).expect("inv");
         if e.outcome == Outcome::Miss && self.fleet.origin_kind.is_some() {
@@ -1256,18 +1278,18 @@
             if worth {
                 self.try_cache(ix)
             } else {
-                self.conclude(ix, Why::Fails)
+                self.conclude(ix, ShedReason::FailsEverywhere)
             }
         }
     }
 
     /// It erred wherever it was sent, so the invocation fails by itself: given up, nobody is blamed.
-    fn fails_anywhere(&self, ix: InvIx) -> bool {
+    fn fails_anywhere(&self, ix: InvocationIndex) -> bool {
         self.invs[&ix].forwards.iter().filter(|f| f.erred).count() > 1
     }
 
     /// The origin answered, but not with success.
-    fn after_origin(&mut self, ix: InvIx, e: &Ending) {
+    fn after_origin(&mut self, ix: InvocationIndex, e: &ForwardOutcome) {
         let inv = &self.invs[&ix];
         // Where it may run again it waits its turn once more; an origin silent to all is left in peace.
         let there = inv.forwards.iter().filter(|f| f.cache == e.cache).count();
@@ -1275,11 +1297,11 @@
         if e.outcome != Outcome::TimedOut && again && there < 2 && !self.fails_anywhere(ix) {
             self.try_origin(ix);
         } else if inv.open() == 0 {
-            self.conclude(ix, Why::Origin);
+            self.conclude(ix, ShedReason::Origin);
         }
     }
 
-    fn ended(&mut self, e: Ending) {
+    fn ended(&mut self, e: ForwardOutcome) {
         let Some(inv) = self.invs.get_mut(&e.inv) else {
             return;
         };
@@ -1298,14 +1320,14 @@
             Fate::MayHaveRun
         };
         let (then, sent_at, cold) = (f.then, f.at, f.cold);
-        inv.over |= e.last;
+        inv.over |= e.is_final;
         let cache = self.fleet.at(e.cache);
         cache.out = cache.out.saturating_sub(1);
         let origin = self.fleet.is_origin(e.cache);
         if origin {
             self.guard.out -= 1;
             self.guard.cold_out -= usize::from(cold);
-            self.guard.learn(e.outcome, e.lag, self.now);
+            self.guard.learn(e.outcome, e.latency, self.now);
             if matches!(e.outcome, Outcome::Full | Outcome::Unavailable) {
                 // Asking again at once would only feed its queue: all wait for a part of its time.
                 let rest = (self.guard.mean as Nanos).max(self.place.tick);
@@ -1329,14 +1351,15 @@
     }
 
     /// What an ending says of its cache server.
-    fn judge(&mut self, e: &Ending, sent_at: Nanos) {
+    fn judge(&mut self, e: &ForwardOutcome, sent_at: Nanos) {
         let inv = &self.invs[&e.inv];
         let (operation, key) = (inv.arrival.operation, inv.key);
-        let part = e.lag as f64 / self.ops[operation].objective as f64;
+        let part = e.latency as f64 / self.ops[operation].latency_target as f64;
         match e.outcome {
             Outcome::Succeeded if part <= 1.0 => self.admission.proven.good(self.now),
             Outcome::Succeeded | Outcome::TimedOut | Outcome::Withdrawn => {
-                self.admission.late(sent_at, self.ops[operation].objective);
+                self.admission
+                    .late(sent_at, self.ops[operation].latency_target);
             }
             _ => {}
         }
@@ -1351,7 +1374,7 @@
                 );
                 self.keys.took(key, part);
                 if e.outcome == Outcome::Succeeded {
-                    self.usual[operation].learn(e.lag as f64);
+                    self.usual[operation].learn(e.latency as f64);
                 }
                 if e.outcome != Outcome::Error {
                     if self.invs[&e.inv].forwards.iter().any(|f| f.erred) {
@@ -1382,7 +1405,7 @@
 
     /// No answer in time. If nothing at all came from there since the forward left that is silence,
     /// while one that answers others is only slow.
-    fn silent(&mut self, c: CacheIx, since: Nanos) {
+    fn silent(&mut self, c: CacheIndex, since: Nanos) {
         self.fleet.at(c).learn(1.0, 1.0, self.now);
         if self.fleet.get(c).heard <= since {
             self.fleet.strike(c, false, self.now);
@@ -1390,7 +1413,7 @@
     }
 
     /// Gives the final answer: throttled where that is allowed, errored elsewhere.
-    fn conclude(&mut self, ix: InvIx, why: Why) {
+    fn conclude(&mut self, ix: InvocationIndex, why: ShedReason) {
         let Some(inv) = self.invs.get_mut(&ix).filter(|i| i.live()) else {
             return;
         };
@@ -1401,9 +1424,9 @@
         let longest = self.limits[inv.arrival.operation]
             .max_retry_after
             .unwrap_or(0);
-        let hope = inv.give_up.saturating_sub(self.now) > op.objective / 2;
+        let hope = inv.give_up.saturating_sub(self.now) > op.latency_target / 2;
         let retry_after = if hope {
-            longest.min(op.objective / 8)
+            longest.min(op.latency_target / 8)
         } else {
             longest
         };
@@ -1419,7 +1442,7 @@
         self.forget(ix);
     }
 
-    fn withdraw_open(&mut self, ix: InvIx, except: Option<usize>) {
+    fn withdraw_open(&mut self, ix: InvocationIndex, except: Option<usize>) {
         let inv = &self.invs[&ix];
         if !self.limits[inv.arrival.operation].withdraw || inv.begun && except.is_none() {
             return;
@@ -1434,7 +1457,7 @@
     }
 
     /// The invocation is over: whoever waits for its fetch goes on.
-    fn settle(&mut self, ix: InvIx, stored: bool) {
+    fn settle(&mut self, ix: InvocationIndex, stored: bool) {
         self.withdraw_open(ix, None);
         self.guard.queue.retain(|q| q.1 != ix);
         let inv = self.invs.get_mut(&ix).expect("inv");
@@ -1461,7 +1484,7 @@
     }
 
     /// The value is now where the key's order begins: one more forward there is a hit.
-    fn again(&mut self, ix: InvIx) {
+    fn again(&mut self, ix: InvocationIndex) {
         let inv = &self.invs[&ix];
         let missed = inv
             .forwards
@@ -1476,13 +1499,13 @@
         }
     }
 
-    fn forget(&mut self, ix: InvIx) {
+    fn forget(&mut self, ix: InvocationIndex) {
         if self.invs.get(&ix).is_some_and(|i| i.over && i.open() == 0) {
             self.invs.remove(&ix);
         }
     }
 
-    fn begun(&mut self, ix: InvIx, copy: usize) {
+    fn begun(&mut self, ix: InvocationIndex, copy: usize) {
         let Some(inv) = self.invs.get_mut(&ix) else {
             return;
         };
@@ -1494,7 +1517,7 @@
         self.fleet.cleared(cache, self.now);
     }
 
-    fn left(&mut self, ix: InvIx) {
+    fn left(&mut self, ix: InvocationIndex) {
         let Some(inv) = self.invs.get_mut(&ix).filter(|i| !i.over) else {
             return;
         };
@@ -1509,7 +1532,7 @@
         let (kind, copy, ix) = (
             token_ & 7,
             (token_ >> 3 & 0x1fff) as usize,
-            (token_ >> 16) as InvIx,
+            (token_ >> 16) as InvocationIndex,
         );
         match kind {
             GIVE_UP => self.give_up(ix),
@@ -1521,17 +1544,17 @@
         }
     }
 
-    fn give_up(&mut self, ix: InvIx) {
+    fn give_up(&mut self, ix: InvocationIndex) {
         let Some(inv) = self.invs.get(&ix).filter(|i| i.live()) else {
             return;
         };
-        let quiet: Vec<(CacheIx, Nanos)> = inv
+        let quiet: Vec<(CacheIndex, Nanos)> = inv
             .forwards
             .iter()
             .filter(|f| f.fate == Fate::Open)
             .map(|f| (f.cache, f.at))
             .collect();
-        let due = inv.arrival.due.saturating_sub(self.place.tick);
+        let due = inv.arrival.deadline.saturating_sub(self.place.tick);
         let wait_on = !quiet.is_empty() && !may_throttle(inv, &self.ops[inv.arrival.operation]);
         for (c, at) in quiet {
             if !self.fleet.is_origin(c) {
@@ -1542,12 +1565,12 @@
             // It may be running and cannot be taken back: its answer still counts as told.
             return self.wake(due, token(GIVE_UP, ix, 0));
         }
-        self.conclude(ix, Why::Late)
+        self.conclude(ix, ShedReason::DeadlineExceeded)
     }
 
     /// A forward is out for longer than nearly all of its operation: if its cache server was silent
     /// all that time, or answers others while this one is far overdue, the invocation moves on.
-    fn impatient(&mut self, ix: InvIx, copy: usize) {
+    fn impatient(&mut self, ix: InvocationIndex, copy: usize) {
         let Some(inv) = self.invs.get(&ix).filter(|i| !i.begun) else {
             return;
         };
@@ -1585,7 +1608,7 @@
         let left = self.limits[operation]
             .max_forwards
             .saturating_sub(inv.forwards.len());
-        if self.limits[operation].second_copies && !origin {
+        if self.limits[operation].allows_hedging && !origin {
             // Few second copies: where all are slow they would double the load.
             let more = self.copies >= 1.0 && left > 1;
             if more
@@ -1601,7 +1624,7 @@
         }
     }
 
-    fn probed(&mut self, c: CacheIx, ok: bool) {
+    fn probed(&mut self, c: CacheIndex, ok: bool) {
         if let Some(d) = self
             .fleet
             .known(c)
--- a/crates/sparrouter-balancer/src/records.rs
+++ b/crates/sparrouter-balancer/src/records.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// What to do with the result of a forward; every forward leaves one behind.
-pub type Then = fn(&mut Policy, InvIx, &Ending);
+pub type Then = fn(&mut Policy, InvocationIndex, &ForwardOutcome);
 
 #[derive(Clone, Copy, PartialEq)]
 pub enum Fate {
@@ -16,7 +16,7 @@
 }
 
 pub struct Forward {
-    pub cache: CacheIx,
+    pub cache: CacheIndex,
     pub at: Nanos,
     pub fate: Fate,
     /// Its connection broke.
@@ -260,9 +260,9 @@
     pub strikes: u32,
     /// Nothing goes there before this time: it has just turned something away.
     pub rests_until: Nanos,
-    pub queue: Vec<(f64, InvIx)>,
+    pub queue: Vec<(f64, InvocationIndex)>,
     /// Keys being fetched by this node, and who waits for each.
-    pub flights: BTreeMap<u64, Vec<InvIx>>,
+    pub flights: BTreeMap<u64, Vec<InvocationIndex>>,
 }
 
 /// Rates of what came and what was answered in time, a second, and the highest of the latter not long ago.
--- a/crates/sparrouter-balancer/src/types.rs
+++ b/crates/sparrouter-balancer/src/types.rs
@@ -5,8 +5,8 @@
 //! longer than any invocation is open, an invocation's index is never used twice.
 
 pub type Nanos = u64;
-pub type InvIx = u32;
-pub type CacheIx = usize;
+pub type InvocationIndex = u32;
+pub type CacheIndex = usize;
 pub const MICRO: Nanos = 1_000;
 pub const SECOND: Nanos = 1_000_000_000;
 
@@ -28,13 +28,13 @@
 #[derive(Clone, Debug)]
 pub struct Operation {
     pub effect: Effect,
-    pub objective: Nanos,
+    pub latency_target: Nanos,
     /// The objective grows by this multiple of the invocation's own work.
     pub stretch: f64,
     pub client_timeout: Nanos,
     pub billed_value: f64,
     /// Part of the billed value that an answer past the objective still earns.
-    pub late_part: f64,
+    pub late_value_fraction: f64,
     pub stream: bool,
 }
 
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ForwardLimits {
     pub max_forwards: usize,
-    pub second_copies: bool,
+    pub allows_hedging: bool,
     pub withdraw: bool,
     /// Longest wait that a throttling reply may advise; none where replies carry no advice.
     pub max_retry_after: Option<Nanos>,
@@ -58,13 +58,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
     pub answer_slack: Nanos,
-    pub ask_every: Nanos,
+    pub poll_interval: Nanos,
     pub start_capacity: f64,
-    pub cold: Nanos,
+    pub warm_up_period: Nanos,
     pub fall_multiple: f64,
     pub fall: Nanos,
     /// Only draining binds: a cache server that is listed as gone, or no more, may still be sent to.
-    pub gone_is_advice: bool,
+    pub removal_is_advisory: bool,
 }
 
 /// Where missing values come from.
@@ -78,27 +78,27 @@
 
 /// What the site says of this node's surroundings.
 #[derive(Clone, Debug, Default)]
-pub struct Surroundings {
+pub struct Environment {
     pub seed: u64,
     pub own_index: usize,
     pub nodes: usize,
-    pub may_probe: bool,
+    pub allows_health_checks: bool,
     pub peers: bool,
     pub tick: Nanos,
     /// The list comes only to those who ask for it.
-    pub must_ask: bool,
+    pub list_is_polled: bool,
     /// Weights follow the load of the moment, so they say nothing lasting about size.
     pub live_weights: bool,
-    pub over_share_part: f64,
+    pub over_quota_value_fraction: f64,
     /// A fingerprint of the tenants' names in their order: nodes that differ here count arrivals by other tenants.
-    pub tenants: u16,
+    pub tenants_fingerprint: u16,
 }
 
 /// Where an operation of new settings stands, and where it stood under the old ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Taken {
-    pub at: usize,
-    pub from: Option<usize>,
+pub struct OperationMapping {
+    pub new_index: usize,
+    pub old_index: Option<usize>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -106,15 +106,15 @@
     Ready,
     Draining,
     #[default]
-    Gone,
+    Left,
 }
 
 #[derive(Clone, Debug)]
-pub struct Row {
-    pub cache: CacheIx,
+pub struct CacheRecord {
+    pub cache: CacheIndex,
     /// Same at every node for the same cache server.
     pub id_hash: u64,
-    pub standing: LifecycleState,
+    pub state: LifecycleState,
     pub zone: usize,
     pub cell: i64,
     pub kind: usize,
@@ -123,7 +123,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum ListKind {
     Changes,
     Full,
     /// Held over from an earlier life of the node; may be old.
@@ -164,7 +164,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum CacheResult {
     Hit,
     Miss,
     MissWhileFetching,
@@ -179,7 +179,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
-    pub inv: InvIx,
+    pub inv: InvocationIndex,
     pub operation: usize,
     pub tenant: Option<usize>,
     /// Hash of the key, the same at every node.
@@ -187,49 +187,49 @@
     pub write: bool,
     pub repeat: bool,
     pub work: Option<Nanos>,
-    pub due: Nanos,
+    pub deadline: Nanos,
     /// Whether it is within its tenant's quota, where that is kept by others; none: by the policy itself.
-    pub within: Option<bool>,
+    pub is_within_quota: Option<bool>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Ending {
-    pub inv: InvIx,
+pub struct ForwardOutcome {
+    pub inv: InvocationIndex,
     pub copy: usize,
-    pub cache: CacheIx,
+    pub cache: CacheIndex,
     pub outcome: Outcome,
-    pub lag: Nanos,
+    pub latency: Nanos,
     /// The invocation is over, by this outcome or an earlier one.
-    pub last: bool,
-    pub note: Option<Note>,
+    pub is_final: bool,
+    pub cache_result: Option<CacheResult>,
     pub load: Option<Load>,
 }
 
 #[derive(Clone, Debug)]
 pub enum Event {
     Listed {
-        form: Form,
-        rows: Vec<Row>,
+        form: ListKind,
+        records: Vec<CacheRecord>,
     },
     Arrived(Arrival),
-    Begun {
-        inv: InvIx,
+    ResponseStarted {
+        inv: InvocationIndex,
         copy: usize,
     },
-    Ended(Ending),
-    Left {
-        inv: InvIx,
+    ForwardEnded(ForwardOutcome),
+    ClientLeft {
+        inv: InvocationIndex,
     },
-    Probed {
-        cache: CacheIx,
+    HealthChecked {
+        cache: CacheIndex,
         ok: bool,
         load: Option<Load>,
     },
-    Told {
+    GossipReceived {
         peer: usize,
         text: Vec<u8>,
     },
-    Woke {
+    TimerFired {
         token: u64,
     },
 }
@@ -238,64 +238,64 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Forward {
-        inv: InvIx,
-        cache: CacheIx,
+        inv: InvocationIndex,
+        cache: CacheIndex,
         wait: Nanos,
-        before: Option<Nanos>,
+        must_leave_before: Option<Nanos>,
     },
     Withdraw {
-        inv: InvIx,
+        inv: InvocationIndex,
         copy: usize,
     },
     Throttle {
-        inv: InvIx,
+        inv: InvocationIndex,
         retry_after: Nanos,
     },
     Error {
-        inv: InvIx,
+        inv: InvocationIndex,
     },
-    Wake {
+    SetTimer {
         after: Nanos,
         token: u64,
     },
-    Probe {
-        cache: CacheIx,
+    CheckHealth {
+        cache: CacheIndex,
     },
-    Tell {
+    SendGossip {
         peer: usize,
         text: Vec<u8>,
     },
-    Follow,
-    AskList,
+    FollowList,
+    RequestList,
 }
 
 /// Why an invocation was given up: what an operator wants to know of those throttled and errored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum ShedReason {
     /// Turned away on arrival, as too much went badly over the whole fleet.
-    Shed,
+    Overload,
     /// Every cache server is doubted, at its limit, or cold with its part used up.
-    NoRoom,
+    NoCapacity,
     /// The origin was full, silent or too slow, or failed.
     Origin,
     /// Past what the client waits for.
-    Late,
+    DeadlineExceeded,
     /// The rules allow no further forward.
-    Gate,
+    ForbiddenByRules,
     /// It erred wherever it was sent.
-    Fails,
+    FailsEverywhere,
 }
 
 /// Counts by `Why`.
-pub type GivenUp = [u64; 6];
-pub const WHY: [&str; 6] = ["shed", "no_room", "origin", "late", "gate", "fails"];
+pub type ShedCounts = [u64; 6];
+pub const SHED_REASONS: [&str; 6] = ["shed", "no_room", "origin", "late", "gate", "fails"];
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
-    pub given_up: GivenUp,
+pub struct PolicyCounts {
+    pub shed: ShedCounts,
     /// Part of the load that is turned away now.
-    pub turned_away: f64,
+    pub shed_fraction: f64,
     /// Times that a cache server came into doubt, and forwards to cold ones.
-    pub doubts: u64,
-    pub cold_sends: u64,
+    pub suspicions: u64,
+    pub warm_up_forwards: u64,
 }
--- a/crates/sparrouter-balancer/tests/gossip.rs
+++ b/crates/sparrouter-balancer/tests/gossip.rs
@@ -1,7 +1,7 @@
 //! Formats of notes: fixed bytes of each, and what a version back and one ahead makes of them.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sparrouter_balancer::gossip::{Sums, Telling};
+use sparrouter_balancer::gossip::{GossipMessage, Sums};
 
 /// What format 0 was written as and must be read as for as long as it is named in `FORMATS`.
 const ZERO: &str = "0201070001010000003f0000c8410d0c0b0a000000400000404001000000000080400000803f02000000000000400000003f";
@@ -16,8 +16,8 @@
 fn hex(text: &[u8]) -> String {
     text.iter().map(|b| format!("{b:02x}")).collect()
 }
-fn told(tenants: Option<u16>) -> Telling {
-    Telling {
+fn told(tenants: Option<u16>) -> GossipMessage {
+    GossipMessage {
         arrived: vec![7, 257],
         excess: 0.5,
         caches: vec![(0x0a0b0c0d, 2.0, 3.0)],
@@ -57,7 +57,7 @@
 fn each_format_has_its_bytes() {
     for (tenants, golden) in [(None, ZERO), (Some(0xabcd), ONE)] {
         assert_eq!(hex(&told(tenants).write()), golden);
-        assert_eq!(Telling::read(&bytes(golden)), Some(told(tenants)));
+        assert_eq!(GossipMessage::read(&bytes(golden)), Some(told(tenants)));
     }
 }
 
@@ -76,26 +76,26 @@
     ahead.extend([1, 2, 3, 4]);
     let sum = crc32fast::hash(&ahead) as u16;
     ahead.extend(sum.to_le_bytes());
-    assert_eq!(Telling::read(&ahead), Some(told(Some(0xabcd))));
+    assert_eq!(GossipMessage::read(&ahead), Some(told(Some(0xabcd))));
     assert_eq!(read_zero(&ahead).unwrap().0, [7, 257]);
     // Nothing in common: also one version back finds it cut short.
     let mut other = vec![130];
     other.resize(250, 0);
-    assert_eq!(Telling::read(&other), None);
+    assert_eq!(GossipMessage::read(&other), None);
     assert_eq!(read_zero(&other), None);
 }
 
 #[test]
 fn the_longest_note_of_each_format_fits_a_datagram() {
     let row = |n| (n, 1.0, 2.0);
-    let full = Telling {
+    let full = GossipMessage {
         arrived: vec![1; 48],
         caches: (0..6).map(row).collect(),
         keys: (0..6).map(row).collect(),
         ..told(Some(1))
     };
     assert!(full.write().len() <= 256, "{}", full.write().len());
-    assert_eq!(Telling::read(&full.write()), Some(full));
+    assert_eq!(GossipMessage::read(&full.write()), Some(full));
 }
 
 proptest! {
@@ -112,18 +112,18 @@
     fn a_spoilt_note_is_not_read(bit in 0usize..ONE.len() * 4, cut in 0usize..ONE.len() / 2) {
         let mut text = bytes(ONE);
         text[bit / 8] ^= 1 << (bit % 8);
-        match Telling::read(&text) {
+        match GossipMessage::read(&text) {
             Some(note) if bit < 8 => prop_assert_eq!(note.tenants, None),
             read => prop_assert_eq!(read, None),
         }
         let short = &bytes(ONE)[..cut];
-        if let Some(note) = Telling::read(short) {
+        if let Some(note) = GossipMessage::read(short) {
             prop_assert_eq!(note.tenants, None);
         }
     }
 
     #[test]
     fn rubbish_never_panics(text in prop::collection::vec(any::<u8>(), 0..260)) {
-        let _ = Telling::read(&text);
+        let _ = GossipMessage::read(&text);
     }
 }
--- a/crates/sparrouter-balancer/tests/rules.rs
+++ b/crates/sparrouter-balancer/tests/rules.rs
@@ -2,7 +2,7 @@
 mod world;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sparrouter_balancer::gossip::Telling;
+use sparrouter_balancer::gossip::GossipMessage;
 use sparrouter_balancer::types::*;
 use world::*;
 
@@ -25,9 +25,9 @@
             let stream = s && late_part > 0.0;
             let objective = objective * MS;
             Operation {
-                objective,
+                latency_target: objective,
                 billed_value: value,
-                late_part,
+                late_value_fraction: late_part,
                 stream,
                 ..operation(effect)
             }
@@ -70,17 +70,17 @@
                 s.ops = ops;
                 s.limits = ForwardLimits {
                     max_forwards: max,
-                    second_copies,
+                    allows_hedging: second_copies,
                     withdraw,
                     ..s.limits
                 };
                 s.limits.max_retry_after = advice.then_some(SECOND);
-                s.rules.gone_is_advice = gone_is_advice;
-                s.place = Surroundings {
+                s.rules.removal_is_advisory = gone_is_advice;
+                s.place = Environment {
                     nodes,
                     seed,
-                    may_probe,
-                    must_ask,
+                    allows_health_checks: may_probe,
+                    list_is_polled: must_ask,
                     peers: advice,
                     ..s.place
                 };
@@ -143,22 +143,22 @@
         13 => {
             let cache = pick % 8;
             let mut r = row(cache, if cache == 7 { 9 } else { 0 });
-            r.standing = [
+            r.state = [
                 LifecycleState::Ready,
                 LifecycleState::Draining,
-                LifecycleState::Gone,
+                LifecycleState::Left,
                 LifecycleState::Ready,
             ][pick / 8 % 4];
             r.ready_at = if n & 0x100000 == 0 { w.now } else { 0 };
-            w.list(Form::Changes, vec![r]);
+            w.list(ListKind::Changes, vec![r]);
         }
-        14 if w.asked && n & 0x1000 == 0 => w.list(Form::Lost, vec![]),
+        14 if w.asked && n & 0x1000 == 0 => w.list(ListKind::Lost, vec![]),
         14 => {
             let rows = (0..8)
                 .filter(|c| pick >> c & 1 == 0)
                 .map(|c| row(c, if c == 7 { 9 } else { 0 }));
             let rows = rows.collect();
-            w.list(Form::Full, rows);
+            w.list(ListKind::Full, rows);
         }
         _ if pick % 8 == 7 => {
             // Settings change under what is in hand.
@@ -173,18 +173,18 @@
                     window: 200 * MS,
                 },
             };
-            ops[0].objective = (100 + u64::from(n >> 24)) * MS;
+            ops[0].latency_target = (100 + u64::from(n >> 24)) * MS;
             let (second_copies, withdraw) = (n & 0x10000 != 0, n & 0x20000 != 0);
             let max_forwards = 1 + (n >> 20) as usize % 4;
             let limits = ForwardLimits {
                 max_forwards,
-                second_copies,
+                allows_hedging: second_copies,
                 withdraw,
                 ..w.site.limits
             };
-            w.take_up(ops, limits, 1 + (n >> 24) as usize % 5);
+            w.apply_settings(ops, limits, 1 + (n >> 24) as usize % 5);
         }
-        _ => w.play(Event::Told {
+        _ => w.play(Event::GossipReceived {
             peer: 1 + pick % 4,
             text: vec![pick as u8; pick % 9],
         }),
@@ -235,9 +235,9 @@
         (0..500).map(|k| winner(&mut b, k)).collect::<Vec<_>>()
     );
     a.list(
-        Form::Changes,
-        vec![Row {
-            standing: LifecycleState::Gone,
+        ListKind::Changes,
+        vec![CacheRecord {
+            state: LifecycleState::Left,
             ..row(3, 0)
         }],
     );
@@ -387,7 +387,7 @@
 /// An index that was another's until that had long gone: the new one is elected by its own id.
 #[test]
 fn an_index_that_became_anothers_starts_anew() {
-    let new = Row {
+    let new = CacheRecord {
         id_hash: 77,
         ..row(0, 0)
     };
@@ -395,14 +395,14 @@
     rows[0] = new.clone();
     let (mut a, mut b) = (World::new(site(), fleet(6)), World::new(site(), rows));
     a.list(
-        Form::Changes,
-        vec![Row {
-            standing: LifecycleState::Gone,
+        ListKind::Changes,
+        vec![CacheRecord {
+            state: LifecycleState::Left,
             ..row(0, 0)
         }],
     );
     a.pass(10 * SECOND);
-    a.list(Form::Changes, vec![new]);
+    a.list(ListKind::Changes, vec![new]);
     let winners = |w: &mut World| (0..100).map(|k| winner(w, k)).collect::<Vec<_>>();
     assert_eq!(winners(&mut a), winners(&mut b));
 }
@@ -438,7 +438,7 @@
     assert!(matches!(
         w.log[before..]
             .iter()
-            .find(|a| !matches!(a, Action::Wake { .. })),
+            .find(|a| !matches!(a, Action::SetTimer { .. })),
         Some(Action::Forward { .. })
     ));
 }
@@ -459,7 +459,7 @@
             }
             w.pass(20 * MS);
         }
-        w.policy.told_of().turned_away
+        w.policy.counts().shed_fraction
     };
     let most = arrivals(&mut w, 60, Outcome::Full);
     assert!(most > 0.3, "an overload is noticed: {most}");
@@ -505,13 +505,13 @@
 #[test]
 fn a_list_that_never_comes_is_asked_for_again_without_a_flood() {
     let mut s = site();
-    (s.place.must_ask, s.rules.ask_every) = (true, 0);
+    (s.place.list_is_polled, s.rules.poll_interval) = (true, 0);
     let mut w = World::new(s, fleet(3));
     for _ in 0..20 {
-        w.list(Form::Lost, vec![]);
+        w.list(ListKind::Lost, vec![]);
         w.pass(500 * MS);
     }
-    let asked = w.log.iter().filter(|a| **a == Action::Follow).count();
+    let asked = w.log.iter().filter(|a| **a == Action::FollowList).count();
     assert!((10..=40).contains(&asked), "{asked}");
 }
 
@@ -544,7 +544,7 @@
 }
 
 /// Fetches of distinct keys until the origin has no room.
-fn crowd_the_origin(w: &mut World, origin: CacheIx) -> Vec<InvIx> {
+fn crowd_the_origin(w: &mut World, origin: CacheIndex) -> Vec<InvocationIndex> {
     let mut out = vec![];
     for key in 1000.. {
         let inv = w.arrive(0, Some(key), false, SECOND);
@@ -589,7 +589,7 @@
 #[test]
 fn a_cold_cache_is_used_though_the_origin_has_no_room() {
     let rows = |now| {
-        fleet(3).into_iter().map(move |r| Row {
+        fleet(3).into_iter().map(move |r| CacheRecord {
             ready_at: if r.cache == 0 { now } else { 0 },
             ..r
         })
@@ -597,7 +597,7 @@
     let mut w = World::new(site(), fleet(3));
     w.pass(SECOND);
     let now = w.now;
-    w.list(Form::Full, rows(now).collect());
+    w.list(ListKind::Full, rows(now).collect());
     w.pass(10 * SECOND);
     let mut key_of_the_cold_one = |k: &u64| {
         w.pass(20 * MS);
@@ -625,10 +625,10 @@
         }
         let now = w.now;
         w.list(
-            Form::Full,
+            ListKind::Full,
             fleet(3)
                 .into_iter()
-                .map(|r| Row {
+                .map(|r| CacheRecord {
                     ready_at: if r.cache == 0 { now } else { 0 },
                     ..r
                 })
@@ -642,7 +642,7 @@
 
 fn notes(w: &World) -> Vec<(usize, Vec<u8>)> {
     let note = |a: &Action| match a {
-        Action::Tell { peer, text } => Some((*peer, text.clone())),
+        Action::SendGossip { peer, text } => Some((*peer, text.clone())),
         _ => None,
     };
     w.log.iter().filter_map(note).collect()
@@ -650,7 +650,7 @@
 
 fn deployment(nodes: usize, own_index: usize) -> Site {
     let mut s = site();
-    s.place = Surroundings {
+    s.place = Environment {
         peers: true,
         nodes,
         own_index,
@@ -674,7 +674,7 @@
 fn a_node_that_sees_little_of_a_large_fleet_still_sees_that_it_is_overloaded() {
     let throttled = |bad: bool| {
         let mut s = site();
-        s.place.may_probe = false;
+        s.place.allows_health_checks = false;
         let mut w = World::new(s, fleet(200));
         for k in 0..150 {
             let inv = w.arrive(0, Some(k), false, 2 * SECOND);
@@ -700,7 +700,7 @@
         // Hashes, as at the door: small numbers would share one count, as a single hot key.
         let key = |n: u64| n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let home = winner(&mut b, key(1));
-        a.play(Event::Told {
+        a.play(Event::GossipReceived {
             peer: 1,
             text: vec![0; 10],
         });
@@ -725,7 +725,7 @@
             b.pass(a.now - b.now);
             for (peer, text) in notes(&a) {
                 assert_eq!(peer, 1);
-                b.play(Event::Told { peer: 0, text });
+                b.play(Event::GossipReceived { peer: 0, text });
             }
         }
         (1000..1400)
@@ -771,7 +771,7 @@
     let probes = |w: &World| {
         w.log
             .iter()
-            .filter(|a| matches!(a, Action::Probe { .. }))
+            .filter(|a| matches!(a, Action::CheckHealth { .. }))
             .count()
     };
     assert_eq!(probes(&w), 0);
@@ -814,7 +814,7 @@
     let cold_sends = |nodes: usize| {
         let mut w = World::new(
             Site {
-                place: Surroundings {
+                place: Environment {
                     nodes: 3,
                     ..site().place
                 },
@@ -826,13 +826,13 @@
         for n in 0..2000 {
             if n == 1500 {
                 w.list(
-                    Form::Changes,
-                    vec![Row {
+                    ListKind::Changes,
+                    vec![CacheRecord {
                         ready_at: w.now,
                         ..row(2, 0)
                     }],
                 );
-                w.take_up(site().ops, site().limits, nodes);
+                w.apply_settings(site().ops, site().limits, nodes);
             }
             let inv = w.arrive(if n < 1500 { 0 } else { 2 }, Some(n), false, SECOND);
             for copy in 0..w.sent_to(inv).len() {
@@ -854,10 +854,10 @@
     let throttled = |liars: usize, answered: bool| {
         let mut w = World::new(deployment(16, 0), fleet(6));
         let note = |excess: f64| {
-            Telling {
+            GossipMessage {
                 arrived: vec![4],
                 excess,
-                ..Telling::default()
+                ..GossipMessage::default()
             }
             .write()
         };
@@ -865,7 +865,7 @@
         for n in 0..400 {
             for peer in 1..16 {
                 if peer <= liars || n % 20 == peer {
-                    w.play(Event::Told {
+                    w.play(Event::GossipReceived {
                         peer,
                         text: note(if peer <= liars { 0.9 } else { 0.0 }),
                     });
@@ -882,7 +882,7 @@
             }
             w.pass(25 * MS);
         }
-        (gone, w.policy.told_of().turned_away)
+        (gone, w.policy.counts().shed_fraction)
     };
     let (one, three, most) = (throttled(1, true), throttled(3, true), throttled(12, true));
     assert!(one.0 < 8 && three.0 < 8, "{} {}", one.0, three.0);
@@ -903,27 +903,27 @@
 fn a_liar_right_after_a_change_of_settings_is_not_believed() {
     let mut w = World::new(deployment(16, 0), fleet(6));
     let note = |excess: f64| {
-        Telling {
+        GossipMessage {
             arrived: vec![4],
             excess,
-            ..Telling::default()
+            ..GossipMessage::default()
         }
         .write()
     };
     for peer in 1..8 {
-        w.play(Event::Told {
+        w.play(Event::GossipReceived {
             peer,
             text: note(0.0),
         });
     }
-    w.take_up(site().ops, site().limits, 16);
-    w.play(Event::Told {
+    w.apply_settings(site().ops, site().limits, 16);
+    w.play(Event::GossipReceived {
         peer: 9,
         text: note(0.9),
     });
     assert!(
-        w.policy.told_of().turned_away < 0.1,
+        w.policy.counts().shed_fraction < 0.1,
         "{}",
-        w.policy.told_of().turned_away
+        w.policy.counts().shed_fraction
     );
 }
--- a/crates/sparrouter-balancer/tests/turns_of_trouble.rs
+++ b/crates/sparrouter-balancer/tests/turns_of_trouble.rs
@@ -13,7 +13,7 @@
     w: &mut World,
     time: Nanos,
     next: &mut u64,
-    how: &dyn Fn(CacheIx) -> Option<Outcome>,
+    how: &dyn Fn(CacheIndex) -> Option<Outcome>,
 ) -> (Option<Nanos>, usize) {
     let (start, mut back, mut sent) = (w.now, None, 0);
     while w.now < start + time {
@@ -40,7 +40,7 @@
     for how in [None, Some(Outcome::Unavailable), Some(Outcome::Reset)] {
         for turn in [2, 6, 12] {
             let mut s = site();
-            s.place.may_probe = false;
+            s.place.allows_health_checks = false;
             let mut w = World::new(s, fleet(4));
             let mut next = 0;
             for _ in 0..2 {
@@ -125,7 +125,7 @@
 #[test]
 fn what_brings_down_its_cache_is_not_sent_to_the_next() {
     let mut s = site();
-    s.place.may_probe = false;
+    s.place.allows_health_checks = false;
     let mut w = World::new(s, fleet(6));
     let mut next = 0;
     play(&mut w, 2 * SECOND, &mut next, &|_| Some(Outcome::Succeeded));
@@ -167,7 +167,7 @@
     assert!(
         !w.log[before..]
             .iter()
-            .any(|a| matches!(a, Action::Probe { .. } | Action::Throttle { .. }))
+            .any(|a| matches!(a, Action::CheckHealth { .. } | Action::Throttle { .. }))
     );
 }
 
@@ -194,7 +194,7 @@
 #[test]
 fn an_overload_that_is_over_leaves_nobody_turned_away() {
     let mut s = site();
-    s.place.may_probe = false;
+    s.place.allows_health_checks = false;
     let mut w = World::new(s, fleet(8));
     let mut next = 0;
     play(&mut w, 6 * SECOND, &mut next, &|_| Some(Outcome::Succeeded));
@@ -225,13 +225,13 @@
 #[test]
 fn what_was_proven_goes_where_it_goes_badly_now() {
     let mut s = site();
-    s.place.may_probe = false;
+    s.place.allows_health_checks = false;
     let mut w = World::new(s, fleet(8));
     let mut next = 0;
     play(&mut w, 6 * SECOND, &mut next, &|_| Some(Outcome::Succeeded));
-    let mut out: std::collections::VecDeque<(Nanos, InvIx, usize)> = Default::default();
+    let mut out: std::collections::VecDeque<(Nanos, InvocationIndex, usize)> = Default::default();
     let began = w.now;
-    let shed = |w: &World| w.policy.told_of().given_up[Why::Shed as usize];
+    let shed = |w: &World| w.policy.counts().shed[ShedReason::Overload as usize];
     let mut by_second = Vec::new();
     while w.now < began + 12 * SECOND {
         next += 1;
--- a/crates/sparrouter-balancer/tests/who_failed.rs
+++ b/crates/sparrouter-balancer/tests/who_failed.rs
@@ -65,7 +65,7 @@
     s.limits.max_forwards = 2;
     let mut w = World::new(s, fleet(6));
     // Ends of fetches: who, when. One at a time, each after the one before.
-    let (mut queue, mut free, mut lags): (Vec<(InvIx, Nanos, Nanos)>, _, _) =
+    let (mut queue, mut free, mut lags): (Vec<(InvocationIndex, Nanos, Nanos)>, _, _) =
         (vec![], w.now, vec![]);
     for n in 0..2400u64 {
         let inv = w.arrive(0, Some(n), false, 1200 * MS);
@@ -117,7 +117,7 @@
 }
 
 /// Forwards that an arrival of this key leads to: it errs wherever it goes, or is answered at once.
-fn forwards(w: &mut World, key: u64, errs: impl Fn(CacheIx) -> bool) -> usize {
+fn forwards(w: &mut World, key: u64, errs: impl Fn(CacheIndex) -> bool) -> usize {
     let inv = w.arrive(0, Some(key), false, SECOND);
     for copy in 0..3 {
         let Some(&to) = w.sent_to(inv).get(copy) else {
@@ -167,7 +167,7 @@
 fn what_errs_is_sent_on_as_far_as_that_helps() {
     let mut w = World::new(site(), fleet(6));
     let key = |n: u64| n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let run = |w: &mut World, from: u64, errs: &dyn Fn(CacheIx) -> bool| {
+    let run = |w: &mut World, from: u64, errs: &dyn Fn(CacheIndex) -> bool| {
         (from..from + 150)
             .map(|n| forwards(w, key(n), errs))
             .sum::<usize>()
--- a/crates/sparrouter-balancer/tests/world/mod.rs
+++ b/crates/sparrouter-balancer/tests/world/mod.rs
@@ -9,7 +9,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Site {
-    pub place: Surroundings,
+    pub place: Environment,
     pub ops: Vec<Operation>,
     pub limits: ForwardLimits,
     pub rules: Rules,
@@ -20,28 +20,28 @@
 pub fn operation(effect: Effect) -> Operation {
     Operation {
         effect,
-        objective: 300 * MS,
+        latency_target: 300 * MS,
         stretch: 0.0,
         client_timeout: 1200 * MS,
         billed_value: 3.0,
-        late_part: 0.0,
+        late_value_fraction: 0.0,
         stream: false,
     }
 }
 
 pub fn site() -> Site {
     Site {
-        place: Surroundings {
+        place: Environment {
             seed: 7,
             own_index: 0,
             nodes: 1,
-            may_probe: true,
+            allows_health_checks: true,
             peers: false,
             tick: 5 * MS,
-            must_ask: false,
+            list_is_polled: false,
             live_weights: false,
-            over_share_part: 0.1,
-            tenants: 0,
+            over_quota_value_fraction: 0.1,
+            tenants_fingerprint: 0,
         },
         ops: vec![
             operation(Effect::Idempotent),
@@ -49,29 +49,29 @@
         ],
         limits: ForwardLimits {
             max_forwards: 3,
-            second_copies: false,
+            allows_hedging: false,
             withdraw: true,
             max_retry_after: Some(2 * SECOND),
         },
         rules: Rules {
             answer_slack: 20 * MS,
-            ask_every: 10 * SECOND,
+            poll_interval: 10 * SECOND,
             start_capacity: 0.15,
-            cold: 20 * SECOND,
+            warm_up_period: 20 * SECOND,
             fall_multiple: 3.0,
             fall: SECOND,
-            gone_is_advice: false,
+            removal_is_advisory: false,
         },
         mode: OriginMode::Aside { kind: 9 },
         tenants: vec![],
     }
 }
 
-pub fn row(cache: CacheIx, kind: usize) -> Row {
-    Row {
+pub fn row(cache: CacheIndex, kind: usize) -> CacheRecord {
+    CacheRecord {
         cache,
         id_hash: (cache as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
-        standing: LifecycleState::Ready,
+        state: LifecycleState::Ready,
         zone: cache % 3,
         cell: (cache % 2) as i64,
         kind,
@@ -80,12 +80,12 @@
     }
 }
 
-pub fn fleet(n: usize) -> Vec<Row> {
+pub fn fleet(n: usize) -> Vec<CacheRecord> {
     (0..n).map(|c| row(c, 0)).chain([row(n, 9)]).collect()
 }
 
 /// Where a read of this key goes; it succeeds there at once.
-pub fn winner(w: &mut World, key: u64) -> CacheIx {
+pub fn winner(w: &mut World, key: u64) -> CacheIndex {
     let inv = w.arrive(0, Some(key), false, SECOND);
     let to = w.sent_to(inv)[0];
     w.end(inv, 0, Outcome::Succeeded);
@@ -93,7 +93,7 @@
 }
 
 struct Sent {
-    cache: CacheIx,
+    cache: CacheIndex,
     at: Nanos,
     until: Nanos,
     open: bool,
@@ -115,15 +115,15 @@
     pub first: usize,
     pub policy: Policy,
     pub now: Nanos,
-    rows: BTreeMap<CacheIx, Row>,
-    held: BTreeMap<InvIx, Held>,
+    rows: BTreeMap<CacheIndex, CacheRecord>,
+    held: BTreeMap<InvocationIndex, Held>,
     timers: Vec<(Nanos, u64)>,
-    coming: Vec<Ending>,
-    probes: Vec<CacheIx>,
-    cold_sends: Vec<(Nanos, CacheIx, f64)>,
+    coming: Vec<ForwardOutcome>,
+    probes: Vec<CacheIndex>,
+    cold_sends: Vec<(Nanos, CacheIndex, f64)>,
     sends: Vec<Nanos>,
     peak: f64,
-    next: InvIx,
+    next: InvocationIndex,
     pub asked: bool,
     /// What every ending and probe reports.
     pub load: Option<Load>,
@@ -131,7 +131,7 @@
 }
 
 impl World {
-    pub fn new(site: Site, rows: Vec<Row>) -> World {
+    pub fn new(site: Site, rows: Vec<CacheRecord>) -> World {
         let s = site.clone();
         let policy = Policy::new(s.place, s.ops, &s.tenants, s.limits, s.rules, s.mode);
         let mut w = World {
@@ -152,13 +152,13 @@
             load: None,
             log: vec![],
         };
-        w.list(Form::Saved, rows);
+        w.list(ListKind::Saved, rows);
         w
     }
 
     /// Other settings: each operation moves to a place of its own, so that what is in hand keeps its rules.
-    pub fn take_up(&mut self, ops: Vec<Operation>, limits: ForwardLimits, nodes: usize) {
-        let place = Surroundings {
+    pub fn apply_settings(&mut self, ops: Vec<Operation>, limits: ForwardLimits, nodes: usize) {
+        let place = Environment {
             nodes,
             ..self.site.place.clone()
         };
@@ -172,12 +172,12 @@
             self.site.mode,
         );
         let (most, kept, first) = (self.site.ops.len(), tenants.len(), self.first);
-        let taken = |n: usize| Taken {
-            at: most + n,
-            from: (first + n < most).then_some(first + n),
+        let taken = |n: usize| OperationMapping {
+            new_index: most + n,
+            old_index: (first + n < most).then_some(first + n),
         };
-        let rows: Vec<Taken> = (0..ops.len()).map(taken).collect();
-        self.policy.take_up(
+        let rows: Vec<OperationMapping> = (0..ops.len()).map(taken).collect();
+        self.policy.apply_settings(
             self.now,
             fresh,
             &rows,
@@ -188,32 +188,41 @@
         (self.site.limits, self.site.place) = (limits, place);
     }
 
-    pub fn list(&mut self, form: Form, rows: Vec<Row>) {
+    pub fn list(&mut self, form: ListKind, rows: Vec<CacheRecord>) {
         // What binds: where gone is advice, only what was listed as draining, until it is listed as ready.
-        let advice = self.site.rules.gone_is_advice;
+        let advice = self.site.rules.removal_is_advisory;
         let binding = |old: Option<LifecycleState>, new| match (old, new) {
-            (Some(LifecycleState::Ready), LifecycleState::Gone) if advice => LifecycleState::Ready,
+            (Some(LifecycleState::Ready), LifecycleState::Left) if advice => LifecycleState::Ready,
             (_, new) => new,
         };
-        if matches!(form, Form::Full | Form::Saved) {
+        if matches!(form, ListKind::Full | ListKind::Saved) {
             self.rows
                 .values_mut()
-                .for_each(|r| r.standing = binding(Some(r.standing), LifecycleState::Gone));
+                .for_each(|r| r.state = binding(Some(r.state), LifecycleState::Left));
         }
         for r in &rows {
-            let old = self.rows.get(&r.cache).map(|r| r.standing);
+            let old = self.rows.get(&r.cache).map(|r| r.state);
             self.rows.insert(
                 r.cache,
-                Row {
-                    standing: binding(old, r.standing),
+                CacheRecord {
+                    state: binding(old, r.state),
                     ..r.clone()
                 },
             );
         }
-        self.play(Event::Listed { form, rows });
+        self.play(Event::Listed {
+            form,
+            records: rows,
+        });
     }
 
-    pub fn arrive(&mut self, op: usize, key: Option<u64>, write: bool, patience: Nanos) -> InvIx {
+    pub fn arrive(
+        &mut self,
+        op: usize,
+        key: Option<u64>,
+        write: bool,
+        patience: Nanos,
+    ) -> InvocationIndex {
         let (inv, due) = (self.next, self.now + patience);
         self.next += 1;
         self.held.insert(
@@ -235,7 +244,7 @@
             tenant,
             key,
             write,
-            due,
+            deadline: due,
             ..Arrival::default()
         };
         self.play(Event::Arrived(arrival));
@@ -243,21 +252,21 @@
     }
 
     /// The forwards that are out, oldest first.
-    pub fn open(&self) -> Vec<(InvIx, usize)> {
+    pub fn open(&self) -> Vec<(InvocationIndex, usize)> {
         let each = self
             .held
             .iter()
             .flat_map(|(&i, h)| h.sent.iter().enumerate().map(move |(n, s)| (i, n, s.open)));
         each.filter(|e| e.2).map(|e| (e.0, e.1)).collect()
     }
-    pub fn sent_to(&self, inv: InvIx) -> Vec<CacheIx> {
+    pub fn sent_to(&self, inv: InvocationIndex) -> Vec<CacheIndex> {
         self.held[&inv].sent.iter().map(|s| s.cache).collect()
     }
-    pub fn answered(&self, inv: InvIx) -> bool {
+    pub fn answered(&self, inv: InvocationIndex) -> bool {
         self.held[&inv].answered
     }
 
-    pub fn end(&mut self, inv: InvIx, copy: usize, outcome: Outcome) {
+    pub fn end(&mut self, inv: InvocationIndex, copy: usize, outcome: Outcome) {
         let h = self.held.get_mut(&inv).expect("held");
         let s = &mut h.sent[copy];
         if !s.open {
@@ -268,33 +277,33 @@
         h.answered |= outcome == Outcome::Succeeded || h.begun;
         let last = h.answered;
         let load = self.load;
-        self.play(Event::Ended(Ending {
+        self.play(Event::ForwardEnded(ForwardOutcome {
             inv,
             copy,
             cache,
             outcome,
-            lag,
-            last,
-            note: None,
+            latency: lag,
+            is_final: last,
+            cache_result: None,
             load,
         }));
     }
 
-    pub fn begin(&mut self, inv: InvIx, copy: usize) {
+    pub fn begin(&mut self, inv: InvocationIndex, copy: usize) {
         let h = self.held.get_mut(&inv).expect("held");
         if h.answered || h.begun || !self.site.ops[h.op].stream {
             return;
         }
         h.begun = true;
         h.sent[copy].until = Nanos::MAX;
-        self.play(Event::Begun { inv, copy });
+        self.play(Event::ResponseStarted { inv, copy });
     }
 
-    pub fn leave(&mut self, inv: InvIx) {
+    pub fn leave(&mut self, inv: InvocationIndex) {
         let h = self.held.get_mut(&inv).expect("held");
         if !h.answered && !h.begun {
             h.answered = true;
-            self.play(Event::Left { inv });
+            self.play(Event::ClientLeft { inv });
         }
     }
 
@@ -308,7 +317,7 @@
             }
             for cache in std::mem::take(&mut self.probes) {
                 let ok = cache % 2 == 0;
-                self.play(Event::Probed {
+                self.play(Event::HealthChecked {
                     cache,
                     ok,
                     load: self.load,
@@ -324,7 +333,7 @@
             let mut fired: Vec<(Nanos, u64)> = fired;
             fired.sort();
             for (_, token) in fired {
-                self.play(Event::Woke { token });
+                self.play(Event::TimerFired { token });
             }
             let slack = self.site.rules.answer_slack;
             for (inv, h) in &self.held {
@@ -338,7 +347,7 @@
 
     pub fn play(&mut self, event: Event) {
         self.policy.handle(self.now, event);
-        let actions: Vec<Action> = self.policy.drain().collect();
+        let actions: Vec<Action> = self.policy.take_actions().collect();
         for action in actions {
             self.check(&action);
             self.log.push(action);
@@ -352,7 +361,7 @@
                 inv,
                 cache,
                 wait,
-                before,
+                must_leave_before: before,
             } => {
                 self.check_forward(inv, cache, before);
                 let h = self.held.get_mut(&inv).expect("rule 1: unknown invocation");
@@ -391,23 +400,26 @@
                 );
                 let s = &self.held[&inv].sent[copy];
                 let (cache, outcome) = (s.cache, Outcome::Withdrawn);
-                self.coming.push(Ending {
+                self.coming.push(ForwardOutcome {
                     inv,
                     copy,
                     cache,
                     outcome,
-                    lag: 0,
-                    last: false,
-                    note: None,
+                    latency: 0,
+                    is_final: false,
+                    cache_result: None,
                     load: None,
                 });
             }
-            Action::Wake { after, token } => self.timers.push((now + after, token)),
-            Action::Probe { cache } => {
-                assert!(self.site.place.may_probe, "probes are not allowed here");
+            Action::SetTimer { after, token } => self.timers.push((now + after, token)),
+            Action::CheckHealth { cache } => {
+                assert!(
+                    self.site.place.allows_health_checks,
+                    "probes are not allowed here"
+                );
                 self.probes.push(cache);
             }
-            Action::Tell { peer, ref text } => {
+            Action::SendGossip { peer, ref text } => {
                 let place = &self.site.place;
                 assert!(
                     place.peers
@@ -416,11 +428,11 @@
                         && peer != place.own_index
                 )
             }
-            Action::Follow | Action::AskList => self.asked = true,
+            Action::FollowList | Action::RequestList => self.asked = true,
         }
     }
 
-    fn check_forward(&mut self, inv: InvIx, cache: CacheIx, before: Option<Nanos>) {
+    fn check_forward(&mut self, inv: InvocationIndex, cache: CacheIndex, before: Option<Nanos>) {
         let h = self.held.get(&inv).expect("rule 1: unknown invocation");
         assert!(
             !h.answered && !h.begun,
@@ -432,13 +444,13 @@
         );
         let to = &self.rows[&cache];
         assert_eq!(
-            to.standing,
+            to.state,
             LifecycleState::Ready,
             "rule 3: sent to a drained cache server"
         );
         let open = h.sent.iter().any(|s| s.open);
         assert!(
-            h.limits.second_copies || !open,
+            h.limits.allows_hedging || !open,
             "rule 2: overlapping forwards"
         );
         let mut ran = h.sent.iter().filter(|s| s.open || s.may_have_run);
@@ -472,11 +484,12 @@
 
     /// In no window does a cold cache server get more than the stated multiple of what the busiest
     /// second so far gave to a warm one of its size, cut to the stated climb.
-    fn check_cold(&mut self, cache: CacheIx) {
+    fn check_cold(&mut self, cache: CacheIndex) {
         let (now, r) = (self.now, self.site.rules.clone());
-        let warmth = |row: &Row| match row.ready_at {
+        let warmth = |row: &CacheRecord| match row.ready_at {
             0 => 1.0,
-            at => (r.start_capacity + (1.0 - r.start_capacity) * (now - at) as f64 / r.cold as f64)
+            at => (r.start_capacity
+                + (1.0 - r.start_capacity) * (now - at) as f64 / r.warm_up_period as f64)
                 .min(1.0),
         };
         self.sends.push(now);
@@ -484,7 +497,7 @@
         let weight: f64 = self
             .rows
             .values()
-            .filter(|r| r.standing == LifecycleState::Ready)
+            .filter(|r| r.state == LifecycleState::Ready)
             .map(&warmth)
             .sum();
         self.peak = self.peak.max(lately / weight.max(1e-9));
--- a/crates/sparrouter-balancer/tests/wrong_lists.rs
+++ b/crates/sparrouter-balancer/tests/wrong_lists.rs
@@ -5,14 +5,17 @@
 
 fn advised() -> Site {
     let mut s = site();
-    s.rules.gone_is_advice = true;
+    s.rules.removal_is_advisory = true;
     s
 }
 
-fn rows(n: usize, standing: LifecycleState) -> Vec<Row> {
+fn rows(n: usize, standing: LifecycleState) -> Vec<CacheRecord> {
     fleet(n)
         .into_iter()
-        .map(|r| Row { standing, ..r })
+        .map(|r| CacheRecord {
+            state: standing,
+            ..r
+        })
         .collect()
 }
 
@@ -33,8 +36,8 @@
 #[test]
 fn all_called_gone_or_left_out_stay_in_the_election_while_they_answer() {
     for (form, list) in [
-        (Form::Full, vec![]),
-        (Form::Changes, rows(6, LifecycleState::Gone)),
+        (ListKind::Full, vec![]),
+        (ListKind::Changes, rows(6, LifecycleState::Left)),
     ] {
         let mut w = World::new(advised(), fleet(6));
         let before: Vec<_> = (0..50).map(|k| winner(&mut w, k)).collect();
@@ -59,22 +62,22 @@
     let mut w = World::new(advised(), fleet(3));
     let home = winner(&mut w, 1);
     let with = |standing| {
-        vec![Row {
-            standing,
+        vec![CacheRecord {
+            state: standing,
             ..row(home, 0)
         }]
     };
-    w.list(Form::Changes, with(LifecycleState::Draining));
+    w.list(ListKind::Changes, with(LifecycleState::Draining));
     assert_ne!(winner(&mut w, 1), home);
-    w.list(Form::Changes, with(LifecycleState::Gone));
+    w.list(ListKind::Changes, with(LifecycleState::Left));
     assert_ne!(winner(&mut w, 1), home);
     // A whole list that leaves it out, or has it drain still, changes nothing.
     w.list(
-        Form::Full,
+        ListKind::Full,
         fleet(3).into_iter().filter(|r| r.cache != home).collect(),
     );
     assert_ne!(winner(&mut w, 1), home);
-    w.list(Form::Changes, with(LifecycleState::Ready));
+    w.list(ListKind::Changes, with(LifecycleState::Ready));
     assert_eq!(winner(&mut w, 1), home);
 }
 
@@ -84,9 +87,9 @@
     let mut w = World::new(advised(), fleet(4));
     let home = winner(&mut w, 1);
     w.list(
-        Form::Changes,
-        vec![Row {
-            standing: LifecycleState::Gone,
+        ListKind::Changes,
+        vec![CacheRecord {
+            state: LifecycleState::Left,
             ..row(home, 0)
         }],
     );
@@ -121,14 +124,14 @@
     let mut w = World::new(advised(), fleet(8));
     let before: Vec<_> = (0..80).map(|k| winner(&mut w, k)).collect();
     w.list(
-        Form::Full,
+        ListKind::Full,
         fleet(8).into_iter().filter(|r| r.cache % 2 == 0).collect(),
     );
     assert_eq!(
         before,
         (0..80).map(|k| winner(&mut w, k)).collect::<Vec<_>>()
     );
-    w.list(Form::Full, fleet(8));
+    w.list(ListKind::Full, fleet(8));
     assert_eq!(
         before,
         (0..80).map(|k| winner(&mut w, k)).collect::<Vec<_>>()
@@ -139,16 +142,16 @@
 #[test]
 fn an_old_list_that_comes_again_moves_keys_only_to_those_that_answer() {
     let mut w = World::new(advised(), fleet(8));
-    let drained: Vec<Row> = (0..4)
-        .map(|c| Row {
-            standing: LifecycleState::Draining,
+    let drained: Vec<CacheRecord> = (0..4)
+        .map(|c| CacheRecord {
+            state: LifecycleState::Draining,
             ..row(c, 0)
         })
         .collect();
-    w.list(Form::Changes, drained);
+    w.list(ListKind::Changes, drained);
     // The replaced are listed as they were, the others are left out.
     w.list(
-        Form::Full,
+        ListKind::Full,
         (0..4).map(|c| row(c, 0)).chain([row(8, 9)]).collect(),
     );
     let mut answered = 0;
@@ -181,7 +184,7 @@
 fn a_list_that_shrinks_leaves_a_cold_one_its_budget() {
     for advice in [false, true] {
         let mut s = site();
-        s.rules.gone_is_advice = advice;
+        s.rules.removal_is_advisory = advice;
         let mut w = World::new(s, fleet(40));
         let mut key = 0;
         let mut half_a_second = |w: &mut World, shrunk: bool| {
@@ -213,11 +216,11 @@
         }
         let at = w.now;
         w.list(
-            Form::Full,
+            ListKind::Full,
             vec![
                 row(0, 0),
                 row(1, 0),
-                Row {
+                CacheRecord {
                     ready_at: at,
                     ..row(2, 0)
                 },
@@ -251,7 +254,7 @@
     let at = w.now;
     let cold = |n: usize| {
         if n == 2 {
-            Row {
+            CacheRecord {
                 ready_at: at,
                 ..row(2, 0)
             }
@@ -259,7 +262,10 @@
             row(n, 0)
         }
     };
-    w.list(Form::Full, (1..4).map(cold).chain([row(40, 9)]).collect());
+    w.list(
+        ListKind::Full,
+        (1..4).map(cold).chain([row(40, 9)]).collect(),
+    );
     let sent: usize = (100..260).map(|key| play(&mut w, key, 3 * MS)).sum();
     // Half a second: 40 answers from 8 are 5 a unit, of that 0.15 x 3 x a half a second.
     assert!(sent <= 2, "{sent}");
@@ -271,10 +277,10 @@
 fn a_list_that_cannot_be_had_is_asked_for_in_time() {
     for hangs in [false, true] {
         let mut s = site();
-        s.place.must_ask = true;
-        let (step, within) = (50 * MS, s.rules.ask_every);
+        s.place.list_is_polled = true;
+        let (step, within) = (50 * MS, s.rules.poll_interval);
         let mut w = World::new(s, fleet(3));
-        let asked = |w: &World| w.log.iter().filter(|a| **a == Action::Follow).count();
+        let asked = |w: &World| w.log.iter().filter(|a| **a == Action::FollowList).count();
         let (mut calls, mut since) = (asked(&w), 0);
         for _ in 0..6 * within / step {
             w.pass(step);
@@ -282,7 +288,7 @@
             if asked(&w) > calls {
                 (calls, since) = (asked(&w), 0);
                 if !hangs {
-                    w.list(Form::Lost, Vec::new());
+                    w.list(ListKind::Lost, Vec::new());
                 }
             }
             assert!(since < within, "after {calls} calls, hangs: {hangs}");
--- a/crates/sparrouter-lab/src/stand/notes.rs
+++ b/crates/sparrouter-lab/src/stand/notes.rs
@@ -3,8 +3,8 @@
 use super::Lab;
 use crate::nanos;
 use crate::scenario::arrivals::scramble;
-use sparrouter_shares::note::{Note, Rows};
-use sparrouter_shares::size::Says;
+use sparrouter_shares::note::{QuotaMessage, QuotaRows};
+use sparrouter_shares::size::ClusterSizeView;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -108,16 +108,16 @@
         };
         number += 1;
         let rows = (0..8).map(|limit| (limit, 0.0, 1e6)).collect();
-        let says = Says {
+        let says = ClusterSizeView {
             nodes: all.len(),
-            before: 0,
-            held: 0,
+            previous_nodes: 0,
+            unchanged_for: 0,
         };
-        let text = Note {
-            print,
-            says,
-            number,
-            rows: Rows::Ask(rows),
+        let text = QuotaMessage {
+            fingerprint: print,
+            size_view: says,
+            sequence: number,
+            rows: QuotaRows::Request(rows),
         }
         .write();
         for (to, at) in listen.iter().enumerate().filter(|(to, _)| *to != liar) {
@@ -145,8 +145,8 @@
         let Some(sender) = listen.iter().position(|a| *a == from) else {
             continue;
         };
-        if let Some(note) = Note::read(&buffer[..length]) {
-            state.lock().expect("not poisoned").print = Some(note.print);
+        if let Some(note) = QuotaMessage::read(&buffer[..length]) {
+            state.lock().expect("not poisoned").print = Some(note.fingerprint);
         }
         chance = scramble(chance);
         let draw = (chance >> 11) as f64 / (1u64 << 53) as f64;
--- a/crates/sparrouter-node/src/program/reporter.rs
+++ b/crates/sparrouter-node/src/program/reporter.rs
@@ -4,7 +4,7 @@
 use crate::counted::{Often, breaches};
 use sparrouter_balancer::gossip::FORMATS;
 use sparrouter_balancer::policy::Policy;
-use sparrouter_balancer::types::{Nanos, Operation as Rules, Tally, WHY};
+use sparrouter_balancer::types::{Nanos, Operation as Rules, PolicyCounts, SHED_REASONS};
 use sparrouter_report::{BUCKETS, Operation, Report, Share, bucket};
 use std::cell::Cell;
 use std::fs::{File, OpenOptions};
@@ -89,7 +89,11 @@
                 });
                 all.len() - 1
             });
-            let (value, late, objective) = (rules.billed_value, rules.late_part, rules.objective);
+            let (value, late, objective) = (
+                rules.billed_value,
+                rules.late_value_fraction,
+                rules.latency_target,
+            );
             self.worth
                 .resize(self.worth.len().max(at + 1), Worth::default());
             self.worth[*at] = Worth {
@@ -143,18 +147,19 @@
         Instant::now() >= self.next
     }
 
-    pub fn write(&mut self, told: Tally, shares: Vec<Share>) {
+    pub fn write(&mut self, told: PolicyCounts, shares: Vec<Share>) {
         self.next = Instant::now() + Duration::from_millis(*self.wanted.every_ms.get_ref());
         let r = &mut self.report;
         r.uptime_ms = self.began.elapsed().as_millis() as u64;
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         r.unix_ms = unix.map_or(0, |d| d.as_millis() as u64);
         (r.breaches, r.shares) = (breaches(), shares);
-        (r.opened, r.doubts, r.cold_sends) = (self.opened.get(), told.doubts, told.cold_sends);
-        r.given_up = WHY
+        (r.opened, r.doubts, r.cold_sends) =
+            (self.opened.get(), told.suspicions, told.warm_up_forwards);
+        r.given_up = SHED_REASONS
             .iter()
             .map(|w| w.to_string())
-            .zip(told.given_up)
+            .zip(told.shed)
             .collect();
         // 0 where the system does not say. Pages of 4 KiB, 100 clock ticks a second, as on every Linux that Rust's
         // standard library runs on by default.
--- a/crates/sparrouter-node/src/program/start.rs
+++ b/crates/sparrouter-node/src/program/start.rs
@@ -13,7 +13,7 @@
 use sparrouter_balancer::gossip::FORMATS;
 use sparrouter_balancer::policy::Policy;
 use sparrouter_balancer::types::Nanos;
-use sparrouter_settings::{Names, Settings};
+use sparrouter_settings::{NameTable, Settings};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -52,7 +52,7 @@
     let policy = settings.policy(seed).map_err(named)?;
     let operations = settings.operations().map_err(named)?;
     let connections = settings.connections().map_err(named)?;
-    let ask_every = settings.rules().map_err(named)?.ask_every;
+    let ask_every = settings.rules().map_err(named)?.poll_interval;
     let timeouts: Vec<Nanos> = operations.iter().map(|o| o.client_timeout).collect();
     let longest = timeouts.iter().copied().max().filter(|t| *t > 0);
     let longest =
@@ -66,7 +66,11 @@
         }
     };
     let shortest = or(
-        operations.iter().map(|o| o.objective).min().unwrap_or(0),
+        operations
+            .iter()
+            .map(|o| o.latency_target)
+            .min()
+            .unwrap_or(0),
         longest,
     );
     let dial_limit = or(connections.dial, shortest);
@@ -124,7 +128,7 @@
     });
     let module = Module::new(
         policy,
-        Names::new(&settings),
+        NameTable::new(&settings),
         Clock::new(),
         timeouts,
         start_peer,
--- a/crates/sparrouter-node/src/protocol/messages.rs
+++ b/crates/sparrouter-node/src/protocol/messages.rs
@@ -2,7 +2,7 @@
 use super::head::{RequestHead, ResponseHead};
 use super::{ParseError, Parsed};
 use bytes::{BufMut, Bytes, BytesMut};
-use sparrouter_balancer::types::{Nanos, Note, Outcome};
+use sparrouter_balancer::types::{CacheResult, Nanos, Outcome};
 use std::net::SocketAddr;
 
 /// What a client sent, in slices of what was read.
@@ -101,11 +101,11 @@
     }
 }
 
-pub fn note(head: &ResponseHead) -> Option<Note> {
+pub fn note(head: &ResponseHead) -> Option<CacheResult> {
     match head.fields.text("X-Cache")? {
-        "hit" => Some(Note::Hit),
-        "miss" => Some(Note::Miss),
-        "pending" => Some(Note::MissWhileFetching),
+        "hit" => Some(CacheResult::Hit),
+        "miss" => Some(CacheResult::Miss),
+        "pending" => Some(CacheResult::MissWhileFetching),
         _ => None,
     }
 }
--- a/crates/sparrouter-node/src/routing/module.rs
+++ b/crates/sparrouter-node/src/routing/module.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use sparrouter_balancer::policy::Policy;
 use sparrouter_balancer::types::*;
-use sparrouter_settings::{Listed, Names, Settings, hash};
+use sparrouter_settings::{ListEntry, NameTable, Settings, hash};
 use std::cell::Cell;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -31,7 +31,7 @@
     invocation: Rc<Invocation>,
     answer: Option<oneshot::Sender<Answered>>,
     over: Rc<Cell<bool>>,
-    forwards: Vec<CacheIx>,
+    forwards: Vec<CacheIndex>,
     out: usize,
     operation: usize,
     at: Instant,
@@ -85,20 +85,20 @@
 }
 
 /// Starts the actor of one peer.
-pub type Starter = Box<dyn Fn(CacheIx, SocketAddr) -> Handle>;
+pub type Starter = Box<dyn Fn(CacheIndex, SocketAddr) -> Handle>;
 
 pub struct Module {
     policy: Policy,
-    names: Names,
+    names: NameTable,
     clock: Clock,
     /// By operation: how long a client waits that does not say so.
     timeouts: Vec<Nanos>,
-    held: HashMap<InvIx, Held>,
+    held: HashMap<InvocationIndex, Held>,
     /// The clients' ids of all that is held.
     open: HashSet<Bytes>,
     doors: Vec<Option<Door>>,
     /// Since when cache servers are gone; their names are let go once nothing can speak of them any more.
-    gone_at: HashMap<CacheIx, Nanos>,
+    gone_at: HashMap<CacheIndex, Nanos>,
     start_peer: Starter,
     list: mpsc::Sender<Ask>,
     datagrams: Option<Rc<Datagrams>>,
@@ -106,11 +106,11 @@
     /// What the actor itself found out while it carried out actions.
     next: VecDeque<Event>,
     counts: Counts,
-    told_before: GivenUp,
+    told_before: ShedCounts,
     reporter: Option<Reporter>,
     parts: Option<Parts>,
     origin_kind: Option<usize>,
-    origins: HashSet<CacheIx>,
+    origins: HashSet<CacheIndex>,
 }
 
 /// Since the last line of the log.
@@ -130,7 +130,7 @@
 impl Module {
     pub fn new(
         policy: Policy,
-        names: Names,
+        names: NameTable,
         clock: Clock,
         timeouts: Vec<Nanos>,
         start_peer: Starter,
@@ -152,7 +152,7 @@
             timers: BinaryHeap::new(),
             next: VecDeque::new(),
             counts: Counts::default(),
-            told_before: GivenUp::default(),
+            told_before: ShedCounts::default(),
             reporter: None,
             parts: None,
             origin_kind: None,
@@ -174,7 +174,7 @@
 
     /// `known`: the list as the node last had it. `every`: between lines of counts in the log.
     pub async fn run(mut self, known: Listing, mut mailbox: mpsc::Receiver<Told>, every: Duration) {
-        self.listed(Form::Saved, known.targets);
+        self.listed(ListKind::Saved, known.targets);
         let mut report = Instant::now() + every;
         loop {
             let look = self
@@ -206,7 +206,7 @@
                     .parts
                     .as_mut()
                     .map_or_else(Vec::new, |p| p.told_of(now));
-                r.write(self.policy.told_of(), shares);
+                r.write(self.policy.counts(), shares);
             }
             if Instant::now() >= report {
                 self.report();
@@ -218,11 +218,11 @@
     fn report(&mut self) {
         self.sweep();
         let timers = self.timers.len();
-        let told = self.policy.told_of();
-        let before = std::mem::replace(&mut self.told_before, told.given_up);
+        let told = self.policy.counts();
+        let before = std::mem::replace(&mut self.told_before, told.shed);
         let [shed, no_room, origin, late, gate, fails] =
-            std::array::from_fn(|n| told.given_up[n].saturating_sub(before[n]));
-        let excess = told.turned_away;
+            std::array::from_fn(|n| told.shed[n].saturating_sub(before[n]));
+        let excess = told.shed_fraction;
         let (counts, open) = (&self.counts, self.held.len());
         log::info!(
             "counts: {counts:?}, given up: shed {shed}, no room {no_room}, origin {origin}, late {late}, \
@@ -254,7 +254,7 @@
                 return;
             }
             self.timers.pop();
-            self.handle(Event::Woke { token });
+            self.handle(Event::TimerFired { token });
         }
     }
 
@@ -263,7 +263,7 @@
         while let Some(event) = self.next.pop_front() {
             let now = self.clock.now();
             self.policy.handle(now, event);
-            let actions: Vec<Action> = self.policy.drain().collect();
+            let actions: Vec<Action> = self.policy.take_actions().collect();
             actions.into_iter().for_each(|action| self.act(now, action));
         }
     }
@@ -285,19 +285,21 @@
                     self.tell(peer, &answer);
                 }
             }
-            Told::Node(NodeSays { peer, text }) => self.handle(Event::Told { peer, text }),
+            Told::Node(NodeSays { peer, text }) => {
+                self.handle(Event::GossipReceived { peer, text })
+            }
             Told::List(ListSays::Lost) => {
                 self.counts.lists_lost += 1;
                 self.handle(Event::Listed {
-                    form: Form::Lost,
-                    rows: Vec::new(),
+                    form: ListKind::Lost,
+                    records: Vec::new(),
                 });
             }
             Told::List(ListSays::Listed(listing)) => {
                 let form = if listing.all {
-                    Form::Full
+                    ListKind::Full
                 } else {
-                    Form::Changes
+                    ListKind::Changes
                 };
                 self.listed(form, listing.targets);
             }
@@ -309,7 +311,7 @@
             }) => self.ended(inv, copy, cache, how),
             Told::Changed(change) => self.change(*change),
             Told::Peer(PeerSays::Probed { cache, ok }) => {
-                self.handle(Event::Probed {
+                self.handle(Event::HealthChecked {
                     cache,
                     ok,
                     load: None,
@@ -321,16 +323,21 @@
     /// All at once, between two events: what is in hand keeps its place and with it its operation's rules.
     fn change(&mut self, c: Change) {
         let held = &self.held;
-        let up = self.names.take_up(&c.old, &c.new, |place| {
+        let up = self.names.apply_settings(&c.old, &c.new, |place| {
             held.values().any(|h| h.operation == place)
         });
-        let places = up.operations.iter().map(|t| t.at + 1).max().unwrap_or(0);
+        let places = up
+            .operations
+            .iter()
+            .map(|t| t.new_index + 1)
+            .max()
+            .unwrap_or(0);
         self.timeouts.resize(self.timeouts.len().max(places), 0);
         for (taken, op) in up.operations.iter().zip(&c.operations) {
-            self.timeouts[taken.at] = op.client_timeout;
+            self.timeouts[taken.new_index] = op.client_timeout;
         }
         let (names, identity) = (c.new.classes.iter().map(|o| o.name.clone()), c.reporter);
-        let at = up.operations.iter().map(|t| t.at);
+        let at = up.operations.iter().map(|t| t.new_index);
         let placed: Vec<_> = at.zip(names.zip(c.operations)).collect();
         match identity {
             Reporting::As(identity) => self
@@ -343,15 +350,16 @@
             .iter_mut()
             .for_each(|r| r.place(c.print, &placed));
         let now = self.clock.now();
-        self.parts = Parts::take_up(self.parts.take(), c.shares.as_ref(), &c.new, c.seed, now);
+        self.parts =
+            Parts::apply_settings(self.parts.take(), c.shares.as_ref(), &c.new, c.seed, now);
         if c.same {
             // Discovery or the operator's file alone: nothing that was learnt is touched.
             return;
         }
         self.policy
-            .take_up(self.clock.now(), c.policy, &up.operations, &up.tenants);
+            .apply_settings(self.clock.now(), c.policy, &up.operations, &up.tenants);
         if let Some(datagrams) = &self.datagrams {
-            datagrams.take_up(c.nodes);
+            datagrams.apply_settings(c.nodes);
         }
     }
 
@@ -359,7 +367,7 @@
 
     fn taken(
         &mut self,
-        inv: InvIx,
+        inv: InvocationIndex,
         invocation: Rc<Invocation>,
         at: Instant,
         answer: oneshot::Sender<Answered>,
@@ -389,12 +397,12 @@
             inv,
             operation,
             tenant,
-            within,
+            is_within_quota: within,
             key: invocation.key().map(hash),
             write: invocation.writes(),
             repeat: invocation.repeat,
             work: None,
-            due: self.clock.at(at) + patience,
+            deadline: self.clock.at(at) + patience,
         };
         self.reporter.iter_mut().for_each(|r| r.taken(operation));
         let (answer, forwards) = (Some(answer), Vec::new());
@@ -412,7 +420,7 @@
         self.forget(inv);
     }
 
-    fn gone(&mut self, inv: InvIx) {
+    fn gone(&mut self, inv: InvocationIndex) {
         let Some(held) = self.held.get_mut(&inv).filter(|h| !h.over.get()) else {
             return;
         };
@@ -427,11 +435,11 @@
             Vec::new(),
         );
         self.counts.gone += 1;
-        self.handle(Event::Left { inv });
+        self.handle(Event::ClientLeft { inv });
         self.forget(inv);
     }
 
-    fn ended(&mut self, inv: InvIx, copy: usize, cache: CacheIx, how: Ended) {
+    fn ended(&mut self, inv: InvocationIndex, copy: usize, cache: CacheIndex, how: Ended) {
         self.counts.outcomes[how.outcome as usize] += 1;
         if let Some(door) = self.doors[cache].as_mut() {
             door.out -= 1;
@@ -462,20 +470,20 @@
         }
         let (last, lag) = (held.over.get(), how.lag.as_nanos() as Nanos);
         let (outcome, note) = (how.outcome, how.note);
-        self.handle(Event::Ended(Ending {
+        self.handle(Event::ForwardEnded(ForwardOutcome {
             inv,
             copy,
             cache,
             outcome,
-            lag,
-            last,
-            note,
+            latency: lag,
+            is_final: last,
+            cache_result: note,
             load: None,
         }));
         self.forget(inv);
     }
 
-    fn forget(&mut self, inv: InvIx) {
+    fn forget(&mut self, inv: InvocationIndex) {
         if self
             .held
             .get(&inv)
@@ -486,8 +494,8 @@
         }
     }
 
-    fn listed(&mut self, form: Form, targets: Vec<Target>) {
-        if form != Form::Changes {
+    fn listed(&mut self, form: ListKind, targets: Vec<Target>) {
+        if form != ListKind::Changes {
             self.unlisted(&targets);
         }
         let mut rows = Vec::with_capacity(targets.len());
@@ -497,7 +505,7 @@
                 continue;
             }
             let ready_at = t.boot_ms.saturating_mul(1_000_000);
-            let listed = Listed {
+            let listed = ListEntry {
                 id,
                 state,
                 zone,
@@ -506,9 +514,9 @@
                 weight: t.capacity_hint,
                 ready_at,
             };
-            match self.names.row(&listed) {
+            match self.names.record(&listed) {
                 Ok(row) => {
-                    self.door(row.cache, t.endpoint, row.standing);
+                    self.door(row.cache, t.endpoint, row.state);
                     if self.origin_kind == Some(row.kind) {
                         self.origins.insert(row.cache);
                     }
@@ -520,7 +528,10 @@
         if !rows.is_empty() {
             log::info!("list: {form:?}, {} entries", rows.len());
         }
-        self.handle(Event::Listed { form, rows });
+        self.handle(Event::Listed {
+            form,
+            records: rows,
+        });
         self.sweep();
     }
 
@@ -531,8 +542,8 @@
                 .as_ref()
                 .filter(|d| d.missing)
                 .map(|d| d.endpoint);
-            if let Some(endpoint) = missing.filter(|_| !self.policy.keeps(cache)) {
-                self.bind(cache, endpoint, LifecycleState::Gone, false);
+            if let Some(endpoint) = missing.filter(|_| !self.policy.has_record(cache)) {
+                self.bind(cache, endpoint, LifecycleState::Left, false);
             }
         }
         let keep = 2 * self.timeouts.iter().max().copied().unwrap_or_default();
@@ -557,7 +568,7 @@
 
     /// Whatever a whole list does not name is gone.
     fn unlisted(&mut self, targets: &[Target]) {
-        let named: HashSet<CacheIx> = targets
+        let named: HashSet<CacheIndex> = targets
             .iter()
             .filter_map(|t| self.names.cache(&t.uid))
             .collect();
@@ -565,12 +576,12 @@
             if let Some(endpoint) = self.doors[cache].as_ref().map(|d| d.endpoint)
                 && !named.contains(&cache)
             {
-                self.door(cache, endpoint, LifecycleState::Gone);
+                self.door(cache, endpoint, LifecycleState::Left);
             }
         }
     }
 
-    fn door(&mut self, cache: CacheIx, endpoint: SocketAddr, standing: LifecycleState) {
+    fn door(&mut self, cache: CacheIndex, endpoint: SocketAddr, standing: LifecycleState) {
         if self.doors.len() <= cache {
             self.doors.resize_with(cache + 1, || None);
         }
@@ -581,18 +592,18 @@
             cache,
             endpoint,
             standing,
-            self.policy.gone_is_advice() && standing == LifecycleState::Gone && open,
+            self.policy.removal_is_advisory() && standing == LifecycleState::Left && open,
         );
     }
 
     fn bind(
         &mut self,
-        cache: CacheIx,
+        cache: CacheIndex,
         endpoint: SocketAddr,
         standing: LifecycleState,
         missing: bool,
     ) {
-        let gone = standing == LifecycleState::Gone && !missing;
+        let gone = standing == LifecycleState::Left && !missing;
         if gone {
             let now = self.clock.now();
             self.gone_at.entry(cache).or_insert(now);
@@ -622,7 +633,7 @@
 
     // -- what goes out --
 
-    fn order(&mut self, cache: CacheIx, order: Order) -> bool {
+    fn order(&mut self, cache: CacheIndex, order: Order) -> bool {
         let door = self.doors.get_mut(cache).and_then(|d| d.as_mut());
         door.is_some_and(|d| d.peer.order(order))
     }
@@ -633,7 +644,7 @@
                 inv,
                 cache,
                 wait,
-                before,
+                must_leave_before: before,
             } => {
                 let before = before.map(|at| self.clock.instant(at));
                 self.forward(inv, cache, wait, before);
@@ -656,20 +667,20 @@
                 self.counts.errored += 1;
                 self.conclude(inv, Answer::Errored);
             }
-            Action::Wake { after, token } => self.timers.push(Reverse((now + after, token))),
-            Action::Probe { cache } => {
+            Action::SetTimer { after, token } => self.timers.push(Reverse((now + after, token))),
+            Action::CheckHealth { cache } => {
                 self.counts.probes += 1;
                 if !self.order(cache, Order::Probe) {
-                    self.next.push_back(Event::Probed {
+                    self.next.push_back(Event::HealthChecked {
                         cache,
                         ok: false,
                         load: None,
                     });
                 }
             }
-            Action::Tell { peer, text } => self.tell(peer, &text),
-            Action::Follow => self.ask(Ask::Follow),
-            Action::AskList => self.ask(Ask::Whole),
+            Action::SendGossip { peer, text } => self.tell(peer, &text),
+            Action::FollowList => self.ask(Ask::Follow),
+            Action::RequestList => self.ask(Ask::Whole),
         }
     }
 
@@ -678,7 +689,7 @@
         let _ = self.list.try_send(ask);
     }
 
-    fn conclude(&mut self, inv: InvIx, answer: Answer) {
+    fn conclude(&mut self, inv: InvocationIndex, answer: Answer) {
         let held = self.held.get_mut(&inv);
         must!(held.is_some(), "an answer belongs to an invocation in hand");
         if let Some(held) = held {
@@ -694,7 +705,13 @@
         self.forget(inv);
     }
 
-    fn forward(&mut self, inv: InvIx, cache: CacheIx, wait: Nanos, before: Option<Instant>) {
+    fn forward(
+        &mut self,
+        inv: InvocationIndex,
+        cache: CacheIndex,
+        wait: Nanos,
+        before: Option<Instant>,
+    ) {
         let held = self.held.get_mut(&inv);
         must!(
             held.as_ref().is_some_and(|h| !h.over.get()),
@@ -728,14 +745,14 @@
         if let Some(held) = self.held.get_mut(&inv) {
             held.out -= 1;
         }
-        self.next.push_back(Event::Ended(Ending {
+        self.next.push_back(Event::ForwardEnded(ForwardOutcome {
             inv,
             copy,
             cache,
             outcome: Outcome::NotSent,
-            lag: 0,
-            last: false,
-            note: None,
+            latency: 0,
+            is_final: false,
+            cache_result: None,
             load: None,
         }));
     }
--- a/crates/sparrouter-node/src/routing/parts.rs
+++ b/crates/sparrouter-node/src/routing/parts.rs
@@ -4,29 +4,30 @@
 use sparrouter_balancer::types::Nanos;
 use sparrouter_report::Share;
 use sparrouter_settings::{Settings, hash};
-use sparrouter_shares::shares::Place;
-use sparrouter_shares::{Limit, SECOND, Shares, note};
+use sparrouter_shares::shares::ClusterPosition;
+use sparrouter_shares::{Limit, QuotaShares, SECOND, note};
 
 /// Tenants' quotas, by the tenants' places in the settings.
 pub struct Parts {
     wanted: Wanted,
     names: Vec<String>,
-    shares: Shares,
+    shares: QuotaShares,
 }
 
 const MS: Nanos = 1_000_000;
 
-fn place(wanted: &Wanted, settings: &Settings, seed: u64) -> Place {
+fn place(wanted: &Wanted, settings: &Settings, seed: u64) -> ClusterPosition {
     let (lease, informed) = (wanted.lease_ms.get_ref(), wanted.informed_ms.get_ref());
     // Nodes whose leases or tenants differ do not deal with each other.
-    let print = hash(format!("{} {lease} {informed}", settings.tenants_print()).as_bytes()) as u16;
+    let print =
+        hash(format!("{} {lease} {informed}", settings.tenants_fingerprint()).as_bytes()) as u16;
     let notes = wanted.notes && settings.peers();
-    Place {
+    ClusterPosition {
         own: settings.self_index,
         nodes: settings.balancers,
-        notes,
+        sends_messages: notes,
         seed,
-        print,
+        fingerprint: print,
     }
 }
 
@@ -60,7 +61,7 @@
             wanted.informed_ms.get_ref() * MS,
             wanted.lease_ms.get_ref() * MS,
         );
-        let shares = Shares::new(
+        let shares = QuotaShares::new(
             place(wanted, settings, seed),
             &limits(wanted, settings),
             informed,
@@ -75,7 +76,7 @@
     }
 
     /// Other settings for what runs; anew where its own times differ, off where it is no longer wanted.
-    pub fn take_up(
+    pub fn apply_settings(
         old: Option<Parts>,
         wanted: Option<&Wanted>,
         settings: &Settings,
@@ -86,7 +87,7 @@
         let Some(mut parts) = old.filter(|p| p.wanted == *wanted) else {
             return Some(Parts::new(wanted, settings, seed, now));
         };
-        parts.shares.told(
+        parts.shares.update_cluster(
             place(wanted, settings, seed),
             &limits(wanted, settings),
             now,
@@ -97,18 +98,18 @@
 
     /// One that came for a tenant; whether it is within its quota.
     pub fn take(&mut self, tenant: usize, now: Nanos) -> Option<bool> {
-        (tenant < self.names.len()).then(|| self.shares.take(tenant, now))
+        (tenant < self.names.len()).then(|| self.shares.try_acquire(tenant, now))
     }
 
     /// Whether a note is one of these.
     pub fn owns(text: &[u8]) -> bool {
-        text.first() == Some(&note::FIRST)
+        text.first() == Some(&note::FIRST_BYTE)
     }
     pub fn heard(&mut self, peer: usize, text: &[u8], now: Nanos) -> Option<Vec<u8>> {
-        self.shares.heard(peer, text, now)
+        self.shares.receive(peer, text, now)
     }
     pub fn next(&self) -> Nanos {
-        self.shares.next()
+        self.shares.next_tick()
     }
     pub fn tick(&mut self, now: Nanos) -> Vec<(usize, Vec<u8>)> {
         self.shares.tick(now)
@@ -117,7 +118,7 @@
     pub fn told_of(&mut self, now: Nanos) -> Vec<Share> {
         let mut all = Vec::with_capacity(self.names.len());
         for (limit, name) in self.names.iter().enumerate() {
-            let t = self.shares.tally(limit, now);
+            let t = self.shares.counts(limit, now);
             all.push(Share {
                 limit: name.clone(),
                 per_s: t.per_s,
--- a/crates/sparrouter-node/src/routing/peer.rs
+++ b/crates/sparrouter-node/src/routing/peer.rs
@@ -9,7 +9,7 @@
 use crate::transport::pool::Pool;
 use crate::transport::reading::ReadError;
 use bytes::Bytes;
-use sparrouter_balancer::types::{CacheIx, InvIx, Note, Outcome};
+use sparrouter_balancer::types::{CacheIndex, CacheResult, InvocationIndex, Outcome};
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -21,12 +21,12 @@
 
 pub enum Order {
     Forward(Forward),
-    Withdraw { inv: InvIx, copy: usize },
+    Withdraw { inv: InvocationIndex, copy: usize },
     Probe,
 }
 
 pub struct Forward {
-    pub inv: InvIx,
+    pub inv: InvocationIndex,
     pub copy: usize,
     pub invocation: Rc<Invocation>,
     /// Set once the invocation has its final answer: nothing is sent for it from then on.
@@ -39,13 +39,13 @@
 
 pub enum PeerSays {
     Ended {
-        inv: InvIx,
+        inv: InvocationIndex,
         copy: usize,
-        cache: CacheIx,
+        cache: CacheIndex,
         how: Ended,
     },
     Probed {
-        cache: CacheIx,
+        cache: CacheIndex,
         ok: bool,
     },
 }
@@ -53,7 +53,7 @@
 pub struct Ended {
     pub outcome: Outcome,
     pub lag: Duration,
-    pub note: Option<Note>,
+    pub note: Option<CacheResult>,
     pub kind: Option<Bytes>,
     pub body: Body,
 }
@@ -74,7 +74,7 @@
 
 /// What the actor and its forwards share.
 struct Peer {
-    cache: CacheIx,
+    cache: CacheIndex,
     endpoint: Cell<SocketAddr>,
     /// Ready by the list: nothing new is sent to one that drains or is gone.
     wanted: Cell<bool>,
@@ -112,7 +112,7 @@
 
 /// `room`: memory for long answers.
 pub fn start(
-    cache: CacheIx,
+    cache: CacheIndex,
     endpoint: SocketAddr,
     pool: Rc<Pool>,
     module: mpsc::Sender<Told>,
@@ -138,7 +138,7 @@
 }
 
 async fn run(peer: Rc<Peer>, mut mailbox: mpsc::Receiver<Order>) {
-    let mut out: HashMap<(InvIx, usize), oneshot::Sender<()>> = HashMap::new();
+    let mut out: HashMap<(InvocationIndex, usize), oneshot::Sender<()>> = HashMap::new();
     while let Some(order) = mailbox.recv().await {
         match order {
             Order::Forward(forward) => {
--- a/crates/sparrouter-node/src/transport/client.rs
+++ b/crates/sparrouter-node/src/transport/client.rs
@@ -5,7 +5,7 @@
 use crate::protocol::head::{self, RequestHead};
 use crate::protocol::messages::{self, Answer, Invocation};
 use bytes::{Buf, Bytes, BytesMut};
-use sparrouter_balancer::types::InvIx;
+use sparrouter_balancer::types::InvocationIndex;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -34,13 +34,13 @@
 /// What a client's connection says to whoever decides.
 pub enum ClientSays {
     Taken {
-        inv: InvIx,
+        inv: InvocationIndex,
         invocation: Rc<Invocation>,
         at: Instant,
         answer: oneshot::Sender<Answered>,
     },
     Gone {
-        inv: InvIx,
+        inv: InvocationIndex,
     },
 }
 
@@ -63,7 +63,7 @@
     pub patience: Cell<Duration>,
     /// Once the node leaves: what can't be over by then is not begun.
     pub leaves: Cell<Option<Instant>>,
-    pub next: Cell<InvIx>,
+    pub next: Cell<InvocationIndex>,
 }
 
 struct Client<M> {
--- a/crates/sparrouter-node/src/transport/datagrams.rs
+++ b/crates/sparrouter-node/src/transport/datagrams.rs
@@ -28,7 +28,7 @@
     }
 
     /// Other nodes from now on, by their numbers.
-    pub fn take_up(&self, nodes: Vec<SocketAddr>) {
+    pub fn apply_settings(&self, nodes: Vec<SocketAddr>) {
         *self.nodes.borrow_mut() = nodes;
     }
 
--- a/crates/sparrouter-settings/src/changes.rs
+++ b/crates/sparrouter-settings/src/changes.rs
@@ -1,13 +1,13 @@
 //! Other settings for a node at work: what of them it can take up, and where their operations and tenants stand. No I/O.
-use crate::names::Names;
+use crate::names::NameTable;
 use crate::object::Settings;
-use sparrouter_balancer::types::Taken;
+use sparrouter_balancer::types::OperationMapping;
 
 /// Where what is new stands among what was there.
 #[derive(Debug, PartialEq)]
-pub struct TakenUp {
+pub struct SettingsChange {
     /// By operation of the new settings.
-    pub operations: Vec<Taken>,
+    pub operations: Vec<OperationMapping>,
     /// By tenant of the new settings: which it was.
     pub tenants: Vec<Option<usize>>,
 }
@@ -56,33 +56,33 @@
     }
 }
 
-impl Names {
+impl NameTable {
     /// Takes up operations and tenants of other settings. An operation that changes moves to a place of its own,
     /// `busy` ones are another's as long as anything that came under them is in hand.
-    pub fn take_up(
+    pub fn apply_settings(
         &mut self,
         old: &Settings,
         new: &Settings,
         busy: impl Fn(usize) -> bool,
-    ) -> TakenUp {
+    ) -> SettingsChange {
         let was = |name: &str| old.classes.iter().position(|c| c.name == name);
         let mut operations = Vec::with_capacity(new.classes.len());
         let mut used: Vec<usize> = Vec::new();
         for (n, class) in new.classes.iter().enumerate() {
             let from = self.operation(class.name.as_bytes());
             let stays = from.filter(|_| was(&class.name).is_some_and(|o| old.same(new, o, n)));
-            operations.push(Taken {
-                at: stays.unwrap_or(usize::MAX),
-                from,
+            operations.push(OperationMapping {
+                new_index: stays.unwrap_or(usize::MAX),
+                old_index: from,
             });
             used.extend(stays);
         }
         // Places in use before are learnt from, and not given away in the same step.
-        let before: Vec<usize> = self.places().collect();
-        for taken in operations.iter_mut().filter(|t| t.at == usize::MAX) {
+        let before: Vec<usize> = self.operation_indices().collect();
+        for taken in operations.iter_mut().filter(|t| t.new_index == usize::MAX) {
             let free = |p: &usize| !used.contains(p) && !before.contains(p) && !busy(*p);
-            taken.at = (0..).find(free).unwrap_or(usize::MAX);
-            used.push(taken.at);
+            taken.new_index = (0..).find(free).unwrap_or(usize::MAX);
+            used.push(taken.new_index);
         }
         let tenants = new
             .tenants
@@ -93,7 +93,7 @@
             new.classes
                 .iter()
                 .zip(&operations)
-                .map(|(c, t)| (c.name.clone().into_bytes(), t.at))
+                .map(|(c, t)| (c.name.clone().into_bytes(), t.new_index))
                 .collect(),
             new.tenants
                 .iter()
@@ -101,7 +101,7 @@
                 .map(|(n, t)| (t.name.clone().into_bytes(), n))
                 .collect(),
         );
-        TakenUp {
+        SettingsChange {
             operations,
             tenants,
         }
@@ -131,17 +131,20 @@
         );
         serde_json::from_str(&text).unwrap()
     }
-    fn taken(at: usize, from: Option<usize>) -> Taken {
-        Taken { at, from }
+    fn taken(at: usize, from: Option<usize>) -> OperationMapping {
+        OperationMapping {
+            new_index: at,
+            old_index: from,
+        }
     }
 
     #[test]
     fn what_changes_moves_and_what_is_in_hand_keeps_its_place() {
         let old = settings(&[("get", 100), ("put", 200)], &["a", "b"], 3);
-        let mut names = Names::new(&old);
+        let mut names = NameTable::new(&old);
         // One operation's objective changes, one goes, one comes; a tenant comes before the others.
         let new = settings(&[("scan", 50), ("get", 300)], &["c", "b"], 3);
-        let up = names.take_up(&old, &new, |p| p == 1);
+        let up = names.apply_settings(&old, &new, |p| p == 1);
         assert_eq!(up.operations, [taken(2, None), taken(3, Some(0))]);
         assert_eq!(up.tenants, [None, Some(1)]);
         assert_eq!(
@@ -151,11 +154,11 @@
         assert_eq!((names.tenant(b"a"), names.tenant(b"c")), (None, Some(0)));
         // Nothing under the first two any more: their places are others'.
         let later = settings(&[("scan", 50), ("get", 400)], &["c", "b"], 3);
-        let up = names.take_up(&new, &later, |_| false);
+        let up = names.apply_settings(&new, &later, |_| false);
         assert_eq!(up.operations, [taken(2, Some(2)), taken(0, Some(3))]);
         // Other limits move all.
         let limited = settings(&[("scan", 50), ("get", 400)], &["c", "b"], 2);
-        let up = names.take_up(&later, &limited, |p| p == 1);
+        let up = names.apply_settings(&later, &limited, |p| p == 1);
         assert_eq!(up.operations, [taken(3, Some(2)), taken(4, Some(0))]);
     }
 
@@ -164,7 +167,7 @@
     fn places_never_mix_and_stay_few() {
         let mut rng = fastrand::Rng::with_seed(5);
         let mut now = settings(&[("a", 1), ("b", 1)], &[], 3);
-        let mut names = Names::new(&now);
+        let mut names = NameTable::new(&now);
         let mut open: Vec<(usize, String)> = Vec::new();
         let mut most = 0;
         for _ in 0..2000 {
@@ -177,15 +180,15 @@
             let new = settings(&drawn, &[], rng.usize(2..4));
             open.retain(|_| rng.f64() < 0.6);
             let busy: Vec<usize> = open.iter().map(|o| o.0).collect();
-            let up = names.take_up(&now, &new, |p| busy.contains(&p));
-            let mut at: Vec<usize> = up.operations.iter().map(|t| t.at).collect();
+            let up = names.apply_settings(&now, &new, |p| busy.contains(&p));
+            let mut at: Vec<usize> = up.operations.iter().map(|t| t.new_index).collect();
             most = at.iter().copied().chain([most]).max().unwrap();
             for ((name, us), t) in drawn.iter().zip(&up.operations) {
                 let under = format!("{name} {us} {}", new.limits.max_attempts);
-                for (_, rules) in open.iter().filter(|o| o.0 == t.at) {
+                for (_, rules) in open.iter().filter(|o| o.0 == t.new_index) {
                     assert_eq!(*rules, under, "a place in hand became another's");
                 }
-                open.push((t.at, under));
+                open.push((t.new_index, under));
             }
             at.sort_unstable();
             at.dedup();
--- a/crates/sparrouter-settings/src/lib.rs
+++ b/crates/sparrouter-settings/src/lib.rs
@@ -5,7 +5,7 @@
 mod object;
 mod parts;
 
-pub use changes::TakenUp;
-pub use names::{Listed, Names, hash};
+pub use changes::SettingsChange;
+pub use names::{ListEntry, NameTable, hash};
 pub use object::{Settings, Tenant};
 pub use parts::{Connections, nanos};
--- a/crates/sparrouter-settings/src/names.rs
+++ b/crates/sparrouter-settings/src/names.rs
@@ -1,4 +1,4 @@
-//! Names to small indices, in the order in which they are first met.
+//! NameTable to small indices, in the order in which they are first met.
 use crate::object::Settings;
 use sparrouter_balancer::types::*;
 use std::collections::HashMap;
@@ -10,7 +10,7 @@
 }
 
 /// A line of the list of cache servers, in its own words.
-pub struct Listed<'a> {
+pub struct ListEntry<'a> {
     pub id: &'a str,
     pub state: &'a str,
     pub zone: &'a str,
@@ -20,15 +20,15 @@
     pub ready_at: Nanos,
 }
 
-pub struct Names {
+pub struct NameTable {
     zones: Vec<String>,
     kinds: Vec<String>,
     operations: HashMap<Vec<u8>, usize>,
     tenants: HashMap<Vec<u8>, usize>,
-    caches: HashMap<String, CacheIx>,
+    caches: HashMap<String, CacheIndex>,
     ids: Vec<String>,
     /// Indices of names that were let go.
-    free: Vec<CacheIx>,
+    free: Vec<CacheIndex>,
 }
 
 fn index(names: &mut Vec<String>, name: &str) -> usize {
@@ -38,8 +38,8 @@
     })
 }
 
-impl Names {
-    pub fn new(settings: &Settings) -> Names {
+impl NameTable {
+    pub fn new(settings: &Settings) -> NameTable {
         let operations = settings
             .classes
             .iter()
@@ -50,7 +50,7 @@
             .iter()
             .enumerate()
             .map(|(n, t)| (t.name.clone().into_bytes(), n));
-        Names {
+        NameTable {
             zones: settings.areas.clone(),
             kinds: settings.kinds.clone(),
             operations: operations.collect(),
@@ -67,7 +67,7 @@
         self.tenants.get(name).copied()
     }
     /// Where operations stand.
-    pub fn places(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn operation_indices(&self) -> impl Iterator<Item = usize> + '_ {
         self.operations.values().copied()
     }
     pub(crate) fn rename(
@@ -77,16 +77,16 @@
     ) {
         (self.operations, self.tenants) = (operations, tenants);
     }
-    pub fn cache(&self, id: &str) -> Option<CacheIx> {
+    pub fn cache(&self, id: &str) -> Option<CacheIndex> {
         self.caches.get(id).copied()
     }
-    pub fn id(&self, cache: CacheIx) -> &str {
+    pub fn id(&self, cache: CacheIndex) -> &str {
         &self.ids[cache]
     }
 
     /// Lets a name go: its index is another's from now on. Guards against names, and all that is kept by
     /// their indices, that pile up while cache servers are replaced under ever new ids.
-    pub fn release(&mut self, cache: CacheIx) {
+    pub fn release(&mut self, cache: CacheIndex) {
         if self
             .caches
             .remove(&std::mem::take(&mut self.ids[cache]))
@@ -96,11 +96,11 @@
         }
     }
 
-    pub fn row(&mut self, l: &Listed) -> Result<Row, String> {
+    pub fn record(&mut self, l: &ListEntry) -> Result<CacheRecord, String> {
         let standing = match l.state {
             "in_service" => LifecycleState::Ready,
             "terminating" => LifecycleState::Draining,
-            "terminated" => LifecycleState::Gone,
+            "terminated" => LifecycleState::Left,
             other => return Err(format!("unknown state {other}")),
         };
         let (ids, free) = (&mut self.ids, &mut self.free);
@@ -110,10 +110,10 @@
             ids[cache] = l.id.to_string();
             cache
         });
-        Ok(Row {
+        Ok(CacheRecord {
             cache,
             id_hash: hash(l.id.as_bytes()),
-            standing,
+            state: standing,
             zone: index(&mut self.zones, l.zone),
             cell: l.cell,
             kind: index(&mut self.kinds, l.kind),
--- a/crates/sparrouter-settings/src/parts.rs
+++ b/crates/sparrouter-settings/src/parts.rs
@@ -28,11 +28,11 @@
     };
     Ok(Operation {
         effect,
-        objective: nanos("ObjectiveUs", c.objective_us)?,
+        latency_target: nanos("ObjectiveUs", c.objective_us)?,
         stretch: c.aim_stretch,
         client_timeout: nanos("DeadlineUs", c.deadline_us)?,
         billed_value: c.worth,
-        late_part: c.late_worth,
+        late_value_fraction: c.late_worth,
         stream: c.stream,
     })
 }
@@ -55,12 +55,12 @@
     pub fn rules(&self) -> Result<Rules, String> {
         Ok(Rules {
             answer_slack: nanos("AnswerSlackUs", self.safety.answer_slack_us)?,
-            ask_every: nanos("AskEveryUs", self.safety.ask_every_us)?,
+            poll_interval: nanos("AskEveryUs", self.safety.ask_every_us)?,
             start_capacity: self.safety.start_capacity,
-            cold: nanos("ColdUs", self.safety.cold_us)?,
+            warm_up_period: nanos("ColdUs", self.safety.cold_us)?,
             fall_multiple: self.safety.fall_multiple,
             fall: nanos("FallUs", self.safety.fall_us)?,
-            gone_is_advice: self.safety.gone_is_advice,
+            removal_is_advisory: self.safety.gone_is_advice,
         })
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// A fingerprint of the tenants' names in their order.
-    pub fn tenants_print(&self) -> u16 {
+    pub fn tenants_fingerprint(&self) -> u16 {
         let names: Vec<&str> = self.tenants.iter().map(|t| t.name.as_str()).collect();
         hash(names.join("\n").as_bytes()) as u16
     }
@@ -108,22 +108,22 @@
                 quota_per_s: t.quota_per_s,
             })
             .collect();
-        let place = Surroundings {
+        let place = Environment {
             seed,
             own_index: self.self_index,
             nodes: self.balancers,
-            may_probe: self.limits.may_probe,
+            allows_health_checks: self.limits.may_probe,
             peers: self.peers(),
             tick: nanos("TickUs", self.tick_us)?,
-            must_ask: self.must_ask(),
+            list_is_polled: self.must_ask(),
             live_weights: self.weights == "live",
-            over_share_part: self.over_share_worth,
-            tenants: self.tenants_print(),
+            over_quota_value_fraction: self.over_share_worth,
+            tenants_fingerprint: self.tenants_fingerprint(),
         };
         let advice = nanos("MaxRetryAfterUs", self.limits.max_retry_after_us)?;
         let limits = ForwardLimits {
             max_forwards: self.limits.max_attempts,
-            second_copies: self.limits.second_copies,
+            allows_hedging: self.limits.second_copies,
             withdraw: self.limits.cancel,
             max_retry_after: self.limits.retry_after.then_some(advice),
         };
--- a/crates/sparrouter-shares/examples/fleets.rs
+++ b/crates/sparrouter-shares/examples/fleets.rs
@@ -3,7 +3,7 @@
 #[path = "../tests/world/mod.rs"]
 mod world;
 use fastrand::Rng;
-use sparrouter_shares::bucket::Bucket;
+use sparrouter_shares::bucket::TokenBucket;
 use sparrouter_shares::{Nanos, SECOND};
 use std::collections::BTreeMap;
 use world::{Figures, World};
@@ -19,7 +19,7 @@
     part: f64,
     heard: BTreeMap<usize, (Nanos, f64)>,
     arrived: f64,
-    bucket: Bucket,
+    bucket: TokenBucket,
 }
 
 fn before(nodes: usize, seed: u64, per_s: f64) -> [Figures; 5] {
@@ -29,7 +29,7 @@
             part: 1.0 / nodes as f64,
             heard: BTreeMap::new(),
             arrived: 0.0,
-            bucket: Bucket::new(5 * SECOND, rng.fork(), 0),
+            bucket: TokenBucket::new(5 * SECOND, rng.fork(), 0),
         })
         .collect();
     let phases = [
@@ -62,7 +62,7 @@
                     }
                     for _ in 0..count {
                         b.arrived += 1.0;
-                        let let_in = b.bucket.take();
+                        let let_in = b.bucket.try_acquire();
                         if second >= quiet {
                             came[n] += 1.0;
                             within[n] += f64::from(u8::from(let_in));
--- a/crates/sparrouter-shares/src/bucket.rs
+++ b/crates/sparrouter-shares/src/bucket.rs
@@ -9,7 +9,7 @@
 const PIECES: u64 = 32;
 
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     piece: Nanos,
     /// Earned and spent in each of the last pieces, by their number.
     pieces: [(f64, f64); PIECES as usize],
@@ -21,10 +21,10 @@
     rng: Rng,
 }
 
-impl Bucket {
-    pub fn new(window: Nanos, rng: Rng, now: Nanos) -> Bucket {
+impl TokenBucket {
+    pub fn new(window: Nanos, rng: Rng, now: Nanos) -> TokenBucket {
         let piece = (window / PIECES).max(1);
-        Bucket {
+        TokenBucket {
             piece,
             pieces: [(0.0, 0.0); PIECES as usize],
             filled: now,
@@ -55,7 +55,7 @@
         }
     }
 
-    pub fn take(&mut self) -> bool {
+    pub fn try_acquire(&mut self) -> bool {
         let (earned, spent) = self
             .pieces
             .iter()
@@ -70,7 +70,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{Bucket, Nanos, SECOND};
+    use super::{Nanos, SECOND, TokenBucket};
     use fastrand::Rng;
     use proptest::prelude::{ProptestConfig, any, prop, prop_assert, proptest};
 
@@ -79,15 +79,15 @@
     /// Two hundred parts of a fifth each, idle for long, then all wanted at once: 40 a second are due.
     #[test]
     fn small_parts_that_stood_idle_do_not_all_come_at_once() {
-        let mut all: Vec<Bucket> = (0..200)
-            .map(|n| Bucket::new(SECOND, Rng::with_seed(n), 0))
+        let mut all: Vec<TokenBucket> = (0..200)
+            .map(|n| TokenBucket::new(SECOND, Rng::with_seed(n), 0))
             .collect();
         for second in [100, 101, 102, 150] {
             let mut within = 0;
             for ms in (0..1000).step_by(10) {
                 for b in &mut all {
                     b.fill(0.2, second * SECOND + ms * MS);
-                    within += u32::from(b.take());
+                    within += u32::from(b.try_acquire());
                 }
             }
             assert!((20..=65).contains(&within), "{within} in second {second}");
@@ -102,13 +102,13 @@
         fn no_window_holds_more_than_was_earned(
             seed in any::<u64>(), steps in prop::collection::vec((1u64..200, 0.0..50.0f64, 0u32..30), 1..60),
         ) {
-            let mut b = Bucket::new(SECOND, Rng::with_seed(seed), 0);
+            let mut b = TokenBucket::new(SECOND, Rng::with_seed(seed), 0);
             let (mut now, mut spent, mut parts) = (0, Vec::new(), Vec::new());
             for (ms, per_s, tries) in steps {
                 parts.push((now, now + ms * MS, per_s));
                 now += ms * MS;
                 b.fill(per_s, now);
-                (0..tries).for_each(|_| if b.take() { spent.push(now) });
+                (0..tries).for_each(|_| if b.try_acquire() { spent.push(now) });
             }
             for end in &spent {
                 let from = end.saturating_sub(SECOND - SECOND / 32);
--- a/crates/sparrouter-shares/src/leases.rs
+++ b/crates/sparrouter-shares/src/leases.rs
@@ -9,16 +9,16 @@
 /// So much of a lease's time is left to clocks that run at different speeds: up to a twentieth each.
 const DRIFT: Nanos = 10;
 /// Peers that one lends to, or holds from, for one limit; and answers to one peer that may still be in force.
-pub const MOST: usize = 64;
+pub const MAX_LEASES: usize = 64;
 const ANSWERS: usize = 6;
 
 #[derive(Clone, Debug, Default)]
-pub struct Lent {
+pub struct LoanedShares {
     /// By borrower: each answer that it may still use, and until when. It uses one at a time.
     by: BTreeMap<NodeIx, Vec<(f64, Nanos)>>,
 }
 
-impl Lent {
+impl LoanedShares {
     fn live(&mut self, now: Nanos) {
         self.by.retain(|_, all| {
             all.retain(|l| l.1 > now);
@@ -33,12 +33,15 @@
     }
     /// In all: of each borrower the highest answer that may still be in force.
     pub fn sum(&self, now: Nanos) -> f64 {
-        self.by.values().map(|all| Lent::most(all, now)).sum()
+        self.by
+            .values()
+            .map(|all| LoanedShares::most(all, now))
+            .sum()
     }
     pub fn to(&self, borrower: NodeIx, now: Nanos) -> f64 {
         self.by
             .get(&borrower)
-            .map_or(0.0, |all| Lent::most(all, now))
+            .map_or(0.0, |all| LoanedShares::most(all, now))
     }
     /// What each was given last: what is meant, where `sum` is what must be reckoned with.
     pub fn last(&self, borrower: NodeIx, now: Nanos) -> f64 {
@@ -53,7 +56,7 @@
         self.live(now);
         match self.by.get(&borrower) {
             Some(all) => all.len() < ANSWERS,
-            None => self.by.len() < MOST,
+            None => self.by.len() < MAX_LEASES,
         }
     }
     pub fn give(&mut self, borrower: NodeIx, amount: f64, until: Nanos) {
@@ -62,11 +65,11 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct BorrowedShares {
     by: BTreeMap<NodeIx, (f64, Nanos)>,
 }
 
-impl Held {
+impl BorrowedShares {
     pub fn sum(&self, now: Nanos) -> f64 {
         self.by.values().filter(|l| l.1 > now).map(|l| l.0).sum()
     }
@@ -74,7 +77,10 @@
     pub fn take(&mut self, lender: NodeIx, amount: f64, asked: Nanos, lease: Nanos, now: Nanos) {
         self.by.retain(|_, l| l.1 > now);
         let until = asked + lease - lease / DRIFT;
-        if amount > 0.0 && until > now && (self.by.contains_key(&lender) || self.by.len() < MOST) {
+        if amount > 0.0
+            && until > now
+            && (self.by.contains_key(&lender) || self.by.len() < MAX_LEASES)
+        {
             self.by.insert(lender, (amount, until));
         } else {
             self.by.remove(&lender);
--- a/crates/sparrouter-shares/src/lib.rs
+++ b/crates/sparrouter-shares/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod shares;
 pub mod size;
 
-pub use shares::{Limit, Shares};
+pub use shares::{Limit, QuotaShares};
 
 pub type Nanos = u64;
 pub const SECOND: Nanos = 1_000_000_000;
--- a/crates/sparrouter-shares/src/note.rs
+++ b/crates/sparrouter-shares/src/note.rs
@@ -5,10 +5,10 @@
 //! fingerprint of the limits (2 bytes), nodes, nodes before (2 bytes each), held in tenths of a second (2 bytes), the
 //! ask's number (4 bytes), then rows: number of the limit (a byte) and, to ask, what one has and needs a second
 //! (4-byte floats), to give, what is given; a checksum of all before it (2 bytes). 256 bytes at the most.
-use crate::size::Says;
+use crate::size::ClusterSizeView;
 use crate::{Nanos, SECOND};
 
-pub const FIRST: u8 = 0xA5;
+pub const FIRST_BYTE: u8 = 0xA5;
 const FORMAT: u8 = 1;
 const HEAD: usize = 15;
 const MAX: usize = 256;
@@ -16,38 +16,42 @@
 pub const ROWS: usize = (MAX - HEAD - 2) / 9;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Rows {
+pub enum QuotaRows {
     /// Limit, what the sender has, what it needs.
-    Ask(Vec<(u8, f64, f64)>),
+    Request(Vec<(u8, f64, f64)>),
     Give(Vec<(u8, f64)>),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Note {
-    pub print: u16,
-    pub says: Says,
-    pub number: u32,
-    pub rows: Rows,
+pub struct QuotaMessage {
+    pub fingerprint: u16,
+    pub size_view: ClusterSizeView,
+    pub sequence: u32,
+    pub rows: QuotaRows,
 }
 
 const TENTH: Nanos = SECOND / 10;
 
-impl Note {
+impl QuotaMessage {
     pub fn write(&self) -> Vec<u8> {
-        let mut text = vec![FIRST, FORMAT, u8::from(matches!(self.rows, Rows::Give(_)))];
+        let mut text = vec![
+            FIRST_BYTE,
+            FORMAT,
+            u8::from(matches!(self.rows, QuotaRows::Give(_))),
+        ];
         let short = |n: usize| n.min(usize::from(u16::MAX)) as u16;
-        text.extend(self.print.to_le_bytes());
-        text.extend(short(self.says.nodes).to_le_bytes());
-        text.extend(short(self.says.before).to_le_bytes());
-        text.extend(short((self.says.held / TENTH) as usize).to_le_bytes());
-        text.extend(self.number.to_le_bytes());
+        text.extend(self.fingerprint.to_le_bytes());
+        text.extend(short(self.size_view.nodes).to_le_bytes());
+        text.extend(short(self.size_view.previous_nodes).to_le_bytes());
+        text.extend(short((self.size_view.unchanged_for / TENTH) as usize).to_le_bytes());
+        text.extend(self.sequence.to_le_bytes());
         match &self.rows {
-            Rows::Ask(rows) => rows.iter().take(ROWS).for_each(|(limit, have, need)| {
+            QuotaRows::Request(rows) => rows.iter().take(ROWS).for_each(|(limit, have, need)| {
                 text.push(*limit);
                 text.extend((*have as f32).to_le_bytes());
                 text.extend((*need as f32).to_le_bytes());
             }),
-            Rows::Give(rows) => rows.iter().take(ROWS).for_each(|(limit, amount)| {
+            QuotaRows::Give(rows) => rows.iter().take(ROWS).for_each(|(limit, amount)| {
                 text.push(*limit);
                 // Never more than was reckoned with.
                 text.extend((*amount as f32).next_down().max(0.0).to_le_bytes());
@@ -58,7 +62,7 @@
     }
 
     /// None where it is no such note, cut short, spoilt, or has numbers that are none.
-    pub fn read(text: &[u8]) -> Option<Note> {
+    pub fn read(text: &[u8]) -> Option<QuotaMessage> {
         let (text, sum) = text.split_last_chunk::<2>()?;
         if (crc32fast::hash(text) as u16).to_le_bytes() != *sum || text.len() < HEAD {
             return None;
@@ -68,31 +72,31 @@
             let x = f64::from(f32::from_le_bytes([b[0], b[1], b[2], b[3]]));
             (x.is_finite() && x >= 0.0).then_some(x)
         };
-        if text[0] != FIRST || text[1] != FORMAT {
+        if text[0] != FIRST_BYTE || text[1] != FORMAT {
             return None;
         }
-        let says = Says {
+        let says = ClusterSizeView {
             nodes: short(5).into(),
-            before: short(7).into(),
-            held: Nanos::from(short(9)) * TENTH,
+            previous_nodes: short(7).into(),
+            unchanged_for: Nanos::from(short(9)) * TENTH,
         };
         let rest = &text[HEAD..];
         let rows = match text[2] {
             0 if rest.len().is_multiple_of(9) => {
                 let row = |r: &[u8]| Some((r[0], number(&r[1..5])?, number(&r[5..9])?));
-                Rows::Ask(rest.chunks_exact(9).map(row).collect::<Option<_>>()?)
+                QuotaRows::Request(rest.chunks_exact(9).map(row).collect::<Option<_>>()?)
             }
             1 if rest.len().is_multiple_of(5) => {
                 let row = |r: &[u8]| Some((r[0], number(&r[1..5])?));
-                Rows::Give(rest.chunks_exact(5).map(row).collect::<Option<_>>()?)
+                QuotaRows::Give(rest.chunks_exact(5).map(row).collect::<Option<_>>()?)
             }
             _ => return None,
         };
         let number = u32::from_le_bytes([text[11], text[12], text[13], text[14]]);
-        Some(Note {
-            print: short(3),
-            says,
-            number,
+        Some(QuotaMessage {
+            fingerprint: short(3),
+            size_view: says,
+            sequence: number,
             rows,
         })
     }
@@ -106,16 +110,16 @@
     /// Golden: what a node of another version must still read, byte for byte.
     #[test]
     fn the_format_stands() {
-        let says = Says {
+        let says = ClusterSizeView {
             nodes: 16,
-            before: 4,
-            held: 3 * SECOND,
+            previous_nodes: 4,
+            unchanged_for: 3 * SECOND,
         };
-        let note = Note {
-            print: 0x1234,
-            says,
-            number: 7,
-            rows: Rows::Ask(vec![(2, 1.5, 4.0)]),
+        let note = QuotaMessage {
+            fingerprint: 0x1234,
+            size_view: says,
+            sequence: 7,
+            rows: QuotaRows::Request(vec![(2, 1.5, 4.0)]),
         };
         let text = note.write();
         let golden = [
@@ -123,15 +127,15 @@
             0x80, 0x40,
         ];
         assert_eq!(text[..24], golden);
-        assert_eq!(Note::read(&text), Some(note));
+        assert_eq!(QuotaMessage::read(&text), Some(note));
         for cut in 0..text.len() {
-            assert_eq!(Note::read(&text[..cut]), None);
+            assert_eq!(QuotaMessage::read(&text[..cut]), None);
         }
-        let full = Note {
-            print: 0,
-            says,
-            number: 0,
-            rows: Rows::Ask(vec![(0, 1.0, 1.0); 100]),
+        let full = QuotaMessage {
+            fingerprint: 0,
+            size_view: says,
+            sequence: 0,
+            rows: QuotaRows::Request(vec![(0, 1.0, 1.0); 100]),
         };
         assert!(full.write().len() <= MAX);
     }
@@ -143,10 +147,10 @@
             mut text in prop::collection::vec(any::<u8>(), 0..300), amount in 0.0..1e6f64,
         ) {
             text.truncate(256);
-            let _ = Note::read(&text);
-            let rows = Rows::Give(vec![(0, amount)]);
-            let note = Note { print: 1, says: Says::default(), number: 9, rows };
-            let Some(Note { rows: Rows::Give(rows), .. }) = Note::read(&note.write()) else { panic!() };
+            let _ = QuotaMessage::read(&text);
+            let rows = QuotaRows::Give(vec![(0, amount)]);
+            let note = QuotaMessage { fingerprint: 1, size_view: ClusterSizeView::default(), sequence: 9, rows };
+            let Some(QuotaMessage { rows: QuotaRows::Give(rows), .. }) = QuotaMessage::read(&note.write()) else { panic!() };
             prop_assert!(rows[0].1 <= amount);
         }
     }
--- a/crates/sparrouter-shares/src/shares.rs
+++ b/crates/sparrouter-shares/src/shares.rs
@@ -1,9 +1,9 @@
 //! One node's parts of all common limits: events and now in, notes and parts out.
-use crate::bucket::Bucket;
-use crate::leases::{Held, Lent, MOST};
+use crate::bucket::TokenBucket;
+use crate::leases::{BorrowedShares, LoanedShares, MAX_LEASES};
 use crate::level::level;
-use crate::note::{Note, ROWS, Rows};
-use crate::size::Size;
+use crate::note::{QuotaMessage, QuotaRows, ROWS};
+use crate::size::ClusterSize;
 use crate::{Nanos, NodeIx, SECOND};
 use std::collections::BTreeMap;
 
@@ -38,9 +38,9 @@
 
 struct Kept {
     limit: Limit,
-    lent: Lent,
-    held: Held,
-    bucket: Bucket,
+    lent: LoanedShares,
+    held: BorrowedShares,
+    bucket: TokenBucket,
     /// Since the last look.
     came: u64,
     /// Came a second: a short mean and a long one.
@@ -65,7 +65,7 @@
 
 /// What an operator wants to know of one limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct ShareCounts {
     pub per_s: f64,
     /// This node's part now, of which lent from others; and what it has lent.
     pub part: f64,
@@ -77,12 +77,12 @@
     pub within: u64,
 }
 
-pub struct Shares {
+pub struct QuotaShares {
     print: u16,
     lease: Nanos,
     /// Without notes a part is one over the number of nodes.
     notes: bool,
-    size: Size,
+    size: ClusterSize,
     settles: Nanos,
     limits: Vec<Kept>,
     rng: fastrand::Rng,
@@ -97,24 +97,24 @@
 
 /// Where this node stands among the others.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct ClusterPosition {
     pub own: NodeIx,
     pub nodes: usize,
-    pub notes: bool,
+    pub sends_messages: bool,
     pub seed: u64,
     /// Of the limits' names in their order: nodes that differ here do not deal with each other.
-    pub print: u16,
+    pub fingerprint: u16,
 }
 
-impl Shares {
+impl QuotaShares {
     /// `informed`: after so long every node has been told how many there are. `lease`: what is lent ends by itself.
     pub fn new(
-        place: Place,
+        place: ClusterPosition,
         limits: &[Limit],
         informed: Nanos,
         lease: Nanos,
         now: Nanos,
-    ) -> Shares {
+    ) -> QuotaShares {
         let lease = lease.max(TICKS);
         // A tenth more for clocks that run slow.
         let settles = informed + informed / 10 + lease;
@@ -123,11 +123,11 @@
             .iter()
             .map(|l| Kept::new(*l, rng.fork(), now))
             .collect();
-        Shares {
-            print: place.print,
+        QuotaShares {
+            print: place.fingerprint,
             lease,
-            notes: place.notes && place.nodes > 1,
-            size: Size::new(place.own, place.nodes, settles, now),
+            notes: place.sends_messages && place.nodes > 1,
+            size: ClusterSize::new(place.own, place.nodes, settles, now),
             settles,
             limits: kept,
             next: now,
@@ -140,11 +140,11 @@
     }
 
     /// Told anew how many there are, and what the limits are. Limits of a fingerprint that changed begin anew.
-    pub fn told(&mut self, place: Place, limits: &[Limit], now: Nanos) {
-        self.size.told(place.own, place.nodes, now);
-        self.notes = place.notes && place.nodes > 1;
-        if place.print != self.print || limits.len() != self.limits.len() {
-            self.print = place.print;
+    pub fn update_cluster(&mut self, place: ClusterPosition, limits: &[Limit], now: Nanos) {
+        self.size.update(place.own, place.nodes, now);
+        self.notes = place.sends_messages && place.nodes > 1;
+        if place.fingerprint != self.print || limits.len() != self.limits.len() {
+            self.print = place.fingerprint;
             self.limits = limits
                 .iter()
                 .map(|l| Kept::new(*l, self.rng.fork(), now))
@@ -163,7 +163,7 @@
 
     /// Of all that this node might use were nothing lent: its own part, without what it holds.
     fn base(&mut self, limit: usize, now: Nanos) -> f64 {
-        let base = self.limits[limit].limit.per_s / self.size.parts(now) as f64;
+        let base = self.limits[limit].limit.per_s / self.size.share_count(now) as f64;
         let age = now.saturating_sub(self.size.began());
         if !self.notes {
             // Nobody can be asked: by time alone.
@@ -171,7 +171,7 @@
         }
         // What a process before this one had lent may still be used.
         let start = if age < self.lease { 1.0 - LENDS } else { 1.0 };
-        if self.size.known(now) {
+        if self.size.is_agreed(now) {
             base * start
         } else {
             0.0
@@ -191,7 +191,7 @@
     }
 
     /// What this node may use of a limit now, a second.
-    pub fn part(&mut self, limit: usize, now: Nanos) -> f64 {
+    pub fn own_rate(&mut self, limit: usize, now: Nanos) -> f64 {
         self.awake(now);
         let (part, until) = self.limits[limit].part;
         if now < until {
@@ -205,25 +205,25 @@
     }
 
     /// One that came; whether it is within the limit.
-    pub fn take(&mut self, limit: usize, now: Nanos) -> bool {
+    pub fn try_acquire(&mut self, limit: usize, now: Nanos) -> bool {
         if limit >= self.limits.len() {
             return true;
         }
         let before = self.limits[limit].part.0;
-        let part = self.part(limit, now);
+        let part = self.own_rate(limit, now);
         let kept = &mut self.limits[limit];
         (kept.came, kept.arrived) = (kept.came + 1, kept.arrived + 1);
         // A part that has ended meanwhile, as while the process stood still, counts for nothing.
         kept.bucket.fill(part.min(before), now);
-        let within = kept.bucket.take();
+        let within = kept.bucket.try_acquire();
         kept.within += u64::from(within);
         within
     }
 
-    pub fn tally(&mut self, limit: usize, now: Nanos) -> Tally {
-        let part = self.part(limit, now);
+    pub fn counts(&mut self, limit: usize, now: Nanos) -> ShareCounts {
+        let part = self.own_rate(limit, now);
         let kept = &self.limits[limit];
-        Tally {
+        ShareCounts {
             per_s: kept.limit.per_s,
             part,
             held: kept.held.sum(now),
@@ -235,7 +235,7 @@
     }
 
     /// When `tick` is due.
-    pub fn next(&self) -> Nanos {
+    pub fn next_tick(&self) -> Nanos {
         self.next
     }
 
@@ -256,7 +256,7 @@
             // What was not asked for is filled too, so that a long gap is no burst.
             let before = self.limits[limit].part.0;
             self.limits[limit].part.1 = 0;
-            let part = self.part(limit, now);
+            let part = self.own_rate(limit, now);
             self.limits[limit].bucket.fill(part.min(before), now);
         }
         if self.notes && self.looks % ROUND == 1 {
@@ -268,7 +268,7 @@
 
     fn ask(&mut self, now: Nanos) -> Vec<(NodeIx, Vec<u8>)> {
         let nodes = self.size.nodes();
-        let known = self.size.known(now);
+        let known = self.size.is_agreed(now);
         self.out.retain(|_, (_, at)| now < *at + self.lease / 2);
         let mut short: Vec<(usize, f64)> = Vec::new();
         let mut wanting = false;
@@ -280,7 +280,7 @@
             // others, nodes of few arrivals handed theirs round in a ring.
             if need > base {
                 short.push((limit, need));
-                wanting |= need > self.part(limit, now);
+                wanting |= need > self.own_rate(limit, now);
             }
         }
         if known && short.is_empty() {
@@ -299,7 +299,11 @@
         self.rng.shuffle(&mut to);
         if !known {
             let own = to.len();
-            to.extend(self.size.unheard().filter(|n| !self.out.contains_key(n)));
+            to.extend(
+                self.size
+                    .unheard_peers()
+                    .filter(|n| !self.out.contains_key(n)),
+            );
             self.rng.shuffle(&mut to[own..]);
         }
         if wanting || !known {
@@ -311,8 +315,8 @@
         let rows = short
             .iter()
             .map(|&(limit, need)| (limit as u8, self.limits[limit].part.0, need));
-        let rows = Rows::Ask(rows.collect());
-        let says = self.size.says(self.fits(now), now);
+        let rows = QuotaRows::Request(rows.collect());
+        let says = self.size.own_view(self.fits(now), now);
         let own = self.size.own();
         let mut asks = Vec::new();
         for peer in to {
@@ -326,10 +330,10 @@
             self.out.insert(peer, (number, now));
             asks.push((
                 peer,
-                Note {
-                    print: self.print,
-                    says,
-                    number,
+                QuotaMessage {
+                    fingerprint: self.print,
+                    size_view: says,
+                    sequence: number,
                     rows: rows.clone(),
                 }
                 .write(),
@@ -347,23 +351,23 @@
     }
 
     /// A note from a peer; the answer to it, if it asks.
-    pub fn heard(&mut self, peer: NodeIx, text: &[u8], now: Nanos) -> Option<Vec<u8>> {
-        let note = Note::read(text).filter(|n| n.print == self.print)?;
+    pub fn receive(&mut self, peer: NodeIx, text: &[u8], now: Nanos) -> Option<Vec<u8>> {
+        let note = QuotaMessage::read(text).filter(|n| n.fingerprint == self.print)?;
         if !self.notes || peer == self.size.own() {
             return None;
         }
         self.awake(now);
         match note.rows {
-            Rows::Give(rows) => {
+            QuotaRows::Give(rows) => {
                 // Only what was asked for, of whom, and once: nothing old or made up counts.
                 let asked = self
                     .out
                     .get(&peer)
-                    .filter(|o| o.0 == note.number && now < o.1 + self.lease)?
+                    .filter(|o| o.0 == note.sequence && now < o.1 + self.lease)?
                     .1;
                 // The number can't come again; that it was asked is kept, so that others are asked next.
                 self.out.insert(peer, (self.rng.u32(..), asked));
-                self.size.heard(peer, note.says);
+                self.size.receive(peer, note.size_view);
                 for (limit, amount) in rows {
                     let Some(kept) = self.limits.get_mut(usize::from(limit)) else {
                         continue;
@@ -374,7 +378,7 @@
                 }
                 None
             }
-            Rows::Ask(rows) => {
+            QuotaRows::Request(rows) => {
                 // Guards against one that asks without end: the others' turn comes all the same.
                 let to_it = self.answered.iter().filter(|p| **p == peer).count();
                 if self.answered.len() >= ANSWERS.0 || to_it >= ANSWERS.1 {
@@ -387,13 +391,13 @@
                         given.push((limit, self.give(usize::from(limit), peer, have, need, now)));
                     }
                 }
-                let says = self.size.says(self.fits(now), now);
+                let says = self.size.own_view(self.fits(now), now);
                 Some(
-                    Note {
-                        print: self.print,
-                        says,
-                        number: note.number,
-                        rows: Rows::Give(given),
+                    QuotaMessage {
+                        fingerprint: self.print,
+                        size_view: says,
+                        sequence: note.sequence,
+                        rows: QuotaRows::Give(given),
                     }
                     .write(),
                 )
@@ -406,7 +410,7 @@
         let lease = self.lease;
         let kept = &mut self.limits[limit];
         kept.askers.retain(|_, a| now < a.2 + lease);
-        if kept.askers.len() < MOST || kept.askers.contains_key(&peer) {
+        if kept.askers.len() < MAX_LEASES || kept.askers.contains_key(&peer) {
             kept.askers.insert(peer, (have, need, now));
         }
         if !kept.lent.room(peer, now) {
@@ -459,9 +463,9 @@
     fn new(limit: Limit, rng: fastrand::Rng, now: Nanos) -> Kept {
         Kept {
             limit,
-            lent: Lent::default(),
-            held: Held::default(),
-            bucket: Bucket::new(limit.window, rng, now),
+            lent: LoanedShares::default(),
+            held: BorrowedShares::default(),
+            bucket: TokenBucket::new(limit.window, rng, now),
             came: 0,
             short: 0.0,
             long: 0.0,
--- a/crates/sparrouter-shares/src/size.rs
+++ b/crates/sparrouter-shares/src/size.rs
@@ -8,13 +8,13 @@
 
 /// What a node says of the fleet's size as it counts it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Says {
+pub struct ClusterSizeView {
     /// Its own part is no more than one of so many.
     pub nodes: usize,
     /// What it counted before that, 0 where it never counted otherwise.
-    pub before: usize,
+    pub previous_nodes: usize,
     /// For so long; 0 where its process has started since and can't know.
-    pub held: Nanos,
+    pub unchanged_for: Nanos,
 }
 
 /// Peers whose word is kept; where more would be needed only time helps.
@@ -23,7 +23,7 @@
 const VOUCH: usize = 2;
 
 #[derive(Clone, Debug)]
-pub struct Size {
+pub struct ClusterSize {
     own: NodeIx,
     nodes: usize,
     /// Since when this number has been in force here, and the one before.
@@ -36,13 +36,13 @@
     began: Nanos,
     /// No longer fresh.
     known: bool,
-    says: BTreeMap<NodeIx, Says>,
+    says: BTreeMap<NodeIx, ClusterSizeView>,
 }
 
-impl Size {
-    pub fn new(own: NodeIx, nodes: usize, settles: Nanos, now: Nanos) -> Size {
+impl ClusterSize {
+    pub fn new(own: NodeIx, nodes: usize, settles: Nanos, now: Nanos) -> ClusterSize {
         let nodes = nodes.max(1);
-        Size {
+        ClusterSize {
             own,
             nodes,
             since: now,
@@ -64,7 +64,7 @@
     }
 
     /// Told anew how many there are.
-    pub fn told(&mut self, own: NodeIx, nodes: usize, now: Nanos) {
+    pub fn update(&mut self, own: NodeIx, nodes: usize, now: Nanos) {
         let nodes = nodes.max(1);
         if nodes == self.nodes && own == self.own {
             return;
@@ -92,37 +92,37 @@
     }
 
     /// Of how many equal parts this node has one.
-    pub fn parts(&mut self, now: Nanos) -> usize {
+    pub fn share_count(&mut self, now: Nanos) -> usize {
         self.larger.retain(|l| l.1 > now);
         self.larger.iter().map(|l| l.0).fold(self.nodes, usize::max)
     }
 
     /// What is said of it to others. `fits`: what is lent fits the part of which it is lent.
-    pub fn says(&mut self, fits: bool, now: Nanos) -> Says {
+    pub fn own_view(&mut self, fits: bool, now: Nanos) -> ClusterSizeView {
         if !fits {
             // Not in force yet: what was lent of the larger part is still used.
-            return Says {
+            return ClusterSizeView {
                 nodes: self.before.min(self.nodes).max(1),
-                before: self.before,
-                held: 0,
+                previous_nodes: self.before,
+                unchanged_for: 0,
             };
         }
-        let parts = self.parts(now);
+        let parts = self.share_count(now);
         // A smaller number in waiting is not vouched for.
         let held = if self.known && parts == self.nodes {
             now - self.since.max(self.began)
         } else {
             0
         };
-        Says {
+        ClusterSizeView {
             nodes: parts,
-            before: self.before,
-            held,
+            previous_nodes: self.before,
+            unchanged_for: held,
         }
     }
 
     /// What a peer says, as it was when this node asked or later.
-    pub fn heard(&mut self, peer: NodeIx, says: Says) {
+    pub fn receive(&mut self, peer: NodeIx, says: ClusterSizeView) {
         if self.known || peer == self.own {
             return;
         }
@@ -134,7 +134,7 @@
     }
 
     /// Those that it would help to ask.
-    pub fn unheard(&self) -> impl Iterator<Item = NodeIx> {
+    pub fn unheard_peers(&self) -> impl Iterator<Item = NodeIx> {
         let all = if self.known || self.old() > KEPT {
             0
         } else {
@@ -146,10 +146,10 @@
     /// Nodes up to this number may have been there before us: by the word of those that counted otherwise before, or
     /// that have counted so for long; all, where nobody knows.
     fn old(&self) -> usize {
-        let knows = |s: &&Says| s.before > 0 || s.held >= self.settles;
-        let before = |s: &Says| {
-            if s.before > 0 && s.held < self.settles {
-                s.before
+        let knows = |s: &&ClusterSizeView| s.previous_nodes > 0 || s.unchanged_for >= self.settles;
+        let before = |s: &ClusterSizeView| {
+            if s.previous_nodes > 0 && s.unchanged_for < self.settles {
+                s.previous_nodes
             } else {
                 self.nodes
             }
@@ -159,7 +159,7 @@
     }
 
     /// Whether this node has a part of its own.
-    pub fn known(&mut self, now: Nanos) -> bool {
+    pub fn is_agreed(&mut self, now: Nanos) -> bool {
         if self.known {
             return true;
         }
@@ -168,11 +168,12 @@
         let vouch = self
             .says
             .values()
-            .filter(|s| s.held >= self.settles)
+            .filter(|s| s.unchanged_for >= self.settles)
             .count();
         let enough = VOUCH.min(self.nodes - 1);
-        let all =
-            self.says.len() >= enough && self.old() <= KEPT && self.unheard().next().is_none();
+        let all = self.says.len() >= enough
+            && self.old() <= KEPT
+            && self.unheard_peers().next().is_none();
         self.known = passed || vouch >= enough || all;
         self.known
     }
--- a/crates/sparrouter-shares/tests/fleets.rs
+++ b/crates/sparrouter-shares/tests/fleets.rs
@@ -2,10 +2,10 @@
 //! be used is used.
 mod world;
 use proptest::prelude::*;
-use sparrouter_shares::note::{Note, Rows};
-use sparrouter_shares::shares::Place;
-use sparrouter_shares::size::Says;
-use sparrouter_shares::{SECOND, Shares};
+use sparrouter_shares::note::{QuotaMessage, QuotaRows};
+use sparrouter_shares::shares::ClusterPosition;
+use sparrouter_shares::size::ClusterSizeView;
+use sparrouter_shares::{QuotaShares, SECOND};
 use world::{Kind, MS, World};
 
 /// The limit itself, and what floating sums may differ by.
@@ -172,25 +172,25 @@
 fn two_under_one_number_cost_one_part_more() {
     let mut w = fleet(16, 22);
     w.all.iter_mut().for_each(|m| m.demand = 20.0);
-    let place = Place {
+    let place = ClusterPosition {
         own: 3,
         nodes: 16,
-        notes: true,
+        sends_messages: true,
         seed: 5,
-        print: 7,
+        fingerprint: 7,
     };
-    let mut twin = Shares::new(place, &[w.limit], w.informed, w.lease, w.now);
+    let mut twin = QuotaShares::new(place, &[w.limit], w.informed, w.lease, w.now);
     let own = w.limit.per_s / 16.0;
     for n in 0..100 {
         w.run(100 * MS);
         twin.tick(w.now);
-        let part = twin.part(0, w.now);
+        let part = twin.own_rate(0, w.now);
         assert!(
             part <= own && w.sum() + part <= w.limit.per_s + own + 1e-6,
             "{part} after {n}"
         );
     }
-    assert!(twin.part(0, w.now) > 0.99 * own);
+    assert!(twin.own_rate(0, w.now) > 0.99 * own);
 }
 
 /// One that asks ten thousand times at once is answered twice, and the others go on being answered.
@@ -199,25 +199,25 @@
     let mut w = fleet(16, 21);
     w.run(8 * SECOND);
     let at = w.clock(0);
-    let ask = |number: u32| Note {
-        print: 7,
-        says: Says {
+    let ask = |number: u32| QuotaMessage {
+        fingerprint: 7,
+        size_view: ClusterSizeView {
             nodes: 16,
-            before: 0,
-            held: 0,
+            previous_nodes: 0,
+            unchanged_for: 0,
         },
-        number,
-        rows: Rows::Ask(vec![(0, 0.0, 50.0)]),
+        sequence: number,
+        rows: QuotaRows::Request(vec![(0, 0.0, 50.0)]),
     };
     let lender = w.all[0].shares.as_mut().unwrap();
     let answers = (0..10_000)
-        .filter(|n| lender.heard(5, &ask(*n).write(), at).is_some())
+        .filter(|n| lender.receive(5, &ask(*n).write(), at).is_some())
         .count();
     assert_eq!(answers, 2);
     assert!(
         (1..16)
             .filter(|p| *p != 5)
-            .all(|p| lender.heard(p, &ask(1).write(), at).is_some())
+            .all(|p| lender.receive(p, &ask(1).write(), at).is_some())
     );
 }
 
--- a/crates/sparrouter-shares/tests/world/mod.rs
+++ b/crates/sparrouter-shares/tests/world/mod.rs
@@ -1,9 +1,9 @@
 //! Many nodes' shares in one process: their clocks, the notes between them, arrivals, and what fails.
 #![allow(dead_code)]
 use fastrand::Rng;
-use sparrouter_shares::note::{Note, Rows};
-use sparrouter_shares::shares::Place;
-use sparrouter_shares::{Limit, Nanos, SECOND, Shares};
+use sparrouter_shares::note::{QuotaMessage, QuotaRows};
+use sparrouter_shares::shares::ClusterPosition;
+use sparrouter_shares::{Limit, Nanos, QuotaShares, SECOND};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -19,7 +19,7 @@
 }
 
 pub struct Member {
-    pub shares: Option<Shares>,
+    pub shares: Option<QuotaShares>,
     pub kind: Kind,
     /// Arrivals a second.
     pub demand: f64,
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Tick(usize, u32),
-    Note(usize, usize, Vec<u8>),
+    QuotaMessage(usize, usize, Vec<u8>),
     Arrives(usize, u32),
     Told(usize, usize),
     Resume(usize),
@@ -134,13 +134,13 @@
     pub fn clock(&self, n: usize) -> Nanos {
         self.all[n].base + (self.now as f64 * self.all[n].rate) as Nanos
     }
-    fn place(&mut self, n: usize, nodes: usize) -> Place {
-        Place {
+    fn place(&mut self, n: usize, nodes: usize) -> ClusterPosition {
+        ClusterPosition {
             own: n,
             nodes,
-            notes: self.notes,
+            sends_messages: self.notes,
             seed: self.rng.u64(..),
-            print: 7,
+            fingerprint: 7,
         }
     }
 
@@ -150,11 +150,11 @@
         let place = self.place(n, self.size);
         let (limit, at) = (self.limit, self.clock(n));
         let old = self.all[n].kind == Kind::Old;
-        let place = Place {
-            notes: self.notes && !old,
+        let place = ClusterPosition {
+            sends_messages: self.notes && !old,
             ..place
         };
-        let shares = Shares::new(
+        let shares = QuotaShares::new(
             place,
             &[limit],
             if old { 0 } else { self.informed },
@@ -228,12 +228,12 @@
                 let kind = m.kind;
                 let shares = m.shares.as_mut().unwrap();
                 let notes = shares.tick(at);
-                let wait = ((shares.next().saturating_sub(at)) as f64 / m.rate) as Nanos + 1;
+                let wait = ((shares.next_tick().saturating_sub(at)) as f64 / m.rate) as Nanos + 1;
                 self.put(self.now + wait.clamp(MS, 250 * MS), Due::Tick(n, lives));
                 for (to, text) in notes {
                     if kind == Kind::Liar {
-                        let mut note = Note::read(&text).unwrap();
-                        if let Rows::Ask(rows) = &mut note.rows {
+                        let mut note = QuotaMessage::read(&text).unwrap();
+                        if let QuotaRows::Request(rows) = &mut note.rows {
                             rows.clear();
                             rows.push((0, 0.0, 1e6));
                         }
@@ -243,16 +243,16 @@
                     }
                 }
             }
-            Due::Note(from, to, text) => {
+            Due::QuotaMessage(from, to, text) => {
                 let at = self.clock(to);
                 let m = &mut self.all[to];
                 if m.paused {
-                    return self.put(self.now + 10 * MS, Due::Note(from, to, text));
+                    return self.put(self.now + 10 * MS, Due::QuotaMessage(from, to, text));
                 }
                 if m.kind == Kind::Old {
                     return;
                 }
-                if let Some(answer) = m.shares.as_mut().and_then(|s| s.heard(from, &text, at)) {
+                if let Some(answer) = m.shares.as_mut().and_then(|s| s.receive(from, &text, at)) {
                     self.send(to, from, answer);
                 }
             }
@@ -264,7 +264,7 @@
                 }
                 if !m.paused && m.demand > 0.0 {
                     m.arrived += 1;
-                    let within = m.shares.as_mut().unwrap().take(0, at);
+                    let within = m.shares.as_mut().unwrap().try_acquire(0, at);
                     m.within += u64::from(within);
                 }
                 let rate = if m.demand > 0.0 { m.demand } else { 20.0 };
@@ -285,7 +285,7 @@
                 }
                 if let Some(s) = m.shares.as_mut() {
                     m.told = nodes;
-                    s.told(place, &[limit], at);
+                    s.update_cluster(place, &[limit], at);
                 }
             }
             Due::Resume(n) => self.all[n].paused = false,
@@ -305,9 +305,12 @@
         }
         let late = self.rng.u64(net.delay[0]..=net.delay[1]);
         if let Some(again) = net.again {
-            self.put(self.now + late + again, Due::Note(from, to, text.clone()));
+            self.put(
+                self.now + late + again,
+                Due::QuotaMessage(from, to, text.clone()),
+            );
         }
-        self.put(self.now + late, Due::Note(from, to, text));
+        self.put(self.now + late, Due::QuotaMessage(from, to, text));
     }
 
     pub fn parts(&mut self) -> Vec<f64> {
@@ -319,7 +322,7 @@
                 if m.kind == Kind::Old {
                     per_s / m.told as f64
                 } else {
-                    s.part(0, at[n])
+                    s.own_rate(0, at[n])
                 }
             })
         };
--- a/crates/sparrouter-simhost/src/node.rs
+++ b/crates/sparrouter-simhost/src/node.rs
@@ -3,7 +3,7 @@
 use base64::{Engine, engine::general_purpose::STANDARD as BASE64};
 use sparrouter_balancer::policy::Policy;
 use sparrouter_balancer::types::*;
-use sparrouter_settings::{Listed, Names, hash, nanos};
+use sparrouter_settings::{ListEntry, NameTable, hash, nanos};
 use std::collections::HashMap;
 
 struct Ticket {
@@ -15,10 +15,10 @@
 pub struct Node {
     i: i64,
     policy: Policy,
-    names: Names,
-    tickets: HashMap<String, InvIx>,
-    invs: HashMap<InvIx, Ticket>,
-    next: InvIx,
+    names: NameTable,
+    tickets: HashMap<String, InvocationIndex>,
+    invs: HashMap<InvocationIndex, Ticket>,
+    next: InvocationIndex,
 }
 
 fn outcome(verb: &str, rc: &str) -> Result<Outcome, String> {
@@ -52,7 +52,7 @@
             .or_else(|| enlist.nonce.as_i64().map(|n| n as u64));
         let seed = seed.ok_or("Enlist: field Nonce64: not a whole number")?;
         let policy = info.policy(seed).map_err(|e| format!("Enlist: {e}"))?;
-        let names = Names::new(&info);
+        let names = NameTable::new(&info);
         Ok(Node {
             i: enlist.i,
             policy,
@@ -63,10 +63,10 @@
         })
     }
 
-    fn row(&mut self, r: wire::Row) -> Result<Row, String> {
+    fn row(&mut self, r: wire::Row) -> Result<CacheRecord, String> {
         let ready_at = nanos("ReadyAtUs", r.ready_at_us)?;
         let (id, state, zone, kind) = (&r.server, &r.condition, &r.campus, &r.generation_hw);
-        let listed = Listed {
+        let listed = ListEntry {
             id,
             state,
             zone,
@@ -76,11 +76,11 @@
             ready_at,
         };
         self.names
-            .row(&listed)
+            .record(&listed)
             .map_err(|e| format!("PeersKnown: field Condition: {e}"))
     }
 
-    fn server(&self, verb: &str, server: &str) -> Result<CacheIx, String> {
+    fn server(&self, verb: &str, server: &str) -> Result<CacheIndex, String> {
         let known = self.names.cache(server);
         known.ok_or_else(|| format!("{verb}: field Server: {server} was never listed"))
     }
@@ -91,10 +91,10 @@
             Incoming::Enlist(_) | Incoming::Down { .. } => None,
             Incoming::PeersKnown(known) => {
                 let form = match known.form.as_str() {
-                    "INCREMENTAL" => Form::Changes,
-                    "FULL" => Form::Full,
-                    "SAVED" => Form::Saved,
-                    "FAILED" => Form::Lost,
+                    "INCREMENTAL" => ListKind::Changes,
+                    "FULL" => ListKind::Full,
+                    "SAVED" => ListKind::Saved,
+                    "FAILED" => ListKind::Lost,
                     other => return Err(format!("PeersKnown: field Form: unknown value {other}")),
                 };
                 let rows = known
@@ -102,7 +102,10 @@
                     .into_iter()
                     .map(|r| self.row(r))
                     .collect::<Result<Vec<_>, _>>()?;
-                Some(Event::Listed { form, rows })
+                Some(Event::Listed {
+                    form,
+                    records: rows,
+                })
             }
             Incoming::Ingress(r) => {
                 let operation = self.names.operation(r.kind.as_bytes());
@@ -131,14 +134,14 @@
                         .predicted_us
                         .map(|w| nanos("PredictedUs", w))
                         .transpose()?,
-                    due: nanos("DueUs", r.due_us)?,
-                    within: None,
+                    deadline: nanos("DueUs", r.due_us)?,
+                    is_within_quota: None,
                 }))
             }
             Incoming::Begun(b) => self
                 .tickets
                 .get(&b.ticket)
-                .map(|&inv| Event::Begun { inv, copy: b.copy }),
+                .map(|&inv| Event::ResponseStarted { inv, copy: b.copy }),
             Incoming::Done(d) => {
                 let cache = self.server("Done", &d.server)?;
                 let outcome = outcome("Done", &d.rc)?;
@@ -149,17 +152,17 @@
                     t.out = t.out.saturating_sub(1);
                     t.open &= !d.last;
                 }
-                Some(Event::Ended(Ending {
+                Some(Event::ForwardEnded(ForwardOutcome {
                     inv,
                     copy: d.copy,
                     cache,
                     outcome,
-                    lag: nanos("LagUs", d.lag_us)?,
-                    last: d.last,
-                    note: match d.note {
-                        Some(1) => Some(Note::Hit),
-                        Some(2) => Some(Note::Miss),
-                        Some(3) => Some(Note::MissWhileFetching),
+                    latency: nanos("LagUs", d.lag_us)?,
+                    is_final: d.last,
+                    cache_result: match d.note {
+                        Some(1) => Some(CacheResult::Hit),
+                        Some(2) => Some(CacheResult::Miss),
+                        Some(3) => Some(CacheResult::MissWhileFetching),
                         _ => None,
                     },
                     load: load(d.health_info),
@@ -169,11 +172,11 @@
                 if let Some(t) = self.invs.get_mut(&inv) {
                     t.open = false;
                 }
-                Event::Left { inv }
+                Event::ClientLeft { inv }
             }),
             Incoming::TimeoutFired { handle, .. } => {
                 let token = handle.parse();
-                Some(Event::Woke {
+                Some(Event::TimerFired {
                     token: token
                         .map_err(|_| format!("TimeoutFired: field Handle: {handle} is not ours"))?,
                 })
@@ -181,7 +184,7 @@
             Incoming::Echo(e) => {
                 let ok = outcome("Echo", &e.rc)? == Outcome::Succeeded;
                 let cache = self.server("Echo", &e.server)?;
-                Some(Event::Probed {
+                Some(Event::HealthChecked {
                     cache,
                     ok,
                     load: load(e.health_info),
@@ -189,7 +192,7 @@
             }
             Incoming::Datagram {
                 neighbour, payload, ..
-            } => Some(Event::Told {
+            } => Some(Event::GossipReceived {
                 peer: neighbour,
                 text: BASE64
                     .decode(payload)
@@ -201,22 +204,22 @@
     pub fn handle(&mut self, now: Nanos, event: Option<Event>, orders: &mut Vec<Order>) {
         let Some(event) = event else { return };
         let ended = match &event {
-            Event::Ended(e) => Some(e.inv),
-            Event::Left { inv } => Some(*inv),
+            Event::ForwardEnded(e) => Some(e.inv),
+            Event::ClientLeft { inv } => Some(*inv),
             _ => None,
         };
         self.policy.handle(now, event);
         let i = self.i;
         let micros = |t: Nanos| t.div_ceil(MICRO);
-        let mut touched: Vec<InvIx> = ended.into_iter().collect();
-        for action in self.policy.drain() {
+        let mut touched: Vec<InvocationIndex> = ended.into_iter().collect();
+        for action in self.policy.take_actions() {
             let order = match action {
                 // On this wire a forward leaves in the moment of its decision.
                 Action::Forward {
                     inv,
                     cache,
                     wait,
-                    before: _,
+                    must_leave_before: _,
                 } => {
                     let t = self.invs.get_mut(&inv).expect("known invocation");
                     t.out += 1;
@@ -246,22 +249,22 @@
                         _ => Order::Abort { i, ticket },
                     }
                 }
-                Action::Wake { after, token } => Order::NotifyMe {
+                Action::SetTimer { after, token } => Order::NotifyMe {
                     i,
                     wait_us: micros(after),
                     handle: token.to_string(),
                 },
-                Action::Probe { cache } => Order::Sample {
+                Action::CheckHealth { cache } => Order::Sample {
                     i,
                     server: self.names.id(cache).to_string(),
                 },
-                Action::Tell { peer, text } => Order::Signal {
+                Action::SendGossip { peer, text } => Order::Signal {
                     i,
                     peer: peer as i64,
                     payload: BASE64.encode(text),
                 },
-                Action::Follow => Order::Tail { i, on: true },
-                Action::AskList => Order::Pull { i },
+                Action::FollowList => Order::Tail { i, on: true },
+                Action::RequestList => Order::Pull { i },
             };
             orders.push(order);
         }
