--- a/crates/sparrouter-consensus/src/proposer.rs
+++ b/crates/sparrouter-consensus/src/proposer.rs
@@ -283,7 +283,7 @@
         round.heard.insert(from.disk_id, at);
         if let Some(vote) = newer {
             if vote.id() > round.vote.id() && (!any || first) {
-                self.apply_settings(vote);
+                self.take_up(vote);
             } else {
                 round.seen.push(vote);
             }
@@ -292,7 +292,7 @@
     }
 
     /// A newer vote in a round that asks: whoever has a say in it is asked too.
-    fn apply_settings(&mut self, vote: SharedVote) {
+    fn take_up(&mut self, vote: SharedVote) {
         let Phase::Round(round) = &mut self.phase else {
             return;
         };
@@ -321,11 +321,11 @@
             Goal::Accept { .. } => {}
             _ if vote.id() < round.vote.id() => {}
             Goal::Query { .. } => {
-                self.apply_settings(vote.clone());
+                self.take_up(vote.clone());
                 self.count_reports(now);
             }
             Goal::Prepare { .. } => {
-                self.apply_settings(vote.clone());
+                self.take_up(vote.clone());
                 self.count_promises(now);
             }
         }
--- a/crates/sparrouter-fleet/src/rollout/load.rs
+++ b/crates/sparrouter-fleet/src/rollout/load.rs
@@ -28,7 +28,7 @@
     /// It runs this version, the newest.
     Runs(u64),
     /// It left, the lease is another's, no quorum answers, or it takes too long.
-    ShedCounts,
+    GivenUp,
 }
 
 /// What is known of one server while it is brought to the newest version.
@@ -93,7 +93,7 @@
         let ended = self.load(held, id, model, &mut progress).await;
         let reached = match ended {
             Ended::Runs(version) => version,
-            Ended::ShedCounts => 0,
+            Ended::GivenUp => 0,
         };
         if reached > 0 && !progress.was_overtaken {
             let took = (self.node.now() - progress.since) as f64 / 1e9;
@@ -112,7 +112,7 @@
         let longest = nanos(self.node.settings.borrow().bounds.version) * LONGEST;
         loop {
             let Some((address, newest)) = self.still_to_do(held, id, model) else {
-                return Ended::ShedCounts;
+                return Ended::GivenUp;
             };
             if newest > progress.target {
                 (progress.target, progress.since) = (newest, self.node.now());
@@ -120,12 +120,12 @@
                 self.direct(held, DirectiveKind::Load, id, model, newest, false);
             }
             if self.node.now() - progress.since >= longest {
-                return Ended::ShedCounts;
+                return Ended::GivenUp;
             }
             if progress.may_order(self.node.now())
                 && !self.order_once(held, id, address, model, progress).await
             {
-                return Ended::ShedCounts;
+                return Ended::GivenUp;
             }
             tokio::time::sleep(self.node.jitter(REPORT)).await;
             let Some(report) = report(&*self.node.net, address).await else {
