--- a/crates/sparrouter-consensus/tests/fleet/copies.rs
+++ b/crates/sparrouter-consensus/tests/fleet/copies.rs
@@ -49,7 +49,7 @@
 
 /// What a node would find on its disk after a loss of power.
 pub fn synced_vote(node: &Node) -> Option<SharedVote> {
-    let (_, opened) = Store::open(node.files.synced_copy()).ok()?;
+    let (_, opened) = Store::open(node.files.synced_snapshot()).ok()?;
     let Opened::Existing(records) = opened else {
         return None;
     };
--- a/crates/sparrouter-consensus/tests/fleet/faults.rs
+++ b/crates/sparrouter-consensus/tests/fleet/faults.rs
@@ -241,7 +241,7 @@
         }
         self.log(|| format!("kill {node}"));
         self.die_in_a_save(node);
-        self.nodes[node].files.mend();
+        self.nodes[node].files.clear_failure();
         self.at(back, Event::Start { node });
     }
 
--- a/crates/sparrouter-consensus/tests/fleet/mod.rs
+++ b/crates/sparrouter-consensus/tests/fleet/mod.rs
@@ -511,12 +511,12 @@
                     DiskFailure::Torn(9),
                 ][chance as usize % 3],
             ),
-            Disk::Full => it.files.set_room(Some(bytes.len() * 2)),
+            Disk::Full => it.files.set_capacity(Some(bytes.len() * 2)),
             _ => {}
         }
         let ok = store.save("part-7", &bytes).is_ok();
-        it.files.mend();
-        it.files.set_room(None);
+        it.files.clear_failure();
+        it.files.set_capacity(None);
         it.saving = None;
         register.stored(token, ok, now);
         self.log(|| format!("node {node} stored {token}: {ok}"));
