--- a/crates/sparrouter-node/src/program/config.rs
+++ b/crates/sparrouter-node/src/program/config.rs
@@ -55,7 +55,7 @@
             .map(|(name, _)| name.to_string());
         own.chain(
             self.settings
-                .fixed(&new.settings)
+                .restart_required(&new.settings)
                 .into_iter()
                 .map(|n| format!("settings.{n}")),
         )
--- a/crates/sparrouter-node/src/program/operator.rs
+++ b/crates/sparrouter-node/src/program/operator.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Default, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Identity {
-    /// NameTable the state of program and settings, as whoever changes them calls it.
+    /// Names the state of program and settings, as whoever changes them calls it.
     pub generation: String,
 }
 
--- a/crates/sparrouter-node/src/program/reload.rs
+++ b/crates/sparrouter-node/src/program/reload.rs
@@ -62,7 +62,7 @@
                 fixed.join(", ")
             ));
         }
-        let named = |e: String| format!("settings: {e}");
+        let named = |e: sparrouter_settings::SettingsError| format!("settings: {e}");
         let policy = config.settings.policy(config.seed()?).map_err(named)?;
         let operations = config.settings.operations().map_err(named)?;
         if operations.iter().all(|o| o.client_timeout == 0) {
--- a/crates/sparrouter-node/src/program/start.rs
+++ b/crates/sparrouter-node/src/program/start.rs
@@ -13,7 +13,7 @@
 use sparrouter_balancer::gossip::FORMATS;
 use sparrouter_balancer::policy::Policy;
 use sparrouter_balancer::types::Nanos;
-use sparrouter_settings::{NameTable, Settings};
+use sparrouter_settings::{NameTable, Settings, SettingsError};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -48,7 +48,7 @@
 
     let (seed, began) = (config.seed()?, Instant::now());
     let settings = config.settings.clone();
-    let named = |e: String| format!("settings: {e}");
+    let named = |e: SettingsError| format!("settings: {e}");
     let policy = settings.policy(seed).map_err(named)?;
     let operations = settings.operations().map_err(named)?;
     let connections = settings.connections().map_err(named)?;
@@ -95,9 +95,11 @@
     tokio::task::spawn_local(pool.clone().retire());
 
     let (asks, asked) = mpsc::channel(4);
-    let (unasked, rev) = (!settings.must_ask(), config.known.rev);
+    let (unasked, rev) = (!settings.list_is_polled(), config.known.rev);
     let (discovery, at) = watch::channel(config.discovery);
-    let pace = Rc::new(Cell::new(pace(&settings).map_err(named)?));
+    let pace = Rc::new(Cell::new(
+        pace(&settings).map_err(|e| format!("settings: {e}"))?,
+    ));
     let list = List {
         discovery: at,
         asks: asked,
@@ -213,7 +215,7 @@
 
 /// How often a node that keeps a watch by itself asks for a lost one: what drained meanwhile has to be known
 /// within the grace that the settings give, of which half is left for the call.
-pub fn pace(settings: &Settings) -> Result<Duration, String> {
+pub fn pace(settings: &Settings) -> Result<Duration, SettingsError> {
     let grace = Duration::from_nanos(settings.drain_grace()?);
     Ok(if grace.is_zero() {
         list::HEARTBEAT
--- a/crates/sparrouter-settings/src/lib.rs
+++ b/crates/sparrouter-settings/src/lib.rs
@@ -1,11 +1,21 @@
-//! The settings object that the operators hand to a node, on the simulator's wire and in the real
-//! node's configuration alike, and the maps from its names to the module's small indices.
-mod changes;
-mod names;
-mod object;
-mod parts;
+//! The settings object of the older proxy, as operators write it: the same in the simulator's messages and in the node's
+//! configuration file. It is read into the types of `sparrouter-balancer`; names become small indices.
+//!
+//! | module | its one job |
+//! | --- | --- |
+//! | `document` | the object, field by field |
+//! | `convert` | the object read into the types of the decisions |
+//! | `name_table` | names of operations, tenants and cache servers as indices |
+//! | `reload` | other settings for a node at work |
+//! | `error` | what is wrong with an object |
+mod convert;
+mod document;
+mod error;
+mod name_table;
+mod reload;
 
-pub use changes::SettingsChange;
-pub use names::{ListEntry, NameTable, hash};
-pub use object::{Settings, Tenant};
-pub use parts::{Connections, nanos};
+pub use convert::{Connections, nanos};
+pub use document::{Settings, Tenant};
+pub use error::SettingsError;
+pub use name_table::{ListEntry, NameTable, hash};
+pub use reload::SettingsChange;
--- a/crates/sparrouter-simhost/src/main.rs
+++ b/crates/sparrouter-simhost/src/main.rs
@@ -1,74 +1,45 @@
-//! Hosts instances of the decision module on the simulator's wire: one JSON batch a line in, one
-//! reply a line out. It translates and decides nothing.
-mod node;
+//! Hosts instances of the older proxy's decisions for the simulator: one JSON batch a line in, one reply a line out. It
+//! translates between the simulator's messages and the decisions' events and actions, and decides nothing itself.
+//!
+//! | module | its one job |
+//! | --- | --- |
+//! | `wire` | the simulator's messages, in its own words |
+//! | `batch` | one line of input, for all instances |
+//! | `instance` | one instance: ids of the simulator and indices of the decisions |
+//! | `error` | why a batch cannot be processed |
+mod batch;
+mod error;
+mod instance;
+#[cfg(test)]
+mod tests;
 mod wire;
 
-use node::Node;
-use std::collections::BTreeMap;
+use batch::Instances;
+use error::HostError;
 use std::io::{self, BufRead, Write};
-use std::panic::{AssertUnwindSafe, catch_unwind};
-use wire::{Batch, Incoming, Order, Reply};
-
-fn play(nodes: &mut BTreeMap<i64, Node>, line: &str) -> Result<Vec<Order>, String> {
-    let batch: Batch = serde_json::from_str(line).map_err(|e| format!("bad batch: {e}"))?;
-    let now = sparrouter_settings::nanos("AtTimeUs", batch.at)?;
-    let mut orders = Vec::new();
-    for incoming in batch.events {
-        let i = incoming.instance();
-        match incoming {
-            Incoming::Enlist(enlist) => {
-                nodes.insert(i, Node::new(enlist)?);
-            }
-            Incoming::Down { .. } => {
-                nodes
-                    .remove(&i)
-                    .ok_or_else(|| format!("Down: field I: instance {i} was not enlisted"))?;
-            }
-            event => {
-                let name = event.name();
-                let node = nodes
-                    .get_mut(&i)
-                    .ok_or_else(|| format!("{name}: field I: instance {i} was not enlisted"))?;
-                let event = node.translate(event)?;
-                let mut told = Vec::new();
-                let outcome = catch_unwind(AssertUnwindSafe(|| node.handle(now, event, &mut told)));
-                orders.append(&mut told);
-                if let Err(panic) = outcome {
-                    let text = panic
-                        .downcast_ref::<String>()
-                        .cloned()
-                        .or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string()));
-                    orders.push(Order::Exception {
-                        i,
-                        text: text.unwrap_or_else(|| "panic".into()),
-                    });
-                }
-            }
-        }
-    }
-    Ok(orders)
-}
+use std::process::ExitCode;
+use wire::Reply;
 
-fn run() -> Result<(), String> {
-    let mut nodes = BTreeMap::new();
+fn run() -> Result<(), HostError> {
+    let mut instances = Instances::new();
     let mut out = io::BufWriter::new(io::stdout().lock());
     for line in io::stdin().lock().lines() {
-        let line = line.map_err(|e| format!("standard input: {e}"))?;
-        let orders = play(&mut nodes, &line)?;
-        serde_json::to_writer(&mut out, &Reply { orders }).map_err(|e| e.to_string())?;
+        let line = line.map_err(HostError::Input)?;
+        let orders = batch::process(&mut instances, &line)?;
+        serde_json::to_writer(&mut out, &Reply { orders }).map_err(HostError::Reply)?;
         out.write_all(b"\n")
             .and_then(|()| out.flush())
-            .map_err(|e| format!("standard output: {e}"))?;
+            .map_err(HostError::Output)?;
     }
     Ok(())
 }
 
-fn main() {
-    if let Err(text) = run() {
-        eprintln!("sparrouter-simhost: {text}");
-        std::process::exit(2);
+fn main() -> ExitCode {
+    match run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("sparrouter-simhost: {error}");
+            ExitCode::from(2)
+        }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/sparrouter-simhost/src/tests.rs
+++ b/crates/sparrouter-simhost/src/tests.rs
@@ -1,7 +1,10 @@
-use super::*;
+//! Whole lines in, orders out.
+use crate::batch::{self, Instances};
+use crate::error::HostError;
+use crate::wire::Order;
 
-fn reply(line: &str) -> Result<Vec<Order>, String> {
-    play(&mut BTreeMap::new(), line)
+fn reply(line: &str) -> Result<Vec<Order>, HostError> {
+    batch::process(&mut Instances::new(), line)
 }
 
 #[test]
@@ -24,7 +27,7 @@
         ),
         (r#"{"AtTimeUs":-1,"events":[]}"#, "AtTimeUs"),
     ] {
-        let text = reply(line).err().unwrap_or_default();
+        let text = reply(line).err().map(|e| e.to_string()).unwrap_or_default();
         assert!(text.contains(part), "{line}: {text}");
     }
 }
@@ -57,38 +60,40 @@
 
 #[test]
 fn an_invocation_goes_to_a_cache_then_to_the_origin_and_is_forgotten() {
-    let mut nodes = BTreeMap::new();
+    let mut instances = Instances::new();
     let done = |copy: u8, server: &str, rc: &str, last: bool| {
         format!(
             r#"{{"AtTimeUs":{},"events":[{{"verb":"Done","I":3,"Ticket":"t","Copy":{copy},"Server":"{server}","Rc":"{rc}","LagUs":900,"Last":{last}}}]}}"#,
             2000 + u64::from(copy)
         )
     };
-    let orders = play(&mut nodes, &ENLIST.replace('\n', "")).unwrap();
+    let orders = batch::process(&mut instances, &ENLIST.replace('\n', "")).unwrap();
     assert_eq!(routes(&orders), [("t", "a:1")]);
-    let orders = play(&mut nodes, &done(0, "a:1", "NOT_FOUND", false)).unwrap();
+    let orders = batch::process(&mut instances, &done(0, "a:1", "NOT_FOUND", false)).unwrap();
     assert_eq!(routes(&orders), [("t", "o:1")]);
     assert!(
-        play(&mut nodes, &done(1, "o:1", "OK", true))
+        batch::process(&mut instances, &done(1, "o:1", "OK", true))
             .unwrap()
             .is_empty()
     );
     // What is long over is ignored; an outcome or a server never heard of is an error.
     assert!(
-        play(&mut nodes, &done(1, "o:1", "OK", true))
+        batch::process(&mut instances, &done(1, "o:1", "OK", true))
             .unwrap()
             .is_empty()
     );
     assert!(
-        play(&mut nodes, &done(1, "o:1", "SO_SO", true))
+        batch::process(&mut instances, &done(1, "o:1", "SO_SO", true))
             .err()
             .unwrap()
+            .to_string()
             .contains("Rc")
     );
     assert!(
-        play(&mut nodes, &done(1, "z:9", "OK", true))
+        batch::process(&mut instances, &done(1, "z:9", "OK", true))
             .err()
             .unwrap()
+            .to_string()
             .contains("Server")
     );
 }
--- a/crates/sparrouter-simhost/src/wire.rs
+++ b/crates/sparrouter-simhost/src/wire.rs
@@ -1,8 +1,10 @@
-//! The wire's messages, in the wire's own words.
+//! The simulator's messages. Names of verbs and fields are the simulator's own; `serde` maps the fields' case. Times that end
+//! in `Us` are microseconds.
 use serde::{Deserialize, Serialize};
 use sparrouter_settings::Settings;
 use std::collections::BTreeMap;
 
+/// A line of input: events at one moment.
 #[derive(Deserialize)]
 pub struct Batch {
     #[serde(rename = "AtTimeUs")]
@@ -10,11 +12,13 @@
     pub events: Vec<Incoming>,
 }
 
+/// A line of output.
 #[derive(Serialize)]
 pub struct Reply {
     pub orders: Vec<Order>,
 }
 
+/// An event for one instance.
 #[derive(Deserialize)]
 #[serde(tag = "verb")]
 pub enum Incoming {
@@ -51,6 +55,7 @@
 }
 
 impl Incoming {
+    /// The number of the instance that it is for.
     pub fn instance(&self) -> i64 {
         match self {
             Incoming::Enlist(e) => e.i,
@@ -65,7 +70,8 @@
             | Incoming::Datagram { i, .. } => *i,
         }
     }
-    pub fn name(&self) -> &'static str {
+    /// Its verb.
+    pub fn verb(&self) -> &'static str {
         match self {
             Incoming::Enlist(_) => "Enlist",
             Incoming::Down { .. } => "Down",
@@ -81,6 +87,7 @@
     }
 }
 
+/// Creates an instance.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Enlist {
@@ -94,6 +101,7 @@
     1.0
 }
 
+/// The list of cache servers, or changes of it.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct PeersKnown {
@@ -103,6 +111,7 @@
     pub rows: Vec<Row>,
 }
 
+/// An entry of the list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Row {
@@ -120,6 +129,7 @@
     pub ready_at_us: i64,
 }
 
+/// An invocation arrives.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Ingress {
@@ -137,6 +147,7 @@
     pub kind: String,
 }
 
+/// The first bytes of an answer arrived.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Begun {
@@ -145,6 +156,7 @@
     pub copy: usize,
 }
 
+/// A forward ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Done {
@@ -160,6 +172,7 @@
     pub health_info: Option<BTreeMap<String, f64>>,
 }
 
+/// A health check ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Echo {
@@ -169,6 +182,7 @@
     pub health_info: Option<BTreeMap<String, f64>>,
 }
 
+/// What an instance wants done.
 #[derive(Serialize)]
 #[serde(tag = "verb")]
 pub enum Order {
