--- a/crates/sparrouter-consensus/src/evaluation.rs
+++ b/crates/sparrouter-consensus/src/evaluation.rs
@@ -1,161 +1,227 @@
-//! Waiting calls put on a chosen state, in the order in which they came: what they make of it, and what was lost or
-//! won of those that had left before.
+//! Evaluation of the waiting operations on a chosen state: first what became of those that were proposed before, then
+//! the next proposal.
+//!
+//! Invariant: an operation takes effect at most once. It is evaluated again only after each slot that it was proposed
+//! for went to another proposal, which a chosen state shows by `State::recent_proposals`.
 use crate::machine::{Applied, Machine};
-use crate::operation::{Kind, MOST_SENT, Operation, Outcome, Rejection};
+use crate::operation::{Operation, OperationKind, Outcome, Rejection, Sequence};
 use crate::settings::Settings;
-use crate::types::{MAX_MEMBERS, MAX_RECENT_PROPOSALS, Member, ProposalNumber, State, Vote};
+use crate::vote::{
+    MAX_MEMBERS, MAX_RECENT_PROPOSALS, Member, ProposalNumber, State, Vote, contains_disk,
+};
 
-/// What a chosen state says about a call that had left.
+/// Proposals of one operation that may be open at once; beyond them its outcome is unknown.
+const MAX_SENT_PROPOSALS: usize = 16;
+
+/// What a chosen state says about an operation that may have been proposed before.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
-    /// To be judged on this state.
-    Waits,
+pub(crate) enum Resolution {
+    /// It is in no chosen state up to this one: it may be evaluated on it.
+    Pending,
+    /// One of its proposals was chosen; its answer.
     Chosen(Vec<u8>),
-    /// A slot of its proposals is too far back to tell.
-    Untold,
+    /// One of its slots is too far back to see who won it.
+    Unknown,
 }
 
-/// Drops the proposals that lost their slot. One whose slot is open stays: some acceptor may hold it.
-pub(crate) fn fate(operation: &mut Operation, chosen: &State, settings: &Settings) -> Fate {
+/// Resolves an operation and forgets its proposals that lost their slots. One whose slot is open stays: some acceptor
+/// may have it.
+pub(crate) fn resolve(
+    operation: &mut Operation,
+    chosen: &State,
+    settings: &Settings,
+) -> Resolution {
     if settings.defects.forget_sent {
         operation.sent.clear();
     }
-    if let Some(sent) = operation
+    let winner = operation
         .sent
         .iter()
-        .find(|s| chosen.recent_proposals.contains(&s.origin))
-    {
-        return Fate::Chosen(sent.answer.clone());
+        .find(|sent| chosen.recent_proposals.contains(&sent.proposal_id));
+    if let Some(winner) = winner {
+        return Resolution::Chosen(winner.answer.clone());
     }
-    let told = chosen.slot - (chosen.recent_proposals.len() as u64).min(chosen.slot);
-    if operation.sent.iter().any(|s| s.seq <= told) {
-        return Fate::Untold;
+    let visible_slots = (chosen.recent_proposals.len() as u64).min(chosen.slot);
+    let newest_invisible_slot = chosen.slot - visible_slots;
+    if operation
+        .sent
+        .iter()
+        .any(|sent| sent.slot <= newest_invisible_slot)
+    {
+        return Resolution::Unknown;
     }
-    operation.sent.retain(|s| s.seq > chosen.slot);
-    if operation.sent.len() >= MOST_SENT {
-        Fate::Untold
+    operation.sent.retain(|sent| sent.slot > chosen.slot);
+    if operation.sent.len() >= MAX_SENT_PROPOSALS {
+        Resolution::Unknown
     } else {
-        Fate::Waits
+        Resolution::Pending
     }
 }
 
+/// An operation with the outcome that it has once the batch is confirmed.
 #[derive(Clone, Debug)]
-pub(crate) struct Judged {
-    /// The call's.
-    pub step: u64,
+pub(crate) struct Evaluated {
+    pub sequence: Sequence,
     pub outcome: Outcome,
-    /// Whether the proposal holds it: otherwise its answer was judged on what the state was.
-    pub proposed: bool,
+    /// Whether the proposal carries the operation's effect; otherwise its answer describes the state before.
+    pub is_proposed: bool,
 }
 
-/// The calls in order and the state that they make, if they change anything.
+/// The first waiting operations, and the vote that they make if there is anything to propose.
 #[derive(Debug)]
 pub(crate) struct Batch {
-    pub judged: Vec<Judged>,
+    pub evaluated: Vec<Evaluated>,
     pub vote: Option<Vote>,
 }
 
-/// `from` is chosen. A change of the group goes alone, as the two of a slot's groups differ by that change only.
+/// Evaluates operations in their order on a chosen vote. `number` and `proposal_id` are those of the proposal.
 pub(crate) fn evaluate<M: Machine>(
     machine: &M,
     operations: &[Operation],
-    from: &Vote,
-    ballot: ProposalNumber,
-    origin: u64,
+    chosen: &Vote,
+    number: ProposalNumber,
+    proposal_id: u64,
     settings: &Settings,
 ) -> Batch {
-    let mut body: Option<Vec<u8>> = None;
-    let mut members: Option<Vec<Member>> = None;
-    let mut judged = Vec::new();
+    let mut draft = Draft {
+        chosen: &chosen.state,
+        body: None,
+        members: None,
+    };
+    let mut evaluated = Vec::new();
     for operation in operations {
-        let now = body.as_ref().unwrap_or(&from.state.body);
-        let (outcome, proposed) = match &operation.kind {
-            Kind::Read | Kind::Settle => (Outcome::Answered(now.clone()), false),
-            Kind::Change(change) => match machine.apply(now, change) {
-                Applied::Unchanged { answer } => (Outcome::Answered(answer), false),
-                Applied::Changed { body: new, .. } if new.len() > settings.max_body_bytes => {
-                    (Outcome::Rejected(Rejection::TooLarge), false)
-                }
-                Applied::Changed { body: new, answer } => {
-                    body = Some(new);
-                    (Outcome::Answered(answer), true)
-                }
-            },
-            Kind::Members { from: expected, to } => {
-                if body.is_some() {
-                    break;
-                }
-                let fits = is_single_member_change(&from.state.members, to)
-                    && from
-                        .state
-                        .members
-                        .iter()
-                        .map(|m| m.disk_id)
-                        .eq(expected.iter().copied());
-                members = fits.then(|| to.clone());
-                (Outcome::Answered(Vec::new()), fits)
-            }
+        let Some((outcome, is_proposed)) = draft.add(machine, &operation.kind, settings) else {
+            break;
         };
-        judged.push(Judged {
-            step: operation.step,
+        evaluated.push(Evaluated {
+            sequence: operation.sequence,
             outcome,
-            proposed,
+            is_proposed,
         });
-        if members.is_some() {
+        if draft.members.is_some() {
             break;
         }
     }
-    // A call may be refused here that an open proposal of its own still holds: nothing may be told before the slot has
-    // gone to another, be it one that changes nothing.
-    let open = operations
+    // A caller may be refused here although an open proposal still carries its operation: nothing may be answered
+    // before that slot has gone to another proposal, be it one that changes nothing.
+    let has_open_proposal = operations
         .iter()
-        .take(judged.len())
-        .any(|o| !o.sent.is_empty());
-    let vote = (body.is_some() || members.is_some() || open).then(|| {
-        let mut origins = Vec::with_capacity(MAX_RECENT_PROPOSALS);
-        origins.push(origin);
-        origins.extend(
-            from.state
+        .take(evaluated.len())
+        .any(|operation| !operation.sent.is_empty());
+    let vote = (draft.is_changed() || has_open_proposal).then(|| draft.vote(number, proposal_id));
+    Batch { evaluated, vote }
+}
+
+/// The next state while operations are added to it.
+///
+/// Invariant: `body` and `members` are never both set. A change of the group is proposed alone, so that the two groups
+/// of a slot differ by that change only.
+struct Draft<'a> {
+    chosen: &'a State,
+    body: Option<Vec<u8>>,
+    members: Option<Vec<Member>>,
+}
+
+impl Draft<'_> {
+    /// Adds an operation; its outcome and whether it changes the state. `None` if it has to wait for the next slot.
+    fn add<M: Machine>(
+        &mut self,
+        machine: &M,
+        kind: &OperationKind,
+        settings: &Settings,
+    ) -> Option<(Outcome, bool)> {
+        match kind {
+            OperationKind::Read | OperationKind::ConfirmNewest => {
+                Some((Outcome::Answered(self.body().to_vec()), false))
+            }
+            OperationKind::Change(change) => Some(self.add_change(machine, change, settings)),
+            OperationKind::ChangeMembers { .. } if self.body.is_some() => None,
+            OperationKind::ChangeMembers { from, to } => {
+                let is_applicable =
+                    self.is_governed_by(from) && is_single_member_change(&self.chosen.members, to);
+                self.members = is_applicable.then(|| to.clone());
+                Some((Outcome::Answered(Vec::new()), is_applicable))
+            }
+        }
+    }
+
+    fn add_change<M: Machine>(
+        &mut self,
+        machine: &M,
+        change: &[u8],
+        settings: &Settings,
+    ) -> (Outcome, bool) {
+        match machine.apply(self.body(), change) {
+            Applied::Unchanged { answer } => (Outcome::Answered(answer), false),
+            Applied::Changed { body, .. } if body.len() > settings.max_body_bytes => {
+                (Outcome::Rejected(Rejection::TooLarge), false)
+            }
+            Applied::Changed { body, answer } => {
+                self.body = Some(body);
+                (Outcome::Answered(answer), true)
+            }
+        }
+    }
+
+    fn body(&self) -> &[u8] {
+        self.body.as_ref().unwrap_or(&self.chosen.body)
+    }
+
+    fn is_governed_by(&self, disk_ids: &[u64]) -> bool {
+        let members = self.chosen.members.iter().map(|member| member.disk_id);
+        members.eq(disk_ids.iter().copied())
+    }
+
+    fn is_changed(&self) -> bool {
+        self.body.is_some() || self.members.is_some()
+    }
+
+    fn vote(self, number: ProposalNumber, proposal_id: u64) -> Vote {
+        let mut recent_proposals = vec![proposal_id];
+        recent_proposals.extend(
+            self.chosen
                 .recent_proposals
                 .iter()
                 .take(MAX_RECENT_PROPOSALS - 1),
         );
-        let before = members.as_ref().map(|_| from.state.members.clone());
+        let previous_members = self.members.as_ref().map(|_| self.chosen.members.clone());
         let state = State {
-            slot: from.state.slot + 1,
-            members: members.unwrap_or_else(|| from.state.members.clone()),
-            initial_size: from.state.initial_size,
-            recent_proposals: origins,
-            body: body.unwrap_or_else(|| from.state.body.clone()),
+            slot: self.chosen.slot + 1,
+            members: self.members.unwrap_or_else(|| self.chosen.members.clone()),
+            initial_size: self.chosen.initial_size,
+            recent_proposals,
+            body: self.body.unwrap_or_else(|| self.chosen.body.clone()),
         };
         Vote {
-            number: ballot,
-            previous_members: before,
+            number,
+            previous_members,
             state,
         }
-    });
-    Batch { judged, vote }
+    }
 }
 
-/// One member more, one less, or one for another.
-pub fn is_single_member_change(old: &[Member], new: &[Member]) -> bool {
-    let (fewer, more) = (missing(old, new), missing(new, old));
+/// Whether two groups differ by one member added, removed or replaced.
+fn is_single_member_change(old: &[Member], new: &[Member]) -> bool {
+    let removed = count_missing(old, new);
+    let added = count_missing(new, old);
     (1..=MAX_MEMBERS).contains(&new.len())
-        && fewer <= 1
-        && more <= 1
-        && fewer + more > 0
-        && distinct(new)
+        && removed <= 1
+        && added <= 1
+        && removed + added > 0
+        && has_distinct_disks(new)
 }
 
-fn missing(of: &[Member], from: &[Member]) -> usize {
-    of.iter()
-        .filter(|m| from.iter().all(|n| n.disk_id != m.disk_id))
+/// How many members of one group are not in the other.
+fn count_missing(group: &[Member], other: &[Member]) -> usize {
+    group
+        .iter()
+        .filter(|member| !contains_disk(other, member.disk_id))
         .count()
 }
 
-fn distinct(members: &[Member]) -> bool {
+fn has_distinct_disks(members: &[Member]) -> bool {
     members
         .iter()
         .enumerate()
-        .all(|(i, m)| members[..i].iter().all(|n| n.disk_id != m.disk_id))
+        .all(|(index, member)| !contains_disk(&members[..index], member.disk_id))
 }
--- a/crates/sparrouter-consensus/src/handover.rs
+++ b/crates/sparrouter-consensus/src/handover.rs
@@ -1,133 +1,109 @@
-//! A member that leaves: whether the others hold on disk what it holds, and can act without it.
+//! A member that leaves: whether the others have on disk what it has, and can act without it.
 //!
 //! | this node | handed over once |
 //! | --- | --- |
-//! | outside the group | a majority of the group keeps the slot that took it out |
+//! | outside the group | a majority of the group has the slot that excluded it on disk |
 //! | a member, another node could take its place | that has happened, see above |
-//! | a member, nobody could | without it a majority of the group answers that it holds the newest chosen state |
+//! | a member, no node could | without it a majority of the group reports the newest chosen state on disk |
 //!
 //! The others are asked with `Query`, which promises nothing and is answered from the disk.
-use crate::Nanos;
-use crate::machine::Machine;
 use crate::message::Message;
-use crate::quorum::majority;
-use crate::register::Register;
-use crate::types::{Member, SharedVote, VoteId};
+use crate::quorum::is_majority;
+use crate::time::Nanos;
+use crate::vote::{SharedVote, VoteId};
 use std::collections::BTreeMap;
 
-/// An answer counts for so many times the time between two exchanges.
-const ANSWER_VALID_EXCHANGES: Nanos = 2;
+/// An answer is valid for this many anti-entropy intervals.
+pub(crate) const ANSWER_VALID_INTERVALS: Nanos = 2;
 
 /// The other members' answers about one chosen vote.
 #[derive(Clone, Debug)]
-pub(crate) struct HandoverCheck {
+struct Check {
+    /// Ties the answers to this check.
     nonce: u64,
     vote: SharedVote,
-    /// When each disk last answered that it holds the vote.
-    holders: BTreeMap<u64, Nanos>,
+    /// When each disk last answered that it has the vote.
+    confirmed_at: BTreeMap<u64, Nanos>,
 }
 
-impl HandoverCheck {
-    /// Takes in the answer of a disk that holds `at`; `newer`: that vote, if it is newer than the one asked for.
-    pub fn report(
-        &mut self,
-        disk: u64,
-        at: Option<VoteId>,
-        newer: Option<&SharedVote>,
-        now: Nanos,
-    ) {
-        let mine = &self.vote;
-        // A later slot is proposed on top of a chosen one only; the same slot may be held under a later ballot.
-        let holds_newer = newer.is_some_and(|vote| {
-            let is_same_state = vote.state.recent_proposals == mine.state.recent_proposals;
-            vote.state.slot > mine.state.slot
-                || (vote.state.slot == mine.state.slot && is_same_state)
-        });
-        if at == Some(mine.id()) || holds_newer {
-            self.holders.insert(disk, now);
+impl Check {
+    /// Whether a disk that has `accepted` has the vote of this check; `newer_vote` is that vote if it is newer.
+    fn is_confirmed_by(&self, accepted: Option<VoteId>, newer_vote: Option<&SharedVote>) -> bool {
+        if accepted == Some(self.vote.id()) {
+            return true;
         }
+        // A later slot is proposed on top of a chosen one only; the same slot may be stored under a later number.
+        let state = &self.vote.state;
+        newer_vote.is_some_and(|newer| {
+            let is_same_state = newer.state.slot == state.slot
+                && newer.state.recent_proposals == state.recent_proposals;
+            newer.state.slot > state.slot || is_same_state
+        })
     }
+}
 
-    pub fn is_answer(&self, nonce: u64) -> bool {
-        self.nonce == nonce
-    }
+/// How far a leaving member has handed over.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Handover {
+    /// The check under way, while this node leaves as a member.
+    check: Option<Check>,
+    /// Whether a node that may join the group was there at the last observation.
+    pub has_successor: bool,
 }
 
-impl<M: Machine> Register<M> {
-    /// Asks the other members for what a node that leaves has to know; call it again and again until
-    /// `is_handed_over`.
-    pub fn continue_handover(&mut self, now: Nanos) {
-        let Some(chosen) = self.learner.chosen().cloned() else {
-            return;
+impl Handover {
+    /// The question to the other members whether they have this chosen vote. `nonce` names a new check.
+    pub fn question(&mut self, chosen: &SharedVote, nonce: impl FnOnce() -> u64) -> Message {
+        let check = match self.check.take() {
+            Some(check) if check.vote.id() == chosen.id() => check,
+            _ => Check {
+                nonce: nonce(),
+                vote: chosen.clone(),
+                confirmed_at: BTreeMap::new(),
+            },
         };
-        let me = self.me.disk_id;
-        let others: Vec<Member> = chosen
-            .state
-            .members
-            .iter()
-            .filter(|m| m.disk_id != me)
-            .cloned()
-            .collect();
-        let question = if others.len() == chosen.state.members.len() {
-            self.have()
-        } else {
-            self.handover_query(chosen)
+        let query = Message::Query {
+            nonce: check.nonce,
+            known: Some(check.vote.id()),
         };
-        for member in others {
-            self.send(member, question.clone());
-        }
-        self.work(now);
+        self.check = Some(check);
+        query
     }
 
-    fn handover_query(&mut self, chosen: SharedVote) -> Message {
-        let known = Some(chosen.id());
-        if self
-            .handover
-            .as_ref()
-            .is_none_or(|check| check.vote.id() != chosen.id())
-        {
-            self.handover = Some(HandoverCheck {
-                nonce: self.rng.u64(..),
-                vote: chosen,
-                holders: BTreeMap::new(),
-            });
-        }
-        let nonce = self.handover.as_ref().map_or(0, |check| check.nonce);
-        Message::Query { nonce, known }
+    /// Whether a report with this nonce answers the check under way.
+    pub fn awaits(&self, nonce: u64) -> bool {
+        self.check.as_ref().is_some_and(|c| c.nonce == nonce)
     }
 
-    /// Whether this node may end: nothing is on its disk alone, and its vote is not needed.
-    pub fn is_handed_over(&self, now: Nanos) -> bool {
-        let Some(chosen) = self.learner.chosen() else {
-            return self.newest().is_none();
-        };
-        if chosen
-            .state
-            .members
-            .iter()
-            .all(|m| m.disk_id != self.me.disk_id)
+    /// A disk reported what it has.
+    pub fn on_report(
+        &mut self,
+        disk_id: u64,
+        accepted: Option<VoteId>,
+        newer_vote: Option<&SharedVote>,
+        now: Nanos,
+    ) {
+        if let Some(check) = &mut self.check
+            && check.is_confirmed_by(accepted, newer_vote)
         {
-            return self.may_leave();
+            check.confirmed_at.insert(disk_id, now);
         }
-        let is_settled = self
-            .newest()
-            .is_some_and(|newest| newest.id() == chosen.id());
-        is_settled && !self.successor_waits && self.others_hold(chosen, now)
     }
 
-    fn others_hold(&self, chosen: &SharedVote, now: Nanos) -> bool {
-        let Some(check) = self
-            .handover
-            .as_ref()
-            .filter(|check| check.vote.id() == chosen.id())
-        else {
+    /// Whether a majority of the group without `disk_id` confirmed within `valid_for` that it has this chosen vote.
+    pub fn is_confirmed(
+        &self,
+        chosen: &SharedVote,
+        disk_id: u64,
+        valid_for: Nanos,
+        now: Nanos,
+    ) -> bool {
+        let Some(check) = self.check.as_ref().filter(|c| c.vote.id() == chosen.id()) else {
             return false;
         };
-        let valid_for = ANSWER_VALID_EXCHANGES * self.settings.exchange_interval;
-        majority(&chosen.state.members, |disk| {
-            let answered = check.holders.get(&disk);
-            disk != self.me.disk_id
-                && answered.is_some_and(|at| now.saturating_sub(*at) < valid_for)
+        is_majority(&chosen.state.members, |member| {
+            let confirmed_at = check.confirmed_at.get(&member);
+            member != disk_id && confirmed_at.is_some_and(|&at| now.saturating_sub(at) < valid_for)
         })
     }
 }
--- a/crates/sparrouter-consensus/src/learner.rs
+++ b/crates/sparrouter-consensus/src/learner.rs
@@ -1,29 +1,31 @@
-//! What is known to be chosen: published once, in rising order, and handed to members that missed it.
+//! The learner: what is known to be chosen, and which members have it on disk.
 use crate::message::Message;
-use crate::quorum::majority;
-use crate::types::{SharedVote, VoteId};
+use crate::quorum::is_majority;
+use crate::vote::{SharedVote, VoteId, contains_disk};
 use std::collections::BTreeMap;
 
+/// What one node knows to be chosen.
 #[derive(Clone, Debug)]
-pub struct Learner {
+pub(crate) struct Learner {
     /// This node's disk.
-    me: u64,
+    disk_id: u64,
+    /// The newest chosen vote, without a previous group. Its slot only rises.
     chosen: Option<SharedVote>,
-    /// The first slot known whose group is without this node, since it last was in one.
-    out_since: Option<u64>,
-    /// Up to which slot members of the newest group keep what is chosen.
-    told: BTreeMap<u64, u64>,
-    /// Slots of which two states were called chosen: none, if all nodes keep to the rules.
+    /// The first known slot whose group is without this node, since it last was in one.
+    excluded_since: Option<u64>,
+    /// By member of the newest group: the newest chosen slot on its disk, as it reported.
+    stored_slots: BTreeMap<u64, u64>,
+    /// Slots of which two states were called chosen: 0 while all nodes keep to the protocol.
     conflicts: u64,
 }
 
 impl Learner {
-    pub fn new(me: u64) -> Learner {
+    pub fn new(disk_id: u64) -> Learner {
         Learner {
-            me,
+            disk_id,
             chosen: None,
-            out_since: None,
-            told: BTreeMap::new(),
+            excluded_since: None,
+            stored_slots: BTreeMap::new(),
             conflicts: 0,
         }
     }
@@ -32,65 +34,87 @@
         self.chosen.as_ref()
     }
 
+    pub fn chosen_slot(&self) -> Option<u64> {
+        self.chosen.as_ref().map(|vote| vote.state.slot)
+    }
+
     pub fn conflicts(&self) -> u64 {
         self.conflicts
     }
 
-    pub fn seq(&self) -> Option<u64> {
-        self.chosen.as_ref().map(|v| v.state.slot)
+    /// Whether a disk is in the group of the newest chosen state.
+    pub fn is_member(&self, disk_id: u64) -> bool {
+        self.chosen
+            .as_ref()
+            .is_some_and(|vote| contains_disk(&vote.state.members, disk_id))
     }
 
-    /// Whether this vote, known to be chosen, is news. A slot is published once, by whichever ballot came first: they
-    /// hold one value.
+    /// Learns that a vote is chosen; whether its slot is newer than all before. A slot is published once, under
+    /// whichever number came first: all votes chosen for it have one value.
     pub fn learn(&mut self, vote: &SharedVote) -> bool {
-        let mine = self.chosen.as_deref();
-        let other = mine.is_some_and(|m| {
-            m.state.slot == vote.state.slot
-                && m.state.recent_proposals != vote.state.recent_proposals
+        self.check_agreement(vote);
+        if self.chosen_slot() >= Some(vote.state.slot) {
+            return false;
+        }
+        let members = &vote.state.members;
+        self.stored_slots
+            .retain(|&disk_id, _| contains_disk(members, disk_id));
+        self.excluded_since = if contains_disk(members, self.disk_id) {
+            None
+        } else {
+            Some(self.excluded_since.unwrap_or(vote.state.slot))
+        };
+        self.chosen = Some(vote.clone());
+        true
+    }
+
+    fn check_agreement(&mut self, vote: &SharedVote) {
+        let is_conflict = self.chosen.as_ref().is_some_and(|chosen| {
+            chosen.state.slot == vote.state.slot
+                && chosen.state.recent_proposals != vote.state.recent_proposals
         });
         debug_assert!(
-            !other,
+            !is_conflict,
             "two states of slot {} are called chosen",
             vote.state.slot
         );
-        self.conflicts += u64::from(other);
-        let news = mine.is_none_or(|m| vote.state.slot > m.state.slot);
-        if news {
-            let belongs = |disk| vote.state.members.iter().any(|m| m.disk_id == disk);
-            self.told.retain(|&disk, _| belongs(disk));
-            self.out_since = (!belongs(self.me)).then(|| self.out_since.unwrap_or(vote.state.slot));
-            self.chosen = Some(vote.clone());
-        }
-        news
+        self.conflicts += u64::from(is_conflict);
     }
 
-    /// A node told up to which slot it keeps what is chosen.
-    pub fn heard(&mut self, disk: u64, kept: u64) {
-        let members = self.chosen.as_ref().map_or(&[][..], |v| &v.state.members);
-        if members.iter().any(|m| m.disk_id == disk) {
-            self.told.insert(disk, kept);
+    /// A node reported the newest chosen slot on its disk.
+    pub fn on_stored(&mut self, disk_id: u64, chosen_slot: u64) {
+        if self.is_member(disk_id) {
+            self.stored_slots.insert(disk_id, chosen_slot);
         }
     }
 
-    /// Whether a majority of the newest group told that it keeps a group without this node.
-    pub fn missed_by_none(&self) -> bool {
-        let Some(vote) = &self.chosen else {
+    /// Whether this node is out of the group, and a majority of the newest group has a state without it on disk.
+    pub fn is_exclusion_stored(&self) -> bool {
+        let (Some(vote), Some(excluded_since)) = (&self.chosen, self.excluded_since) else {
             return false;
         };
-        let told =
-            |disk| self.told.get(&disk).copied() >= self.out_since && self.out_since.is_some();
-        majority(&vote.state.members, told)
+        is_majority(&vote.state.members, |disk_id| {
+            self.stored_slots
+                .get(&disk_id)
+                .is_some_and(|&slot| slot >= excluded_since)
+        })
     }
 
-    /// What to send to a node that has `at` and knows slots up to `chosen`, if this one knows more.
-    pub fn hand_over(&self, at: Option<VoteId>, chosen: Option<u64>) -> Option<Message> {
-        let mine = self
+    /// What to send to a node with this progress, if this node knows a newer chosen slot.
+    pub fn catch_up_message(
+        &self,
+        accepted: Option<VoteId>,
+        chosen_slot: Option<u64>,
+    ) -> Option<Message> {
+        let chosen = self
             .chosen
             .as_ref()
-            .filter(|v| chosen < Some(v.state.slot))?;
-        Some(match at {
-            Some(at) if at == mine.id() => Message::Chosen { at },
-            _ => Message::Learn { vote: mine.clone() },
+            .filter(|chosen| chosen_slot < Some(chosen.state.slot))?;
+        Some(match accepted {
+            Some(vote_id) if vote_id == chosen.id() => Message::Chosen { vote_id },
+            _ => Message::Learn {
+                vote: chosen.clone(),
+            },
         })
     }
 }
--- a/crates/sparrouter-consensus/src/lease.rs
+++ b/crates/sparrouter-consensus/src/lease.rs
@@ -1,173 +1,221 @@
-//! Fencing tokens and who holds a duty: a body that hands out rising numbers, each to one holder.
+//! Leases with fencing tokens: a machine whose body hands out rising tokens, each to one holder.
 //!
-//! No clock is here: spans are told, and each node counts them by its own steady clock. A holder may act until the
-//! *start* of its last successful acquire or renew plus the lease. A new one waits `wait` from the *end* of its acquire:
-//! the last renewal that the old one could get was judged before, so that it began before.
+//! The replicated state has no clock: it carries durations, and each node counts them by its own steady clock. A holder
+//! may act until the *start* of its last successful acquire or renew plus the duration. A new holder waits
+//! `takeover_wait` from the *end* of its acquire: the last renewal that the old holder could get was chosen before that
+//! acquire, so that it started before.
+//!
+//! | change | by | effect |
+//! | --- | --- | --- |
+//! | acquire | anybody | token plus one; another holder's successor waits out that holder's duration |
+//! | renew | the holder under its token | none on the body: it only shows that nobody has acquired since |
+//! | release | the holder under its token | no holder; a wait that was not over passes on to the next holder |
 //!
 //! Sources: Gray and Cheriton, "Leases", SOSP 1989; Burrows, "The Chubby lock service", OSDI 2006 (sequencers).
-use crate::Nanos;
 use crate::codec::{self, read_text, write_bytes};
 use crate::machine::{Applied, Machine};
+use crate::time::Nanos;
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-/// Who holds a duty: the node's name, and its life, which another start of it does not share.
+/// Longest body, change or answer, in bytes.
+const MAX_BYTES: usize = 4 * codec::MAX_TEXT_BYTES;
+
+/// Who holds a lease: one start of a node. Another start of the same node is another holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseHolder {
+    /// The node's name.
     pub name: String,
+    /// Random number of the node's start.
     pub incarnation: u64,
 }
 
+/// The body of a lease's register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Lease {
-    /// The highest number that was handed out.
+    /// The highest token that was handed out; 0 if none was. Strictly rises with each acquire, so that no two acquires
+    /// get one token.
     pub fencing_token: u64,
+    /// The holder of that token, unless it released the lease.
     pub holder: Option<LeaseHolder>,
-    /// Of the holder.
+    /// How long the holder may act from the start of each acquire or renew; 0 without a holder.
     pub duration: Nanos,
-    /// What the holder had to wait out, and its successor must if it goes before it has.
+    /// What the holder had to wait out before it acts, and its successor must if it releases before it has.
     pub takeover_wait: Nanos,
 }
 
+/// A change of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum LeaseChange {
+    /// Takes the lease, from whoever has it.
     Acquire {
+        /// Who takes it.
         holder: LeaseHolder,
+        /// How long it may act from the start of each acquire or renew.
         duration: Nanos,
     },
+    /// Asks whether the lease is still held under this token.
     Renew {
+        /// Who asks.
         holder: LeaseHolder,
+        /// Its token.
         fencing_token: u64,
     },
-    /// `waited`: whether the holder's own wait was over, so that no earlier one is left.
+    /// Gives the lease back.
     Release {
+        /// Who gives it back.
         holder: LeaseHolder,
+        /// Its token.
         fencing_token: u64,
+        /// Whether the holder's own wait was over, so that no earlier holder can act any more.
         waited: bool,
     },
 }
 
+/// Answer to a `LeaseChange`.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum LeaseAnswer {
-    /// Wait `wait` from now, then act under `fence`.
+    /// The caller has the lease: it waits `takeover_wait` from now, then acts under the token.
     Acquired {
+        /// Its token, above all tokens before.
         fencing_token: u64,
+        /// Until no earlier holder can act any more.
         takeover_wait: Nanos,
     },
+    /// The caller still had the lease when the renewal was evaluated.
     Renewed,
+    /// The caller's lease is free.
     Released,
-    /// Another holds it, or did; `fence` is the highest handed out.
+    /// The caller does not hold the lease under that token.
     Rejected {
+        /// The highest token that was handed out.
         fencing_token: u64,
     },
+    /// The change or the body could not be decoded.
     Malformed,
 }
 
-/// Longest body, change or answer.
-const MOST: usize = 4 * codec::MAX_TEXT_BYTES;
-
 impl Lease {
+    /// Reads a body; the empty one is a lease that nobody ever had. `None` if it is malformed.
     pub fn decode(body: &[u8]) -> Option<Lease> {
         if body.is_empty() {
             Some(Lease::default())
         } else {
-            codec::decode(body, MOST).ok()
+            codec::decode(body, MAX_BYTES).ok()
+        }
+    }
+
+    fn is_held_by(&self, holder: &LeaseHolder, fencing_token: u64) -> bool {
+        self.holder.as_ref() == Some(holder) && self.fencing_token == fencing_token
+    }
+
+    /// The lease after an acquire; `None` if there are no more tokens.
+    fn acquired_by(&self, holder: LeaseHolder, duration: Nanos) -> Option<Lease> {
+        let fencing_token = self.fencing_token.checked_add(1)?;
+        // A holder that acquires again waits for nobody but those that it had to wait for itself.
+        let is_free_or_own = self
+            .holder
+            .as_ref()
+            .is_none_or(|current| *current == holder);
+        let takeover_wait = if is_free_or_own {
+            self.takeover_wait
+        } else {
+            self.takeover_wait.max(self.duration)
+        };
+        Some(Lease {
+            fencing_token,
+            holder: Some(holder),
+            duration,
+            takeover_wait,
+        })
+    }
+
+    /// The lease after its release.
+    fn released(&self, waited: bool) -> Lease {
+        Lease {
+            fencing_token: self.fencing_token,
+            holder: None,
+            duration: 0,
+            takeover_wait: if waited { 0 } else { self.takeover_wait },
+        }
+    }
+
+    fn rejection(&self) -> LeaseAnswer {
+        LeaseAnswer::Rejected {
+            fencing_token: self.fencing_token,
         }
     }
 }
 
 impl LeaseChange {
+    /// The change for `Register::propose`.
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 }
 
 impl LeaseAnswer {
+    /// Reads an answer; `None` if it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<LeaseAnswer> {
-        codec::decode(bytes, MOST).ok()
+        codec::decode(bytes, MAX_BYTES).ok()
     }
 }
 
-/// The machine of such a part; its first body is empty.
+/// The machine of a lease's register; the first body is empty.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Leases;
 
 impl Machine for Leases {
     fn apply(&self, body: &[u8], change: &[u8]) -> Applied {
-        let unchanged = |answer: LeaseAnswer| Applied::Unchanged {
-            answer: codec::encode(&answer),
-        };
-        let (Some(lease), Ok(change)) = (
-            Lease::decode(body),
-            codec::decode::<LeaseChange>(change, MOST),
-        ) else {
-            return unchanged(LeaseAnswer::Malformed);
-        };
-        let refused = LeaseAnswer::Rejected {
-            fencing_token: lease.fencing_token,
+        let Some(lease) = Lease::decode(body) else {
+            return unchanged(&LeaseAnswer::Malformed);
         };
-        let holds = |holder: &LeaseHolder, fence: u64| {
-            lease.holder.as_ref() == Some(holder) && lease.fencing_token == fence
+        let Ok(change) = codec::decode::<LeaseChange>(change, MAX_BYTES) else {
+            return unchanged(&LeaseAnswer::Malformed);
         };
-        let (next, answer) = match change {
-            LeaseChange::Acquire {
-                holder,
-                duration: span,
-            } => {
-                // The same life again holds nobody up but by what it had to wait itself.
-                let own = lease.holder.as_ref().is_none_or(|h| *h == holder);
-                let wait = if own {
-                    lease.takeover_wait
-                } else {
-                    lease.takeover_wait.max(lease.duration)
-                };
-                let Some(fence) = lease.fencing_token.checked_add(1) else {
-                    return unchanged(refused);
-                };
-                let next = Lease {
-                    fencing_token: fence,
-                    holder: Some(holder),
-                    duration: span,
-                    takeover_wait: wait,
-                };
-                (
-                    next,
-                    LeaseAnswer::Acquired {
-                        fencing_token: fence,
-                        takeover_wait: wait,
-                    },
-                )
+        match change {
+            LeaseChange::Acquire { holder, duration } => {
+                match lease.acquired_by(holder, duration) {
+                    Some(acquired) => {
+                        let answer = LeaseAnswer::Acquired {
+                            fencing_token: acquired.fencing_token,
+                            takeover_wait: acquired.takeover_wait,
+                        };
+                        changed(&acquired, &answer)
+                    }
+                    None => unchanged(&lease.rejection()),
+                }
             }
             LeaseChange::Renew {
                 holder,
-                fencing_token: fence,
-            } if holds(&holder, fence) => {
-                return unchanged(LeaseAnswer::Renewed);
-            }
+                fencing_token,
+            } if lease.is_held_by(&holder, fencing_token) => unchanged(&LeaseAnswer::Renewed),
             LeaseChange::Release {
                 holder,
-                fencing_token: fence,
+                fencing_token,
                 waited,
-            } if holds(&holder, fence) => {
-                let wait = if waited { 0 } else { lease.takeover_wait };
-                (
-                    Lease {
-                        fencing_token: fence,
-                        holder: None,
-                        duration: 0,
-                        takeover_wait: wait,
-                    },
-                    LeaseAnswer::Released,
-                )
+            } if lease.is_held_by(&holder, fencing_token) => {
+                changed(&lease.released(waited), &LeaseAnswer::Released)
+            }
+            LeaseChange::Renew { .. } | LeaseChange::Release { .. } => {
+                unchanged(&lease.rejection())
             }
-            LeaseChange::Renew { .. } | LeaseChange::Release { .. } => return unchanged(refused),
-        };
-        Applied::Changed {
-            body: codec::encode(&next),
-            answer: codec::encode(&answer),
         }
     }
 }
 
+fn changed(lease: &Lease, answer: &LeaseAnswer) -> Applied {
+    Applied::Changed {
+        body: codec::encode(lease),
+        answer: codec::encode(answer),
+    }
+}
+
+fn unchanged(answer: &LeaseAnswer) -> Applied {
+    Applied::Unchanged {
+        answer: codec::encode(answer),
+    }
+}
+
 impl SerBin for LeaseHolder {
     fn ser_bin(&self, out: &mut Vec<u8>) {
         write_bytes(self.name.as_bytes(), out);
@@ -176,10 +224,10 @@
 }
 
 impl DeBin for LeaseHolder {
-    fn de_bin(at: &mut usize, input: &[u8]) -> Result<LeaseHolder, DeBinErr> {
+    fn de_bin(offset: &mut usize, input: &[u8]) -> Result<LeaseHolder, DeBinErr> {
         Ok(LeaseHolder {
-            name: read_text(at, input)?,
-            incarnation: u64::de_bin(at, input)?,
+            name: read_text(offset, input)?,
+            incarnation: u64::de_bin(offset, input)?,
         })
     }
 }
--- a/crates/sparrouter-consensus/src/message.rs
+++ b/crates/sparrouter-consensus/src/message.rs
@@ -1,125 +1,232 @@
-//! What nodes say to each other about one part. Each is a copy of state: lost, late, repeated or out of order, none
-//! does harm.
-use crate::codec::{self, CodecError, read_bytes, write_bytes};
-use crate::transfer::{BodyReference, Purpose};
-use crate::types::{ProposalNumber, SharedVote, VoteId};
-use nanoserde::{DeBin, DeBinErr, SerBin};
+//! Messages between the nodes of one shard. Each carries state, not a change of state: lost, late, repeated or out of
+//! order, none does harm.
+//!
+//! The order of variants and fields is the encoding; a variant is added at the end only.
+use crate::body::{BodyReference, Chunk};
+use crate::codec::{self, CodecError};
+use crate::vote::{Member, ProposalNumber, SharedVote, VoteId};
+use nanoserde::{DeBin, SerBin};
 
+/// Why an acceptor rejects a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum Reason {
-    /// A higher ballot was promised, or a newer slot accepted: come back with a higher one.
-    Outrun,
-    /// The acceptor's disk refuses or the record is too large for it; nothing was promised.
+pub enum RejectReason {
+    /// A higher number was promised, or a newer slot accepted: the proposer may come back with a higher number.
+    Superseded,
+    /// The acceptor's disk failed, or the record is too large for it; nothing was promised or accepted.
     Disk,
 }
 
+/// A message from one node to another about one shard.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum Message {
-    /// `known`: the newest vote that the proposer has, which need not be sent to it.
+    /// Phase 1 of Paxos, request.
     Prepare {
-        ballot: ProposalNumber,
+        /// The number that the proposer wants to use.
+        number: ProposalNumber,
+        /// The newest vote that the proposer has, which need not be sent to it.
         known: Option<VoteId>,
     },
-    /// The acceptor takes no lower ballot from now on. `at` is its newest vote, `newer` that vote if it is above
-    /// `known`.
+    /// Phase 1 of Paxos, answer: the acceptor accepts nothing below `number` from now on. On the sender's disk.
     Promise {
-        ballot: ProposalNumber,
-        at: Option<VoteId>,
-        newer: Option<SharedVote>,
+        /// The number of the `Prepare`.
+        number: ProposalNumber,
+        /// The acceptor's newest vote.
+        accepted: Option<VoteId>,
+        /// That vote, if it is above the `known` of the `Prepare`.
+        newer_vote: Option<SharedVote>,
     },
+    /// Phase 2 of Paxos, request.
     Accept {
+        /// The value, its slot and its number.
         vote: SharedVote,
     },
+    /// Phase 2 of Paxos, answer: the vote is on the sender's disk.
     Accepted {
-        at: VoteId,
+        /// The accepted vote.
+        vote_id: VoteId,
     },
-    /// No to `ballot`; `promised` is what outran it.
+    /// The acceptor refuses a `Prepare` or an `Accept`.
     Reject {
-        ballot: ProposalNumber,
+        /// The number that is refused.
+        number: ProposalNumber,
+        /// The acceptor's promise.
         promised: ProposalNumber,
-        reason: Reason,
+        /// Why it is refused.
+        reason: RejectReason,
     },
-    /// What is your newest vote on disk? Promises nothing. `nonce` ties the answer to this very question.
+    /// Asks for the newest vote on disk. Promises nothing, so that a read disturbs no proposer.
     Query {
+        /// Ties the answer to this very question.
         nonce: u64,
+        /// The newest vote that the sender has, which need not be sent to it.
         known: Option<VoteId>,
     },
+    /// Answer to `Query`.
     Report {
+        /// The nonce of the question.
         nonce: u64,
+        /// The acceptor's promise, which may not be on disk yet.
         promised: ProposalNumber,
-        at: Option<VoteId>,
-        newer: Option<SharedVote>,
+        /// The newest vote on the sender's disk.
+        accepted: Option<VoteId>,
+        /// That vote, if it is above the `known` of the `Query`.
+        newer_vote: Option<SharedVote>,
     },
-    /// This vote is chosen; who has it may publish it.
+    /// This vote is chosen; a receiver that has it may publish it.
     Chosen {
-        at: VoteId,
+        /// The chosen vote.
+        vote_id: VoteId,
     },
-    /// What I have and the newest slot that I know to be chosen: whoever knows more hands it over.
-    Have {
-        at: Option<VoteId>,
-        chosen: Option<u64>,
+    /// Anti-entropy: what the sender has. A receiver that knows more answers with it.
+    Progress {
+        /// The newest vote of the sender, chosen or not.
+        accepted: Option<VoteId>,
+        /// The newest slot that the sender knows to be chosen.
+        chosen_slot: Option<u64>,
     },
-    /// From a member to a node outside of its group, or from such a node to a member: up to this slot my disk keeps
-    /// what is chosen, without a group before. Never answered, or two that each hold the other for an outsider would
-    /// go on for ever.
+    /// The sender's disk has the chosen state of this slot or a later one, without a previous group. From a member to a
+    /// node outside of its group, or the other way round. Never answered, or two nodes that each take the other for an
+    /// outsider would go on for ever.
     Stored {
-        chosen: u64,
+        /// The newest chosen slot on disk.
+        chosen_slot: u64,
     },
-    /// A chosen vote, whole.
+    /// A chosen vote with its state.
     Learn {
+        /// The chosen vote.
         vote: SharedVote,
     },
-    /// A message of those above whose vote has a large body, without that: see `transfer`.
-    Outline {
-        purpose: Purpose,
-        /// Its body is empty here.
-        vote: SharedVote,
-        body: BodyReference,
-    },
-    /// Send me the piece of this body that begins at `offset`.
-    FetchBody {
+    /// A message of those above without the large body of its vote.
+    Outline(Outline),
+    /// Asks for one chunk of a body.
+    FetchChunk {
+        /// The body.
         body: BodyReference,
+        /// Where the chunk begins, in bytes.
         offset: u32,
     },
+    /// One chunk of a body.
     BodyChunk {
+        /// The body.
         body: BodyReference,
+        /// Where the chunk begins, in bytes.
         offset: u32,
-        bytes: ChunkBytes,
+        /// The bytes.
+        chunk: Chunk,
     },
-    /// I have this body no more, as newer ones came.
+    /// The sender no longer has this body, as newer ones replaced it.
     BodyUnavailable {
+        /// The body.
         body: BodyReference,
     },
 }
 
-/// Bytes of a body, written as one block.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ChunkBytes(pub Vec<u8>);
+impl Message {
+    /// The bytes that go over the wire.
+    pub fn encode(&self) -> Vec<u8> {
+        codec::encode(self)
+    }
 
-impl From<&[u8]> for ChunkBytes {
-    fn from(bytes: &[u8]) -> ChunkBytes {
-        ChunkBytes(bytes.to_vec())
+    /// Reads a message of at most `max_bytes`; see `Settings::max_message_bytes`.
+    ///
+    /// # Errors
+    /// The bytes are too long, of another format, or no message.
+    pub fn decode(bytes: &[u8], max_bytes: usize) -> Result<Message, CodecError> {
+        codec::decode(bytes, max_bytes)
     }
-}
 
-impl SerBin for ChunkBytes {
-    fn ser_bin(&self, out: &mut Vec<u8>) {
-        write_bytes(&self.0, out);
+    /// The vote that this message carries, and what else it says.
+    pub(crate) fn carried_vote(&self) -> Option<(OutlinedMessage, &SharedVote)> {
+        match self {
+            Message::Promise {
+                number,
+                newer_vote: Some(vote),
+                ..
+            } => Some((OutlinedMessage::Promise { number: *number }, vote)),
+            Message::Accept { vote } => Some((OutlinedMessage::Accept, vote)),
+            Message::Report {
+                nonce,
+                promised,
+                newer_vote: Some(vote),
+                ..
+            } => {
+                let report = OutlinedMessage::Report {
+                    nonce: *nonce,
+                    promised: *promised,
+                };
+                Some((report, vote))
+            }
+            Message::Learn { vote } => Some((OutlinedMessage::Learn, vote)),
+            _ => None,
+        }
     }
 }
 
-impl DeBin for ChunkBytes {
-    fn de_bin(at: &mut usize, input: &[u8]) -> Result<ChunkBytes, DeBinErr> {
-        Ok(ChunkBytes(read_bytes(at, input, input.len())?))
-    }
+/// A message whose vote has a large body, without that body.
+#[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
+pub struct Outline {
+    /// Which message it is, with the fields beside the vote.
+    pub message: OutlinedMessage,
+    /// The vote; its body is empty here.
+    pub vote: SharedVote,
+    /// The vote's body.
+    pub body: BodyReference,
 }
 
-impl Message {
-    pub fn encode(&self) -> Vec<u8> {
-        codec::encode(self)
+impl Outline {
+    /// The message with its body.
+    pub(crate) fn complete(&self, body: &[u8]) -> Message {
+        let vote: SharedVote = self.vote.with_body(body.to_vec()).into();
+        let accepted = Some(vote.id());
+        match self.message {
+            OutlinedMessage::Promise { number } => Message::Promise {
+                number,
+                accepted,
+                newer_vote: Some(vote),
+            },
+            OutlinedMessage::Accept => Message::Accept { vote },
+            OutlinedMessage::Report { nonce, promised } => Message::Report {
+                nonce,
+                promised,
+                accepted,
+                newer_vote: Some(vote),
+            },
+            OutlinedMessage::Learn => Message::Learn { vote },
+        }
     }
+}
 
-    pub fn decode(bytes: &[u8], most: usize) -> Result<Message, CodecError> {
-        codec::decode(bytes, most)
-    }
+/// Which message an outline is, with its fields beside the vote.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
+pub enum OutlinedMessage {
+    /// `Message::Promise` for this number.
+    Promise {
+        /// The number of the `Prepare`.
+        number: ProposalNumber,
+    },
+    /// `Message::Accept`.
+    Accept,
+    /// `Message::Report` to the question with this nonce.
+    Report {
+        /// The nonce of the question.
+        nonce: u64,
+        /// The acceptor's promise.
+        promised: ProposalNumber,
+    },
+    /// `Message::Learn`.
+    Learn,
+}
+
+/// A message to be sent.
+#[derive(Clone, Debug)]
+pub(crate) struct Outgoing {
+    pub to: Member,
+    pub message: Message,
+}
+
+/// A message that arrived, under the disk id that its sender has now.
+#[derive(Clone, Debug)]
+pub(crate) struct Received {
+    pub from: Member,
+    pub message: Message,
 }
--- /dev/null
+++ b/crates/sparrouter-consensus/src/register/membership.rs
@@ -0,0 +1,138 @@
+//! Changes of the group by what is observed of the nodes, and the departure of this node.
+use super::Register;
+use crate::handover::ANSWER_VALID_INTERVALS;
+use crate::machine::Machine;
+use crate::operation::OperationKind;
+use crate::reconfiguration::{NodeObservation, Reconfiguration};
+use crate::request::Reply;
+use crate::time::Nanos;
+use crate::vote::{Member, SharedVote, contains_disk};
+
+impl<M: Machine> Register<M> {
+    /// Takes in what is known of all nodes, and changes the group by at most one member. To be called at each change of
+    /// what is known, and now and then.
+    pub fn observe_nodes(&mut self, observations: &[NodeObservation], now: Nanos) {
+        self.choose_outside_peer(observations);
+        let Some(chosen) = self.learner.chosen().cloned() else {
+            return;
+        };
+        self.question_candidates(&chosen, observations, now);
+        let next_group = self.reconfiguration.decide(
+            self.shard,
+            &self.me,
+            &chosen.state,
+            observations,
+            &self.settings,
+            now,
+        );
+        if let Some(next_group) = next_group
+            && !self.operations.has_member_change()
+        {
+            self.propose_group(&chosen, next_group, now);
+        }
+    }
+
+    fn choose_outside_peer(&mut self, observations: &[NodeObservation]) {
+        let contact_timeout = self.settings.contact_timeout;
+        let is_live = |observation: &&NodeObservation| {
+            observation
+                .since_last_contact
+                .is_some_and(|since| since < contact_timeout)
+        };
+        let live: Vec<&Member> = observations
+            .iter()
+            .filter(is_live)
+            .map(|observation| &observation.member)
+            .filter(|member| member.disk_id != self.me.disk_id)
+            .collect();
+        self.anti_entropy.choose_outside_peer(&live, &mut self.rng);
+    }
+
+    /// Asks the nodes that may join the group whether their disks have its state.
+    fn question_candidates(
+        &mut self,
+        chosen: &SharedVote,
+        observations: &[NodeObservation],
+        now: Nanos,
+    ) {
+        let candidates = Reconfiguration::candidates(
+            self.shard,
+            &self.me,
+            &chosen.state,
+            observations,
+            &self.settings,
+        );
+        self.handover.has_successor = !candidates.is_empty();
+        let questions = self.reconfiguration.choose_questions(
+            &candidates,
+            chosen.state.slot,
+            &self.settings,
+            now,
+        );
+        for candidate in questions {
+            self.send(candidate, self.progress());
+        }
+    }
+
+    fn propose_group(&mut self, chosen: &SharedVote, next_group: Vec<Member>, now: Nanos) {
+        let members = chosen.state.members.iter();
+        let change = OperationKind::ChangeMembers {
+            from: members.map(|member| member.disk_id).collect(),
+            to: next_group,
+        };
+        let deadline = now + self.settings.contact_timeout;
+        self.operations.push(None, change, deadline);
+        self.make_progress(now);
+    }
+
+    /// Whether a node outside the group may end without being missed: a majority of the group has a state without it on
+    /// disk. Until then its own vote may be needed to find that state.
+    pub fn may_leave(&self) -> bool {
+        self.accepted().is_none_or(|vote| {
+            !vote.is_elector(self.me.disk_id) && self.learner.is_exclusion_stored()
+        })
+    }
+
+    /// Asks the other members for what a node that leaves has to know; to be called again and again until
+    /// `is_handed_over`.
+    pub fn continue_handover(&mut self, now: Nanos) {
+        let Some(chosen) = self.learner.chosen().cloned() else {
+            return;
+        };
+        let question = if self.learner.is_member(self.me.disk_id) {
+            self.handover.question(&chosen, || self.rng.u64(..))
+        } else {
+            self.progress()
+        };
+        for member in &chosen.state.members {
+            if member.disk_id != self.me.disk_id {
+                self.send(member.clone(), question.clone());
+            }
+        }
+        self.make_progress(now);
+    }
+
+    pub(super) fn on_handover_report(&mut self, from: Member, reply: &Reply, now: Nanos) {
+        let newer_vote = reply.newer_vote.as_ref();
+        self.handover
+            .on_report(from.disk_id, reply.accepted, newer_vote, now);
+        self.notify_if_behind(from, reply.accepted);
+    }
+
+    /// Whether this node may end: nothing is on its disk alone, and its vote is not needed.
+    pub fn is_handed_over(&self, now: Nanos) -> bool {
+        let Some(chosen) = self.learner.chosen() else {
+            return self.accepted().is_none();
+        };
+        if !contains_disk(&chosen.state.members, self.me.disk_id) {
+            return self.may_leave();
+        }
+        let is_newest_committed = self.accepted_vote() == Some(chosen.id());
+        let valid_for = ANSWER_VALID_INTERVALS * self.settings.anti_entropy_interval;
+        is_newest_committed
+            && !self.handover.has_successor
+            && self
+                .handover
+                .is_confirmed(chosen, self.me.disk_id, valid_for, now)
+    }
+}
--- a/crates/sparrouter-consensus/src/transfer.rs
+++ b/crates/sparrouter-consensus/src/transfer.rs
@@ -1,450 +1,286 @@
-//! Large bodies between members: left out of messages, fetched once in pieces, checked by a digest.
+//! Transfer of large bodies between members: left out of messages, fetched once in chunks, checked by a digest.
 //!
-//! A message whose vote has a body above `Settings::max_inline_body_bytes` leaves as an `Outline`: all but the body, and the
-//! body's reference. A receiver that has this body already, under whatever ballot or slot, fills it in. Any other
-//! parks the outline and fetches the body from whoever offered it, `WINDOW` pieces at a time; then the message is
-//! handled as if it had only now arrived. To the protocol an outline is therefore a message that was long under way.
+//! A message whose vote has a body above `Settings::max_inline_body_bytes` leaves as an `Outline`: all but the body, and
+//! the body's reference. A receiver that has this body already, under whatever number or slot, fills it in. Any other
+//! parks the outline and fetches the body from whoever offered it, a few chunks at a time; then the message is handled
+//! as if it had only now arrived. To the protocol an outline is therefore a message that was in flight for long.
 //!
 //! | state of the fetch | event | next |
 //! | --- | --- | --- |
-//! | none | outline of an unknown body | pieces are asked for |
-//! | asking | piece | the next piece is asked for; after the last one the digest is checked, parked messages go on |
-//! | asking | no piece in time | the missing ones are asked for again, of the next member that offered the body |
-//! | asking | silent too often | paused: what has arrived is kept until another body is wanted |
-//! | late or paused | outline of the same body | asking its sender, from where it stopped |
-//! | late or paused | outline of another body | asking for that one |
-//! | asking | outline of another body | parked: the newest one is fetched next, so that no change overtakes for ever |
-use crate::message::Message;
+//! | none | outline of an unknown body | its first chunks are requested |
+//! | active | chunk | the next one is requested; after the last one the digest is checked, parked messages go on |
+//! | active | no chunk in time | the missing ones are requested again, from the next member that offered the body |
+//! | active | too many time-outs in a row | paused: what has arrived is kept until another body is wanted |
+//! | late or paused | outline of the same body | its sender is asked, from where the fetch stopped |
+//! | late or paused | outline of another body | that one is fetched |
+//! | active | outline of another body | parked: the newest one is fetched next, so that no change overtakes for ever |
+//! | active | the source no longer has the body | the next member that offered it, or the newest parked outline |
+use crate::body::{BodyReference, Chunk};
+use crate::body_cache::{BodyCache, CachedBytes};
+use crate::fetch::Fetch;
+use crate::message::{Message, Outgoing, Outline, OutlinedMessage, Received};
 use crate::settings::Settings;
-use crate::types::{Member, ProposalNumber, SharedVote, Vote};
-use crate::{MILLISECOND, Nanos};
-use nanoserde::{DeBin, SerBin};
-use sha2::{Digest, Sha256};
-use std::collections::BTreeMap;
+use crate::time::Nanos;
+use crate::vote::{Member, SharedVote};
+use std::mem::discriminant;
 use std::sync::Arc;
 
-/// Pieces of one fetch that may be under way: at 10 Mbit/s and 20 ms there and back two of 32 KiB fill the line, and
-/// a small message waits behind no more than these.
-const WINDOW: usize = 2;
-/// Bodies kept for others to fetch, and to fill in outlines: one being fetched stays although a few newer ones came.
-const MOST_HELD: usize = 4;
-/// Outlines that wait for a body; the oldest goes first, as if lost on the way.
-const MOST_PARKED: usize = 32;
-/// Rounds of silence until a fetch is paused.
-const MOST_SILENT: u32 = 5;
+/// Outlines that wait for a body; beyond them the oldest is dropped, as if lost on the way.
+const MAX_PARKED: usize = 32;
 
-/// Names a body by its content.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
-pub struct BodyReference {
-    /// In bytes.
-    pub length: u32,
-    /// SHA-256.
-    pub digest: [u8; 32],
-}
-
-impl BodyReference {
-    /// The reference of these bytes.
-    pub fn of(body: &[u8]) -> BodyReference {
-        BodyReference {
-            length: body.len() as u32,
-            digest: Sha256::digest(body).into(),
-        }
-    }
-}
-
-/// Which message an outline is.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum Purpose {
-    /// `Message::Promise` under this ballot.
-    Promise { ballot: ProposalNumber },
-    /// `Message::Accept`.
-    Accept,
-    /// `Message::Report` to the question with this nonce.
-    Report {
-        nonce: u64,
-        promised: ProposalNumber,
-    },
-    /// `Message::Learn`.
-    Learn,
-}
-
-impl Purpose {
-    fn message(self, vote: SharedVote) -> Message {
-        let at = Some(vote.id());
-        match self {
-            Purpose::Promise { ballot } => Message::Promise {
-                ballot,
-                at,
-                newer: Some(vote),
-            },
-            Purpose::Accept => Message::Accept { vote },
-            Purpose::Report { nonce, promised } => Message::Report {
-                nonce,
-                promised,
-                at,
-                newer: Some(vote),
-            },
-            Purpose::Learn => Message::Learn { vote },
-        }
-    }
-
-    fn same_kind(&self, other: &Purpose) -> bool {
-        std::mem::discriminant(self) == std::mem::discriminant(other)
-    }
-}
-
-/// The vote that a message carries, and what else it says.
-fn carried(message: &Message) -> Option<(Purpose, &SharedVote)> {
-    match message {
-        Message::Promise {
-            ballot,
-            newer: Some(vote),
-            ..
-        } => Some((Purpose::Promise { ballot: *ballot }, vote)),
-        Message::Accept { vote } => Some((Purpose::Accept, vote)),
-        Message::Report {
-            nonce,
-            promised,
-            newer: Some(vote),
-            ..
-        } => {
-            let purpose = Purpose::Report {
-                nonce: *nonce,
-                promised: *promised,
-            };
-            Some((purpose, vote))
-        }
-        Message::Learn { vote } => Some((Purpose::Learn, vote)),
-        _ => None,
-    }
-}
-
-fn with_body(vote: &Vote, body: Vec<u8>) -> SharedVote {
-    let mut state = crate::types::State {
-        slot: vote.state.slot,
-        members: vote.state.members.clone(),
-        initial_size: vote.state.initial_size,
-        recent_proposals: vote.state.recent_proposals.clone(),
-        body: Vec::new(),
-    };
-    state.body = body;
-    Vote {
-        number: vote.number,
-        previous_members: vote.previous_members.clone(),
-        state,
-    }
-    .into()
-}
-
-#[derive(Clone, Debug)]
-struct Held {
-    body: BodyReference,
-    bytes: Bytes,
-}
-
-/// Of a vote or of a fetch: neither is copied to be held.
-#[derive(Clone, Debug)]
-enum Bytes {
-    Vote(SharedVote),
-    Fetched(Arc<Vec<u8>>),
-}
-
-impl Bytes {
-    fn as_slice(&self) -> &[u8] {
-        match self {
-            Bytes::Vote(vote) => &vote.state.body,
-            Bytes::Fetched(bytes) => bytes,
-        }
-    }
-}
-
-#[derive(Clone, Debug)]
-struct Parked {
-    from: Member,
-    purpose: Purpose,
-    vote: SharedVote,
-    body: BodyReference,
-}
-
-#[derive(Clone, Debug)]
-struct Fetch {
-    body: BodyReference,
-    /// Members that offered it.
-    sources: Vec<Member>,
-    source: usize,
-    /// By offset.
-    pieces: BTreeMap<u32, Vec<u8>>,
-    /// Offset of the first piece that was not asked for yet.
-    next: u32,
-    silent: u32,
-    /// `None`: paused.
-    retry_at: Option<Nanos>,
-}
-
-/// Counts since the start, for tests and figures.
+/// Counts since the start, for tests and metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransferCounts {
-    /// Bodies that arrived whole with the digest that was told.
+    /// Bodies that arrived complete and matched their digest.
     pub fetched: u64,
-    /// Bodies that were not what their digest said.
+    /// Bodies that arrived complete and did not match their digest.
     pub damaged: u64,
 }
 
+/// What a step of a transfer leads to.
+#[derive(Debug, Default)]
+pub(crate) struct TransferStep {
+    /// Messages whose bodies are here, to be handled now.
+    pub ready: Vec<Received>,
+    pub sends: Vec<Outgoing>,
+}
+
 /// The bodies that one register offers and fetches.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Transfers {
-    /// The one used last comes last.
-    held: Vec<Held>,
-    parked: Vec<Parked>,
+    cache: BodyCache,
+    /// Outlines whose bodies are not here, oldest first: at most `MAX_PARKED`, and one of a kind from one member, as a
+    /// newer message of that kind makes the older one useless.
+    parked: Vec<ParkedOutline>,
+    /// At most one fetch at a time, so that a member that is behind receives each body once.
     fetch: Option<Fetch>,
     pub counts: TransferCounts,
 }
 
-/// Where to send what.
-pub(crate) type Sends = Vec<(Member, Message)>;
+#[derive(Clone, Debug)]
+struct ParkedOutline {
+    from: Member,
+    outline: Outline,
+}
 
 impl Transfers {
     /// The message as it leaves: as it is, or without its vote's body.
     pub fn outline(&mut self, message: Message, settings: &Settings) -> Message {
-        let Some((purpose, vote)) = carried(&message) else {
+        let Some((outlined, vote)) = message.carried_vote() else {
             return message;
         };
-        if vote.state.body.len() <= settings.max_inline_body_bytes || settings.defects.bodies_pushed
-        {
+        let is_small = vote.state.body.len() <= settings.max_inline_body_bytes;
+        if is_small || settings.defects.bodies_pushed {
             return message;
         }
-        let body = self.hold_vote(vote);
-        Message::Outline {
-            purpose,
-            vote: with_body(vote, Vec::new()),
-            body,
-        }
-    }
-
-    /// Keeps a vote's body for who may want it; its reference.
-    fn hold_vote(&mut self, vote: &SharedVote) -> BodyReference {
-        let same = |h: &Held| match &h.bytes {
-            Bytes::Vote(held) => Arc::ptr_eq(&held.0, &vote.0),
-            Bytes::Fetched(_) => false,
-        };
-        let found = self.held.iter().position(same);
-        let body = match found {
-            Some(index) => self.held[index].body,
-            None => BodyReference::of(&vote.state.body),
-        };
-        self.hold(body, Bytes::Vote(vote.clone()));
-        body
-    }
-
-    fn hold(&mut self, body: BodyReference, bytes: Bytes) {
-        self.held.retain(|h| h.body != body);
-        self.held.push(Held { body, bytes });
-        if self.held.len() > MOST_HELD {
-            self.held.remove(0);
-        }
-    }
-
-    fn held(&mut self, body: BodyReference) -> Option<Bytes> {
-        let index = self.held.iter().position(|h| h.body == body)?;
-        // Used last, it goes last.
-        let held = self.held.remove(index);
-        let bytes = held.bytes.clone();
-        self.held.push(held);
-        Some(bytes)
+        Message::Outline(Outline {
+            message: outlined,
+            body: self.cache.insert_vote(vote),
+            vote: vote.with_body(Vec::new()).into(),
+        })
     }
 
-    /// An outline arrived. The message with its body, if that is here; `newest` is this node's newest vote.
-    #[expect(
-        clippy::too_many_arguments,
-        reason = "an outline's fields and where it came from"
-    )]
-    pub fn arrived(
+    /// An outline arrived; `accepted` is this node's newest vote.
+    pub fn on_outline(
         &mut self,
         from: Member,
-        purpose: Purpose,
-        vote: SharedVote,
-        body: BodyReference,
-        newest: Option<&SharedVote>,
+        outline: Outline,
+        accepted: Option<&SharedVote>,
         settings: &Settings,
         now: Nanos,
-    ) -> (Option<Message>, Sends) {
+    ) -> TransferStep {
+        let body = outline.body;
         if body.length as usize > settings.max_body_bytes {
-            return (None, Sends::new());
+            return TransferStep::default();
         }
-        if let Some(newest) = newest.filter(|v| v.state.body.len() == body.length as usize) {
-            self.hold_vote(newest);
+        if let Some(accepted) = accepted.filter(|v| v.state.body.len() == body.length as usize) {
+            self.cache.insert_vote(accepted);
         }
-        if let Some(bytes) = self.held(body) {
-            let vote = with_body(&vote, bytes.as_slice().to_vec());
-            return (Some(purpose.message(vote)), Sends::new());
+        if let Some(bytes) = self.cache.get(body) {
+            let message = outline.complete(bytes.as_slice());
+            return TransferStep::ready(from, message);
         }
         if settings.defects.promise_without_body
-            && let Purpose::Promise { ballot } = purpose
+            && let OutlinedMessage::Promise { number } = outline.message
         {
-            let at = Some(vote.id());
             let promise = Message::Promise {
-                ballot,
-                at,
-                newer: None,
+                number,
+                accepted: Some(outline.vote.id()),
+                newer_vote: None,
             };
-            return (Some(promise), Sends::new());
+            return TransferStep::ready(from, promise);
         }
-        self.parked
-            .retain(|p| p.from.disk_id != from.disk_id || !p.purpose.same_kind(&purpose));
-        if self.parked.len() == MOST_PARKED {
+        self.park(from.clone(), outline);
+        TransferStep::sends(self.want(from, body, settings, now))
+    }
+
+    fn park(&mut self, from: Member, outline: Outline) {
+        let kind = discriminant(&outline.message);
+        self.parked.retain(|parked| {
+            parked.from.disk_id != from.disk_id || discriminant(&parked.outline.message) != kind
+        });
+        if self.parked.len() == MAX_PARKED {
             self.parked.remove(0);
         }
-        self.parked.push(Parked {
-            from: from.clone(),
-            purpose,
-            vote,
-            body,
-        });
-        (None, self.want(from, body, settings, now))
+        self.parked.push(ParkedOutline { from, outline });
     }
 
-    /// Asks for a body, unless it or another one is being asked for.
+    /// Requests a body that a member offers, unless it or another one is being fetched.
     fn want(
         &mut self,
         from: Member,
         body: BodyReference,
         settings: &Settings,
         now: Nanos,
-    ) -> Sends {
-        match &mut self.fetch {
-            Some(fetch) if fetch.body == body => {
-                if fetch.sources.iter().all(|s| s.disk_id != from.disk_id) {
-                    fetch.sources.push(from.clone());
-                }
-                if fetch.is_asking() {
-                    return Sends::new();
-                }
-                fetch.resume(&from, settings, now)
+    ) -> Vec<Outgoing> {
+        if let Some(fetch) = &mut self.fetch {
+            let is_same_body = fetch.body == body;
+            if is_same_body {
+                fetch.add_source(from.clone());
+            }
+            if fetch.is_active() && (is_same_body || !settings.defects.fetch_overtaken) {
+                return Vec::new();
             }
-            Some(fetch) if fetch.is_asking() && !settings.defects.fetch_overtaken => Sends::new(),
-            _ => {
-                let mut fetch = Fetch::new(body, from.clone());
-                let sends = fetch.resume(&from, settings, now);
-                self.fetch = Some(fetch);
-                sends
+            if is_same_body {
+                return fetch.resume(&from, settings, now);
             }
         }
+        let mut fetch = Fetch::new(body, from.clone());
+        let sends = fetch.resume(&from, settings, now);
+        self.fetch = Some(fetch);
+        sends
     }
 
-    /// Another node asks for a piece.
-    pub fn asked(&mut self, body: BodyReference, offset: u32, settings: &Settings) -> Message {
-        let Some(held) = self.held(body) else {
+    /// The answer to a request for a chunk.
+    pub fn on_fetch_chunk(
+        &mut self,
+        body: BodyReference,
+        offset: u32,
+        settings: &Settings,
+    ) -> Message {
+        let Some(cached) = self.cache.get(body) else {
             return Message::BodyUnavailable { body };
         };
-        let bytes = held.as_slice();
+        let bytes = cached.as_slice();
         let start = (offset as usize).min(bytes.len());
         let end = start.saturating_add(settings.chunk_bytes).min(bytes.len());
         Message::BodyChunk {
             body,
             offset,
-            bytes: bytes[start..end].into(),
+            chunk: bytes[start..end].into(),
         }
     }
 
-    /// A piece arrived. Messages that waited for the body, if this was the last one, and what to ask for next.
-    pub fn piece(
+    /// A chunk arrived.
+    pub fn on_chunk(
         &mut self,
         from: &Member,
         body: BodyReference,
         offset: u32,
-        bytes: Vec<u8>,
+        chunk: Chunk,
         settings: &Settings,
         now: Nanos,
-    ) -> (Sends, Sends) {
-        let Some(fetch) = self.fetch.as_mut().filter(|f| f.body == body) else {
-            return Default::default();
+    ) -> TransferStep {
+        let Some(mut fetch) = self.fetch.take_if(|fetch| fetch.body == body) else {
+            return TransferStep::default();
         };
-        if !fetch.fits(offset, bytes.len(), settings) {
-            return Default::default();
-        }
-        let news = fetch.pieces.insert(offset, bytes).is_none();
-        fetch.silent = 0;
-        if fetch.received() < body.length as usize {
-            let sends = if news {
-                fetch.ask_next(from, 1, settings, now)
-            } else {
-                Sends::new()
-            };
-            return (Sends::new(), sends);
+        let mut sends = Vec::new();
+        if fetch.is_chunk(offset, chunk.0.len(), settings) {
+            let was_missing = fetch.add_chunk(offset, chunk.0);
+            if fetch.is_complete() {
+                return self.finish_fetch(from, fetch, settings, now);
+            }
+            if was_missing {
+                sends = fetch.request_next(from, settings, now);
+            }
         }
-        let whole: Vec<u8> = std::mem::take(&mut fetch.pieces)
-            .into_values()
-            .flatten()
-            .collect();
-        self.fetch = None;
-        if BodyReference::of(&whole) == body || settings.defects.body_unchecked {
+        self.fetch = Some(fetch);
+        TransferStep::sends(sends)
+    }
+
+    /// All chunks are here: the parked messages that the body completes, and what to fetch next.
+    fn finish_fetch(
+        &mut self,
+        from: &Member,
+        fetch: Fetch,
+        settings: &Settings,
+        now: Nanos,
+    ) -> TransferStep {
+        let body = fetch.body;
+        let bytes = fetch.into_bytes();
+        if BodyReference::of(&bytes) == body || settings.defects.body_unchecked {
             self.counts.fetched += 1;
-            self.hold(body, Bytes::Fetched(Arc::new(whole)));
+            self.cache
+                .insert(body, CachedBytes::Fetched(Arc::new(bytes)));
         } else {
-            // Whatever garbled it, none of these bytes can be trusted. Others that offered it are asked, or it is
-            // offered again.
+            // Whatever damaged it, none of these bytes can be trusted. Other members that offered it are asked, or it
+            // is offered again.
             self.counts.damaged += 1;
             self.parked
-                .retain(|p| p.body != body || p.from.disk_id != from.disk_id);
+                .retain(|p| p.outline.body != body || p.from.disk_id != from.disk_id);
+        }
+        TransferStep {
+            ready: self.take_ready(),
+            sends: self.fetch_newest_parked(settings, now),
         }
-        let ready = self.take_ready();
-        (ready, self.fetch_next(settings, now))
     }
 
     /// Parked messages whose bodies are here.
-    fn take_ready(&mut self) -> Sends {
-        let held = &self.held;
-        let find = |body| held.iter().find(|h| h.body == body).map(|h| &h.bytes);
-        let ready = self.parked.extract_if(.., |p| find(p.body).is_some());
-        let whole = ready.filter_map(|p| {
-            let vote = with_body(&p.vote, find(p.body)?.as_slice().to_vec());
-            Some((p.from, p.purpose.message(vote)))
-        });
-        whole.collect()
+    fn take_ready(&mut self) -> Vec<Received> {
+        let cache = &self.cache;
+        self.parked
+            .extract_if(.., |parked| cache.peek(parked.outline.body).is_some())
+            .filter_map(|parked| {
+                let bytes = cache.peek(parked.outline.body)?;
+                Some(Received {
+                    from: parked.from,
+                    message: parked.outline.complete(bytes.as_slice()),
+                })
+            })
+            .collect()
     }
 
-    /// Begins with the newest vote that waits.
-    fn fetch_next(&mut self, settings: &Settings, now: Nanos) -> Sends {
-        let newest = self.parked.iter().max_by_key(|p| p.vote.id());
-        let Some((from, body)) = newest.map(|p| (p.from.clone(), p.body)) else {
-            return Sends::new();
+    /// Fetches the body of the newest vote that waits.
+    fn fetch_newest_parked(&mut self, settings: &Settings, now: Nanos) -> Vec<Outgoing> {
+        let newest = self.parked.iter().max_by_key(|p| p.outline.vote.id());
+        let Some((from, body)) = newest.map(|p| (p.from.clone(), p.outline.body)) else {
+            return Vec::new();
         };
-        let offers = self.parked.iter().filter(|p| p.body == body);
-        let sources: Vec<Member> = offers.map(|p| p.from.clone()).collect();
         let sends = self.want(from, body, settings, now);
         if let Some(fetch) = &mut self.fetch {
-            let first = fetch.sources[0].disk_id;
-            let others = sources.into_iter().filter(|s| s.disk_id != first);
-            fetch.sources.extend(others);
+            let offers = self.parked.iter().filter(|p| p.outline.body == body);
+            fetch.add_earlier_offers(offers.map(|parked| parked.from.clone()));
         }
         sends
     }
 
-    /// A member has a body no more: what it offered is out of date.
-    pub fn gone(
+    /// A member no longer has a body: what it offered is out of date.
+    pub fn on_body_unavailable(
         &mut self,
         from: &Member,
         body: BodyReference,
         settings: &Settings,
         now: Nanos,
-    ) -> Sends {
+    ) -> Vec<Outgoing> {
         // By address: after a wipe the same node answers under another disk.
         self.parked
-            .retain(|p| p.body != body || p.from.address != from.address);
-        let Some(fetch) = self.fetch.as_mut().filter(|f| f.body == body) else {
-            return Sends::new();
+            .retain(|p| p.outline.body != body || p.from.address != from.address);
+        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.body == body) else {
+            return Vec::new();
         };
-        let offered = fetch.sources.len();
-        fetch.sources.retain(|s| s.address != from.address);
-        // One answer asks on, not each of those to a whole window: their number would grow without end.
-        if fetch.sources.len() == offered {
-            return Sends::new();
+        let sources_before = fetch.sources.len();
+        fetch
+            .sources
+            .retain(|source| source.address != from.address);
+        // Only the first of the answers to a window makes a new request: their number would grow without end.
+        if fetch.sources.len() == sources_before {
+            return Vec::new();
         }
         if let Some(other) = fetch.sources.first().cloned() {
             return fetch.resume(&other, settings, now);
         }
         self.fetch = None;
-        self.fetch_next(settings, now)
+        self.fetch_newest_parked(settings, now)
     }
 
     /// When `tick` has something to do.
@@ -452,82 +288,36 @@
         self.fetch.as_ref()?.retry_at
     }
 
-    /// Asks again for pieces that did not come.
-    pub fn tick(&mut self, settings: &Settings, now: Nanos) -> Sends {
-        let Some(fetch) = &mut self.fetch else {
-            return Sends::new();
+    /// Requests chunks again that did not come in time.
+    pub fn tick(&mut self, settings: &Settings, now: Nanos) -> Vec<Outgoing> {
+        let Some(fetch) = self
+            .fetch
+            .as_mut()
+            .filter(|fetch| fetch.retry_at.is_some_and(|retry_at| retry_at <= now))
+        else {
+            return Vec::new();
         };
-        if fetch.retry_at.is_none_or(|at| at > now) {
-            return Sends::new();
-        }
-        fetch.silent += 1;
-        if settings.defects.fetch_from_start {
-            fetch.pieces.clear();
+        if let Some(sends) = fetch.on_timeout(settings, now) {
+            return sends;
         }
-        if fetch.silent < MOST_SILENT {
-            fetch.source = (fetch.source + 1) % fetch.sources.len().max(1);
-            let source = fetch.sources[fetch.source].clone();
-            return fetch.resume(&source, settings, now);
-        }
-        fetch.retry_at = None;
         let body = fetch.body;
-        self.parked.retain(|p| p.body != body);
-        self.fetch_next(settings, now)
+        self.parked.retain(|p| p.outline.body != body);
+        self.fetch_newest_parked(settings, now)
     }
 }
 
-impl Fetch {
-    fn new(body: BodyReference, source: Member) -> Fetch {
-        Fetch {
-            body,
-            sources: vec![source],
-            source: 0,
-            pieces: BTreeMap::new(),
-            next: 0,
-            silent: 0,
-            retry_at: None,
+impl TransferStep {
+    fn ready(from: Member, message: Message) -> TransferStep {
+        TransferStep {
+            ready: vec![Received { from, message }],
+            sends: Vec::new(),
         }
     }
 
-    /// Whether pieces may be on their way. Once they were late, whoever offers a body anew is there for certain, and
-    /// is asked at once.
-    fn is_asking(&self) -> bool {
-        self.retry_at.is_some() && self.silent == 0
-    }
-
-    fn received(&self) -> usize {
-        self.pieces.values().map(Vec::len).sum()
-    }
-
-    /// Whether this is one of the pieces that the body is cut into.
-    fn fits(&self, offset: u32, length: usize, settings: &Settings) -> bool {
-        let left = (self.body.length as usize).saturating_sub(offset as usize);
-        (offset as usize).is_multiple_of(settings.chunk_bytes)
-            && left > 0
-            && length == left.min(settings.chunk_bytes)
-    }
-
-    /// Asks for the first missing pieces.
-    fn resume(&mut self, of: &Member, settings: &Settings, now: Nanos) -> Sends {
-        self.next = 0;
-        self.ask_next(of, WINDOW, settings, now)
-    }
-
-    fn ask_next(&mut self, of: &Member, count: usize, settings: &Settings, now: Nanos) -> Sends {
-        let patience = (2 * settings.exchange_interval).max(MILLISECOND) << self.silent.min(2);
-        self.retry_at = Some(now + patience);
-        let mut sends = Sends::new();
-        while sends.len() < count && self.next < self.body.length {
-            let offset = self.next;
-            self.next = offset.saturating_add(settings.chunk_bytes as u32);
-            if !self.pieces.contains_key(&offset) {
-                let ask = Message::FetchBody {
-                    body: self.body,
-                    offset,
-                };
-                sends.push((of.clone(), ask));
-            }
+    fn sends(sends: Vec<Outgoing>) -> TransferStep {
+        TransferStep {
+            ready: Vec::new(),
+            sends,
         }
-        sends
     }
 }
--- a/crates/sparrouter-consensus/tests/catch_up.rs
+++ b/crates/sparrouter-consensus/tests/catch_up.rs
@@ -2,11 +2,10 @@
 mod narrow_links;
 
 use narrow_links::Group;
-use sparrouter_consensus::message::ChunkBytes;
-use sparrouter_consensus::transfer::{BodyReference, Purpose};
+use sparrouter_consensus::message::{Outline, OutlinedMessage};
 use sparrouter_consensus::{
-    Action, Defects, MILLISECOND, Member, Message, Nanos, Outcome, Record, Register, SECOND,
-    Settings,
+    Action, BodyReference, Chunk, Defects, MILLISECOND, Member, Message, Nanos, Outcome, Record,
+    Register, SECOND, Settings,
 };
 
 const BODY: usize = 120_000;
@@ -192,11 +191,11 @@
             vote.state.recent_proposals = vec![seq];
             vote.number.term = seq;
             vote.state.body = Vec::new();
-            Message::Outline {
-                purpose: Purpose::Learn,
+            Message::Outline(Outline {
+                message: OutlinedMessage::Learn,
                 vote: vote.into(),
                 body: BodyReference::of(body),
-            }
+            })
         };
         let outlines = [outline(5, &bodies[0]), outline(9, &bodies[1])];
         let register = Register::new(
@@ -224,7 +223,7 @@
             for action in actions {
                 let Action::Send {
                     to,
-                    message: Message::FetchBody { body, offset },
+                    message: Message::FetchChunk { body, offset },
                 } = action
                 else {
                     continue;
@@ -237,7 +236,7 @@
                 let piece = Message::BodyChunk {
                     body,
                     offset,
-                    bytes: ChunkBytes(bytes),
+                    chunk: Chunk(bytes),
                 };
                 self.register.handle(to, piece, 1);
                 (fetched, served) = (true, served + 1);
@@ -318,7 +317,7 @@
     let piece = |offset: u32, length: usize| Message::BodyChunk {
         body,
         offset,
-        bytes: ChunkBytes(vec![2; length]),
+        chunk: Chunk(vec![2; length]),
     };
     behind.register.handle(member(2), piece(0, 8 << 10), 0);
     behind
@@ -353,24 +352,13 @@
 #[test]
 fn given_a_body_that_was_offered_when_it_is_longer_than_any_may_be_then_it_is_not_asked_for() {
     let mut behind = Behind::new(Defects::default());
-    let Message::Outline {
-        purpose,
-        vote,
-        body,
-    } = behind.outlines[1].clone()
-    else {
+    let Message::Outline(mut outline) = behind.outlines[1].clone() else {
         panic!("an outline");
     };
-    let body = BodyReference {
-        length: u32::MAX,
-        ..body
-    };
-    let outline = Message::Outline {
-        purpose,
-        vote,
-        body,
-    };
-    behind.register.handle(member(2), outline, 0);
+    outline.body.length = u32::MAX;
+    behind
+        .register
+        .handle(member(2), Message::Outline(outline), 0);
     assert_eq!(behind.serve(|_| ()), 0);
 }
 
@@ -383,7 +371,7 @@
     for action in behind.register.take_actions() {
         match action {
             Action::Send {
-                message: Message::Prepare { ballot: b, .. },
+                message: Message::Prepare { number: b, .. },
                 ..
             } => ballot = Some(b),
             Action::Store { token, .. } => behind.register.stored(token, true, 1),
@@ -391,26 +379,22 @@
         }
     }
     let ballot = ballot.expect("a ballot");
-    let Message::Outline { vote, body, .. } = behind.outlines[0].clone() else {
+    let Message::Outline(mut promise) = behind.outlines[0].clone() else {
         panic!("an outline");
     };
-    let promise = Message::Outline {
-        purpose: Purpose::Promise { ballot },
-        vote,
-        body,
-    };
-    behind.register.handle(member(2), promise, 1);
+    promise.message = OutlinedMessage::Promise { number: ballot };
+    behind
+        .register
+        .handle(member(2), Message::Outline(promise), 1);
     let is_vote = |a: &Action| {
         let Action::Send { message, .. } = a else {
             return None;
         };
         match message {
             Message::Accept { vote } => Some(vote.state.slot),
-            Message::Outline {
-                purpose: Purpose::Accept,
-                vote,
-                ..
-            } => Some(vote.state.slot),
+            Message::Outline(outline) if outline.message == OutlinedMessage::Accept => {
+                Some(outline.vote.state.slot)
+            }
             _ => None,
         }
     };
@@ -418,7 +402,7 @@
     let early = actions.iter().filter_map(is_vote).count();
     let fetches = actions.into_iter().filter_map(|a| match a {
         Action::Send {
-            message: Message::FetchBody { body, offset },
+            message: Message::FetchChunk { body, offset },
             ..
         } => Some((body, offset)),
         _ => None,
@@ -427,17 +411,17 @@
     let mut later = Vec::new();
     while let Some((body, offset)) = fetches.pop() {
         let end = (offset as usize + (8 << 10)).min(BODY);
-        let bytes = ChunkBytes(behind.bodies[0][offset as usize..end].to_vec());
+        let chunk = Chunk(behind.bodies[0][offset as usize..end].to_vec());
         let piece = Message::BodyChunk {
             body,
             offset,
-            bytes,
+            chunk,
         };
         behind.register.handle(member(2), piece, 1);
         for action in behind.register.take_actions() {
             later.extend(is_vote(&action));
             if let Action::Send {
-                message: Message::FetchBody { body, offset },
+                message: Message::FetchChunk { body, offset },
                 ..
             } = action
             {
@@ -482,7 +466,7 @@
         .into_iter()
         .filter_map(|a| match a {
             Action::Send {
-                message: Message::FetchBody { body, .. },
+                message: Message::FetchChunk { body, .. },
                 ..
             } => Some(body),
             _ => None,
@@ -493,7 +477,7 @@
         let piece = Message::BodyChunk {
             body: first,
             offset: offset as u32,
-            bytes: ChunkBytes(behind.bodies[0][offset..end].to_vec()),
+            chunk: Chunk(behind.bodies[0][offset..end].to_vec()),
         };
         behind.register.handle(member(2), piece, 1);
     }
--- a/crates/sparrouter-consensus/tests/explore/trace.rs
+++ b/crates/sparrouter-consensus/tests/explore/trace.rs
@@ -1,36 +1,47 @@
-//! Messages in few words, for the traces of breaches.
-use sparrouter_consensus::{Message, VoteId};
+//! Short summaries of messages, for the traces of violations.
+use sparrouter_consensus::{Message, ProposalNumber, VoteId};
 
+/// One line that says what a message is about.
 pub fn summary(message: &Message) -> String {
     match message {
         Message::Accept { vote } => {
             let disks: Vec<u64> = vote.state.members.iter().map(|m| m.disk_id).collect();
             let body = String::from_utf8_lossy(&vote.state.body);
-            format!("Accept {} {body:?} {disks:?}", place(&vote.id()))
+            format!("Accept {} {body:?} {disks:?}", vote_label(&vote.id()))
         }
-        Message::Accepted { at } => format!("Accepted {}", place(at)),
-        Message::Learn { vote } => format!("Learn {}", place(&vote.id())),
-        Message::Chosen { at } => format!("Chosen {}", place(at)),
-        Message::Prepare { ballot, .. } => format!("Prepare {}.{}", ballot.term, ballot.replica),
-        Message::Promise { ballot, at, .. } => {
-            let at = at.as_ref().map(place);
-            format!("Promise {}.{} holding {at:?}", ballot.term, ballot.replica)
+        Message::Accepted { vote_id } => format!("Accepted {}", vote_label(vote_id)),
+        Message::Learn { vote } => format!("Learn {}", vote_label(&vote.id())),
+        Message::Chosen { vote_id } => format!("Chosen {}", vote_label(vote_id)),
+        Message::Prepare { number, .. } => format!("Prepare {}", number_label(number)),
+        Message::Promise {
+            number, accepted, ..
+        } => {
+            let accepted = accepted.as_ref().map(vote_label);
+            format!("Promise {}, accepted {accepted:?}", number_label(number))
         }
         Message::Reject {
-            ballot, promised, ..
+            number, promised, ..
         } => format!(
-            "Reject {}.{}, promised {}.{}",
-            ballot.term, ballot.replica, promised.term, promised.replica
+            "Reject {}, promised {}",
+            number_label(number),
+            number_label(promised)
         ),
         Message::Query { .. } => "Query".to_owned(),
-        Message::Report { at, .. } => format!("Report {:?}", at.as_ref().map(place)),
+        Message::Report { accepted, .. } => {
+            format!("Report {:?}", accepted.as_ref().map(vote_label))
+        }
         other => format!("{other:?}"),
     }
 }
 
-fn place(at: &VoteId) -> String {
+fn vote_label(vote_id: &VoteId) -> String {
     format!(
-        "slot {} ballot {}.{}",
-        at.slot, at.number.term, at.number.replica
+        "slot {} number {}",
+        vote_id.slot,
+        number_label(&vote_id.number)
     )
 }
+
+fn number_label(number: &ProposalNumber) -> String {
+    format!("{}.{}", number.term, number.replica)
+}
--- a/crates/sparrouter-consensus/tests/fleet/mod.rs
+++ b/crates/sparrouter-consensus/tests/fleet/mod.rs
@@ -466,7 +466,7 @@
         };
         let settings = Settings {
             contact_timeout: CONTACT,
-            exchange_interval: 100 * MILLISECOND,
+            anti_entropy_interval: 100 * MILLISECOND,
             round_trip: 10 * MILLISECOND,
             max_inline_body_bytes: self.max_inline_body_bytes,
             chunk_bytes: 48,
@@ -701,8 +701,10 @@
             )
         }
         Message::Learn { vote } => format!("Learn {:?}", vote.id()),
-        Message::Promise { ballot, at, .. } => format!("Promise {ballot:?} holding {at:?}"),
-        Message::Report { at, .. } => format!("Report {at:?}"),
+        Message::Promise {
+            number, accepted, ..
+        } => format!("Promise {number:?}, accepted {accepted:?}"),
+        Message::Report { accepted, .. } => format!("Report {accepted:?}"),
         other => format!("{other:?}"),
     }
 }
--- a/crates/sparrouter-consensus/tests/recorded_bytes.rs
+++ b/crates/sparrouter-consensus/tests/recorded_bytes.rs
@@ -3,27 +3,26 @@
 use nanoserde::{DeBin, SerBin};
 use sparrouter_consensus::codec::{decode, encode};
 use sparrouter_consensus::lease::{Lease, LeaseAnswer, LeaseChange, LeaseHolder};
-use sparrouter_consensus::message::{ChunkBytes, Reason};
-use sparrouter_consensus::transfer::{BodyReference, Purpose};
+use sparrouter_consensus::message::{Outline, OutlinedMessage, RejectReason};
 use sparrouter_consensus::{
-    Member, Message, ProposalNumber, Record, SharedVote, State, Vote, VoteId,
+    BodyReference, Chunk, Member, Message, ProposalNumber, Record, SharedVote, State, Vote, VoteId,
 };
 use std::fmt::{Debug, Write};
 
 const RECORDED: &str = include_str!("recorded/messages.hex");
 const MAX_BYTES: usize = 1 << 16;
 
-fn member(disk: u64) -> Member {
+fn member(disk_id: u64) -> Member {
     Member {
-        disk_id: disk,
-        name: format!("n{disk}"),
-        address: format!("10.0.0.{disk}:7400"),
+        disk_id,
+        name: format!("n{disk_id}"),
+        address: format!("10.0.0.{disk_id}:7400"),
     }
 }
 
-fn ballot(round: u64) -> ProposalNumber {
+fn number(term: u64) -> ProposalNumber {
     ProposalNumber {
-        term: round,
+        term,
         replica: 2,
         incarnation: 0x0102_0304_0506_0708,
     }
@@ -32,14 +31,14 @@
 fn vote_id() -> VoteId {
     VoteId {
         slot: 41,
-        number: ballot(7),
+        number: number(7),
     }
 }
 
-fn vote(before: Option<Vec<Member>>) -> SharedVote {
+fn vote(previous_members: Option<Vec<Member>>) -> SharedVote {
     Vote {
-        number: ballot(7),
-        previous_members: before,
+        number: number(7),
+        previous_members,
         state: State {
             slot: 41,
             members: vec![member(1), member(2), member(3)],
@@ -55,111 +54,95 @@
     BodyReference::of(b"a body")
 }
 
-fn messages() -> Vec<(&'static str, Message)> {
-    let at = Some(vote_id());
+fn outline(message: OutlinedMessage) -> Message {
+    Message::Outline(Outline {
+        message,
+        vote: vote(None),
+        body: body(),
+    })
+}
+
+/// The messages of a proposal.
+fn proposal_messages() -> Vec<(&'static str, Message)> {
+    let prepare = Message::Prepare {
+        number: number(8),
+        known: Some(vote_id()),
+    };
+    let promise = Message::Promise {
+        number: number(8),
+        accepted: Some(vote_id()),
+        newer_vote: Some(vote(None)),
+    };
+    let accept = Message::Accept {
+        vote: vote(Some(vec![member(1), member(2)])),
+    };
+    let accepted = Message::Accepted { vote_id: vote_id() };
+    let reject = |reason| Message::Reject {
+        number: number(8),
+        promised: number(9),
+        reason,
+    };
     vec![
-        (
-            "prepare",
-            Message::Prepare {
-                ballot: ballot(8),
-                known: at,
-            },
-        ),
-        (
-            "promise",
-            Message::Promise {
-                ballot: ballot(8),
-                at,
-                newer: Some(vote(None)),
-            },
-        ),
-        (
-            "accept",
-            Message::Accept {
-                vote: vote(Some(vec![member(1), member(2)])),
-            },
-        ),
-        ("accepted", Message::Accepted { at: vote_id() }),
-        (
-            "reject-outrun",
-            Message::Reject {
-                ballot: ballot(8),
-                promised: ballot(9),
-                reason: Reason::Outrun,
-            },
-        ),
-        (
-            "reject-disk",
-            Message::Reject {
-                ballot: ballot(8),
-                promised: ballot(9),
-                reason: Reason::Disk,
-            },
-        ),
-        (
-            "query",
-            Message::Query {
-                nonce: 77,
-                known: None,
-            },
-        ),
-        (
-            "report",
-            Message::Report {
-                nonce: 77,
-                promised: ballot(9),
-                at,
-                newer: None,
-            },
-        ),
-        ("chosen", Message::Chosen { at: vote_id() }),
-        (
-            "have",
-            Message::Have {
-                at,
-                chosen: Some(41),
-            },
-        ),
-        ("kept", Message::Stored { chosen: 41 }),
+        ("prepare", prepare),
+        ("promise", promise),
+        ("accept", accept),
+        ("accepted", accepted),
+        ("reject-outrun", reject(RejectReason::Superseded)),
+        ("reject-disk", reject(RejectReason::Disk)),
+    ]
+}
+
+/// The messages by which nodes compare what they have.
+fn learner_messages() -> Vec<(&'static str, Message)> {
+    let query = Message::Query {
+        nonce: 77,
+        known: None,
+    };
+    let report = Message::Report {
+        nonce: 77,
+        promised: number(9),
+        accepted: Some(vote_id()),
+        newer_vote: None,
+    };
+    let progress = Message::Progress {
+        accepted: Some(vote_id()),
+        chosen_slot: Some(41),
+    };
+    vec![
+        ("query", query),
+        ("report", report),
+        ("chosen", Message::Chosen { vote_id: vote_id() }),
+        ("have", progress),
+        ("kept", Message::Stored { chosen_slot: 41 }),
         ("learn", Message::Learn { vote: vote(None) }),
-        (
-            "outline-promise",
-            outline(Purpose::Promise { ballot: ballot(8) }),
-        ),
-        ("outline-accept", outline(Purpose::Accept)),
-        (
-            "outline-report",
-            outline(Purpose::Report {
-                nonce: 77,
-                promised: ballot(9),
-            }),
-        ),
-        ("outline-learn", outline(Purpose::Learn)),
-        (
-            "fetch-body",
-            Message::FetchBody {
-                body: body(),
-                offset: 32_768,
-            },
-        ),
-        (
-            "body-piece",
-            Message::BodyChunk {
-                body: body(),
-                offset: 32_768,
-                bytes: ChunkBytes(b"a piece".to_vec()),
-            },
-        ),
-        ("body-gone", Message::BodyUnavailable { body: body() }),
     ]
 }
 
-fn outline(purpose: Purpose) -> Message {
-    Message::Outline {
-        purpose,
-        vote: vote(None),
+/// The messages that carry large bodies.
+fn transfer_messages() -> Vec<(&'static str, Message)> {
+    let promise = OutlinedMessage::Promise { number: number(8) };
+    let report = OutlinedMessage::Report {
+        nonce: 77,
+        promised: number(9),
+    };
+    let fetch_chunk = Message::FetchChunk {
         body: body(),
-    }
+        offset: 32_768,
+    };
+    let body_chunk = Message::BodyChunk {
+        body: body(),
+        offset: 32_768,
+        chunk: Chunk(b"a piece".to_vec()),
+    };
+    vec![
+        ("outline-promise", outline(promise)),
+        ("outline-accept", outline(OutlinedMessage::Accept)),
+        ("outline-report", outline(report)),
+        ("outline-learn", outline(OutlinedMessage::Learn)),
+        ("fetch-body", fetch_chunk),
+        ("body-piece", body_chunk),
+        ("body-gone", Message::BodyUnavailable { body: body() }),
+    ]
 }
 
 fn records() -> Vec<(&'static str, Record)> {
@@ -171,7 +154,7 @@
         (
             "record-accepted",
             Record {
-                promised: ballot(9),
+                promised: number(9),
                 accepted: Some(vote(Some(vec![member(1), member(2)]))),
             },
         ),
@@ -179,17 +162,15 @@
     ]
 }
 
-fn holder() -> LeaseHolder {
-    LeaseHolder {
-        name: "n1".to_owned(),
-        incarnation: 0x1122,
-    }
+fn lease_owner() -> LeaseHolder {
+    let (name, incarnation) = ("n1".to_owned(), 0x1122);
+    LeaseHolder { name, incarnation }
 }
 
 fn leases() -> Vec<(&'static str, Lease)> {
     let lease = Lease {
         fencing_token: 12,
-        holder: Some(holder()),
+        holder: Some(lease_owner()),
         duration: 3_000_000_000,
         takeover_wait: 4_000_000_000,
     };
@@ -201,21 +182,21 @@
         (
             "lease-acquire",
             LeaseChange::Acquire {
-                holder: holder(),
+                holder: lease_owner(),
                 duration: 3_000_000_000,
             },
         ),
         (
             "lease-renew",
             LeaseChange::Renew {
-                holder: holder(),
+                holder: lease_owner(),
                 fencing_token: 12,
             },
         ),
         (
             "lease-release",
             LeaseChange::Release {
-                holder: holder(),
+                holder: lease_owner(),
                 fencing_token: 12,
                 waited: true,
             },
@@ -247,13 +228,13 @@
 }
 
 fn recorded(name: &str) -> Vec<u8> {
-    let line = RECORDED
+    let digits = RECORDED
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    let digits = line.unwrap_or_else(|| panic!("the fixture has no `{name}`"));
+    let digits = digits.unwrap_or_else(|| panic!("the fixture has no `{name}`"));
     (0..digits.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal"))
+        .map(|index| u8::from_str_radix(&digits[index..index + 2], 16).expect("hexadecimal"))
         .collect()
 }
 
@@ -271,7 +252,9 @@
 
 #[test]
 fn given_recorded_bytes_when_read_and_written_then_they_are_the_same() {
-    let checked = check(messages())
+    let checked = check(proposal_messages())
+        + check(learner_messages())
+        + check(transfer_messages())
         + check(records())
         + check(leases())
         + check(lease_changes())
--- a/crates/sparrouter-consensus/tests/register.rs
+++ b/crates/sparrouter-consensus/tests/register.rs
@@ -1,5 +1,5 @@
 //! The doors of a few registers with messages and stores carried by hand.
-use sparrouter_consensus::message::{Message, Reason};
+use sparrouter_consensus::message::{Message, RejectReason};
 use sparrouter_consensus::{
     Action, Applied, Machine, Member, Outcome, ProposalNumber, Record, Register, Rejection, SECOND,
     Settings,
@@ -166,13 +166,13 @@
 fn given_a_store_that_fails_when_a_promise_waits_for_it_then_it_is_refused_with_its_reason_and_mends_itself()
  {
     let mut node = register(1, 3);
-    let ballot = ProposalNumber {
+    let number = ProposalNumber {
         term: 5,
         replica: 2,
         incarnation: 9,
     };
     let prepare = Message::Prepare {
-        ballot,
+        number,
         known: None,
     };
     node.handle(member(2), prepare.clone(), 0);
@@ -201,7 +201,7 @@
         Action::Send {
             message:
                 Message::Reject {
-                    reason: Reason::Disk,
+                    reason: RejectReason::Disk,
                     ..
                 },
             ..
