--- a/crates/sparrouter-consensus/examples/catch_up.rs
+++ b/crates/sparrouter-consensus/examples/catch_up.rs
@@ -1,4 +1,4 @@
-//! What a change costs by members, and what catching up costs by changes missed, over lines of 10 Mbit/s.
+//! What a change costs by members, and what catching up costs by changes missed, over links of 10 Mbit/s.
 //!
 //! `cargo run --release -p sparrouter-consensus --example catch_up`
 #[path = "../tests/narrow_links/mod.rs"]
@@ -8,37 +8,36 @@
 use sparrouter_consensus::{MILLISECOND, Nanos, SECOND, Settings};
 
 const BODY: usize = 500_000;
-const LINE: u64 = 10_000_000 / 8;
-const PATIENCE: Nanos = 10 * SECOND;
+const BYTES_PER_SECOND: u64 = 10_000_000 / 8;
+const TIMEOUT: Nanos = 10 * SECOND;
 const CHANGES: u64 = 20;
 
 fn milliseconds(span: Nanos) -> u64 {
     span / MILLISECOND
 }
 
-fn settled(members: usize) -> Group {
-    let mut group = Group::new(members, BODY, LINE, Settings::default());
+fn confirmed_group(members: usize) -> Group {
+    let mut group = Group::new(members, BODY, BYTES_PER_SECOND, Settings::default());
     let all = |g: &Group| (0..members).all(|i| g.is_confirmed(i));
-    assert!(group.run_until(60 * SECOND, all), "the group starts");
+    assert!(group.run(60 * SECOND, all), "the group starts");
     group
 }
 
 fn changes() {
     println!("members | messages a change | KB a change | ms a change | slowest small message, ms");
     for members in [3, 5, 7] {
-        let mut group = settled(members);
+        let mut group = confirmed_group(members);
         group.reset_traffic();
         let (mut made, mut spent) = (0, 0);
         for _ in 0..CHANGES {
-            let began = group.now;
+            let start = group.now;
             made += u64::from(
                 group
-                    .change(0, PATIENCE)
+                    .change(0, TIMEOUT)
                     .is_some_and(|o| matches!(o, sparrouter_consensus::Outcome::Answered(_))),
             );
-            spent += group.now - began;
-            let until = group.now + 2 * SECOND;
-            group.run_until(until, |_| false);
+            spent += group.now - start;
+            group.run_for(2 * SECOND);
         }
         let traffic = group.traffic;
         println!(
@@ -51,38 +50,37 @@
     }
 }
 
-fn catch_up(missed: u64, change_every: Option<Nanos>) {
-    let mut group = settled(3);
+fn catch_up(missed: u64, change_interval: Option<Nanos>) {
+    let mut group = confirmed_group(3);
     group.kill(2);
     for _ in 0..missed {
-        group.change(0, PATIENCE);
+        group.change(0, TIMEOUT);
     }
-    let until = group.now + 10 * SECOND;
-    group.run_until(until, |_| false);
+    group.run_for(10 * SECOND);
     group.reset_traffic();
     group.start(2);
-    let began = group.now;
-    let mut next_change = began;
+    let start = group.now;
+    let mut next_change = start;
     let caught_up = loop {
         let ready = |g: &Group| g.is_confirmed(2) && g.count_on_disk(2) == g.count(0);
-        next_change += change_every.unwrap_or(60 * SECOND);
-        if group.run_until(next_change, ready) {
+        next_change += change_interval.unwrap_or(60 * SECOND);
+        if group.run(next_change, ready) {
             break true;
         }
-        if group.now >= began + 60 * SECOND {
+        if group.now >= start + 60 * SECOND {
             break false;
         }
-        group.propose(0, PATIENCE);
+        group.propose(0, TIMEOUT);
     };
     let traffic = group.traffic;
     println!(
         "{missed} | {} | {} | {} | {} | {} | {}",
-        change_every.map_or("none".to_owned(), |e| format!(
+        change_interval.map_or("none".to_owned(), |interval| format!(
             "every {} ms",
-            milliseconds(e)
+            milliseconds(interval)
         )),
         if caught_up { "yes" } else { "no, in 60 s" },
-        milliseconds(group.now - began),
+        milliseconds(group.now - start),
         traffic.messages,
         traffic.bytes / 1_000,
         milliseconds(traffic.slowest_probe),
@@ -98,7 +96,7 @@
     for missed in [0, 1, 10, 100, 500] {
         catch_up(missed, None);
     }
-    for every in [3_000, 1_500, 1_000] {
-        catch_up(10, Some(every * MILLISECOND));
+    for interval in [3_000, 1_500, 1_000] {
+        catch_up(10, Some(interval * MILLISECOND));
     }
 }
--- a/crates/sparrouter-consensus/examples/hunt.rs
+++ b/crates/sparrouter-consensus/examples/hunt.rs
@@ -1,24 +1,25 @@
-//! Plays the fleet under thousands of seeds and prints the first that fails, with its events; or tells for each planted
-//! defect which seed finds it.
+//! Plays the fleet under thousands of seeds and prints the first that fails, with its events; or the seed that finds
+//! each injected defect.
 //!
 //! `cargo run --release -p sparrouter-consensus --example hunt -- SEEDS [FIRST] [EVENTS]`, or `hunt -- defects SEEDS`
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
 
-use fleet::planted::{PLANTED, first_seed, plan};
+use fleet::defects::{DEFECTS, first_finding, plan};
 use fleet::{Plan, play};
 
 const USAGE: &str = "hunt SEEDS [FIRST] [EVENTS], or hunt defects SEEDS; whole numbers";
 
 fn main() {
     let mut arguments = std::env::args().skip(1).peekable();
-    let planted = arguments.next_if(|a| a == "defects").is_some();
+    let hunts_defects = arguments.next_if(|a| a == "defects").is_some();
     let mut numbers = arguments.map(|a| a.parse::<u64>().expect(USAGE));
     let seeds = numbers.next().unwrap_or(1_000);
-    if planted {
-        for (name, plant, weather, nodes) in PLANTED {
-            match first_seed(plant, weather, nodes, seeds) {
-                Some((seed, what)) => println!("{name}: seed {seed}, {what}"),
+    if hunts_defects {
+        for case in DEFECTS {
+            let name = case.name;
+            match first_finding(&case, seeds) {
+                Some(found) => println!("{name}: seed {}, {}", found.seed, found.violation),
                 None => println!("{name}: not found by {seeds} seeds"),
             }
         }
@@ -45,7 +46,11 @@
                 failure.events[skip..]
                     .iter()
                     .for_each(|event| println!("{event}"));
-                println!("seed {seed}, {} nodes: {}", plan(seed).nodes, failure.what);
+                println!(
+                    "seed {seed}, {} nodes: {}",
+                    plan(seed).nodes,
+                    failure.violation
+                );
                 std::process::exit(1);
             }
         }
--- a/crates/sparrouter-consensus/examples/messages.rs
+++ b/crates/sparrouter-consensus/examples/messages.rs
@@ -41,7 +41,7 @@
 }
 
 /// Carries everything out at once until nothing is left to do.
-fn settle(nodes: &mut [Register<Overwrite>]) -> Counts {
+fn run_to_quiescence(nodes: &mut [Register<Overwrite>]) -> Counts {
     let mut counts = Counts::default();
     loop {
         let mut idle = true;
@@ -75,11 +75,11 @@
     for size in [3, 5, 7] {
         let mut nodes = group(size);
         nodes[0].propose(1, b"a".to_vec(), SECOND, 0);
-        let first = settle(&mut nodes);
+        let first = run_to_quiescence(&mut nodes);
         nodes[0].propose(2, b"b".to_vec(), SECOND, 0);
-        let next = settle(&mut nodes);
+        let next = run_to_quiescence(&mut nodes);
         nodes[1].read(3, SECOND, 0);
-        let read = settle(&mut nodes);
+        let read = run_to_quiescence(&mut nodes);
         println!(
             "| {size} | {} | {} | {} | {}, {} |",
             first.messages, next.messages, read.messages, first.stores, next.stores
--- a/crates/sparrouter-consensus/src/acceptor.rs
+++ b/crates/sparrouter-consensus/src/acceptor.rs
@@ -32,7 +32,7 @@
 /// The record in memory, how much of it is on disk, and the replies that wait for the rest.
 #[derive(Clone, Debug)]
 pub(crate) struct Acceptor {
-    /// Ahead of the disk by the changes `stored_version..version`. Nobody has been told of those.
+    /// Ahead of the disk by the changes `stored_version..version`. No other node relies on those.
     record: Record,
     /// The newest vote that is on disk; never newer than `record.accepted`.
     stored_vote: Option<SharedVote>,
@@ -94,12 +94,12 @@
                 self.version += 1;
             }
         }
-        let promise = Message::Promise {
+        let reply = Message::Promise {
             number,
             accepted: self.accepted().map(|vote| vote.id()),
             newer_vote: newer_than(self.accepted(), known),
         };
-        self.reply_once_stored(from, promise);
+        self.reply_once_stored(from, reply);
     }
 
     /// Accepts a vote, unless a higher number was promised or a later slot accepted.
@@ -109,10 +109,10 @@
         }
         let vote_id = vote.id();
         let accepted = self.accepted().map(|vote| vote.id());
-        let is_below_promise = vote.number < self.record.promised;
+        let is_outrun = vote.number < self.record.promised;
         // An older slot is decided, whatever this proposer assumes.
         let is_older_slot = accepted.is_some_and(|accepted| accepted.slot > vote_id.slot);
-        if (is_below_promise && !settings.defects.accept_below_promise) || is_older_slot {
+        if (is_outrun && !settings.defects.accept_below_promise) || is_older_slot {
             return self.reject(from, vote.number, RejectReason::Superseded);
         }
         if accepted != Some(vote_id) {
@@ -124,13 +124,13 @@
     /// Takes over a chosen vote, given without a previous group. No promise stands against it, since every proposal with
     /// a higher number finds it.
     pub fn learn(&mut self, vote: &SharedVote) {
-        let is_news = self.accepted().is_none_or(|accepted| {
+        let is_newer = self.accepted().is_none_or(|accepted| {
             // Once a vote is known to be chosen, the record needs the previous group no more.
             let drops_previous_members =
                 accepted.id() == vote.id() && accepted.previous_members.is_some();
             vote.id() > accepted.id() || drops_previous_members
         });
-        if is_news {
+        if is_newer {
             self.replace_vote(vote.clone());
         }
     }
@@ -200,8 +200,8 @@
 
     /// The store that the pending replies need, as a token and bytes, if none is in flight.
     pub fn next_store(&mut self, now: Nanos, settings: &Settings) -> Option<(u64, Vec<u8>)> {
-        let is_due = self.retry_at.is_none_or(|retry_at| retry_at <= now);
-        if self.version == self.stored_version || self.store_in_flight.is_some() || !is_due {
+        let may_start = self.retry_at.is_none_or(|retry_at| retry_at <= now);
+        if self.version == self.stored_version || self.store_in_flight.is_some() || !may_start {
             return None;
         }
         self.last_token += 1;
@@ -217,10 +217,12 @@
         if !settings.defects.promise_not_stored {
             return self.record.encode();
         }
-        let promised = self.accepted().map(|vote| vote.number).unwrap_or_default();
+        let accepted = self.record.accepted.clone();
         Record {
-            promised,
-            accepted: self.record.accepted.clone(),
+            promised: accepted
+                .as_ref()
+                .map_or_else(Default::default, |v| v.number),
+            accepted,
         }
         .encode()
     }
@@ -243,7 +245,7 @@
     }
 
     /// Replaces the acknowledgements that wait for a failed store by rejections. The record in memory stays ahead of
-    /// the disk, which harms nobody, as nobody was told of it.
+    /// the disk, which harms nobody, as nobody relies on it.
     fn reject_pending_acknowledgements(&mut self) {
         for pending in std::mem::take(&mut self.pending_replies) {
             let to = &pending.reply.to;
--- a/crates/sparrouter-consensus/src/anti_entropy.rs
+++ b/crates/sparrouter-consensus/src/anti_entropy.rs
@@ -14,28 +14,30 @@
 #[derive(Clone, Debug)]
 pub(crate) struct AntiEntropy {
     /// When the next peer is asked.
-    next_at: Nanos,
+    next_comparison: Nanos,
     /// Some live node, in the group or not, by the last observation of the nodes.
     outside_peer: Option<Member>,
     /// When to find out whether the newest vote is chosen; `None` while nothing made that necessary.
-    confirmation_at: Option<Nanos>,
+    next_confirmation: Option<Nanos>,
     /// The slot that this node, outside the group, last reported to the members to be on its disk.
     announced_slot: Option<u64>,
 }
 
 impl AntiEntropy {
+    /// Starts with a first comparison within one interval from now.
     pub fn new(rng: &mut Rng, settings: &Settings, now: Nanos) -> AntiEntropy {
         AntiEntropy {
-            next_at: now + rng.u64(0..=settings.anti_entropy_interval),
+            next_comparison: now + rng.u64(0..=settings.anti_entropy_interval),
             outside_peer: None,
-            confirmation_at: None,
+            next_confirmation: None,
             announced_slot: None,
         }
     }
 
+    /// When the next comparison or confirmation is due.
     pub fn next_wake(&self) -> Nanos {
-        self.confirmation_at
-            .map_or(self.next_at, |at| at.min(self.next_at))
+        self.next_confirmation
+            .map_or(self.next_comparison, |time| time.min(self.next_comparison))
     }
 
     /// Chooses one of the live nodes to ask now and then, in case the group was replaced altogether.
@@ -44,13 +46,13 @@
         self.outside_peer = live.get(index).map(|member| (*member).clone());
     }
 
-    /// Whether the next peer is to be asked now, which sets the time of the one after it.
-    pub fn take_due(&mut self, rng: &mut Rng, settings: &Settings, now: Nanos) -> bool {
-        let is_due = self.next_at <= now;
-        if is_due {
-            self.next_at = now + jittered(settings.anti_entropy_interval, rng);
+    /// Whether a peer is to be asked now, which sets the time of the next comparison.
+    pub fn start_comparison(&mut self, rng: &mut Rng, settings: &Settings, now: Nanos) -> bool {
+        if self.next_comparison > now {
+            return false;
         }
-        is_due
+        self.next_comparison = now + jittered(settings.anti_entropy_interval, rng);
+        true
     }
 
     /// The peer to ask: mostly a member, at times the outside peer. A group that was replaced altogether has nobody left
@@ -72,14 +74,16 @@
 
     /// The newest vote may be chosen without this node's knowledge: it is confirmed after about one interval.
     pub fn schedule_confirmation(&mut self, rng: &mut Rng, settings: &Settings, now: Nanos) {
-        if self.confirmation_at.is_none() {
-            self.confirmation_at = Some(now + jittered(settings.anti_entropy_interval, rng));
+        if self.next_confirmation.is_none() {
+            self.next_confirmation = Some(now + jittered(settings.anti_entropy_interval, rng));
         }
     }
 
     /// Whether the newest vote is to be confirmed now.
-    pub fn take_due_confirmation(&mut self, now: Nanos) -> bool {
-        self.confirmation_at.take_if(|at| *at <= now).is_some()
+    pub fn start_confirmation(&mut self, now: Nanos) -> bool {
+        self.next_confirmation
+            .take_if(|time| *time <= now)
+            .is_some()
     }
 
     /// Whether this slot has not been announced last.
--- a/crates/sparrouter-consensus/src/body_cache.rs
+++ b/crates/sparrouter-consensus/src/body_cache.rs
@@ -14,6 +14,7 @@
 }
 
 impl CachedBytes {
+    /// The bytes of the body.
     pub fn as_slice(&self) -> &[u8] {
         match self {
             CachedBytes::Vote(vote) => &vote.state.body,
--- a/crates/sparrouter-consensus/src/fetch.rs
+++ b/crates/sparrouter-consensus/src/fetch.rs
@@ -31,6 +31,7 @@
 }
 
 impl Fetch {
+    /// A fetch that has requested nothing yet.
     pub fn new(body: BodyReference, source: Member) -> Fetch {
         Fetch {
             body,
@@ -43,6 +44,7 @@
         }
     }
 
+    /// A member offers the body.
     pub fn add_source(&mut self, member: Member) {
         if !contains_disk(&self.sources, member.disk_id) {
             self.sources.push(member);
@@ -77,6 +79,7 @@
         self.chunks.insert(offset, bytes).is_none()
     }
 
+    /// Whether all chunks are here.
     pub fn is_complete(&self) -> bool {
         let received: usize = self.chunks.values().map(Vec::len).sum();
         received >= self.body.length as usize
--- a/crates/sparrouter-consensus/src/learner.rs
+++ b/crates/sparrouter-consensus/src/learner.rs
@@ -20,6 +20,7 @@
 }
 
 impl Learner {
+    /// A learner that knows of no chosen vote; `disk_id` is this node's.
     pub fn new(disk_id: u64) -> Learner {
         Learner {
             disk_id,
@@ -30,14 +31,17 @@
         }
     }
 
+    /// The newest chosen vote, without a previous group.
     pub fn chosen(&self) -> Option<&SharedVote> {
         self.chosen.as_ref()
     }
 
+    /// The slot of the newest chosen vote.
     pub fn chosen_slot(&self) -> Option<u64> {
         self.chosen.as_ref().map(|vote| vote.state.slot)
     }
 
+    /// Slots of which two states were called chosen.
     pub fn conflicts(&self) -> u64 {
         self.conflicts
     }
--- a/crates/sparrouter-consensus/src/lease.rs
+++ b/crates/sparrouter-consensus/src/lease.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    fn is_held_by(&self, holder: &LeaseHolder, fencing_token: u64) -> bool {
+    fn belongs_to(&self, holder: &LeaseHolder, fencing_token: u64) -> bool {
         self.holder.as_ref() == Some(holder) && self.fencing_token == fencing_token
     }
 
@@ -123,7 +123,7 @@
         };
         Some(Lease {
             fencing_token,
-            holder: Some(holder),
+            holder: holder.into(),
             duration,
             takeover_wait,
         })
@@ -133,9 +133,8 @@
     fn released(&self, waited: bool) -> Lease {
         Lease {
             fencing_token: self.fencing_token,
-            holder: None,
-            duration: 0,
             takeover_wait: if waited { 0 } else { self.takeover_wait },
+            ..Lease::default()
         }
     }
 
@@ -188,12 +187,12 @@
             LeaseChange::Renew {
                 holder,
                 fencing_token,
-            } if lease.is_held_by(&holder, fencing_token) => unchanged(&LeaseAnswer::Renewed),
+            } if lease.belongs_to(&holder, fencing_token) => unchanged(&LeaseAnswer::Renewed),
             LeaseChange::Release {
                 holder,
                 fencing_token,
                 waited,
-            } if lease.is_held_by(&holder, fencing_token) => {
+            } if lease.belongs_to(&holder, fencing_token) => {
                 changed(&lease.released(waited), &LeaseAnswer::Released)
             }
             LeaseChange::Renew { .. } | LeaseChange::Release { .. } => {
--- a/crates/sparrouter-consensus/src/operation.rs
+++ b/crates/sparrouter-consensus/src/operation.rs
@@ -77,6 +77,7 @@
 }
 
 impl Operation {
+    /// Whether it changes nothing.
     pub fn is_read(&self) -> bool {
         matches!(
             self.kind,
@@ -104,11 +105,13 @@
 }
 
 impl OperationQueue {
+    /// The sequence of an operation or a request that begins now.
     pub fn next_sequence(&mut self) -> Sequence {
         self.sequence += 1;
         self.sequence
     }
 
+    /// Adds an operation that came now.
     pub fn push(&mut self, id: Option<u64>, kind: OperationKind, deadline: Nanos) {
         let sequence = self.next_sequence();
         self.operations.push(Operation {
@@ -120,46 +123,56 @@
         });
     }
 
+    /// All operations, in the order in which they came.
     pub fn as_slice(&self) -> &[Operation] {
         &self.operations
     }
 
+    /// How many operations wait.
     pub fn len(&self) -> usize {
         self.operations.len()
     }
 
+    /// Whether no operation waits.
     pub fn is_empty(&self) -> bool {
         self.operations.is_empty()
     }
 
+    /// Whether none of them changes anything.
     pub fn has_reads_only(&self) -> bool {
         self.operations.iter().all(Operation::is_read)
     }
 
+    /// Whether one of them is a read.
     pub fn has_read(&self) -> bool {
         self.operations.iter().any(Operation::is_read)
     }
 
+    /// Whether a change of the group waits.
     pub fn has_member_change(&self) -> bool {
         self.operations
             .iter()
             .any(|o| matches!(o.kind, OperationKind::ChangeMembers { .. }))
     }
 
+    /// Whether a read of the register's own waits.
     pub fn has_confirmation(&self) -> bool {
         self.operations
             .iter()
             .any(|o| matches!(o.kind, OperationKind::ConfirmNewest))
     }
 
+    /// The first deadline.
     pub fn next_deadline(&self) -> Option<Nanos> {
         self.operations.iter().map(|o| o.deadline).min()
     }
 
+    /// The operation that came at `sequence`, if it still waits.
     pub fn get_mut(&mut self, sequence: Sequence) -> Option<&mut Operation> {
         self.operations.iter_mut().find(|o| o.sequence == sequence)
     }
 
+    /// Removes the operation that came at `sequence`, if it still waits.
     pub fn remove(&mut self, sequence: Sequence) -> Option<Operation> {
         let index = self
             .operations
--- a/crates/sparrouter-consensus/src/proposer.rs
+++ b/crates/sparrouter-consensus/src/proposer.rs
@@ -55,6 +55,7 @@
 }
 
 impl Proposer {
+    /// An idle proposer that has observed terms up to `term`.
     pub fn new(disk_id: u64, incarnation: u64, term: u64, round_trip: Nanos) -> Proposer {
         Proposer {
             disk_id,
@@ -88,10 +89,12 @@
         }
     }
 
+    /// Estimate of a message to a peer, its sync and the answer.
     pub fn round_trip(&self) -> Nanos {
         self.round_trip
     }
 
+    /// Whether neither a request nor a backoff is in progress.
     pub fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Idle)
     }
@@ -105,6 +108,7 @@
         }
     }
 
+    /// The request in progress.
     pub fn request(&self) -> Option<&QuorumRequest> {
         match &self.phase {
             Phase::Request(request) => Some(request),
@@ -112,6 +116,7 @@
         }
     }
 
+    /// The request in progress.
     pub fn request_mut(&mut self) -> Option<&mut QuorumRequest> {
         match &mut self.phase {
             Phase::Request(request) => Some(request),
@@ -119,6 +124,7 @@
         }
     }
 
+    /// Puts a request in progress, in place of what was.
     pub fn start(&mut self, request: QuorumRequest) {
         let is_accept = matches!(request.kind, RequestKind::Accept { .. });
         debug_assert!(!is_accept || self.prepared.is_none());
@@ -133,14 +139,17 @@
         }
     }
 
+    /// The prepared number, if there is one.
     pub fn prepared_mut(&mut self) -> Option<&mut PreparedNumber> {
         self.prepared.as_mut()
     }
 
+    /// Takes the prepared number, to propose under it.
     pub fn take_prepared(&mut self) -> Option<PreparedNumber> {
         self.prepared.take()
     }
 
+    /// The next slot may be proposed under this number at once.
     pub fn set_prepared(&mut self, prepared: PreparedNumber) {
         self.prepared = Some(prepared);
     }
--- a/crates/sparrouter-consensus/src/quorum.rs
+++ b/crates/sparrouter-consensus/src/quorum.rs
@@ -29,6 +29,7 @@
 }
 
 impl QuorumRule {
+    /// `first_group`: the group of the record on disk; empty if there is none.
     pub fn new(first_group: Vec<Member>, defects: Defects) -> QuorumRule {
         QuorumRule {
             defects,
--- a/crates/sparrouter-consensus/src/register/catch_up.rs
+++ b/crates/sparrouter-consensus/src/register/catch_up.rs
@@ -74,7 +74,7 @@
     pub(super) fn run_anti_entropy(&mut self, now: Nanos) {
         if !self
             .anti_entropy
-            .take_due(&mut self.rng, &self.settings, now)
+            .start_comparison(&mut self.rng, &self.settings, now)
             || self.settings.defects.exchange_silent
         {
             return;
@@ -97,8 +97,8 @@
     }
 
     /// Finds out whether the newest vote is chosen, if it is time and nobody has yet.
-    pub(super) fn confirm_newest_if_due(&mut self, now: Nanos) {
-        if self.anti_entropy.take_due_confirmation(now)
+    pub(super) fn run_confirmation(&mut self, now: Nanos) {
+        if self.anti_entropy.start_confirmation(now)
             && self.is_newest_uncommitted()
             && !self.operations.has_confirmation()
         {
--- a/crates/sparrouter-consensus/src/register/mod.rs
+++ b/crates/sparrouter-consensus/src/register/mod.rs
@@ -169,7 +169,7 @@
         self.accepted().map(|vote| &vote.state)
     }
 
-    /// Slots of which this node was told two states: anything but 0 is a violation of agreement, to be logged as such.
+    /// Slots of which two states were reported to be chosen: anything but 0 is a violation of agreement, to be logged as such.
     pub fn conflicts(&self) -> u64 {
         self.learner.conflicts()
     }
@@ -245,7 +245,7 @@
         let sends = self.transfers.tick(&self.settings, now);
         self.send_all(sends);
         self.run_anti_entropy(now);
-        self.confirm_newest_if_due(now);
+        self.run_confirmation(now);
         self.make_progress(now);
     }
 
--- a/crates/sparrouter-consensus/src/request.rs
+++ b/crates/sparrouter-consensus/src/request.rs
@@ -61,6 +61,7 @@
 }
 
 impl QuorumRequest {
+    /// A request to the electorate of `vote` that begins now.
     pub fn new(
         kind: RequestKind,
         vote: SharedVote,
@@ -125,18 +126,22 @@
         (self.repeats == 0).then(|| now.saturating_sub(self.started_at))
     }
 
+    /// Whether nobody has replied.
     pub fn has_no_reply(&self) -> bool {
         self.replies.is_empty()
     }
 
+    /// A recipient replied with its newest vote.
     pub fn record_reply(&mut self, disk_id: u64, accepted: Option<VoteId>) {
         self.replies.insert(disk_id, accepted);
     }
 
+    /// A recipient rejected it.
     pub fn record_rejection(&mut self, disk_id: u64) {
         self.rejections.insert(disk_id);
     }
 
+    /// Whether the disk replied.
     pub fn has_reply(&self, disk_id: u64) -> bool {
         self.replies.contains_key(&disk_id)
     }
@@ -151,6 +156,7 @@
         self.replies.get(&disk_id) == Some(&Some(vote_id))
     }
 
+    /// Whether every recipient replied.
     pub fn has_all_replies(&self) -> bool {
         self.recipients.iter().all(|m| self.has_reply(m.disk_id))
     }
--- a/crates/sparrouter-consensus/src/time.rs
+++ b/crates/sparrouter-consensus/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the registers are told it: spans and moments of a steady clock that the caller reads.
+//! Time: spans and moments of a steady clock, which the caller reads and hands in.
 
 /// A span, or a moment counted from the start of some steady clock, in nanoseconds. Moments of two processes are never
 /// compared.
--- a/crates/sparrouter-consensus/src/transfer.rs
+++ b/crates/sparrouter-consensus/src/transfer.rs
@@ -103,15 +103,15 @@
         if settings.defects.promise_without_body
             && let OutlinedMessage::Promise { number } = outline.message
         {
-            let promise = Message::Promise {
+            let message = Message::Promise {
                 number,
                 accepted: Some(outline.vote.id()),
                 newer_vote: None,
             };
-            return TransferStep::ready(from, promise);
+            return TransferStep::ready(from, message);
         }
         self.park(from.clone(), outline);
-        TransferStep::sends(self.want(from, body, settings, now))
+        TransferStep::sends(self.want(&from, body, settings, now))
     }
 
     fn park(&mut self, from: Member, outline: Outline) {
@@ -128,7 +128,7 @@
     /// Requests a body that a member offers, unless it or another one is being fetched.
     fn want(
         &mut self,
-        from: Member,
+        from: &Member,
         body: BodyReference,
         settings: &Settings,
         now: Nanos,
@@ -142,11 +142,11 @@
                 return Vec::new();
             }
             if is_same_body {
-                return fetch.resume(&from, settings, now);
+                return fetch.resume(from, settings, now);
             }
         }
         let mut fetch = Fetch::new(body, from.clone());
-        let sends = fetch.resume(&from, settings, now);
+        let sends = fetch.resume(from, settings, now);
         self.fetch = Some(fetch);
         sends
     }
@@ -246,7 +246,7 @@
         let Some((from, body)) = newest.map(|p| (p.from.clone(), p.outline.body)) else {
             return Vec::new();
         };
-        let sends = self.want(from, body, settings, now);
+        let sends = self.want(&from, body, settings, now);
         if let Some(fetch) = &mut self.fetch {
             let offers = self.parked.iter().filter(|p| p.outline.body == body);
             fetch.add_earlier_offers(offers.map(|parked| parked.from.clone()));
--- a/crates/sparrouter-consensus/tests/catch_up.rs
+++ b/crates/sparrouter-consensus/tests/catch_up.rs
@@ -1,49 +1,46 @@
-//! Large states over narrow lines: what a member that is behind is sent, once, whole and checked, and what it may cost.
+//! Large states over slow links: a member that is behind receives each body once, complete and checked, at a bounded cost.
 mod narrow_links;
 
 use narrow_links::Group;
 use sparrouter_consensus::message::{Outline, OutlinedMessage};
 use sparrouter_consensus::{
-    Action, BodyReference, Chunk, Defects, MILLISECOND, Member, Message, Nanos, Outcome, Record,
-    Register, SECOND, Settings,
+    Action, BodyReference, Chunk, Defects, MILLISECOND, Member, Message, Nanos, Outcome,
+    ProposalNumber, Record, Register, SECOND, Settings,
 };
 
 const BODY: usize = 120_000;
-/// Of each line, bytes a second: a body takes some 0.4 s, as 500 KB do at 10 Mbit/s.
-const LINE: u64 = 300_000;
-const PATIENCE: Nanos = 10 * SECOND;
+/// Length of a chunk.
+const CHUNK: usize = 8 << 10;
+/// Of each link: a body takes some 0.4 s, as 500 KB do at 10 Mbit/s.
+const BYTES_PER_SECOND: u64 = 300_000;
+const TIMEOUT: Nanos = 10 * SECOND;
 /// A body with the messages around it.
-const ONE_COPY: u64 = BODY as u64 * 11 / 10;
+const MAX_BYTES_FOR_ONE_BODY: u64 = BODY as u64 * 11 / 10;
 
 fn settings(defects: Defects) -> Settings {
     Settings {
-        chunk_bytes: 8 << 10,
+        chunk_bytes: CHUNK,
         defects,
         ..Settings::default()
     }
 }
 
-fn settled(members: usize, defects: Defects) -> Group {
-    let mut group = Group::new(members, BODY, LINE, settings(defects));
+fn confirmed_group(members: usize, defects: Defects) -> Group {
+    let mut group = Group::new(members, BODY, BYTES_PER_SECOND, settings(defects));
     let all = |g: &Group| (0..members).all(|i| g.is_confirmed(i));
-    assert!(group.run_until(20 * SECOND, all), "the group starts");
+    assert!(group.run(20 * SECOND, all), "the group starts");
     group
 }
 
-fn run_for(group: &mut Group, span: Nanos) {
-    let until = group.now + span;
-    group.run_until(until, |_| false);
-}
-
 /// A group whose third member was down while so many changes were made.
 fn with_one_behind(missed: u64, defects: Defects) -> Group {
-    let mut group = settled(3, defects);
+    let mut group = confirmed_group(3, defects);
     group.kill(2);
     for _ in 0..missed {
-        let outcome = group.change(0, PATIENCE);
+        let outcome = group.change(0, TIMEOUT);
         assert!(matches!(outcome, Some(Outcome::Answered(_))), "{outcome:?}");
     }
-    run_for(&mut group, 5 * SECOND);
+    group.run_for(5 * SECOND);
     group.reset_traffic();
     group
 }
@@ -52,21 +49,23 @@
     group.is_confirmed(2) && group.count_on_disk(2) == group.count(0)
 }
 
-fn catches_up_with_one_copy(missed: u64, defects: Defects) -> bool {
+fn catches_up_with_one_body(missed: u64, defects: Defects) -> bool {
     let mut group = with_one_behind(missed, defects);
     group.start(2);
-    let until = group.now + 2 * SECOND;
-    let done = group.run_until(until, caught_up);
-    // What was asked for beyond it is under way still.
-    run_for(&mut group, 2 * SECOND);
-    done && group.traffic.bytes <= ONE_COPY && group.traffic.slowest_probe < 200 * MILLISECOND
+    let end = group.now + 2 * SECOND;
+    let is_caught_up = group.run(end, caught_up);
+    // What was requested beyond it is still in flight.
+    group.run_for(2 * SECOND);
+    is_caught_up
+        && group.traffic.bytes <= MAX_BYTES_FOR_ONE_BODY
+        && group.traffic.slowest_probe < 200 * MILLISECOND
 }
 
 #[test]
 fn given_a_member_that_missed_any_number_of_changes_when_it_restarts_then_one_copy_suffices() {
     for missed in [1, 10, 100] {
         assert!(
-            catches_up_with_one_copy(missed, Defects::default()),
+            catches_up_with_one_body(missed, Defects::default()),
             "{missed} missed"
         );
     }
@@ -78,27 +77,26 @@
         bodies_pushed: true,
         ..Defects::default()
     };
-    assert!(!catches_up_with_one_copy(10, defects));
+    assert!(!catches_up_with_one_body(10, defects));
 }
 
 #[test]
 fn given_changes_without_a_pause_when_a_member_restarts_then_it_catches_up_beside_them() {
     let mut group = with_one_behind(10, Defects::default());
     group.start(2);
-    let began = group.now;
-    let mut open = group.propose(0, PATIENCE);
-    let (mut made, mut behind) = (0, 0);
-    while group.now < began + 20 * SECOND {
-        run_for(&mut group, 10 * MILLISECOND);
+    let start = group.now;
+    let mut open = group.propose(0, TIMEOUT);
+    let mut made = 0;
+    while group.now < start + 20 * SECOND {
+        group.run_for(10 * MILLISECOND);
         if let Some(outcome) = group.take_outcome(open) {
             assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
             made += 1;
-            behind = behind.max(group.count(0) - group.count(2));
-            open = group.propose(0, PATIENCE);
+            open = group.propose(0, TIMEOUT);
         }
-        let late = group.now > began + 4 * SECOND;
+        let is_late = group.now > start + 4 * SECOND;
         assert!(
-            !late || group.count(0) - group.count(2) <= 3,
+            !is_late || group.count(0) - group.count(2) <= 3,
             "{} of {}",
             group.count(2),
             group.count(0)
@@ -112,19 +110,22 @@
 fn bytes_with_a_break(defects: Defects) -> u64 {
     let mut group = with_one_behind(5, defects);
     group.start(2);
-    run_for(&mut group, 350 * MILLISECOND);
-    group.cut(Some(2));
-    run_for(&mut group, 1_500 * MILLISECOND);
-    group.cut(None);
-    let until = group.now + 20 * SECOND;
-    assert!(group.run_until(until, caught_up), "it ends after the break");
+    group.run_for(350 * MILLISECOND);
+    group.isolate(2);
+    group.run_for(1_500 * MILLISECOND);
+    group.heal();
+    let end = group.now + 20 * SECOND;
+    assert!(group.run(end, caught_up), "it ends after the break");
     group.traffic.bytes
 }
 
 #[test]
 fn given_a_break_in_a_fetch_when_it_heals_then_it_goes_on_where_it_stopped() {
     let bytes = bytes_with_a_break(Defects::default());
-    assert!(bytes <= ONE_COPY + 4 * (8 << 10), "{bytes}");
+    assert!(
+        bytes <= MAX_BYTES_FOR_ONE_BODY + 4 * CHUNK as u64,
+        "{bytes}"
+    );
 }
 
 #[test]
@@ -133,20 +134,20 @@
         fetch_from_start: true,
         ..Defects::default()
     });
-    assert!(bytes > ONE_COPY + 4 * (8 << 10), "{bytes}");
+    assert!(bytes > MAX_BYTES_FOR_ONE_BODY + 4 * CHUNK as u64, "{bytes}");
 }
 
 #[test]
 fn given_three_five_and_seven_members_when_a_change_is_made_then_each_gets_one_copy() {
     for members in [3, 5, 7] {
-        let mut group = settled(members, Defects::default());
+        let mut group = confirmed_group(members, Defects::default());
         group.reset_traffic();
-        let outcome = group.change(0, PATIENCE);
+        let outcome = group.change(0, TIMEOUT);
         assert!(matches!(outcome, Some(Outcome::Answered(_))), "{outcome:?}");
-        run_for(&mut group, 4 * SECOND);
+        group.run_for(4 * SECOND);
         let traffic = group.traffic;
-        let most = ONE_COPY * (members as u64 - 1);
-        assert!(traffic.bytes <= most, "{members} members: {traffic:?}");
+        let max_bytes = MAX_BYTES_FOR_ONE_BODY * (members as u64 - 1);
+        assert!(traffic.bytes <= max_bytes, "{members} members: {traffic:?}");
         assert!(
             traffic.slowest_probe < 500 * MILLISECOND,
             "{members} members: {traffic:?}"
@@ -179,7 +180,7 @@
         let all: Vec<Member> = (1..=3).map(member).collect();
         let record = Record::bootstrap(all, vec![0; BODY]);
         let bodies = [1u8, 2].map(|fill| vec![fill; BODY]);
-        let outline = |seq: u64, body: &[u8]| {
+        let outline = |slot: u64, body: &[u8]| {
             let mut vote = record
                 .accepted
                 .as_ref()
@@ -187,9 +188,9 @@
                 .0
                 .as_ref()
                 .clone();
-            vote.state.slot = seq;
-            vote.state.recent_proposals = vec![seq];
-            vote.number.term = seq;
+            vote.state.slot = slot;
+            vote.state.recent_proposals = vec![slot];
+            vote.number.term = slot;
             vote.state.body = Vec::new();
             Message::Outline(Outline {
                 message: OutlinedMessage::Learn,
@@ -214,12 +215,28 @@
         }
     }
 
-    /// Answers what the register fetches, garbled by `garble`, until it fetches nothing more.
-    fn serve(&mut self, garble: impl Fn(&mut Vec<u8>)) -> usize {
+    /// Stores what the register wants stored; the number that it prepares.
+    fn prepare_and_store(&mut self) -> ProposalNumber {
+        let mut prepared = None;
+        for action in self.register.take_actions() {
+            match action {
+                Action::Send {
+                    message: Message::Prepare { number, .. },
+                    ..
+                } => prepared = Some(number),
+                Action::Store { token, .. } => self.register.stored(token, true, 1),
+                _ => {}
+            }
+        }
+        prepared.expect("a number")
+    }
+
+    /// Answers what the register fetches, damaged by `damage`, until it fetches nothing more; the number of chunks.
+    fn serve(&mut self, damage: impl Fn(&mut Vec<u8>)) -> usize {
         let mut served = 0;
         for _ in 0..1_000 {
             let actions = self.register.take_actions();
-            let mut fetched = false;
+            let served_before = served;
             for action in actions {
                 let Action::Send {
                     to,
@@ -228,28 +245,24 @@
                 else {
                     continue;
                 };
-                let whole = self.bodies.iter().find(|b| BodyReference::of(b) == body);
-                let whole = whole.expect("a body that was offered");
-                let end = (offset as usize + (8 << 10)).min(whole.len());
-                let mut bytes = whole[offset as usize..end].to_vec();
-                garble(&mut bytes);
-                let piece = Message::BodyChunk {
-                    body,
-                    offset,
-                    chunk: Chunk(bytes),
-                };
-                self.register.handle(to, piece, 1);
-                (fetched, served) = (true, served + 1);
+                let offered = self.bodies.iter().find(|b| BodyReference::of(b) == body);
+                let offered = offered.expect("a body that was offered");
+                let mut message = chunk_of(offered, body, offset);
+                if let Message::BodyChunk { chunk, .. } = &mut message {
+                    damage(&mut chunk.0);
+                }
+                self.register.handle(to, message, 1);
+                served += 1;
             }
-            if !fetched {
+            if served == served_before {
                 break;
             }
         }
         served
     }
 
-    fn seq(&self) -> Option<u64> {
-        self.register.chosen().map(|s| s.slot)
+    fn slot(&self) -> Option<u64> {
+        self.register.chosen().map(|state| state.slot)
     }
 }
 
@@ -265,7 +278,7 @@
             .register
             .handle(member(3), outlines[1 - first].clone(), 0);
         behind.serve(|_| ());
-        assert_eq!(behind.seq(), Some(9));
+        assert_eq!(behind.slot(), Some(9));
         let state = behind.register.chosen().expect("a state");
         assert_eq!(state.body, behind.bodies[1]);
     }
@@ -278,8 +291,8 @@
     behind.register.handle(member(2), outline.clone(), 0);
     behind.register.handle(member(3), outline.clone(), 0);
     behind.register.handle(member(3), outline, 0);
-    assert_eq!(behind.serve(|_| ()), BODY.div_ceil(8 << 10));
-    assert_eq!(behind.seq(), Some(9));
+    assert_eq!(behind.serve(|_| ()), BODY.div_ceil(CHUNK));
+    assert_eq!(behind.slot(), Some(9));
 }
 
 #[test]
@@ -288,13 +301,13 @@
     let outline = behind.outlines[1].clone();
     behind.register.handle(member(2), outline.clone(), 0);
     behind.serve(|bytes| bytes[0] ^= 1);
-    assert_eq!(behind.seq(), None);
+    assert_eq!(behind.slot(), None);
     let counts = behind.register.transfer_counts();
     assert_eq!((counts.fetched, counts.damaged), (0, 1));
     // Offered again, it is fetched anew.
     behind.register.handle(member(2), outline, 0);
     behind.serve(|_| ());
-    assert_eq!(behind.seq(), Some(9));
+    assert_eq!(behind.slot(), Some(9));
 }
 
 #[test]
@@ -314,20 +327,20 @@
 fn given_pieces_that_were_not_asked_for_or_are_no_pieces_then_nothing_is_kept() {
     let mut behind = Behind::new(Defects::default());
     let body = BodyReference::of(&behind.bodies[1]);
-    let piece = |offset: u32, length: usize| Message::BodyChunk {
+    let chunk = |offset: u32, length: usize| Message::BodyChunk {
         body,
         offset,
         chunk: Chunk(vec![2; length]),
     };
-    behind.register.handle(member(2), piece(0, 8 << 10), 0);
+    behind.register.handle(member(2), chunk(0, CHUNK), 0);
     behind
         .register
         .handle(member(2), behind.outlines[1].clone(), 0);
-    for (offset, length) in [(0, 1), (1, 8 << 10), (BODY as u32, 8 << 10), (u32::MAX, 0)] {
-        behind.register.handle(member(2), piece(offset, length), 0);
+    for (offset, length) in [(0, 1), (1, CHUNK), (BODY as u32, CHUNK), (u32::MAX, 0)] {
+        behind.register.handle(member(2), chunk(offset, length), 0);
     }
-    assert_eq!(behind.serve(|_| ()), BODY.div_ceil(8 << 10));
-    assert_eq!(behind.seq(), Some(9));
+    assert_eq!(behind.serve(|_| ()), BODY.div_ceil(CHUNK));
+    assert_eq!(behind.slot(), Some(9));
 }
 
 #[test]
@@ -341,12 +354,12 @@
     behind
         .register
         .handle(member(2), Message::BodyUnavailable { body }, 0);
-    // To each piece of the window it says so: one answer counts.
+    // The answer comes once for each chunk of the window; one of them counts.
     behind
         .register
         .handle(member(2), Message::BodyUnavailable { body }, 0);
-    assert_eq!(behind.serve(|_| ()), BODY.div_ceil(8 << 10));
-    assert_eq!(behind.seq(), Some(9));
+    assert_eq!(behind.serve(|_| ()), BODY.div_ceil(CHUNK));
+    assert_eq!(behind.slot(), Some(9));
 }
 
 #[test]
@@ -362,140 +375,138 @@
     assert_eq!(behind.serve(|_| ()), 0);
 }
 
-/// The votes that a member with an old state asks for once a majority promised, before it has the newer state that one
-/// of the promises tells of; and after.
-fn proposed_before_and_after_the_body(defects: Defects) -> (usize, Vec<u64>) {
+/// Slots that a member with an old state proposes once a majority promised, where one of the promises reports a newer
+/// state.
+struct ProposedSlots {
+    /// Before the body of that newer state is here.
+    before_the_body: Vec<u64>,
+    after_the_body: Vec<u64>,
+}
+
+fn proposed_slots(defects: Defects) -> ProposedSlots {
     let mut behind = Behind::new(defects);
-    behind.register.propose(1, vec![1], PATIENCE, 0);
-    let mut ballot = None;
-    for action in behind.register.take_actions() {
-        match action {
-            Action::Send {
-                message: Message::Prepare { number: b, .. },
-                ..
-            } => ballot = Some(b),
-            Action::Store { token, .. } => behind.register.stored(token, true, 1),
-            _ => {}
-        }
-    }
-    let ballot = ballot.expect("a ballot");
+    behind.register.propose(1, vec![1], TIMEOUT, 0);
+    let number = behind.prepare_and_store();
     let Message::Outline(mut promise) = behind.outlines[0].clone() else {
         panic!("an outline");
     };
-    promise.message = OutlinedMessage::Promise { number: ballot };
+    promise.message = OutlinedMessage::Promise { number };
     behind
         .register
         .handle(member(2), Message::Outline(promise), 1);
-    let is_vote = |a: &Action| {
-        let Action::Send { message, .. } = a else {
-            return None;
-        };
-        match message {
-            Message::Accept { vote } => Some(vote.state.slot),
-            Message::Outline(outline) if outline.message == OutlinedMessage::Accept => {
-                Some(outline.vote.state.slot)
-            }
-            _ => None,
-        }
-    };
     let actions = behind.register.take_actions();
-    let early = actions.iter().filter_map(is_vote).count();
-    let fetches = actions.into_iter().filter_map(|a| match a {
+    let before_the_body = actions.iter().filter_map(proposed_slot).collect();
+    let mut fetches: Vec<(BodyReference, u32)> = actions.iter().filter_map(fetched).collect();
+    let mut after_the_body = Vec::new();
+    while let Some((body, offset)) = fetches.pop() {
+        let chunk = chunk_of(&behind.bodies[0], body, offset);
+        behind.register.handle(member(2), chunk, 1);
+        let actions = behind.register.take_actions();
+        after_the_body.extend(actions.iter().filter_map(proposed_slot));
+        fetches.extend(actions.iter().filter_map(fetched));
+    }
+    ProposedSlots {
+        before_the_body,
+        after_the_body,
+    }
+}
+
+/// The slot of the vote whose acceptance this action asks for.
+fn proposed_slot(action: &Action) -> Option<u64> {
+    let Action::Send { message, .. } = action else {
+        return None;
+    };
+    match message {
+        Message::Accept { vote } => Some(vote.state.slot),
+        Message::Outline(outline) if outline.message == OutlinedMessage::Accept => {
+            Some(outline.vote.state.slot)
+        }
+        _ => None,
+    }
+}
+
+/// The chunk that this action requests.
+fn fetched(action: &Action) -> Option<(BodyReference, u32)> {
+    match action {
         Action::Send {
             message: Message::FetchChunk { body, offset },
             ..
-        } => Some((body, offset)),
+        } => Some((*body, *offset)),
         _ => None,
-    });
-    let mut fetches: Vec<(BodyReference, u32)> = fetches.collect();
-    let mut later = Vec::new();
-    while let Some((body, offset)) = fetches.pop() {
-        let end = (offset as usize + (8 << 10)).min(BODY);
-        let chunk = Chunk(behind.bodies[0][offset as usize..end].to_vec());
-        let piece = Message::BodyChunk {
-            body,
-            offset,
-            chunk,
-        };
-        behind.register.handle(member(2), piece, 1);
-        for action in behind.register.take_actions() {
-            later.extend(is_vote(&action));
-            if let Action::Send {
-                message: Message::FetchChunk { body, offset },
-                ..
-            } = action
-            {
-                fetches.push((body, offset));
-            }
-        }
     }
-    (early, later)
+}
+
+/// The chunk of `bytes` at `offset`.
+fn chunk_of(bytes: &[u8], body: BodyReference, offset: u32) -> Message {
+    let start = offset as usize;
+    let end = (start + CHUNK).min(bytes.len());
+    Message::BodyChunk {
+        body,
+        offset,
+        chunk: Chunk(bytes[start..end].to_vec()),
+    }
 }
 
 #[test]
 fn given_a_promise_of_a_newer_state_when_its_body_is_not_here_then_nothing_is_proposed() {
-    let (early, later) = proposed_before_and_after_the_body(Defects::default());
-    assert_eq!(early, 0);
+    let slots = proposed_slots(Defects::default());
+    assert_eq!(slots.before_the_body, []);
+    let after = slots.after_the_body;
     assert!(
-        !later.is_empty() && later.iter().all(|seq| *seq == 5),
-        "the newer state is proposed again first: {later:?}"
+        !after.is_empty() && after.iter().all(|slot| *slot == 5),
+        "the newer state is proposed again first: {after:?}"
     );
 }
 
 #[test]
 fn given_promises_that_count_without_the_body_then_a_vote_for_the_old_state_is_found() {
-    let (early, _) = proposed_before_and_after_the_body(Defects {
+    let slots = proposed_slots(Defects {
         promise_without_body: true,
         ..Defects::default()
     });
-    assert!(early > 0);
+    assert!(!slots.before_the_body.is_empty());
 }
 
-/// The bodies that are asked for when another one is offered in the middle of a fetch, and the slot reached when all
-/// pieces of the first one have come.
-fn asked_after_an_offer_midway(defects: Defects) -> (Vec<BodyReference>, Option<u64>) {
+/// What happens when a newer body is offered in the middle of a fetch.
+struct OfferMidway {
+    /// Bodies requested for that offer.
+    requested: Vec<BodyReference>,
+    /// The slot reached when all chunks of the first body have come.
+    slot: Option<u64>,
+}
+
+fn offer_midway(defects: Defects) -> OfferMidway {
     let mut behind = Behind::new(defects);
     let [older, newer] = behind.outlines.clone();
     let first = BodyReference::of(&behind.bodies[0]);
     behind.register.handle(member(2), older, 0);
     behind.register.take_actions();
     behind.register.handle(member(3), newer, 0);
-    let asked = behind
-        .register
-        .take_actions()
-        .into_iter()
-        .filter_map(|a| match a {
-            Action::Send {
-                message: Message::FetchChunk { body, .. },
-                ..
-            } => Some(body),
-            _ => None,
-        });
-    let asked = asked.collect();
-    for offset in (0..BODY).step_by(8 << 10) {
-        let end = (offset + (8 << 10)).min(BODY);
-        let piece = Message::BodyChunk {
-            body: first,
-            offset: offset as u32,
-            chunk: Chunk(behind.bodies[0][offset..end].to_vec()),
-        };
-        behind.register.handle(member(2), piece, 1);
+    let actions = behind.register.take_actions();
+    let requested = actions.iter().filter_map(fetched).map(|(body, _)| body);
+    let requested = requested.collect();
+    for offset in (0..BODY).step_by(CHUNK) {
+        let chunk = chunk_of(&behind.bodies[0], first, offset as u32);
+        behind.register.handle(member(2), chunk, 1);
+    }
+    OfferMidway {
+        requested,
+        slot: behind.slot(),
     }
-    (asked, behind.seq())
 }
 
 #[test]
 fn given_a_newer_state_offered_in_the_middle_of_a_fetch_then_the_fetch_is_finished_first() {
-    let (asked, seq) = asked_after_an_offer_midway(Defects::default());
-    assert!(asked.is_empty(), "{asked:?}");
-    assert_eq!(seq, Some(5));
+    let offer = offer_midway(Defects::default());
+    assert!(offer.requested.is_empty(), "{:?}", offer.requested);
+    assert_eq!(offer.slot, Some(5));
 }
 
 #[test]
 fn given_fetches_given_up_for_each_newer_state_then_it_is_found() {
-    let (asked, seq) = asked_after_an_offer_midway(Defects {
+    let offer = offer_midway(Defects {
         fetch_overtaken: true,
         ..Defects::default()
     });
-    assert!(!asked.is_empty() && seq.is_none());
+    assert!(!offer.requested.is_empty() && offer.slot.is_none());
 }
--- a/crates/sparrouter-consensus/tests/exhaustive.rs
+++ b/crates/sparrouter-consensus/tests/exhaustive.rs
@@ -1,12 +1,12 @@
-//! Every order of events at small scope, on the real registers: nothing is broken; and each planted defect is found.
+//! Every order of events at small scope, on the real registers: nothing is broken; and each injected defect is found.
 //!
 //! The example `explore` goes deeper.
 mod explore;
 
-use explore::scenarios::{all_planted, all_sound};
+use explore::scenarios::{all_defects, all_sound};
 use explore::search::{Limits, explore};
 
-/// More than any of these searches keeps: each one ends by its depth.
+/// More than any of these searches visits: each one ends by its depth.
 const STATES: usize = 2_000_000;
 
 fn assert_sound(name: &str) {
@@ -17,25 +17,35 @@
         states: STATES,
     };
     let explored = explore(&scenario.root(), limits);
-    assert!(explored.found.is_none(), "{:#?}", explored.found);
+    assert!(
+        explored.counterexample.is_none(),
+        "{:#?}",
+        explored.counterexample
+    );
     assert_eq!(explored.depth, scenario.depth, "every state to that depth");
 }
 
-fn assert_found(name: &str) {
-    let scenarios = all_planted();
+fn assert_defect_is_found(name: &str) {
+    let scenarios = all_defects();
     let scenario = scenarios.iter().find(|s| s.name == name).expect("a defect");
     let limits = Limits {
         depth: scenario.depth,
         states: STATES,
     };
     let explored = explore(&scenario.root(), limits);
-    let found = explored.found.expect("the planted defect breaks a rule");
+    let counterexample = explored
+        .counterexample
+        .expect("the injected defect breaks a rule");
     let same_depth = Limits {
-        depth: found.depth,
+        depth: counterexample.depth,
         ..limits
     };
     let sound = explore(&scenario.sound().root(), same_depth);
-    assert!(sound.found.is_none(), "{:#?}", sound.found);
+    assert!(
+        sound.counterexample.is_none(),
+        "{:#?}",
+        sound.counterexample
+    );
 }
 
 macro_rules! sound {
@@ -50,13 +60,13 @@
     };
 }
 
-macro_rules! planted {
+macro_rules! defects {
     ($($test:ident: $name:literal;)*) => {
-        $(#[test] fn $test() { assert_found($name); })*
+        $(#[test] fn $test() { assert_defect_is_found($name); })*
 
         #[test]
-        fn every_planted_defect_has_its_test() {
-            let names: Vec<&str> = all_planted().iter().map(|s| s.name).collect();
+        fn every_injected_defect_has_its_test() {
+            let names: Vec<&str> = all_defects().iter().map(|s| s.name).collect();
             assert_eq!(names, [$($name),*]);
         }
     };
@@ -75,7 +85,7 @@
     given_a_wipe_and_its_swap_then_no_order_breaks_a_rule: "a proposer, a read, a wipe and its swap";
 }
 
-planted! {
+defects! {
     given_answers_before_the_sync_then_it_is_found: "ack_before_sync";
     given_promises_that_are_not_stored_then_it_is_found: "promise_not_stored";
     given_votes_below_the_promise_then_it_is_found: "accept_below_promise";
--- a/crates/sparrouter-consensus/tests/explore/body.rs
+++ b/crates/sparrouter-consensus/tests/explore/body.rs
@@ -1,14 +1,14 @@
-//! The replicated value of an exploration: one word, changed by compare-and-set.
+//! The replicated value of an exploration: one byte, changed by compare-and-set.
 use sparrouter_consensus::{Applied, Machine};
 
-/// Answer to a change whose expected word was in force.
-pub const TAKEN: &[u8] = b"taken";
-/// Answer to a change that expected another word.
+/// Answer to a change whose expected value was in force.
+pub const APPLIED: &[u8] = b"taken";
+/// Answer to a change that expected another value.
 pub const MISMATCH: &[u8] = b"mismatch";
-/// The word that is in force before any change.
-pub const FIRST: &[u8] = b"a";
+/// The value that is in force before any change.
+pub const INITIAL: &[u8] = b"a";
 
-/// A change is two words of one byte: the expected one and the new one.
+/// A change is two bytes: the expected value and the new one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CompareAndSet;
 
@@ -22,7 +22,7 @@
         if body == [*expected] {
             return Applied::Changed {
                 body: vec![*new],
-                answer: TAKEN.to_vec(),
+                answer: APPLIED.to_vec(),
             };
         }
         Applied::Unchanged {
--- a/crates/sparrouter-consensus/tests/explore/history.rs
+++ b/crates/sparrouter-consensus/tests/explore/history.rs
@@ -1,16 +1,16 @@
-//! Calls and answers in the order in which they happened, checked against one word that is changed by compare-and-set.
+//! Calls and answers in the order in which they happened, checked against one value that is changed by compare-and-set.
 //!
 //! Source: Wing and Gong, "Testing and verifying concurrent objects", JPDC 1993: try each call that no other one
-//! finished before, and go on.
-use super::body::{FIRST, MISMATCH, TAKEN};
+//! finished before, and go on with the rest.
+use super::body::{APPLIED, INITIAL, MISMATCH};
 use super::digest::digest_of;
 use super::scope::{Call, CallKind};
 use sparrouter_consensus::Outcome;
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    Called { call: usize },
-    Ended { call: usize, outcome: Outcome },
+    Invoked { call: usize },
+    Completed { call: usize, outcome: Outcome },
 }
 
 #[derive(Clone, Debug, Default)]
@@ -21,27 +21,31 @@
 
 struct Operation<'a> {
     call: &'a Call,
-    called: usize,
-    ended: Option<usize>,
+    /// Index of the event.
+    invoked: usize,
+    /// Index of the event; `None` if there is none.
+    completed: Option<usize>,
     outcome: Option<&'a Outcome>,
 }
 
 impl Operation<'_> {
-    /// Whether it must have happened by the end of the history.
-    fn must_happen(&self) -> bool {
+    /// Whether it must have taken effect by the end of the history.
+    fn must_take_effect(&self) -> bool {
         matches!(self.outcome, Some(Outcome::Answered(_)))
     }
 
-    fn may_happen(&self) -> bool {
+    fn may_take_effect(&self) -> bool {
         !matches!(self.outcome, Some(Outcome::Rejected(_)))
     }
 
-    /// The word after it, if it can happen on this one.
-    fn on(&self, word: &[u8]) -> Option<Vec<u8>> {
+    /// The value after it, if it can happen on this one.
+    fn apply(&self, value: &[u8]) -> Option<Vec<u8>> {
         let (next, answer) = match self.call.kind {
-            CallKind::Read => (word.to_vec(), word.to_vec()),
-            CallKind::Change { expected, new } if word == [expected] => (vec![new], TAKEN.to_vec()),
-            CallKind::Change { .. } => (word.to_vec(), MISMATCH.to_vec()),
+            CallKind::Read => (value.to_vec(), value.to_vec()),
+            CallKind::Change { expected, new } if value == [expected] => {
+                (vec![new], APPLIED.to_vec())
+            }
+            CallKind::Change { .. } => (value.to_vec(), MISMATCH.to_vec()),
         };
         match self.outcome {
             Some(Outcome::Answered(given)) => (*given == answer).then_some(next),
@@ -51,17 +55,17 @@
 }
 
 impl History {
-    pub fn called(&mut self, call: usize) {
-        self.push(Event::Called { call });
+    pub fn record_invocation(&mut self, call: usize) {
+        self.push(Event::Invoked { call });
     }
 
-    pub fn ended(&mut self, call: usize, outcome: Outcome) {
-        self.push(Event::Ended { call, outcome });
+    pub fn record_completion(&mut self, call: usize, outcome: Outcome) {
+        self.push(Event::Completed { call, outcome });
     }
 
     fn push(&mut self, event: Event) {
-        let place = self.events.len();
-        self.digest = self.digest.wrapping_add(digest_of(&(place, &event)));
+        let index = self.events.len();
+        self.digest = self.digest.wrapping_add(digest_of(&(index, &event)));
         self.events.push(event);
     }
 
@@ -74,42 +78,46 @@
     pub fn is_linearizable(&self, calls: &[Call]) -> bool {
         let operations = self.operations(calls);
         let open: Vec<usize> = (0..operations.len()).collect();
-        goes_on(&operations, &open, FIRST)
+        can_linearize(&operations, &open, INITIAL)
     }
 
-    /// Calls and answers in their order, for a reader of a breach.
-    pub fn in_words(&self) -> String {
-        let words = self.events.iter().map(|event| match event {
-            Event::Called { call } => format!("call {call} begins"),
-            Event::Ended {
+    /// Calls and answers in their order, for a reader of a violation.
+    pub fn summary(&self) -> String {
+        let lines = self.events.iter().map(|event| match event {
+            Event::Invoked { call } => format!("call {call} begins"),
+            Event::Completed {
                 call,
                 outcome: Outcome::Answered(answer),
             } => format!(
                 "call {call} is answered {:?}",
                 String::from_utf8_lossy(answer)
             ),
-            Event::Ended { call, outcome } => format!("call {call} ends with {outcome:?}"),
+            Event::Completed { call, outcome } => format!("call {call} ends with {outcome:?}"),
         });
-        words.collect::<Vec<_>>().join(", ")
+        lines.collect::<Vec<_>>().join(", ")
     }
 
     fn operations<'a>(&'a self, calls: &'a [Call]) -> Vec<Operation<'a>> {
         let mut operations = Vec::new();
-        for (at, event) in self.events.iter().enumerate() {
-            let Event::Called { call } = event else {
+        for (index, event) in self.events.iter().enumerate() {
+            let Event::Invoked { call } = event else {
                 continue;
             };
-            let end = self.events.iter().enumerate().find_map(|(at, e)| match e {
-                Event::Ended { call: c, outcome } if c == call => Some((at, outcome)),
-                _ => None,
-            });
+            let end = self
+                .events
+                .iter()
+                .enumerate()
+                .find_map(|(index, e)| match e {
+                    Event::Completed { call: c, outcome } if c == call => Some((index, outcome)),
+                    _ => None,
+                });
             let operation = Operation {
                 call: &calls[*call],
-                called: at,
-                ended: end.map(|e| e.0),
+                invoked: index,
+                completed: end.map(|e| e.0),
                 outcome: end.map(|e| e.1),
             };
-            if operation.may_happen() {
+            if operation.may_take_effect() {
                 operations.push(operation);
             }
         }
@@ -117,21 +125,21 @@
     }
 }
 
-/// Whether the open operations can follow on this word.
-fn goes_on(operations: &[Operation], open: &[usize], word: &[u8]) -> bool {
-    if open.iter().all(|&i| !operations[i].must_happen()) {
+/// Whether the open operations can take effect in some order on this value.
+fn can_linearize(operations: &[Operation], open: &[usize], value: &[u8]) -> bool {
+    if open.iter().all(|&i| !operations[i].must_take_effect()) {
         return true;
     }
-    let first_end = open.iter().filter_map(|&i| operations[i].ended).min();
+    let first_end = open.iter().filter_map(|&i| operations[i].completed).min();
     open.iter().any(|&candidate| {
         let operation = &operations[candidate];
-        if first_end.is_some_and(|end| end < operation.called) {
+        if first_end.is_some_and(|end| end < operation.invoked) {
             return false;
         }
-        let Some(next) = operation.on(word) else {
+        let Some(next) = operation.apply(value) else {
             return false;
         };
         let rest: Vec<usize> = open.iter().copied().filter(|&i| i != candidate).collect();
-        goes_on(operations, &rest, &next)
+        can_linearize(operations, &rest, &next)
     })
 }
--- a/crates/sparrouter-consensus/tests/explore/mod.rs
+++ b/crates/sparrouter-consensus/tests/explore/mod.rs
@@ -2,16 +2,17 @@
 //!
 //! | module | its one job |
 //! | --- | --- |
-//! | `body` | the replicated value: a word changed by compare-and-set |
+//! | `body` | the replicated value: a byte changed by compare-and-set |
+//! | `violation` | the rules that can be broken |
 //! | `scope` | what may happen in an exploration, and how often |
 //! | `node` | a node: its register, its disk, and the store between them |
 //! | `system` | one state of the whole system and the steps out of it |
-//! | `trace` | messages in few words |
+//! | `trace` | short summaries of messages |
 //! | `votes` | which votes are on disk, and so which are chosen, counted apart from the code under test |
 //! | `history` | calls and answers, checked for linearizability |
 //! | `digest` | which states are the same |
 //! | `search` | breadth-first search over states, each visited once |
-//! | `scenarios` | the scopes that the test and the example explore, and those that find each planted defect |
+//! | `scenarios` | the scopes that the test and the example explore, and those that find each injected defect |
 //!
 //! Sources: Lamport, "Specifying systems", 2002 (TLC: states visited once, breadth first, a shortest trace); Killian et
 //! al., "Life, death, and the critical transition", NSDI 2007 (the real code in place of a model of it).
@@ -25,4 +26,5 @@
 pub mod search;
 pub mod system;
 pub mod trace;
+pub mod violation;
 pub mod votes;
--- a/crates/sparrouter-consensus/tests/explore/node.rs
+++ b/crates/sparrouter-consensus/tests/explore/node.rs
@@ -1,7 +1,7 @@
 //! A node of an exploration: its process, its disk, and the store between them.
 //!
-//! Each node has its own clock, which only its timers move. What it does depends on nothing but its state and what it is
-//! given.
+//! Each node has its own clock, which only its timers move. Its reaction depends on nothing but its state and its
+//! input.
 use super::body::CompareAndSet;
 use super::digest::digest_of;
 use super::scope::{CallKind, Scope};
@@ -14,32 +14,32 @@
 const SHARD: u16 = 7;
 
 /// No call ends by its deadline within an exploration.
-const FAR: Nanos = Nanos::MAX / 4;
+const NO_DEADLINE: Nanos = Nanos::MAX / 4;
 
-/// Between the id of a disk and that of the empty one that replaces it.
-const NEXT_DISK: u64 = 100;
+/// Difference between the id of a disk and that of the empty one that replaces it.
+const DISK_ID_STEP: u64 = 100;
 
 /// Longest record or message that is decoded.
-const MOST_BYTES: usize = 1 << 16;
+const MAX_BYTES: usize = 1 << 16;
 
 /// A node: its process, its disk, and what is between them.
 #[derive(Clone)]
 pub struct Node {
     pub member: Member,
-    life: u64,
+    incarnation: u64,
     register: Register<CompareAndSet>,
     disk: Option<Vec<u8>>,
-    /// The store under way.
-    pub pending: Option<Pending>,
+    /// The store in flight.
+    pub pending: Option<PendingStore>,
     /// Votes accepted in memory since the last store began.
     unsaved: Vec<VoteId>,
     now: Nanos,
-    /// What the disk holds, decoded.
-    pub on_disk: Option<VoteId>,
+    /// The vote on disk.
+    pub vote_on_disk: Option<VoteId>,
     pub digest: u128,
 }
 
-/// What a node is given, beside its own state.
+/// What a node reacts to.
 #[derive(Debug)]
 pub enum Input {
     Message {
@@ -50,7 +50,7 @@
         op: u64,
         kind: CallKind,
     },
-    /// The store under way ends; `written`: its bytes are on disk.
+    /// The store in flight ends; `written`: its bytes are on disk.
     Stored {
         written: bool,
         ok: bool,
@@ -62,13 +62,14 @@
     Wipe,
     Tick,
     Observe {
-        seen: Vec<NodeObservation>,
-        contact: Nanos,
+        observations: Vec<NodeObservation>,
+        contact_timeout: Nanos,
     },
 }
 
+/// A store in flight.
 #[derive(Clone, Debug)]
-pub struct Pending {
+pub struct PendingStore {
     token: u64,
     bytes: Vec<u8>,
     pub votes: Vec<VoteId>,
@@ -91,12 +92,12 @@
 }
 
 fn decoded(record: &[u8]) -> Record {
-    Record::decode(record, MOST_BYTES).expect("a record that this code wrote can be read")
+    Record::decode(record, MAX_BYTES).expect("a record that this code wrote can be read")
 }
 
 impl Node {
-    pub fn start(scope: &Scope, member: Member, life: u64, disk: Option<Vec<u8>>) -> Node {
-        let seed = scope.seed ^ (member.disk_id << 32) ^ life;
+    pub fn start(scope: &Scope, member: Member, incarnation: u64, disk: Option<Vec<u8>>) -> Node {
+        let seed = scope.seed ^ (member.disk_id << 32) ^ incarnation;
         let register = Register::new(
             SHARD,
             member.clone(),
@@ -108,35 +109,35 @@
         );
         let mut node = Node {
             member,
-            life,
+            incarnation,
             register: register.expect("a record that this code wrote can be read"),
             disk,
             pending: None,
             unsaved: Vec::new(),
             now: 0,
-            on_disk: None,
+            vote_on_disk: None,
             digest: 0,
         };
-        node.on_disk = node.record().accepted.map(|vote| vote.id());
+        node.vote_on_disk = node.record().accepted.map(|vote| vote.id());
         node.refresh_digest();
         node
     }
 
-    /// The store under way reaches the disk.
+    /// The store in flight reaches the disk.
     fn write(&mut self) {
         if let Some(pending) = &self.pending {
             self.disk = Some(pending.bytes.clone());
-            self.on_disk = self.record().accepted.map(|vote| vote.id());
+            self.vote_on_disk = self.record().accepted.map(|vote| vote.id());
         }
     }
 
-    /// The store under way ended.
+    /// The store in flight ended.
     fn end_store(&mut self, ok: bool) {
         let Some(pending) = self.pending.take() else {
             return;
         };
         if !ok {
-            // They are still in memory and ride on the next store.
+            // They are still in memory and go with the next store.
             self.unsaved.splice(0..0, pending.votes);
         }
         self.register.stored(pending.token, ok, self.now);
@@ -144,10 +145,10 @@
 
     /// Starts anew under a member's name, with this disk.
     fn restart(&mut self, scope: &Scope, member: Member, disk: Option<Vec<u8>>) {
-        *self = Node::start(scope, member, self.life + 1, disk);
+        *self = Node::start(scope, member, self.incarnation + 1, disk);
     }
 
-    /// Takes an input in; gives what the register wants done, but for the store that it wants.
+    /// Handles an input; the actions of the register but for its store, which becomes `pending`.
     pub fn react(&mut self, scope: &Scope, input: Input) -> Vec<Action> {
         if let Input::Stored { written: true, .. } | Input::Restart { written: true } = input {
             self.write();
@@ -159,35 +160,38 @@
             Input::Wipe => {
                 let mut member = self.member.clone();
                 if !scope.defects.wiped_keeps_id {
-                    member.disk_id += NEXT_DISK;
+                    member.disk_id += DISK_ID_STEP;
                 }
                 self.restart(scope, member, None);
             }
             Input::Message { sender, message } => register.handle(sender, message, self.now),
             Input::Call { op, kind } => match kind {
-                CallKind::Read => register.read(op, FAR, self.now),
+                CallKind::Read => register.read(op, NO_DEADLINE, self.now),
                 CallKind::Change { expected, new } => {
-                    register.propose(op, vec![expected, new], FAR, self.now)
+                    register.propose(op, vec![expected, new], NO_DEADLINE, self.now)
                 }
             },
             Input::Tick => {
-                let due = register.next_wake().unwrap_or(self.now);
-                self.now = self.now.max(due);
+                let wake = register.next_wake().unwrap_or(self.now);
+                self.now = self.now.max(wake);
                 register.tick(self.now);
             }
-            Input::Observe { seen, contact } => {
-                // Twice, as whoever is not the first in turn waits a tenth of `contact` for each before it. A candidate's
-                // confirmation counts for half of `contact`.
-                register.observe_nodes(&seen, self.now);
-                self.now += contact * 2 / 5;
-                register.observe_nodes(&seen, self.now);
+            Input::Observe {
+                observations,
+                contact_timeout,
+            } => {
+                // Twice, as whoever is not the first in turn waits a tenth of `contact_timeout` for each before it. A candidate's
+                // confirmation is valid for half of `contact_timeout`.
+                register.observe_nodes(&observations, self.now);
+                self.now += contact_timeout * 2 / 5;
+                register.observe_nodes(&observations, self.now);
             }
         }
         let actions = self.register.take_actions();
-        if let Some(at) = self.register.accepted_vote()
-            && self.unsaved.last() != Some(&at)
+        if let Some(vote_id) = self.register.accepted_vote()
+            && self.unsaved.last() != Some(&vote_id)
         {
-            self.unsaved.push(at);
+            self.unsaved.push(vote_id);
         }
         let (stores, others) = actions
             .into_iter()
@@ -199,13 +203,13 @@
         others
     }
 
-    /// A store may begin before the last vote that the same step accepted: that one rides on the next store.
+    /// A store may begin before the last vote that the same step accepted: that one goes with the next store.
     fn begin_store(&mut self, store: Action) {
         if let Action::Store { token, bytes } = store {
-            let held = decoded(&bytes).accepted.map(|vote| vote.id());
-            let covered = |at: &mut VoteId| Some(*at) <= held;
-            let votes = self.unsaved.extract_if(.., covered).collect();
-            self.pending = Some(Pending {
+            let stored = decoded(&bytes).accepted.map(|vote| vote.id());
+            let is_covered = |vote_id: &mut VoteId| Some(*vote_id) <= stored;
+            let votes = self.unsaved.extract_if(.., is_covered).collect();
+            self.pending = Some(PendingStore {
                 token,
                 bytes,
                 votes,
@@ -218,15 +222,15 @@
     }
 
     fn refresh_digest(&mut self) {
-        let seen = (
+        let state = (
             &self.member,
-            self.life,
+            self.incarnation,
             &self.register,
             &self.disk,
             &self.pending,
             &self.unsaved,
             self.now,
         );
-        self.digest = digest_of(&seen);
+        self.digest = digest_of(&state);
     }
 }
--- a/crates/sparrouter-consensus/tests/explore/scenarios.rs
+++ b/crates/sparrouter-consensus/tests/explore/scenarios.rs
@@ -1,26 +1,28 @@
-//! The scopes that are explored: those of the sound code, and for each planted defect one that finds it.
+//! The scopes that are explored: those of the sound code, and for each injected defect one that finds it.
 use super::scope::{Call, Scope, Swap};
 use super::system::{Step, System};
 use sparrouter_consensus::Defects;
 
-/// What happens before the search begins, for breaches that lie too deep from the first state.
+const NO_VIOLATION_YET: &str = "no rule is broken before the search begins";
+
+/// What happens before the search begins, for violations that lie too deep from the first state.
 #[derive(Clone, Copy, Debug)]
-pub enum Before {
-    /// These calls are made, and these nodes say and store all they want among themselves.
+pub enum Preparation {
+    /// These calls are made, and all messages and stores among these nodes are carried out.
     Calls {
         calls: &'static [usize],
         among: &'static [usize],
     },
-    /// The proposer of the scope's swap looks around and asks the candidate, and these nodes say and store all they want
-    /// among themselves: a node joins only once its own disk holds the group's state.
-    CandidateAsked { among: &'static [usize] },
-    /// All messages under way are lost.
+    /// The proposer of the scope's swap observes the nodes and asks the candidate, and all messages and stores among these
+    /// nodes are carried out: a node joins only once its own disk has the group's state.
+    ConfirmCandidate { among: &'static [usize] },
+    /// All messages in flight are lost.
     Loss,
     /// The node restarts; what it was storing is lost.
     Crash { node: usize },
     /// The node restarts with an empty disk.
     Wipe { node: usize },
-    /// The store under way at a node ends.
+    /// The store in flight at a node ends.
     Sync { node: usize },
     /// One message of this link arrives; there must be just one.
     Deliver { from: usize, to: usize },
@@ -31,7 +33,7 @@
 pub struct Scenario {
     pub name: &'static str,
     pub scope: Scope,
-    pub before: &'static [Before],
+    pub preparations: &'static [Preparation],
     /// Depth to which the test explores the sound code, or within which the defect is found.
     pub depth: usize,
 }
@@ -43,8 +45,8 @@
     /// If a rule is broken on the way there.
     pub fn root(&self) -> System {
         let mut system = System::new(self.scope.clone());
-        for before in self.before {
-            system = played(system, *before);
+        for preparation in self.preparations {
+            system = prepare(system, *preparation);
         }
         system
     }
@@ -62,43 +64,43 @@
     }
 }
 
-/// Everything that these nodes say and store among themselves.
+/// Carries out all messages and stores among these nodes.
 fn all_steps_among(mut system: System, among: &[usize]) -> System {
     while let Some(next) = system.steps_among(among).first() {
         let after = system.after(*next);
-        system = after.expect("nothing is broken before the search begins");
+        system = after.expect(NO_VIOLATION_YET);
     }
     system
 }
 
-fn played(mut system: System, before: Before) -> System {
+fn prepare(mut system: System, preparation: Preparation) -> System {
     let step = |system: System, step| {
         let next = system.after(step);
-        next.expect("nothing is broken before the search begins")
+        next.expect(NO_VIOLATION_YET)
     };
-    match before {
-        Before::Loss => system.lose_messages(),
-        Before::Crash { node } => {
+    match preparation {
+        Preparation::Loss => system.lose_messages(),
+        Preparation::Crash { node } => {
             let crash = Step::Crash {
                 node,
                 written: false,
             };
             system = step(system, crash);
         }
-        Before::Sync { node } => system = step(system, Step::Sync { node }),
-        Before::Deliver { from, to } => {
+        Preparation::Sync { node } => system = step(system, Step::Sync { node }),
+        Preparation::Deliver { from, to } => {
             let messages = system.steps_between(from, to);
             assert_eq!(messages.len(), 1, "one message from {from} to {to}");
             system = step(system, messages[0]);
         }
-        Before::Calls { calls, among } => {
+        Preparation::Calls { calls, among } => {
             for &call in calls {
                 system = step(system, Step::Call { call });
             }
             system = all_steps_among(system, among);
         }
-        Before::Wipe { node } => system = step(system, Step::Wipe { node }),
-        Before::CandidateAsked { among } => {
+        Preparation::Wipe { node } => system = step(system, Step::Wipe { node }),
+        Preparation::ConfirmCandidate { among } => {
             system = all_steps_among(step(system, Step::Swap), among);
             system.allow_another_swap();
         }
@@ -106,78 +108,78 @@
     system
 }
 
-/// Node 0 has the promises of itself and of node 2, and asks for votes.
-const PREPARED: [Before; 4] = [
-    VOTED_ALONE[0],
-    VOTED_ALONE[1],
-    VOTED_ALONE[2],
-    VOTED_ALONE[3],
+/// Node 0 has promises of itself and of node 2, and asks for acceptance.
+const PREPARED: [Preparation; 4] = [
+    ACCEPTED_ALONE[0],
+    ACCEPTED_ALONE[1],
+    ACCEPTED_ALONE[2],
+    ACCEPTED_ALONE[3],
 ];
 
-/// Node 0 has its change voted for by nobody but itself.
-const VOTED_ALONE: [Before; 6] = [
-    Before::Calls {
+/// Node 0 has its change accepted by nobody but itself.
+const ACCEPTED_ALONE: [Preparation; 6] = [
+    Preparation::Calls {
         calls: &[0],
         among: &[0],
     },
-    Before::Deliver { from: 0, to: 2 },
-    Before::Sync { node: 2 },
-    Before::Deliver { from: 2, to: 0 },
-    Before::Sync { node: 0 },
-    Before::Loss,
+    Preparation::Deliver { from: 0, to: 2 },
+    Preparation::Sync { node: 2 },
+    Preparation::Deliver { from: 2, to: 0 },
+    Preparation::Sync { node: 0 },
+    Preparation::Loss,
 ];
 
-/// Then node 1 has another one chosen with node 2, and node 0 starts anew.
-const TWO_VALUES_VOTED: [Before; 9] = [
-    VOTED_ALONE[0],
-    VOTED_ALONE[1],
-    VOTED_ALONE[2],
-    VOTED_ALONE[3],
-    VOTED_ALONE[4],
-    VOTED_ALONE[5],
-    Before::Calls {
+/// Then node 1 has another one chosen with node 2, and node 0 restarts.
+const TWO_VALUES_ACCEPTED: [Preparation; 9] = [
+    ACCEPTED_ALONE[0],
+    ACCEPTED_ALONE[1],
+    ACCEPTED_ALONE[2],
+    ACCEPTED_ALONE[3],
+    ACCEPTED_ALONE[4],
+    ACCEPTED_ALONE[5],
+    Preparation::Calls {
         calls: &[1],
         among: &[1, 2],
     },
-    Before::Loss,
-    Before::Crash { node: 0 },
+    Preparation::Loss,
+    Preparation::Crash { node: 0 },
 ];
 
-/// Node 2 votes for the change of node 0, which hears nothing of it; node 1 finds that vote and has it chosen.
-const CHOSEN_BY_ANOTHER: [Before; 9] = [
-    VOTED_ALONE[0],
-    VOTED_ALONE[1],
-    VOTED_ALONE[2],
-    VOTED_ALONE[3],
-    Before::Deliver { from: 0, to: 2 },
-    Before::Sync { node: 2 },
-    Before::Sync { node: 0 },
-    Before::Loss,
-    Before::Calls {
+/// Node 2 accepts the change of node 0, which learns nothing of it; node 1 finds that vote and has it chosen.
+const CHOSEN_BY_ANOTHER: [Preparation; 9] = [
+    ACCEPTED_ALONE[0],
+    ACCEPTED_ALONE[1],
+    ACCEPTED_ALONE[2],
+    ACCEPTED_ALONE[3],
+    Preparation::Deliver { from: 0, to: 2 },
+    Preparation::Sync { node: 2 },
+    Preparation::Sync { node: 0 },
+    Preparation::Loss,
+    Preparation::Calls {
         calls: &[1],
         among: &[1, 2],
     },
 ];
 
 /// Node 0 reads, so that it knows the group.
-const GROUP_KNOWN: Before = Before::Calls {
+const GROUP_KNOWN: Preparation = Preparation::Calls {
     calls: &[0],
     among: &[0, 1, 2],
 };
 
 /// Then the disk of a spare, node 3, has confirmed that it holds the group's state.
-const SPARE_CONFIRMED: [Before; 2] = [
+const SPARE_CONFIRMED: [Preparation; 2] = [
     GROUP_KNOWN,
-    Before::CandidateAsked {
+    Preparation::ConfirmCandidate {
         among: &[0, 1, 2, 3],
     },
 ];
 
 /// Then node 2 has lost its disk, and the new one has confirmed that it holds the group's state.
-const WIPED_CONFIRMED: [Before; 3] = [
+const WIPED_CONFIRMED: [Preparation; 3] = [
     GROUP_KNOWN,
-    Before::Wipe { node: 2 },
-    Before::CandidateAsked { among: &[0, 1, 2] },
+    Preparation::Wipe { node: 2 },
+    Preparation::ConfirmCandidate { among: &[0, 1, 2] },
 ];
 
 /// Two proposers of competing changes.
@@ -191,22 +193,31 @@
     calls
 }
 
-fn sound(name: &'static str, depth: usize, before: &'static [Before], scope: Scope) -> Scenario {
+fn sound(
+    name: &'static str,
+    depth: usize,
+    preparations: &'static [Preparation],
+    scope: Scope,
+) -> Scenario {
     Scenario {
         name,
         scope,
-        before,
+        preparations,
         depth,
     }
 }
 
 /// What is explored of the sound code; the depth is the test's, the example goes deeper.
+#[allow(clippy::too_many_lines, reason = "a table of scopes")]
 pub fn all_sound() -> Vec<Scenario> {
     let group = Scope {
         calls: race_and_read(),
         ..Scope::calm(3)
     };
-    let swap = Swap { by: 0, leaves: 2 };
+    let swap = Swap {
+        proposer: 0,
+        replaced: 2,
+    };
     let swapped = Scope {
         calls: vec![Call::read(0), Call::change(1, b'a', b'b'), Call::read(0)],
         swap: Some(swap),
@@ -299,31 +310,35 @@
     ]
 }
 
-fn planted(
+fn with_defect(
     name: &'static str,
     depth: usize,
-    plant: impl FnOnce(&mut Defects),
-    before: &'static [Before],
+    inject: impl FnOnce(&mut Defects),
+    preparations: &'static [Preparation],
     mut scope: Scope,
 ) -> Scenario {
-    plant(&mut scope.defects);
+    inject(&mut scope.defects);
     Scenario {
         name,
         scope,
-        before,
+        preparations,
         depth,
     }
 }
 
-/// Each planted defect with a scope that finds it.
-pub fn all_planted() -> Vec<Scenario> {
+/// Each injected defect with a scope that finds it.
+#[allow(clippy::too_many_lines, reason = "a table of defects")]
+pub fn all_defects() -> Vec<Scenario> {
     let race_of = |members| Scope {
         calls: race(),
         ..Scope::calm(members)
     };
     let swap_of_spare = Scope {
         spares: 1,
-        swap: Some(Swap { by: 0, leaves: 2 }),
+        swap: Some(Swap {
+            proposer: 0,
+            replaced: 2,
+        }),
         calls: vec![Call::read(0)],
         ..Scope::calm(3)
     };
@@ -348,104 +363,104 @@
         ..Scope::calm(3)
     };
     vec![
-        planted(
+        with_defect(
             "ack_before_sync",
             8,
             |d| d.ack_before_sync = true,
             &[],
             race_of(3),
         ),
-        planted(
+        with_defect(
             "promise_not_stored",
             10,
             |d| d.promise_not_stored = true,
             &PREPARED,
             crash_once,
         ),
-        planted(
+        with_defect(
             "accept_below_promise",
             12,
             |d| d.accept_below_promise = true,
             &PREPARED,
             race_of(3),
         ),
-        planted(
+        with_defect(
             "old_group_only",
             12,
             |d| d.old_group_only = true,
             &SPARE_CONFIRMED,
             swap_of_spare.clone(),
         ),
-        planted(
+        with_defect(
             "skip_joint",
             12,
             |d| d.skip_joint = true,
             &SPARE_CONFIRMED,
             swap_of_spare,
         ),
-        planted(
+        with_defect(
             "judge_unchosen",
             14,
             |d| d.judge_unchosen = true,
             &[],
             race_of(3),
         ),
-        planted(
+        with_defect(
             "answer_unchosen",
             8,
             |d| d.answer_unchosen = true,
             &[],
             race_of(3),
         ),
-        planted(
+        with_defect(
             "half_is_majority",
             8,
             |d| d.half_is_majority = true,
             &[],
             race_of(2),
         ),
-        planted(
+        with_defect(
             "ballots_shared",
             12,
             |d| d.ballots_shared = true,
             &[],
             race_of(3),
         ),
-        planted(
+        with_defect(
             "publish_accepted",
             8,
             |d| d.publish_accepted = true,
             &[],
             race_of(3),
         ),
-        planted(
+        with_defect(
             "read_locally",
             12,
             |d| d.read_locally = true,
             &[],
             one_change_and_read,
         ),
-        planted(
+        with_defect(
             "wiped_keeps_id",
             14,
             |d| d.wiped_keeps_id = true,
             &[
-                Before::Calls {
+                Preparation::Calls {
                     calls: &[0],
                     among: &[0, 2],
                 },
-                Before::Loss,
+                Preparation::Loss,
             ],
             wipe_once,
         ),
-        planted(
+        with_defect(
             "any_promise",
             10,
             |d| d.any_promise = true,
-            &TWO_VALUES_VOTED,
+            &TWO_VALUES_ACCEPTED,
             later_call,
         ),
-        planted(
+        with_defect(
             "forget_sent",
             12,
             |d| d.forget_sent = true,
--- a/crates/sparrouter-consensus/tests/explore/scope.rs
+++ b/crates/sparrouter-consensus/tests/explore/scope.rs
@@ -3,7 +3,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// Replaces one word by another.
+    /// Replaces one value by another.
     Change {
         expected: u8,
         new: u8,
@@ -35,13 +35,13 @@
     }
 }
 
-/// A member that counts as silent, and the spare node that waits for its place.
+/// A member that counts as unresponsive, and the spare node that may replace it.
 #[derive(Clone, Copy, Debug)]
 pub struct Swap {
-    /// Index of the node that notices the silence and proposes the new group.
-    pub by: usize,
-    /// Index of the member that goes. It still runs: silence is only what `by` observes.
-    pub leaves: usize,
+    /// Index of the node that observes the member as unresponsive and proposes the new group.
+    pub proposer: usize,
+    /// Index of the member that is replaced. It still runs: only `by` observes it as unresponsive.
+    pub replaced: usize,
 }
 
 #[derive(Clone, Debug)]
--- a/crates/sparrouter-consensus/tests/explore/search.rs
+++ b/crates/sparrouter-consensus/tests/explore/search.rs
@@ -1,5 +1,6 @@
-//! Breadth-first search over all states, each visited once: the first breach found is one by as few steps as can be.
+//! Breadth-first search over all states, each visited once: the first violation is one by as few steps as can be.
 use super::system::{Step, System};
+use super::violation::Violation;
 use std::collections::HashSet;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -8,27 +9,29 @@
 pub struct Limits {
     /// Steps from the root.
     pub depth: usize,
-    /// States kept; a search that meets this limit has not finished its last depth.
+    /// States visited; a search that meets this limit has not finished its last depth.
     pub states: usize,
 }
 
+/// A violation and a shortest way to it.
 #[derive(Debug)]
-pub struct Found {
-    pub what: String,
+pub struct Counterexample {
+    pub violation: Violation,
     pub depth: usize,
     /// One line a step.
     pub trace: Vec<String>,
 }
 
-#[derive(Debug)]
+/// What a search visited.
+#[derive(Debug, Default)]
 pub struct Explored {
     pub states: usize,
     pub transitions: usize,
     /// Every state that takes so many steps or fewer was visited.
     pub depth: usize,
     /// Nothing is left to explore at any depth.
-    pub complete: bool,
-    pub found: Option<Found>,
+    pub is_complete: bool,
+    pub counterexample: Option<Counterexample>,
     /// States in which a slot beyond the first was chosen: a search that reaches none shows nothing.
     pub with_choice: usize,
 }
@@ -41,102 +44,101 @@
 
 struct Search<'a> {
     root: &'a System,
+    limits: Limits,
     visits: Vec<Visit>,
-    seen: HashSet<u128>,
+    /// Digests of the states visited.
+    visited: HashSet<u128>,
+    explored: Explored,
 }
 
-/// Visits all states within the limits, or ends at the first breach.
+/// A state whose steps are to be tried, with the index of its visit.
+type Frontier = Vec<(usize, System)>;
+
+/// Visits all states within the limits, or ends at the first violation.
 pub fn explore(root: &System, limits: Limits) -> Explored {
     let mut search = Search {
         root,
+        limits,
         visits: Vec::new(),
-        seen: HashSet::from([root.digest()]),
+        visited: HashSet::from([root.digest()]),
+        explored: Explored::default(),
     };
     let mut frontier = vec![(usize::MAX, root.clone())];
-    let (mut transitions, mut with_choice) = (0, 0);
     for depth in 1..=limits.depth {
+        let Some(next) = search.explore_depth(frontier, depth) else {
+            break;
+        };
+        search.explored.is_complete = next.is_empty();
+        if next.is_empty() {
+            break;
+        }
+        search.explored.depth = depth;
+        frontier = next;
+    }
+    search.explored.states = search.visited.len();
+    search.explored
+}
+
+/// The state after a step; an assertion of the code under test counts as a violation.
+fn after(system: &System, step: Step) -> Result<System, Violation> {
+    catch_unwind(AssertUnwindSafe(|| system.after(step))).unwrap_or(Err(Violation::AssertionFailed))
+}
+
+impl Search<'_> {
+    /// Tries all steps out of the states of one depth; the states of the next one, or `None` if the search ends.
+    fn explore_depth(&mut self, frontier: Frontier, depth: usize) -> Option<Frontier> {
         let mut next = Vec::new();
-        for (visit, system) in frontier.drain(..) {
+        for (visit, system) in frontier {
             for step in system.steps() {
-                transitions += 1;
+                self.explored.transitions += 1;
                 match after(&system, step) {
-                    Ok(reached) => {
-                        if !search.seen.insert(reached.digest()) {
-                            continue;
-                        }
-                        with_choice += usize::from(reached.chosen_slots() > root.chosen_slots());
-                        search.visits.push(Visit {
-                            parent: visit,
-                            step,
+                    Ok(reached) => next.extend(self.visit(visit, step, reached)),
+                    Err(violation) => {
+                        let trace = self.trace(visit, step);
+                        self.explored.counterexample = Some(Counterexample {
+                            violation,
+                            depth,
+                            trace,
                         });
-                        next.push((search.visits.len() - 1, reached));
-                    }
-                    Err(what) => {
-                        let trace = search.trace(visit, step);
-                        return Explored {
-                            states: search.seen.len(),
-                            transitions,
-                            depth: depth - 1,
-                            complete: false,
-                            found: Some(Found { what, depth, trace }),
-                            with_choice,
-                        };
+                        return None;
                     }
                 }
             }
-            if search.seen.len() >= limits.states {
-                return search.ended(transitions, depth - 1, false, with_choice);
+            if self.visited.len() >= self.limits.states {
+                return None;
             }
         }
-        if next.is_empty() {
-            return search.ended(transitions, depth - 1, true, with_choice);
-        }
-        frontier = next;
+        Some(next)
     }
-    search.ended(transitions, limits.depth, false, with_choice)
-}
-
-/// The state after a step; an assertion of the code under test counts as a breach.
-fn after(system: &System, step: Step) -> Result<System, String> {
-    catch_unwind(AssertUnwindSafe(|| system.after(step)))
-        .unwrap_or_else(|_| Err("an assertion of the register".to_owned()))
-}
 
-impl Search<'_> {
-    fn ended(
-        &self,
-        transitions: usize,
-        depth: usize,
-        complete: bool,
-        with_choice: usize,
-    ) -> Explored {
-        Explored {
-            states: self.seen.len(),
-            transitions,
-            depth,
-            complete,
-            found: None,
-            with_choice,
+    /// Notes a state; `None` if it was visited before.
+    fn visit(&mut self, parent: usize, step: Step, state: System) -> Option<(usize, System)> {
+        if !self.visited.insert(state.digest()) {
+            return None;
         }
+        let has_choice = state.chosen_slots() > self.root.chosen_slots();
+        self.explored.with_choice += usize::from(has_choice);
+        self.visits.push(Visit { parent, step });
+        Some((self.visits.len() - 1, state))
     }
 
-    /// The steps from the root, in words: played once more, as only their places were kept.
+    /// Descriptions of the steps from the root. They are played once more, as a visit has only the step's indexes.
     fn trace(&self, visit: usize, last: Step) -> Vec<String> {
         let mut steps = vec![last];
-        let mut at = visit;
-        while let Some(visit) = self.visits.get(at) {
+        let mut index = visit;
+        while let Some(visit) = self.visits.get(index) {
             steps.push(visit.step);
-            at = visit.parent;
+            index = visit.parent;
         }
         steps.reverse();
         let mut system = self.root.clone();
-        let mut lines = Vec::new();
+        let mut descriptions = Vec::new();
         for step in steps {
-            lines.push(system.describe(step));
+            descriptions.push(system.describe(step));
             if let Ok(next) = after(&system, step) {
                 system = next;
             }
         }
-        lines
+        descriptions
     }
 }
--- a/crates/sparrouter-consensus/tests/explore/system.rs
+++ b/crates/sparrouter-consensus/tests/explore/system.rs
@@ -3,16 +3,19 @@
 //! Each node has its own clock, which only its timers move: a timer fires when the search chooses so, never because time
 //! passed elsewhere. A message that is never chosen for delivery is a lost one.
 //!
-//! A node's reaction depends on nothing but its own state and what it is given, so each pair of the two is run once and
-//! kept.
-use super::body::{FIRST, TAKEN};
+//! A node's reaction depends on nothing but its own state and its input, so each pair of the two is run once and
+//! cached.
+use super::body::{APPLIED, INITIAL};
 use super::digest::digest_of;
 use super::history::History;
 use super::node::{Input, Node, first_member, settings};
 use super::scope::{Call, CallKind, Scope};
 use super::trace::summary;
+use super::violation::Violation;
 use super::votes::Votes;
-use sparrouter_consensus::{Action, Member, Message, NodeObservation, Outcome, Record, State};
+use sparrouter_consensus::{
+    Action, Member, Message, Nanos, NodeObservation, Outcome, Record, State,
+};
 use std::cell::RefCell;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashMap};
@@ -22,23 +25,23 @@
 /// One step of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A message arrives: by its place among those under way.
+    /// A message arrives: by its index among those in flight.
     Deliver {
         message: usize,
     },
-    /// It arrives, and a copy stays under way.
-    DeliverCopy {
+    /// It arrives, and stays in flight as well.
+    DeliverDuplicate {
         message: usize,
     },
     Call {
         call: usize,
     },
-    /// The store that is under way at a node ends well.
+    /// The store in flight at a node succeeds.
     Sync {
         node: usize,
     },
     /// It fails; `written` says whether its bytes are on disk all the same.
-    SyncFails {
+    FailSync {
         node: usize,
         written: bool,
     },
@@ -46,7 +49,7 @@
     Timer {
         node: usize,
     },
-    /// The node starts anew from its disk; `written`: whether the store under way had reached it.
+    /// The node starts anew from its disk; `written`: whether the store in flight had reached it.
     Crash {
         node: usize,
         written: bool,
@@ -59,7 +62,7 @@
     Swap,
 }
 
-/// What a node becomes by an input, and what it wants done.
+/// The node after an input, and the effects outside of it.
 struct Reaction {
     node: Rc<Node>,
     effects: Vec<Effect>,
@@ -68,7 +71,7 @@
 enum Effect {
     Send(Rc<Envelope>),
     Publish(State),
-    End { call: usize, outcome: Outcome },
+    Complete { call: usize, outcome: Outcome },
 }
 
 type Reactions = RefCell<HashMap<(u128, u128), Rc<Reaction>>>;
@@ -81,7 +84,7 @@
     digest: u128,
 }
 
-/// What was used up of what the scope allows.
+/// How much of what the scope allows has happened.
 #[derive(Clone, Copy, Debug, Default, Hash)]
 struct Used {
     /// Bit by call.
@@ -98,7 +101,7 @@
 pub struct System {
     pub scope: Rc<Scope>,
     nodes: Vec<Rc<Node>>,
-    /// Messages under way, by digest.
+    /// Messages in flight, ordered by digest.
     network: Vec<Rc<Envelope>>,
     used: Used,
     wiped: BTreeSet<u64>,
@@ -113,16 +116,18 @@
     /// All nodes run; the members have the group's first record on disk.
     pub fn new(scope: Scope) -> System {
         let members: Vec<Member> = (0..scope.members).map(first_member).collect();
-        let first = Record::bootstrap(members, FIRST.to_vec());
+        let first = Record::bootstrap(members, INITIAL.to_vec());
         let mut votes = Votes::default();
         let vote = first.accepted.clone().expect("a first record has a vote");
-        votes.found((*vote.0).clone());
+        votes.bootstrap((*vote.0).clone());
         let nodes = (0..scope.members + scope.spares).map(|node| {
             let disk = (node < scope.members).then(|| first.encode());
             Rc::new(Node::start(&scope, first_member(node), 0, disk))
         });
-        let all = scope.members + scope.spares;
-        let addresses = (0..all).map(|node| first_member(node).address).collect();
+        let all_nodes = scope.members + scope.spares;
+        let addresses = (0..all_nodes)
+            .map(|node| first_member(node).address)
+            .collect();
         System {
             addresses: Rc::new(addresses),
             reactions: Rc::default(),
@@ -136,7 +141,7 @@
         }
     }
 
-    /// Equal for two states only if no step tells them apart, but for a collision of 128 bits.
+    /// Equal for two states only if all steps lead to equal states, but for a collision of 128 bits.
     pub fn digest(&self) -> u128 {
         let (mut low, mut high) = (DefaultHasher::new(), DefaultHasher::new());
         high.write_u8(1);
@@ -163,7 +168,7 @@
             }
             steps.push(Step::Deliver { message });
             if self.used.duplicates < scope.duplicates {
-                steps.push(Step::DeliverCopy { message });
+                steps.push(Step::DeliverDuplicate { message });
             }
         }
         let open = (0..scope.calls.len()).filter(|call| self.used.calls >> call & 1 == 0);
@@ -171,7 +176,7 @@
         for node in 0..self.nodes.len() {
             self.steps_of(node, &mut steps);
         }
-        if self.swap_by().is_some() {
+        if self.swap_proposer().is_some() {
             steps.push(Step::Swap);
         }
         steps
@@ -184,11 +189,11 @@
             steps.push(Step::Sync { node });
         }
         if pending && self.used.store_failures < scope.store_failures {
-            steps.push(Step::SyncFails {
+            steps.push(Step::FailSync {
                 node,
                 written: false,
             });
-            steps.push(Step::SyncFails {
+            steps.push(Step::FailSync {
                 node,
                 written: true,
             });
@@ -213,33 +218,33 @@
         }
     }
 
-    /// The look around so far was no proposal: the scope's swap is still to come.
+    /// The observation so far led to no proposal: the scope's swap is still to come.
     pub fn allow_another_swap(&mut self) {
         self.used.swaps = 0;
     }
 
     /// Who may propose a swap now.
-    fn swap_by(&self) -> Option<usize> {
+    fn swap_proposer(&self) -> Option<usize> {
         let swap = self.scope.swap?;
-        (self.used.swaps == 0).then_some(swap.by)
+        (self.used.swaps == 0).then_some(swap.proposer)
     }
 
     /// What a step is, for a reader of a trace.
     pub fn describe(&self, step: Step) -> String {
         match step {
-            Step::Deliver { message } | Step::DeliverCopy { message } => {
+            Step::Deliver { message } | Step::DeliverDuplicate { message } => {
                 let envelope = &self.network[message];
-                let copy = match step {
-                    Step::DeliverCopy { .. } => " (a copy stays under way)",
+                let suffix = match step {
+                    Step::DeliverDuplicate { .. } => " (and stays in flight)",
                     _ => "",
                 };
                 let from = &self.nodes[envelope.from].member.name;
                 let to = &self.nodes[envelope.to].member.name;
-                format!("{from} to {to}: {}{copy}", summary(&envelope.message))
+                format!("{from} to {to}: {}{suffix}", summary(&envelope.message))
             }
             Step::Call { call } => format!("call {:?}", self.scope.calls[call]),
             Step::Sync { node } => format!("node-{} syncs", node + 1),
-            Step::SyncFails { node, written } => {
+            Step::FailSync { node, written } => {
                 format!("node-{} fails to sync, bytes written: {written}", node + 1)
             }
             Step::Timer { node } => format!("timer of node-{}", node + 1),
@@ -258,27 +263,27 @@
     ///
     /// # Errors
     /// The rule that it broke.
-    pub fn after(&self, step: Step) -> Result<System, String> {
+    pub fn after(&self, step: Step) -> Result<System, Violation> {
         let mut next = self.clone();
-        next.take(step)?;
+        next.apply(step)?;
         next.check_disks()?;
         Ok(next)
     }
 
-    fn take(&mut self, step: Step) -> Result<(), String> {
+    fn apply(&mut self, step: Step) -> Result<(), Violation> {
         match step {
             Step::Deliver { message } => {
                 let envelope = self.network.remove(message);
                 self.deliver(&envelope)
             }
-            Step::DeliverCopy { message } => {
+            Step::DeliverDuplicate { message } => {
                 self.used.duplicates += 1;
                 let envelope = self.network[message].clone();
                 self.deliver(&envelope)
             }
             Step::Call { call } => self.call(call),
             Step::Sync { node } => self.sync(node),
-            Step::SyncFails { node, written } => self.fail_sync(node, written),
+            Step::FailSync { node, written } => self.fail_sync(node, written),
             Step::Timer { node } => self.fire_timer(node),
             Step::Crash { node, written } => self.crash(node, written),
             Step::Wipe { node } => self.wipe(node),
@@ -286,8 +291,8 @@
         }
     }
 
-    /// Gives a node an input and takes in what it wants done.
-    fn run(&mut self, node: usize, input: Input) -> Result<(), String> {
+    /// Gives a node an input and carries out its effects.
+    fn run(&mut self, node: usize, input: Input) -> Result<(), Violation> {
         let key = (self.nodes[node].digest, digest_of(&input));
         self.run_keyed(node, key.1, || input)
     }
@@ -298,7 +303,7 @@
         node: usize,
         input_digest: u128,
         input: impl FnOnce() -> Input,
-    ) -> Result<(), String> {
+    ) -> Result<(), Violation> {
         let key = (self.nodes[node].digest, input_digest);
         let known = self.reactions.borrow().get(&key).cloned();
         let reaction = match known {
@@ -319,7 +324,7 @@
         let effects = actions.into_iter().filter_map(|action| match action {
             Action::Send { to, message } => self.envelope(index, &to, message).map(Effect::Send),
             Action::Chosen(state) => Some(Effect::Publish(state)),
-            Action::Completed { op, outcome } => Some(Effect::End {
+            Action::Completed { op, outcome } => Some(Effect::Complete {
                 call: op as usize,
                 outcome,
             }),
@@ -345,68 +350,68 @@
         }))
     }
 
-    fn carry_out(&mut self, effect: &Effect) -> Result<(), String> {
+    fn carry_out(&mut self, effect: &Effect) -> Result<(), Violation> {
         match effect {
             Effect::Send(envelope) => self.send(envelope),
-            Effect::Publish(state) => self.votes.published(state),
-            Effect::End { call, outcome } => self.end_call(*call, outcome.clone()),
+            Effect::Publish(state) => self.votes.check_published(state),
+            Effect::Complete { call, outcome } => self.complete_call(*call, outcome.clone()),
         }
     }
 
-    fn send(&mut self, envelope: &Rc<Envelope>) -> Result<(), String> {
+    fn send(&mut self, envelope: &Rc<Envelope>) -> Result<(), Violation> {
         if let Message::Accept { vote } = &envelope.message {
             Rc::make_mut(&mut self.votes).propose(vote)?;
         }
         let digest = envelope.digest;
-        let place = self.network.partition_point(|e| e.digest < digest);
-        self.network.insert(place, envelope.clone());
+        let index = self.network.partition_point(|e| e.digest < digest);
+        self.network.insert(index, envelope.clone());
         Ok(())
     }
 
-    fn deliver(&mut self, envelope: &Envelope) -> Result<(), String> {
+    fn deliver(&mut self, envelope: &Envelope) -> Result<(), Violation> {
         self.run_keyed(envelope.to, envelope.digest, || Input::Message {
             sender: envelope.sender.clone(),
             message: envelope.message.clone(),
         })
     }
 
-    fn call(&mut self, call: usize) -> Result<(), String> {
+    fn call(&mut self, call: usize) -> Result<(), Violation> {
         self.used.calls |= 1 << call;
-        Rc::make_mut(&mut self.history).called(call);
+        Rc::make_mut(&mut self.history).record_invocation(call);
         let Call { node, kind } = self.scope.calls[call].clone();
         let op = call as u64;
         self.run(node, Input::Call { op, kind })
     }
 
-    fn end_call(&mut self, call: usize, outcome: Outcome) -> Result<(), String> {
+    fn complete_call(&mut self, call: usize, outcome: Outcome) -> Result<(), Violation> {
         if let Outcome::Answered(answer) = &outcome {
             let in_force = match self.scope.calls[call].kind {
                 CallKind::Read => self.votes.is_chosen_body(answer),
-                CallKind::Change { new, .. } if answer == TAKEN => {
+                CallKind::Change { new, .. } if answer == APPLIED => {
                     self.votes.is_chosen_body(&[new])
                 }
                 CallKind::Change { .. } => true,
             };
             if !in_force {
-                return Err(format!("call {call} was answered by a value not chosen"));
+                return Err(Violation::AnsweredUnchosen(call));
             }
         }
-        Rc::make_mut(&mut self.history).ended(call, outcome);
+        Rc::make_mut(&mut self.history).record_completion(call, outcome);
         if self.history.is_linearizable(&self.scope.calls) {
             return Ok(());
         }
-        Err(format!("not linearizable: {}", self.history.in_words()))
+        Err(Violation::NotLinearizable(self.history.summary()))
     }
 
-    /// Counts the votes of the store under way as synced.
-    fn count_synced(&mut self, node: usize) -> Result<(), String> {
+    /// Counts the votes of the store in flight as synced.
+    fn count_synced(&mut self, node: usize) -> Result<(), Violation> {
         let node = self.nodes[node].clone();
         let votes = Rc::make_mut(&mut self.votes);
         let mut synced = node.pending.iter().flat_map(|p| &p.votes);
-        synced.try_for_each(|at| votes.sync(*at, node.member.disk_id))
+        synced.try_for_each(|vote_id| votes.sync(*vote_id, node.member.disk_id))
     }
 
-    fn sync(&mut self, node: usize) -> Result<(), String> {
+    fn sync(&mut self, node: usize) -> Result<(), Violation> {
         self.count_synced(node)?;
         self.run(
             node,
@@ -417,7 +422,7 @@
         )
     }
 
-    fn fail_sync(&mut self, node: usize, written: bool) -> Result<(), String> {
+    fn fail_sync(&mut self, node: usize, written: bool) -> Result<(), Violation> {
         self.used.store_failures += 1;
         if written {
             self.count_synced(node)?;
@@ -425,12 +430,12 @@
         self.run(node, Input::Stored { written, ok: false })
     }
 
-    fn fire_timer(&mut self, node: usize) -> Result<(), String> {
+    fn fire_timer(&mut self, node: usize) -> Result<(), Violation> {
         self.used.timers += 1;
         self.run(node, Input::Tick)
     }
 
-    fn crash(&mut self, node: usize, written: bool) -> Result<(), String> {
+    fn crash(&mut self, node: usize, written: bool) -> Result<(), Violation> {
         self.used.crashes += 1;
         if written {
             self.count_synced(node)?;
@@ -438,71 +443,77 @@
         self.run(node, Input::Restart { written })
     }
 
-    fn wipe(&mut self, node: usize) -> Result<(), String> {
+    fn wipe(&mut self, node: usize) -> Result<(), Violation> {
         self.used.wipes += 1;
         self.wiped.insert(self.nodes[node].member.disk_id);
         self.run(node, Input::Wipe)
     }
 
-    /// One node looks around: the member that leaves is silent, disks that are gone are silent, all others are there.
-    fn swap(&mut self) -> Result<(), String> {
+    /// One node observes the others: the member to be replaced and wiped disks are unresponsive, all others are there.
+    fn swap(&mut self) -> Result<(), Violation> {
         let Some(swap) = self.scope.swap else {
             return Ok(());
         };
         self.used.swaps += 1;
-        let contact = settings(&self.scope).contact_timeout;
-        let observation = |member: Member, heard| NodeObservation {
+        let contact_timeout = settings(&self.scope).contact_timeout;
+        let observation = |member: Member, since_last_contact: Nanos| NodeObservation {
             member,
             counts_toward_quorum: true,
-            since_last_contact: Some(heard),
+            since_last_contact: since_last_contact.into(),
             leaving: false,
         };
-        let mut seen: Vec<NodeObservation> = Vec::new();
+        let mut observations: Vec<NodeObservation> = Vec::new();
         for (index, node) in self.nodes.iter().enumerate() {
-            let old_disk = node.member.disk_id == first_member(index).disk_id;
-            let heard = if index == swap.leaves && old_disk {
-                contact
+            let has_first_disk = node.member.disk_id == first_member(index).disk_id;
+            let since_last_contact = if index == swap.replaced && has_first_disk {
+                contact_timeout
             } else {
                 0
             };
-            seen.push(observation(node.member.clone(), heard));
+            observations.push(observation(node.member.clone(), since_last_contact));
         }
         for member in (0..self.scope.members).map(first_member) {
             if self.wiped.contains(&member.disk_id) {
-                seen.push(observation(member, contact));
+                observations.push(observation(member, contact_timeout));
             }
         }
-        self.run(swap.by, Input::Observe { seen, contact })
+        self.run(
+            swap.proposer,
+            Input::Observe {
+                observations,
+                contact_timeout,
+            },
+        )
     }
 
-    fn check_disks(&self) -> Result<(), String> {
-        let on_disk = |disk: u64| {
+    fn check_disks(&self) -> Result<(), Violation> {
+        let vote_on_disk = |disk: u64| {
             let node = self.nodes.iter().find(|n| n.member.disk_id == disk)?;
-            node.on_disk
+            node.vote_on_disk
         };
-        self.votes.kept(on_disk, &self.wiped)
+        self.votes.check_disks(vote_on_disk, &self.wiped)
     }
 
-    /// Steps that go on among these nodes alone: what they say to each other, and their stores.
+    /// Steps of these nodes alone: their stores, and the messages between them.
     pub fn steps_among(&self, among: &[usize]) -> Vec<Step> {
         let both = |e: &Envelope| among.contains(&e.from) && among.contains(&e.to);
-        let under_way = self.network.iter().enumerate().filter(|(_, e)| both(e));
+        let in_flight = self.network.iter().enumerate().filter(|(_, e)| both(e));
         let syncing = among.iter().filter(|&&n| self.nodes[n].pending.is_some());
         let syncs = syncing.map(|&node| Step::Sync { node });
-        let deliveries = under_way.map(|(message, _)| Step::Deliver { message });
+        let deliveries = in_flight.map(|(message, _)| Step::Deliver { message });
         syncs.chain(deliveries).collect()
     }
 
-    /// Deliveries of what is under way from one node to another.
+    /// Deliveries of the messages in flight from one node to another.
     pub fn steps_between(&self, from: usize, to: usize) -> Vec<Step> {
         let link = |e: &Envelope| e.from == from && e.to == to;
-        let under_way = self.network.iter().enumerate().filter(|(_, e)| link(e));
-        under_way
+        let in_flight = self.network.iter().enumerate().filter(|(_, e)| link(e));
+        in_flight
             .map(|(message, _)| Step::Deliver { message })
             .collect()
     }
 
-    /// Loses all messages under way.
+    /// Loses all messages in flight.
     pub fn lose_messages(&mut self) {
         self.network.clear();
     }
--- a/crates/sparrouter-consensus/tests/fleet/clients.rs
+++ b/crates/sparrouter-consensus/tests/fleet/clients.rs
@@ -1,152 +1,210 @@
-//! Operators that race on versions and repeat what was not answered, readers, and holders of a duty.
+//! Operators that race on versions and repeat what was not answered, readers, and lease holders.
+use super::event::Event;
 use super::machine::{Answer, Change, Config};
 use super::{Fleet, MILLISECOND, Nanos};
 use sparrouter_consensus::lease::{LeaseAnswer, LeaseChange, LeaseHolder};
 use sparrouter_consensus::{Outcome, Rejection};
 
-pub const CALL: Nanos = 1_000 * MILLISECOND;
-const SPAN: Nanos = 900 * MILLISECOND;
-const REPEATS: u32 = 5;
+/// Deadline of a call.
+const CALL_TIMEOUT: Nanos = 1_000 * MILLISECOND;
+/// How long a lease holder may act.
+const LEASE_DURATION: Nanos = 900 * MILLISECOND;
+/// Calls with the same change.
+const MAX_CALLS: u32 = 5;
 
 #[derive(Debug)]
 pub enum Client {
+    /// Sends changes of the configuration.
     Operator {
-        known: u64,
+        /// The newest version that it was told.
+        version: u64,
         put: Option<Put>,
     },
     Reader,
-    Holder {
-        name: u64,
-        life: u64,
-        hold: Option<Hold>,
+    /// Acquires, renews and releases the lease.
+    Lessee {
+        id: u64,
+        incarnation: u64,
+        lease: Option<OwnedLease>,
     },
 }
 
+/// A change that an operator has sent, perhaps several times.
 #[derive(Debug)]
 pub struct Put {
     if_match: u64,
     id: u64,
     calls: u32,
-    /// Whether any call may have left a trace.
-    open: bool,
+    /// Whether any call of it may have taken effect without an answer.
+    may_have_applied: bool,
 }
 
+/// A lease as its owner knows it.
 #[derive(Debug)]
-pub struct Hold {
+pub struct OwnedLease {
     fencing_token: u64,
-    from: Nanos,
-    until: Nanos,
+    usable_from: Nanos,
+    usable_until: Nanos,
 }
 
-/// A call under way.
+impl OwnedLease {
+    fn is_usable(&self, now: Nanos) -> bool {
+        now >= self.usable_from && now < self.usable_until
+    }
+}
+
+/// A call in progress.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub client: usize,
     pub node: usize,
-    pub begun: Nanos,
-    /// The newest version acknowledged when it began.
-    pub least: u64,
-    pub renews: bool,
+    pub started_at: Nanos,
+    /// The newest version acknowledged when it started.
+    pub acknowledged: u64,
+    pub is_renewal: bool,
+}
+
+impl Client {
+    /// The clients of a run.
+    pub fn all() -> Vec<Client> {
+        let operator = || Client::Operator {
+            version: 0,
+            put: None,
+        };
+        let lessee = |id| Client::Lessee {
+            id,
+            incarnation: 1,
+            lease: None,
+        };
+        vec![
+            operator(),
+            operator(),
+            operator(),
+            Client::Reader,
+            lessee(1),
+            lessee(2),
+        ]
+    }
+
+    /// The change that it sends next; `None` for a read. `draw` is random.
+    fn next_change(&mut self, draw: u64, now: Nanos) -> Option<Change> {
+        match self {
+            Client::Reader => None,
+            Client::Operator { version, put } => Some(next_put(*version, put, draw)),
+            Client::Lessee {
+                id,
+                incarnation,
+                lease,
+            } => Some(Change::Lease(next_lease_change(
+                *id,
+                incarnation,
+                lease,
+                draw,
+                now,
+            ))),
+        }
+    }
+}
+
+/// Sends a change again that was not answered, up to a limit.
+fn next_put(version: u64, put: &mut Option<Put>, draw: u64) -> Change {
+    put.take_if(|put| put.calls >= MAX_CALLS);
+    let put = put.get_or_insert(Put {
+        if_match: version,
+        id: draw,
+        calls: 0,
+        may_have_applied: false,
+    });
+    put.calls += 1;
+    Change::Put {
+        if_match: put.if_match,
+        id: put.id,
+    }
+}
+
+fn next_lease_change(
+    id: u64,
+    incarnation: &mut u64,
+    lease: &mut Option<OwnedLease>,
+    draw: u64,
+    now: Nanos,
+) -> LeaseChange {
+    let name = format!("holder-{id}");
+    lease.take_if(|lease| now >= lease.usable_until);
+    let Some(owned) = lease else {
+        // Now and then it is another incarnation of the same name.
+        *incarnation += u64::from(draw.is_multiple_of(5));
+        return LeaseChange::Acquire {
+            holder: owner(name, *incarnation),
+            duration: LEASE_DURATION,
+        };
+    };
+    let fencing_token = owned.fencing_token;
+    if !draw.is_multiple_of(12) {
+        return LeaseChange::Renew {
+            holder: owner(name, *incarnation),
+            fencing_token,
+        };
+    }
+    let waited = now >= owned.usable_from;
+    // It acts no more, whatever becomes of the call.
+    *lease = None;
+    LeaseChange::Release {
+        holder: owner(name, *incarnation),
+        fencing_token,
+        waited,
+    }
+}
+
+fn owner(name: String, incarnation: u64) -> LeaseHolder {
+    LeaseHolder { name, incarnation }
 }
 
 impl Fleet {
     /// A client's turn: it calls some node that runs, if it waits for none.
     pub fn client_turn(&mut self, client: usize) {
-        let pause = self.rng.u64(20..300) * MILLISECOND;
-        self.at(pause, super::Event::Client { client });
-        let waits = self
-            .calls
-            .iter()
-            .find(|(_, c)| c.client == client)
-            .map(|(&op, c)| (op, c.begun));
-        match waits {
-            // Its node died, or is frozen: an operator repeats what was not answered.
-            Some((op, begun)) if self.now > begun + CALL + CALL / 2 => {
-                self.calls.remove(&op);
-                if let Client::Operator { put: Some(put), .. } = &mut self.clients[client] {
-                    put.open = true;
-                }
-            }
-            Some(_) => return,
-            None => {}
+        let delay = self.rng.u64(20..300) * MILLISECOND;
+        self.schedule(delay, Event::ClientTurn { client });
+        if self.is_waiting(client) {
+            return;
         }
         let running: Vec<usize> = (0..self.nodes.len())
-            .filter(|&n| self.nodes[n].register.is_some())
+            .filter(|&node| self.nodes[node].register.is_some())
             .collect();
         if running.is_empty() {
             return;
         }
         let node = running[self.rng.usize(..running.len())];
-        let fresh = self.rng.u64(..);
-        let now = self.now;
-        let mut renews = false;
-        let change = match &mut self.clients[client] {
-            Client::Reader => None,
-            Client::Operator { known, put } => {
-                if put.as_ref().is_some_and(|p| p.calls >= REPEATS) {
-                    *put = None;
-                }
-                let put = put.get_or_insert(Put {
-                    if_match: *known,
-                    id: fresh,
-                    calls: 0,
-                    open: false,
-                });
-                put.calls += 1;
-                Some(Change::Put {
-                    if_match: put.if_match,
-                    id: put.id,
-                })
-            }
-            Client::Holder { name, life, hold } => {
-                let holder = LeaseHolder {
-                    name: format!("holder-{name}"),
-                    incarnation: *life,
-                };
-                Some(Change::Lease(match hold {
-                    Some(hold) if now < hold.until => {
-                        renews = true;
-                        match fresh % 12 {
-                            0 => LeaseChange::Release {
-                                holder,
-                                fencing_token: hold.fencing_token,
-                                waited: now >= hold.from,
-                            },
-                            _ => LeaseChange::Renew {
-                                holder,
-                                fencing_token: hold.fencing_token,
-                            },
-                        }
-                    }
-                    _ => {
-                        *hold = None;
-                        // Now and then it is another life of the same name.
-                        *life += u64::from(fresh.is_multiple_of(5));
-                        LeaseChange::Acquire {
-                            holder: LeaseHolder {
-                                incarnation: *life,
-                                ..holder
-                            },
-                            duration: SPAN,
-                        }
-                    }
-                }))
-            }
+        let draw = self.rng.u64(..);
+        let change = self.clients[client].next_change(draw, self.now);
+        self.call(client, node, change);
+    }
+
+    /// Whether a client waits for an answer. It gives up a call whose node died or is frozen.
+    fn is_waiting(&mut self, client: usize) -> bool {
+        let call = self.calls.iter().find(|(_, call)| call.client == client);
+        let Some((op, started_at)) = call.map(|(&op, call)| (op, call.started_at)) else {
+            return false;
         };
-        if matches!(change, Some(Change::Lease(LeaseChange::Release { .. })))
-            && let Client::Holder { hold, .. } = &mut self.clients[client]
-        {
-            // It acts no more, whatever becomes of the call.
-            *hold = None;
+        if self.now <= started_at + CALL_TIMEOUT + CALL_TIMEOUT / 2 {
+            return true;
         }
-        self.next_op += 1;
-        let op = self.next_op;
+        self.calls.remove(&op);
+        if let Client::Operator { put: Some(put), .. } = &mut self.clients[client] {
+            put.may_have_applied = true;
+        }
+        false
+    }
+
+    fn call(&mut self, client: usize, node: usize, change: Option<Change>) {
+        self.last_op += 1;
+        let (op, now) = (self.last_op, self.now);
         let call = Call {
             client,
             node,
-            begun: now,
-            least: self.judge.newest_acknowledged(),
-            renews,
+            started_at: now,
+            acknowledged: self.monitor.newest_acknowledged(),
+            is_renewal: matches!(change, Some(Change::Lease(LeaseChange::Renew { .. }))),
         };
         self.calls.insert(op, call);
         self.log(|| format!("call {op} of client {client} at node {node}: {change:?}"));
@@ -154,98 +212,109 @@
             return;
         };
         match change {
-            Some(change) => register.propose(op, change.encode(), now + CALL, now),
-            None => register.read(op, now + CALL, now),
+            Some(change) => register.propose(op, change.encode(), now + CALL_TIMEOUT, now),
+            None => register.read(op, now + CALL_TIMEOUT, now),
         }
-        self.drain(node);
+        self.carry_out_actions(node);
     }
 
-    /// Holders act whenever they may by their own clock.
-    pub fn act(&mut self) {
+    /// Lease holders act whenever they may by their own clock.
+    pub fn act_as_lease_holders(&mut self) {
         for client in &self.clients {
-            if let Client::Holder {
-                hold: Some(hold), ..
+            if let Client::Lessee {
+                lease: Some(lease), ..
             } = client
-                && self.now >= hold.from
-                && self.now < hold.until
+                && lease.is_usable(self.now)
             {
-                self.judge.act(hold.fencing_token);
+                self.monitor.on_token_used(lease.fencing_token);
             }
         }
     }
 
-    pub fn done(&mut self, op: u64, outcome: Outcome) {
+    pub fn complete_call(&mut self, op: u64, outcome: Outcome) {
         let Some(call) = self.calls.remove(&op) else {
             return;
         };
-        self.log(|| format!("call {op} done: {}", brief(&outcome)));
-        let now = self.now;
-        match &mut self.clients[call.client] {
+        self.log(|| format!("call {op} done: {}", summary(&outcome)));
+        match &self.clients[call.client] {
             Client::Reader => {
                 if let Outcome::Answered(body) = outcome {
-                    self.judge.read(call.least, &body);
+                    self.monitor.on_read(call.acknowledged, &body);
                 }
             }
-            Client::Operator { known, put } => {
-                let Some(open) = put else { return };
-                match outcome {
-                    Outcome::Answered(answer) => {
-                        match Answer::decode(&answer) {
-                            Answer::Taken { version } => {
-                                self.judge.acknowledged(version, open.id);
-                                *known = version.max(*known);
-                                self.acknowledgements += 1;
-                            }
-                            Answer::Mismatch { version } => {
-                                self.judge.refused(open.id);
-                                *known = version;
-                            }
-                            other => self.judge.broken(format!("an operator was told {other:?}")),
-                        }
-                        *put = None;
-                    }
-                    Outcome::Unknown => open.open = true,
-                    Outcome::Rejected(
-                        Rejection::NoQuorum | Rejection::NoGroup | Rejection::Busy,
-                    ) if !open.open => {
-                        self.judge.refused(open.id);
-                        *put = None;
-                    }
-                    Outcome::Rejected(_) => {}
+            Client::Operator { .. } => self.complete_put(&call, outcome),
+            Client::Lessee { .. } => {
+                if let Outcome::Answered(answer) = outcome {
+                    self.complete_lease_change(&call, op, &answer);
                 }
             }
-            Client::Holder { hold, name, .. } => {
-                let Outcome::Answered(answer) = outcome else {
-                    return;
-                };
-                match (Answer::decode(&answer), hold) {
-                    (
-                        Answer::Lease(LeaseAnswer::Acquired {
-                            fencing_token,
-                            takeover_wait,
-                        }),
-                        hold,
-                    ) => {
-                        self.judge.handed(fencing_token, *name, op);
-                        *hold = Some(Hold {
-                            fencing_token,
-                            from: now + takeover_wait,
-                            until: call.begun + SPAN,
-                        });
+        }
+    }
+
+    fn complete_put(&mut self, call: &Call, outcome: Outcome) {
+        let Client::Operator { version, put } = &mut self.clients[call.client] else {
+            return;
+        };
+        let Some(sent) = put else { return };
+        match outcome {
+            Outcome::Answered(answer) => {
+                match Answer::decode(&answer) {
+                    Answer::Applied { version: made } => {
+                        self.monitor.on_acknowledged(made, sent.id);
+                        *version = made.max(*version);
+                        self.acknowledgements += 1;
                     }
-                    (Answer::Lease(LeaseAnswer::Renewed), Some(hold)) if call.renews => {
-                        hold.until = hold.until.max(call.begun + SPAN);
+                    Answer::Mismatch { version: current } => {
+                        self.monitor.on_refused(sent.id);
+                        *version = current;
                     }
-                    (Answer::Lease(LeaseAnswer::Rejected { .. }), hold) => *hold = None,
-                    (Answer::Lease(_), _) => {}
-                    (other, _) => self.judge.broken(format!("a holder was told {other:?}")),
+                    other => self
+                        .monitor
+                        .report(format!("an operator was told {other:?}")),
+                }
+                *put = None;
+            }
+            Outcome::Unknown => sent.may_have_applied = true,
+            Outcome::Rejected(Rejection::NoQuorum | Rejection::NoGroup | Rejection::Busy)
+                if !sent.may_have_applied =>
+            {
+                self.monitor.on_refused(sent.id);
+                *put = None;
+            }
+            Outcome::Rejected(_) => {}
+        }
+    }
+
+    fn complete_lease_change(&mut self, call: &Call, op: u64, answer: &[u8]) {
+        let Client::Lessee { lease, id, .. } = &mut self.clients[call.client] else {
+            return;
+        };
+        let usable_until = call.started_at + LEASE_DURATION;
+        match Answer::decode(answer) {
+            Answer::Lease(LeaseAnswer::Acquired {
+                fencing_token,
+                takeover_wait,
+            }) => {
+                self.monitor.on_token(fencing_token, *id, op);
+                *lease = Some(OwnedLease {
+                    fencing_token,
+                    usable_from: self.now + takeover_wait,
+                    usable_until,
+                });
+            }
+            Answer::Lease(LeaseAnswer::Renewed) if call.is_renewal => {
+                if let Some(lease) = lease {
+                    lease.usable_until = lease.usable_until.max(usable_until);
                 }
             }
+            Answer::Lease(LeaseAnswer::Rejected { .. }) => *lease = None,
+            Answer::Lease(_) => {}
+            other => self.monitor.report(format!("a holder was told {other:?}")),
         }
     }
 }
 
-fn brief(outcome: &Outcome) -> String {
+fn summary(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Answered(bytes) => {
             match sparrouter_consensus::codec::decode::<Answer>(bytes, 4096) {
--- a/crates/sparrouter-consensus/tests/fleet/faults.rs
+++ b/crates/sparrouter-consensus/tests/fleet/faults.rs
@@ -1,326 +1,336 @@
-//! Faults by seed: losses of power and disks, cuts, freezes, disks in trouble, machines replaced.
-use super::copies::synced_vote;
-use super::{CONTACT, Event, Fleet, MILLISECOND, Nanos};
+//! Faults by seed: losses of power and disks, partitions, freezes, slow or failing disks, machines replaced.
+use super::event::Event;
+use super::network::{NetworkConditions, Partition};
+use super::node::{DiskState, LostDisk};
+use super::replicas::synced_vote;
+use super::{CONTACT_TIMEOUT, Fleet, MILLISECOND, Nanos};
 
-/// A machine that lost its disk still counts as lost for so long.
-const CATCH_UP: Nanos = 4 * CONTACT;
+/// A disk that was lost counts as lost for so long.
+const CATCH_UP: Nanos = 4 * CONTACT_TIMEOUT;
 
-/// Between two looks of a leaving machine whether it may go.
-const LEAVES: Nanos = CONTACT / 4;
+/// Between two looks of a leaving machine whether it may end.
+const LEAVE_INTERVAL: Nanos = CONTACT_TIMEOUT / 4;
 
-/// How the net is at the moment, in parts of 256.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Net {
-    pub loss: u8,
-    pub repeat: u8,
-    /// Copies that wander for a second or two.
-    pub stray: u8,
-    /// Longest delay.
-    pub delay: Nanos,
-}
-
-impl Net {
-    pub fn calm() -> Net {
-        Net {
-            loss: 0,
-            repeat: 0,
-            stray: 0,
-            delay: 4 * MILLISECOND,
-        }
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Disk {
-    Well,
-    Slow,
-    Stalls,
-    Fails,
-    Full,
-}
+/// Kills of a node that flaps.
+const FLAPS: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     Kill,
-    Power,
+    PowerLoss,
     /// Power of all at once.
-    Site,
+    SitePowerLoss,
     Wipe,
     Replace,
     Leave,
     /// One machine fails again and again, each time back before its last messages have arrived.
     Flap,
-    Cut,
-    Split,
+    /// One link.
+    LinkPartition,
+    /// The nodes in two halves.
+    SitePartition,
     Freeze,
     Disk,
-    Net,
+    Network,
 }
 
-/// Which faults a storm is made of: all, or few and many of them.
+/// Which faults are injected: all, or few and many of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weather {
+pub enum FaultMix {
     #[default]
     Mixed,
     Flaps,
-    Leaves,
+    Departures,
     Wipes,
     /// Members leave while disks stall.
     Joins,
 }
 
-impl Weather {
+impl FaultMix {
     fn weights(self) -> &'static [(Fault, u16)] {
         match self {
-            Weather::Mixed => &[
+            FaultMix::Mixed => &[
                 (Fault::Kill, 3),
-                (Fault::Power, 2),
-                (Fault::Site, 1),
+                (Fault::PowerLoss, 2),
+                (Fault::SitePowerLoss, 1),
                 (Fault::Wipe, 2),
                 (Fault::Replace, 1),
                 (Fault::Leave, 1),
                 (Fault::Flap, 1),
-                (Fault::Cut, 2),
-                (Fault::Split, 1),
+                (Fault::LinkPartition, 2),
+                (Fault::SitePartition, 1),
                 (Fault::Freeze, 2),
                 (Fault::Disk, 3),
-                (Fault::Net, 2),
+                (Fault::Network, 2),
+            ],
+            FaultMix::Flaps => &[(Fault::Flap, 4), (Fault::Network, 1)],
+            FaultMix::Departures => &[
+                (Fault::Leave, 4),
+                (Fault::SitePartition, 2),
+                (Fault::Network, 1),
             ],
-            Weather::Flaps => &[(Fault::Flap, 4), (Fault::Net, 1)],
-            Weather::Leaves => &[(Fault::Leave, 4), (Fault::Split, 2), (Fault::Net, 1)],
-            Weather::Joins => &[(Fault::Leave, 4), (Fault::Disk, 4), (Fault::Replace, 1)],
-            Weather::Wipes => &[
+            FaultMix::Joins => &[(Fault::Leave, 4), (Fault::Disk, 4), (Fault::Replace, 1)],
+            FaultMix::Wipes => &[
                 (Fault::Wipe, 3),
-                (Fault::Cut, 2),
+                (Fault::LinkPartition, 2),
                 (Fault::Disk, 2),
-                (Fault::Net, 1),
+                (Fault::Network, 1),
             ],
         }
     }
 }
 
 impl Fleet {
-    /// One fault, and the time of the next.
-    pub fn fault(&mut self) {
-        if self.now >= self.storm_ends {
+    /// Injects one fault, and schedules the next.
+    pub fn inject_fault(&mut self) {
+        if self.now >= self.faults_end {
             return;
         }
-        let pause = self.rng.u64(20..500) * MILLISECOND;
-        self.at(pause, Event::Fault);
-        let present: Vec<usize> = (0..self.nodes.len())
-            .filter(|&n| !self.nodes[n].gone)
-            .collect();
+        let interval = self.rng.u64(20..500) * MILLISECOND;
+        self.schedule(interval, Event::InjectFault);
+        let present = self.present_nodes();
         let node = present[self.rng.usize(..present.len())];
         let span = self.rng.u64(20..1_500) * MILLISECOND;
-        let weights = self.weather.weights();
-        let sum: u16 = weights.iter().map(|w| w.1).sum();
-        let mut drawn = self.rng.u16(..sum);
-        let kind = weights.iter().find(|w| {
-            let hit = drawn < w.1;
-            drawn = drawn.saturating_sub(w.1);
-            hit
-        });
-        let Some(&(kind, _)) = kind else { return };
         // Now and then it is back before its last messages have arrived.
-        let back = if span.is_multiple_of(2) {
+        let restart_delay = if span.is_multiple_of(2) {
             span / 100
         } else {
             span / 4
         };
-        match kind {
-            Fault::Kill => self.kill(node, back),
-            Fault::Power => self.lose_power(node, back),
-            Fault::Site => {
-                for node in present {
-                    let back = self.rng.u64(..1_000) * MILLISECOND;
-                    self.lose_power(node, back);
-                }
-            }
+        match self.draw_fault() {
+            Fault::Kill => self.kill(node, restart_delay),
+            Fault::PowerLoss => self.lose_power(node, restart_delay),
+            Fault::SitePowerLoss => self.lose_power_of_all(&present),
             Fault::Wipe if self.may_lose_disk() => self.wipe(node, span / 4),
             Fault::Replace if self.may_lose_disk() => self.replace(node),
             Fault::Wipe | Fault::Replace => {}
             Fault::Leave => self.leave(node),
-            Fault::Flap => {
-                for _ in 0..8 {
-                    let after = self.rng.u64(..800) * MILLISECOND;
-                    self.at(after, Event::Flap { node });
-                }
-            }
-            Fault::Cut => {
+            Fault::Flap => self.flap(node),
+            Fault::LinkPartition => {
                 let other = present[self.rng.usize(..present.len())];
-                let both = self.rng.bool();
-                self.log(|| {
-                    format!(
-                        "cut {node} to {other}, both ways {both}, {} ms",
-                        span / MILLISECOND
-                    )
-                });
-                self.cuts.push((node, other, self.now + span));
-                if both {
-                    self.cuts.push((other, node, self.now + span));
-                }
-            }
-            Fault::Split => {
-                let side: Vec<bool> = (0..self.nodes.len()).map(|_| self.rng.bool()).collect();
-                self.log(|| format!("cut in two: {side:?}, {} ms", span / MILLISECOND));
-                for a in 0..side.len() {
-                    for b in (0..side.len()).filter(|&b| side[a] != side[b]) {
-                        self.cuts.push((a, b, self.now + span));
-                    }
-                }
-            }
-            Fault::Freeze => {
-                self.log(|| format!("freeze {node}, {} ms", span / MILLISECOND));
-                self.nodes[node].frozen_until = self.now + span;
+                self.partition_link(node, other, span);
             }
-            Fault::Disk => {
-                let trouble =
-                    [Disk::Slow, Disk::Stalls, Disk::Fails, Disk::Full][self.rng.usize(..4)];
-                self.log(|| format!("disk of {node} {trouble:?}, {} ms", span / MILLISECOND));
-                self.nodes[node].disk = (trouble, self.now + span);
+            Fault::SitePartition => self.partition_site(span),
+            Fault::Freeze => self.freeze(node, span),
+            Fault::Disk => self.disturb_disk(node, span),
+            Fault::Network => self.disturb_network(),
+        }
+    }
+
+    /// By weight.
+    fn draw_fault(&mut self) -> Fault {
+        let weights = self.fault_mix.weights();
+        let sum: u16 = weights.iter().map(|(_, weight)| weight).sum();
+        let mut draw = self.rng.u16(..sum);
+        for (fault, weight) in weights {
+            if draw < *weight {
+                return *fault;
             }
-            Fault::Net => {
-                let net = Net {
-                    loss: self.rng.u8(..90),
-                    repeat: self.rng.u8(..60),
-                    stray: self.rng.u8(..40),
-                    delay: self.rng.u64(1..120) * MILLISECOND,
-                };
-                self.log(|| format!("{net:?}"));
-                self.net = net;
+            draw -= weight;
+        }
+        unreachable!("the draw is below the sum of all weights")
+    }
+
+    fn lose_power_of_all(&mut self, nodes: &[usize]) {
+        for &node in nodes {
+            let restart_delay = self.rng.u64(..1_000) * MILLISECOND;
+            self.lose_power(node, restart_delay);
+        }
+    }
+
+    fn flap(&mut self, node: usize) {
+        for _ in 0..FLAPS {
+            let delay = self.rng.u64(..800) * MILLISECOND;
+            self.schedule(delay, Event::Flap { node });
+        }
+    }
+
+    fn partition_link(&mut self, node: usize, other: usize, span: Nanos) {
+        let both_ways = self.rng.bool();
+        let milliseconds = span / MILLISECOND;
+        self.log(|| {
+            format!("partition {node} to {other}, both ways {both_ways}, {milliseconds} ms")
+        });
+        self.partition(node, other, span);
+        if both_ways {
+            self.partition(other, node, span);
+        }
+    }
+
+    fn partition(&mut self, from: usize, to: usize, span: Nanos) {
+        let end = self.now + span;
+        self.partitions.push(Partition { from, to, end });
+    }
+
+    fn partition_site(&mut self, span: Nanos) {
+        let sides: Vec<bool> = (0..self.nodes.len()).map(|_| self.rng.bool()).collect();
+        self.log(|| {
+            format!(
+                "partition of the site: {sides:?}, {} ms",
+                span / MILLISECOND
+            )
+        });
+        for from in 0..sides.len() {
+            for to in (0..sides.len()).filter(|&to| sides[from] != sides[to]) {
+                self.partition(from, to, span);
             }
         }
     }
 
+    fn freeze(&mut self, node: usize, span: Nanos) {
+        self.log(|| format!("freeze {node}, {} ms", span / MILLISECOND));
+        self.nodes[node].frozen_until = self.now + span;
+    }
+
+    fn disturb_disk(&mut self, node: usize, span: Nanos) {
+        let states = [
+            DiskState::Slow,
+            DiskState::Stalled,
+            DiskState::Failing,
+            DiskState::Full,
+        ];
+        let disk_state = states[self.rng.usize(..states.len())];
+        self.log(|| format!("disk of {node} {disk_state:?}, {} ms", span / MILLISECOND));
+        self.nodes[node].disk_state = disk_state;
+        self.nodes[node].disk_recovery = self.now + span;
+    }
+
+    fn disturb_network(&mut self) {
+        let conditions = NetworkConditions {
+            loss: self.rng.u8(..90),
+            duplication: self.rng.u8(..60),
+            straying: self.rng.u8(..40),
+            max_delay: self.rng.u64(1..120) * MILLISECOND,
+        };
+        self.log(|| format!("{conditions:?}"));
+        self.network = conditions;
+    }
+
     /// Only as many disks as the first group can spare may be lost at one time, spares' too. Until every disk that is
     /// left has a group without the lost ones, they still count: this is what `catch_up_s` is for.
     fn may_lose_disk(&self) -> bool {
-        self.lost_disks().len() < self.tolerated()
+        self.lost_disk_ids().len() < self.tolerated()
     }
 
     /// Disks that count as lost at the moment.
-    pub fn lost_disks(&self) -> Vec<u64> {
-        let (newest, members) = self
-            .judge
-            .newest_state()
-            .map(|s| (s.slot, s.members.clone()))
-            .unwrap_or_default();
-        let votes = self
+    pub fn lost_disk_ids(&self) -> Vec<u64> {
+        let newest = self.monitor.newest_state();
+        let newest_slot = newest.map_or(0, |state| state.slot);
+        let members = newest.into_iter().flat_map(|state| state.members.clone());
+        let electors = self
             .nodes
             .iter()
-            .filter(|n| !n.gone)
-            .filter_map(synced_vote);
-        let under_way = votes
-            .filter(|v| v.state.slot >= newest)
-            .flat_map(|v| v.electorate());
-        let mut dead: Vec<u64> = members
-            .into_iter()
-            .chain(under_way)
-            .map(|m| m.disk_id)
+            .filter(|node| !node.is_gone)
+            .filter_map(synced_vote)
+            .filter(|vote| vote.state.slot >= newest_slot)
+            .flat_map(|vote| vote.electorate());
+        let mut lost: Vec<u64> = members
+            .chain(electors)
+            .map(|member| member.disk_id)
+            .filter(|&disk_id| self.node_with_disk(disk_id).is_none())
             .collect();
-        dead.retain(|&disk| {
-            !self
-                .nodes
-                .iter()
-                .any(|n| !n.gone && n.member.disk_id == disk)
+        let recently_lost = self
+            .lost_disks
+            .iter()
+            .filter(|disk| disk.lost_at + CATCH_UP > self.now);
+        lost.extend(recently_lost.map(|disk| disk.disk_id));
+        lost.sort_unstable();
+        lost.dedup();
+        lost
+    }
+
+    fn note_lost_disk(&mut self, node: usize) {
+        self.lost_disks.push(LostDisk {
+            disk_id: self.nodes[node].member.disk_id,
+            lost_at: self.now,
         });
-        dead.extend(
-            self.lost
-                .iter()
-                .filter(|l| l.1 + CATCH_UP > self.now)
-                .map(|l| l.0),
-        );
-        dead.sort_unstable();
-        dead.dedup();
-        dead
+        self.replicas_changed = true;
     }
 
-    pub fn kill(&mut self, node: usize, back: Nanos) {
+    pub fn kill(&mut self, node: usize, restart_delay: Nanos) {
         if self.nodes[node].register.take().is_none() {
             return;
         }
         self.log(|| format!("kill {node}"));
-        self.die_in_a_save(node);
+        self.interrupt_store(node);
         self.nodes[node].files.mend();
-        self.at(back, Event::Start { node });
+        self.schedule_start(node, restart_delay);
     }
 
-    pub fn lose_power(&mut self, node: usize, back: Nanos) {
-        let ran = self.nodes[node].register.take().is_some();
+    pub fn lose_power(&mut self, node: usize, restart_delay: Nanos) {
+        let was_running = self.nodes[node].register.take().is_some();
         self.log(|| format!("power of {node} lost"));
-        if ran {
-            self.die_in_a_save(node);
-            self.at(back, Event::Start { node });
+        if was_running {
+            self.interrupt_store(node);
+            self.schedule_start(node, restart_delay);
         }
         self.nodes[node].files.lose_power();
     }
 
-    pub fn wipe(&mut self, node: usize, back: Nanos) {
+    pub fn wipe(&mut self, node: usize, restart_delay: Nanos) {
         self.log(|| format!("wipe {node}"));
-        let ran = self.nodes[node].register.take().is_some();
+        let was_running = self.nodes[node].register.take().is_some();
         self.nodes[node].files.wipe();
         self.nodes[node].store = None;
-        self.lost.push((self.nodes[node].member.disk_id, self.now));
-        self.copies_changed = true;
+        self.note_lost_disk(node);
         // From now on nobody has this disk any more, also while its machine is down.
         if !self.defects.wiped_keeps_id {
             self.nodes[node].member.disk_id = 0;
         }
-        if ran {
-            self.at(back, Event::Start { node });
+        if was_running {
+            self.schedule_start(node, restart_delay);
         }
     }
 
     fn replace(&mut self, node: usize) {
         self.nodes[node].register = None;
-        self.nodes[node].gone = true;
-        self.copies_changed = true;
-        self.lost.push((self.nodes[node].member.disk_id, self.now));
-        if self.nodes[node].leaving {
+        self.nodes[node].is_gone = true;
+        self.note_lost_disk(node);
+        if self.nodes[node].is_leaving {
             // Its successor came when it began to leave.
             return self.log(|| format!("{node} is lost while it leaves"));
         }
-        let new = self.add_machine();
-        self.log(|| format!("replace {node} by {new}"));
-        self.at(100 * MILLISECOND, Event::Start { node: new });
+        let successor = self.add_node();
+        self.log(|| format!("replace {node} by {successor}"));
+        self.schedule_start(successor, 100 * MILLISECOND);
     }
 
-    /// It tells that it leaves, another one comes; it goes when it is in no group any more.
+    /// It announces that it leaves, another one comes; it ends when it is in no group any more.
     fn leave(&mut self, node: usize) {
-        if self.nodes[node].leaving || self.nodes.iter().any(|n| n.leaving && !n.gone) {
+        let is_another_leaving = self.nodes.iter().any(|n| n.is_leaving && !n.is_gone);
+        if self.nodes[node].is_leaving || is_another_leaving {
             return;
         }
-        let new = self.add_machine();
-        self.log(|| format!("{node} leaves, {new} comes"));
-        self.nodes[node].leaving = true;
-        self.at(0, Event::Start { node: new });
-        self.at(LEAVES, Event::Leave { node });
+        let successor = self.add_node();
+        self.log(|| format!("{node} leaves, {successor} comes"));
+        self.nodes[node].is_leaving = true;
+        self.schedule_start(successor, 0);
+        self.schedule(LEAVE_INTERVAL, Event::TryToLeave { node });
     }
 
-    pub fn left(&mut self, node: usize) {
-        if self.nodes[node].gone {
+    pub fn try_to_leave(&mut self, index: usize) {
+        let node = &self.nodes[index];
+        if node.is_gone {
             return;
         }
-        if !self.nodes[node]
-            .register
-            .as_ref()
-            .is_some_and(|r| r.may_leave())
-        {
-            return self.at(LEAVES, Event::Leave { node });
+        let may_leave = node.register.as_ref().is_some_and(|r| r.may_leave());
+        if !may_leave {
+            return self.schedule(LEAVE_INTERVAL, Event::TryToLeave { node: index });
         }
-        self.copies_changed = true;
-        self.log(|| format!("{node} is gone"));
-        self.nodes[node].register = None;
-        self.nodes[node].gone = true;
+        self.replicas_changed = true;
+        self.log(|| format!("{index} is gone"));
+        self.nodes[index].register = None;
+        self.nodes[index].is_gone = true;
     }
 
-    pub fn mend_all(&mut self) {
+    pub fn end_all_faults(&mut self) {
         self.log(|| "all faults end".to_owned());
-        self.net = Net::calm();
-        self.cuts.clear();
+        self.network = NetworkConditions::calm();
+        self.partitions.clear();
         for node in &mut self.nodes {
             node.frozen_until = 0;
-            node.disk = (Disk::Well, 0);
+            node.disk_state = DiskState::Healthy;
+            node.disk_recovery = 0;
         }
     }
 }
--- a/crates/sparrouter-consensus/tests/fleet/machine.rs
+++ b/crates/sparrouter-consensus/tests/fleet/machine.rs
@@ -1,16 +1,16 @@
-//! The body that the fleet keeps: a configuration's version and ids, and beside it a lease.
+//! The replicated value of the fleet: a configuration's version and ids, and beside it a lease.
 use nanoserde::{DeBin, SerBin};
 use sparrouter_consensus::codec::{decode, encode};
 use sparrouter_consensus::lease::{LeaseAnswer, LeaseChange};
 use sparrouter_consensus::{Applied, Leases, Machine};
 
-/// Ids kept, so that the same change again is answered as taken.
-pub const KEPT: usize = 64;
+/// Ids in the body: a repeat of one of these changes is answered as applied.
+const MAX_IDS: usize = 64;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Config {
     pub version: u64,
-    /// Those taken last, newest last: the newest made `version`.
+    /// Changes applied last, newest last: the newest made `version`.
     pub ids: Vec<u64>,
     pub lease: Vec<u8>,
 }
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum Answer {
-    Taken { version: u64 },
+    Applied { version: u64 },
     Mismatch { version: u64 },
     Lease(LeaseAnswer),
     Malformed,
@@ -40,19 +40,19 @@
     }
 
     pub fn decode(bytes: &[u8]) -> Config {
-        let mut at = 0;
-        let mut number = || u64::de_bin(&mut at, bytes).unwrap();
+        let mut offset = 0;
+        let mut number = || u64::de_bin(&mut offset, bytes).unwrap();
         let (version, length) = (number(), number());
         let ids = (0..length).map(|_| number()).collect();
         Config {
             version,
             ids,
-            lease: bytes[at..].to_vec(),
+            lease: bytes[offset..].to_vec(),
         }
     }
 
-    /// Which id made a version, as far as this body remembers.
-    pub fn made(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
+    /// Versions and the ids that made them, newest first, as far as this body has them.
+    pub fn changes(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
         self.ids
             .iter()
             .rev()
@@ -77,54 +77,58 @@
 
 impl Machine for Configs {
     fn apply(&self, body: &[u8], change: &[u8]) -> Applied {
-        let mut config = Config::decode(body);
-        let Ok(change) = decode::<Change>(change, 4096) else {
-            return Applied::Unchanged {
-                answer: encode(&Answer::Malformed),
-            };
+        let config = Config::decode(body);
+        match decode::<Change>(change, 4096) {
+            Ok(Change::Put { if_match, id }) => config.put(if_match, id),
+            Ok(Change::Lease(change)) => config.change_lease(&change),
+            Err(_) => unchanged(&Answer::Malformed),
+        }
+    }
+}
+
+impl Config {
+    fn put(mut self, if_match: u64, id: u64) -> Applied {
+        if let Some((version, _)) = self.changes().find(|&(_, known)| known == id) {
+            return unchanged(&Answer::Applied { version });
+        }
+        if if_match != self.version {
+            return unchanged(&Answer::Mismatch {
+                version: self.version,
+            });
+        }
+        self.version += 1;
+        self.ids.push(id);
+        if self.ids.len() > MAX_IDS {
+            self.ids.remove(0);
+        }
+        let answer = Answer::Applied {
+            version: self.version,
         };
-        match change {
-            Change::Put { id, .. } if config.ids.contains(&id) => {
-                let version = config.made().find(|&(_, i)| i == id).unwrap().0;
-                Applied::Unchanged {
-                    answer: encode(&Answer::Taken { version }),
-                }
-            }
-            Change::Put { if_match, .. } if if_match != config.version => Applied::Unchanged {
-                answer: encode(&Answer::Mismatch {
-                    version: config.version,
-                }),
-            },
-            Change::Put { id, .. } => {
-                config.version += 1;
-                config.ids.push(id);
-                if config.ids.len() > KEPT {
-                    config.ids.remove(0);
-                }
-                let answer = encode(&Answer::Taken {
-                    version: config.version,
-                });
+        Applied::Changed {
+            body: self.encode(),
+            answer: encode(&answer),
+        }
+    }
+
+    fn change_lease(mut self, change: &LeaseChange) -> Applied {
+        let wrap = |answer: Vec<u8>| encode(&Answer::Lease(LeaseAnswer::decode(&answer).unwrap()));
+        match Leases.apply(&self.lease, &encode(change)) {
+            Applied::Changed { body, answer } => {
+                self.lease = body;
                 Applied::Changed {
-                    body: config.encode(),
-                    answer,
-                }
-            }
-            Change::Lease(change) => {
-                let wrap =
-                    |answer: Vec<u8>| encode(&Answer::Lease(LeaseAnswer::decode(&answer).unwrap()));
-                match Leases.apply(&config.lease, &encode(&change)) {
-                    Applied::Changed { body, answer } => {
-                        config.lease = body;
-                        Applied::Changed {
-                            body: config.encode(),
-                            answer: wrap(answer),
-                        }
-                    }
-                    Applied::Unchanged { answer } => Applied::Unchanged {
-                        answer: wrap(answer),
-                    },
+                    body: self.encode(),
+                    answer: wrap(answer),
                 }
             }
+            Applied::Unchanged { answer } => Applied::Unchanged {
+                answer: wrap(answer),
+            },
         }
     }
 }
+
+fn unchanged(answer: &Answer) -> Applied {
+    Applied::Unchanged {
+        answer: encode(answer),
+    }
+}
--- a/crates/sparrouter-consensus/tests/fleet/copies.rs
+++ b/crates/sparrouter-consensus/tests/fleet/replicas.rs
@@ -1,33 +1,34 @@
-//! After any loss that the tolerance still allows a group is left that can act and holds what was chosen.
-use super::{Fleet, Node};
+//! Whether a group is left that can act and has what was chosen, after any loss that the tolerance still allows.
+use super::node::Node;
+use super::{Fleet, MAX_BYTES, RECORD};
 use sparrouter_consensus::{Record, SharedVote, State};
 use sparrouter_storage::{Opened, Store};
 
 impl Fleet {
-    /// Checks the newest state that any node calls chosen against every further loss of disks that is allowed now.
+    /// Checks the newest state that any node published against every further loss of disks that is allowed now.
     ///
-    /// It is enough to count: the worst loss takes members that hold the state first.
-    pub fn check_copies(&mut self) {
-        let Some(state) = self.judge.newest_state().cloned() else {
+    /// It is enough to count: the worst loss takes members that have the state first.
+    pub fn check_replicas(&mut self) {
+        let Some(state) = self.monitor.newest_state().cloned() else {
             return;
         };
-        let spare = self.tolerated().saturating_sub(self.lost_disks().len());
+        let spare = self.tolerated().saturating_sub(self.lost_disk_ids().len());
         let votes: Vec<SharedVote> = state
             .members
             .iter()
-            .filter_map(|member| self.present(member.disk_id))
+            .filter_map(|member| self.node_with_disk(member.disk_id))
             .filter_map(synced_vote)
             .collect();
-        let holders = votes.iter().filter(|vote| holds(vote, &state)).count();
+        let replicas = votes.iter().filter(|vote| includes(vote, &state)).count();
         let majority = state.members.len() / 2 + 1;
-        if holders <= spare {
-            self.judge.broken(format!(
-                "slot {} is on {holders} disks and {spare} more may be lost",
+        if replicas <= spare {
+            self.monitor.report(format!(
+                "slot {} is on {replicas} disks and {spare} more may be lost",
                 state.slot
             ));
         }
         if votes.len() < majority + spare {
-            self.judge.broken(format!(
+            self.monitor.report(format!(
                 "{} members of the group of slot {} have a copy, {majority} must vote, {spare} more may be lost",
                 votes.len(),
                 state.slot
@@ -37,13 +38,7 @@
 
     /// Disks that may be lost at one time.
     pub fn tolerated(&self) -> usize {
-        (self.founding - 1) / 2
-    }
-
-    fn present(&self, disk: u64) -> Option<&Node> {
-        self.nodes
-            .iter()
-            .find(|node| !node.gone && node.member.disk_id == disk)
+        (self.initial_size - 1) / 2
     }
 }
 
@@ -53,14 +48,14 @@
     let Opened::Existing(records) = opened else {
         return None;
     };
-    Record::decode(records.get("part-7")?, 1 << 20)
+    Record::decode(records.get(RECORD)?, MAX_BYTES)
         .ok()?
         .accepted
 }
 
 /// Whether a vote is of this chosen state, or of a later slot, which is only proposed on top of it.
-fn holds(vote: &SharedVote, state: &State) -> bool {
-    let is_later = vote.state.slot > state.slot;
-    is_later
-        || (vote.state.slot == state.slot && vote.state.recent_proposals == state.recent_proposals)
+fn includes(vote: &SharedVote, state: &State) -> bool {
+    let is_same_state =
+        vote.state.slot == state.slot && vote.state.recent_proposals == state.recent_proposals;
+    vote.state.slot > state.slot || is_same_state
 }
--- a/crates/sparrouter-consensus/tests/recorded_bytes.rs
+++ b/crates/sparrouter-consensus/tests/recorded_bytes.rs
@@ -68,7 +68,7 @@
         number: number(8),
         known: Some(vote_id()),
     };
-    let promise = Message::Promise {
+    let reply = Message::Promise {
         number: number(8),
         accepted: Some(vote_id()),
         newer_vote: Some(vote(None)),
@@ -84,7 +84,7 @@
     };
     vec![
         ("prepare", prepare),
-        ("promise", promise),
+        ("promise", reply),
         ("accept", accept),
         ("accepted", accepted),
         ("reject-outrun", reject(RejectReason::Superseded)),
@@ -120,7 +120,7 @@
 
 /// The messages that carry large bodies.
 fn transfer_messages() -> Vec<(&'static str, Message)> {
-    let promise = OutlinedMessage::Promise { number: number(8) };
+    let prepared = OutlinedMessage::Promise { number: number(8) };
     let report = OutlinedMessage::Report {
         nonce: 77,
         promised: number(9),
@@ -135,7 +135,7 @@
         chunk: Chunk(b"a piece".to_vec()),
     };
     vec![
-        ("outline-promise", outline(promise)),
+        ("outline-promise", outline(prepared)),
         ("outline-accept", outline(OutlinedMessage::Accept)),
         ("outline-report", outline(report)),
         ("outline-learn", outline(OutlinedMessage::Learn)),
@@ -162,41 +162,36 @@
     ]
 }
 
-fn lease_owner() -> LeaseHolder {
-    let (name, incarnation) = ("n1".to_owned(), 0x1122);
-    LeaseHolder { name, incarnation }
-}
-
-fn leases() -> Vec<(&'static str, Lease)> {
+fn leases(owner: &LeaseHolder) -> Vec<(&'static str, Lease)> {
     let lease = Lease {
         fencing_token: 12,
-        holder: Some(lease_owner()),
+        holder: owner.clone().into(),
         duration: 3_000_000_000,
         takeover_wait: 4_000_000_000,
     };
     vec![("lease-held", lease), ("lease-free", Lease::default())]
 }
 
-fn lease_changes() -> Vec<(&'static str, LeaseChange)> {
+fn lease_changes(owner: &LeaseHolder) -> Vec<(&'static str, LeaseChange)> {
     vec![
         (
             "lease-acquire",
             LeaseChange::Acquire {
-                holder: lease_owner(),
+                holder: owner.clone(),
                 duration: 3_000_000_000,
             },
         ),
         (
             "lease-renew",
             LeaseChange::Renew {
-                holder: lease_owner(),
+                holder: owner.clone(),
                 fencing_token: 12,
             },
         ),
         (
             "lease-release",
             LeaseChange::Release {
-                holder: lease_owner(),
+                holder: owner.clone(),
                 fencing_token: 12,
                 waited: true,
             },
@@ -252,12 +247,16 @@
 
 #[test]
 fn given_recorded_bytes_when_read_and_written_then_they_are_the_same() {
+    let owner = LeaseHolder {
+        name: "n1".to_owned(),
+        incarnation: 0x1122,
+    };
     let checked = check(proposal_messages())
         + check(learner_messages())
         + check(transfer_messages())
         + check(records())
-        + check(leases())
-        + check(lease_changes())
+        + check(leases(&owner))
+        + check(lease_changes(&owner))
         + check(lease_answers());
     assert_eq!(checked, RECORDED.lines().count(), "every line is checked");
 }
--- a/crates/sparrouter-consensus/tests/register.rs
+++ b/crates/sparrouter-consensus/tests/register.rs
@@ -1,4 +1,4 @@
-//! The doors of a few registers with messages and stores carried by hand.
+//! The calls of a few registers, with messages and stores carried out by the test.
 use sparrouter_consensus::message::{Message, RejectReason};
 use sparrouter_consensus::{
     Action, Applied, Machine, Member, Outcome, ProposalNumber, Record, Register, Rejection, SECOND,
@@ -47,43 +47,44 @@
     .unwrap()
 }
 
+/// What the registers did until nothing was left to do.
 #[derive(Default)]
-struct NodeObservation {
-    done: Vec<(u64, Outcome)>,
-    chosen: Vec<u64>,
+struct Activity {
+    completed: Vec<(u64, Outcome)>,
+    chosen_slots: Vec<u64>,
     stores: usize,
 }
 
-/// Carries all there is between the nodes until nothing is left; nodes that are missing here hear nothing.
-fn carry(nodes: &mut [Register<Swap>], now: u64) -> NodeObservation {
-    let mut seen = NodeObservation::default();
+/// Carries all messages and stores out until nothing is left; nodes that are missing in `nodes` receive nothing.
+fn run_to_quiescence(nodes: &mut [Register<Swap>], now: u64) -> Activity {
+    let mut activity = Activity::default();
     loop {
-        let mut quiet = true;
-        let mut mail: VecDeque<(Member, Member, Message)> = VecDeque::new();
-        for (i, node) in nodes.iter_mut().enumerate() {
+        let mut is_quiet = true;
+        let mut messages: VecDeque<(Member, Member, Message)> = VecDeque::new();
+        for (index, node) in nodes.iter_mut().enumerate() {
             for action in node.take_actions() {
-                quiet = false;
+                is_quiet = false;
                 match action {
                     Action::Send { to, message } => {
-                        mail.push_back((member(i as u64 + 1), to, message))
+                        messages.push_back((member(index as u64 + 1), to, message))
                     }
                     Action::Store { token, .. } => {
-                        seen.stores += 1;
+                        activity.stores += 1;
                         node.stored(token, true, now);
                     }
-                    Action::Chosen(state) => seen.chosen.push(state.slot),
-                    Action::Completed { op, outcome } => seen.done.push((op, outcome)),
+                    Action::Chosen(state) => activity.chosen_slots.push(state.slot),
+                    Action::Completed { op, outcome } => activity.completed.push((op, outcome)),
                 }
             }
         }
-        for (from, to, message) in mail {
+        for (from, to, message) in messages {
             let message = Message::decode(&message.encode(), 1 << 20).unwrap();
             if let Some(node) = nodes.get_mut(to.disk_id as usize - 1) {
                 node.handle(from, message, now);
             }
         }
-        if quiet {
-            return seen;
+        if is_quiet {
+            return activity;
         }
     }
 }
@@ -92,12 +93,15 @@
 fn given_three_nodes_when_one_proposes_then_all_publish_and_the_caller_is_answered() {
     let mut nodes: Vec<_> = (1..=3).map(|n| register(n, 3)).collect();
     nodes[0].propose(1, b"ab".to_vec(), SECOND, 0);
-    let seen = carry(&mut nodes, 1);
-    assert_eq!(seen.done, [(1, Outcome::Answered(b"done".to_vec()))]);
+    let activity = run_to_quiescence(&mut nodes, 1);
+    assert_eq!(
+        activity.completed,
+        [(1, Outcome::Answered(b"done".to_vec()))]
+    );
     assert!(nodes.iter().all(|n| n.chosen().unwrap().body == b"b"));
     nodes[1].propose(2, b"ac".to_vec(), SECOND, 2);
     assert_eq!(
-        carry(&mut nodes, 3).done,
+        run_to_quiescence(&mut nodes, 3).completed,
         [(2, Outcome::Answered(b"other".to_vec()))]
     );
 }
@@ -106,36 +110,39 @@
 fn given_a_proposer_that_leads_when_it_proposes_again_then_one_vote_and_one_store_a_node_do() {
     let mut nodes: Vec<_> = (1..=3).map(|n| register(n, 3)).collect();
     nodes[0].propose(1, b"ab".to_vec(), SECOND, 0);
-    carry(&mut nodes, 1);
+    run_to_quiescence(&mut nodes, 1);
     nodes[0].propose(2, b"bc".to_vec(), SECOND, 2);
-    let seen = carry(&mut nodes, 3);
-    assert_eq!((seen.stores, seen.chosen), (3, vec![2, 2, 2]));
+    let activity = run_to_quiescence(&mut nodes, 3);
+    assert_eq!((activity.stores, activity.chosen_slots), (3, vec![2, 2, 2]));
 }
 
 #[test]
 fn given_a_group_that_agrees_when_read_then_nothing_is_stored() {
     let mut nodes: Vec<_> = (1..=3).map(|n| register(n, 3)).collect();
     nodes[2].read(1, SECOND, 0);
-    let seen = carry(&mut nodes, 1);
-    assert_eq!(seen.done, [(1, Outcome::Answered(b"a".to_vec()))]);
-    assert_eq!(seen.stores, 0);
+    let activity = run_to_quiescence(&mut nodes, 1);
+    assert_eq!(activity.completed, [(1, Outcome::Answered(b"a".to_vec()))]);
+    assert_eq!(activity.stores, 0);
 }
 
 #[test]
 fn given_a_minority_when_it_proposes_then_it_is_refused_only_if_no_vote_was_asked_for() {
     let mut nodes: Vec<_> = (1..=3).map(|n| register(n, 3)).collect();
     nodes[0].propose(1, b"ab".to_vec(), SECOND, 0);
-    carry(&mut nodes, 1);
+    run_to_quiescence(&mut nodes, 1);
     let mut alone = nodes.drain(..1).collect::<Vec<_>>();
     alone[0].propose(2, b"bc".to_vec(), SECOND, 2);
-    carry(&mut alone, 3);
+    run_to_quiescence(&mut alone, 3);
     alone[0].tick(SECOND);
-    assert_eq!(carry(&mut alone, SECOND).done, [(2, Outcome::Unknown)]);
+    assert_eq!(
+        run_to_quiescence(&mut alone, SECOND).completed,
+        [(2, Outcome::Unknown)]
+    );
     alone[0].propose(3, b"bd".to_vec(), 3 * SECOND, 2 * SECOND);
-    carry(&mut alone, 2 * SECOND);
+    run_to_quiescence(&mut alone, 2 * SECOND);
     alone[0].tick(3 * SECOND);
     assert_eq!(
-        carry(&mut alone, 3 * SECOND).done,
+        run_to_quiescence(&mut alone, 3 * SECOND).completed,
         [(3, Outcome::Rejected(Rejection::NoQuorum))]
     );
 }
@@ -147,7 +154,7 @@
         node[0].propose(op, b"ab".to_vec(), SECOND, 0);
     }
     assert_eq!(
-        carry(&mut node, 0).done,
+        run_to_quiescence(&mut node, 0).completed,
         [(256, Outcome::Rejected(Rejection::Busy))]
     );
     node[0].propose(
@@ -157,13 +164,30 @@
         0,
     );
     assert_eq!(
-        carry(&mut node, 0).done,
+        run_to_quiescence(&mut node, 0).completed,
         [(999, Outcome::Rejected(Rejection::TooLarge))]
     );
 }
 
+/// The token of the store among these actions.
+fn store_token(actions: Vec<Action>) -> u64 {
+    let token = actions.into_iter().find_map(|action| match action {
+        Action::Store { token, .. } => Some(token),
+        _ => None,
+    });
+    token.expect("a store")
+}
+
+/// The only message among these actions, which have nothing else.
+fn only_message(actions: &[Action]) -> Message {
+    match actions {
+        [Action::Send { message, .. }] => message.clone(),
+        _ => panic!("{actions:?}"),
+    }
+}
+
 #[test]
-fn given_a_store_that_fails_when_a_promise_waits_for_it_then_it_is_refused_with_its_reason_and_mends_itself()
+fn given_a_store_that_fails_when_a_promise_waits_for_it_then_it_is_rejected_with_its_reason_and_the_store_is_repeated()
  {
     let mut node = register(1, 3);
     let number = ProposalNumber {
@@ -171,62 +195,30 @@
         replica: 2,
         incarnation: 9,
     };
-    let prepare = Message::Prepare {
-        number,
-        known: None,
-    };
+    let known = None;
+    let prepare = Message::Prepare { number, known };
     node.handle(member(2), prepare.clone(), 0);
-    let Action::Store { token, .. } = node.take_actions().remove(0) else {
-        panic!("no store")
-    };
+    let actions = node.take_actions();
+    assert!(matches!(actions[0], Action::Store { .. }), "{actions:?}");
+    let token = store_token(actions);
     // What was on disk before can be asked for meanwhile.
-    node.handle(
-        member(3),
-        Message::Query {
-            nonce: 3,
-            known: None,
-        },
-        0,
-    );
+    node.handle(member(3), Message::Query { nonce: 3, known }, 0);
+    let report = only_message(&node.take_actions());
+    assert!(matches!(report, Message::Report { nonce: 3, .. }));
+    node.stored(token, false, 1);
+    let reject = only_message(&node.take_actions());
     assert!(matches!(
-        node.take_actions()[..],
-        [Action::Send {
-            message: Message::Report { nonce: 3, .. },
+        reject,
+        Message::Reject {
+            reason: RejectReason::Disk,
             ..
-        }]
+        }
     ));
-    node.stored(token, false, 1);
-    let actions = node.take_actions();
-    let [
-        Action::Send {
-            message:
-                Message::Reject {
-                    reason: RejectReason::Disk,
-                    ..
-                },
-            ..
-        },
-    ] = actions[..]
-    else {
-        panic!("{actions:?}")
-    };
     node.handle(member(2), prepare, 2);
     assert_eq!(node.take_actions(), []);
     node.tick(node.next_wake().unwrap());
-    let store = node.take_actions().into_iter().find_map(|a| match a {
-        Action::Store { token, .. } => Some(token),
-        _ => None,
-    });
-    node.stored(store.unwrap(), true, SECOND);
-    let told = node.take_actions();
-    assert!(
-        matches!(
-            &told[..],
-            [Action::Send {
-                message: Message::Promise { .. },
-                ..
-            }]
-        ),
-        "{told:?}"
-    );
+    let token = store_token(node.take_actions());
+    node.stored(token, true, SECOND);
+    let reply = only_message(&node.take_actions());
+    assert!(matches!(reply, Message::Promise { .. }), "{reply:?}");
 }
--- a/crates/sparrouter-consensus/tests/scenarios.rs
+++ b/crates/sparrouter-consensus/tests/scenarios.rs
@@ -1,17 +1,17 @@
-//! The fleet under storms, by seed; and each planted defect, which it must find.
+//! The fleet under faults, by seed; and each injected defect, which it must find.
 mod fleet;
 
-use fleet::planted::{PLANTED, first_seed, plan};
+use fleet::defects::{DEFECTS, first_finding, plan};
 use fleet::play;
 
-/// Seeds within which each planted defect is found.
-const WITHIN: u64 = 24;
+/// Seeds within which each injected defect is found.
+const SEEDS: u64 = 24;
 
 #[test]
-fn given_storms_by_seed_when_they_end_then_every_rule_held_and_all_works_again() {
+fn given_faults_by_seed_when_they_end_then_every_rule_held_and_all_works_again() {
     for seed in 0..16 {
         if let Err(failure) = play(&plan(seed)) {
-            panic!("seed {seed}: {}", failure.what);
+            panic!("seed {seed}: {}", failure.violation);
         }
     }
 }
@@ -22,11 +22,12 @@
 }
 
 #[test]
-fn given_each_planted_defect_when_the_storms_are_played_then_it_is_found() {
-    for (name, plant, weather, nodes) in PLANTED {
+fn given_each_injected_defect_when_faults_are_played_then_it_is_found() {
+    for case in DEFECTS {
         assert!(
-            first_seed(plant, weather, nodes, WITHIN).is_some(),
-            "{name} was not found by {WITHIN} seeds"
+            first_finding(&case, SEEDS).is_some(),
+            "{} was not found by {SEEDS} seeds",
+            case.name
         );
     }
 }
