--- a/crates/sparrouter-consensus/src/acceptor.rs
+++ b/crates/sparrouter-consensus/src/acceptor.rs
@@ -21,6 +21,14 @@
     reply: Outgoing,
 }
 
+/// A store to be started.
+#[derive(Clone, Debug)]
+pub(crate) struct StoreRequest {
+    pub token: u64,
+    /// The encoded record.
+    pub bytes: Vec<u8>,
+}
+
 /// The store in flight.
 #[derive(Clone, Debug)]
 struct StoreInFlight {
@@ -198,8 +206,8 @@
             .collect()
     }
 
-    /// The store that the pending replies need, as a token and bytes, if none is in flight.
-    pub fn next_store(&mut self, now: Nanos, settings: &Settings) -> Option<(u64, Vec<u8>)> {
+    /// The store that the pending replies need, if none is in flight.
+    pub fn next_store(&mut self, now: Nanos, settings: &Settings) -> Option<StoreRequest> {
         let may_start = self.retry_at.is_none_or(|retry_at| retry_at <= now);
         if self.version == self.stored_version || self.store_in_flight.is_some() || !may_start {
             return None;
@@ -210,7 +218,10 @@
             version: self.version,
             vote: self.record.accepted.clone(),
         });
-        Some((self.last_token, self.record_bytes(settings)))
+        Some(StoreRequest {
+            token: self.last_token,
+            bytes: self.record_bytes(settings),
+        })
     }
 
     fn record_bytes(&self, settings: &Settings) -> Vec<u8> {
--- a/crates/sparrouter-consensus/src/evaluation.rs
+++ b/crates/sparrouter-consensus/src/evaluation.rs
@@ -90,13 +90,13 @@
     };
     let mut evaluated = Vec::new();
     for operation in operations {
-        let Some((outcome, is_proposed)) = draft.add(machine, &operation.kind, settings) else {
+        let Some(addition) = draft.add(machine, &operation.kind, settings) else {
             break;
         };
         evaluated.push(Evaluated {
             sequence: operation.sequence,
-            outcome,
-            is_proposed,
+            outcome: addition.outcome,
+            is_proposed: addition.changes_state,
         });
         if draft.members.is_some() {
             break;
@@ -112,6 +112,21 @@
     Batch { evaluated, vote }
 }
 
+/// What an operation comes to when it is added to a draft.
+struct Addition {
+    outcome: Outcome,
+    changes_state: bool,
+}
+
+impl Addition {
+    fn without_effect(outcome: Outcome) -> Addition {
+        Addition {
+            outcome,
+            changes_state: false,
+        }
+    }
+}
+
 /// The next state while operations are added to it.
 ///
 /// Invariant: `body` and `members` are never both set. A change of the group is proposed alone, so that the two groups
@@ -123,16 +138,17 @@
 }
 
 impl Draft<'_> {
-    /// Adds an operation; its outcome and whether it changes the state. `None` if it has to wait for the next slot.
+    /// Adds an operation. `None` if it has to wait for the next slot.
     fn add<M: Machine>(
         &mut self,
         machine: &M,
         kind: &OperationKind,
         settings: &Settings,
-    ) -> Option<(Outcome, bool)> {
+    ) -> Option<Addition> {
         match kind {
             OperationKind::Read | OperationKind::ConfirmNewest => {
-                Some((Outcome::Answered(self.body().to_vec()), false))
+                let body = self.body().to_vec();
+                Some(Addition::without_effect(Outcome::Answered(body)))
             }
             OperationKind::Change(change) => Some(self.add_change(machine, change, settings)),
             OperationKind::ChangeMembers { .. } if self.body.is_some() => None,
@@ -140,7 +156,10 @@
                 let is_applicable =
                     self.is_governed_by(from) && is_single_member_change(&self.chosen.members, to);
                 self.members = is_applicable.then(|| to.clone());
-                Some((Outcome::Answered(Vec::new()), is_applicable))
+                Some(Addition {
+                    outcome: Outcome::Answered(Vec::new()),
+                    changes_state: is_applicable,
+                })
             }
         }
     }
@@ -150,15 +169,18 @@
         machine: &M,
         change: &[u8],
         settings: &Settings,
-    ) -> (Outcome, bool) {
+    ) -> Addition {
         match machine.apply(self.body(), change) {
-            Applied::Unchanged { answer } => (Outcome::Answered(answer), false),
+            Applied::Unchanged { answer } => Addition::without_effect(Outcome::Answered(answer)),
             Applied::Changed { body, .. } if body.len() > settings.max_body_bytes => {
-                (Outcome::Rejected(Rejection::TooLarge), false)
+                Addition::without_effect(Outcome::Rejected(Rejection::TooLarge))
             }
             Applied::Changed { body, answer } => {
                 self.body = Some(body);
-                (Outcome::Answered(answer), true)
+                Addition {
+                    outcome: Outcome::Answered(answer),
+                    changes_state: true,
+                }
             }
         }
     }
--- a/crates/sparrouter-consensus/src/register/mod.rs
+++ b/crates/sparrouter-consensus/src/register/mod.rs
@@ -17,7 +17,7 @@
 mod publication;
 mod read;
 
-use crate::acceptor::Acceptor;
+use crate::acceptor::{Acceptor, StoreRequest};
 use crate::anti_entropy::AntiEntropy;
 use crate::codec::CodecError;
 use crate::handover::Handover;
@@ -83,8 +83,9 @@
 #[derive(Clone, Debug)]
 pub struct Register<M: Machine> {
     shard: u16,
-    /// This node under its disk's id, which is the same for the register's life.
+    /// This node under its disk's id. Neither changes: a wiped disk gets a register of its own.
     me: Member,
+    /// What a change means to the body.
     machine: M,
     settings: Settings,
     /// Draws incarnation, proposal ids, nonces and delays.
@@ -92,6 +93,7 @@
     acceptor: Acceptor,
     learner: Learner,
     proposer: Proposer,
+    /// What counts as a quorum, for proposals and reads alike.
     quorum: QuorumRule,
     /// Operations that have not completed; each ends in one `Action::Completed`, or in none if it is the register's own.
     operations: OperationQueue,
@@ -276,7 +278,8 @@
             self.drive_operations(now);
             let replies = self.acceptor.take_replies(&self.settings);
             self.send_all(replies);
-            if let Some((token, bytes)) = self.acceptor.next_store(now, &self.settings) {
+            if let Some(store) = self.acceptor.next_store(now, &self.settings) {
+                let StoreRequest { token, bytes } = store;
                 self.actions.push(Action::Store { token, bytes });
             }
             if self.inbox.is_empty() {
--- a/crates/sparrouter-consensus/tests/catch_up.rs
+++ b/crates/sparrouter-consensus/tests/catch_up.rs
@@ -1,30 +1,22 @@
 //! Large states over slow links: a member that is behind receives each body once, complete and checked, at a bounded cost.
+mod lagging_member;
 mod narrow_links;
 
+use lagging_member::{
+    BODY, CHUNK, LaggingMember, chunk_of, fetched, member, proposed_slot, settings,
+};
 use narrow_links::Group;
-use sparrouter_consensus::message::{Outline, OutlinedMessage};
+use sparrouter_consensus::message::OutlinedMessage;
 use sparrouter_consensus::{
-    Action, BodyReference, Chunk, Defects, MILLISECOND, Member, Message, Nanos, Outcome,
-    ProposalNumber, Record, Register, SECOND, Settings,
+    BodyReference, Chunk, Defects, MILLISECOND, Message, Nanos, Outcome, SECOND,
 };
 
-const BODY: usize = 120_000;
-/// Length of a chunk.
-const CHUNK: usize = 8 << 10;
 /// Of each link: a body takes some 0.4 s, as 500 KB do at 10 Mbit/s.
 const BYTES_PER_SECOND: u64 = 300_000;
 const TIMEOUT: Nanos = 10 * SECOND;
 /// A body with the messages around it.
 const MAX_BYTES_FOR_ONE_BODY: u64 = BODY as u64 * 11 / 10;
 
-fn settings(defects: Defects) -> Settings {
-    Settings {
-        chunk_bytes: CHUNK,
-        defects,
-        ..Settings::default()
-    }
-}
-
 fn confirmed_group(members: usize, defects: Defects) -> Group {
     let mut group = Group::new(members, BODY, BYTES_PER_SECOND, settings(defects));
     let all = |g: &Group| (0..members).all(|i| g.is_confirmed(i));
@@ -160,219 +152,113 @@
     }
 }
 
-fn member(disk: u64) -> Member {
-    Member {
-        disk_id: disk,
-        name: format!("node-{disk}"),
-        address: format!("10.0.0.{disk}:8689"),
-    }
-}
-
-/// A register, and the outlines of two votes after its own: an older and a newer one.
-struct Behind {
-    register: Register<narrow_links::Counter>,
-    bodies: [Vec<u8>; 2],
-    outlines: [Message; 2],
-}
-
-impl Behind {
-    fn new(defects: Defects) -> Behind {
-        let all: Vec<Member> = (1..=3).map(member).collect();
-        let record = Record::bootstrap(all, vec![0; BODY]);
-        let bodies = [1u8, 2].map(|fill| vec![fill; BODY]);
-        let outline = |slot: u64, body: &[u8]| {
-            let mut vote = record
-                .accepted
-                .as_ref()
-                .expect("a first vote")
-                .0
-                .as_ref()
-                .clone();
-            vote.state.slot = slot;
-            vote.state.recent_proposals = vec![slot];
-            vote.number.term = slot;
-            vote.state.body = Vec::new();
-            Message::Outline(Outline {
-                message: OutlinedMessage::Learn,
-                vote: vote.into(),
-                body: BodyReference::of(body),
-            })
-        };
-        let outlines = [outline(5, &bodies[0]), outline(9, &bodies[1])];
-        let register = Register::new(
-            0,
-            member(1),
-            Some(&record.encode()),
-            narrow_links::Counter,
-            fastrand::Rng::with_seed(1),
-            settings(defects),
-            0,
-        );
-        Behind {
-            register: register.expect("a good record"),
-            bodies,
-            outlines,
-        }
-    }
-
-    /// Stores what the register wants stored; the number that it prepares.
-    fn prepare_and_store(&mut self) -> ProposalNumber {
-        let mut prepared = None;
-        for action in self.register.take_actions() {
-            match action {
-                Action::Send {
-                    message: Message::Prepare { number, .. },
-                    ..
-                } => prepared = Some(number),
-                Action::Store { token, .. } => self.register.stored(token, true, 1),
-                _ => {}
-            }
-        }
-        prepared.expect("a number")
-    }
-
-    /// Answers what the register fetches, damaged by `damage`, until it fetches nothing more; the number of chunks.
-    fn serve(&mut self, damage: impl Fn(&mut Vec<u8>)) -> usize {
-        let mut served = 0;
-        for _ in 0..1_000 {
-            let actions = self.register.take_actions();
-            let served_before = served;
-            for action in actions {
-                let Action::Send {
-                    to,
-                    message: Message::FetchChunk { body, offset },
-                } = action
-                else {
-                    continue;
-                };
-                let offered = self.bodies.iter().find(|b| BodyReference::of(b) == body);
-                let offered = offered.expect("a body that was offered");
-                let mut message = chunk_of(offered, body, offset);
-                if let Message::BodyChunk { chunk, .. } = &mut message {
-                    damage(&mut chunk.0);
-                }
-                self.register.handle(to, message, 1);
-                served += 1;
-            }
-            if served == served_before {
-                break;
-            }
-        }
-        served
-    }
-
-    fn slot(&self) -> Option<u64> {
-        self.register.chosen().map(|state| state.slot)
-    }
-}
-
 #[test]
 fn given_an_older_and_a_newer_state_offered_by_two_when_fetched_then_the_newest_wins() {
     for first in [0, 1] {
-        let mut behind = Behind::new(Defects::default());
-        let outlines = behind.outlines.clone();
-        behind
+        let mut lagging = LaggingMember::new(Defects::default());
+        let outlines = lagging.outlines.clone();
+        lagging
             .register
             .handle(member(2), outlines[first].clone(), 0);
-        behind
+        lagging
             .register
             .handle(member(3), outlines[1 - first].clone(), 0);
-        behind.serve(|_| ());
-        assert_eq!(behind.slot(), Some(9));
-        let state = behind.register.chosen().expect("a state");
-        assert_eq!(state.body, behind.bodies[1]);
+        lagging.serve(|_| ());
+        assert_eq!(lagging.slot(), Some(9));
+        let state = lagging.register.chosen().expect("a state");
+        assert_eq!(state.body, lagging.bodies[1]);
     }
 }
 
 #[test]
 fn given_the_same_state_offered_by_two_when_fetched_then_each_piece_is_asked_for_once() {
-    let mut behind = Behind::new(Defects::default());
-    let outline = behind.outlines[1].clone();
-    behind.register.handle(member(2), outline.clone(), 0);
-    behind.register.handle(member(3), outline.clone(), 0);
-    behind.register.handle(member(3), outline, 0);
-    assert_eq!(behind.serve(|_| ()), BODY.div_ceil(CHUNK));
-    assert_eq!(behind.slot(), Some(9));
+    let mut lagging = LaggingMember::new(Defects::default());
+    let outline = lagging.outlines[1].clone();
+    lagging.register.handle(member(2), outline.clone(), 0);
+    lagging.register.handle(member(3), outline.clone(), 0);
+    lagging.register.handle(member(3), outline, 0);
+    assert_eq!(lagging.serve(|_| ()), BODY.div_ceil(CHUNK));
+    assert_eq!(lagging.slot(), Some(9));
 }
 
 #[test]
 fn given_garbled_pieces_when_the_last_has_come_then_the_body_is_not_taken() {
-    let mut behind = Behind::new(Defects::default());
-    let outline = behind.outlines[1].clone();
-    behind.register.handle(member(2), outline.clone(), 0);
-    behind.serve(|bytes| bytes[0] ^= 1);
-    assert_eq!(behind.slot(), None);
-    let counts = behind.register.transfer_counts();
+    let mut lagging = LaggingMember::new(Defects::default());
+    let outline = lagging.outlines[1].clone();
+    lagging.register.handle(member(2), outline.clone(), 0);
+    lagging.serve(|bytes| bytes[0] ^= 1);
+    assert_eq!(lagging.slot(), None);
+    let counts = lagging.register.transfer_counts();
     assert_eq!((counts.fetched, counts.damaged), (0, 1));
     // Offered again, it is fetched anew.
-    behind.register.handle(member(2), outline, 0);
-    behind.serve(|_| ());
-    assert_eq!(behind.slot(), Some(9));
+    lagging.register.handle(member(2), outline, 0);
+    lagging.serve(|_| ());
+    assert_eq!(lagging.slot(), Some(9));
 }
 
 #[test]
 fn given_bodies_that_are_not_checked_then_a_garbled_one_is_found() {
-    let mut behind = Behind::new(Defects {
+    let mut lagging = LaggingMember::new(Defects {
         body_unchecked: true,
         ..Defects::default()
     });
-    let outline = behind.outlines[1].clone();
-    behind.register.handle(member(2), outline, 0);
-    behind.serve(|bytes| bytes[0] ^= 1);
-    let state = behind.register.chosen().expect("it is taken");
-    assert_ne!(state.body, behind.bodies[1]);
+    let outline = lagging.outlines[1].clone();
+    lagging.register.handle(member(2), outline, 0);
+    lagging.serve(|bytes| bytes[0] ^= 1);
+    let state = lagging.register.chosen().expect("it is taken");
+    assert_ne!(state.body, lagging.bodies[1]);
 }
 
 #[test]
 fn given_pieces_that_were_not_asked_for_or_are_no_pieces_then_nothing_is_kept() {
-    let mut behind = Behind::new(Defects::default());
-    let body = BodyReference::of(&behind.bodies[1]);
+    let mut lagging = LaggingMember::new(Defects::default());
+    let body = BodyReference::of(&lagging.bodies[1]);
     let chunk = |offset: u32, length: usize| Message::BodyChunk {
         body,
         offset,
         chunk: Chunk(vec![2; length]),
     };
-    behind.register.handle(member(2), chunk(0, CHUNK), 0);
-    behind
+    lagging.register.handle(member(2), chunk(0, CHUNK), 0);
+    lagging
         .register
-        .handle(member(2), behind.outlines[1].clone(), 0);
+        .handle(member(2), lagging.outlines[1].clone(), 0);
     for (offset, length) in [(0, 1), (1, CHUNK), (BODY as u32, CHUNK), (u32::MAX, 0)] {
-        behind.register.handle(member(2), chunk(offset, length), 0);
+        lagging.register.handle(member(2), chunk(offset, length), 0);
     }
-    assert_eq!(behind.serve(|_| ()), BODY.div_ceil(CHUNK));
-    assert_eq!(behind.slot(), Some(9));
+    assert_eq!(lagging.serve(|_| ()), BODY.div_ceil(CHUNK));
+    assert_eq!(lagging.slot(), Some(9));
 }
 
 #[test]
 fn given_a_holder_that_has_the_body_no_more_when_another_offered_it_then_that_one_is_asked() {
-    let mut behind = Behind::new(Defects::default());
-    let outline = behind.outlines[1].clone();
-    let body = BodyReference::of(&behind.bodies[1]);
-    behind.register.handle(member(2), outline.clone(), 0);
-    behind.register.handle(member(3), outline, 0);
-    behind.register.take_actions();
-    behind
+    let mut lagging = LaggingMember::new(Defects::default());
+    let outline = lagging.outlines[1].clone();
+    let body = BodyReference::of(&lagging.bodies[1]);
+    lagging.register.handle(member(2), outline.clone(), 0);
+    lagging.register.handle(member(3), outline, 0);
+    lagging.register.take_actions();
+    lagging
         .register
         .handle(member(2), Message::BodyUnavailable { body }, 0);
     // The answer comes once for each chunk of the window; one of them counts.
-    behind
+    lagging
         .register
         .handle(member(2), Message::BodyUnavailable { body }, 0);
-    assert_eq!(behind.serve(|_| ()), BODY.div_ceil(CHUNK));
-    assert_eq!(behind.slot(), Some(9));
+    assert_eq!(lagging.serve(|_| ()), BODY.div_ceil(CHUNK));
+    assert_eq!(lagging.slot(), Some(9));
 }
 
 #[test]
 fn given_a_body_that_was_offered_when_it_is_longer_than_any_may_be_then_it_is_not_asked_for() {
-    let mut behind = Behind::new(Defects::default());
-    let Message::Outline(mut outline) = behind.outlines[1].clone() else {
+    let mut lagging = LaggingMember::new(Defects::default());
+    let Message::Outline(mut outline) = lagging.outlines[1].clone() else {
         panic!("an outline");
     };
     outline.body.length = u32::MAX;
-    behind
+    lagging
         .register
         .handle(member(2), Message::Outline(outline), 0);
-    assert_eq!(behind.serve(|_| ()), 0);
+    assert_eq!(lagging.serve(|_| ()), 0);
 }
 
 /// Slots that a member with an old state proposes once a majority promised, where one of the promises reports a newer
@@ -384,24 +270,24 @@
 }
 
 fn proposed_slots(defects: Defects) -> ProposedSlots {
-    let mut behind = Behind::new(defects);
-    behind.register.propose(1, vec![1], TIMEOUT, 0);
-    let number = behind.prepare_and_store();
-    let Message::Outline(mut promise) = behind.outlines[0].clone() else {
+    let mut lagging = LaggingMember::new(defects);
+    lagging.register.propose(1, vec![1], TIMEOUT, 0);
+    let number = lagging.prepare_and_store();
+    let Message::Outline(mut promise) = lagging.outlines[0].clone() else {
         panic!("an outline");
     };
     promise.message = OutlinedMessage::Promise { number };
-    behind
+    lagging
         .register
         .handle(member(2), Message::Outline(promise), 1);
-    let actions = behind.register.take_actions();
+    let actions = lagging.register.take_actions();
     let before_the_body = actions.iter().filter_map(proposed_slot).collect();
     let mut fetches: Vec<(BodyReference, u32)> = actions.iter().filter_map(fetched).collect();
     let mut after_the_body = Vec::new();
     while let Some((body, offset)) = fetches.pop() {
-        let chunk = chunk_of(&behind.bodies[0], body, offset);
-        behind.register.handle(member(2), chunk, 1);
-        let actions = behind.register.take_actions();
+        let chunk = chunk_of(&lagging.bodies[0], body, offset);
+        lagging.register.handle(member(2), chunk, 1);
+        let actions = lagging.register.take_actions();
         after_the_body.extend(actions.iter().filter_map(proposed_slot));
         fetches.extend(actions.iter().filter_map(fetched));
     }
@@ -411,42 +297,6 @@
     }
 }
 
-/// The slot of the vote whose acceptance this action asks for.
-fn proposed_slot(action: &Action) -> Option<u64> {
-    let Action::Send { message, .. } = action else {
-        return None;
-    };
-    match message {
-        Message::Accept { vote } => Some(vote.state.slot),
-        Message::Outline(outline) if outline.message == OutlinedMessage::Accept => {
-            Some(outline.vote.state.slot)
-        }
-        _ => None,
-    }
-}
-
-/// The chunk that this action requests.
-fn fetched(action: &Action) -> Option<(BodyReference, u32)> {
-    match action {
-        Action::Send {
-            message: Message::FetchChunk { body, offset },
-            ..
-        } => Some((*body, *offset)),
-        _ => None,
-    }
-}
-
-/// The chunk of `bytes` at `offset`.
-fn chunk_of(bytes: &[u8], body: BodyReference, offset: u32) -> Message {
-    let start = offset as usize;
-    let end = (start + CHUNK).min(bytes.len());
-    Message::BodyChunk {
-        body,
-        offset,
-        chunk: Chunk(bytes[start..end].to_vec()),
-    }
-}
-
 #[test]
 fn given_a_promise_of_a_newer_state_when_its_body_is_not_here_then_nothing_is_proposed() {
     let slots = proposed_slots(Defects::default());
@@ -476,22 +326,22 @@
 }
 
 fn offer_midway(defects: Defects) -> OfferMidway {
-    let mut behind = Behind::new(defects);
-    let [older, newer] = behind.outlines.clone();
-    let first = BodyReference::of(&behind.bodies[0]);
-    behind.register.handle(member(2), older, 0);
-    behind.register.take_actions();
-    behind.register.handle(member(3), newer, 0);
-    let actions = behind.register.take_actions();
+    let mut lagging = LaggingMember::new(defects);
+    let [older, newer] = lagging.outlines.clone();
+    let first = BodyReference::of(&lagging.bodies[0]);
+    lagging.register.handle(member(2), older, 0);
+    lagging.register.take_actions();
+    lagging.register.handle(member(3), newer, 0);
+    let actions = lagging.register.take_actions();
     let requested = actions.iter().filter_map(fetched).map(|(body, _)| body);
     let requested = requested.collect();
     for offset in (0..BODY).step_by(CHUNK) {
-        let chunk = chunk_of(&behind.bodies[0], first, offset as u32);
-        behind.register.handle(member(2), chunk, 1);
+        let chunk = chunk_of(&lagging.bodies[0], first, offset as u32);
+        lagging.register.handle(member(2), chunk, 1);
     }
     OfferMidway {
         requested,
-        slot: behind.slot(),
+        slot: lagging.slot(),
     }
 }
 
--- a/crates/sparrouter-consensus/tests/explore/mod.rs
+++ b/crates/sparrouter-consensus/tests/explore/mod.rs
@@ -6,6 +6,7 @@
 //! | `violation` | the rules that can be broken |
 //! | `scope` | what may happen in an exploration, and how often |
 //! | `node` | a node: its register, its disk, and the store between them |
+//! | `step` | the steps of an exploration |
 //! | `system` | one state of the whole system and the steps out of it |
 //! | `trace` | short summaries of messages |
 //! | `votes` | which votes are on disk, and so which are chosen, counted apart from the code under test |
@@ -24,6 +25,7 @@
 pub mod scenarios;
 pub mod scope;
 pub mod search;
+pub mod step;
 pub mod system;
 pub mod trace;
 pub mod violation;
--- a/crates/sparrouter-consensus/tests/explore/scenarios.rs
+++ b/crates/sparrouter-consensus/tests/explore/scenarios.rs
@@ -1,6 +1,7 @@
 //! The scopes that are explored: those of the sound code, and for each injected defect one that finds it.
 use super::scope::{Call, Scope, Swap};
-use super::system::{Step, System};
+use super::step::Step;
+use super::system::System;
 use sparrouter_consensus::Defects;
 
 const NO_VIOLATION_YET: &str = "no rule is broken before the search begins";
--- a/crates/sparrouter-consensus/tests/explore/search.rs
+++ b/crates/sparrouter-consensus/tests/explore/search.rs
@@ -1,5 +1,6 @@
 //! Breadth-first search over all states, each visited once: the first violation is one by as few steps as can be.
-use super::system::{Step, System};
+use super::step::Step;
+use super::system::System;
 use super::violation::Violation;
 use std::collections::HashSet;
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/crates/sparrouter-consensus/tests/explore/system.rs
+++ b/crates/sparrouter-consensus/tests/explore/system.rs
@@ -10,6 +10,7 @@
 use super::history::History;
 use super::node::{Input, Node, first_member, settings};
 use super::scope::{Call, CallKind, Scope};
+use super::step::{Step, Used};
 use super::trace::summary;
 use super::violation::Violation;
 use super::votes::Votes;
@@ -22,46 +23,6 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-/// One step of the system.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// A message arrives: by its index among those in flight.
-    Deliver {
-        message: usize,
-    },
-    /// It arrives, and stays in flight as well.
-    DeliverDuplicate {
-        message: usize,
-    },
-    Call {
-        call: usize,
-    },
-    /// The store in flight at a node succeeds.
-    Sync {
-        node: usize,
-    },
-    /// It fails; `written` says whether its bytes are on disk all the same.
-    FailSync {
-        node: usize,
-        written: bool,
-    },
-    /// The node's next timer fires.
-    Timer {
-        node: usize,
-    },
-    /// The node starts anew from its disk; `written`: whether the store in flight had reached it.
-    Crash {
-        node: usize,
-        written: bool,
-    },
-    /// The node starts anew with an empty disk.
-    Wipe {
-        node: usize,
-    },
-    /// The node proposes the scope's swap, or one for a disk that is gone.
-    Swap,
-}
-
 /// The node after an input, and the effects outside of it.
 struct Reaction {
     node: Rc<Node>,
@@ -84,19 +45,7 @@
     digest: u128,
 }
 
-/// How much of what the scope allows has happened.
-#[derive(Clone, Copy, Debug, Default, Hash)]
-struct Used {
-    /// Bit by call.
-    calls: u32,
-    crashes: u8,
-    wipes: u8,
-    swaps: u8,
-    timers: u8,
-    store_failures: u8,
-    duplicates: u8,
-}
-
+/// One state of the whole system.
 #[derive(Clone)]
 pub struct System {
     pub scope: Rc<Scope>,
--- a/crates/sparrouter-consensus/tests/fleet/clients.rs
+++ b/crates/sparrouter-consensus/tests/fleet/clients.rs
@@ -16,7 +16,7 @@
 pub enum Client {
     /// Sends changes of the configuration.
     Operator {
-        /// The newest version that it was told.
+        /// The newest version that an answer named.
         version: u64,
         put: Option<Put>,
     },
@@ -129,20 +129,24 @@
     draw: u64,
     now: Nanos,
 ) -> LeaseChange {
-    let name = format!("holder-{id}");
+    let mut owner = LeaseHolder {
+        name: format!("holder-{id}"),
+        incarnation: *incarnation,
+    };
     lease.take_if(|lease| now >= lease.usable_until);
     let Some(owned) = lease else {
         // Now and then it is another incarnation of the same name.
         *incarnation += u64::from(draw.is_multiple_of(5));
+        owner.incarnation = *incarnation;
         return LeaseChange::Acquire {
-            holder: owner(name, *incarnation),
+            holder: owner,
             duration: LEASE_DURATION,
         };
     };
     let fencing_token = owned.fencing_token;
     if !draw.is_multiple_of(12) {
         return LeaseChange::Renew {
-            holder: owner(name, *incarnation),
+            holder: owner,
             fencing_token,
         };
     }
@@ -150,16 +154,12 @@
     // It acts no more, whatever becomes of the call.
     *lease = None;
     LeaseChange::Release {
-        holder: owner(name, *incarnation),
+        holder: owner,
         fencing_token,
         waited,
     }
 }
 
-fn owner(name: String, incarnation: u64) -> LeaseHolder {
-    LeaseHolder { name, incarnation }
-}
-
 impl Fleet {
     /// A client's turn: it calls some node that runs, if it waits for none.
     pub fn client_turn(&mut self, client: usize) {
--- a/crates/sparrouter-consensus/tests/fleet/faults.rs
+++ b/crates/sparrouter-consensus/tests/fleet/faults.rs
@@ -239,7 +239,7 @@
         lost
     }
 
-    fn note_lost_disk(&mut self, node: usize) {
+    fn record_lost_disk(&mut self, node: usize) {
         self.lost_disks.push(LostDisk {
             disk_id: self.nodes[node].member.disk_id,
             lost_at: self.now,
@@ -272,7 +272,7 @@
         let was_running = self.nodes[node].register.take().is_some();
         self.nodes[node].files.wipe();
         self.nodes[node].store = None;
-        self.note_lost_disk(node);
+        self.record_lost_disk(node);
         // From now on nobody has this disk any more, also while its machine is down.
         if !self.defects.wiped_keeps_id {
             self.nodes[node].member.disk_id = 0;
@@ -285,7 +285,7 @@
     fn replace(&mut self, node: usize) {
         self.nodes[node].register = None;
         self.nodes[node].is_gone = true;
-        self.note_lost_disk(node);
+        self.record_lost_disk(node);
         if self.nodes[node].is_leaving {
             // Its successor came when it began to leave.
             return self.log(|| format!("{node} is lost while it leaves"));
--- a/crates/sparrouter-consensus/tests/fleet/monitor.rs
+++ b/crates/sparrouter-consensus/tests/fleet/monitor.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// A caller was told that its change made a version.
+    /// A caller was answered that its change made a version.
     pub fn on_acknowledged(&mut self, version: u64, id: u64) {
         let known = *self.changes.entry(version).or_insert(id);
         self.require(known == id, || {
@@ -82,7 +82,7 @@
         self.acknowledged.insert(version, id);
     }
 
-    /// A caller was told that its change never comes into force.
+    /// A caller was answered that its change never comes into force.
     pub fn on_refused(&mut self, id: u64) {
         let is_in_force = self.in_force.contains(&id);
         self.require(!is_in_force, || {
