--- a/crates/sparrouter-routing/src/lib.rs
+++ b/crates/sparrouter-routing/src/lib.rs
@@ -7,38 +7,38 @@
 //!
 //! | module | its one job |
 //! | --- | --- |
-//! | `election` | the server table, and the choice among its servers |
+//! | `selection` | the server table, and the choice among its servers |
 //! | `candidate` | how two servers of an election compare |
-//! | `sync` | brings the server table up to date with the rows of membership |
+//! | `membership_sync` | brings the server table up to date with the rows of membership |
 //! | `server` | what is known of one server |
 //! | `versions` | which version of a model's weights a request may begin on |
 //! | `rollout_order` | which servers take new weights next, and how many at a time |
 //! | `backlog` | how long a prompt would wait at a server, over all nodes |
 //! | `outliers` | which servers fail what others would serve, over all nodes |
-//! | `budget` | the retry budget |
-//! | `durations` | how long requests of each route take |
+//! | `retry_budget` | the retry budget |
+//! | `route_durations` | how long requests of each route take |
 //! | `prompt` | a prompt's prefix blocks, as the client names them |
 #![deny(missing_docs)]
 mod backlog;
-mod budget;
 mod candidate;
-mod durations;
-mod election;
+mod membership_sync;
 mod outliers;
 mod prompt;
+mod retry_budget;
 mod rollout_order;
+mod route_durations;
+mod selection;
 mod server;
 mod service_servers;
-mod sync;
 mod versions;
 
 pub use backlog::Backlog;
-pub use budget::{RetryBudget, RetryBudgetSettings};
-pub use durations::RouteDurations;
-pub use election::{Selection, SelectionError, SelectionRequest, ServerTable};
 pub use outliers::{DecayingCount, EJECTION_PERIOD, Failure, Outliers};
 pub use prompt::{PrefixBlock, Prompt, TypicalOutput};
+pub use retry_budget::{RetryBudget, RetryBudgetSettings};
 pub use rollout_order::{OutdatedServer, RolloutStep, next_step};
+pub use route_durations::RouteDurations;
+pub use selection::{Selection, SelectionError, SelectionRequest, ServerTable};
 pub use server::{RequestOutcome, Server, ServerIndex};
 pub use versions::{OutdatedVersionLimits, RequiredVersion, Timestamp, Versions, timestamp_before};
 
--- a/crates/sparrouter-routing/src/election.rs
+++ b/crates/sparrouter-routing/src/selection.rs
@@ -1,8 +1,8 @@
 //! The election over the ready servers of a service, and what is known of each.
 use crate::candidate::{Candidate, Draw, Election, is_kept_back, is_over};
+use crate::membership_sync::SyncState;
 use crate::server::Suspicion;
 use crate::service_servers::{Entry, Load, ServiceServers};
-use crate::sync::SyncState;
 use crate::{Nanos, OutdatedVersionLimits, RequestOutcome, Server, ServerIndex, Versions};
 use fastrand::Rng;
 use sparrouter_membership::LifecycleState;
