--- a/crates/sparrouter-routing/src/candidate.rs
+++ b/crates/sparrouter-routing/src/candidate.rs
@@ -1,121 +1,136 @@
-//! One pass over candidates that finds the winner of an election, without a list of them and without sorting.
+//! Compares two eligible servers, and finds the best of many in one pass, without a list of them and without sorting.
 use crate::{SelectionRequest, Server, ServerIndex};
 
-/// A server that may take the request, with what its place in the order goes by.
+/// A server that may take the request, with what its rank depends on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub(crate) server: ServerIndex,
-    kept_back: KeptBack,
-    draw: Draw,
+    demotion: Demotion,
+    score: RendezvousScore,
 }
 
 impl Candidate {
-    /// `avoided`: it fails requests that others would serve.
+    /// `is_ejected`: the server fails requests that others would serve, and this demotes it.
     pub(crate) fn new(
-        ask: &SelectionRequest,
-        ix: ServerIndex,
+        request: &SelectionRequest,
+        index: ServerIndex,
         server: &Server,
-        avoided: bool,
+        is_ejected: bool,
     ) -> Candidate {
         Candidate {
-            server: ix,
-            kept_back: KeptBack {
-                avoided,
-                ..kept_back(ask, server)
+            server: index,
+            demotion: Demotion {
+                is_ejected,
+                ..Demotion::of(request, server)
             },
-            draw: Draw::new(server.hash, ask.key),
+            score: RendezvousScore::new(server.hash, request.key),
         }
     }
 
-    /// Whether it comes before another in the order.
-    pub(crate) fn beats(&self, other: &Candidate) -> bool {
-        self.kept_back
-            .cmp(&other.kept_back)
-            .then(other.draw.cmp(&self.draw))
+    /// Whether it ranks before another one.
+    pub(crate) fn precedes(&self, other: &Candidate) -> bool {
+        self.demotion
+            .cmp(&other.demotion)
+            .then(other.score.cmp(&self.score))
             .is_lt()
     }
 }
 
-/// A server's draw for a key: highest wins. Equal scores go by the hash, so that every node agrees.
+/// A server's rendezvous score for a key; the highest wins. Equal scores are ordered by the hash, so that all nodes agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Draw {
+pub(crate) struct RendezvousScore {
     /// Bits of a number between 0 and 1, which are in the same order as the number.
-    score: u64,
+    unit_bits: u64,
     hash: u64,
 }
 
-impl Draw {
-    pub(crate) fn new(hash: u64, key: u64) -> Draw {
-        Draw {
-            score: sparrouter_rendezvous::unit(hash, key).to_bits(),
+impl RendezvousScore {
+    pub(crate) fn new(hash: u64, key: u64) -> RendezvousScore {
+        RendezvousScore {
+            unit_bits: sparrouter_rendezvous::unit(hash, key).to_bits(),
             hash,
         }
     }
 }
 
-/// Why a server comes behind others whatever its draw. The order of the fields is that of their weight.
+/// Why a server ranks behind others whatever its score. The order of the fields is that of their weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-struct KeptBack {
-    /// Silent servers come last, since they may still answer.
-    silent: bool,
-    /// Before them come those that fail requests which others would serve.
-    avoided: bool,
+struct Demotion {
+    /// Unresponsive servers come last, as they may still answer.
+    is_unresponsive: bool,
+    /// Before them come outliers, which fail requests that others would serve.
+    is_ejected: bool,
     /// Long generations avoid servers that will load new weights soon, because loading waits for them to end.
-    loads_soon: bool,
+    delays_loading: bool,
 }
 
-fn kept_back(ask: &SelectionRequest, server: &Server) -> KeptBack {
-    KeptBack {
-        silent: server.silent,
-        avoided: false,
-        loads_soon: ask.is_long_generation && server.soon,
+impl Demotion {
+    /// All but the ejection, which depends on the other servers of the service.
+    fn of(request: &SelectionRequest, server: &Server) -> Demotion {
+        Demotion {
+            is_unresponsive: server.is_unresponsive,
+            is_ejected: false,
+            delays_loading: request.is_long_generation && server.will_load_soon,
+        }
     }
 }
 
-/// Whether others come before a server whatever its draw.
-pub(crate) fn is_kept_back(ask: &SelectionRequest, server: &Server) -> bool {
-    kept_back(ask, server) != KeptBack::default()
+/// Whether a server ranks behind others whatever its score, ejection apart.
+pub(crate) fn is_demoted(request: &SelectionRequest, server: &Server) -> bool {
+    Demotion::of(request, server) != Demotion::default()
+}
+
+/// Whether this node has more requests in flight at the server than the bound of its service. An unused server counts as
+/// having the mean number in flight.
+pub(crate) fn exceeds_load_bound(server: &Server, load_bound: f64) -> bool {
+    server.has_been_used && f64::from(server.in_flight) > load_bound
 }
 
-/// Whether it has more of this node's requests in flight than the bar.
-pub(crate) fn is_over(server: &Server, bar: f64) -> bool {
-    server.used && f64::from(server.in_flight) > bar
+/// A candidate with this node's requests in flight there.
+#[derive(Clone, Copy, Debug)]
+struct LoadedCandidate {
+    in_flight: u32,
+    candidate: Candidate,
 }
 
-/// The best candidates so far.
+/// The best of the candidates that were considered so far.
 #[derive(Debug, Default)]
-pub(crate) struct Election {
+pub(crate) struct BestCandidates {
     first: Option<Candidate>,
-    /// The first one that is not over the bar of requests in flight.
-    first_under_bar: Option<Candidate>,
-    /// The one with the fewest requests in flight, and how many.
-    least_loaded: Option<(u32, Candidate)>,
+    /// The first one that does not exceed the load bound.
+    first_within_bound: Option<Candidate>,
+    /// The one with the fewest requests in flight.
+    least_loaded: Option<LoadedCandidate>,
 }
 
-impl Election {
-    pub(crate) fn enter(&mut self, candidate: Candidate, over_bar: bool, in_flight: u32) {
-        let first = |known: Option<Candidate>| known.is_none_or(|k| candidate.beats(&k));
-        if first(self.first) {
+impl BestCandidates {
+    pub(crate) fn consider(&mut self, candidate: Candidate, exceeds_bound: bool, in_flight: u32) {
+        let precedes = |best: Option<Candidate>| best.is_none_or(|best| candidate.precedes(&best));
+        if precedes(self.first) {
             self.first = Some(candidate);
         }
-        if !over_bar && first(self.first_under_bar) {
-            self.first_under_bar = Some(candidate);
+        if !exceeds_bound && precedes(self.first_within_bound) {
+            self.first_within_bound = Some(candidate);
         }
-        let less_loaded = self.least_loaded.is_none_or(|(least, known)| {
-            in_flight < least || (in_flight == least && candidate.beats(&known))
+        let is_less_loaded = self.least_loaded.is_none_or(|least| {
+            in_flight < least.in_flight
+                || (in_flight == least.in_flight && candidate.precedes(&least.candidate))
         });
-        if less_loaded {
-            self.least_loaded = Some((in_flight, candidate));
+        if is_less_loaded {
+            self.least_loaded = Some(LoadedCandidate {
+                in_flight,
+                candidate,
+            });
         }
     }
 
-    /// The first under the bar; where all are over it, the least loaded.
+    /// The first within the load bound; where all exceed it, the least loaded.
     pub(crate) fn winner(&self) -> Option<Candidate> {
-        self.first_under_bar
-            .or(self.least_loaded.map(|(_, candidate)| candidate))
+        self.first_within_bound
+            .or(self.least_loaded.map(|least| least.candidate))
     }
 
-    /// Whether no candidate comes before it.
+    /// Whether no candidate precedes this one.
     pub(crate) fn is_first(&self, candidate: &Candidate) -> bool {
         self.first
             .is_some_and(|first| first.server == candidate.server)
--- a/crates/sparrouter-routing/src/membership_sync.rs
+++ b/crates/sparrouter-routing/src/membership_sync.rs
@@ -1,167 +1,188 @@
-//! Brings the server table up to date with the rows: only servers whose rows changed are looked at, since a fleet of
-//! thousands of servers has a change every few milliseconds.
+//! Brings the server table up to date with the membership table. Only servers whose records changed are visited, since a
+//! fleet of thousands of servers has a change every few milliseconds.
 use crate::{EJECTION_PERIOD, Nanos, Server, ServerIndex, ServerTable};
 use sparrouter_membership::{ChangedRecord, LifecycleState, MembershipTable, ServerRecord};
 use std::collections::BTreeSet;
 
-/// A directive under `load/SERVER/MODEL`: the server takes new weights, or (over) runs what is named.
-const LOAD: &str = "load";
-/// A directive under `soon/SERVER/MODEL`: the server will take new weights soon.
-const SOON: &str = "soon";
+// Server directives have keys `KIND/SERVER/MODEL`. The kinds are on the wire and keep their names.
 
-/// A notice under `avoid/SERVER/`: the server fails requests that others would serve. It holds by its age alone.
-const AVOID: &str = "avoid";
+/// The server loads new weights; withdrawn: it has loaded the version that the directive names.
+const LOADING_DIRECTIVE: &str = "load";
+/// The server will load new weights soon.
+const LOADING_SOON_DIRECTIVE: &str = "soon";
+/// The server is an outlier: it fails requests that others would serve. The model is empty. It applies for
+/// [`EJECTION_PERIOD`] from its arrival, whether withdrawn or not.
+const EJECTION_DIRECTIVE: &str = "avoid";
 
-/// What the table has taken in of the rows, and which servers have to be looked at without a change of theirs.
+/// Up to where the membership table has been applied, and which servers change without a change of their records.
 #[derive(Debug, Default)]
 pub(crate) struct SyncState {
-    /// Names the `Rows`; 0 before the first look.
+    /// Identifies the membership table; 0 before the first sync.
     epoch: u64,
+    /// The membership table's revision at the last sync.
     revision: u64,
+    /// How many servers the membership table had dropped by the last sync.
     servers_dropped: u64,
-    /// Servers under a directive, which runs out with time.
-    directed: BTreeSet<ServerIndex>,
-    /// Servers that are gone, with requests in flight.
-    leaving: BTreeSet<ServerIndex>,
+    /// Servers under a directive to load weights, now or soon, which expires with time.
+    under_directive: BTreeSet<ServerIndex>,
+    /// Servers that have left, with requests of this node in flight.
+    left_with_requests: BTreeSet<ServerIndex>,
 }
 
 impl ServerTable {
-    /// What the rows say now. Servers that are gone stay until their last request has ended.
-    pub fn sync(&mut self, rows: &MembershipTable, now: Nanos) {
-        let ids = self.ids_to_look_at(rows);
-        self.sync_state.epoch = rows.epoch();
-        self.sync_state.revision = rows.revision();
-        self.sync_state.servers_dropped = rows.servers_dropped();
+    /// Applies the membership table as it is now. A server that has left stays until its last request has ended.
+    pub fn sync(&mut self, membership: &MembershipTable, now: Nanos) {
+        let ids = self.ids_to_sync(membership);
+        self.sync_state.epoch = membership.epoch();
+        self.sync_state.revision = membership.revision();
+        self.sync_state.servers_dropped = membership.servers_dropped();
         for id in ids {
-            self.sync_server(rows, &id, now);
+            self.sync_server(membership, &id, now);
         }
     }
 
-    /// Ids of servers whose rows or directives changed since the last look, and of those that time may change.
-    fn ids_to_look_at(&self, rows: &MembershipTable) -> BTreeSet<String> {
+    /// Ids of servers whose records or directives changed since the last sync, and of those that change with time.
+    fn ids_to_sync(&self, membership: &MembershipTable) -> BTreeSet<String> {
         let state = &self.sync_state;
-        let same_rows = state.epoch == rows.epoch()
-            && state.revision <= rows.revision()
-            && state.servers_dropped == rows.servers_dropped();
-        if !same_rows {
+        // Dropped records have no revision of their own.
+        let has_revisions_since = state.epoch == membership.epoch()
+            && state.revision <= membership.revision()
+            && state.servers_dropped == membership.servers_dropped();
+        if !has_revisions_since {
             let known = self.iter().map(|(_, server)| server.id.clone());
-            return rows
-                .servers()
-                .map(|row| row.id.clone())
-                .chain(known)
-                .collect();
+            let recorded = membership.servers().map(|record| record.id.clone());
+            return recorded.chain(known).collect();
         }
-        let changed = rows
+        let changed = membership
             .changed_since(state.revision)
-            .filter_map(|row| match row {
+            .filter_map(|record| match record {
                 ChangedRecord::Server(id) => Some(id.to_owned()),
                 ChangedRecord::Directive(key) => server_of_directive(key).map(str::to_owned),
                 ChangedRecord::Node(_) => None,
             });
-        let by_time = state.directed.iter().chain(&state.leaving);
-        let by_time = by_time.filter_map(|&ix| self.get(ix).map(|server| server.id.clone()));
-        changed.chain(by_time).collect()
+        let changing_with_time = state
+            .under_directive
+            .iter()
+            .chain(&state.left_with_requests)
+            .filter_map(|&index| self.get(index).map(|server| server.id.clone()));
+        changed.chain(changing_with_time).collect()
     }
 
-    fn sync_server(&mut self, rows: &MembershipTable, id: &str, now: Nanos) {
-        let row = rows.server(id);
-        if let Some(row) = row {
-            self.add_if_new(row);
+    fn sync_server(&mut self, membership: &MembershipTable, id: &str, now: Nanos) {
+        let record = membership.server(id);
+        if let Some(record) = record {
+            self.add_if_new(record);
         }
-        let Some(ix) = self.find(id) else {
+        let Some(index) = self.find(id) else {
             return;
         };
-        if let Some(row) = row {
-            self.take_row(ix, row);
+        if let Some(record) = record {
+            self.apply_record(index, record);
         }
-        self.take_directives(rows, ix, id, now);
-        self.remove_if_over(ix, row);
+        self.apply_directives(membership, index, id, now);
+        self.remove_if_left(index, record);
     }
 
-    fn add_if_new(&mut self, row: &ServerRecord) {
-        let over = row.state == LifecycleState::Left || row.service.is_empty();
-        if over || self.find(&row.id).is_some() {
+    fn add_if_new(&mut self, record: &ServerRecord) {
+        let is_usable = record.state != LifecycleState::Left && !record.service.is_empty();
+        if !is_usable || self.find(&record.id).is_some() {
             return;
         }
-        if let Ok(address) = row.address.parse() {
-            self.add(Server::new(row, address));
+        if let Ok(address) = record.address.parse() {
+            self.add(Server::new(record, address));
         }
     }
 
-    fn take_row(&mut self, ix: ServerIndex, row: &ServerRecord) {
-        self.update(ix, |server| {
-            server.standing = server.standing.max(row.state);
+    fn apply_record(&mut self, index: ServerIndex, record: &ServerRecord) {
+        self.update(index, |server| {
+            server.state = server.state.max(record.state);
         });
-        let Some(server) = self.servers[ix].as_mut() else {
+        let Some(server) = self.servers[index].as_mut() else {
             return;
         };
-        if server.silent && !row.unresponsive {
-            server.suspect = None;
+        if server.is_unresponsive && !record.unresponsive {
+            server.suspicion = None;
         }
-        if server.silent != row.unresponsive {
-            server.silent = row.unresponsive;
+        if server.is_unresponsive != record.unresponsive {
+            server.is_unresponsive = record.unresponsive;
             self.changes += 1;
         }
-        if row.call_sequence > server.told_at {
-            server.told_at = row.call_sequence;
-            for model in &row.models {
-                server.runs(&model.name, model.version);
+        if record.call_sequence > server.models_call_sequence {
+            server.models_call_sequence = record.call_sequence;
+            for model in &record.models {
+                server.record_version(&model.name, model.version);
             }
         }
     }
 
-    /// The holder of the rollout lease announces `soon/SERVER/MODEL`, then `load/SERVER/MODEL` while the server loads; the
-    /// latter ends with the version that the server runs.
-    fn take_directives(&mut self, rows: &MembershipTable, ix: ServerIndex, id: &str, now: Nanos) {
-        let lasts = self.versions.stretch_limit().saturating_mul(2);
-        let Some(server) = self.servers[ix].as_mut() else {
+    /// Applies the directives about one server. The holder of the rollout lease announces that a server will load weights
+    /// soon, then that it loads them; withdrawing the latter names the version that the server runs.
+    fn apply_directives(
+        &mut self,
+        membership: &MembershipTable,
+        index: ServerIndex,
+        id: &str,
+        now: Nanos,
+    ) {
+        // The lease holder may have crashed, so no server is excluded for longer than loading can take.
+        let max_age = self.versions.stretch_limit().saturating_mul(2);
+        let applies = |is_withdrawn: bool, received_at: Nanos| {
+            !is_withdrawn && now.saturating_sub(received_at) < max_age
+        };
+        let Some(server) = self.servers[index].as_mut() else {
             return;
         };
-        // The holder may have died, so no server is excluded for longer than loading can take.
-        let stands = |over: bool, at: Nanos| !over && now.saturating_sub(at) < lasts;
-        server.loading = false;
-        let load = format!("{LOAD}/{id}/");
-        for (note, at) in rows.directives_with_prefix(&load) {
-            if note.withdrawn && note.version > 0 {
-                server.runs(&note.key[load.len()..], note.version);
+        server.is_loading = false;
+        let loading_prefix = format!("{LOADING_DIRECTIVE}/{id}/");
+        for (directive, received_at) in membership.directives_with_prefix(&loading_prefix) {
+            if directive.withdrawn && directive.version > 0 {
+                let model = &directive.key[loading_prefix.len()..];
+                server.record_version(model, directive.version);
             }
-            server.loading |= stands(note.withdrawn, at);
+            server.is_loading |= applies(directive.withdrawn, received_at);
         }
-        let soon = format!("{SOON}/{id}/");
-        server.soon = rows
-            .directives_with_prefix(&soon)
-            .any(|(note, at)| stands(note.withdrawn, at));
-        let avoid = format!("{AVOID}/{id}/");
-        for (_, at) in rows.directives_with_prefix(&avoid) {
-            server.avoided_until = server.avoided_until.max(at.saturating_add(EJECTION_PERIOD));
+        let soon_prefix = format!("{LOADING_SOON_DIRECTIVE}/{id}/");
+        server.will_load_soon = membership
+            .directives_with_prefix(&soon_prefix)
+            .any(|(directive, received_at)| applies(directive.withdrawn, received_at));
+        let ejection_prefix = format!("{EJECTION_DIRECTIVE}/{id}/");
+        for (_, received_at) in membership.directives_with_prefix(&ejection_prefix) {
+            let ejected_until = received_at.saturating_add(EJECTION_PERIOD);
+            server.ejected_until = server.ejected_until.max(ejected_until);
         }
-        if server.loading || server.soon {
-            self.sync_state.directed.insert(ix);
+        if server.is_loading || server.will_load_soon {
+            self.sync_state.under_directive.insert(index);
         } else {
-            self.sync_state.directed.remove(&ix);
+            self.sync_state.under_directive.remove(&index);
         }
     }
 
-    fn remove_if_over(&mut self, ix: ServerIndex, row: Option<&ServerRecord>) {
-        let gone = row.is_none_or(|row| row.state == LifecycleState::Left);
-        let in_flight = self.get(ix).is_some_and(|server| server.in_flight > 0);
-        if gone && !in_flight {
-            self.remove(ix);
-        } else if gone {
-            self.sync_state.leaving.insert(ix);
+    fn remove_if_left(&mut self, index: ServerIndex, record: Option<&ServerRecord>) {
+        let has_left = record.is_none_or(|record| record.state == LifecycleState::Left);
+        let has_requests = self.get(index).is_some_and(|server| server.in_flight > 0);
+        if has_left && !has_requests {
+            self.remove(index);
+        } else if has_left {
+            self.sync_state.left_with_requests.insert(index);
         }
     }
 
-    /// Forgets what was kept of a place in the table whose server was removed.
-    pub(crate) fn forget_sync_state(&mut self, ix: ServerIndex) {
-        self.sync_state.directed.remove(&ix);
-        self.sync_state.leaving.remove(&ix);
+    /// Forgets what is stored here of a server that is removed, before its index is reused.
+    pub(crate) fn forget_sync_state(&mut self, index: ServerIndex) {
+        self.sync_state.under_directive.remove(&index);
+        self.sync_state.left_with_requests.remove(&index);
     }
 }
 
-/// The id in a directive's key `KIND/SERVER/MODEL`; None for other notes.
+/// The server's id in a directive's key `KIND/SERVER/MODEL`; `None` for other kinds.
 fn server_of_directive(key: &str) -> Option<&str> {
-    let mut words = key.splitn(3, '/');
-    let (kind, id, _model) = (words.next()?, words.next()?, words.next()?);
-    [LOAD, SOON, AVOID].contains(&kind).then_some(id)
+    let mut segments = key.splitn(3, '/');
+    let (kind, id, _model) = (segments.next()?, segments.next()?, segments.next()?);
+    [
+        LOADING_DIRECTIVE,
+        LOADING_SOON_DIRECTIVE,
+        EJECTION_DIRECTIVE,
+    ]
+    .contains(&kind)
+    .then_some(id)
 }
--- a/crates/sparrouter-routing/src/prompt.rs
+++ b/crates/sparrouter-routing/src/prompt.rs
@@ -1,10 +1,14 @@
-//! A prompt as the client describes it: a chain of prefix blocks ("parts"), and the key that it is routed by.
+//! A prompt as the client describes it: a chain of prefix blocks ("parts" in the header fields), and the key that it is
+//! routed by.
 use sparrouter_rendezvous::hash;
 
-/// One part of a prompt.
+/// Largest number of prefix blocks that are parsed; further ones are ignored.
+const MAX_BLOCKS: usize = 64;
+
+/// One prefix block of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrefixBlock {
-    /// Its id in hexadecimal, as sent. It identifies the part together with all parts before it.
+    /// Its id in hexadecimal, as sent. It identifies the block together with all blocks before it.
     pub id: String,
     /// Its length in tokens.
     pub tokens: u64,
@@ -13,11 +17,11 @@
 /// A prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its parts in order; the last one is the request's own.
+    /// Its prefix blocks in order, at most 64; the last one is the request's own.
     pub blocks: Vec<PrefixBlock>,
-    /// Length of the prompt in tokens.
+    /// Length of the prompt in tokens, at least the sum over its blocks.
     pub tokens_in: u64,
-    /// Most tokens that are generated.
+    /// Largest number of tokens that are generated; 0 if the client did not say.
     pub tokens_out: u64,
 }
 
@@ -28,61 +32,60 @@
 
 impl TypicalOutput {
     /// Weight of a new request in the average.
-    const WEIGHT: f64 = 1.0 / 64.0;
+    const SMOOTHING: f64 = 1.0 / 64.0;
 
-    /// Takes in a request; whether it generates more than was usual before it.
+    /// Adds a request to the average, and returns whether it generates more than was usual before it.
     pub fn observe(&mut self, tokens_out: u64) -> bool {
         let tokens = tokens_out as f64;
         let usual = self.0.unwrap_or(tokens);
-        self.0 = Some(usual + (tokens - usual) * Self::WEIGHT);
+        self.0 = Some(usual + (tokens - usual) * Self::SMOOTHING);
         tokens > usual
     }
 }
 
-/// Most parts that are read; further ones are ignored.
-const MOST_PARTS: usize = 64;
-
 impl Prompt {
-    /// Reads the header fields. `prefix`: `ID:TOKENS,...`; `usage`: `IN,OUT`. What cannot be parsed is left out, because a
-    /// prompt that is described badly can still be served.
+    /// Parses the header fields. `prefix`: `ID:TOKENS,...`; `usage`: `IN,OUT`. What cannot be parsed is left out, because
+    /// a prompt that is described badly can still be served.
     pub fn read(prefix: Option<&str>, usage: Option<&str>) -> Prompt {
-        let part = |word: &str| {
-            let (id, tokens) = word.trim().split_once(':')?;
-            Some(PrefixBlock {
-                id: id.to_owned(),
-                tokens: tokens.parse().ok()?,
-            })
-        };
-        let parts: Vec<PrefixBlock> = prefix
+        let blocks: Vec<PrefixBlock> = prefix
             .unwrap_or_default()
             .split(',')
-            .take(MOST_PARTS)
-            .filter_map(part)
+            .take(MAX_BLOCKS)
+            .filter_map(parse_block)
             .collect();
         let mut usage = usage
             .unwrap_or_default()
             .split(',')
-            .map(|n| n.trim().parse().unwrap_or(0));
-        let tokens_in = usage
-            .next()
-            .unwrap_or(0)
-            .max(parts.iter().map(|p| p.tokens).sum());
+            .map(|count| count.trim().parse().unwrap_or(0));
+        let tokens_in: u64 = usage.next().unwrap_or(0);
+        let tokens_out = usage.next().unwrap_or(0);
+        let tokens_of_blocks = blocks.iter().map(|block| block.tokens).sum();
         Prompt {
-            blocks: parts,
-            tokens_in,
-            tokens_out: usage.next().unwrap_or(0),
+            blocks,
+            tokens_in: tokens_in.max(tokens_of_blocks),
+            tokens_out,
         }
     }
 
-    /// The parts that other requests may share: all but the last.
+    /// The blocks that other requests may have in common: all but the last.
     pub fn shared_blocks(&self) -> &[PrefixBlock] {
         &self.blocks[..self.blocks.len().saturating_sub(1)]
     }
 
-    /// The key of the election: a hash of the deepest shared part, so that its KV cache is used at one server. A single
-    /// part may belong to a session and is its own key. `None` without parts.
+    /// The key that servers are scored by: a hash of the deepest shared block, so that its KV cache is used at one server.
+    /// A single block may belong to a session and is its own key. `None` without blocks. `salt` separates the keys of
+    /// different models and tenants.
     pub fn key(&self, salt: &str) -> Option<u64> {
-        let part = self.shared_blocks().last().or(self.blocks.last())?;
-        Some(hash(format!("{salt}/{}", part.id).as_bytes()))
+        let block = self.shared_blocks().last().or(self.blocks.last())?;
+        Some(hash(format!("{salt}/{}", block.id).as_bytes()))
     }
 }
+
+/// Parses `ID:TOKENS`.
+fn parse_block(text: &str) -> Option<PrefixBlock> {
+    let (id, tokens) = text.trim().split_once(':')?;
+    Some(PrefixBlock {
+        id: id.to_owned(),
+        tokens: tokens.parse().ok()?,
+    })
+}
--- a/crates/sparrouter-routing/src/retry_budget.rs
+++ b/crates/sparrouter-routing/src/retry_budget.rs
@@ -1,17 +1,21 @@
-//! The retry budget: this node's share of what all nodes may send beyond the first send of each request.
+//! Limits retries to a share of the requests: this node's share of what all nodes may send beyond the first attempt of
+//! each request.
 //!
-//! The shares of all nodes add up to the whole: the ratio applies to a node's own requests, and the slack is divided by the
-//! number of nodes. What is not spent within a window expires, so that no window exceeds the budget.
+//! The shares of all nodes add up to the whole budget: the ratio applies to a node's own requests, and the slack is
+//! divided by the number of nodes. What is not spent within a window expires, so that no window exceeds the budget.
+//! Source: "Handling Overload", in Beyer et al., "Site Reliability Engineering", 2016.
 use crate::Nanos;
 
-/// Number of pieces that the window is counted in. One piece more is kept, so that a window that begins inside a piece
-/// does not exceed the budget either.
-const PIECES: usize = 10;
+/// Number of slices that a window is counted in.
+const SLICES_PER_WINDOW: usize = 10;
+/// Number of slices that are stored: one more than a window has, so that a window that starts inside a slice does not
+/// exceed the budget either.
+const STORED_SLICES: usize = SLICES_PER_WINDOW + 1;
 
 /// The limits of a retry budget.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudgetSettings {
-    /// Retries allowed a request.
+    /// Retries allowed per request.
     pub ratio: f64,
     /// Further retries that all nodes together may make in a window.
     pub slack: f64,
@@ -19,72 +23,84 @@
     pub window: Nanos,
 }
 
-/// One service's budget at this node.
+/// What was counted in one slice of the window.
+#[derive(Clone, Copy, Debug, Default)]
+struct WindowSlice {
+    requests: f64,
+    retries: f64,
+}
+
+/// One service's retry budget at this node.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    terms: RetryBudgetSettings,
-    piece: Nanos,
-    /// Requests and retries of each piece; the newest is at `at % len`.
-    counts: [(f64, f64); PIECES + 1],
-    at: u64,
-    /// No slack is spent before: the process may have spent it before it was restarted.
-    slack_from: Nanos,
+    settings: RetryBudgetSettings,
+    /// Length of a slice, 1 ns or more.
+    slice_length: Nanos,
+    /// The slice with number `n` is at `n % STORED_SLICES`.
+    slices: [WindowSlice; STORED_SLICES],
+    /// Number of the newest slice: its start divided by the length of a slice. Never decreases.
+    newest: u64,
+    /// No slack is spent earlier: the process may have spent it before it was restarted.
+    slack_starts_at: Nanos,
 }
 
 impl RetryBudget {
-    /// A budget of a process that was started at `started`.
-    pub fn new(terms: RetryBudgetSettings, started: Nanos, now: Nanos) -> RetryBudget {
-        let piece = (terms.window / PIECES as u64).max(1);
-        let slack_from = started + terms.window;
+    /// An empty budget. `started`: when the process started.
+    pub fn new(settings: RetryBudgetSettings, started: Nanos, now: Nanos) -> RetryBudget {
+        let slice_length = (settings.window / SLICES_PER_WINDOW as u64).max(1);
         RetryBudget {
-            terms,
-            piece,
-            counts: [(0.0, 0.0); PIECES + 1],
-            at: now / piece,
-            slack_from,
+            settings,
+            slice_length,
+            slices: [WindowSlice::default(); STORED_SLICES],
+            newest: now / slice_length,
+            slack_starts_at: started + settings.window,
         }
     }
 
-    /// Moves on to the piece of `now`; gives its index.
-    fn turn(&mut self, now: Nanos) -> usize {
-        let at = (now / self.piece).max(self.at);
-        let steps = (at - self.at).min(self.counts.len() as u64);
-        for step in 0..steps {
-            self.counts[((at - step) % self.counts.len() as u64) as usize] = (0.0, 0.0);
+    /// Advances to the slice of `now`, emptying those that are used anew; returns its index.
+    fn advance(&mut self, now: Nanos) -> usize {
+        let stored = self.slices.len() as u64;
+        let newest = (now / self.slice_length).max(self.newest);
+        let expired = (newest - self.newest).min(stored);
+        for age in 0..expired {
+            self.slices[((newest - age) % stored) as usize] = WindowSlice::default();
         }
-        self.at = at;
-        (at % self.counts.len() as u64) as usize
+        self.newest = newest;
+        (newest % stored) as usize
     }
 
     /// Counts a request for the service.
     pub fn record_request(&mut self, now: Nanos) {
-        let ix = self.turn(now);
-        self.counts[ix].0 += 1.0;
+        let current = self.advance(now);
+        self.slices[current].requests += 1.0;
     }
 
-    /// Spends one retry if this node's share of the budget has one left. `nodes`: how many nodes share the slack.
+    /// Spends one retry if this node's share of the budget has one left, and returns whether it had. `nodes`: how many
+    /// nodes divide the slack among them.
     pub fn try_acquire(&mut self, nodes: usize, now: Nanos) -> bool {
-        let ix = self.turn(now);
-        let spent: f64 = self.counts.iter().map(|c| c.1).sum();
-        // The oldest piece may lie outside of the window, so its requests do not count any more.
-        let oldest = (ix + 1) % self.counts.len();
-        let asked: f64 = self
-            .counts
-            .iter()
-            .enumerate()
-            .filter(|(i, _)| *i != oldest)
-            .map(|(_, c)| c.0)
-            .sum();
-        let slack = if now < self.slack_from {
+        let current = self.advance(now);
+        let retries: f64 = self.slices.iter().map(|slice| slice.retries).sum();
+        let slack = if now < self.slack_starts_at {
             0.0
         } else {
-            self.terms.slack / nodes.max(1) as f64
+            self.settings.slack / nodes.max(1) as f64
         };
-        let allowed = self.terms.ratio * asked + slack.floor();
-        let has = spent + 1.0 <= allowed;
-        if has {
-            self.counts[ix].1 += 1.0;
+        let allowed = self.settings.ratio * self.requests_within_window(current) + slack.floor();
+        let is_allowed = retries + 1.0 <= allowed;
+        if is_allowed {
+            self.slices[current].retries += 1.0;
         }
-        has
+        is_allowed
+    }
+
+    /// Requests of all slices but the oldest, which may lie outside of the window.
+    fn requests_within_window(&self, current: usize) -> f64 {
+        let oldest = (current + 1) % self.slices.len();
+        self.slices
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| *index != oldest)
+            .map(|(_, slice)| slice.requests)
+            .sum()
     }
 }
--- a/crates/sparrouter-routing/src/route_durations.rs
+++ b/crates/sparrouter-routing/src/route_durations.rs
@@ -1,6 +1,6 @@
-//! How long requests of each route take, from the request read whole to the last byte of its answer.
+//! The longest recent duration of each route's requests, from the complete request to the last byte of its answer.
 //!
-//! The longest duration of each route within the current and the previous window is kept. Memory: one entry for each
+//! The longest duration of each route within the current and the previous window is stored. Memory: one entry for each
 //! route that was used within two windows.
 use crate::Nanos;
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
 }
 
 impl RouteDurations {
-    /// Records that a request of `route` ended at `now`, `duration` after it was read.
+    /// Records that a request of `route` ended at `now`, `duration` after it had arrived completely.
     pub fn record(&mut self, route: &str, duration: Nanos, now: Nanos) {
         self.rotate(now);
         match self.current.get_mut(route) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The longest duration of `route` in this window and the one before it. `None` where nothing was measured.
+    /// The longest duration of `route` in the current window and the one before it. `None` if nothing was recorded.
     pub fn longest(&self, route: &str) -> Option<Nanos> {
         let windows = [&self.current, &self.previous];
         windows
@@ -36,6 +36,7 @@
             .copied()
     }
 
+    /// Starts a new window if the current one has ended.
     fn rotate(&mut self, now: Nanos) {
         let elapsed = now.saturating_sub(self.window_start);
         if elapsed < WINDOW {
--- a/crates/sparrouter-routing/src/server.rs
+++ b/crates/sparrouter-routing/src/server.rs
@@ -1,4 +1,5 @@
-//! What is known of one server: its row, this node's requests in flight there, and how they ended.
+//! What this node knows of one server: its membership record, this node's requests in flight there, and how they ended.
+use crate::suspicion::Suspicion;
 use crate::{DecayingCount, Nanos};
 use sparrouter_membership::{LifecycleState, ServerRecord};
 use std::net::SocketAddr;
@@ -6,22 +7,22 @@
 /// Index of a server in the server table. It is reused once the server is removed.
 pub type ServerIndex = usize;
 
-/// How a request sent to a server ended, as far as the server's health is concerned.
+/// How a request that was sent to a server ended, as far as the server's health is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It answered, with whatever status but a failure of its own.
+    /// The server answered, with any status but a failure of its own.
     Answered,
-    /// It answered that it failed.
+    /// The server answered that it failed.
     Failed,
-    /// It declined: it is full or draining.
+    /// The server declined: it is full or draining.
     Declined,
-    /// Another server has the address, or it runs another version.
+    /// Another server has the address, or the server runs another version.
     Misdirected,
     /// No connection could be established.
     Unreachable,
     /// The connection broke, or the answer was malformed.
     Broke,
-    /// The client left or its deadline passed, which says nothing of the server.
+    /// The client disconnected or its deadline passed, which says nothing of the server.
     Withdrawn,
 }
 
@@ -34,75 +35,72 @@
     pub service: String,
     /// Where it listens.
     pub address: SocketAddr,
-    /// The zone that it is in.
+    /// Name of the zone that it is in.
     pub zone: String,
     /// Requests that it works on at a time, 1 or more.
     pub slot_count: u32,
+    /// Hash of the instance id.
     pub(crate) hash: u64,
-    pub(crate) standing: LifecycleState,
-    pub(crate) silent: bool,
+    /// Never goes back: see [`LifecycleState`]'s order.
+    pub(crate) state: LifecycleState,
+    pub(crate) is_unresponsive: bool,
     /// It is loading new weights, or will at once: it gets no new requests.
-    pub(crate) loading: bool,
+    pub(crate) is_loading: bool,
     /// It will load new weights soon, which long generations would delay.
-    pub(crate) soon: bool,
-    /// The models that it runs, with the version last reported.
+    pub(crate) will_load_soon: bool,
+    /// The models that it runs, each once, with the highest version reported so far.
     pub(crate) models: Vec<(String, u64)>,
-    /// The call sequence of the heartbeat that `models` is from; answers read later may be newer.
-    pub(crate) told_at: u64,
+    /// Call sequence of the latest heartbeat that `models` includes; answers to requests may have reported newer versions.
+    pub(crate) models_call_sequence: u64,
+    /// This node's requests in flight there.
     pub(crate) in_flight: u32,
-    pub(crate) tokens: u64,
-    /// A request was sent there. Until then it counts as having the mean number in flight.
-    pub(crate) used: bool,
-    pub(crate) suspect: Option<Suspicion>,
-    /// It reported that it is full, until then.
+    /// Prompt tokens of those requests.
+    pub(crate) prompt_tokens_in_flight: u64,
+    /// A request of this node was sent there. Until then the server counts as having the mean number in flight.
+    pub(crate) has_been_used: bool,
+    pub(crate) suspicion: Option<Suspicion>,
+    /// It reported that it is full: it gets no requests until then.
     pub(crate) full_until: Nanos,
+    /// Requests running there, as it reported at `load_reported_at`.
     pub(crate) running: u32,
-    pub(crate) waiting: u32,
-    pub(crate) load_at: Nanos,
-    /// Requests of this node that it answered lately.
+    /// Requests queued there, as it reported at `load_reported_at`.
+    pub(crate) queued: u32,
+    pub(crate) load_reported_at: Nanos,
+    /// Requests of this node that it answered recently.
     pub(crate) answered: DecayingCount,
-    /// It fails requests that others would serve: others come first until then.
-    pub(crate) avoided_until: Nanos,
-}
-
-/// A server that this node could not connect to, until a probe connects.
-#[derive(Clone, Copy, Debug)]
-pub struct Suspicion {
-    /// When the next probe is due.
-    pub next_probe: Nanos,
-    /// The wait before that probe.
-    pub wait: Nanos,
+    /// It is an outlier: other servers are preferred until then.
+    pub(crate) ejected_until: Nanos,
 }
 
 impl Server {
-    pub(crate) fn new(row: &ServerRecord, address: SocketAddr) -> Server {
+    pub(crate) fn new(record: &ServerRecord, address: SocketAddr) -> Server {
         Server {
-            id: row.id.clone(),
-            service: row.service.clone(),
+            id: record.id.clone(),
+            service: record.service.clone(),
             address,
-            zone: row.zone.clone(),
-            slot_count: row.slot_count.max(1),
-            hash: sparrouter_rendezvous::hash(row.id.as_bytes()),
-            standing: row.state,
-            silent: row.unresponsive,
-            loading: false,
-            soon: false,
-            models: row
+            zone: record.zone.clone(),
+            slot_count: record.slot_count.max(1),
+            hash: sparrouter_rendezvous::hash(record.id.as_bytes()),
+            state: record.state,
+            is_unresponsive: record.unresponsive,
+            is_loading: false,
+            will_load_soon: false,
+            models: record
                 .models
                 .iter()
-                .map(|m| (m.name.clone(), m.version))
+                .map(|model| (model.name.clone(), model.version))
                 .collect(),
-            told_at: row.call_sequence,
+            models_call_sequence: record.call_sequence,
             in_flight: 0,
-            tokens: 0,
-            used: false,
-            suspect: None,
+            prompt_tokens_in_flight: 0,
+            has_been_used: false,
+            suspicion: None,
             full_until: 0,
             running: 0,
-            waiting: 0,
-            load_at: 0,
+            queued: 0,
+            load_reported_at: 0,
             answered: DecayingCount::default(),
-            avoided_until: 0,
+            ejected_until: 0,
         }
     }
 
@@ -110,55 +108,67 @@
     pub fn hash(&self) -> u64 {
         self.hash
     }
-    /// Whether it takes requests, by its own heartbeats.
+
+    /// Whether it is ready, draining or has left, by its own heartbeats.
     pub fn state(&self) -> LifecycleState {
-        self.standing
+        self.state
     }
+
     /// This node's requests in flight there.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
-    /// Whether this node ever sent something there.
+
+    /// Whether this node ever sent a request there.
     pub fn has_been_used(&self) -> bool {
-        self.used
+        self.has_been_used
     }
-    /// Whether own requests could not reach it, or could not until lately.
+
+    /// Whether this node could not connect to it, and no health check has connected since.
     pub fn is_suspected(&self) -> bool {
-        self.suspect.is_some()
+        self.suspicion.is_some()
     }
-    /// Its heartbeats stopped.
+
+    /// Whether its heartbeats have stopped.
     pub fn is_unresponsive(&self) -> bool {
-        self.silent
+        self.is_unresponsive
     }
-    /// It will load new weights soon.
+
+    /// Whether it will load new weights soon.
     pub fn will_load_soon(&self) -> bool {
-        self.soon
+        self.will_load_soon
     }
-    /// Requests of this node that it answered lately.
+
+    /// Decayed count of this node's requests that it answered; see [`DecayingCount`].
     pub fn recent_answers(&self, now: Nanos) -> f64 {
         self.answered.value(now)
     }
-    /// It fails requests that others would serve.
+
+    /// Whether it is an outlier: it fails requests that others would serve.
     pub fn is_ejected(&self, now: Nanos) -> bool {
-        self.avoided_until > now
+        self.ejected_until > now
     }
-    /// It is loading new weights, or will at once.
+
+    /// Whether it is loading new weights, or will at once.
     pub fn is_loading(&self) -> bool {
-        self.loading
+        self.is_loading
     }
+
     /// The version that it runs of a model, if it reported one.
     pub fn version_of(&self, model: &str) -> Option<u64> {
-        self.models.iter().find(|m| m.0 == model).map(|m| m.1)
+        let (_, version) = self.models.iter().find(|(name, _)| name == model)?;
+        Some(*version)
     }
+
     /// The models that it runs, with their versions.
     pub fn models(&self) -> &[(String, u64)] {
         &self.models
     }
 
-    /// Takes in which version of a model it runs; a server never goes back in one life.
-    pub(crate) fn runs(&mut self, model: &str, version: u64) {
-        match self.models.iter_mut().find(|known| known.0 == model) {
-            Some(known) => known.1 = known.1.max(version),
+    /// Records the version of a model that it runs. One process never goes back, so the highest version counts.
+    pub(crate) fn record_version(&mut self, model: &str, version: u64) {
+        match self.models.iter_mut().find(|(name, _)| name == model) {
+            Some((_, known)) => *known = version.max(*known),
             None => self.models.push((model.to_owned(), version)),
         }
     }
--- a/crates/sparrouter-routing/src/service_servers.rs
+++ b/crates/sparrouter-routing/src/service_servers.rs
@@ -1,36 +1,37 @@
-//! The servers of one service, as an election passes over them: their hashes side by side, and how loaded those are
-//! that this node has used.
+//! The servers of one service: their hashes side by side, as a selection scores them, and the bound of their load.
 use crate::{Server, ServerIndex};
 use sparrouter_membership::LifecycleState;
 
-/// In flight beyond both of these a server is passed over: a ratio to the mean, and a floor.
-const BAR_RATIO: f64 = 2.0;
-const BAR_FLOOR: f64 = 2.0;
+/// A server is skipped while this node's requests in flight there exceed both of these: a multiple of their mean over the
+/// servers in use, and a floor.
+const LOAD_BOUND_RATIO: f64 = 2.0;
+const LOAD_BOUND_FLOOR: f64 = 2.0;
 
-/// Hash of a server's id, and its place in the server table.
+/// The hash of a server's id, and its index in the server table.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Entry {
+pub(crate) struct ServiceEntry {
     pub(crate) hash: u64,
     pub(crate) server: ServerIndex,
 }
 
-/// What one server adds to the load of its service.
+/// What one server adds to the load of its service; summed over all servers, that load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Load {
-    /// 1 if it is ready and something was sent to it by this node.
-    used: u64,
+pub(crate) struct LoadContribution {
+    /// 1 if it is ready and this node has sent requests to it.
+    servers_in_use: u64,
+    /// This node's requests in flight there, if it is in use.
     in_flight: u64,
 }
 
-impl Load {
-    pub(crate) fn of(server: &Server) -> Load {
-        if server.used && server.standing == LifecycleState::Ready {
-            Load {
-                used: 1,
+impl LoadContribution {
+    pub(crate) fn of(server: &Server) -> LoadContribution {
+        if server.has_been_used && server.state == LifecycleState::Ready {
+            LoadContribution {
+                servers_in_use: 1,
                 in_flight: u64::from(server.in_flight),
             }
         } else {
-            Load::default()
+            LoadContribution::default()
         }
     }
 }
@@ -38,20 +39,23 @@
 /// All servers of one service.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceServers {
-    pub(crate) entries: Vec<Entry>,
-    load: Load,
+    /// In the order in which they were added.
+    pub(crate) entries: Vec<ServiceEntry>,
+    /// The sum over all entries.
+    load: LoadContribution,
 }
 
 impl ServiceServers {
-    /// Takes in that a server adds another load than before.
-    pub(crate) fn replace_load(&mut self, before: Load, after: Load) {
-        self.load.used = self.load.used + after.used - before.used;
+    /// Replaces what one server contributes to the load.
+    pub(crate) fn replace_load(&mut self, before: LoadContribution, after: LoadContribution) {
+        self.load.servers_in_use =
+            self.load.servers_in_use + after.servers_in_use - before.servers_in_use;
         self.load.in_flight = self.load.in_flight + after.in_flight - before.in_flight;
     }
 
-    /// The bar of this node's own requests in flight: over it, a server is passed over.
-    pub(crate) fn bar(&self) -> f64 {
-        let mean = self.load.in_flight as f64 / self.load.used.max(1) as f64;
-        f64::max(BAR_RATIO * mean, BAR_FLOOR)
+    /// Largest number of this node's requests in flight at a server that is not skipped.
+    pub(crate) fn load_bound(&self) -> f64 {
+        let mean = self.load.in_flight as f64 / self.load.servers_in_use.max(1) as f64;
+        f64::max(LOAD_BOUND_RATIO * mean, LOAD_BOUND_FLOOR)
     }
 }
--- a/crates/sparrouter-routing/tests/membership_sync.rs
+++ b/crates/sparrouter-routing/tests/membership_sync.rs
@@ -1,4 +1,5 @@
-//! The server table follows the rows by what changed, and comes to the same as a table that reads all of them.
+//! The server table follows the membership table by what changed, and equals a table that reads all records.
+//! Selection over random tables is compared with sorting.
 use fastrand::Rng;
 use sparrouter_membership::{
     LifecycleState, LoadedModel, MembershipTable, ServerDirective, ServerRecord,
@@ -18,11 +19,11 @@
     )
 }
 
-fn empty_rows() -> MembershipTable {
+fn empty_membership() -> MembershipTable {
     MembershipTable::new(1, 20 * SECOND, 10_000)
 }
 
-fn row(number: usize, call_sequence: u64) -> ServerRecord {
+fn record(number: usize, call_sequence: u64) -> ServerRecord {
     ServerRecord {
         id: format!("i-{number}"),
         service: SERVICE.into(),
@@ -47,19 +48,19 @@
     }
 }
 
-/// What counts of a table, in the order of ids.
+/// What a selection depends on, in the order of ids.
 fn state(table: &ServerTable) -> Vec<String> {
     let mut all: Vec<String> = table
         .iter()
-        .map(|(_, s)| {
+        .map(|(_, server)| {
             format!(
-                "{} {:?} silent {} loading {} soon {} {:?}",
-                s.id,
-                s.state(),
-                s.is_unresponsive(),
-                s.is_loading(),
-                s.will_load_soon(),
-                s.models()
+                "{} {:?} unresponsive {} loading {} loading soon {} {:?}",
+                server.id,
+                server.state(),
+                server.is_unresponsive(),
+                server.is_loading(),
+                server.will_load_soon(),
+                server.models()
             )
         })
         .collect();
@@ -67,39 +68,38 @@
     all
 }
 
-/// One change of the rows, drawn.
-fn change(rows: &mut MembershipTable, rng: &mut Rng, step: u64, now: u64) {
+/// Applies one random change to the membership table.
+fn change(membership: &mut MembershipTable, rng: &mut Rng, step: u64, now: u64) {
     let number = rng.usize(..12);
     let id = format!("i-{number}");
     match rng.u32(..6) {
-        0 => drop(rows.mark_server_left(&id, now)),
-        1 => drop(rows.mark_server_unresponsive(&id, now)),
-        2 => rows.drop_expired(now),
-        3 => drop(rows.merge_directive(directive(rng, number, step), now)),
-        4 => drop(rows.merge_server(
+        0 => drop(membership.mark_server_left(&id, now)),
+        1 => drop(membership.mark_server_unresponsive(&id, now)),
+        2 => membership.drop_expired(now),
+        3 => drop(membership.merge_directive(directive(rng, number, step), now)),
+        4 => drop(membership.merge_server(
             ServerRecord {
                 state: LifecycleState::Draining,
-                ..row(number, step)
+                ..record(number, step)
             },
             now,
         )),
-        _ => drop(rows.merge_server(row(number, step), now)),
+        _ => drop(membership.merge_server(record(number, step), now)),
     }
 }
 
 #[test]
-fn given_any_changes_when_synced_by_what_changed_then_the_table_is_that_of_one_that_reads_all_rows()
-{
+fn given_any_changes_when_synced_by_revision_then_the_table_equals_one_that_reads_all_records() {
     for seed in 0..200 {
         let mut rng = Rng::with_seed(seed);
-        let (mut rows, mut table) = (empty_rows(), empty_table());
+        let (mut membership, mut table) = (empty_membership(), empty_table());
         for step in 1..120 {
             let now = step * SECOND;
-            (0..rng.u32(..3)).for_each(|_| change(&mut rows, &mut rng, step, now));
-            table.sync(&rows, now);
-            let mut anew = empty_table();
-            anew.sync(&rows, now);
-            // What a server runs stays known when its directive is dropped, as a server never goes back.
+            (0..rng.u32(..3)).for_each(|_| change(&mut membership, &mut rng, step, now));
+            table.sync(&membership, now);
+            let mut rebuilt = empty_table();
+            rebuilt.sync(&membership, now);
+            // What a server runs stays known when its directive is dropped, as a server never runs an older version again.
             let without_models = |t: &ServerTable| -> Vec<String> {
                 state(t)
                     .iter()
@@ -108,7 +108,7 @@
             };
             assert_eq!(
                 without_models(&table),
-                without_models(&anew),
+                without_models(&rebuilt),
                 "seed {seed}, step {step}"
             );
         }
@@ -116,112 +116,133 @@
 }
 
 #[test]
-fn given_a_gone_server_with_a_request_in_flight_when_it_ends_then_the_next_look_removes_it() {
-    let (mut rows, mut table) = (empty_rows(), empty_table());
-    rows.merge_server(row(1, 1), 0);
-    table.sync(&rows, 0);
-    let ix = table.find("i-1").unwrap();
-    table.start_request(ix, 10);
-    rows.mark_server_left("i-1", 0);
-    table.sync(&rows, 0);
-    assert!(table.get(ix).is_some());
-    table.finish_request(ix, 10, RequestOutcome::Answered, 0);
-    table.sync(&rows, 0);
-    assert!(table.get(ix).is_none() && table.find("i-1").is_none());
+fn given_a_server_that_left_with_a_request_in_flight_when_it_ends_then_the_next_sync_removes_it() {
+    let (mut membership, mut table) = (empty_membership(), empty_table());
+    membership.merge_server(record(1, 1), 0);
+    table.sync(&membership, 0);
+    let index = table.find("i-1").unwrap();
+    table.start_request(index, 10);
+    membership.mark_server_left("i-1", 0);
+    table.sync(&membership, 0);
+    assert!(table.get(index).is_some());
+    table.finish_request(index, 10, RequestOutcome::Answered, 0);
+    table.sync(&membership, 0);
+    assert!(table.get(index).is_none() && table.find("i-1").is_none());
 }
 
 #[test]
-fn given_thousands_of_servers_when_one_changes_then_a_look_walks_that_one() {
+fn given_thousands_of_servers_when_one_changes_then_a_sync_visits_that_one_alone() {
     let records_visited = |servers: usize| {
-        let (mut rows, mut table) = (empty_rows(), empty_table());
+        let (mut membership, mut table) = (empty_membership(), empty_table());
         for number in 0..servers {
-            rows.merge_server(row(number, 1), 0);
+            membership.merge_server(record(number, 1), 0);
         }
-        table.sync(&rows, 0);
-        rows.merge_server(
+        table.sync(&membership, 0);
+        membership.merge_server(
             ServerRecord {
                 state: LifecycleState::Draining,
-                ..row(3, 2)
+                ..record(3, 2)
             },
             1,
         );
-        let before = rows.records_visited();
-        table.sync(&rows, 1);
-        rows.records_visited() - before
+        let before = membership.records_visited();
+        table.sync(&membership, 1);
+        membership.records_visited() - before
     };
     assert_eq!((records_visited(10), records_visited(5_000)), (1, 1));
 }
 
-/// The order that the pass over all candidates must agree with: by score, those that are kept back last.
-fn by_sorting(table: &ServerTable, ask: &SelectionRequest) -> Vec<ServerIndex> {
-    let fit = table
+/// The order that the selection must agree with: by score, demoted servers last.
+fn sorted_candidates(table: &ServerTable, request: &SelectionRequest) -> Vec<ServerIndex> {
+    let eligible = table
         .of_service(SERVICE)
-        .filter(|(ix, s)| !ask.attempted.contains(ix) && s.state() == LifecycleState::Ready)
+        .filter(|(index, s)| {
+            !request.attempted.contains(index) && s.state() == LifecycleState::Ready
+        })
         .filter(|(_, s)| !s.is_loading());
-    let mut order = sparrouter_rendezvous::order(fit.map(|(ix, s)| (s.hash(), ix)), ask.key);
-    order.sort_by_key(|&ix| {
-        let server = table.get(ix).unwrap();
+    let mut order =
+        sparrouter_rendezvous::order(eligible.map(|(index, s)| (s.hash(), index)), request.key);
+    order.sort_by_key(|&index| {
+        let server = table.get(index).unwrap();
         (
             server.is_unresponsive(),
-            ask.is_long_generation && server.will_load_soon(),
+            request.is_long_generation && server.will_load_soon(),
         )
     });
     order
 }
 
+/// The selection that [`sorted_candidates`] gives: its rank and its server.
+fn expected_selection(
+    table: &ServerTable,
+    request: &SelectionRequest,
+) -> Option<(usize, ServerIndex)> {
+    let order = sorted_candidates(table, request);
+    let in_flight = |index: &ServerIndex| table.get(*index).unwrap().in_flight();
+    let in_flight_if_used: Vec<u32> = table
+        .of_service(SERVICE)
+        .filter(|(_, s)| s.state() == LifecycleState::Ready && s.has_been_used())
+        .map(|(_, s)| s.in_flight())
+        .collect();
+    let servers_in_use = in_flight_if_used.len().max(1) as f64;
+    let mean = f64::from(in_flight_if_used.iter().sum::<u32>()) / servers_in_use;
+    let load_bound = f64::max(2.0 * mean, 2.0);
+    order
+        .iter()
+        .position(|index| f64::from(in_flight(index)) <= load_bound)
+        .or((0..order.len()).min_by_key(|&rank| in_flight(&order[rank])))
+        .map(|rank| (rank, order[rank]))
+}
+
+/// A table after random changes of the membership, with random requests in flight; and the indices of its servers.
+fn random_table(rng: &mut Rng) -> (ServerTable, Vec<ServerIndex>) {
+    let (mut membership, mut table) = (empty_membership(), empty_table());
+    for step in 1..40 {
+        change(&mut membership, rng, step, SECOND);
+    }
+    table.sync(&membership, SECOND);
+    let mut all: Vec<ServerIndex> = table.iter().map(|(index, _)| index).collect();
+    for _ in 0..rng.usize(..40) {
+        if !all.is_empty() {
+            table.start_request(all[rng.usize(..all.len())], 1);
+        }
+    }
+    // Loads change with requests that end, and with servers that drain, leave and are removed.
+    for &index in all.iter().filter(|_| rng.u32(..4) == 0) {
+        if table
+            .get(index)
+            .is_some_and(|server| server.in_flight() > 0)
+        {
+            table.finish_request(index, 1, RequestOutcome::Answered, SECOND);
+        }
+    }
+    for step in 40..46 {
+        change(&mut membership, rng, step, SECOND);
+    }
+    table.sync(&membership, SECOND);
+    all.retain(|&index| table.get(index).is_some());
+    (table, all)
+}
+
 #[test]
-fn given_any_servers_when_one_is_chosen_then_it_is_the_one_that_sorting_them_gives() {
+fn given_any_servers_when_one_is_selected_then_it_is_the_one_that_sorting_them_gives() {
     for seed in 0..300 {
         let mut rng = Rng::with_seed(seed);
-        let (mut rows, mut table) = (empty_rows(), empty_table());
-        for step in 1..40 {
-            change(&mut rows, &mut rng, step, SECOND);
-        }
-        table.sync(&rows, SECOND);
-        let mut all: Vec<ServerIndex> = table.iter().map(|(ix, _)| ix).collect();
-        for _ in 0..rng.usize(..40) {
-            if !all.is_empty() {
-                table.start_request(all[rng.usize(..all.len())], 1);
-            }
-        }
-        // Loads change with what ends, and with servers that drain, leave and are removed.
-        for &ix in all.iter().filter(|_| rng.u32(..4) == 0) {
-            if table.get(ix).is_some_and(|server| server.in_flight() > 0) {
-                table.finish_request(ix, 1, RequestOutcome::Answered, SECOND);
-            }
-        }
-        for step in 40..46 {
-            change(&mut rows, &mut rng, step, SECOND);
-        }
-        table.sync(&rows, SECOND);
-        all.retain(|&ix| table.get(ix).is_some());
+        let (table, all) = random_table(&mut rng);
         for key in 0..20 {
-            let tried: Vec<ServerIndex> =
+            let attempted: Vec<ServerIndex> =
                 all.iter().copied().filter(|_| rng.u32(..6) == 0).collect();
-            let ask = SelectionRequest {
+            let request = SelectionRequest {
                 service: SERVICE,
                 key,
                 model: None,
                 is_long_generation: rng.u64(..50) > 24,
-                attempted: &tried,
+                attempted: &attempted,
             };
-            let order = by_sorting(&table, &ask);
-            let in_flight = |ix: &ServerIndex| table.get(*ix).unwrap().in_flight();
-            let used: Vec<u32> = table
-                .of_service(SERVICE)
-                .filter(|(_, s)| s.state() == LifecycleState::Ready && s.has_been_used())
-                .map(|(_, s)| s.in_flight())
-                .collect();
-            let mean = f64::from(used.iter().sum::<u32>()) / used.len().max(1) as f64;
-            let bar = f64::max(2.0 * mean, 2.0);
-            let expected = order
-                .iter()
-                .position(|ix| f64::from(in_flight(ix)) <= bar)
-                .or((0..order.len()).min_by_key(|&place| in_flight(&order[place])));
-            let chosen = table.select(&ask, SECOND).ok();
+            let selected = table.select(&request, SECOND).ok();
             assert_eq!(
-                chosen.map(|pick| (pick.rank, pick.server)),
-                expected.map(|place| (place, order[place])),
+                selected.map(|selection| (selection.rank, selection.server)),
+                expected_selection(&table, &request),
                 "seed {seed}, key {key}"
             );
         }
--- a/crates/sparrouter-routing/tests/outliers.rs
+++ b/crates/sparrouter-routing/tests/outliers.rs
@@ -1,12 +1,12 @@
-//! Servers that fail requests which others would serve, from the failures that nodes report.
+//! Ejection of servers that fail requests which others would serve, from the failures that nodes report.
 use fastrand::Rng;
-use sparrouter_routing::{EJECTION_PERIOD, Failure, Outliers};
+use sparrouter_routing::{DecayingCount, EJECTION_PERIOD, Failure, Outliers};
 
 const SECOND: u64 = 1_000_000_000;
 const NODES: usize = 90;
 const SERVER: u64 = 7;
-/// Seconds in which a server answers all requests.
-const SOUND: f64 = 8.0;
+/// Seconds in which a server answers all requests, before it fails some.
+const HEALTHY_SECONDS: f64 = 8.0;
 
 fn failure(key: u64, answered: f64) -> Failure {
     Failure {
@@ -16,54 +16,54 @@
     }
 }
 
-/// Verdicts within ten seconds on a server with so many requests a second, of which such a share fails after a time in
-/// which all were answered.
-fn verdicts(rate: f64, share: f64, seed: u64) -> usize {
+/// Number of ejections within ten seconds of a server that gets `rate` requests per second, of which the fraction
+/// `failure_rate` fails once [`HEALTHY_SECONDS`] have passed.
+fn ejections(rate: f64, failure_rate: f64, seed: u64) -> usize {
     let mut rng = Rng::with_seed(seed);
     let mut outliers = Outliers::default();
-    let mut answered = vec![sparrouter_routing::DecayingCount::default(); NODES];
-    let mut verdicts = 0;
-    let requests = (rate * (SOUND + 10.0)) as u64;
+    let mut answered = vec![DecayingCount::default(); NODES];
+    let mut ejections = 0;
+    let requests = (rate * (HEALTHY_SECONDS + 10.0)) as u64;
     for request in 0..requests {
         let now = (request as f64 / rate * 1e9) as u64;
         let node = rng.usize(..NODES);
-        if rng.f64() >= share || now < (SOUND * 1e9) as u64 {
+        if rng.f64() >= failure_rate || now < (HEALTHY_SECONDS * 1e9) as u64 {
             answered[node].add(1.0, now);
             continue;
         }
-        let report = failure(rng.u64(..), answered[node].value(now));
-        verdicts += usize::from(outliers.failed(report, NODES, now));
+        let failure = failure(rng.u64(..), answered[node].value(now));
+        ejections += usize::from(outliers.failed(failure, NODES, now));
     }
-    verdicts
+    ejections
 }
 
 #[test]
-fn given_a_server_that_fails_all_or_half_of_its_requests_then_it_is_avoided() {
+fn given_a_server_that_fails_all_or_half_of_its_requests_then_it_is_ejected() {
     for seed in 0..20 {
         for rate in [3.0, 30.0, 300.0] {
-            assert!(verdicts(rate, 1.0, seed) > 0, "{rate}/s, seed {seed}");
+            assert!(ejections(rate, 1.0, seed) > 0, "{rate}/s, seed {seed}");
         }
         for rate in [10.0, 30.0, 300.0] {
-            assert!(verdicts(rate, 0.5, seed) > 0, "{rate}/s, seed {seed}");
+            assert!(ejections(rate, 0.5, seed) > 0, "{rate}/s, seed {seed}");
         }
     }
 }
 
 #[test]
-fn given_a_server_that_fails_now_and_then_then_it_is_left_alone() {
+fn given_a_server_that_rarely_fails_then_it_is_not_ejected() {
     for seed in 0..20 {
         for rate in [3.0, 30.0, 300.0] {
-            assert_eq!(verdicts(rate, 0.05, seed), 0, "{rate}/s, seed {seed}");
+            assert_eq!(ejections(rate, 0.05, seed), 0, "{rate}/s, seed {seed}");
         }
     }
 }
 
 #[test]
-fn given_one_request_that_fails_again_and_again_then_no_server_is_blamed() {
+fn given_one_request_that_fails_at_each_attempt_then_no_server_is_ejected() {
     let mut outliers = Outliers::default();
     for n in 0..200 {
-        let blamed = outliers.failed(failure(1 + n % 2, 0.0), NODES, n * SECOND / 10);
-        assert!(!blamed);
+        let is_ejected = outliers.failed(failure(1 + n % 2, 0.0), NODES, n * SECOND / 10);
+        assert!(!is_ejected);
     }
 }
 
@@ -76,22 +76,22 @@
 }
 
 #[test]
-fn given_a_server_that_was_avoided_when_it_fails_again_then_less_is_needed_and_it_is_told_once() {
+fn given_an_ejected_server_when_it_fails_again_then_fewer_failures_eject_it_and_only_once() {
     let mut outliers = Outliers::default();
-    let verdicts: Vec<bool> = (0..5)
+    let ejections: Vec<bool> = (0..5)
         .map(|n| outliers.failed(failure(n, 0.0), NODES, n))
         .collect();
-    assert_eq!(verdicts, [false, false, true, false, false]);
+    assert_eq!(ejections, [false, false, true, false, false]);
     assert!(outliers.failed(failure(9, 0.0), NODES, EJECTION_PERIOD + SECOND));
 }
 
 #[test]
-fn given_one_key_alone_when_another_server_answers_what_failed_here_then_this_one_is_to_blame() {
+fn given_failures_of_one_key_when_another_server_answers_it_then_the_server_is_ejected() {
     let mut outliers = Outliers::default();
-    let mut blamed = false;
+    let mut is_ejected = false;
     for n in 0..6 {
-        blamed |= outliers.failed(failure(1, 0.0), NODES, n * SECOND / 10);
+        is_ejected |= outliers.failed(failure(1, 0.0), NODES, n * SECOND / 10);
         outliers.served_elsewhere(SERVER, n * SECOND / 10);
     }
-    assert!(blamed);
+    assert!(is_ejected);
 }
--- a/crates/sparrouter-routing/tests/rollout_order.rs
+++ b/crates/sparrouter-routing/tests/rollout_order.rs
@@ -1,4 +1,4 @@
-//! Which servers take new weights next.
+//! Which servers load new weights next.
 use sparrouter_routing::{OutdatedServer, next_step};
 
 const SECOND: i64 = 1_000_000_000;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn given_a_near_limit_then_more_at_once_but_never_more_than_a_third() {
+fn given_a_near_limit_then_more_load_at_once_but_at_most_a_third() {
     let all = |limit| (0..9).map(|n| server(&format!("s{n}"), limit)).collect();
     assert_eq!(next_step(all(60), 9, 1.0, 0).begin.len(), 2);
     assert_eq!(next_step(all(3), 9, 1.0, 0).begin.len(), 3);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn given_servers_under_way_then_only_the_rest_begins() {
+fn given_servers_that_are_loading_then_only_the_remaining_ones_begin() {
     let mut all: Vec<OutdatedServer> = (0..4).map(|n| server(&format!("s{n}"), 60)).collect();
     all[0].is_loading = true;
     assert_eq!(next_step(all.clone(), 4, 1.0, 0).begin, ["s1"]);
--- a/crates/sparrouter-routing/tests/route_durations.rs
+++ b/crates/sparrouter-routing/tests/route_durations.rs
@@ -4,12 +4,12 @@
 const SECOND: u64 = 1_000_000_000;
 
 #[test]
-fn given_nothing_measured_then_there_is_no_duration() {
+fn given_nothing_recorded_then_there_is_no_duration() {
     assert_eq!(RouteDurations::default().longest("route"), None);
 }
 
 #[test]
-fn given_several_durations_then_the_longest_counts_and_routes_are_kept_apart() {
+fn given_several_durations_then_the_longest_counts_and_routes_are_separate() {
     let mut durations = RouteDurations::default();
     durations.record("slow", 3 * SECOND, SECOND);
     durations.record("slow", SECOND, 2 * SECOND);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn given_a_pause_of_two_windows_then_nothing_old_is_left() {
+fn given_no_request_for_two_windows_then_all_earlier_durations_are_forgotten() {
     let mut durations = RouteDurations::default();
     durations.record("old", 9 * SECOND, SECOND);
     durations.record("new", SECOND, 120 * SECOND);
--- a/crates/sparrouter-routing/tests/versions.rs
+++ b/crates/sparrouter-routing/tests/versions.rs
@@ -3,10 +3,10 @@
 use sparrouter_routing::{OutdatedVersionLimits, RequiredVersion, Versions};
 
 const SECOND: u64 = 1_000_000_000;
-const PATIENCE: u64 = 6 * SECOND;
+const LIMIT: u64 = 6 * SECOND;
 
 fn versions() -> Versions {
-    Versions::new(OutdatedVersionLimits::per_stretch_only(PATIENCE))
+    Versions::new(OutdatedVersionLimits::per_stretch_only(LIMIT))
 }
 
 #[test]
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn given_versions_told_late_and_out_of_order_then_the_first_limit_counts() {
+fn given_versions_reported_late_and_out_of_order_then_the_first_limit_counts() {
     let mut versions = versions();
     versions.record_named("m", 3, SECOND, 10 * SECOND);
     versions.record_named("m", 2, 4 * SECOND, 10 * SECOND);
@@ -40,16 +40,16 @@
 }
 
 #[test]
-fn given_a_process_that_just_started_when_told_of_an_old_version_then_its_limit_has_passed() {
+fn given_a_process_that_just_started_when_an_old_version_is_reported_then_its_limit_has_passed() {
     let mut versions = versions();
     versions.record_named("m", 2, 7 * SECOND, SECOND);
     assert!(!versions.allows("m", 1, SECOND));
-    let since = versions.required("m").map(|wanted| wanted.named_at);
-    assert_eq!(since, Some(-6 * SECOND as i64));
+    let named_at = versions.required("m").map(|required| required.named_at);
+    assert_eq!(named_at, Some(-6 * SECOND as i64));
 }
 
 #[test]
-fn given_a_change_of_the_core_then_all_limits_start_anew_once() {
+fn given_a_change_of_the_core_then_all_limits_restart_once() {
     let mut versions = versions();
     versions.record_named("m", 2, 0, 0);
     versions.record_named("m", 3, 0, 2 * SECOND);
@@ -57,15 +57,15 @@
     assert!(versions.allows("m", 1, 10 * SECOND));
     assert!(!versions.allows("m", 1, 11 * SECOND));
     assert!(!versions.allows("m", 2, 11 * SECOND));
-    // An older change, told by another node, moves nothing.
+    // An older change, reported by another node, moves nothing.
     versions.record_core_change_at(-3);
     assert!(!versions.allows("m", 1, 11 * SECOND));
 }
 
 #[test]
-fn given_stretches_that_are_added_up_when_the_core_changes_then_the_sum_is_not_moved() {
+fn given_stretches_that_are_added_up_when_the_core_changes_then_the_total_limit_stays() {
     let mut versions = Versions::new(OutdatedVersionLimits {
-        per_stretch: PATIENCE,
+        per_stretch: LIMIT,
         in_total: Some(10 * SECOND),
     });
     versions.record_named("m", 2, 0, 0);
@@ -75,14 +75,14 @@
     versions.record_core_change(8 * SECOND);
     assert!(versions.allows("m", 1, 9 * SECOND));
     assert!(!versions.allows("m", 1, 10 * SECOND));
-    // A version that is named later has a sum of its own.
+    // A version that is named later has a total limit of its own.
     versions.record_named("m", 3, 0, 9 * SECOND);
     assert!(versions.allows("m", 2, 14 * SECOND));
     assert!(!versions.allows("m", 2, 15 * SECOND));
 }
 
 #[test]
-fn given_hundreds_of_versions_then_state_stays_bounded_and_no_limit_is_later() {
+fn given_hundreds_of_versions_then_state_stays_bounded_and_no_limit_is_extended() {
     for seed in 0..50 {
         let mut rng = Rng::with_seed(seed);
         let mut versions = versions();
@@ -91,18 +91,18 @@
         for version in 2..400 {
             now += rng.u64(..SECOND);
             versions.record_named("m", version, 0, now);
-            let since = now as i64;
             named.push(RequiredVersion {
                 version,
-                named_at: since,
+                named_at: now as i64,
             });
             assert!(versions.all().count() <= 17, "{}", versions.all().count());
             for _ in 0..4 {
-                let (old, at) = (rng.u64(1..=version), now + rng.u64(..PATIENCE));
-                let first = named.iter().find(|wanted| wanted.version > old);
-                let allowed = first.is_none_or(|w| (at as i64) < w.named_at + PATIENCE as i64);
-                let too_late = versions.allows("m", old, at) && !allowed;
-                assert!(!too_late, "seed {seed}: {old} at {at}");
+                let (older, later) = (rng.u64(1..=version), now + rng.u64(..LIMIT));
+                let first = named.iter().find(|required| required.version > older);
+                let allowed =
+                    first.is_none_or(|required| (later as i64) < required.named_at + LIMIT as i64);
+                let too_late = versions.allows("m", older, later) && !allowed;
+                assert!(!too_late, "seed {seed}: {older} at {later}");
             }
         }
     }
