--- a/crates/sparrouter-prefix-index/src/source.rs
+++ b/crates/sparrouter-prefix-index/src/source.rs
@@ -1,17 +1,17 @@
-//! One server or store at its follower: what its events say that it keeps, and which owners have heard of that.
+//! One server or store at its follower: which blocks its events say it has cached, and which owners know of that.
 use sparrouter_rendezvous::SlotTable;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Most parts that are remembered of one source, some 50 bytes each.
-const MAX_PARTS: usize = 200_000;
+/// Largest number of blocks that are stored of one source, some 50 bytes each; further ones are not indexed.
+const MAX_BLOCKS: usize = 200_000;
 
-/// How much of a part a source keeps now.
+/// How much of a block a source has cached now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockChange {
-    /// Hash of the salt and the part's id.
+    /// Hash of the salt and the block's id.
     pub key: u64,
-    /// Tokens that are kept; 0: the part is not kept any more.
+    /// Tokens that are cached; 0: the block is not cached any more.
     pub tokens: u32,
 }
 
@@ -28,16 +28,18 @@
     pub events: Vec<BlockChange>,
 }
 
-/// What one source keeps.
+/// What one source has cached.
 #[derive(Debug, Default)]
 pub struct Source {
+    /// The epoch of the last answer; `None` before the first.
     epoch: Option<u64>,
+    /// The next call for events continues with it.
     next: u64,
-    /// Tokens of each part that is kept.
-    kept: BTreeMap<u64, u32>,
-    /// Parts whose owner has not heard of the last change.
+    /// Tokens of each cached block, by its key; at most [`MAX_BLOCKS`].
+    cached: BTreeMap<u64, u32>,
+    /// Keys of blocks whose owner was not notified of the last change.
     pending: BTreeSet<u64>,
-    /// The owners that changes were last sent to; `None` before the first time.
+    /// The owners that changes were last taken for; `None` before the first time.
     owners: Option<Rc<SlotTable>>,
 }
 
@@ -47,59 +49,61 @@
         self.next
     }
 
-    /// How many parts the source keeps.
+    /// Number of cached blocks.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.cached.len()
     }
 
-    /// Whether the source keeps no part.
+    /// Whether the source has no block cached.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.cached.is_empty()
     }
 
-    /// Applies an answer. Returns true if what was known before does not hold any more: the source has restarted, or
-    /// events are missing, so that a part it dropped meanwhile would never be removed.
+    /// Applies an answer. Returns whether it invalidates what was known before: the source has restarted, or events are
+    /// missing, so that a block that it evicted meanwhile would never be removed.
     pub fn apply_page(&mut self, page: EventPage) -> bool {
-        let restarted = self.epoch.is_some_and(|e| e != page.epoch);
+        let has_restarted = self.epoch.is_some_and(|epoch| epoch != page.epoch);
         // Before the first answer nothing was known that a gap could invalidate.
-        let void = restarted || (page.gap && self.epoch.is_some());
-        if void {
-            self.kept.clear();
+        let invalidates = has_restarted || (page.gap && self.epoch.is_some());
+        if invalidates {
+            self.cached.clear();
             self.pending.clear();
         }
         (self.epoch, self.next) = (Some(page.epoch), page.next);
         for BlockChange { key, tokens } in page.events {
             if tokens == 0 {
-                self.kept.remove(&key);
-            } else if self.kept.len() < MAX_PARTS || self.kept.contains_key(&key) {
-                self.kept.insert(key, tokens);
+                self.cached.remove(&key);
+            } else if self.cached.len() < MAX_BLOCKS || self.cached.contains_key(&key) {
+                self.cached.insert(key, tokens);
             }
             self.pending.insert(key);
         }
-        void
+        invalidates
     }
 
-    /// Takes the changes to send, by the owner's place in the table: parts that changed since the last call, and kept parts
-    /// whose owner, or the owner's process, is another one than then.
+    /// Takes the changes to send, by the owner's index in [`SlotTable::members`]: blocks that changed since the last call,
+    /// and cached blocks whose owner, or the owner's process, is another one than then. Changes are lost while there are no
+    /// owners; the first ones get all cached blocks.
     pub fn take_changes(&mut self, owners: &Rc<SlotTable>) -> BTreeMap<usize, Vec<BlockChange>> {
         let mut keys = std::mem::take(&mut self.pending);
-        let before = self.owners.replace(owners.clone());
-        if before.as_ref().is_none_or(|b| !Rc::ptr_eq(b, owners)) {
-            let moved = |key: &&u64| {
-                before
+        let previous = self.owners.replace(owners.clone());
+        let is_same_table = previous
+            .as_ref()
+            .is_some_and(|previous| Rc::ptr_eq(previous, owners));
+        if !is_same_table {
+            let has_moved = |key: &&u64| {
+                previous
                     .as_ref()
-                    .is_none_or(|before| before.owner(**key) != owners.owner(**key))
+                    .is_none_or(|previous| previous.owner(**key) != owners.owner(**key))
             };
-            keys.extend(self.kept.keys().filter(moved));
+            keys.extend(self.cached.keys().filter(has_moved));
         }
         let mut changes: BTreeMap<usize, Vec<BlockChange>> = BTreeMap::new();
         for key in keys {
-            let tokens = self.kept.get(&key).copied().unwrap_or(0);
-            if let Some(place) = owners.owner_index(key) {
-                changes
-                    .entry(place)
-                    .or_default()
-                    .push(BlockChange { key, tokens });
+            let tokens = self.cached.get(&key).copied().unwrap_or(0);
+            if let Some(owner) = owners.owner_index(key) {
+                let change = BlockChange { key, tokens };
+                changes.entry(owner).or_default().push(change);
             }
         }
         changes
--- a/crates/sparrouter-prefix-index/tests/index.rs
+++ b/crates/sparrouter-prefix-index/tests/index.rs
@@ -1,100 +1,104 @@
-//! The answers of a part's owner.
+//! The answers of a block's owner.
 use sparrouter_prefix_index::{IndexSettings, PrefixIndex, PrefixLocation, PrefixQuery};
 
-const S: u64 = 1_000_000_000;
-const TERMS: IndexSettings = IndexSettings {
+const SECOND: u64 = 1_000_000_000;
+const SETTINGS: IndexSettings = IndexSettings {
     max_blocks: 64,
-    assumed_retention: 30 * S,
-    save_retry_interval: 120 * S,
-    max_report_delay: 4 * S,
+    assumed_retention: 30 * SECOND,
+    save_retry_interval: 120 * SECOND,
+    max_report_delay: 4 * SECOND,
 };
-const PART: u64 = 7;
+const BLOCK: u64 = 7;
 const STORE: u64 = 99;
 
 fn index() -> PrefixIndex {
-    PrefixIndex::new(TERMS)
+    PrefixIndex::new(SETTINGS)
 }
 
-fn about(server: u64, store: u64) -> PrefixQuery {
+fn query_for(server: u64, store: u64) -> PrefixQuery {
     PrefixQuery {
-        key: PART,
+        key: BLOCK,
         server,
         store,
     }
 }
 
 #[test]
-fn given_nothing_known_when_asked_then_the_store_is_asked_to_save_once() {
+fn given_nothing_known_then_the_store_is_requested_to_save_once() {
     let mut index = index();
     assert_eq!(
-        index.query(about(1, STORE), 0),
+        index.query(query_for(1, STORE), 0),
         PrefixLocation {
             save: true,
             ..PrefixLocation::default()
         }
     );
-    let second = index.query(about(2, STORE), S);
-    assert!(!second.save, "the store was asked a second ago");
+    let second = index.query(query_for(2, STORE), SECOND);
+    assert!(!second.save, "the store was requested a second ago");
     assert_eq!(
         second.cached_at,
         [STORE],
         "the store has no follower, so the request to save counts"
     );
     assert_eq!(second.prefilling_server, 1);
-    assert!(index.query(about(2, STORE), 121 * S).save);
+    assert!(index.query(query_for(2, STORE), 121 * SECOND).save);
 }
 
 #[test]
-fn given_a_followed_store_when_it_does_not_report_the_part_then_it_is_asked_again_soon() {
+fn given_a_followed_store_that_does_not_report_the_block_then_it_is_requested_again() {
     let mut index = index();
     index.record_cached(STORE, 3, 500, 0);
-    assert!(index.query(about(1, STORE), 0).save);
-    let soon = index.query(about(2, STORE), S);
+    assert!(index.query(query_for(1, STORE), 0).save);
+    let early = index.query(query_for(2, STORE), SECOND);
     assert!(
-        !soon.save && soon.cached_at.is_empty(),
-        "being saved, but not reported yet: {soon:?}"
+        !early.save && early.cached_at.is_empty(),
+        "being saved, but not reported yet: {early:?}"
     );
     assert!(
-        index.query(about(2, STORE), 5 * S).save,
+        index.query(query_for(2, STORE), 5 * SECOND).save,
         "the request to save had no effect"
     );
-    index.record_cached(STORE, PART, 500, 5 * S);
-    let there = index.query(about(2, STORE), 20 * S);
-    assert!(!there.save);
-    assert_eq!(there.cached_at, [STORE]);
+    index.record_cached(STORE, BLOCK, 500, 5 * SECOND);
+    let reported = index.query(query_for(2, STORE), 20 * SECOND);
+    assert!(!reported.save);
+    assert_eq!(reported.cached_at, [STORE]);
 }
 
 #[test]
-fn given_holders_when_asked_for_one_of_them_then_it_is_held_and_the_others_are_named_newest_first()
-{
+fn given_several_sources_when_one_is_queried_then_the_others_are_listed_newest_first() {
     let mut index = index();
-    for (at, source) in [(1, 10), (2, 11), (3, 12)] {
-        index.record_cached(source, PART, 800, at * S);
+    for (second, source) in [(1, 10), (2, 11), (3, 12)] {
+        index.record_cached(source, BLOCK, 800, second * SECOND);
     }
-    let advice = index.query(about(11, 0), 4 * S);
-    assert!(advice.is_cached);
-    assert_eq!(advice.cached_at, [12, 10]);
+    let location = index.query(query_for(11, 0), 4 * SECOND);
+    assert!(location.is_cached);
+    assert_eq!(location.cached_at, [12, 10]);
 }
 
 #[test]
-fn given_a_holder_that_dropped_the_part_when_asked_then_it_is_not_named() {
+fn given_a_source_that_evicted_the_block_then_it_is_not_located_there() {
     let mut index = index();
-    index.record_cached(10, PART, 800, 0);
-    index.record_cached(10, PART, 0, S);
-    assert_eq!(index.query(about(11, 0), 2 * S), PrefixLocation::default());
+    index.record_cached(10, BLOCK, 800, 0);
+    index.record_cached(10, BLOCK, 0, SECOND);
+    assert_eq!(
+        index.query(query_for(11, 0), 2 * SECOND),
+        PrefixLocation::default()
+    );
 }
 
 #[test]
-fn given_a_followed_reader_when_its_follower_reports_nothing_then_it_is_named_for_the_report_time_only()
- {
+fn given_a_prefilling_server_that_is_not_reported_then_it_counts_for_the_report_delay_only() {
     let mut index = index();
     index.record_cached(10, 3, 500, 0);
-    index.query(about(10, 0), 0);
-    assert_eq!(index.query(about(11, 0), 3 * S).prefilling_server, 10);
+    index.query(query_for(10, 0), 0);
+    assert_eq!(
+        index.query(query_for(11, 0), 3 * SECOND).prefilling_server,
+        10
+    );
     assert_ne!(
-        index.query(about(12, 0), 5 * S).prefilling_server,
+        index.query(query_for(12, 0), 5 * SECOND).prefilling_server,
         10,
-        "its follower would have reported the part by now"
+        "its follower would have reported the block by now"
     );
     // Nobody reports for a server without a follower.
     let unfollowed = PrefixQuery {
@@ -110,7 +114,7 @@
                     server: 14,
                     ..unfollowed
                 },
-                20 * S
+                20 * SECOND
             )
             .prefilling_server,
         13
@@ -122,7 +126,7 @@
                     server: 15,
                     ..unfollowed
                 },
-                51 * S
+                51 * SECOND
             )
             .prefilling_server,
         0
@@ -130,39 +134,44 @@
 }
 
 #[test]
-fn given_a_lost_source_when_asked_then_it_is_not_named() {
+fn given_a_removed_source_then_no_block_is_located_there() {
     let mut index = index();
-    index.record_cached(STORE, PART, 800, 0);
-    index.record_cached(10, PART, 800, 0);
+    index.record_cached(STORE, BLOCK, 800, 0);
+    index.record_cached(10, BLOCK, 800, 0);
     index.remove_source(STORE);
-    let advice = index.query(about(11, STORE), S);
-    assert_eq!((advice.save, advice.cached_at), (true, vec![10]));
+    let location = index.query(query_for(11, STORE), SECOND);
+    assert_eq!((location.save, location.cached_at), (true, vec![10]));
 }
 
 #[test]
-fn given_more_parts_than_fit_when_reported_then_the_index_stays_bounded_and_used_parts_stay() {
+fn given_more_blocks_than_the_capacity_then_the_index_stays_bounded_and_used_blocks_stay() {
     let mut index = index();
     for key in 0..10_000 {
-        index.record_cached(10, key + 100, 800, key * S / 1_000);
+        index.record_cached(10, key + 100, 800, key * SECOND / 1_000);
         index.query(
             PrefixQuery {
-                key: PART,
+                key: BLOCK,
                 server: 10,
                 store: 0,
             },
-            key * S / 1_000,
+            key * SECOND / 1_000,
         );
-        assert!(index.len() <= TERMS.max_blocks + 1, "{}", index.len());
+        assert!(index.len() <= SETTINGS.max_blocks + 1, "{}", index.len());
     }
-    index.record_cached(10, PART, 800, 10 * S);
-    assert!(index.query(about(11, 0), 10 * S).cached_at.contains(&10));
+    index.record_cached(10, BLOCK, 800, 10 * SECOND);
+    assert!(
+        index
+            .query(query_for(11, 0), 10 * SECOND)
+            .cached_at
+            .contains(&10)
+    );
 }
 
 #[test]
-fn given_many_holders_when_reported_then_the_newest_few_are_remembered() {
+fn given_a_block_at_many_sources_then_the_newest_few_are_stored() {
     let mut index = index();
-    (1..=50).for_each(|source| index.record_cached(source, PART, 800, source));
-    let advice = index.query(about(1_000, 0), S);
-    assert_eq!(advice.cached_at.first(), Some(&50));
-    assert!(advice.cached_at.len() < 10);
+    (1..=50).for_each(|source| index.record_cached(source, BLOCK, 800, source));
+    let location = index.query(query_for(1_000, 0), SECOND);
+    assert_eq!(location.cached_at.first(), Some(&50));
+    assert!(location.cached_at.len() < 10);
 }
--- a/crates/sparrouter-prefix-index/tests/source.rs
+++ b/crates/sparrouter-prefix-index/tests/source.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-fn kept(key: u64, tokens: u32) -> BlockChange {
+fn cached(key: u64, tokens: u32) -> BlockChange {
     BlockChange { key, tokens }
 }
 
@@ -35,34 +35,34 @@
     keys.take(count).collect()
 }
 
-fn place_of(owners: &SlotTable, number: u64) -> usize {
+fn owner_index(owners: &SlotTable, number: u64) -> usize {
     let all = owners.members();
     all.iter().position(|m| *m == owner(number)).unwrap()
 }
 
 #[test]
-fn given_events_when_told_then_each_owner_hears_of_its_parts_once_with_what_is_kept_now() {
+fn given_events_then_each_owner_is_notified_of_its_blocks_once_with_what_is_cached_now() {
     let owners = owners(&[0, 1]);
-    let (zeroth, first) = (keys_of(&owners, 0, 2), keys_of(&owners, 1, 1));
+    let (keys_of_0, keys_of_1) = (keys_of(&owners, 0, 2), keys_of(&owners, 1, 1));
     let mut source = Source::default();
     assert!(!source.apply_page(page(
         5,
         40,
         &[
-            kept(zeroth[0], 100),
-            kept(first[0], 700),
-            kept(zeroth[0], 160),
-            kept(zeroth[1], 9),
-            kept(zeroth[1], 0)
+            cached(keys_of_0[0], 100),
+            cached(keys_of_1[0], 700),
+            cached(keys_of_0[0], 160),
+            cached(keys_of_0[1], 9),
+            cached(keys_of_0[1], 0)
         ]
     )));
     assert_eq!(source.next_event(), 40);
     let expected = BTreeMap::from([
         (
-            place_of(&owners, 0),
-            vec![kept(zeroth[0], 160), kept(zeroth[1], 0)],
+            owner_index(&owners, 0),
+            vec![cached(keys_of_0[0], 160), cached(keys_of_0[1], 0)],
         ),
-        (place_of(&owners, 1), vec![kept(first[0], 700)]),
+        (owner_index(&owners, 1), vec![cached(keys_of_1[0], 700)]),
     ]);
     assert_eq!(source.take_changes(&owners), expected);
     assert!(
@@ -72,25 +72,25 @@
 }
 
 #[test]
-fn given_an_owner_that_goes_when_told_then_all_that_it_had_and_nothing_else_is_told_again() {
+fn given_an_owner_that_leaves_then_exactly_the_blocks_that_it_owned_are_sent_again() {
     let before = owners(&[0, 1, 2]);
     let mut source = Source::default();
-    let all: Vec<BlockChange> = (0..300).map(|key| kept(key, 160)).collect();
+    let all: Vec<BlockChange> = (0..300).map(|key| cached(key, 160)).collect();
     source.apply_page(page(5, 40, &all));
     source.take_changes(&before);
     let after = Rc::new(before.with_members(vec![owner(0), owner(2)]));
-    let again: Vec<u64> = told_keys(source.take_changes(&after));
-    let had = |key: &u64| before.owner(*key) == Some(owner(1));
-    assert_eq!(again, (0..300).filter(had).collect::<Vec<u64>>());
-    assert!((60..140).contains(&again.len()));
+    let sent_again: Vec<u64> = sorted_keys(source.take_changes(&after));
+    let was_owned = |key: &u64| before.owner(*key) == Some(owner(1));
+    assert_eq!(sent_again, (0..300).filter(was_owned).collect::<Vec<u64>>());
+    assert!((60..140).contains(&sent_again.len()));
     assert!(source.take_changes(&after).is_empty());
 }
 
 #[test]
-fn given_an_owner_that_restarts_when_told_then_its_new_process_hears_of_all_that_is_kept() {
+fn given_an_owner_that_restarts_then_its_new_process_is_notified_of_all_cached_blocks() {
     let before = owners(&[0, 1, 2]);
     let mut source = Source::default();
-    let all: Vec<BlockChange> = (0..300).map(|key| kept(key, 160)).collect();
+    let all: Vec<BlockChange> = (0..300).map(|key| cached(key, 160)).collect();
     source.apply_page(page(5, 40, &all));
     source.take_changes(&before);
     let restarted = Member {
@@ -98,40 +98,40 @@
         ..owner(1)
     };
     let after = Rc::new(before.with_members(vec![owner(0), restarted, owner(2)]));
-    let had = |key: &u64| before.owner(*key) == Some(owner(1));
-    let expected: Vec<u64> = (0..300).filter(had).collect();
-    assert_eq!(told_keys(source.take_changes(&after)), expected);
+    let was_owned = |key: &u64| before.owner(*key) == Some(owner(1));
+    let expected: Vec<u64> = (0..300).filter(was_owned).collect();
+    assert_eq!(sorted_keys(source.take_changes(&after)), expected);
 }
 
 #[test]
-fn given_no_owner_at_first_when_one_is_known_then_it_hears_of_all_that_is_kept() {
+fn given_no_owner_at_first_when_one_is_known_then_it_is_notified_of_all_cached_blocks() {
     let mut source = Source::default();
-    source.apply_page(page(5, 40, &[kept(2, 160), kept(3, 700)]));
+    source.apply_page(page(5, 40, &[cached(2, 160), cached(3, 700)]));
     assert!(source.take_changes(&owners(&[])).is_empty());
-    assert_eq!(told_keys(source.take_changes(&owners(&[1]))), [2, 3]);
+    assert_eq!(sorted_keys(source.take_changes(&owners(&[1]))), [2, 3]);
 }
 
-fn told_keys(told: BTreeMap<usize, Vec<BlockChange>>) -> Vec<u64> {
-    let mut keys: Vec<u64> = told.into_values().flatten().map(|c| c.key).collect();
+fn sorted_keys(changes: BTreeMap<usize, Vec<BlockChange>>) -> Vec<u64> {
+    let mut keys: Vec<u64> = changes.into_values().flatten().map(|c| c.key).collect();
     keys.sort_unstable();
     keys
 }
 
 #[test]
-fn given_a_restarted_source_when_its_answer_is_applied_then_earlier_state_is_void() {
+fn given_a_restarted_source_when_its_answer_is_applied_then_earlier_state_is_invalidated() {
     let mut source = Source::default();
-    source.apply_page(page(5, 40, &[kept(2, 160)]));
-    assert!(source.apply_page(page(6, 1, &[kept(3, 700)])));
+    source.apply_page(page(5, 40, &[cached(2, 160)]));
+    assert!(source.apply_page(page(6, 1, &[cached(3, 700)])));
     assert_eq!(source.len(), 1);
     assert_eq!(source.next_event(), 1);
 }
 
 #[test]
-fn given_a_gap_when_it_is_in_the_first_answer_then_nothing_is_void_and_later_everything_is() {
+fn given_a_gap_then_it_invalidates_earlier_state_unless_in_the_first_answer() {
     let mut source = Source::default();
     let gap = |next, key| EventPage {
         gap: true,
-        ..page(5, next, &[kept(key, 100)])
+        ..page(5, next, &[cached(key, 100)])
     };
     assert!(
         !source.apply_page(gap(40, 2)),
@@ -139,17 +139,17 @@
     );
     assert!(
         source.apply_page(gap(90, 3)),
-        "parts dropped meanwhile would be kept for ever"
+        "blocks evicted meanwhile would count as cached for ever"
     );
     assert_eq!(source.len(), 1);
 }
 
 #[test]
-fn given_an_unknown_part_when_it_is_dropped_then_its_owner_is_still_notified() {
+fn given_an_unknown_block_when_it_is_evicted_then_its_owner_is_still_notified() {
     // An earlier follower may have reported it.
     let mut source = Source::default();
-    source.apply_page(page(5, 40, &[kept(3, 0)]));
-    let told = source.take_changes(&owners(&[1]));
-    assert_eq!(told, BTreeMap::from([(0, vec![kept(3, 0)])]));
+    source.apply_page(page(5, 40, &[cached(3, 0)]));
+    let changes = source.take_changes(&owners(&[1]));
+    assert_eq!(changes, BTreeMap::from([(0, vec![cached(3, 0)])]));
     assert!(source.is_empty());
 }
