--- a/crates/sparrouter-rendezvous/src/lib.rs
+++ b/crates/sparrouter-rendezvous/src/lib.rs
@@ -4,9 +4,9 @@
 //! Sources: Deb Allen, "Hash Load Balancing and Persistence on BIG-IP LTM" (see docs/design.md); Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998;
 //! the finaliser is Stafford's variant 13 of MurmurHash3's.
 #![deny(missing_docs)]
-mod slots;
+mod slot_table;
 
-pub use slots::{Member, SLOT_COUNT, SlotTable};
+pub use slot_table::{Member, SLOT_COUNT, SlotTable};
 
 /// The FNV-1a offset basis and prime for 64 bits.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
