--- a/crates/sparrouter-rendezvous/src/lib.rs
+++ b/crates/sparrouter-rendezvous/src/lib.rs
@@ -1,9 +1,13 @@
-//! Rendezvous hashing (highest random weight, HRW): each node scores all members for a key on its own, and all nodes come
-//! to the same order.
+//! Rendezvous hashing (highest random weight, HRW): each node scores all members for a key on its own, and all nodes
+//! compute the same order.
 //!
-//! Sources: Deb Allen, "Hash Load Balancing and Persistence on BIG-IP LTM" (see docs/design.md); Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998;
-//! the finaliser is Stafford's variant 13 of MurmurHash3's.
-#![deny(missing_docs)]
+//! | module | its one job |
+//! | --- | --- |
+//! | this one | hashes, scores, and the order of members for a key |
+//! | `slot_table` | a table of owners, for lookups in constant time |
+//!
+//! Sources: Deb Allen, "Hash Load Balancing and Persistence on BIG-IP LTM" (see docs/design.md); Thaler and Ravishankar,
+//! "Using name-based mappings to increase hit rates", 1998; the finaliser is Stafford's variant 13 of MurmurHash3's.
 mod slot_table;
 
 pub use slot_table::{Member, SLOT_COUNT, SlotTable};
--- a/crates/sparrouter-rendezvous/tests/order.rs
+++ b/crates/sparrouter-rendezvous/tests/order.rs
@@ -1,3 +1,4 @@
+//! The order of members by score: agreement, few moved keys, and weights.
 use sparrouter_rendezvous::{hash, order, score, unit};
 
 #[test]
@@ -11,18 +12,18 @@
 }
 
 #[test]
-fn given_one_member_leaves_then_only_its_keys_move() {
+fn given_a_member_that_leaves_then_only_its_keys_move() {
     let ids: Vec<u64> = (0..12).map(|i| hash(format!("s{i}").as_bytes())).collect();
     for key in 0..2_000 {
         let all = order(ids.iter().map(|&i| (i, i)), key);
-        let less = order(ids.iter().skip(1).map(|&i| (i, i)), key);
+        let without_first = order(ids.iter().skip(1).map(|&i| (i, i)), key);
         let expected: Vec<u64> = all.into_iter().filter(|&i| i != ids[0]).collect();
-        assert_eq!(less, expected);
+        assert_eq!(without_first, expected);
     }
 }
 
 #[test]
-fn given_weights_then_shares_of_keys_follow_them() {
+fn given_weights_then_members_win_keys_in_proportion() {
     let (a, b) = (hash(b"a"), hash(b"b"));
     let won = (0..20_000)
         .filter(|&k| score(a, k, 3.0) > score(b, k, 1.0))
--- a/crates/sparrouter-rendezvous/tests/slot_table.rs
+++ b/crates/sparrouter-rendezvous/tests/slot_table.rs
@@ -1,4 +1,4 @@
-//! Owners by slots: agreement, balance, and how little moves.
+//! Owners by slots: agreement, balance, and few moved keys.
 use sparrouter_rendezvous::{Member, SLOT_COUNT, SlotTable, hash, mix};
 
 fn member(number: u64) -> Member {
@@ -21,17 +21,17 @@
 }
 
 #[test]
-fn given_the_same_members_learnt_in_any_order_when_a_key_is_looked_up_then_its_owner_is_the_same() {
-    let at_once = table(members(40));
-    let mut by_steps = table(members(3));
+fn given_the_same_members_joined_in_any_order_then_a_key_has_the_same_owner() {
+    let built_once = table(members(40));
+    let mut built_in_steps = table(members(3));
     for count in (4..=60).chain((40..60).rev()) {
-        by_steps = by_steps.with_members(members(count).into_iter().rev().collect());
+        built_in_steps = built_in_steps.with_members(members(count).into_iter().rev().collect());
     }
-    assert!(keys().all(|key| at_once.owner(key) == by_steps.owner(key)));
+    assert!(keys().all(|key| built_once.owner(key) == built_in_steps.owner(key)));
 }
 
 #[test]
-fn given_340_members_when_keys_are_looked_up_then_each_owns_about_its_part() {
+fn given_340_members_then_each_owns_about_the_mean_number_of_keys() {
     let table = table(members(340));
     let mut owned = vec![0u32; 340];
     keys().for_each(|key| owned[table.owner_index(key).unwrap()] += 1);
@@ -44,20 +44,20 @@
 }
 
 #[test]
-fn given_one_member_that_goes_when_keys_are_looked_up_then_only_its_keys_have_another_owner() {
+fn given_a_member_that_leaves_then_only_its_keys_have_another_owner() {
     let before = table(members(100));
-    let gone = member(17);
-    let after = before.with_members(members(100).into_iter().filter(|m| *m != gone).collect());
+    let left = member(17);
+    let after = before.with_members(members(100).into_iter().filter(|m| *m != left).collect());
     for key in keys() {
         let owner = before.owner(key).unwrap();
-        assert_eq!(after.owner(key) != Some(owner), owner == gone);
+        assert_eq!(after.owner(key) != Some(owner), owner == left);
     }
-    // Its slots are scored against all that remain, no other one is scored at all.
+    // Its slots are scored against all members that remain, other slots are not scored.
     assert!(after.scored() < 3 * SLOT_COUNT as u64);
 }
 
 #[test]
-fn given_one_member_that_comes_when_the_table_is_made_then_each_slot_is_scored_once() {
+fn given_a_member_that_joins_then_each_slot_is_scored_once() {
     let before = table(members(1_000));
     let after = before.with_members(members(1_001));
     assert_eq!(after.scored(), SLOT_COUNT as u64);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn given_a_member_that_restarts_when_keys_are_looked_up_then_its_keys_have_the_new_process() {
+fn given_a_member_that_restarts_then_its_keys_have_the_new_process() {
     let before = table(members(5));
     let mut restarted = members(5);
     restarted[2].process = 99;
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn given_no_members_when_a_key_is_looked_up_then_it_has_no_owner() {
+fn given_no_members_then_a_key_has_no_owner() {
     let empty = table(members(3)).with_members(Vec::new());
     assert_eq!(empty.owner(7), None);
     assert!(empty.with_members(members(2)).owner(7).is_some());
