--- a/crates/sparrouter-http/src/chunks.rs
+++ b/crates/sparrouter-http/src/chunks.rs
@@ -1,20 +1,20 @@
-//! Decodes a chunked body (RFC 9112, section 7.1) from a buffer, piece by piece.
+//! Decodes a chunked body (RFC 9112, section 7.1) incrementally from a buffer.
 use crate::{ParseError, Parsed};
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Longest line between chunks (size with extensions, trailer field), in bytes.
-const MAX_LINE: usize = 1 << 10;
+const MAX_LINE_LENGTH: usize = 1 << 10;
 
-/// Most hexadecimal digits of a chunk size.
+/// Largest number of hexadecimal digits of a chunk size.
 const MAX_SIZE_DIGITS: usize = 8;
 
 /// What the decoder expects next.
 #[derive(Clone, Copy, Debug, Default)]
-enum Next {
+enum Expected {
     /// The line with the size of a chunk.
     #[default]
     Size,
-    /// So many more bytes of the current chunk.
+    /// So many more bytes of the current chunk, at least one.
     Data(usize),
     /// The line end behind the data of a chunk.
     DataEnd,
@@ -24,92 +24,92 @@
     Finished,
 }
 
-/// The state of decoding one chunked body. Begins with [`Chunks::default`].
+/// The state of decoding one chunked body. Starts with [`ChunkDecoder::default`].
 #[derive(Debug, Default)]
-pub struct ChunkDecoder(Next);
+pub struct ChunkDecoder(Expected);
 
 /// What decoding a buffer gave.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChunkEvent {
     /// Bytes of the body, at least one.
     Data(Bytes),
-    /// The buffer holds nothing more that is whole: read more first.
+    /// The buffer has nothing more that is complete: read more first.
     More,
-    /// The body has ended; what is left in the buffer belongs to the next message.
+    /// The body has ended; what remains in the buffer belongs to the next message.
     End,
 }
 
-/// Takes a line out of the buffer, without its line end; `None` until it is whole.
-fn take_line(buffer: &mut BytesMut) -> Parsed<Option<BytesMut>> {
-    match buffer.windows(2).position(|w| w == b"\r\n") {
-        Some(length) if length <= MAX_LINE => {
+/// Splits a line off the buffer, without its line end; `None` until it is complete.
+fn split_line(buffer: &mut BytesMut) -> Parsed<Option<BytesMut>> {
+    match buffer.windows(2).position(|bytes| bytes == b"\r\n") {
+        Some(length) if length <= MAX_LINE_LENGTH => {
             let line = buffer.split_to(length);
             buffer.advance(2);
             Ok(Some(line))
         }
-        None if buffer.len() <= MAX_LINE => Ok(None),
+        None if buffer.len() <= MAX_LINE_LENGTH => Ok(None),
         _ => Err(ParseError("line between chunks too long")),
     }
 }
 
-/// The size that a chunk's first line gives, in bytes.
+/// The size in bytes that a chunk's first line gives.
 fn parse_size(line: &[u8]) -> Parsed<usize> {
     let digits = line
-        .split(|&b| b == b';')
+        .split(|&byte| byte == b';')
         .next()
         .unwrap_or_default()
         .trim_ascii();
-    // The parser would also take a sign.
+    // The parser would also accept a sign.
     let is_plain =
         (1..=MAX_SIZE_DIGITS).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| is_plain);
-    text.and_then(|t| usize::from_str_radix(t, 16).ok())
+    text.and_then(|text| usize::from_str_radix(text, 16).ok())
         .ok_or(ParseError("chunk size"))
 }
 
 impl ChunkDecoder {
-    /// Takes the next piece of the body out of the buffer.
+    /// Decodes the next data of the body, and splits off the buffer what it has decoded.
     ///
     /// # Errors
     ///
-    /// [`Bad`] if the framing is malformed; the connection cannot be used any more then.
+    /// [`ParseError`] if the framing is malformed; the connection cannot be used any more then.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Parsed<ChunkEvent> {
         loop {
             match self.0 {
-                Next::Size => {
-                    let Some(line) = take_line(buffer)? else {
+                Expected::Size => {
+                    let Some(line) = split_line(buffer)? else {
                         return Ok(ChunkEvent::More);
                     };
                     self.0 = match parse_size(&line)? {
-                        0 => Next::Trailer,
-                        size => Next::Data(size),
+                        0 => Expected::Trailer,
+                        size => Expected::Data(size),
                     };
                 }
-                Next::Data(_) if buffer.is_empty() => return Ok(ChunkEvent::More),
-                Next::Data(left) => {
-                    let piece = buffer.split_to(left.min(buffer.len())).freeze();
-                    self.0 = match left - piece.len() {
-                        0 => Next::DataEnd,
-                        left => Next::Data(left),
+                Expected::Data(_) if buffer.is_empty() => return Ok(ChunkEvent::More),
+                Expected::Data(remaining) => {
+                    let data = buffer.split_to(remaining.min(buffer.len())).freeze();
+                    self.0 = match remaining - data.len() {
+                        0 => Expected::DataEnd,
+                        remaining => Expected::Data(remaining),
                     };
-                    return Ok(ChunkEvent::Data(piece));
+                    return Ok(ChunkEvent::Data(data));
                 }
-                Next::DataEnd if buffer.len() < 2 => return Ok(ChunkEvent::More),
-                Next::DataEnd => {
+                Expected::DataEnd if buffer.len() < 2 => return Ok(ChunkEvent::More),
+                Expected::DataEnd => {
                     if &buffer.split_to(2)[..] != b"\r\n" {
                         return Err(ParseError("no line end after a chunk"));
                     }
-                    self.0 = Next::Size;
+                    self.0 = Expected::Size;
                 }
-                Next::Trailer => {
-                    let Some(line) = take_line(buffer)? else {
+                Expected::Trailer => {
+                    let Some(line) = split_line(buffer)? else {
                         return Ok(ChunkEvent::More);
                     };
                     if line.is_empty() {
-                        self.0 = Next::Finished;
+                        self.0 = Expected::Finished;
                     }
                 }
-                Next::Finished => return Ok(ChunkEvent::End),
+                Expected::Finished => return Ok(ChunkEvent::End),
             }
         }
     }
--- a/crates/sparrouter-http/src/head.rs
+++ b/crates/sparrouter-http/src/head.rs
@@ -1,239 +1,161 @@
-//! Parses heads of HTTP/1.1 messages. Parts of a head are slices of the buffer it was read into: nothing is copied.
+//! Parses heads of HTTP/1.1 messages. What a head contains are slices of the buffer it was read into: nothing is copied.
+use crate::fields::is_token;
+pub use crate::fields::{Fields, Framing};
 use crate::{ParseError, Parsed};
 use bytes::Bytes;
 
-/// How the end of a body is found.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Framing {
-    /// The body has so many bytes.
-    Length(usize),
-    /// The body is chunked.
-    Chunked,
-    /// The body ends with the connection; responses only.
-    ToEnd,
+/// The first bytes of every response.
+pub const REPLY: &[u8] = b"HTTP/1.";
+
+/// The empty line that ends a head, behind the line end of its last line.
+const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// The head of a request.
+#[derive(Clone, Debug)]
+pub struct RequestHead {
+    /// The method, as received.
+    pub method: Bytes,
+    /// The request target in origin form: path and query.
+    pub target: Bytes,
+    /// The client keeps the connection open behind the response.
+    pub keep_alive: bool,
+    /// How the body is framed; an empty one if the fields do not say.
+    pub framing: Framing,
+    /// The header fields.
+    pub fields: Fields,
 }
 
-/// The header fields of a message. Names are compared without case.
+/// The head of a response.
 #[derive(Clone, Debug)]
-pub struct Fields(Vec<(Bytes, Bytes)>);
+pub struct ResponseHead {
+    /// The status code, 100 to 599.
+    pub status: u16,
+    /// The connection can carry another request behind this response.
+    pub keep_alive: bool,
+    /// How the body is framed; to the end of the connection if the fields do not say.
+    pub framing: Framing,
+    /// The header fields.
+    pub fields: Fields,
+}
 
-impl Fields {
-    /// All fields in the order of the message, names as received.
-    pub fn iter(&self) -> impl Iterator<Item = (&Bytes, &Bytes)> {
-        self.0.iter().map(|(n, v)| (n, v))
-    }
-    /// The value of the first field with this name.
-    pub fn get(&self, name: &str) -> Option<&Bytes> {
-        self.0
-            .iter()
-            .find(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()))
-            .map(|(_, v)| v)
-    }
-    /// The value of the first field with this name, if it is UTF-8.
-    pub fn text(&self, name: &str) -> Option<&str> {
-        self.get(name).and_then(|v| std::str::from_utf8(v).ok())
-    }
-    /// Whether a comma-separated field with this name lists `value`, compared without case.
-    pub fn lists(&self, name: &str, value: &str) -> bool {
-        let all = self
-            .0
-            .iter()
-            .filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()));
-        all.flat_map(|(_, v)| v.split(|&b| b == b','))
-            .any(|w| w.trim_ascii().eq_ignore_ascii_case(value.as_bytes()))
-    }
+/// The version of a message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Version {
+    Http10,
+    Http11,
+}
 
-    /// How the body is framed; `None` if the fields do not say. Conflicting fields are refused, because what one party
-    /// takes for the body another would take for the next message (request smuggling).
-    fn framing(&self) -> Parsed<Option<Framing>> {
-        let mut lengths = self
-            .0
-            .iter()
-            .filter(|(n, _)| n.eq_ignore_ascii_case(b"content-length"));
-        let length = lengths.next();
-        let codings = self
-            .0
-            .iter()
-            .filter(|(n, _)| n.eq_ignore_ascii_case(b"transfer-encoding"));
-        if lengths.next().is_some() || codings.count() > 1 {
-            return Err(ParseError("more than one length or transfer-encoding"));
+impl Version {
+    fn parse(text: &[u8]) -> Parsed<Version> {
+        match text {
+            b"HTTP/1.1" => Ok(Version::Http11),
+            b"HTTP/1.0" => Ok(Version::Http10),
+            _ => Err(ParseError("unknown version")),
         }
-        match (length, self.get("transfer-encoding")) {
-            (Some(_), Some(_)) => Err(ParseError("content-length beside transfer-encoding")),
-            (None, None) => Ok(None),
-            (None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") => {
-                Ok(Some(Framing::Chunked))
-            }
-            (None, Some(_)) => Err(ParseError("unknown transfer-encoding")),
-            (Some((_, v)), None) => {
-                let digits = !v.is_empty() && v.iter().all(u8::is_ascii_digit);
-                let text = std::str::from_utf8(v).ok().filter(|_| digits);
-                let length = text
-                    .and_then(|t| t.parse().ok())
-                    .ok_or(ParseError("content-length is not a number"))?;
-                Ok(Some(Framing::Length(length)))
-            }
+    }
+
+    /// Whether the sender keeps the connection open behind a message with these fields.
+    fn keeps_alive(self, fields: &Fields) -> bool {
+        match self {
+            Version::Http11 => !fields.lists("connection", "close"),
+            Version::Http10 => fields.lists("connection", "keep-alive"),
         }
     }
 }
 
-/// The first bytes of every response.
-pub const REPLY: &[u8] = b"HTTP/1.";
-
-/// The offset behind the empty line that ends a head; `None` if it is not whole yet. Bytes before `from` were searched
-/// before.
+/// The offset behind the empty line that ends a head; `None` if it is not in the buffer yet. Bytes before offset `from`
+/// were searched before.
 pub fn find_end(buffer: &[u8], from: usize) -> Option<usize> {
-    let from = from.saturating_sub(3);
+    // The end may have started in the bytes that were searched.
+    let from = from.saturating_sub(HEAD_END.len() - 1);
     buffer
         .get(from..)?
-        .windows(4)
-        .position(|w| w == b"\r\n\r\n")
-        .map(|at| from + at + 4)
-}
-
-/// Whether a text is a token (RFC 9110, section 5.6.2): a method or a field's name.
-fn is_token(text: &[u8]) -> bool {
-    !text.is_empty()
-        && text
-            .iter()
-            .all(|&b| b.is_ascii_graphic() && !b"\"(),/:;<=>?@[\\]{}".contains(&b))
+        .windows(HEAD_END.len())
+        .position(|bytes| bytes == HEAD_END)
+        .map(|offset| from + offset + HEAD_END.len())
 }
 
 /// Splits a head into its first line and its fields.
 fn split(head: &Bytes) -> Parsed<(Bytes, Fields)> {
     let mut lines = Vec::new();
-    let mut at = 0;
-    while let Some(length) = head[at..].windows(2).position(|w| w == b"\r\n") {
+    let mut offset = 0;
+    while let Some(length) = head[offset..].windows(2).position(|bytes| bytes == b"\r\n") {
         if length == 0 {
             break;
         }
-        lines.push(head.slice(at..at + length));
-        at += length + 2;
+        lines.push(head.slice(offset..offset + length));
+        offset += length + 2;
     }
     let mut lines = lines.into_iter();
     let first = lines.next().ok_or(ParseError("empty head"))?;
-    let field = |line: Bytes| {
-        let colon = line
-            .iter()
-            .position(|&b| b == b':')
-            .ok_or(ParseError("field without a colon"))?;
-        let value = line[colon + 1..].trim_ascii();
-        let plain = value.iter().all(|&b| b == b'\t' || b >= b' ' && b != 0x7f);
-        if !is_token(&line[..colon]) || !plain {
-            return Err(ParseError("field with forbidden characters"));
-        }
-        Ok((line.slice(..colon), line.slice_ref(value)))
-    };
-    Ok((first, Fields(lines.map(field).collect::<Parsed<_>>()?)))
-}
-
-/// Parses the version: true for HTTP/1.1, false for HTTP/1.0.
-fn parse_version(text: &[u8]) -> Parsed<bool> {
-    match text {
-        b"HTTP/1.1" => Ok(true),
-        b"HTTP/1.0" => Ok(false),
-        _ => Err(ParseError("unknown version")),
-    }
-}
-
-/// Whether the sender wants to keep the connection open behind this message.
-fn keeps_alive(is_http_1_1: bool, fields: &Fields) -> bool {
-    if is_http_1_1 {
-        !fields.lists("connection", "close")
-    } else {
-        fields.lists("connection", "keep-alive")
-    }
+    Ok((first, Fields::parse(lines)?))
 }
 
-/// The head of a request.
-#[derive(Clone, Debug)]
-pub struct RequestHead {
-    /// The method, as received.
-    pub method: Bytes,
-    /// The request target in origin form: path and query.
-    pub target: Bytes,
-    /// The client wants to keep the connection open behind the response.
-    pub keep_alive: bool,
-    /// How the body is framed: an empty one if the fields do not say.
-    pub framing: Framing,
-    /// The header fields.
-    pub fields: Fields,
-}
-
-/// Parses the head of a request, as [`crate::reading::head`] gives it.
+/// Parses the head of a request, as [`crate::reading::head`] returns it.
 ///
 /// # Errors
 ///
-/// [`Bad`] if the head is malformed, its target is not in origin form, or its framing is contradictory.
+/// [`ParseError`] if the head is malformed, its target is not in origin form, or its framing is contradictory.
 pub fn parse_request(head: &Bytes) -> Parsed<RequestHead> {
     let (first, fields) = split(head)?;
-    let mut words = first.split(|&b| b == b' ');
-    let (Some(method), Some(target), Some(version), None) =
-        (words.next(), words.next(), words.next(), words.next())
-    else {
+    let mut elements = first.split(|&byte| byte == b' ');
+    let (Some(method), Some(target), Some(version), None) = (
+        elements.next(),
+        elements.next(),
+        elements.next(),
+        elements.next(),
+    ) else {
         return Err(ParseError("first line is not of three words"));
     };
-    let plain = target.first() == Some(&b'/') && target.iter().all(u8::is_ascii_graphic);
-    if !is_token(method) || !plain {
+    let is_origin_form = target.first() == Some(&b'/') && target.iter().all(u8::is_ascii_graphic);
+    if !is_token(method) || !is_origin_form {
         return Err(ParseError("method or target"));
     }
-    let is_http_1_1 = parse_version(version)?;
-    let keep = keeps_alive(is_http_1_1, &fields);
+    let version = Version::parse(version)?;
     let framing = fields.framing()?.unwrap_or(Framing::Length(0));
-    if !is_http_1_1 && framing == Framing::Chunked {
+    if version == Version::Http10 && framing == Framing::Chunked {
         return Err(ParseError("transfer-encoding in HTTP/1.0"));
     }
     Ok(RequestHead {
         method: first.slice_ref(method),
         target: first.slice_ref(target),
-        keep_alive: keep,
+        keep_alive: version.keeps_alive(&fields),
         framing,
         fields,
     })
 }
 
-/// The head of a response.
-#[derive(Clone, Debug)]
-pub struct ResponseHead {
-    /// The status code, 100 to 599.
-    pub status: u16,
-    /// The connection can carry another request behind this response.
-    pub keep_alive: bool,
-    /// How the body is framed.
-    pub framing: Framing,
-    /// The header fields.
-    pub fields: Fields,
-}
-
-/// Parses the head of a response, as [`crate::reading::head`] gives it. Not for responses to HEAD requests, whose framing
-/// fields do not describe the body.
+/// Parses the head of a response, as [`crate::reading::head`] returns it. Not for responses to HEAD requests, whose
+/// framing fields do not describe the body.
 ///
 /// # Errors
 ///
-/// [`Bad`] if the head is malformed or its framing is contradictory.
+/// [`ParseError`] if the head is malformed or its framing is contradictory.
 pub fn parse_response(head: &Bytes) -> Parsed<ResponseHead> {
     let (first, fields) = split(head)?;
-    let mut words = first.splitn(3, |&b| b == b' ');
-    let is_http_1_1 = parse_version(words.next().unwrap_or_default())?;
-    let status = words
-        .next()
-        .filter(|s| s.len() == 3)
-        .and_then(|s| std::str::from_utf8(s).ok());
-    let status = status
-        .and_then(|s| s.parse().ok())
-        .filter(|s| (100..600).contains(s));
-    let status: u16 = status.ok_or(ParseError("status"))?;
+    let mut elements = first.splitn(3, |&byte| byte == b' ');
+    let version = Version::parse(elements.next().unwrap_or_default())?;
+    let status = parse_status(elements.next().unwrap_or_default())?;
     let has_no_body = status < 200 || status == 204 || status == 304;
     let framing = if has_no_body {
         Framing::Length(0)
     } else {
         fields.framing()?.unwrap_or(Framing::ToEnd)
     };
-    let keep = keeps_alive(is_http_1_1, &fields) && framing != Framing::ToEnd;
     Ok(ResponseHead {
         status,
-        keep_alive: keep,
+        keep_alive: version.keeps_alive(&fields) && framing != Framing::ToEnd,
         framing,
         fields,
     })
 }
+
+/// Parses a status code of three characters, 100 to 599.
+fn parse_status(text: &[u8]) -> Parsed<u16> {
+    std::str::from_utf8(text)
+        .ok()
+        .filter(|text| text.len() == 3)
+        .and_then(|text| text.parse().ok())
+        .filter(|status| (100..600).contains(status))
+        .ok_or(ParseError("status"))
+}
--- a/crates/sparrouter-http/src/lib.rs
+++ b/crates/sparrouter-http/src/lib.rs
@@ -3,17 +3,19 @@
 //! | module | its one job |
 //! | --- | --- |
 //! | [`head`] | parses the head of a request or response |
-//! | [`chunks`] | decodes a chunked body piece by piece |
+//! | `fields` | parses header fields, and derives from them how the body is framed |
+//! | [`chunks`] | decodes a chunked body incrementally |
 //! | [`reading`] | reads heads from a stream; the only module with I/O |
 //!
-//! Malformed input is returned as [`Bad`], never as a panic. Sources: RFC 9110 and RFC 9112.
-#![deny(missing_docs)]
+//! Malformed input is returned as [`ParseError`], never as a panic. Sources: RFC 9110 and RFC 9112.
 pub mod chunks;
+mod fields;
 pub mod head;
 pub mod reading;
 
-/// Input that violates the protocol; holds what is wrong with it, for logs.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Input that violates the protocol, with what is wrong with it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("malformed message, close the connection: {0}")]
 pub struct ParseError(pub &'static str);
 
 /// The result of parsing untrusted bytes.
--- a/crates/sparrouter-http/src/reading.rs
+++ b/crates/sparrouter-http/src/reading.rs
@@ -14,27 +14,24 @@
 pub const HEAD_TOO_LONG: ParseError = ParseError("head too long");
 
 /// Why nothing more can be read from a connection.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The peer closed the connection in order.
+    #[error("the peer closed the connection: open another one")]
     Closed,
     /// The connection was reset, or could not be established.
+    #[error("the connection was reset or not established: retry on another one")]
     Reset,
     /// The peer sent input that violates the protocol.
-    Bad(ParseError),
-}
-
-impl From<ParseError> for ReadError {
-    fn from(bad: ParseError) -> ReadError {
-        ReadError::Bad(bad)
-    }
+    #[error(transparent)]
+    Bad(#[from] ParseError),
 }
 
 /// Reads once, appending to the buffer. Cancel-safe: what was read stays in the buffer.
 ///
 /// # Errors
 ///
-/// [`Broken::Ended`] at the end of the stream, [`Broken::Reset`] after any other error.
+/// [`ReadError::Closed`] at the end of the stream, [`ReadError::Reset`] after any other error.
 pub async fn more(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -50,41 +47,41 @@
 /// Reads what the operating system has buffered for this socket, without waiting. `None` if there is nothing yet;
 /// `Some(Ok(0))` at the end of the stream.
 ///
-/// This asks the system and not the async runtime: the runtime knows the state of its last poll only, and would miss
-/// bytes or a close that came since.
+/// This queries the system and not the async runtime: the runtime knows the state of its last poll only, and would miss
+/// bytes or a close that arrived since.
 pub fn read_available(stream: &TcpStream, buffer: &mut [u8]) -> Option<io::Result<usize>> {
     match SockRef::from(stream).deref().read(buffer) {
-        Err(e) if e.kind() == ErrorKind::WouldBlock => None,
-        read => Some(read),
+        Err(error) if error.kind() == ErrorKind::WouldBlock => None,
+        result => Some(result),
     }
 }
 
-/// Reads a head up to and including its empty line, and takes it out of the buffer. Cancel-safe.
+/// Reads a head up to and including its empty line, and splits it off the buffer. Cancel-safe.
 ///
-/// `begins`: how the head must begin (may be empty). Anything else is refused at once, since it may have no end.
-/// `most`: largest head in bytes.
+/// `prefix`: how the head must begin (may be empty). Anything else is refused at once, since it may have no end.
+/// `max_length`: largest head in bytes.
 ///
 /// # Errors
 ///
-/// As [`more`]; [`Broken::Bad`] if the head begins wrongly or is too long.
+/// As [`more`]; [`ReadError::Bad`] if the head begins wrongly or is too long.
 pub async fn head(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
-    begins: &[u8],
-    most: usize,
+    prefix: &[u8],
+    max_length: usize,
 ) -> Result<Bytes, ReadError> {
     let mut searched = 0;
     loop {
-        if buffer.iter().zip(begins).any(|(a, b)| a != b) {
+        if buffer.iter().zip(prefix).any(|(a, b)| a != b) {
             return Err(ParseError("no HTTP").into());
         }
         if let Some(end) = head::find_end(buffer, searched) {
-            if end > most {
+            if end > max_length {
                 return Err(HEAD_TOO_LONG.into());
             }
             return Ok(buffer.split_to(end).freeze());
         }
-        if buffer.len() > most {
+        if buffer.len() > max_length {
             return Err(HEAD_TOO_LONG.into());
         }
         searched = buffer.len();
