--- a/crates/sparrouter-routing/src/backlog.rs
+++ b/crates/sparrouter-routing/src/backlog.rs
@@ -43,7 +43,8 @@
     overtaking_before: f64,
 }
 
-/// The queue of one server. Tokens are those to prefill: what the server has cached of a prompt does not count.
+/// The queue of one server. Its tokens are those that are expected to be prefilled: the caller leaves out what it expects
+/// the server to have cached of a prompt.
 #[derive(Clone, Debug)]
 pub struct Backlog {
     /// By the token that the prompt was enqueued under; at most [`MAX_QUEUED`].
