--- a/crates/sparrouter-membership/src/lib.rs
+++ b/crates/sparrouter-membership/src/lib.rs
@@ -17,15 +17,15 @@
 //! higher incarnation); Shapiro et al., "Conflict-free replicated data types", 2011.
 #![deny(missing_docs)]
 
-mod directives;
-mod pace;
-mod packed;
-mod rows;
+mod directive;
+mod publish_schedule;
+mod pack;
+mod table;
 mod sources;
 
-pub use directives::ServerDirective;
-pub use pace::PublishSchedule;
-pub use rows::{
+pub use directive::ServerDirective;
+pub use publish_schedule::PublishSchedule;
+pub use table::{
     ChangedRecord, LifecycleState, LoadedModel, MembershipDelta, MembershipTable, NodeRecord,
     ServerRecord,
 };
