--- a/crates/sparrouter-membership/src/directive.rs
+++ b/crates/sparrouter-membership/src/directive.rs
@@ -1,5 +1,6 @@
-//! Server directives: what the holder of a rollout lease announces to all nodes. The newest by fencing token and number
-//! wins.
+//! Server directives: what the holder of a rollout lease announces to all nodes.
+use crate::changes::{RecordKey, Urgency};
+use crate::record_table::Record;
 use nanoserde::{DeBin, SerBin};
 
 /// One directive, such as that a server is loading new weights.
@@ -9,17 +10,36 @@
     pub key: String,
     /// Fencing token of the lease holder; orders the directives under one key.
     pub fencing_token: u64,
-    /// The holder's own count; orders its directives under one fencing token.
+    /// The lease holder's own count; orders its directives under one fencing token.
     pub sequence: u64,
     /// The version of the weights; 0 if there is none.
     pub version: u64,
-    /// It does not apply any more. Kept as a tombstone for a while, then dropped.
+    /// It does not apply any more. The directive remains as a tombstone for a while, then it is dropped.
     pub withdrawn: bool,
 }
 
-impl ServerDirective {
-    /// Whether this directive replaces the other one under the same key.
-    pub(crate) fn supersedes(&self, than: &ServerDirective) -> bool {
-        (self.fencing_token, self.sequence) > (than.fencing_token, than.sequence)
+impl Record for ServerDirective {
+    fn key(&self) -> &str {
+        &self.key
+    }
+
+    fn record_key(&self) -> RecordKey {
+        RecordKey::Directive(self.key.clone())
+    }
+
+    /// The directive with the higher fencing token wins; of two with the same, the one with the higher sequence. A lease
+    /// holder that was replaced thereby changes nothing.
+    fn merge(&self, update: ServerDirective) -> Option<ServerDirective> {
+        let is_newer =
+            (update.fencing_token, update.sequence) > (self.fencing_token, self.sequence);
+        is_newer.then_some(update)
+    }
+
+    fn urgency(&self) -> Urgency {
+        Urgency::Immediate
+    }
+
+    fn retention_periods(&self) -> Option<u64> {
+        self.withdrawn.then_some(1)
     }
 }
--- a/crates/sparrouter-membership/tests/packing.rs
+++ b/crates/sparrouter-membership/tests/packing.rs
@@ -1,118 +1,137 @@
-//! Rows to bytes and back.
+//! Deltas to bytes and back.
 use nanoserde::SerBin;
 use sparrouter_membership::{
     LifecycleState, LoadedModel, MembershipDelta, NodeRecord, ServerDirective, ServerRecord,
 };
 
-fn any(rng: &mut fastrand::Rng) -> MembershipDelta {
-    let word = |rng: &mut fastrand::Rng| {
-        let words = [
-            "",
-            "lekh",
-            "ü",
-            "10.0.0.1:80",
-            "010.0.0.1:80",
-            "10.0.0.1:080",
-            "[::1]:80",
-            "9.9.9.9:65535",
-        ];
-        words[rng.usize(..words.len())].to_owned()
-    };
-    let number = |rng: &mut fastrand::Rng| rng.u64(..) >> rng.u32(..64);
-    let standing = |rng: &mut fastrand::Rng| {
-        [
-            LifecycleState::Ready,
-            LifecycleState::Draining,
-            LifecycleState::Left,
-        ][rng.usize(..3)]
-    };
-    let servers = (0..rng.usize(..9)).map(|_| ServerRecord {
-        id: word(rng),
-        service: word(rng),
-        address: word(rng),
-        zone: word(rng),
+/// Texts that are hard for the short forms of names and addresses.
+const TEXTS: [&str; 8] = [
+    "",
+    "lekh",
+    "ü",
+    "10.0.0.1:80",
+    "010.0.0.1:80",
+    "10.0.0.1:080",
+    "[::1]:80",
+    "9.9.9.9:65535",
+];
+
+fn random_text(rng: &mut fastrand::Rng) -> String {
+    TEXTS[rng.usize(..TEXTS.len())].to_owned()
+}
+
+/// A number of any length in bits.
+fn random_number(rng: &mut fastrand::Rng) -> u64 {
+    rng.u64(..) >> rng.u32(..64)
+}
+
+fn random_state(rng: &mut fastrand::Rng) -> LifecycleState {
+    [
+        LifecycleState::Ready,
+        LifecycleState::Draining,
+        LifecycleState::Left,
+    ][rng.usize(..3)]
+}
+
+fn random_model(rng: &mut fastrand::Rng) -> LoadedModel {
+    LoadedModel {
+        name: random_text(rng),
+        version: random_number(rng),
+    }
+}
+
+fn random_server(rng: &mut fastrand::Rng) -> ServerRecord {
+    ServerRecord {
+        id: random_text(rng),
+        service: random_text(rng),
+        address: random_text(rng),
+        zone: random_text(rng),
         slot_count: rng.u32(..),
-        state: standing(rng),
-        call_sequence: number(rng),
-        models: (0..rng.usize(..3))
-            .map(|_| LoadedModel {
-                name: word(rng),
-                version: number(rng),
-            })
-            .collect(),
-        registrar: word(rng),
+        state: random_state(rng),
+        call_sequence: random_number(rng),
+        models: (0..rng.usize(..3)).map(|_| random_model(rng)).collect(),
+        registrar: random_text(rng),
         unresponsive: rng.bool(),
-    });
-    let servers = servers.collect();
-    let nodes = (0..rng.usize(..9)).map(|_| NodeRecord {
-        name: word(rng),
-        internal_address: word(rng),
-        control_address: word(rng),
-        zone: word(rng),
-        region: word(rng),
+    }
+}
+
+fn random_node(rng: &mut fastrand::Rng) -> NodeRecord {
+    NodeRecord {
+        name: random_text(rng),
+        internal_address: random_text(rng),
+        control_address: random_text(rng),
+        zone: random_text(rng),
+        region: random_text(rng),
         counts_toward_quorum: rng.bool(),
         serves_clients: rng.bool(),
-        disk_id: number(rng),
-        incarnation: number(rng),
-        nonce: number(rng),
+        disk_id: random_number(rng),
+        incarnation: random_number(rng),
+        nonce: random_number(rng),
         leaving: rng.bool(),
         unresponsive: rng.bool(),
-    });
-    let nodes = nodes.collect();
-    let notes = (0..rng.usize(..9)).map(|_| ServerDirective {
-        key: word(rng),
-        fencing_token: number(rng),
-        sequence: number(rng),
-        version: number(rng),
+    }
+}
+
+fn random_directive(rng: &mut fastrand::Rng) -> ServerDirective {
+    ServerDirective {
+        key: random_text(rng),
+        fencing_token: random_number(rng),
+        sequence: random_number(rng),
+        version: random_number(rng),
         withdrawn: rng.bool(),
-    });
-    let notes = notes.collect();
+    }
+}
+
+fn random_delta(rng: &mut fastrand::Rng) -> MembershipDelta {
+    let servers = (0..rng.usize(..9)).map(|_| random_server(rng)).collect();
+    let nodes = (0..rng.usize(..9)).map(|_| random_node(rng)).collect();
+    let directives = (0..rng.usize(..9)).map(|_| random_directive(rng)).collect();
     MembershipDelta {
         epoch: rng.u64(..),
-        revision: number(rng),
+        revision: random_number(rng),
         servers,
         nodes,
-        directives: notes,
+        directives,
     }
 }
 
 #[test]
-fn given_any_rows_when_packed_and_unpacked_then_they_are_the_same() {
+fn given_any_records_when_packed_and_unpacked_then_they_are_the_same() {
     let mut rng = fastrand::Rng::with_seed(5);
     for _ in 0..2_000 {
-        let delta = any(&mut rng);
+        let delta = random_delta(&mut rng);
         assert_eq!(MembershipDelta::unpack(&delta.pack()), Some(delta));
     }
 }
 
 #[test]
-fn given_cut_or_changed_bytes_when_unpacked_then_they_are_refused_or_read_without_a_panic() {
+fn given_truncated_or_changed_bytes_when_unpacked_then_they_are_rejected_or_read_without_a_panic() {
     let mut rng = fastrand::Rng::with_seed(6);
     for _ in 0..500 {
-        let packed = any(&mut rng).pack();
+        let packed = random_delta(&mut rng).pack();
         for end in 0..packed.len() {
             assert_eq!(
                 MembershipDelta::unpack(&packed[..end]),
                 None,
-                "a part is not the whole"
+                "a truncated delta is malformed"
             );
         }
         let mut changed = packed.clone();
-        let at = rng.usize(..changed.len());
-        changed[at] = rng.u8(..);
+        let index = rng.usize(..changed.len());
+        changed[index] = rng.u8(..);
         let _ = MembershipDelta::unpack(&changed);
     }
 }
 
 #[test]
-fn given_a_long_text_named_many_times_when_unpacked_then_memory_stays_bounded() {
+fn given_a_long_name_repeated_many_times_when_unpacked_then_memory_stays_bounded() {
     let service = "x".repeat(100_000);
-    let row = ServerRecord {
+    let record = ServerRecord {
         service,
         ..ServerRecord::default()
     };
     let delta = MembershipDelta {
-        servers: vec![row; 20_000].into(),
+        servers: vec![record; 20_000].into(),
         ..MembershipDelta::default()
     };
     let packed = delta.pack();
--- a/crates/sparrouter-membership/tests/publish_schedule.rs
+++ b/crates/sparrouter-membership/tests/publish_schedule.rs
@@ -1,63 +1,73 @@
-//! When changed rows are published.
+//! When changed records are published.
 use sparrouter_membership::{
     LifecycleState, MembershipTable, NodeRecord, PublishSchedule, ServerRecord,
 };
 
+/// A millisecond in nanoseconds.
 const MS: u64 = 1_000_000;
 
-fn come(rows: &mut MembershipTable, id: usize, standing: LifecycleState, now: u64) {
+fn new_table_and_schedule() -> (MembershipTable, PublishSchedule) {
+    (
+        MembershipTable::new(1, 1, 10_000),
+        PublishSchedule::default(),
+    )
+}
+
+/// Merges the first heartbeat of a server at an address of its own.
+fn merge_server(table: &mut MembershipTable, id: usize, state: LifecycleState, now: u64) {
     let address = format!("10.0.{}.{}:80", id / 250, id % 250);
-    let row = ServerRecord {
+    let record = ServerRecord {
         id: format!("s{id}"),
         address,
         call_sequence: 1,
-        state: standing,
+        state,
         ..ServerRecord::default()
     };
-    assert!(rows.merge_server(row, now));
+    assert!(table.merge_server(record, now));
 }
 
 #[test]
 fn given_a_thousand_servers_that_appear_one_by_one_then_few_publications_cover_all() {
-    let (mut rows, mut pace) = (
-        MembershipTable::new(1, 1, 10_000),
-        PublishSchedule::default(),
-    );
-    let mut told = 0;
+    let (mut table, mut schedule) = new_table_and_schedule();
+    let mut publications = 0;
     for id in 0..1_000 {
         let now = id as u64 * MS;
-        come(&mut rows, id, LifecycleState::Ready, now);
-        let due = pace
-            .next_publish_at(&rows, 10, now)
+        merge_server(&mut table, id, LifecycleState::Ready, now);
+        let publish_at = schedule
+            .next_publish_at(&table, 10, now)
             .expect("something is new");
         assert!(
-            due <= now + 70 * MS,
+            publish_at <= now + 70 * MS,
             "nothing waits longer than it takes to gather"
         );
-        if due <= now {
-            pace.publish(&rows, now);
-            told += 1;
+        if publish_at <= now {
+            schedule.publish(&table, now);
+            publications += 1;
         }
     }
-    assert!((13..=15).contains(&told), "{told}");
+    assert!((13..=15).contains(&publications), "{publications}");
 }
 
 #[test]
-fn given_a_quiet_period_when_a_server_drains_then_all_pending_rows_are_published_at_once() {
-    let (mut rows, mut pace) = (
-        MembershipTable::new(1, 1, 10_000),
-        PublishSchedule::default(),
+fn given_a_quiet_period_when_a_server_drains_then_all_pending_records_are_published_at_once() {
+    let (mut table, mut schedule) = new_table_and_schedule();
+    merge_server(&mut table, 1, LifecycleState::Ready, 100 * MS);
+    assert_eq!(
+        schedule.next_publish_at(&table, 200, 100 * MS),
+        Some(360 * MS)
     );
-    come(&mut rows, 1, LifecycleState::Ready, 100 * MS);
-    assert_eq!(pace.next_publish_at(&rows, 200, 100 * MS), Some(360 * MS));
-    come(&mut rows, 2, LifecycleState::Draining, 110 * MS);
+    merge_server(&mut table, 2, LifecycleState::Draining, 110 * MS);
     assert!(
-        pace.next_publish_at(&rows, 200, 110 * MS)
-            .is_some_and(|due| due <= 110 * MS)
+        schedule
+            .next_publish_at(&table, 200, 110 * MS)
+            .is_some_and(|publish_at| publish_at <= 110 * MS)
     );
-    pace.publish(&rows, 110 * MS);
+    schedule.publish(&table, 110 * MS);
     assert_eq!(
-        (pace.published(), pace.next_publish_at(&rows, 200, 111 * MS)),
+        (
+            schedule.published(),
+            schedule.next_publish_at(&table, 200, 111 * MS)
+        ),
         (2, None)
     );
 }
@@ -65,19 +75,16 @@
 #[test]
 fn given_many_servers_that_drain_at_once_when_many_poll_then_they_are_published_together_and_soon()
 {
-    let (mut rows, mut pace) = (
-        MembershipTable::new(1, 1, 10_000),
-        PublishSchedule::default(),
-    );
+    let (mut table, mut schedule) = new_table_and_schedule();
     let mut published = Vec::new();
     for id in 0..500 {
         let now = (1_000 + id as u64) * MS;
-        come(&mut rows, id, LifecycleState::Draining, now);
-        if pace
-            .next_publish_at(&rows, 200, now)
-            .is_some_and(|due| due <= now)
+        merge_server(&mut table, id, LifecycleState::Draining, now);
+        if schedule
+            .next_publish_at(&table, 200, now)
+            .is_some_and(|publish_at| publish_at <= now)
         {
-            pace.publish(&rows, now);
+            schedule.publish(&table, now);
             published.push(now);
         }
     }
@@ -92,27 +99,24 @@
 }
 
 #[test]
-fn given_published_rows_when_one_changes_later_then_it_is_in_the_next_publication_only() {
-    let (mut rows, mut pace) = (
-        MembershipTable::new(1, 1, 10_000),
-        PublishSchedule::default(),
-    );
-    come(&mut rows, 1, LifecycleState::Ready, 0);
-    come(&mut rows, 2, LifecycleState::Ready, 0);
-    pace.publish(&rows, 0);
-    come(&mut rows, 1, LifecycleState::Draining, 1);
-    let told = rows.delta_between(1, 0, pace.published(), usize::MAX);
-    assert_eq!((told.revision, told.servers.len()), (2, 1));
-    let rest = rows.delta_between(1, told.revision, rows.revision(), usize::MAX);
+fn given_published_records_when_one_changes_later_then_it_is_in_the_next_publication_only() {
+    let (mut table, mut schedule) = new_table_and_schedule();
+    merge_server(&mut table, 1, LifecycleState::Ready, 0);
+    merge_server(&mut table, 2, LifecycleState::Ready, 0);
+    schedule.publish(&table, 0);
+    merge_server(&mut table, 1, LifecycleState::Draining, 1);
+    let published = table.delta_between(1, 0, schedule.published(), usize::MAX);
+    assert_eq!((published.revision, published.servers.len()), (2, 1));
+    let rest = table.delta_between(1, published.revision, table.revision(), usize::MAX);
     assert_eq!((rest.revision, rest.servers.len()), (3, 1));
     let node = NodeRecord {
         name: "n".into(),
         incarnation: 1,
         ..NodeRecord::default()
     };
-    rows.merge_node(node, 2);
+    table.merge_node(node, 2);
     assert!(
-        rows.delta_between(1, 3, 3, usize::MAX).is_empty(),
-        "what is not published is not told"
+        table.delta_between(1, 3, 3, usize::MAX).is_empty(),
+        "an unpublished change is not sent"
     );
 }
