--- a/crates/sparrouter-storage/src/error.rs
+++ b/crates/sparrouter-storage/src/error.rs
@@ -1,6 +1,34 @@
 //! What can go wrong with a record on disk. Each message names the remedy.
+use std::fmt;
 use std::io;
 
+/// An operation on the data directory, as the message of [`StorageError::Io`] names it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Operation {
+    /// Listing the files of the directory.
+    List,
+    /// Reading a file.
+    Read,
+    /// Writing a file and syncing it.
+    Write,
+    /// Renaming a file.
+    Rename,
+    /// Syncing the directory.
+    Sync,
+}
+
+impl fmt::Display for Operation {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Operation::List => "list",
+            Operation::Read => "read",
+            Operation::Write => "write",
+            Operation::Rename => "rename",
+            Operation::Sync => "sync",
+        })
+    }
+}
+
 /// Why a record could not be read or saved.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
@@ -11,20 +39,20 @@
     Full {
         /// The data directory.
         folder: String,
-        /// Bytes that the record takes.
+        /// Bytes that the file of the record takes.
         needed: u64,
     },
     /// A file was written by a newer release.
     #[error(
-        "{name} was written by a newer release (format {found}, this one knows {known}): start that release again, or empty the folder so that the machine joins as a new one"
+        "{name} was written by a newer release (format {format}, this one knows {newest_known}): start that release again, or empty the folder so that the machine joins as a new one"
     )]
     Newer {
         /// The file.
         name: String,
         /// Format version of the file.
-        found: u16,
+        format: u16,
         /// Newest format version that this release reads.
-        known: u16,
+        newest_known: u16,
     },
     /// The newest version of a record is damaged.
     #[error(
@@ -36,30 +64,30 @@
     },
     /// The name is not allowed for a record.
     #[error("{name:?} can't name a record: use 1 to 64 of a-z, 0-9, '-' and '_'")]
-    Name {
-        /// The name that was refused.
+    InvalidName {
+        /// The name that was rejected.
         name: String,
     },
     /// The record is larger than [`crate::store::MAX_RECORD_BYTES`].
-    #[error("record {name} has {length} bytes, at most {most} are kept: make it smaller")]
+    #[error("record {name} has {length} bytes, at most {limit} are allowed: make it smaller")]
     TooLarge {
         /// The record.
         name: String,
         /// Its size in bytes.
         length: usize,
         /// Largest allowed size in bytes.
-        most: usize,
+        limit: usize,
     },
     /// The operating system refused an operation.
     #[error(
-        "disk under {folder} refused to {what} {name}: {source}; check the disk, the next save tries again"
+        "disk under {folder} refused to {operation} {name}: {source}; check the disk, the next save tries again"
     )]
     Io {
         /// The data directory.
         folder: String,
         /// The operation that failed.
-        what: &'static str,
-        /// The file.
+        operation: Operation,
+        /// The file, or `.` for the directory.
         name: String,
         /// The error of the operating system.
         source: io::Error,
@@ -67,10 +95,10 @@
 }
 
 impl StorageError {
-    /// The error for a failed operation `what` on the file `name`; `needed` bytes were to be written.
-    pub(crate) fn of(
+    /// The error for a failed operation on the file `name`; `needed` bytes were to be written.
+    pub(crate) fn from_io(
         folder: &str,
-        what: &'static str,
+        operation: Operation,
         name: &str,
         needed: usize,
         source: io::Error,
@@ -84,7 +112,7 @@
             },
             _ => StorageError::Io {
                 folder: folder.to_owned(),
-                what,
+                operation,
                 name: name.to_owned(),
                 source,
             },
--- a/crates/sparrouter-storage/src/frame.rs
+++ b/crates/sparrouter-storage/src/frame.rs
@@ -1,6 +1,6 @@
-//! The byte format of one file: a head, then the record. Numbers are little-endian.
+//! The byte format of one file: a header, then the record. Numbers are little-endian.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 0..8 | `cellar\r\n`; the line end shows whether a transfer converted line ends |
 //! | 8..10 | format version |
@@ -8,18 +8,26 @@
 //! | 18..22 | length of the record in bytes |
 //! | 22..26 | CRC-32 (IEEE) of bytes 8..22 and the record |
 //! | 26.. | the record |
+use std::ops::Range;
 
-/// The first bytes of each file. Older data directories hold them, so they stay.
+/// The first bytes of each file. Data directories of older releases hold them, so they stay.
 pub const MAGIC: [u8; 8] = *b"cellar\r\n";
 /// The newest format version that this release reads and writes.
 pub const FORMAT: u16 = 1;
-/// Length of the head in bytes.
+/// Length of the header in bytes.
 pub const HEAD: usize = 26;
 
-/// What a file holds.
+// Where the fields of the header stand in it.
+const VERSION_BYTES: Range<usize> = 10..18;
+const LENGTH_BYTES: Range<usize> = 18..22;
+const CHECKSUM_BYTES: Range<usize> = 22..26;
+/// The bytes of the header that the checksum covers.
+const CHECKED_BYTES: Range<usize> = 8..22;
+
+/// The content of a file.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Opened {
-    /// A whole record.
+    /// A complete record.
     Good(Vec<u8>),
     /// A file of a newer release, with its format version.
     Newer(u16),
@@ -34,7 +42,7 @@
     bytes.extend_from_slice(&FORMAT.to_le_bytes());
     bytes.extend_from_slice(&version.to_le_bytes());
     bytes.extend_from_slice(&(record.len() as u32).to_le_bytes());
-    let checksum = checksum(&bytes[MAGIC.len()..], record);
+    let checksum = checksum(&bytes[CHECKED_BYTES], record);
     bytes.extend_from_slice(&checksum.to_le_bytes());
     bytes.extend_from_slice(record);
     bytes
@@ -42,37 +50,40 @@
 
 /// Checks the bytes of a file whose name gives this version.
 pub fn read(version: u64, bytes: &[u8]) -> Opened {
-    let Some((head, record)) = bytes.split_at_checked(HEAD) else {
+    let Some((header, record)) = bytes.split_at_checked(HEAD) else {
         return Opened::Damaged;
     };
-    if head[..8] != MAGIC {
+    if !header.starts_with(&MAGIC) {
         return Opened::Damaged;
     }
     // The format is checked before the checksum, because a newer release may compute that differently.
-    let format = u16::from_le_bytes([head[8], head[9]]);
+    let format = u16::from_le_bytes([header[8], header[9]]);
     if format > FORMAT {
         return Opened::Newer(format);
     }
-    let number = |from: usize, n: usize| {
-        head[from..from + n]
-            .iter()
-            .rev()
-            .fold(0u64, |x, &b| x << 8 | u64::from(b))
-    };
-    let is_whole = format == FORMAT
-        && number(10, 8) == version
-        && number(18, 4) == record.len() as u64
-        && number(22, 4) == u64::from(checksum(&head[MAGIC.len()..22], record));
-    if is_whole {
+    let expected_checksum = checksum(&header[CHECKED_BYTES], record);
+    let is_complete = format == FORMAT
+        && read_number(&header[VERSION_BYTES]) == version
+        && read_number(&header[LENGTH_BYTES]) == record.len() as u64
+        && read_number(&header[CHECKSUM_BYTES]) == u64::from(expected_checksum);
+    if is_complete {
         Opened::Good(record.to_vec())
     } else {
         Opened::Damaged
     }
 }
 
-fn checksum(head: &[u8], record: &[u8]) -> u32 {
+/// A little-endian number of at most eight bytes.
+fn read_number(bytes: &[u8]) -> u64 {
+    bytes
+        .iter()
+        .rev()
+        .fold(0, |number, byte| number << 8 | u64::from(*byte))
+}
+
+fn checksum(header: &[u8], record: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(head);
+    hasher.update(header);
     hasher.update(record);
     hasher.finalize()
 }
--- a/crates/sparrouter-storage/tests/saves.rs
+++ b/crates/sparrouter-storage/tests/saves.rs
@@ -1,10 +1,12 @@
+//! Records on a simulated disk: every crash point of a save, damage, a full disk, names and newer releases.
 use sparrouter_storage::simulated::DiskFailure;
 use sparrouter_storage::{Files, Opened, RealFiles, SimulatedFiles, StorageError, Store};
 
 const OLD: &[u8] = b"the old record";
 const NEW: &[u8] = b"a new record, longer than the old";
 
-fn value<F: Files>(files: F, name: &str) -> Option<Vec<u8>> {
+/// The record that a restart reads.
+fn reopen<F: Files>(files: F, name: &str) -> Option<Vec<u8>> {
     match Store::open(files).unwrap().1 {
         Opened::Fresh => None,
         Opened::Existing(mut records) => records.remove(name),
@@ -13,9 +15,7 @@
 
 /// Operations of one save over an older version.
 fn operations_of_a_save() -> u64 {
-    let files = SimulatedFiles::new(0);
-    let (mut store, _) = Store::open(files.clone()).unwrap();
-    store.save("part-1", OLD).unwrap();
+    let (files, mut store) = store_with_old(0);
     let before = files.operations();
     store.save("part-1", NEW).unwrap();
     files.operations() - before
@@ -42,27 +42,36 @@
     })
 }
 
-/// Saves `OLD`, then `NEW` with a crash; gives the directory, and whether the second save was acknowledged.
-fn crash_while_replacing(crash: Crash) -> (SimulatedFiles, bool) {
-    let files = SimulatedFiles::new(crash.seed);
+/// A directory with `OLD` as `part-1`, and its store.
+fn store_with_old(seed: u64) -> (SimulatedFiles, Store<SimulatedFiles>) {
+    let files = SimulatedFiles::new(seed);
     let (mut store, _) = Store::open(files.clone()).unwrap();
     store.save("part-1", OLD).unwrap();
+    (files, store)
+}
+
+/// Saves `OLD`, then `NEW` with a crash; gives the directory, and whether the second save was acknowledged.
+fn crash_while_replacing(crash: Crash) -> (SimulatedFiles, bool) {
+    let (files, mut store) = store_with_old(crash.seed);
     files.fail_at(crash.nth, crash.failure);
     let is_saved = store.save("part-1", NEW).is_ok();
     (files, is_saved)
 }
 
 #[test]
-fn given_any_crash_point_of_a_save_when_power_is_lost_then_the_old_or_the_new_record_is_there() {
+fn given_any_crash_point_of_a_save_when_power_is_lost_then_the_old_or_the_new_record_is_read() {
     for crash in crashes(operations_of_a_save()) {
         let (files, is_saved) = crash_while_replacing(crash);
         files.lose_power();
-        let found = value(files.clone(), "part-1").expect("the old or the new record");
-        assert!(found == NEW || (found == OLD && !is_saved), "{crash:?}");
+        let reopened = reopen(files.clone(), "part-1").expect("the old or the new record");
+        assert!(
+            reopened == NEW || (reopened == OLD && !is_saved),
+            "{crash:?}"
+        );
         let (mut store, _) = Store::open(files.clone()).unwrap();
         store.save("part-1", b"third").unwrap();
         files.lose_power();
-        assert_eq!(value(files, "part-1").unwrap(), b"third", "{crash:?}");
+        assert_eq!(reopen(files, "part-1").unwrap(), b"third", "{crash:?}");
     }
 }
 
@@ -71,15 +80,14 @@
     for crash in crashes(operations_of_a_save()) {
         let (files, _) = crash_while_replacing(crash);
         files.clear_failure();
-        let read = value(files.clone(), "part-1").unwrap();
+        let read = reopen(files.clone(), "part-1").unwrap();
         files.lose_power();
-        assert_eq!(value(files, "part-1").unwrap(), read, "{crash:?}");
+        assert_eq!(reopen(files, "part-1").unwrap(), read, "{crash:?}");
     }
 }
 
 #[test]
-fn given_any_crash_point_of_the_first_save_when_power_is_lost_then_nothing_or_the_record_is_there()
-{
+fn given_any_crash_point_of_the_first_save_when_power_is_lost_then_nothing_or_the_record_is_read() {
     for crash in crashes(4) {
         let files = SimulatedFiles::new(crash.seed);
         let (mut store, opened) = Store::open(files.clone()).unwrap();
@@ -87,9 +95,9 @@
         files.fail_at(crash.nth, crash.failure);
         let is_saved = store.save("disk", NEW).is_ok();
         files.lose_power();
-        let found = value(files, "disk");
+        let reopened = reopen(files, "disk");
         assert!(
-            found.as_deref() == Some(NEW) || (found.is_none() && !is_saved),
+            reopened.as_deref() == Some(NEW) || (reopened.is_none() && !is_saved),
             "{crash:?}"
         );
     }
@@ -100,16 +108,14 @@
  {
     for nth in 0..operations_of_a_save() {
         for failure in failures() {
-            let files = SimulatedFiles::new(nth);
-            let (mut store, _) = Store::open(files.clone()).unwrap();
-            store.save("part-1", OLD).unwrap();
+            let (files, mut store) = store_with_old(nth);
             files.fail_at(nth, failure);
             let _ = store.save("part-1", NEW);
             files.clear_failure();
             store.save("part-1", b"third").unwrap();
             files.lose_power();
             assert_eq!(
-                value(files, "part-1").unwrap(),
+                reopen(files, "part-1").unwrap(),
                 b"third",
                 "{nth} {failure:?}"
             );
@@ -118,10 +124,8 @@
 }
 
 #[test]
-fn given_a_full_disk_when_space_is_freed_then_saves_succeed_and_the_old_record_was_kept() {
-    let files = SimulatedFiles::new(1);
-    let (mut store, _) = Store::open(files.clone()).unwrap();
-    store.save("part-1", OLD).unwrap();
+fn given_a_full_disk_when_space_is_freed_then_saves_succeed_and_the_old_record_was_not_lost() {
+    let (files, mut store) = store_with_old(1);
     files.set_capacity(Some(60));
     let error = store.save("part-1", NEW).unwrap_err();
     assert!(matches!(error, StorageError::Full { .. }), "{error:?}");
@@ -131,48 +135,44 @@
             .contains("data directory is full: free 59 bytes"),
         "{error}"
     );
-    assert_eq!(value(files.clone(), "part-1").unwrap(), OLD);
+    assert_eq!(reopen(files.clone(), "part-1").unwrap(), OLD);
     for _ in 0..100 {
         store.save("part-1", NEW).unwrap_err();
     }
     files.set_capacity(None);
     store.save("part-1", NEW).unwrap();
     files.lose_power();
-    assert_eq!(value(files.clone(), "part-1").unwrap(), NEW);
+    assert_eq!(reopen(files.clone(), "part-1").unwrap(), NEW);
     assert_eq!(files.list().unwrap().len(), 1, "{:?}", files.list());
 }
 
 #[test]
-fn given_a_damaged_newest_file_when_opened_then_it_is_refused_and_no_older_one_is_served() {
-    let files = SimulatedFiles::new(1);
-    let (mut store, _) = Store::open(files.clone()).unwrap();
-    store.save("part-1", OLD).unwrap();
+fn given_a_damaged_newest_file_when_opened_then_it_is_rejected_and_no_older_one_is_served() {
+    let (files, mut store) = store_with_old(1);
     let older = files.read("part-1.1").unwrap();
     store.save("part-1", NEW).unwrap();
     files.put("part-1.1", &older);
-    for at in 0..26 + NEW.len() {
-        if at == 9 {
+    for offset in 0..26 + NEW.len() {
+        if offset == 9 {
             continue; // the high byte of the format: a newer release, see below
         }
-        files.damage("part-1.2", at);
+        files.damage("part-1.2", offset);
         let error = Store::open(files.clone()).unwrap_err();
         assert!(
             matches!(
                 error,
                 StorageError::Damaged { .. } | StorageError::Newer { .. }
             ),
-            "{at} {error:?}"
+            "{offset} {error:?}"
         );
-        files.damage("part-1.2", at);
+        files.damage("part-1.2", offset);
     }
-    assert_eq!(value(files, "part-1").unwrap(), NEW);
+    assert_eq!(reopen(files, "part-1").unwrap(), NEW);
 }
 
 #[test]
 fn given_a_damaged_older_file_when_a_newer_one_is_good_then_it_is_ignored_and_removed() {
-    let files = SimulatedFiles::new(1);
-    let (mut store, _) = Store::open(files.clone()).unwrap();
-    store.save("part-1", OLD).unwrap();
+    let (files, mut store) = store_with_old(1);
     store.save("part-1", NEW).unwrap();
     files.put("part-1.1", b"torn");
     files.put("part-1.7.tmp", b"torn too");
@@ -193,8 +193,8 @@
     assert!(matches!(
         error,
         StorageError::Newer {
-            found: 2,
-            known: 1,
+            format: 2,
+            newest_known: 1,
             ..
         }
     ));
@@ -205,11 +205,11 @@
 }
 
 #[test]
-fn given_names_that_could_leave_the_directory_when_saved_then_they_are_refused() {
+fn given_names_that_could_leave_the_directory_when_saved_then_they_are_rejected() {
     let (mut store, _) = Store::open(SimulatedFiles::new(1)).unwrap();
     for name in ["", "..", "a/b", "a.b", "A", &"x".repeat(65)] {
         assert!(
-            matches!(store.save(name, OLD), Err(StorageError::Name { .. })),
+            matches!(store.save(name, OLD), Err(StorageError::InvalidName { .. })),
             "{name}"
         );
     }
@@ -221,9 +221,9 @@
     let path = folder.path().join("data");
     let (mut store, opened) = Store::open(RealFiles::open(&path).unwrap()).unwrap();
     assert_eq!(opened, Opened::Fresh);
-    for round in 0..5u8 {
-        store.save("part-1", &[round; 100]).unwrap();
-        store.save("disk", &[round]).unwrap();
+    for value in 0..5u8 {
+        store.save("part-1", &[value; 100]).unwrap();
+        store.save("disk", &[value]).unwrap();
     }
     let (_, opened) = Store::open(RealFiles::open(&path).unwrap()).unwrap();
     assert!(
