--- a/crates/sparrouter-config/src/change.rs
+++ b/crates/sparrouter-config/src/change.rs
@@ -1,10 +1,10 @@
 //! Applies a PUT or PATCH to the document in force.
 
+use crate::error::ConfigError;
 use crate::fields::Fields;
+use crate::json;
 use crate::order::Order;
-use crate::refusal::ConfigError;
-use crate::table::RouteTable;
-use crate::text;
+use crate::route_table::RouteTable;
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -52,7 +52,7 @@
     body: &[u8],
     if_match: Option<u64>,
 ) -> Result<Order, ConfigError> {
-    let (sent, tree) = text::read(body)?;
+    let (sent, tree) = json::read(body)?;
     let version = Fields::root(&tree)?.version()?;
     Ok(Order::new(method, base_of(if_match), version, &sent))
 }
@@ -101,7 +101,7 @@
             current: in_force,
         });
     }
-    let (sent, tree) = text::read(body)?;
+    let (sent, tree) = json::read(body)?;
     let version = Fields::root(&tree)?.version()?;
     drop(tree);
     if version <= in_force {
@@ -137,7 +137,7 @@
 impl<'a> Patch<'a> {
     fn read(sent: &'a str) -> Result<Patch<'a>, ConfigError> {
         let mut patch = Patch::default();
-        for (field, value) in text::fields(sent) {
+        for (field, value) in json::fields(sent) {
             match field.as_ref() {
                 "version" | "limits" => patch.replaced.push((field, value)),
                 "upsert_items" => patch.upserts = read_lists(&field, value)?,
@@ -163,9 +163,9 @@
 
 /// The text of `current` with the patch applied.
 fn patch(sent: &str, current: &Document) -> Result<String, ConfigError> {
-    let (base, _) = text::read(current.text.as_bytes())?;
+    let (base, _) = json::read(current.text.as_bytes())?;
     let patch = Patch::read(sent)?;
-    let old_fields = text::fields(&base);
+    let old_fields = json::fields(&base);
     let places: HashMap<&str, usize> = old_fields
         .iter()
         .enumerate()
@@ -225,12 +225,12 @@
         };
         Ok((list, items))
     };
-    text::fields(value).into_iter().map(read_list).collect()
+    json::fields(value).into_iter().map(read_list).collect()
 }
 
 /// The items of a list; `null` counts as an empty one.
 fn items_or_null(list: &str) -> Option<Vec<&str>> {
-    text::items(if list == "null" { "[]" } else { list })
+    json::items(if list == "null" { "[]" } else { list })
 }
 
 /// The list `old` with items replaced or appended and others removed, by name.
@@ -248,7 +248,7 @@
     let (mut new_items, order) = read_upserts(list, upserts, &removed)?;
     let mut merged = Vec::with_capacity(old.len() + upserts.len());
     for &item in &old {
-        match text::name_of(item) {
+        match json::name_of(item) {
             Some(name) if removed.contains(&name) => {}
             Some(name) => merged.push(new_items.remove(&name).unwrap_or(item)),
             None => merged.push(item),
@@ -261,7 +261,7 @@
 /// The names to remove from a list.
 fn read_removals(list: &str, removals: &[&str]) -> Result<HashSet<String>, ConfigError> {
     let read = |(i, literal): (usize, &&str)| {
-        text::string(literal).ok_or_else(|| ConfigError::WrongType {
+        json::string(literal).ok_or_else(|| ConfigError::WrongType {
             at: format!("remove_names.{list}[{i}]"),
             expected: "a name",
         })
@@ -279,7 +279,7 @@
     let mut items: HashMap<String, &str> = HashMap::new();
     let mut order = Vec::new();
     for (i, item) in upserts.iter().enumerate() {
-        let name = text::name_of(item).ok_or_else(|| ConfigError::Missing {
+        let name = json::name_of(item).ok_or_else(|| ConfigError::Missing {
             at: format!("upsert_items.{list}[{i}].name"),
         })?;
         if removed.contains(&name) {
--- a/crates/sparrouter-config/src/edit.rs
+++ b/crates/sparrouter-config/src/edit.rs
@@ -1,6 +1,6 @@
 //! The difference between two texts of the configuration: ranges of the old text that are kept, and new text between
 //! them. A change of one tenant among many thousands is sent to other nodes as a few hundred bytes.
-use crate::text::MAX_BYTES;
+use crate::json::MAX_BYTES;
 use std::collections::{HashMap, VecDeque};
 
 /// A range of the old text, followed by new text.
--- a/crates/sparrouter-config/src/fields.rs
+++ b/crates/sparrouter-config/src/fields.rs
@@ -1,6 +1,6 @@
 //! Typed access to the fields of a JSON object; errors name the path of the field. `null` counts as absent.
 
-use crate::refusal::ConfigError;
+use crate::error::ConfigError;
 use miniserde::json::{Array, Number, Object, Value};
 
 /// A JSON object and its place in the document. Its path is built for errors only.
--- a/crates/sparrouter-config/src/text.rs
+++ b/crates/sparrouter-config/src/json.rs
@@ -3,8 +3,8 @@
 //! Slices and not a tree that is written out again, because the parser rounds long decimals and large integers, and a
 //! configuration must be read back exactly as it was sent.
 
-use crate::refusal::ConfigError;
-use miniserde::json::{self, Value};
+use crate::error::ConfigError;
+use miniserde::json::Value;
 use std::borrow::Cow;
 use std::collections::HashSet;
 
@@ -30,7 +30,7 @@
     })?;
     let compact = scan(text)?;
     // The text as sent, because without white space `1 2` would be parsed as 12.
-    let tree = json::from_str(text).map_err(|_| ConfigError::Malformed)?;
+    let tree = miniserde::json::from_str(text).map_err(|_| ConfigError::Malformed)?;
     Ok((compact, tree))
 }
 
@@ -147,7 +147,9 @@
 /// The value of a string literal; `None` if its escapes are invalid.
 fn unquote(literal: &str) -> Option<Cow<'_, str>> {
     if literal.contains('\\') {
-        json::from_str::<String>(literal).ok().map(Cow::Owned)
+        miniserde::json::from_str::<String>(literal)
+            .ok()
+            .map(Cow::Owned)
     } else {
         literal
             .strip_prefix('"')?
--- a/crates/sparrouter-config/src/lib.rs
+++ b/crates/sparrouter-config/src/lib.rs
@@ -10,25 +10,25 @@
 //! | module | its one job |
 //! | --- | --- |
 //! | `change` | applies a PUT or PATCH |
-//! | `read` | validates a document and builds its table |
-//! | `table` | the route table and its look-ups |
-//! | `text`, `fields` | JSON as slices of text, and as typed fields |
+//! | `table_reader` | validates a document and builds its table |
+//! | `route_table` | the route table and its look-ups |
+//! | `json`, `fields` | JSON as slices of text, and as typed fields |
 //! | `edit` | the difference between two texts, as nodes send it to each other |
-//! | `refusal` | why a configuration is refused |
+//! | `error` | why a configuration is refused |
 #![deny(missing_docs)]
 
 mod change;
 mod edit;
+mod error;
 mod fields;
+mod json;
 mod order;
-mod read;
-mod refusal;
-mod table;
-mod text;
+mod route_table;
+mod table_reader;
 
 pub use change::{Accepted, Document, Method, accept, base_of, change, read_order};
 pub use edit::{Edit, EditHistory, Hunk, digest_of_text};
+pub use error::ConfigError;
+pub use json::{MAX_BYTES, MAX_DEPTH, MAX_VALUES};
 pub use order::{ORDER_DIGEST_BYTES, Order, OrderDigest};
-pub use refusal::ConfigError;
-pub use table::{Engine, Limits, Route, RouteKind, RouteTable, Service, Store, Tenant};
-pub use text::{MAX_BYTES, MAX_DEPTH, MAX_VALUES};
+pub use route_table::{Engine, Limits, Route, RouteKind, RouteTable, Service, Store, Tenant};
--- a/crates/sparrouter-config/src/read.rs
+++ b/crates/sparrouter-config/src/table_reader.rs
@@ -1,12 +1,12 @@
 //! Validates a document and builds its table. Every rule that makes a configuration invalid is in this module.
 
 use crate::change::Document;
+use crate::error::ConfigError;
 use crate::fields::Fields;
-use crate::refusal::ConfigError;
-use crate::table::{
+use crate::json;
+use crate::route_table::{
     Engine, Limits, Prefixes, Route, RouteKind, RouteTable, Service, Store, Tenant, normal_host,
 };
-use crate::text;
 use std::collections::HashMap;
 
 /// `timeout_ms` of a route that gives none.
@@ -21,7 +21,7 @@
     ///
     /// A [`ConfigError`] that names the first invalid field.
     pub fn read(document: &Document) -> Result<RouteTable, ConfigError> {
-        let (_, tree) = text::read(document.text.as_bytes())?;
+        let (_, tree) = json::read(document.text.as_bytes())?;
         let root = Fields::root(&tree)?;
         let version = root.version()?;
         if version != document.version {
