--- a/crates/sparrouter-codec/src/lib.rs
+++ b/crates/sparrouter-codec/src/lib.rs
@@ -4,11 +4,12 @@
 //! all memory. The types here check the claimed length against what is left of the input first.
 //!
 //! Wire form: the length as a little-endian `u32`, then the items or bytes.
-#![deny(missing_docs)]
+//!
+//! [`read`] reads one value of a message or a file, and rejects everything else.
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use std::ops::{Deref, DerefMut};
 
-/// A list of items. Reading one reserves no more items than the input has bytes left.
+/// A list of items. Reading one reserves memory for no more items than the input has bytes left.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seq<T>(pub Vec<T>);
 
@@ -24,55 +25,65 @@
 
 impl<T> Deref for Seq<T> {
     type Target = Vec<T>;
+
     fn deref(&self) -> &Vec<T> {
         &self.0
     }
 }
+
 impl<T> DerefMut for Seq<T> {
     fn deref_mut(&mut self) -> &mut Vec<T> {
         &mut self.0
     }
 }
+
 impl<T> From<Vec<T>> for Seq<T> {
     fn from(items: Vec<T>) -> Seq<T> {
         Seq(items)
     }
 }
+
 impl<T> FromIterator<T> for Seq<T> {
     fn from_iter<I: IntoIterator<Item = T>>(items: I) -> Seq<T> {
         Seq(items.into_iter().collect())
     }
 }
+
 impl<T> IntoIterator for Seq<T> {
     type Item = T;
     type IntoIter = std::vec::IntoIter<T>;
+
     fn into_iter(self) -> Self::IntoIter {
         self.0.into_iter()
     }
 }
+
 impl<'a, T> IntoIterator for &'a Seq<T> {
     type Item = &'a T;
     type IntoIter = std::slice::Iter<'a, T>;
+
     fn into_iter(self) -> Self::IntoIter {
         self.0.iter()
     }
 }
+
 impl Deref for Blob {
     type Target = Vec<u8>;
+
     fn deref(&self) -> &Vec<u8> {
         &self.0
     }
 }
 
-/// How many items are reserved before any was read: items may be larger in memory than on the wire.
-const RESERVED_ITEMS: usize = 64;
+/// Largest number of items that memory is reserved for before any was read: items may be larger in memory than on the wire.
+const MAX_RESERVED_ITEMS: usize = 64;
 
 /// Reads a length. Fails if the rest of the input cannot hold that many items of at least one byte each.
 fn read_length(offset: &mut usize, input: &[u8]) -> Result<usize, DeBinErr> {
     let claimed = u32::de_bin(offset, input)? as usize;
-    let left = input.len().saturating_sub(*offset);
-    if claimed > left {
-        return Err(DeBinErr::new(*offset, claimed, left));
+    let remaining = input.len().saturating_sub(*offset);
+    if claimed > remaining {
+        return Err(DeBinErr::new(*offset, claimed, remaining));
     }
     Ok(claimed)
 }
@@ -83,41 +94,46 @@
         self.0.iter().for_each(|item| item.ser_bin(output));
     }
 }
+
 impl<T: DeBin> DeBin for Seq<T> {
     fn de_bin(offset: &mut usize, input: &[u8]) -> Result<Seq<T>, DeBinErr> {
         let length = read_length(offset, input)?;
-        let mut items = Vec::with_capacity(length.min(RESERVED_ITEMS));
+        let mut items = Vec::with_capacity(length.min(MAX_RESERVED_ITEMS));
         for _ in 0..length {
             items.push(T::de_bin(offset, input)?);
         }
         Ok(Seq(items))
     }
 }
+
 impl SerBin for Blob {
     fn ser_bin(&self, output: &mut Vec<u8>) {
         (self.0.len() as u32).ser_bin(output);
         output.extend_from_slice(&self.0);
     }
 }
+
 impl DeBin for Blob {
     fn de_bin(offset: &mut usize, input: &[u8]) -> Result<Blob, DeBinErr> {
         let length = read_length(offset, input)?;
-        let bytes = input[*offset..*offset + length].to_vec();
-        *offset += length;
+        let end = *offset + length;
+        let bytes = input[*offset..end].to_vec();
+        *offset = end;
         Ok(Blob(bytes))
     }
 }
 
-/// Reads one value that takes up all of the bytes; `None` if they are malformed. Bytes left over are of another release,
-/// and a change made without them would lose them.
+/// Reads one value that takes up all of the bytes; `None` if they are malformed. Bytes behind the value were written by
+/// another release: they are malformed too, because a change made without them would lose them.
 ///
 /// `nanoserde` adds the claimed length of a text to its offset without a check, which panics on overflow. That panic is
 /// caught here.
 pub fn read<T: DeBin>(bytes: &[u8]) -> Option<T> {
-    let reading = || {
-        let mut at = 0;
-        let value = T::de_bin(&mut at, bytes).ok()?;
-        (at == bytes.len()).then_some(value)
+    let read_all = || {
+        let mut offset = 0;
+        let value = T::de_bin(&mut offset, bytes).ok()?;
+        let is_complete = offset == bytes.len();
+        is_complete.then_some(value)
     };
-    std::panic::catch_unwind(reading).ok().flatten()
+    std::panic::catch_unwind(read_all).ok().flatten()
 }
