--- a/crates/sparrouter-config/tests/rejections.rs
+++ b/crates/sparrouter-config/tests/rejections.rs
@@ -5,20 +5,27 @@
 use common::{EXAMPLE, EXAMPLE_PATCH, example, patch, put, route, with_routes};
 use sparrouter_config::{ConfigError, Document, Method, RouteTable, change};
 
-/// The errors for one invalid route, sent in a complete configuration and as a patch.
-fn both_ways(invalid: &str) -> (ConfigError, ConfigError) {
+/// The errors for one change, sent in a complete configuration and as a patch.
+struct BothErrors {
+    by_put: ConfigError,
+    by_patch: ConfigError,
+}
+
+/// The errors for one invalid route.
+fn both_ways(invalid: &str) -> BothErrors {
     let good = route("r-good", "h.example", "/good/", r#""service":"a""#);
     let current = put(&with_routes(3, &good)).expect("valid");
     let body = with_routes(5, &format!("{good},{invalid}"));
     let by_put =
         change(Method::Put, body.as_bytes(), Some(3), Some(&current)).expect_err("invalid");
     let body = format!(r#"{{"version":5,"upsert_items":{{"routes":[{invalid}]}}}}"#);
-    (by_put, patch(&body, &current).expect_err("invalid"))
+    let by_patch = patch(&body, &current).expect_err("invalid");
+    BothErrors { by_put, by_patch }
 }
 
 /// Checks the errors for an invalid route, sent both ways.
 fn check_both_ways(invalid: &str, is_expected: impl Fn(&ConfigError) -> bool) {
-    let (by_put, by_patch) = both_ways(invalid);
+    let BothErrors { by_put, by_patch } = both_ways(invalid);
     assert!(is_expected(&by_put), "{by_put}");
     assert!(is_expected(&by_patch), "{by_patch}");
     assert_eq!((by_put.status(), by_patch.status()), (422, 422));
@@ -146,7 +153,7 @@
     );
     let kind = route("x", "h", "/x/", r#""service":"a","kind":"sometimes""#);
     assert_both_ways!(kind, ConfigError::UnknownKind { .. });
-    let message = both_ways(&kind).0.to_string();
+    let message = both_ways(&kind).by_put.to_string();
     assert!(
         message.contains("routes[1] (`x`).kind") && message.contains("sometimes"),
         "{message}"
--- a/crates/sparrouter-membership/src/node.rs
+++ b/crates/sparrouter-membership/src/node.rs
@@ -1,6 +1,6 @@
 //! The record of a node, and how two records of one node merge.
 use crate::changes::{RecordKey, Urgency};
-use crate::record_table::Record;
+use crate::record_table::{Record, UNRESPONSIVE_RETENTION_PERIODS};
 use nanoserde::{DeBin, SerBin};
 
 /// One process of the fleet, as it describes itself.
@@ -32,9 +32,6 @@
     pub unresponsive: bool,
 }
 
-/// For how many tombstone retentions an unresponsive node is kept, since it may come back.
-const UNRESPONSIVE_RETENTION_PERIODS: u64 = 4;
-
 /// Orders the records of one name; see [`NodeRecord::precedence`].
 type Precedence = (u64, u64, bool, bool, u64);
 
--- a/crates/sparrouter-membership/src/record_table.rs
+++ b/crates/sparrouter-membership/src/record_table.rs
@@ -4,6 +4,10 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
+/// How many times the retention of a tombstone a record is kept while its server or node is unresponsive, since that may
+/// come back.
+pub(crate) const UNRESPONSIVE_RETENTION_PERIODS: u64 = 4;
+
 /// A kind of record: how two records under one key merge, and how long a record is kept.
 ///
 /// For nodes to converge, [`Record::merge`] must give the same result in whatever order the same records are merged.
--- a/crates/sparrouter-membership/src/server.rs
+++ b/crates/sparrouter-membership/src/server.rs
@@ -1,6 +1,6 @@
 //! The record of a server, and how two records of one server merge.
 use crate::changes::{RecordKey, Urgency};
-use crate::record_table::Record;
+use crate::record_table::{Record, UNRESPONSIVE_RETENTION_PERIODS};
 use nanoserde::{DeBin, SerBin};
 use sparrouter_codec::Seq;
 
@@ -50,9 +50,6 @@
     pub unresponsive: bool,
 }
 
-/// For how many tombstone retentions an unresponsive server is kept, since it may come back.
-const UNRESPONSIVE_RETENTION_PERIODS: u64 = 4;
-
 impl ServerRecord {
     /// Whether the server is thought to run: it has not left, and its heartbeats arrive.
     pub(crate) fn is_live(&self) -> bool {
