--- /dev/null
+++ b/crates/sparrouter-config/src/table_reader.rs
@@ -0,0 +1,132 @@
+//! Validates a document and builds its table: everything but the routes, which `route_reader` reads, and what must be
+//! unique, which `table_index` checks.
+
+use crate::change::Document;
+use crate::error::ConfigError;
+use crate::fields::Fields;
+use crate::json;
+use crate::route_reader::{ServiceIndex, read_route};
+use crate::route_table::{Engine, Limits, RouteTable, Service, Store, Tenant};
+use crate::table_index::{index_keys, index_names, index_prefixes};
+
+impl RouteTable {
+    /// Reads and validates a document, in time proportional to its length (beside sorting each host's prefix lengths).
+    ///
+    /// # Errors
+    ///
+    /// A [`ConfigError`] that names the first invalid field.
+    pub fn read(document: &Document) -> Result<RouteTable, ConfigError> {
+        let tree = json::read(document.text.as_bytes())?.tree;
+        let root = Fields::root(&tree)?;
+        let version = root.version()?;
+        if version != document.version {
+            return Err(ConfigError::VersionMismatch {
+                stored: document.version,
+                text: version,
+            });
+        }
+        // A PUT without these is more likely a patch or a truncated body than an intentionally empty fleet.
+        root.required_list("routes")?;
+        root.required_list("services")?;
+
+        let services = root.each("services", read_service)?;
+        let by_service = index_names("services", services.iter().map(|s| s.name.as_str()))?;
+        let service_index = ServiceIndex {
+            services: &services,
+            by_name: &by_service,
+        };
+        let routes = root.each("routes", |fields| read_route(fields, service_index))?;
+        index_names("routes", routes.iter().map(|r| r.name.as_str()))?;
+        let by_host = index_prefixes(&routes)?;
+        let tenants = root.each("tenants", read_tenant)?;
+        index_names("tenants", tenants.iter().map(|t| t.name.as_str()))?;
+        let by_key = index_keys(&tenants)?;
+        let limits = match root.object("limits")? {
+            Some(fields) => read_limits(&fields)?,
+            None => Limits::default(),
+        };
+        Ok(RouteTable {
+            version,
+            routes,
+            services,
+            limits,
+            tenants,
+            by_host,
+            by_key,
+            by_service,
+        })
+    }
+}
+
+fn read_service(fields: &Fields) -> Result<Service, ConfigError> {
+    let name = fields.required_text("name")?.to_owned();
+    let health_check_path = fields.text("health_check_path")?.map(str::to_owned);
+    let max_connections = fields.integer("max_connections")?;
+    let protocol = fields.text("protocol")?.unwrap_or("h1").to_owned();
+    let tls_enabled = fields.flag("tls_enabled")?.unwrap_or(false);
+    let engine = fields.object("engine")?;
+    Ok(Service {
+        name,
+        health_check_path,
+        max_connections,
+        protocol,
+        tls_enabled,
+        engine: engine.map(|fields| read_engine(&fields)).transpose()?,
+        store: read_store(fields)?,
+    })
+}
+
+fn read_engine(fields: &Fields) -> Result<Engine, ConfigError> {
+    Ok(Engine {
+        slot_count: fields.integer("slot_count")?.unwrap_or(1),
+        kv_capacity_tokens: fields.integer("kv_capacity_tokens")?.unwrap_or(0),
+        kv_token_bytes: fields.integer("kv_token_bytes")?.unwrap_or(0),
+        link_mbps: fields.decimal("link_mbps")?.unwrap_or(0.0),
+        stride: fields.integer("stride")?.unwrap_or(1),
+        max_concurrent: fields.integer("max_concurrent")?.unwrap_or(1),
+        models: fields.each("models", |model| {
+            Ok(model.required_text("name")?.to_owned())
+        })?,
+    })
+}
+
+/// The KV store that a service is; `None` if it has no `kv_store_address`.
+fn read_store(fields: &Fields) -> Result<Option<Store>, ConfigError> {
+    let Some(address) = fields.text("kv_store_address")? else {
+        return Ok(None);
+    };
+    let address = address.parse().map_err(|_| ConfigError::WrongType {
+        path: fields.path("kv_store_address"),
+        expected: "an IP address and a port, as in 172.20.0.2:8080",
+    })?;
+    Ok(Some(Store {
+        address,
+        zone: fields.text("zone")?.unwrap_or("").to_owned(),
+        kv_capacity_tokens: fields.integer("kv_capacity_tokens")?.unwrap_or(0),
+        link_mbps: fields.decimal("link_mbps")?.unwrap_or(0.0),
+        max_concurrent: fields.integer("max_concurrent")?.unwrap_or(1),
+    }))
+}
+
+fn read_limits(fields: &Fields) -> Result<Limits, ConfigError> {
+    let default = Limits::default();
+    let max_header_bytes = fields.integer("max_header_bytes")?;
+    let max_body_bytes = fields.integer("max_body_bytes")?;
+    let header_timeout_ms = fields.integer("header_timeout_ms")?;
+    let idle_timeout_ms = fields.integer("idle_timeout_ms")?;
+    Ok(Limits {
+        max_header_bytes: max_header_bytes.unwrap_or(default.max_header_bytes),
+        max_body_bytes: max_body_bytes.unwrap_or(default.max_body_bytes),
+        header_timeout_ms: header_timeout_ms.unwrap_or(default.header_timeout_ms),
+        idle_timeout_ms: idle_timeout_ms.unwrap_or(default.idle_timeout_ms),
+    })
+}
+
+fn read_tenant(fields: &Fields) -> Result<Tenant, ConfigError> {
+    Ok(Tenant {
+        name: fields.required_text("name")?.to_owned(),
+        api_keys: fields.texts("api_keys")?,
+        priority: fields.integer("priority")?,
+        isolated: fields.flag("isolated")?.unwrap_or(false),
+    })
+}
