--- a/crates/sparrouter-fleet-lab/src/audit.rs
+++ b/crates/sparrouter-fleet-lab/src/audit.rs
@@ -24,12 +24,12 @@
         machines,
         events,
         runs: &runs,
-        found: ledger.violations.borrow().clone(),
+        violations: ledger.violations.borrow().clone(),
     };
     let mut runs_of: HashMap<&str, Vec<usize>> = HashMap::new();
     for (number, run) in runs.iter().enumerate() {
         runs_of.entry(&run.id).or_default().push(number);
-        audit.check_asked(run, attempts.get(&run.id));
+        audit.check_unasked(run, attempts.get(&run.id));
         audit.check_drain(run);
         audit.check_version(run);
     }
@@ -38,18 +38,18 @@
         audit.check_attempt(id, attempt, own_runs);
     }
     audit.check_orders();
-    list(audit.found)
+    list(audit.violations)
 }
 
 /// Sorts violations and shortens the list.
-fn list(mut found: Vec<String>) -> Vec<String> {
-    found.sort();
-    let more = found.len().saturating_sub(MAX_LISTED);
-    found.truncate(MAX_LISTED);
+fn list(mut violations: Vec<String>) -> Vec<String> {
+    violations.sort();
+    let more = violations.len().saturating_sub(MAX_LISTED);
+    violations.truncate(MAX_LISTED);
     if more > 0 {
-        found.push(format!("and {more} more"));
+        violations.push(format!("and {more} more"));
     }
-    found
+    violations
 }
 
 struct Audit<'a> {
@@ -57,16 +57,16 @@
     machines: &'a [Rc<Machine>],
     events: u64,
     runs: &'a [Run],
-    found: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Audit<'_> {
     fn report(&mut self, violation: String) {
-        self.found.push(violation);
+        self.violations.push(violation);
     }
 
     /// UNASKED: each run belongs to an attempt, and has its path and body.
-    fn check_asked(&mut self, run: &Run, attempt: Option<&Attempt>) {
+    fn check_unasked(&mut self, run: &Run, attempt: Option<&Attempt>) {
         match attempt {
             None => self.report(format!(
                 "UNASKED: {} ran {}, which no client sent",
@@ -82,8 +82,8 @@
     /// DRAIN: no run begins at a server long after it was to drain.
     fn check_drain(&mut self, run: &Run) {
         let drained = self.ledger.drains.borrow().get(&run.instance).copied();
-        if let Some(at) = drained.filter(|at| run.at > *at + DRAIN_TIMEOUT) {
-            let late = run.at - at;
+        if let Some(at) = drained.filter(|at| run.began_at > *at + DRAIN_TIMEOUT) {
+            let late = run.began_at - at;
             self.report(format!(
                 "DRAIN: {} began at {} {late:?} after it was to drain",
                 run.id, run.instance
@@ -95,19 +95,19 @@
     fn check_version(&mut self, run: &Run) {
         let named = self.ledger.named.borrow();
         let is_late =
-            |(version, at): &&(u64, _)| run.version < *version && run.at > *at + VERSION_TIME;
+            |(version, at): &&(u64, _)| run.version < *version && run.began_at > *at + VERSION_TIME;
         let late = named.iter().filter(is_late).map(|(version, _)| {
             format!(
                 "VERSION: {} began on {} at {}, {version} is named",
                 run.id, run.version, run.instance
             )
         });
-        self.found.extend(late);
+        self.violations.extend(late);
     }
 
     /// `own_runs`: numbers of the attempt's runs.
     fn check_attempt(&mut self, id: &str, attempt: &Attempt, own_runs: &[usize]) {
-        if own_runs.len() > 1 && !attempt.kind.repeatable() {
+        if own_runs.len() > 1 && !attempt.kind.is_idempotent() {
             self.report(format!(
                 "TWICE: {id} of {} ran {} times",
                 attempt.path,
@@ -118,7 +118,7 @@
             // The run of the lab ended before the client did.
             return;
         };
-        if let Some(bad) = &response.bad {
+        if let Some(bad) = &response.malformed {
             self.report(format!("MIXED: {id} got bytes that are no answer: {bad}"));
         }
         if response.status != 0 && !response.id.is_empty() && response.id != id {
@@ -126,7 +126,7 @@
         }
         match response.status {
             200..=299 => self.check_success(id, response, own_runs),
-            408 | 421 | 429 | 503 if !own_runs.is_empty() && !attempt.kind.repeatable() => {
+            408 | 421 | 429 | 503 if !own_runs.is_empty() && !attempt.kind.is_idempotent() => {
                 self.report(format!("REFUSED: {id} got {} and ran", response.status));
             }
             _ => {}
@@ -136,16 +136,16 @@
             self.check_config(id, attempt, response, !own_runs.is_empty());
         }
         let is_excused = had_fault || self.ran_at_crashed_server(own_runs);
-        if !response.whole && !response.abandoned && !is_excused {
+        if !response.is_complete && !response.abandoned && !is_excused {
             self.report_lost(id, attempt, response, own_runs.len());
         }
     }
 
     /// Whether the attempt's node was started or killed shortly before or during the attempt.
     fn had_fault(&self, attempt: &Attempt, response: &Response) -> bool {
-        let until = response.at.unwrap_or(attempt.sent);
+        let deadline = response.ended_at.unwrap_or(attempt.sent);
         let fault_times = self.machines[attempt.node].fault_times.borrow();
-        let affects = |at: &_| *at + RECOVERY_TIME >= attempt.sent && *at <= until;
+        let affects = |at: &_| *at + RECOVERY_TIME >= attempt.sent && *at <= deadline;
         fault_times.iter().any(affects)
     }
 
@@ -156,9 +156,9 @@
     }
 
     fn report_lost(&mut self, id: &str, attempt: &Attempt, response: &Response, runs: usize) {
-        let took = response.at.unwrap_or(attempt.sent) - attempt.sent;
+        let elapsed = response.ended_at.unwrap_or(attempt.sent) - attempt.sent;
         self.report(format!(
-            "LOST: {id} of {} at {} ended after {took:?} without a whole answer (status {}, {runs} runs)",
+            "LOST: {id} of {} at {} ended after {elapsed:?} without a whole answer (status {}, {runs} runs)",
             attempt.path, self.machines[attempt.node].name, response.status,
         ));
     }
@@ -166,7 +166,7 @@
     /// CONFIG: nothing happens that only an older version allows, long after a newer one was acknowledged, or only a
     /// newer version than was ever sent.
     fn check_config(&mut self, id: &str, attempt: &Attempt, response: &Response, ran: bool) {
-        let until = response.at.unwrap_or(attempt.sent);
+        let deadline = response.ended_at.unwrap_or(attempt.sent);
         let added_by = attempt
             .path
             .strip_prefix("/extra-")
@@ -175,7 +175,11 @@
             let acknowledged = self.ledger.version(number).and_then(|v| v.acknowledged);
             acknowledged.is_some_and(|at| at + CONFIG_APPLY_TIME < attempt.sent)
         };
-        let was_sent = |number: u64| self.ledger.version(number).is_some_and(|v| v.sent <= until);
+        let was_sent = |number: u64| {
+            self.ledger
+                .version(number)
+                .is_some_and(|v| v.sent <= deadline)
+        };
         let (must_exist, may_exist) = match added_by {
             None => (true, true),
             Some(n) => (
@@ -205,10 +209,10 @@
             let seal = &response.seal;
             return self.report(format!("MIXED: {id} got a success under the seal {seal:?}"));
         };
-        if kind_of(&self.runs[first].path).streams() {
+        if kind_of(&self.runs[first].path).is_stream() {
             return self.check_stream(id, response, own_runs, first);
         }
-        if response.whole && response.body != body_of(first) {
+        if response.is_complete && response.body != body_of(first) {
             self.report(format!("MIXED: {id} got another body than its run made"));
         }
     }
@@ -227,7 +231,7 @@
             last += 1;
             rest = behind;
         }
-        if response.whole && (last != self.events || !rest.is_empty()) {
+        if response.is_complete && (last != self.events || !rest.is_empty()) {
             let events = self.events;
             self.report(format!(
                 "ORDER: {id} looks complete after event {last} of {events}"
@@ -243,24 +247,24 @@
         let mut loads = HashSet::new();
         for order in orders.iter() {
             let holder = holders
-                .entry((&order.instance, order.fence))
-                .or_insert(&order.holder);
-            if *holder != order.holder {
-                self.found.push(format!(
+                .entry((&order.instance, order.fencing_token))
+                .or_insert(&order.lease_holder);
+            if *holder != order.lease_holder {
+                self.violations.push(format!(
                     "ONE: two holders order {} under {}",
-                    order.instance, order.fence
+                    order.instance, order.fencing_token
                 ));
             }
             let known = highest.entry(&order.instance).or_default();
-            if order.fence < *known {
-                self.found.push(format!(
+            if order.fencing_token < *known {
+                self.violations.push(format!(
                     "ONE: {} is ordered under {} after {known}",
-                    order.instance, order.fence
+                    order.instance, order.fencing_token
                 ));
             }
-            *known = (*known).max(order.fence);
+            *known = (*known).max(order.fencing_token);
             if order.loads && !loads.insert((&order.instance, order.version)) {
-                self.found.push(format!(
+                self.violations.push(format!(
                     "ONE: {} loads version {} twice",
                     order.instance, order.version
                 ));
--- a/crates/sparrouter-fleet-lab/src/client.rs
+++ b/crates/sparrouter-fleet-lab/src/client.rs
@@ -1,6 +1,6 @@
 //! The platform in front of the fleet, which checks the readiness of nodes, and clients by PROTOCOL.md: a new id for each
 //! attempt, retries as the answers allow, a whole answer or none.
-use crate::ledger::{Attempt, Kind, Ledger, Response};
+use crate::ledger::{Attempt, Ledger, RequestKind, Response};
 use crate::machine::Machine;
 use crate::{HOST, MODEL};
 use bytes::BytesMut;
@@ -27,7 +27,7 @@
 /// Attempts after the first one.
 const RETRIES: u32 = 2;
 /// Pause before a retry, unless the answer names another.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Largest head of an answer, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 /// Prompts begin with one of so many shared prefixes.
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// Whether it may be repeated, and whether the answer is a stream.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Its path.
     pub path: String,
     /// How long the client waits, over all attempts.
@@ -115,7 +115,7 @@
     /// Sends a request with its retries, to the nodes that the platform chooses, or to one node only.
     pub async fn send(&self, request: &ClientRequest, only: Option<usize>) -> RequestResult {
         let began = Instant::now();
-        let until = began + request.patience;
+        let deadline = began + request.patience;
         let mut result = RequestResult {
             began,
             ending: Ending::Failed,
@@ -123,10 +123,10 @@
         };
         for retry in 0..=RETRIES {
             let node = only.unwrap_or_else(|| self.pick());
-            let Some(attempt) = self.attempt(request, node, until).await else {
+            let Some(attempt) = self.attempt(request, node, deadline).await else {
                 // Not connected, so the request was not read by anybody.
                 result.ending = Ending::Failed;
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
                 continue;
             };
             result.ending = ending_of(&attempt.response);
@@ -134,14 +134,14 @@
                 result.first = attempt.first.unwrap_or_else(Instant::now) - began;
                 return result;
             }
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if retry == RETRIES
                 || left.is_zero()
                 || !may_retry(attempt.response.status, request.kind)
             {
                 break;
             }
-            sleep(attempt.retry_after.unwrap_or(RETRY_PAUSE).min(left / 3)).await;
+            sleep(attempt.retry_after.unwrap_or(RETRY_DELAY).min(left / 3)).await;
         }
         result
     }
@@ -151,7 +151,7 @@
         &self,
         request: &ClientRequest,
         node: usize,
-        until: Instant,
+        deadline: Instant,
     ) -> Option<AttemptResult> {
         let address = self.machines[node].front();
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
@@ -172,7 +172,7 @@
             .attempts
             .borrow_mut()
             .insert(id.clone(), attempt);
-        let left = until.saturating_duration_since(sent);
+        let left = deadline.saturating_duration_since(sent);
         let text = request_text(&request.path, &id, topic, left, &body);
         let mut result = AttemptResult {
             response: Response::default(),
@@ -186,12 +186,12 @@
                 .map_err(|_| ReadError::Reset)?;
             read_answer(&mut stream, &mut result).await
         };
-        match timeout_at(until, exchange).await {
-            Ok(Err(ReadError::Bad(bad))) => result.response.bad = Some(bad.0.to_owned()),
+        match timeout_at(deadline, exchange).await {
+            Ok(Err(ReadError::Bad(bad))) => result.response.malformed = Some(bad.0.to_owned()),
             Ok(_) => {}
             Err(_) => result.response.abandoned = true,
         }
-        result.response.at = Some(Instant::now());
+        result.response.ended_at = Some(Instant::now());
         if let Some(attempt) = self.ledger.attempts.borrow_mut().get_mut(&id) {
             attempt.response = Some(result.response.clone());
         }
@@ -201,17 +201,17 @@
 
 fn ending_of(response: &Response) -> Ending {
     match response.status {
-        200..=299 if response.whole => Ending::Served,
+        200..=299 if response.is_complete => Ending::Served,
         0 | 200..=299 => Ending::Failed,
         _ => Ending::Refused,
     }
 }
 
 /// Whether the protocol lets a client retry after this status; 0: none came.
-fn may_retry(status: u16, kind: Kind) -> bool {
+fn may_retry(status: u16, kind: RequestKind) -> bool {
     let is_final = matches!(status, 400 | 401 | 404 | 413 | 431);
     let has_not_run = matches!(status, 408 | 421 | 429 | 503);
-    !is_final && (has_not_run || kind.repeatable())
+    !is_final && (has_not_run || kind.is_idempotent())
 }
 
 fn request_text(path: &str, id: &str, topic: u8, left: Duration, body: &str) -> String {
@@ -241,12 +241,12 @@
     let mut chunks = ChunkDecoder::default();
     let mut body = Vec::new();
     loop {
-        result.response.whole = take_body(head.framing, &mut chunks, &mut buffer, &mut body)?;
+        result.response.is_complete = take_body(head.framing, &mut chunks, &mut buffer, &mut body)?;
         if result.first.is_none() && !body.is_empty() {
             result.first = Some(Instant::now());
         }
         result.response.body = String::from_utf8_lossy(&body).into_owned();
-        if result.response.whole {
+        if result.response.is_complete {
             return Ok(());
         }
         match timeout(READ_TIMEOUT, reading::more(stream, &mut buffer)).await {
--- a/crates/sparrouter-fleet-lab/src/ledger.rs
+++ b/crates/sparrouter-fleet-lab/src/ledger.rs
@@ -5,7 +5,7 @@
 
 /// Whether a request may be repeated, and whether its answer is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// It may run more than once.
     Idempotent,
     /// It may run once.
@@ -16,14 +16,14 @@
     Resumable,
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether it may run at a second server.
-    pub fn repeatable(self) -> bool {
-        matches!(self, Kind::Idempotent | Kind::Resumable)
+    pub fn is_idempotent(self) -> bool {
+        matches!(self, RequestKind::Idempotent | RequestKind::Resumable)
     }
     /// Whether its answer is a stream.
-    pub fn streams(self) -> bool {
-        matches!(self, Kind::Streaming | Kind::Resumable)
+    pub fn is_stream(self) -> bool {
+        matches!(self, RequestKind::Streaming | RequestKind::Resumable)
     }
 }
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// Whether it may be repeated.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Its path.
     pub path: String,
     /// Its body.
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Response {
     /// When it ended.
-    pub at: Option<Instant>,
+    pub ended_at: Option<Instant>,
     /// HTTP status; 0: none came.
     pub status: u16,
     /// Seal of the run that made it.
@@ -58,11 +58,11 @@
     /// The body, as far as it came.
     pub body: String,
     /// The body ended as its framing says.
-    pub whole: bool,
+    pub is_complete: bool,
     /// The client stopped waiting.
     pub abandoned: bool,
     /// What was wrong with bytes that are no HTTP answer.
-    pub bad: Option<String>,
+    pub malformed: Option<String>,
 }
 
 /// A server began to work on a request.
@@ -77,7 +77,7 @@
     /// Body of the request.
     pub body: String,
     /// When it began.
-    pub at: Instant,
+    pub began_at: Instant,
     /// Version of the weights that it ran on.
     pub version: u64,
     /// The event after which it continues a stream; 0: from the beginning.
@@ -101,9 +101,9 @@
     /// Id of the server.
     pub instance: String,
     /// The node that sent it.
-    pub holder: String,
+    pub lease_holder: String,
     /// Fencing token of that node's lease.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Version of the weights.
     pub version: u64,
     /// The server had to load it.
--- a/crates/sparrouter-fleet-lab/src/lib.rs
+++ b/crates/sparrouter-fleet-lab/src/lib.rs
@@ -11,8 +11,6 @@
 //! | [`operator`] | configurations and versions of weights |
 //! | [`ledger`], [`audit`] | records of a run; which rules they violate |
 //! | [`play`], [`page`] | the whole run; its result as a table |
-#![deny(missing_docs)]
-
 pub mod addresses;
 pub mod audit;
 pub mod client;
@@ -36,48 +34,50 @@
 pub enum LabError {
     /// The scenario cannot be read.
     #[error(
-        "{path}: cannot be read ({why}): name a scenario such as crates/sparrouter-fleet-lab/scenarios/fleet-first.toml"
+        "{path}: cannot be read ({reason}): name a scenario such as crates/sparrouter-fleet-lab/scenarios/fleet-first.toml"
     )]
     Unreadable {
         /// Its file.
         path: String,
         /// The error of the operating system.
-        why: String,
+        reason: String,
     },
     /// The scenario is invalid.
-    #[error("{path}: {why}: correct the scenario")]
+    #[error("{path}: {reason}: correct the scenario")]
     Scenario {
         /// Its file.
         path: String,
         /// What is wrong, with the field.
-        why: String,
+        reason: scenario::ScenarioError,
     },
     /// No free addresses were found.
     #[error("no free ports under 127.0.0.0/8: end other labs on this machine and play again")]
     NoFreeAddresses,
     /// A process or stand-in cannot be started.
     #[error(
-        "{program} cannot be started ({why}): build it with `cargo build --release -p sparrouter-fleet`"
+        "{program} cannot be started ({reason}): build it with `cargo build --release -p sparrouter-fleet`"
     )]
     Start {
         /// What was started.
         program: String,
         /// The error of the operating system.
-        why: String,
+        reason: String,
     },
     /// A file cannot be written.
-    #[error("{what} cannot be written ({why}): make room in the directory for temporary files")]
+    #[error(
+        "{subject} cannot be written ({reason}): make room in the directory for temporary files"
+    )]
     Write {
         /// The file.
-        what: String,
+        subject: String,
         /// The error of the operating system.
-        why: String,
+        reason: String,
     },
     /// A step of the run took too long.
-    #[error("{what} within {seconds} s: the logs of the processes are in {logs}")]
-    Late {
+    #[error("{subject} within {seconds} s: the logs of the processes are in {logs}")]
+    TimedOut {
         /// What did not happen.
-        what: String,
+        subject: String,
         /// How long it was waited for, in seconds.
         seconds: u64,
         /// The logs of the processes.
--- a/crates/sparrouter-fleet-lab/src/machine.rs
+++ b/crates/sparrouter-fleet-lab/src/machine.rs
@@ -149,7 +149,7 @@
         let program = self.program.display().to_string();
         let child = started.map_err(|e| LabError::Start {
             program,
-            why: e.to_string(),
+            reason: e.to_string(),
         })?;
         *self.child.borrow_mut() = Some(child);
         self.fault_times.borrow_mut().push(Instant::now());
@@ -187,12 +187,12 @@
             .id()
             .is_some_and(|id| kill(Pid::from_raw(id as i32), Signal::SIGTERM).is_ok());
         let ended = timeout(self.grace, child.wait()).await;
-        let ended_well = signalled && matches!(&ended, Ok(Ok(status)) if status.success());
+        let exited_cleanly = signalled && matches!(&ended, Ok(Ok(status)) if status.success());
         if ended.is_err() {
             self.fault_times.borrow_mut().push(Instant::now());
             let _ = child.kill().await;
         }
-        ended_well
+        exited_cleanly
     }
 
     /// Whether the process runs.
@@ -209,9 +209,9 @@
     }
 }
 
-fn write_error(what: &Path, why: &std::io::Error) -> LabError {
+fn write_error(path: &Path, error: &std::io::Error) -> LabError {
     LabError::Write {
-        what: what.display().to_string(),
-        why: why.to_string(),
+        subject: path.display().to_string(),
+        reason: error.to_string(),
     }
 }
--- a/crates/sparrouter-fleet-lab/src/main.rs
+++ b/crates/sparrouter-fleet-lab/src/main.rs
@@ -66,9 +66,9 @@
     };
     let runtime = match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(why) => {
+        Err(error) => {
             eprintln!(
-                "sparrouter-fleet-lab: no runtime ({why}): free descriptors and memory of this machine"
+                "sparrouter-fleet-lab: no runtime ({error}): free descriptors and memory of this machine"
             );
             return ExitCode::from(2);
         }
@@ -83,8 +83,8 @@
             println!("VIOLATIONS:\n{}", report.violations.join("\n"));
             ExitCode::from(1)
         }
-        Err(why) => {
-            eprintln!("sparrouter-fleet-lab: {why}");
+        Err(error) => {
+            eprintln!("sparrouter-fleet-lab: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/sparrouter-fleet-lab/src/model_server.rs
+++ b/crates/sparrouter-fleet-lab/src/model_server.rs
@@ -1,5 +1,5 @@
 //! A stand-in model server by PROTOCOL.md: heartbeats, slots and a queue, streams and plain answers, resumption, orders.
-use crate::ledger::{Kind, Ledger, Order, Run, body_of, event_of, seal_of};
+use crate::ledger::{Ledger, Order, RequestKind, Run, body_of, event_of, seal_of};
 use crate::{MODEL, SERVICE};
 use bytes::BytesMut;
 use miniserde::{Deserialize, json};
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Limits on requests.
-const ROOM: ReadLimits = ReadLimits {
+const READ_LIMITS: ReadLimits = ReadLimits {
     max_head_bytes: 32 << 10,
     max_body_bytes: 1 << 20,
     header_timeout: Duration::from_secs(5),
@@ -33,7 +33,7 @@
 /// How often leaving is announced before the server stops all the same.
 const LEAVE_ATTEMPTS: u32 = 5;
 /// How long a call for KV events is held.
-const KV_EVENTS_HOLD: Duration = Duration::from_millis(200);
+const KV_EVENTS_WAIT: Duration = Duration::from_millis(200);
 /// Deadline of a request that gives none, in ms.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
@@ -77,7 +77,7 @@
     /// Orders that were accepted.
     orders: Cell<u64>,
     /// Highest fencing token so far.
-    fence: Cell<u64>,
+    highest_fencing_token: Cell<u64>,
     /// Number of the last call to the fleet.
     call_sequence: Cell<u64>,
     draining: Cell<bool>,
@@ -125,7 +125,7 @@
             running: Cell::new(0),
             loading: Cell::new(false),
             orders: Cell::new(0),
-            fence: Cell::new(0),
+            highest_fencing_token: Cell::new(0),
             call_sequence: Cell::new(0),
             draining: Cell::new(false),
             heartbeat_target: Cell::new(None),
@@ -242,8 +242,9 @@
         let _ = stream.set_nodelay(true);
         let mut buffer = BytesMut::new();
         loop {
-            let until = Instant::now() + IDLE_TIMEOUT;
-            let Ok(request) = http::read_request(&mut stream, &mut buffer, ROOM, until).await
+            let deadline = Instant::now() + IDLE_TIMEOUT;
+            let Ok(request) =
+                http::read_request(&mut stream, &mut buffer, READ_LIMITS, deadline).await
             else {
                 return;
             };
@@ -255,9 +256,9 @@
                     "",
                 ),
                 (b"GET", "/api/report") => plain(200, "", &self.report()),
-                (b"POST", "/api/order") => self.clone().take_order(&request),
+                (b"POST", "/api/order") => self.clone().accept_order(&request),
                 (b"GET", "/api/kv-events") => {
-                    sleep(KV_EVENTS_HOLD).await;
+                    sleep(KV_EVENTS_WAIT).await;
                     plain(
                         200,
                         "",
@@ -295,7 +296,7 @@
     }
 
     /// Takes an order to load new weights.
-    fn take_order(self: Rc<Self>, request: &Request) -> String {
+    fn accept_order(self: Rc<Self>, request: &Request) -> String {
         let text = std::str::from_utf8(&request.body).unwrap_or_default();
         let Ok(order) = json::from_str::<OrderBody>(text) else {
             return plain(400, "", "");
@@ -303,18 +304,18 @@
         let loads = order.version > self.version.get() && !self.loading.get();
         self.ledger.orders.borrow_mut().push(Order {
             instance: self.settings.id.clone(),
-            holder: order.holder_id.clone(),
-            fence: order.fence_token,
+            lease_holder: order.holder_id.clone(),
+            fencing_token: order.fence_token,
             version: order.version,
             loads,
         });
         if order.operation != "version" || order.model != MODEL {
             return plain(400, "", "");
         }
-        if order.fence_token < self.fence.get() {
+        if order.fence_token < self.highest_fencing_token.get() {
             return plain(412, "", "");
         }
-        self.fence.set(order.fence_token);
+        self.highest_fencing_token.set(order.fence_token);
         if order.version <= self.version.get() {
             return plain(200, "", "");
         }
@@ -350,14 +351,14 @@
     /// Serves a request of a client. `None` if the connection cannot carry another one.
     async fn serve(&self, stream: &mut TcpStream, request: &Request) -> Option<()> {
         let id = text_of(request, "sparrouter-attempt-id");
-        let _slot = match self.take_slot(request, &id).await {
+        let _slot = match self.acquire_slot(request, &id).await {
             Ok(slot) => slot,
             Err(status) => {
                 let answer = self.decline(status, &id);
                 return stream.write_all(answer.as_bytes()).await.ok();
             }
         };
-        let _running = Counted::new(&self.running);
+        let _running = CountGuard::new(&self.running);
         let resumed = text_of(request, "last-event-id")
             .trim()
             .parse()
@@ -367,13 +368,13 @@
             instance: self.settings.id.clone(),
             path: String::from_utf8_lossy(&request.head.target).into_owned(),
             body: String::from_utf8_lossy(&request.body).into_owned(),
-            at: Instant::now(),
+            began_at: Instant::now(),
             version: self.version.get(),
             resumed,
         });
         sleep(self.settings.work).await;
         let fields = self.answer_fields(&id, run);
-        if kind_of(request.path()).streams() {
+        if kind_of(request.path()).is_stream() {
             return self.stream_events(stream, &fields, run, resumed).await;
         }
         let answer = plain(200, &fields, &body_of(run));
@@ -381,7 +382,7 @@
     }
 
     /// Waits for a slot. The error is the status that declines the request.
-    async fn take_slot(&self, request: &Request, id: &str) -> Result<SemaphorePermit<'_>, u16> {
+    async fn acquire_slot(&self, request: &Request, id: &str) -> Result<SemaphorePermit<'_>, u16> {
         let expects_version = |version: u64| {
             let expected = request.head.fields.text("expect-version");
             expected.is_none_or(|v| v.parse() == Ok(version))
@@ -402,7 +403,7 @@
         let deadline_ms = text_of(request, "sparrouter-deadline-ms").parse();
         let left = Duration::from_millis(deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
         let slot = {
-            let _queued = Counted::new(&self.queued);
+            let _queued = CountGuard::new(&self.queued);
             let slot = tokio::time::timeout(left, self.slots.acquire()).await;
             slot.ok().and_then(Result::ok).ok_or(503u16)?
         };
@@ -460,12 +461,12 @@
 }
 
 /// The kind of a request by the first segment of its path, as the operator's routes are named.
-pub fn kind_of(path: &str) -> Kind {
+pub fn kind_of(path: &str) -> RequestKind {
     match path.split('/').nth(1) {
-        Some("swap") => Kind::Idempotent,
-        Some("assign") => Kind::NonIdempotent,
-        Some("audit") => Kind::Resumable,
-        _ => Kind::Streaming,
+        Some("swap") => RequestKind::Idempotent,
+        Some("assign") => RequestKind::NonIdempotent,
+        Some("audit") => RequestKind::Resumable,
+        _ => RequestKind::Streaming,
     }
 }
 
@@ -479,16 +480,16 @@
 }
 
 /// Adds one to a count for as long as this lives.
-struct Counted<'a>(&'a Cell<usize>);
+struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Counted<'a> {
-    fn new(count: &'a Cell<usize>) -> Counted<'a> {
+impl<'a> CountGuard<'a> {
+    fn new(count: &'a Cell<usize>) -> CountGuard<'a> {
         count.set(count.get() + 1);
-        Counted(count)
+        CountGuard(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/sparrouter-fleet-lab/src/operator.rs
+++ b/crates/sparrouter-fleet-lab/src/operator.rs
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// [`ClientError::NoAddress`] without an address. All other functions: why the call did not succeed.
+    /// [`ClientError::NoAddress`] without an address.
     pub fn new(control: Vec<SocketAddr>, patience: Duration) -> Result<Operator, ClientError> {
         Ok(Operator {
             fleet: Fleet::new(Rc::new(Sockets), control, patience)?,
@@ -47,6 +47,10 @@
     }
 
     /// Sends version 1, with the permanent routes and the first added one.
+    ///
+    /// # Errors
+    ///
+    /// A [`ClientError`] if the fleet did not acknowledge the call.
     pub async fn put_first(&self, slots: usize) -> Result<(), ClientError> {
         let mut routes: Vec<String> = ROUTES.iter().map(|(n, k, r)| route(n, k, *r)).collect();
         routes.push(route(&extra(1), "streaming", false));
@@ -63,6 +67,10 @@
     }
 
     /// Sends version `n`, which adds the route `extra-n` and removes the one before.
+    ///
+    /// # Errors
+    ///
+    /// A [`ClientError`] if the fleet did not acknowledge the call.
     pub async fn patch(&self, n: u64) -> Result<(), ClientError> {
         let body = format!(
             "{{\"version\":{n},\"upsert_items\":{{\"routes\":[{}]}},\"remove_names\":{{\"routes\":[\"{}\"]}}}}",
@@ -91,6 +99,10 @@
     }
 
     /// Names a version of the model's weights.
+    ///
+    /// # Errors
+    ///
+    /// A [`ClientError`] if the fleet did not acknowledge the call.
     pub async fn name_version(&self, version: u64) -> Result<(), ClientError> {
         let body = Some(format!("{{\"model\":\"{MODEL}\",\"version\":{version}}}").into_bytes());
         let call = Call {
@@ -103,6 +115,10 @@
     }
 
     /// Reads the number of the version in force.
+    ///
+    /// # Errors
+    ///
+    /// A [`ClientError`] if the fleet did not acknowledge the call.
     pub async fn read_back(&self) -> Result<u64, ClientError> {
         let (address, reply) = self.fleet.submit(&Call::get("/api/config")).await?;
         #[derive(miniserde::Deserialize)]
--- a/crates/sparrouter-fleet-lab/src/play.rs
+++ b/crates/sparrouter-fleet-lab/src/play.rs
@@ -23,7 +23,7 @@
 /// A little more than the default of `bounds.config_apply_ms`.
 const CONFIG_APPLY_TIME: Duration = Duration::from_millis(2_100);
 /// Time between the start, which counts as a fault, and the first request.
-const SETTLE_TIME: Duration = Duration::from_millis(500);
+const STABILIZATION_TIME: Duration = Duration::from_millis(500);
 /// Most nodes that are named as seeds.
 const MAX_SEEDS: usize = 3;
 
@@ -73,8 +73,8 @@
         .prefix("sparrouter-fleet-lab-")
         .tempdir();
     let directory = directory.map_err(|e| LabError::Write {
-        what: "a directory".into(),
-        why: e.to_string(),
+        subject: "a directory".into(),
+        reason: e.to_string(),
     })?;
     let limit = START_TIMEOUT + scenario.length() + END_TIMEOUT * 2;
     let play = prepare(scenario, program, directory.path())?;
@@ -86,7 +86,7 @@
     for machine in &play.machines {
         machine.kill().await;
     }
-    played.unwrap_or_else(|_| Err(play.late("the run did not end", limit)))
+    played.unwrap_or_else(|_| Err(play.timed_out("the run did not end", limit)))
 }
 
 fn prepare(scenario: Scenario, program: &Path, directory: &Path) -> Result<Rc<Play>, LabError> {
@@ -102,7 +102,7 @@
     let control = machines.iter().map(|m| m.control()).collect();
     let operator = Operator::new(control, START_TIMEOUT).map_err(|e| LabError::Start {
         program: "the operators' client".into(),
-        why: e.to_string(),
+        reason: e.to_string(),
     })?;
     let ledger = Rc::new(Ledger::default());
     let clients = Clients {
@@ -136,7 +136,7 @@
         let phases = self.play_steps(began, say).await;
         sleep_until(began + self.scenario.length()).await;
         asking.abort();
-        self.until("requests or steps do not end", END_TIMEOUT, || {
+        self.wait_until("requests or steps do not end", END_TIMEOUT, || {
             self.open.get() == 0
         })
         .await?;
@@ -155,16 +155,16 @@
             self.add_server().await?;
         }
         self.ledger.record_sent_version(1);
-        if let Err(why) = self.operator.put_first(self.scenario.servers.slots).await {
-            return Err(self.late(&format!("no first configuration ({why})"), START_TIMEOUT));
+        if let Err(error) = self.operator.put_first(self.scenario.servers.slots).await {
+            return Err(self.timed_out(&format!("no first configuration ({error})"), START_TIMEOUT));
         }
         self.ledger.record_acknowledged_version(1);
         self.version.set(1);
-        self.until("not every node is ready", START_TIMEOUT, || {
+        self.wait_until("not every node is ready", START_TIMEOUT, || {
             self.machines.iter().all(|m| m.ready.get())
         })
         .await?;
-        sleep(SETTLE_TIME).await;
+        sleep(STABILIZATION_TIME).await;
         say(&format!(
             "up after {:.1} s: {} nodes",
             began.elapsed().as_secs_f64(),
@@ -286,14 +286,14 @@
     }
 
     fn restart(&self, which: usize) {
-        if let Err(why) = self.machines[which].restart() {
-            self.ledger.record_violation(why.to_string());
+        if let Err(error) = self.machines[which].restart() {
+            self.ledger.record_violation(error.to_string());
         }
     }
 
     async fn name_version(&self, version: u64) {
-        if let Err(why) = self.operator.name_version(version).await {
-            let violation = format!("ACKS: version {version} is not named: {why}");
+        if let Err(error) = self.operator.name_version(version).await {
+            let violation = format!("ACKS: version {version} is not named: {error}");
             return self.ledger.record_violation(violation);
         }
         self.weights.set(self.weights.get().max(version));
@@ -307,8 +307,8 @@
         let configuring = self.configuring.lock().await;
         let next = self.version.get() + 1;
         self.ledger.record_sent_version(next);
-        if let Err(why) = self.operator.patch(next).await {
-            let violation = format!("ACKS: version {next} is not taken: {why}");
+        if let Err(error) = self.operator.patch(next).await {
+            let violation = format!("ACKS: version {next} is not taken: {error}");
             return self.ledger.record_violation(violation);
         }
         self.ledger.record_acknowledged_version(next);
@@ -344,7 +344,7 @@
         let started = ModelServer::start(settings, self.ledger.clone(), rng).await;
         let server = started.map_err(|e| LabError::Start {
             program: format!("a server at {address}"),
-            why: e.to_string(),
+            reason: e.to_string(),
         })?;
         self.servers.borrow_mut().push(server.clone());
         Ok(server)
@@ -356,7 +356,7 @@
             Ok(_) => {
                 self.servers.borrow_mut().swap_remove(which);
             }
-            Err(why) => self.ledger.record_violation(why.to_string()),
+            Err(error) => self.ledger.record_violation(error.to_string()),
         }
     }
 
@@ -370,9 +370,9 @@
                     "LOST: {newest} was acknowledged, {version} is read back"
                 ));
             }
-            Err(why) => self
+            Err(error) => self
                 .ledger
-                .record_violation(format!("LOST: the configuration is not read back: {why}")),
+                .record_violation(format!("LOST: the configuration is not read back: {error}")),
         }
         for machine in self.machines.iter().filter(|m| !m.is_running()) {
             self.ledger
@@ -394,7 +394,7 @@
         }
     }
 
-    async fn until(
+    async fn wait_until(
         &self,
         what: &str,
         patience: Duration,
@@ -403,16 +403,16 @@
         let deadline = Instant::now() + patience;
         while !is_done() {
             if Instant::now() >= deadline {
-                return Err(self.late(what, patience));
+                return Err(self.timed_out(what, patience));
             }
             sleep(Duration::from_millis(20)).await;
         }
         Ok(())
     }
 
-    fn late(&self, what: &str, patience: Duration) -> LabError {
-        LabError::Late {
-            what: what.to_owned(),
+    fn timed_out(&self, what: &str, patience: Duration) -> LabError {
+        LabError::TimedOut {
+            subject: what.to_owned(),
             seconds: patience.as_secs(),
             logs: format!("{}:\n{}", self.directory.display(), self.logs()),
         }
--- a/crates/sparrouter-fleet-lab/src/scenario.rs
+++ b/crates/sparrouter-fleet-lab/src/scenario.rs
@@ -114,6 +114,26 @@
 /// Under 15 s with start and end, for a first look and for the test.
 const QUICK: &str = include_str!("../scenarios/fleet-quick.toml");
 
+/// What is wrong in a scenario.
+#[derive(Debug, thiserror::Error)]
+pub enum ScenarioError {
+    /// The text is no scenario.
+    #[error(transparent)]
+    Syntax(#[from] toml::de::Error),
+    /// A figure is out of its range.
+    #[error("{field} is {value}, not from {min} to {max}")]
+    OutOfRange {
+        /// The field, or fields.
+        field: &'static str,
+        /// Its value.
+        value: f64,
+        /// The lowest allowed value.
+        min: f64,
+        /// The highest allowed value.
+        max: f64,
+    },
+}
+
 impl Scenario {
     /// The built-in scenario, which takes under 15 seconds.
     ///
@@ -133,7 +153,7 @@
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| LabError::Unreadable {
             path: shown.clone(),
-            why: e.to_string(),
+            reason: e.to_string(),
         })?;
         Scenario::parse(&shown, &text)
     }
@@ -144,17 +164,18 @@
     ///
     /// [`LabError::Scenario`] with the field that is wrong.
     pub fn parse(path: &str, text: &str) -> Result<Scenario, LabError> {
-        let invalid = |why: String| LabError::Scenario {
+        let invalid = |reason: ScenarioError| LabError::Scenario {
             path: path.to_owned(),
-            why,
+            reason,
         };
-        let mut read: Scenario = toml::from_str(text).map_err(|e| invalid(e.to_string()))?;
-        read.check().map_err(invalid)?;
-        read.step.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-        Ok(read)
+        let parsed: Result<Scenario, toml::de::Error> = toml::from_str(text);
+        let mut scenario = parsed.map_err(|e| invalid(e.into()))?;
+        scenario.check().map_err(invalid)?;
+        scenario.step.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
+        Ok(scenario)
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), ScenarioError> {
         let nodes = self.nodes.core + self.nodes.plain;
         check_range("length_s", self.length_s, 1.0, MAX_SECONDS)?;
         check_range("nodes.core", self.nodes.core as f64, 1.0, 9.0)?;
@@ -175,12 +196,12 @@
         self.step.iter().try_for_each(|step| self.check_step(step))
     }
 
-    fn check_step(&self, step: &Step) -> Result<(), String> {
+    fn check_step(&self, step: &Step) -> Result<(), ScenarioError> {
         check_range("step.at_s", step.at_s, 0.0, self.length_s)?;
         check_range("step.for_s", step.for_s, 0.0, MAX_SECONDS)?;
         let last_node = (self.nodes.core + self.nodes.plain) as f64 - 1.0;
         let last_server = self.servers.count as f64 - 1.0;
-        let which = |least, most| check_range("step.which", step.which as f64, least, most);
+        let which = |min, max| check_range("step.which", step.which as f64, min, max);
         match step.action {
             Action::Kill | Action::Restart => which(0.0, last_node),
             Action::Drain | Action::Crash => which(0.0, last_server),
@@ -195,9 +216,14 @@
     }
 }
 
-fn check_range(field: &str, value: f64, least: f64, most: f64) -> Result<(), String> {
-    if (least..=most).contains(&value) {
+fn check_range(field: &'static str, value: f64, min: f64, max: f64) -> Result<(), ScenarioError> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(format!("{field} is {value}, not from {least} to {most}"))
+    Err(ScenarioError::OutOfRange {
+        field,
+        value,
+        min,
+        max,
+    })
 }
--- a/crates/sparrouter-fleet-lab/tests/audit.rs
+++ b/crates/sparrouter-fleet-lab/tests/audit.rs
@@ -1,7 +1,7 @@
 //! The audit reports each violation of a rule, and nothing else.
 use sparrouter_fleet_lab::audit::violations;
 use sparrouter_fleet_lab::ledger::{
-    Attempt, Kind, Ledger, Order, Response, Run, Version, body_of, event_of, seal_of,
+    Attempt, Ledger, Order, RequestKind, Response, Run, Version, body_of, event_of, seal_of,
 };
 use std::time::Duration;
 use tokio::time::Instant;
@@ -26,7 +26,7 @@
     vec![std::rc::Rc::new(machine.expect("settings are written"))]
 }
 
-fn attempt(kind: Kind, path: &str, response: Option<Response>) -> Attempt {
+fn attempt(kind: RequestKind, path: &str, response: Option<Response>) -> Attempt {
     let sent = Instant::now();
     Attempt {
         kind,
@@ -45,20 +45,20 @@
         instance,
         path: path.into(),
         body,
-        at: Instant::now(),
+        began_at: Instant::now(),
         version: 1,
         resumed,
     }
 }
 
-fn whole(run: usize, body: &str) -> Response {
+fn complete_response(run: usize, body: &str) -> Response {
     Response {
-        at: Some(Instant::now()),
+        ended_at: Some(Instant::now()),
         status: 200,
         seal: seal_of(run),
         id: "a".into(),
         body: body.into(),
-        whole: true,
+        is_complete: true,
         ..Response::default()
     }
 }
@@ -75,10 +75,10 @@
 
 #[track_caller]
 fn assert_reported(ledger: &Ledger, rule: &str) {
-    let found = violations(ledger, &machines(), EVENTS);
+    let violations = violations(ledger, &machines(), EVENTS);
     assert!(
-        found.len() == 1 && found[0].starts_with(rule),
-        "{rule} alone: {found:?}"
+        violations.len() == 1 && violations[0].starts_with(rule),
+        "{rule} alone: {violations:?}"
     );
 }
 
@@ -87,10 +87,10 @@
 }
 
 #[test]
-fn given_a_whole_stream_when_audited_then_nothing_is_reported() {
-    let told = whole(0, &events(0, 1, 3));
+fn given_a_complete_stream_when_audited_then_nothing_is_reported() {
+    let response = complete_response(0, &events(0, 1, 3));
     let ledger = ledger(
-        attempt(Kind::Streaming, "/notice/1", Some(told)),
+        attempt(RequestKind::Streaming, "/notice/1", Some(response)),
         vec![run("a", "/notice/1", 0)],
     );
     assert_eq!(
@@ -101,9 +101,12 @@
 
 #[test]
 fn given_a_stream_resumed_at_another_server_when_audited_then_nothing_is_reported() {
-    let told = whole(0, &(events(0, 1, 2) + &events(1, 3, 3)));
+    let response = complete_response(0, &(events(0, 1, 2) + &events(1, 3, 3)));
     let runs = vec![run("a", "/audit/1", 0), run("a", "/audit/1", 2)];
-    let ledger = ledger(attempt(Kind::Resumable, "/audit/1", Some(told)), runs);
+    let ledger = ledger(
+        attempt(RequestKind::Resumable, "/audit/1", Some(response)),
+        runs,
+    );
     assert_eq!(
         violations(&ledger, &machines(), EVENTS),
         Vec::<String>::new()
@@ -112,9 +115,9 @@
 
 #[test]
 fn given_pieces_of_another_run_when_audited_then_order_is_reported() {
-    let told = whole(0, &(events(0, 1, 2) + &events(7, 3, 3)));
+    let response = complete_response(0, &(events(0, 1, 2) + &events(7, 3, 3)));
     let ledger = ledger(
-        attempt(Kind::Streaming, "/notice/1", Some(told)),
+        attempt(RequestKind::Streaming, "/notice/1", Some(response)),
         vec![run("a", "/notice/1", 0)],
     );
     assert_reported(&ledger, "ORDER");
@@ -122,9 +125,9 @@
 
 #[test]
 fn given_a_short_stream_that_looks_complete_when_audited_then_order_is_reported() {
-    let told = whole(0, &events(0, 1, 2));
+    let response = complete_response(0, &events(0, 1, 2));
     let ledger = ledger(
-        attempt(Kind::Streaming, "/notice/1", Some(told)),
+        attempt(RequestKind::Streaming, "/notice/1", Some(response)),
         vec![run("a", "/notice/1", 0)],
     );
     assert_reported(&ledger, "ORDER");
@@ -132,22 +135,25 @@
 
 #[test]
 fn given_a_second_run_of_a_write_when_audited_then_twice_is_reported() {
-    let told = whole(0, &body_of(0));
+    let response = complete_response(0, &body_of(0));
     let runs = vec![run("a", "/assign/1", 0), run("a", "/assign/1", 0)];
-    let ledger = ledger(attempt(Kind::NonIdempotent, "/assign/1", Some(told)), runs);
+    let ledger = ledger(
+        attempt(RequestKind::NonIdempotent, "/assign/1", Some(response)),
+        runs,
+    );
     assert_reported(&ledger, "TWICE");
 }
 
 #[test]
 fn given_a_not_executed_answer_and_a_run_when_audited_then_refused_is_reported() {
-    let told = Response {
-        at: Some(Instant::now()),
+    let response = Response {
+        ended_at: Some(Instant::now()),
         status: 503,
-        whole: true,
+        is_complete: true,
         ..Response::default()
     };
     let ledger = ledger(
-        attempt(Kind::NonIdempotent, "/assign/1", Some(told)),
+        attempt(RequestKind::NonIdempotent, "/assign/1", Some(response)),
         vec![run("a", "/assign/1", 0)],
     );
     assert_reported(&ledger, "REFUSED");
@@ -155,12 +161,12 @@
 
 #[test]
 fn given_a_success_without_its_seal_when_audited_then_mixed_is_reported() {
-    let told = Response {
+    let response = Response {
         seal: String::new(),
-        ..whole(0, &body_of(0))
+        ..complete_response(0, &body_of(0))
     };
     let ledger = ledger(
-        attempt(Kind::Idempotent, "/swap/1", Some(told)),
+        attempt(RequestKind::Idempotent, "/swap/1", Some(response)),
         vec![run("a", "/swap/1", 0)],
     );
     assert_reported(&ledger, "MIXED");
@@ -175,22 +181,25 @@
 
 #[test]
 fn given_a_connection_that_ended_without_a_fault_when_audited_then_lost_is_reported() {
-    let told = Response {
-        at: Some(Instant::now()),
+    let response = Response {
+        ended_at: Some(Instant::now()),
         ..Response::default()
     };
-    let ledger = ledger(attempt(Kind::Streaming, "/notice/1", Some(told)), vec![]);
+    let ledger = ledger(
+        attempt(RequestKind::Streaming, "/notice/1", Some(response)),
+        vec![],
+    );
     assert_reported(&ledger, "LOST");
 }
 
 #[test]
 fn given_a_connection_that_ended_with_its_server_when_audited_then_nothing_is_reported() {
-    let told = Response {
-        at: Some(Instant::now()),
+    let response = Response {
+        ended_at: Some(Instant::now()),
         ..Response::default()
     };
     let ledger = ledger(
-        attempt(Kind::Streaming, "/notice/1", Some(told)),
+        attempt(RequestKind::Streaming, "/notice/1", Some(response)),
         vec![run("a", "/notice/1", 0)],
     );
     ledger.crashed.borrow_mut().insert("i-1".into());
@@ -213,9 +222,9 @@
 
 fn denied() -> Response {
     Response {
-        at: Some(Instant::now()),
+        ended_at: Some(Instant::now()),
         status: 404,
-        whole: true,
+        is_complete: true,
         ..Response::default()
     }
 }
@@ -224,7 +233,7 @@
 fn given_a_permanent_route_when_denied_then_config_is_reported() {
     assert_reported(
         &ledger(
-            attempt(Kind::Streaming, "/notice/1", Some(denied())),
+            attempt(RequestKind::Streaming, "/notice/1", Some(denied())),
             vec![],
         ),
         "CONFIG",
@@ -235,7 +244,7 @@
 fn given_an_added_route_when_denied_then_config_is_reported_only_long_after() {
     let of = || {
         ledger(
-            attempt(Kind::Streaming, "/extra-2/look", Some(denied())),
+            attempt(RequestKind::Streaming, "/extra-2/look", Some(denied())),
             vec![],
         )
     };
@@ -260,11 +269,11 @@
 
 #[test]
 fn given_a_removed_route_when_it_still_runs_then_config_is_reported_only_long_after() {
-    let told = || Some(whole(0, &events(0, 1, 3)));
+    let response = || Some(complete_response(0, &events(0, 1, 3)));
     let path = "/extra-2/look";
     let of = || {
         ledger(
-            attempt(Kind::Streaming, path, told()),
+            attempt(RequestKind::Streaming, path, response()),
             vec![run("a", path, 0)],
         )
     };
@@ -290,12 +299,15 @@
 
 #[test]
 fn given_a_drained_server_when_a_run_begins_late_then_drain_is_reported() {
-    let told = whole(0, &body_of(0));
+    let response = complete_response(0, &body_of(0));
     let late = Run {
-        at: Instant::now() + Duration::from_secs(3),
+        began_at: Instant::now() + Duration::from_secs(3),
         ..run("a", "/swap/1", 0)
     };
-    let ledger = ledger(attempt(Kind::Idempotent, "/swap/1", Some(told)), vec![late]);
+    let ledger = ledger(
+        attempt(RequestKind::Idempotent, "/swap/1", Some(response)),
+        vec![late],
+    );
     ledger
         .drains
         .borrow_mut()
@@ -305,12 +317,15 @@
 
 #[test]
 fn given_new_weights_when_a_run_begins_on_old_ones_late_then_version_is_reported() {
-    let told = whole(0, &body_of(0));
+    let response = complete_response(0, &body_of(0));
     let late = Run {
-        at: Instant::now() + Duration::from_secs(9),
+        began_at: Instant::now() + Duration::from_secs(9),
         ..run("a", "/swap/1", 0)
     };
-    let ledger = ledger(attempt(Kind::Idempotent, "/swap/1", Some(told)), vec![late]);
+    let ledger = ledger(
+        attempt(RequestKind::Idempotent, "/swap/1", Some(response)),
+        vec![late],
+    );
     ledger.named.borrow_mut().push((2, Instant::now()));
     assert_reported(&ledger, "VERSION");
 }
@@ -320,8 +335,8 @@
     let ledger = Ledger::default();
     let order = |holder: &str, fence| Order {
         instance: "i-1".into(),
-        holder: holder.into(),
-        fence,
+        lease_holder: holder.into(),
+        fencing_token: fence,
         version: 2,
         loads: false,
     };
--- a/crates/sparrouter-fleet-lab/tests/scenarios.rs
+++ b/crates/sparrouter-fleet-lab/tests/scenarios.rs
@@ -23,7 +23,7 @@
 #[test]
 fn given_a_scenario_out_of_bounds_when_read_then_the_field_is_named() {
     let quick = include_str!("../scenarios/fleet-quick.toml");
-    let told = |from: &str, to: &str| {
+    let error_of = |from: &str, to: &str| {
         let text = quick.replace(from, to);
         assert_ne!(text, quick, "{from} stands in the scenario");
         Scenario::parse("x.toml", &text)
@@ -32,30 +32,30 @@
     };
     let cases = [
         (
-            told("length_s = 6", "length_s = 9000"),
+            error_of("length_s = 6", "length_s = 9000"),
             "x.toml: length_s is 9000, not from 1 to 600",
         ),
-        (told("core = 3", "core = 0"), "x.toml: nodes.core is 0"),
+        (error_of("core = 3", "core = 0"), "x.toml: nodes.core is 0"),
         (
-            told("plain = 1", "plain = 90"),
+            error_of("plain = 1", "plain = 90"),
             "x.toml: nodes.core and nodes.plain is 93",
         ),
         (
-            told("rate_per_s = 40", "rate_per_s = 1e9"),
+            error_of("rate_per_s = 40", "rate_per_s = 1e9"),
             "x.toml: load.rate_per_s is 1000000000",
         ),
         (
-            told("which = 1", "which = 7"),
+            error_of("which = 1", "which = 7"),
             "x.toml: step.which is 7, not from 0 to 3",
         ),
-        (told("at_s = 4", "at_s = 40"), "x.toml: step.at_s is 40"),
+        (error_of("at_s = 4", "at_s = 40"), "x.toml: step.at_s is 40"),
         (
-            told("do = \"crash\"", "do = \"melt\""),
+            error_of("do = \"crash\"", "do = \"melt\""),
             "unknown variant `melt`",
         ),
-        (told("slots = 16", "slot = 16"), "unknown field `slot`"),
+        (error_of("slots = 16", "slot = 16"), "unknown field `slot`"),
     ];
-    for (told, wanted) in cases {
-        assert!(told.contains(wanted), "{told}");
+    for (error, expected) in cases {
+        assert!(error.contains(expected), "{error}");
     }
 }
