--- a/crates/sparrouter-fleet/src/api/control.rs
+++ b/crates/sparrouter-fleet/src/api/control.rs
@@ -1,10 +1,10 @@
 //! The calls of servers and operators, each to its place in the tree.
+use crate::api::ControlServices;
 use crate::api::endpoint::{self, Matcher};
 use crate::control::configuration_state::Change;
 use crate::control::{self, NoChange};
 use crate::platform::defects::{Defect, is_injected};
 use crate::platform::http::{Request, Response};
-use crate::process::run::ControlServices;
 use sparrouter_codec::Blob;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/sparrouter-fleet/src/node/metrics.rs
+++ b/crates/sparrouter-fleet/src/api/metrics.rs
@@ -7,6 +7,7 @@
 
 use crate::control::{Control, LEASE_SHARDS};
 use crate::node::Node;
+use crate::node::counters::Counters;
 use sparrouter_routing::Timestamp;
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -16,34 +17,6 @@
 /// Nanoseconds of a second.
 const SECOND: f64 = 1e9;
 
-/// What is counted as it happens.
-#[derive(Debug, Default)]
-pub struct Counters {
-    /// Changes of the core that this node saw; each restarts the time limits of versions.
-    pub core_changes: Cell<u64>,
-    /// Requests that no server was ready for: all load weights, run too old ones, or are full or out of reach.
-    pub no_server_ready: Cell<u64>,
-    /// Requests sent to a server with older weights than the newest.
-    pub sent_to_older_weights: Cell<u64>,
-    /// Answers that began on weights after the time limit of a newer version: each breaks rule VERSION.
-    pub begun_too_late: Cell<u64>,
-    /// Requests with API keys that were refused because the lease on the configuration had run out.
-    pub refused_without_lease: Cell<u64>,
-    /// Verdicts of this node that a server fails requests which others would serve.
-    pub servers_avoided: Cell<u64>,
-    /// Orders to load weights that servers took.
-    pub orders_taken: Cell<u64>,
-    /// Orders to load weights that were declined.
-    pub orders_declined: Cell<u64>,
-    /// Orders to load weights without an answer.
-    pub orders_unanswered: Cell<u64>,
-}
-
-/// Adds one to a counter.
-pub fn count(counter: &Cell<u64>) {
-    counter.set(counter.get() + 1);
-}
-
 /// All figures of a process. `control`: its control state, if it keeps one.
 pub fn show(node: &Rc<Node>, control: Option<&Rc<Control>>) -> String {
     let mut page = Page::default();
--- a/crates/sparrouter-fleet/src/api/peer.rs
+++ b/crates/sparrouter-fleet/src/api/peer.rs
@@ -1,8 +1,8 @@
 //! Answers to the calls of other nodes: long polls, notifications, messages and changes of the control state, questions
 //! on kept prompts and on waiting prompts.
+use crate::api::ControlServices;
 use crate::peer::messages::{Call, ConfirmedRead, Poll, Reply, Update};
 use crate::platform::defects::{Defect, is_injected};
-use crate::process::run::ControlServices;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Member, Outcome};
 use sparrouter_membership::MembershipDelta;
--- a/crates/sparrouter-fleet/src/client/commands.rs
+++ b/crates/sparrouter-fleet/src/client/commands.rs
@@ -6,7 +6,7 @@
 use crate::client::options::FleetCommand;
 use crate::client::page;
 use crate::platform::net::SharedNet;
-use crate::process::settings::ProcessSettings;
+use crate::settings::ProcessSettings;
 use miniserde::{Serialize, json};
 use sparrouter_config::{ConfigError, Document, Method, RouteTable};
 use std::io::Write;
@@ -79,7 +79,7 @@
             all.dedup();
             Ok(all)
         }
-        Err(crate::process::settings::SettingsError::NoVariable) => Err(ClientError::NoAddress),
+        Err(crate::settings::SettingsError::NoVariable) => Err(ClientError::NoAddress),
         Err(why) => Err(why.into()),
     }
 }
--- a/crates/sparrouter-fleet/src/client/error.rs
+++ b/crates/sparrouter-fleet/src/client/error.rs
@@ -11,7 +11,7 @@
     NoAddress,
     /// The settings file cannot be used.
     #[error(transparent)]
-    Settings(#[from] crate::process::settings::SettingsError),
+    Settings(#[from] crate::settings::SettingsError),
     /// A file cannot be read.
     #[error("{path}: cannot be read ({why}): check the path and that you may read it")]
     File {
--- a/crates/sparrouter-fleet/src/client/options.rs
+++ b/crates/sparrouter-fleet/src/client/options.rs
@@ -1,5 +1,5 @@
 //! The command line: roles of a process, and the operators' commands.
-use crate::process::run::Role;
+use crate::settings::Role;
 use bpaf::{OptionParser, Parser, construct, long, positional, pure};
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/sparrouter-fleet/src/control/disk.rs
+++ b/crates/sparrouter-fleet/src/control/disk.rs
@@ -3,7 +3,7 @@
 //! The program's keeper is a thread. Where stories are told it is a task in virtual time, over a disk that lies.
 use crate::control::LEASE_SHARDS;
 use crate::platform::defects::{Defect, is_injected};
-use crate::process::log_buffer::LogBuffer;
+use crate::platform::log_buffer::LogBuffer;
 use fastrand::Rng;
 use sparrouter_consensus::codec::{self, CodecError};
 use sparrouter_consensus::{Record, Settings};
--- a/crates/sparrouter-fleet/src/control/groups.rs
+++ b/crates/sparrouter-fleet/src/control/groups.rs
@@ -3,7 +3,7 @@
 use crate::control::disk::WriteRequest;
 use crate::node::Node;
 use crate::peer::messages::{Call, Reply};
-use crate::process::settings::nanos;
+use crate::settings::nanos;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Member, NodeObservation, Record, Register};
 use std::net::SocketAddr;
--- a/crates/sparrouter-fleet/src/control/mod.rs
+++ b/crates/sparrouter-fleet/src/control/mod.rs
@@ -3,7 +3,6 @@
 //! What must hold is decided in `sparrouter-consensus`; here its actions are carried out. `presence`: whom this node hears, and
 //! whose duty a part is; `groups`: who belongs to the groups, and the first ones; `handover`: leaving them; `change`: a change through whoever may.
 mod change;
-pub mod configuration_lease;
 pub mod configuration_state;
 pub mod disk;
 mod groups;
@@ -20,7 +19,7 @@
 use crate::node::Node;
 use crate::peer::messages::{Call, ConfigUpdate, ModelUpdate, TextUpdate, VersionsUpdate};
 use crate::platform::defects::{self, Defect};
-use crate::process::settings::nanos;
+use crate::settings::nanos;
 use listening::Listening;
 use presence::CONTACT_WINDOW;
 use quorum_contact::QuorumContact;
--- a/crates/sparrouter-fleet/src/control/presence.rs
+++ b/crates/sparrouter-fleet/src/control/presence.rs
@@ -1,7 +1,7 @@
 //! Whom this member hears, its contact with a quorum, whose silence it tells of, and whether a shard's lease is its own.
 use super::{CONFIG, Control};
 use crate::platform::defects::{self, Defect, is_injected};
-use crate::process::settings::nanos;
+use crate::settings::nanos;
 use sparrouter_consensus::lease::Lease;
 use sparrouter_consensus::{Member, Outcome};
 use sparrouter_routing::{Nanos, timestamp_before};
--- a/crates/sparrouter-fleet/src/lib.rs
+++ b/crates/sparrouter-fleet/src/lib.rs
@@ -15,7 +15,8 @@
 //! | [`control`] | configuration and leases by quorum; what is on disk |
 //! | [`node`] | what the folders above share: the state of one process |
 //! | [`peer`] | messages and connections between nodes |
-//! | [`platform`] | network, HTTP messages, injected defects |
+//! | [`platform`] | network, HTTP messages, connections to servers, log, injected defects |
+//! | [`settings`] | the settings file of a process |
 pub mod api;
 pub mod client;
 pub mod control;
@@ -27,3 +28,4 @@
 pub mod process;
 pub mod proxy;
 pub mod rollout;
+pub mod settings;
--- a/crates/sparrouter-fleet/src/main.rs
+++ b/crates/sparrouter-fleet/src/main.rs
@@ -1,10 +1,10 @@
 //! The program `sparrouter`: a process of the fleet or the operators' client, by subcommand.
 use simplelog::LevelFilter;
 use sparrouter_fleet::client::{self, ClientError, Command, FleetCommand, commands};
+use sparrouter_fleet::platform::log_buffer::LogBuffer;
 use sparrouter_fleet::platform::net::Sockets;
-use sparrouter_fleet::process::log_buffer::LogBuffer;
 use sparrouter_fleet::process::run::{Role, run};
-use sparrouter_fleet::process::settings::{ProcessSettings, VARIABLE};
+use sparrouter_fleet::settings::{ProcessSettings, VARIABLE};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -60,7 +60,7 @@
     let path = match file {
         Some(path) => path,
         None => std::env::var_os(VARIABLE)
-            .ok_or(sparrouter_fleet::process::settings::SettingsError::NoVariable)?
+            .ok_or(sparrouter_fleet::settings::SettingsError::NoVariable)?
             .into(),
     };
     let shown = ProcessSettings::show(&path)?;
--- a/crates/sparrouter-fleet/src/node/outliers.rs
+++ b/crates/sparrouter-fleet/src/membership/outliers.rs
@@ -1,8 +1,8 @@
 //! Failures at servers: reported to the node that keeps count of each server, which tells all nodes of those that fail
 //! what others would serve.
-use super::Node;
 use crate::membership::polls;
-use crate::node::metrics::count;
+use crate::node::Node;
+use crate::node::counters::count;
 use crate::peer::messages::Call;
 use crate::platform::defects::{Defect, is_injected};
 use sparrouter_membership::{MembershipDelta, ServerDirective};
--- a/crates/sparrouter-fleet/src/membership/polls.rs
+++ b/crates/sparrouter-fleet/src/membership/polls.rs
@@ -3,7 +3,7 @@
 use crate::peer::links::LinkError;
 use crate::peer::messages::{Call, Poll, Reply, Update};
 use crate::platform::defects::{Defect, is_injected};
-use crate::process::settings::nanos;
+use crate::settings::nanos;
 use sparrouter_codec::Seq;
 use sparrouter_membership::{MembershipDelta, SOURCE_COUNT, sources};
 use sparrouter_routing::{Nanos, Timestamp};
--- a/crates/sparrouter-fleet/src/membership/registry.rs
+++ b/crates/sparrouter-fleet/src/membership/registry.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::platform::defects::{Defect, is_injected};
 use crate::platform::http::Response;
-use crate::process::settings::nanos;
+use crate::settings::nanos;
 use miniserde::{Deserialize, json};
 use sparrouter_membership::{LifecycleState, LoadedModel, MembershipDelta, ServerRecord};
 use sparrouter_rendezvous::{hash, order};
--- a/crates/sparrouter-fleet/src/control/configuration_lease.rs
+++ b/crates/sparrouter-fleet/src/node/configuration_lease.rs
@@ -13,7 +13,7 @@
 //! 1989; the lease here is of one read and is renewed by reads.
 #![deny(missing_docs)]
 use crate::platform::defects::{Defect, is_injected};
-use crate::process::settings::{Bounds, nanos};
+use crate::settings::{Bounds, nanos};
 use sparrouter_routing::{Nanos, Timestamp};
 use std::time::Duration;
 
--- a/crates/sparrouter-fleet/src/node/live_nodes.rs
+++ b/crates/sparrouter-fleet/src/node/live_nodes.rs
@@ -144,6 +144,16 @@
 }
 
 impl Node {
+    /// The node that owns a key among those that take clients: None for this one itself.
+    pub fn owner(&self, key: u64) -> Option<SocketAddr> {
+        self.live_nodes().owner_address(key)
+    }
+
+    /// Whether a key falls to this node.
+    pub fn keeps(&self, key: u64) -> bool {
+        self.owner(key).is_none()
+    }
+
     /// The snapshot of the node rows as they are now.
     pub fn live_nodes(&self) -> Rc<LiveNodes> {
         let rows = self.membership.borrow();
--- a/crates/sparrouter-fleet/src/node/mod.rs
+++ b/crates/sparrouter-fleet/src/node/mod.rs
@@ -1,20 +1,20 @@
 //! What one process knows: its rows, the configuration in force, its servers. One owner, one thread; tables are
 //! immutable and swapped whole.
 mod config;
+pub mod configuration_lease;
+pub mod counters;
 mod live_nodes;
-pub mod metrics;
-mod outliers;
-mod ownership;
+pub mod shutdown;
 mod updates;
 
-use crate::control::configuration_lease::ConfigurationLease;
-use crate::node::metrics::Counters;
+use crate::node::configuration_lease::ConfigurationLease;
+use crate::node::counters::Counters;
+use crate::node::shutdown::GracefulShutdown;
 use crate::peer::links::Links;
 use crate::platform::defects::{Defect, is_injected};
+use crate::platform::log_buffer::LogBuffer;
 use crate::platform::net::SharedNet;
-use crate::process::log_buffer::LogBuffer;
-use crate::process::settings::{ProcessSettings, nanos};
-use crate::process::shutdown::GracefulShutdown;
+use crate::settings::{ProcessSettings, nanos};
 use fastrand::Rng;
 pub use live_nodes::{ControlNodeState, LiveNodes};
 use sparrouter_config::{EditHistory, RouteTable};
@@ -39,7 +39,7 @@
 /// Prefixes that a node answers for at most; how long a server's memory of one is counted on; after which a store is
 /// told again.
 const MOST_PREFIXES: usize = 40_000;
-const KEPT: Nanos = 30_000_000_000;
+pub(crate) const KEPT: Nanos = 30_000_000_000;
 const SAVED_AGAIN: Nanos = 120_000_000_000;
 /// A followed server or store tells within so long of what it read.
 const TOLD_BY: Nanos = 4_000_000_000;
@@ -103,11 +103,11 @@
     /// What waits at the servers that this node keeps count of.
     pub backlogs: RefCell<HashMap<u64, Backlog>>,
     /// Failures at the servers that this node keeps count of.
-    outliers: RefCell<Outliers>,
+    pub(crate) outliers: RefCell<Outliers>,
     /// Counted control nodes as they were last seen.
     core_seen: RefCell<Vec<ControlNodeState>>,
     /// Stores as they were last told: by their hash, the number that changes when one comes back empty.
-    stores: RefCell<HashMap<u64, u64>>,
+    pub(crate) stores: RefCell<HashMap<u64, u64>>,
     /// The prefixes that this node owns.
     pub index: RefCell<PrefixIndex>,
     /// Raised with everything that pollers want to hear of.
--- a/crates/sparrouter-fleet/src/node/updates.rs
+++ b/crates/sparrouter-fleet/src/node/updates.rs
@@ -1,14 +1,16 @@
 //! Rows that were heard of: learnt at once, looked at with the next few, sent on together.
 use super::Node;
 use super::live_nodes::has_core_changed;
-use crate::node::metrics::count;
+use crate::node::counters::count;
 use crate::platform::defects::{Defect, is_injected};
-use crate::process::settings::nanos;
+use crate::settings::nanos;
 use sparrouter_membership::MembershipDelta;
 use sparrouter_routing::Nanos;
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Keys of notes on stores begin so, followed by the address.
+const STORE_NOTES: &str = "store/";
 /// Rows of one answer to a poll: all pollers ask for everything at once after a start.
 const MOST_ROWS_TOLD: usize = 400;
 /// Answers that are kept until the rows change, for others that ask the same.
@@ -152,4 +154,20 @@
         }
         *known = states.to_vec();
     }
+
+    /// Stores that came back empty have nothing of what they were told to keep.
+    fn look_at_stores(&self) {
+        let rows = self.membership.borrow();
+        let mut stores = self.stores.borrow_mut();
+        for (note, _) in rows.directives_with_prefix(STORE_NOTES) {
+            let address = &note.key[STORE_NOTES.len()..];
+            let store = sparrouter_rendezvous::hash(address.as_bytes());
+            if stores
+                .insert(store, note.version)
+                .is_some_and(|before| before != note.version)
+            {
+                self.index.borrow_mut().remove_source(store);
+            }
+        }
+    }
 }
--- a/crates/sparrouter-fleet/src/platform/mod.rs
+++ b/crates/sparrouter-fleet/src/platform/mod.rs
@@ -2,4 +2,6 @@
 //! a network of its own in place of the sockets.
 pub mod defects;
 pub mod http;
+pub mod log_buffer;
 pub mod net;
+pub mod upstream;
--- a/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
@@ -4,7 +4,7 @@
 //! to keep things again.
 use crate::node::Node;
 use crate::platform::net::Net;
-use crate::proxy::upstream::{SendOutcome, Upstream};
+use crate::platform::upstream::{SendOutcome, Upstream};
 use bytes::Bytes;
 use miniserde::json::{Number, Value};
 use miniserde::{Deserialize, json};
--- a/crates/sparrouter-fleet/src/prefix_cache/mod.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/mod.rs
@@ -2,3 +2,4 @@
 //!
 //! Owns the followers of events; what they find goes to the nodes that own the blocks.
 pub mod event_follower;
+mod location;
--- a/crates/sparrouter-fleet/src/process/mod.rs
+++ b/crates/sparrouter-fleet/src/process/mod.rs
@@ -1,7 +1,7 @@
-//! One process from start to end: its settings, its tasks, its signals, its log, and the drain period in which it ends.
+//! One process from start to end: its tasks, its signals, and the drain period in which it ends.
 //!
 //! Owns nothing that outlives a start. It wires the other modules together, so it may use all of them.
-pub mod log_buffer;
 pub mod run;
-pub mod settings;
-pub mod shutdown;
+
+pub use crate::platform::log_buffer;
+pub use crate::settings;
--- a/crates/sparrouter-fleet/src/process/run.rs
+++ b/crates/sparrouter-fleet/src/process/run.rs
@@ -1,24 +1,26 @@
 //! The life of a process: doors open, tasks started, orders heeded, an end without loss. `run` is the program's, with
 //! signals and files; `serve` is the same without either, for the in-memory fleet too.
+use crate::api::ControlServices;
 use crate::api::control as api_control;
 use crate::api::endpoint::{self, Matcher};
+use crate::api::metrics;
 use crate::api::peer::answer;
 use crate::control::disk::{self, DiskContents, DiskError};
 use crate::control::{self, Control};
 use crate::membership::polls;
 use crate::membership::registry::Registry;
 use crate::node::Node;
-use crate::node::metrics;
+use crate::node::shutdown::GracefulShutdown;
 use crate::peer::links;
 use crate::platform::defects::{Defect, is_injected};
 use crate::platform::http::Response;
+use crate::platform::log_buffer::LogBuffer;
 use crate::platform::net::{Listener, Net, SharedNet};
 use crate::prefix_cache::event_follower;
-use crate::process::log_buffer::LogBuffer;
-use crate::process::settings::{ProcessSettings, nanos};
-use crate::process::shutdown::GracefulShutdown;
 use crate::proxy::frontend::{self, Stage};
 use crate::rollout;
+pub use crate::settings::Role;
+use crate::settings::{ProcessSettings, nanos};
 use fastrand::Rng;
 use nanoserde::SerBin;
 use sparrouter_membership::MembershipDelta;
@@ -51,15 +53,6 @@
     Data(#[from] DiskError),
 }
 
-/// Which doors a role opens beside the one for nodes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    /// Takes clients, and servers and operators where the settings say so.
-    Proxy,
-    /// Takes servers and operators only.
-    Control,
-}
-
 fn listener(net: &dyn Net, address: SocketAddr) -> Result<Box<dyn Listener>, RunError> {
     net.listen(address).map_err(|e| RunError::Listen {
         address,
@@ -67,27 +60,6 @@
     })
 }
 
-/// What the tasks of a process share.
-pub struct ControlServices {
-    pub node: Rc<Node>,
-    pub control: Option<Rc<Control>>,
-    pub registry: Registry,
-}
-
-impl ControlServices {
-    /// Whether this node is a member in contact with a quorum.
-    pub fn has_quorum_contact(&self) -> bool {
-        self.control
-            .as_ref()
-            .is_some_and(|c| c.has_quorum_contact())
-    }
-
-    /// When the read began by which a quorum confirmed what is in force here; `None` without quorum contact.
-    pub fn confirmed_read(&self) -> Option<Nanos> {
-        self.control.as_ref().and_then(|c| c.confirmed_read())
-    }
-}
-
 /// What a process is told while it runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
--- a/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
@@ -1,9 +1,9 @@
 //! Whom a request goes to next: the winner of the election, those behind it where it would be late, or nobody.
 use super::{Exchange, time_is_over};
-use crate::node::metrics::count;
+use crate::node::counters::count;
 use crate::platform::defects::{Defect, is_injected};
 use crate::platform::http::Response;
-use crate::process::settings::nanos;
+use crate::settings::nanos;
 use sparrouter_routing::{Selection, SelectionError, SelectionRequest, ServerIndex};
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/sparrouter-fleet/src/proxy/exchange/api_key.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/api_key.rs
@@ -4,7 +4,7 @@
 //! further server may be asked long after the first.
 use super::{Exchange, admission};
 use crate::node::Node;
-use crate::node::metrics::count;
+use crate::node::counters::count;
 use crate::platform::defects::{Defect, is_injected};
 use crate::platform::http::Response;
 use std::time::Duration;
--- a/crates/sparrouter-fleet/src/proxy/exchange/attempt.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/attempt.rs
@@ -3,10 +3,10 @@
 use super::api_key::KeyState;
 use super::prefix_lookup::Memory;
 use super::{Exchange, left};
-use crate::node::metrics::count;
+use crate::node::counters::count;
 use crate::platform::defects::{Defect, is_injected};
 use crate::platform::net::Stream;
-use crate::proxy::upstream::{SendOutcome, Upstream};
+use crate::platform::upstream::{SendOutcome, Upstream};
 use bytes::{BufMut, Bytes, BytesMut};
 use sparrouter_config::RouteKind;
 use sparrouter_http::head::{self, Framing, ResponseHead};
@@ -315,7 +315,7 @@
 
     pub(super) fn declined(&self, pick: &Selection, head: &ResponseHead) {
         let now = self.node.now();
-        let jitter = crate::process::settings::nanos(self.node.jitter(Duration::from_millis(60)));
+        let jitter = crate::settings::nanos(self.node.jitter(Duration::from_millis(60)));
         if head.status == 421 {
             let other = head
                 .fields
--- a/crates/sparrouter-fleet/src/rollout/calls.rs
+++ b/crates/sparrouter-fleet/src/rollout/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to a server: what it runs, and the bytes of an answer.
 use crate::platform::net::Net;
-use crate::proxy::upstream::{SendOutcome, Upstream};
+use crate::platform::upstream::{SendOutcome, Upstream};
 use bytes::Bytes;
 use miniserde::{Deserialize, json};
 use sparrouter_http::head;
--- a/crates/sparrouter-fleet/src/rollout/load.rs
+++ b/crates/sparrouter-fleet/src/rollout/load.rs
@@ -1,10 +1,10 @@
 //! One server taken to the newest weights: nothing new goes to it, one order a version, until it runs the newest.
 use super::calls::{Report, answer, report};
 use super::{DirectiveKind, FRESH, Held, RolloutTask};
-use crate::node::metrics::count;
+use crate::node::counters::count;
 use crate::platform::defects::{Defect, is_injected};
-use crate::process::settings::nanos;
-use crate::proxy::upstream::{SendOutcome, Upstream};
+use crate::platform::upstream::{SendOutcome, Upstream};
+use crate::settings::nanos;
 use bytes::Bytes;
 use sparrouter_membership::LifecycleState;
 use sparrouter_routing::Nanos;
--- a/crates/sparrouter-fleet/src/rollout/mod.rs
+++ b/crates/sparrouter-fleet/src/rollout/mod.rs
@@ -12,7 +12,7 @@
 use crate::control::{self, Control, LEASE_SHARDS, shard_of};
 use crate::node::Node;
 use crate::platform::defects::{Defect, is_injected};
-use crate::process::settings::nanos;
+use crate::settings::nanos;
 use calls::CALL;
 use sparrouter_consensus::lease::{LeaseAnswer, LeaseChange, LeaseHolder};
 use sparrouter_membership::{MembershipDelta, ServerDirective};
--- a/crates/sparrouter-fleet/src/process/settings/fields.rs
+++ b/crates/sparrouter-fleet/src/settings/fields.rs
@@ -1,5 +1,5 @@
 //! Typed access to the fields of a settings file. Each field that is read is recorded for [`Fields::show`].
-use crate::process::settings::SettingsError;
+use crate::settings::SettingsError;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
--- a/crates/sparrouter-fleet/src/process/settings.rs
+++ b/crates/sparrouter-fleet/src/settings/mod.rs
@@ -10,6 +10,15 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+/// Which doors a role opens beside the one for nodes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Role {
+    /// Takes clients, and servers and operators where the settings say so.
+    Proxy,
+    /// Takes servers and operators only.
+    Control,
+}
+
 /// The environment variable that holds the path of the settings file.
 pub const VARIABLE: &str = "SPARROUTER_BOOT";
 
--- a/crates/sparrouter-fleet/tests/boot.rs
+++ b/crates/sparrouter-fleet/tests/boot.rs
@@ -1,5 +1,5 @@
 //! Settings files: what is read, what is filled in, and how each error is reported.
-use sparrouter_fleet::process::settings::{ProcessSettings, SettingsError};
+use sparrouter_fleet::settings::{ProcessSettings, SettingsError};
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/sparrouter-fleet/tests/configuration_lease.rs
+++ b/crates/sparrouter-fleet/tests/configuration_lease.rs
@@ -1,6 +1,6 @@
 //! When a node may go by its configuration for requests with API keys.
-use sparrouter_fleet::control::configuration_lease::ConfigurationLease;
-use sparrouter_fleet::process::settings::ProcessSettings;
+use sparrouter_fleet::node::configuration_lease::ConfigurationLease;
+use sparrouter_fleet::settings::ProcessSettings;
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/sparrouter-fleet/tests/departure.rs
+++ b/crates/sparrouter-fleet/tests/departure.rs
@@ -1,5 +1,5 @@
 //! Which requests a process that was told to end still takes.
-use sparrouter_fleet::process::shutdown::GracefulShutdown;
+use sparrouter_fleet::node::shutdown::GracefulShutdown;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/sparrouter-fleet/tests/log_buffer.rs
+++ b/crates/sparrouter-fleet/tests/log_buffer.rs
@@ -1,5 +1,5 @@
 //! The log: bounded, and written out when something goes wrong.
-use sparrouter_fleet::process::log_buffer::{LINES, LONGEST, LogBuffer, MAX_DUMPS};
+use sparrouter_fleet::platform::log_buffer::{LINES, LONGEST, LogBuffer, MAX_DUMPS};
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
--- a/crates/sparrouter-fleet/tests/upstream.rs
+++ b/crates/sparrouter-fleet/tests/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to servers: what left of a request that broke off, early answers, and what may rest in the pool.
 use bytes::{Bytes, BytesMut};
 use sparrouter_fleet::platform::net::{BoxFuture, Connection, Listener, Net, Stream};
-use sparrouter_fleet::proxy::upstream::{Pool, SendOutcome, Upstream};
+use sparrouter_fleet::platform::upstream::{Pool, SendOutcome, Upstream};
 use sparrouter_http::head::{self, ResponseHead};
 use sparrouter_http::reading;
 use std::cell::RefCell;
