--- a/crates/sparrouter-fleet/src/api/control.rs
+++ b/crates/sparrouter-fleet/src/api/control.rs
@@ -3,7 +3,7 @@
 use crate::api::endpoint::{self, Matcher};
 use crate::control::configuration_state::Change;
 use crate::control::{self, NoChange};
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::http::{Request, Response};
 use sparrouter_codec::Blob;
 use std::rc::Rc;
@@ -139,7 +139,7 @@
             Some(verdict)
                 if !verdict.binding
                     && answered.copies_under_way
-                    && !is_injected(Defect::EarlyReplicaRejected) =>
+                    && rules::early_copies_stay_unknown() =>
             {
                 unknown(&services)
             }
@@ -154,7 +154,7 @@
             body: why,
             ..Response::retry_later(services.node.jitter(Duration::from_millis(150)))
         },
-        Err(NoChange::Unknown) if is_injected(Defect::MinorityAcks) && !get => {
+        Err(NoChange::Unknown) if !rules::acks_need_quorum() && !get => {
             Response::plain(200, "taken")
         }
         // A read changes nothing: what it would have found is all that is not known.
--- a/crates/sparrouter-fleet/src/api/peer.rs
+++ b/crates/sparrouter-fleet/src/api/peer.rs
@@ -2,7 +2,7 @@
 //! on kept prompts and on waiting prompts.
 use crate::api::ControlServices;
 use crate::peer::messages::{Call, ConfirmedRead, Poll, Reply, Update};
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Member, Outcome};
 use sparrouter_membership::MembershipDelta;
@@ -102,7 +102,7 @@
         control.heard_of(&poll.name);
         control.polled(&poll.name);
     }
-    if !is_injected(Defect::VersionAgeUnreturned) {
+    if rules::pollers_report_version_ages() {
         node.take_models(&poll.models);
     }
     if let Some(row) = poll.record {
@@ -124,7 +124,7 @@
         let until = came + Duration::from_millis(u64::from(poll.max_wait_ms.min(longest)));
         let rows = node.rows_since(poll.epoch, poll.revision);
         let known = node.active_configuration();
-        let older = is_injected(Defect::OlderConfigurationApplied)
+        let older = !rules::older_configurations_ignored()
             && known.slot > 0
             && known.slot < poll.config_slot;
         let is_newer = known.slot > poll.config_slot || older;
@@ -153,7 +153,7 @@
 /// must hear of it from here.
 fn take_notification(services: &ControlServices, delta: MembershipDelta) -> Reply {
     services.node.merge_records(delta);
-    if services.has_quorum_contact() || is_injected(Defect::NotifyWithoutContact) {
+    if services.has_quorum_contact() || !rules::notified_node_needs_contact() {
         Reply::Acknowledged
     } else {
         Reply::Rejected("this node has no contact with a quorum".into())
@@ -179,7 +179,7 @@
     };
     // Nothing was proposed, so the sender may try another member at once. A call that waited in a frozen process ends here
     // too: its sender gave it up long ago.
-    if control.lost_quorum_contact() && !is_injected(Defect::RelayWithoutContact) {
+    if control.lost_quorum_contact() && rules::relay_needs_contact() {
         return Reply::NotApplied(
             "this node has no contact with a quorum: see which members are down".into(),
         );
--- a/crates/sparrouter-fleet/src/control/configuration_state.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state.rs
@@ -9,7 +9,7 @@
 pub use format::{FORM, StateFormatError};
 pub use history::{AppliedOrder, MAX_KNOWN_ORDERS, OrderFate, OrderHistory};
 
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use nanoserde::{DeBin, SerBin};
 use sparrouter_codec::{Blob, Seq};
 use sparrouter_config::{Accepted, ConfigError, Document, Method, Order, base_of};
@@ -99,11 +99,11 @@
     /// Judges an order: it is taken if it builds on the version in force and is valid. One that builds on another
     /// version is known again, refused, or neither.
     fn submit(&mut self, method: Method, if_match: Option<u64>, body: &[u8]) -> Verdict {
-        let if_match = match is_injected(Defect::BaseIgnored) {
+        let if_match = match !rules::order_base_checked() {
             true => Some(self.version),
             false => if_match,
         };
-        if base_of(if_match) != self.version && !is_injected(Defect::SameBodyRefused) {
+        if base_of(if_match) != self.version && rules::repeated_orders_recognized() {
             return self.recognize(method, if_match, body);
         }
         match sparrouter_config::accept(method, body, if_match, self.document().as_ref()) {
@@ -150,11 +150,11 @@
     fn fate_of(&self, order: &Order) -> OrderFate {
         match self.orders.fate(order) {
             OrderFate::Applied
-                if is_injected(Defect::AppliedOrdersForgotten) && order.number != self.version =>
+                if !rules::applied_orders_remembered() && order.number != self.version =>
             {
                 OrderFate::Lost
             }
-            OrderFate::Unknown if is_injected(Defect::OldOrderRefused) => OrderFate::Lost,
+            OrderFate::Unknown if !rules::old_orders_stay_unknown() => OrderFate::Lost,
             fate => fate,
         }
     }
--- a/crates/sparrouter-fleet/src/control/configuration_state/history.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state/history.rs
@@ -5,7 +5,7 @@
 //! overtaken version was therefore taken if and only if it *is* the successor of that version. The newest links of the
 //! chain are kept with the digests of their orders; of an order that builds on an older one nothing is claimed.
 
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use sparrouter_codec::Seq;
 use sparrouter_config::{ORDER_DIGEST_BYTES, Order, OrderDigest};
@@ -105,7 +105,7 @@
 }
 
 fn is_made_by(link: &AppliedOrder, order: &Order) -> bool {
-    let same_digest = link.digest == order.digest || is_injected(Defect::OrderDigestIgnored);
+    let same_digest = link.digest == order.digest || !rules::order_digests_compared();
     link.number == order.number && same_digest
 }
 
--- a/crates/sparrouter-fleet/src/control/disk.rs
+++ b/crates/sparrouter-fleet/src/control/disk.rs
@@ -2,7 +2,7 @@
 //!
 //! The program's keeper is a thread. Where stories are told it is a task in virtual time, over a disk that lies.
 use crate::control::LEASE_SHARDS;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::log_buffer::LogBuffer;
 use fastrand::Rng;
 use sparrouter_consensus::codec::{self, CodecError};
@@ -151,7 +151,7 @@
 }
 
 fn check_record(part: u16, record: &[u8]) -> Result<(), DiskError> {
-    if is_injected(Defect::RecordForgotten) {
+    if !rules::unreadable_records_rejected() {
         return Ok(());
     }
     let name = record_name(part);
@@ -235,7 +235,7 @@
     for again in [false, true] {
         match read(&files, log_buffer, rng, &keeper) {
             Ok(contents) => return Ok(contents),
-            Err(why @ DiskError::Newer(_)) if !is_injected(Defect::NewerFolderEmptied) => {
+            Err(why @ DiskError::Newer(_)) if rules::newer_folders_untouched() => {
                 return Err(why);
             }
             Err(why @ DiskError::Unreadable(_)) => {
--- a/crates/sparrouter-fleet/src/control/handover.rs
+++ b/crates/sparrouter-fleet/src/control/handover.rs
@@ -1,6 +1,6 @@
 //! A process that leaves hands its control state over to the other members before it ends.
 use super::{CONFIG, Control};
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     /// Whether the other members hold everything that this one holds, and can act without it; calls that wait for an
     /// answer of the group here are over, too.
     pub fn is_handed_over(&self) -> bool {
-        is_injected(Defect::LeavesWithoutHandover)
+        !rules::shutdown_awaits_handover()
             || (self.ops.borrow().is_empty() && self.held_back().is_empty())
     }
 
--- a/crates/sparrouter-fleet/src/control/mod.rs
+++ b/crates/sparrouter-fleet/src/control/mod.rs
@@ -18,7 +18,7 @@
 use crate::control::disk::{DiskContents, WriteOutcome, WriteQueue, WriteRequest};
 use crate::node::Node;
 use crate::peer::messages::{Call, ConfigUpdate, ModelUpdate, TextUpdate, VersionsUpdate};
-use crate::platform::defects::{self, Defect};
+use crate::platform::defects::{self, rules};
 use crate::settings::nanos;
 use listening::Listening;
 use presence::CONTACT_WINDOW;
@@ -152,7 +152,7 @@
             quorum_contact: RefCell::new(QuorumContact::new(nanos(CONTACT_WINDOW))),
             founded: Cell::new(founded),
         });
-        if defects::is_injected(Defect::LosingProposalInForce)
+        if !rules::only_chosen_state_applies()
             && let Some(record) = stock.records.first().and_then(Option::as_deref)
             && let Some(vote) = Record::decode(record, MOST_MESSAGE)
                 .ok()
--- a/crates/sparrouter-fleet/src/control/presence.rs
+++ b/crates/sparrouter-fleet/src/control/presence.rs
@@ -1,6 +1,6 @@
 //! Whom this member hears, its contact with a quorum, whose silence it tells of, and whether a shard's lease is its own.
 use super::{CONFIG, Control};
-use crate::platform::defects::{self, Defect, is_injected};
+use crate::platform::defects::{self, rules};
 use crate::settings::nanos;
 use sparrouter_consensus::lease::Lease;
 use sparrouter_consensus::{Member, Outcome};
@@ -43,7 +43,7 @@
     pub fn watch(&self) {
         let now = self.node.now();
         let mut quiet = Vec::new();
-        if !self.has_quorum_contact() && !is_injected(Defect::MarksUnresponsiveWithoutContact) {
+        if !self.has_quorum_contact() && rules::watching_needs_contact() {
             // Cut off or just thawed: the others are not silent, they ask elsewhere.
             self.pollers.borrow_mut().clear();
         }
@@ -135,7 +135,7 @@
 
     /// Whether this member knows, by a quorum's recent answer, everything that was acknowledged until then.
     pub fn has_quorum_contact(&self) -> bool {
-        if is_injected(Defect::ContactFromAnyFrame) {
+        if !rules::contact_needs_confirmed_read() {
             return self.hears_majority();
         }
         self.is_member() && self.quorum_contact.borrow().is_confirmed(self.node.now())
@@ -189,10 +189,10 @@
     /// When the read began that quorum contact rests on now; `None` without contact.
     pub fn confirmed_read(&self) -> Option<Nanos> {
         if !self.has_quorum_contact() {
-            return is_injected(Defect::LeaseFromAnySource).then(|| self.node.now());
+            return !rules::lease_needs_quorum().then(|| self.node.now());
         }
         let read_began = self.quorum_contact.borrow().newest_read();
-        read_began.or_else(|| is_injected(Defect::ContactFromAnyFrame).then(|| self.node.now()))
+        read_began.or_else(|| !rules::contact_needs_confirmed_read().then(|| self.node.now()))
     }
 
     /// One confirmed read; returns whether there is contact after it.
--- a/crates/sparrouter-fleet/src/control/quorum_contact.rs
+++ b/crates/sparrouter-fleet/src/control/quorum_contact.rs
@@ -11,7 +11,7 @@
 //! processor. Contact ends by the passing of time alone, so no task has to notice that it did.
 //!
 //! Source: Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 6.4 (ReadIndex).
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use sparrouter_routing::Nanos;
 
 /// Decides from confirmed reads and the steady clock whether this member is in contact with a quorum.
@@ -35,7 +35,7 @@
     /// contact after it: an answer that took longer than the window proves nothing, and neither does one to a question
     /// that was asked before contact was lost.
     pub fn confirm(&mut self, read_began: Nanos, now: Nanos) -> bool {
-        let read_began = if is_injected(Defect::LateAnswerConfirms) {
+        let read_began = if !rules::reads_count_from_their_start() {
             now
         } else {
             read_began
@@ -53,7 +53,7 @@
     /// Whether there is contact at `now`. Take the time immediately before the answer that depends on it.
     pub fn is_confirmed(&self, now: Nanos) -> bool {
         let confirmed = self.newest_read.is_some();
-        confirmed && (self.lost_at(now).is_none() || is_injected(Defect::ContactNeverLost))
+        confirmed && (self.lost_at(now).is_none() || !rules::contact_expires())
     }
 
     /// When the newest confirmed read began, be there contact or not.
--- a/crates/sparrouter-fleet/src/membership/outliers.rs
+++ b/crates/sparrouter-fleet/src/membership/outliers.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::node::counters::count;
 use crate::peer::messages::Call;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use sparrouter_membership::{MembershipDelta, ServerDirective};
 use sparrouter_routing::{Failure, Server, ServerIndex};
 use std::rc::Rc;
@@ -78,7 +78,7 @@
             .borrow()
             .by_id_hash(failure.server)
             .map(|server| server.id.clone());
-        if let Some(id) = id.filter(|_| is_outlier && !is_injected(Defect::OutlierUnreported)) {
+        if let Some(id) = id.filter(|_| is_outlier && rules::outliers_are_reported()) {
             self.tell_outlier(&id);
         }
     }
--- a/crates/sparrouter-fleet/src/membership/polls.rs
+++ b/crates/sparrouter-fleet/src/membership/polls.rs
@@ -2,7 +2,7 @@
 use crate::node::Node;
 use crate::peer::links::LinkError;
 use crate::peer::messages::{Call, Poll, Reply, Update};
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::settings::nanos;
 use sparrouter_codec::Seq;
 use sparrouter_membership::{MembershipDelta, SOURCE_COUNT, sources};
@@ -125,13 +125,12 @@
 
     /// How long a poll may take that is held for `hold` at most.
     fn patience(&self, node: &Node, hold: Duration) -> Duration {
-        let doublings = if node.active_configuration().slot == 0
-            && !is_injected(Defect::VersionLimitNotRestarted)
-        {
-            self.unanswered.get().min(MOST_DOUBLINGS)
-        } else {
-            0
-        };
+        let doublings =
+            if node.active_configuration().slot == 0 && rules::arriving_replies_extend_timeout() {
+                self.unanswered.get().min(MOST_DOUBLINGS)
+            } else {
+                0
+            };
         (hold + PATIENCE) * (1 << doublings)
     }
 
@@ -315,7 +314,7 @@
 /// Whether the answer to a call that was sent at `asked` still says what is so. One that waited while this process was
 /// frozen says what was, and the timer of the call has not fired if the answer was read before it.
 pub fn is_timely(asked: Nanos, now: Nanos, patience: Duration) -> bool {
-    now.saturating_sub(asked) <= nanos(patience) || is_injected(Defect::StaleAnswerInforms)
+    now.saturating_sub(asked) <= nanos(patience) || !rules::late_poll_replies_ignored()
 }
 
 /// Tells the members of rows that changed here. True once another machine has them that is in contact with a quorum.
--- a/crates/sparrouter-fleet/src/membership/registry.rs
+++ b/crates/sparrouter-fleet/src/membership/registry.rs
@@ -2,7 +2,7 @@
 use crate::control::{CONFIG, Control};
 use crate::membership::polls;
 use crate::node::Node;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::http::Response;
 use crate::settings::nanos;
 use miniserde::{Deserialize, json};
@@ -86,7 +86,7 @@
             .is_some_and(|heard| heard.draining_told);
         let late = !self.record_heard(&row, node.now());
         #[cfg(feature = "injected-defects")]
-        if late && is_injected(Defect::DrainReverted) {
+        if late && !rules::late_heartbeats_ignored() {
             node.membership
                 .borrow_mut()
                 .overwrite(row.clone(), node.now());
@@ -100,7 +100,7 @@
                 ..MembershipDelta::default()
             });
         }
-        let told_before = told_before || (is_injected(Defect::DrainRepeatAcked) && (same || late));
+        let told_before = told_before || (!rules::repeated_drains_need_replica() && (same || late));
         // Sent again after a refusal it still binds: what counts is whether others were told, not whether it is news.
         let must_spread = standing == LifecycleState::Draining && !told_before;
         if (must_spread || is_news) && !self.spread(node, control, id, must_spread).await {
@@ -111,7 +111,7 @@
         }
         // Rows of a machine that is cut off reach nobody: another one should look after the server.
         let cut_off = standing == LifecycleState::Ready && !may_acknowledge(node, control);
-        if cut_off && !is_injected(Defect::HeartbeatWithoutContact) {
+        if cut_off && rules::heartbeat_acks_need_contact() {
             return Response::retry_later(TRY_ANOTHER);
         }
         let told = |(_, at): (String, String)| format!("{{\"heartbeat_target\":\"{at}\"}}");
@@ -172,7 +172,7 @@
             servers: vec![row].into(),
             ..MembershipDelta::default()
         };
-        if binds && !is_injected(Defect::AckWithoutReplica) {
+        if binds && rules::acks_need_replica() {
             let told = polls::notify(node, &delta, SPREAD).await;
             // Where this node is the only member there is nobody else to tell.
             let only_member =
@@ -181,7 +181,7 @@
         }
         let node = node.clone();
         spawn_local(async move {
-            if is_injected(Defect::AckWithoutReplica) {
+            if !rules::acks_need_replica() {
                 tokio::time::sleep(SPREAD).await;
             }
             // What is lost here the next beat brings, or the sources' own polls.
--- a/crates/sparrouter-fleet/src/node/config.rs
+++ b/crates/sparrouter-fleet/src/node/config.rs
@@ -1,7 +1,7 @@
 //! The configuration in force: taken whole or as changes of its text, and told on.
 use super::{ActiveConfiguration, Node};
 use crate::peer::messages::{ConfigUpdate, EditUpdate, ModelUpdate, TextUpdate, VersionsUpdate};
-use crate::platform::defects::{self, Defect, is_injected};
+use crate::platform::defects::{self, rules};
 use sparrouter_codec::Seq;
 use sparrouter_config::{Document, Edit, RouteTable, digest_of_text};
 use sparrouter_routing::{Nanos, RequiredVersion, Timestamp, timestamp_before};
@@ -52,9 +52,9 @@
     pub fn apply_configuration(&self, told: ConfigUpdate) -> bool {
         let known = self.active_configuration();
         let skipped =
-            is_injected(Defect::CatchUpSkips) && known.slot > 0 && told.slot > known.slot + 1;
+            !rules::missed_versions_apply() && known.slot > 0 && told.slot > known.slot + 1;
         if told.slot > known.slot
-            || (is_injected(Defect::OlderConfigurationApplied) && told.slot != known.slot)
+            || (!rules::older_configurations_ignored() && told.slot != known.slot)
         {
             let text: Rc<str> = match told.text {
                 TextUpdate::Complete(text) => text.into(),
@@ -72,7 +72,7 @@
             } else {
                 let document = Document {
                     version: told.version,
-                    text: defects::half(&text, &known.text),
+                    text: defects::snapshot_text(&text, &known.text),
                 };
                 let read = RouteTable::read(&document);
                 is_readable = read.is_ok();
@@ -133,7 +133,7 @@
                 log::info!("version {version} of {name} was named {age} ms ago");
             }
             #[cfg(feature = "injected-defects")]
-            if is_injected(Defect::LimitReplaced) {
+            if !rules::older_limits_stay() {
                 versions.forget_older(&model.name, model.version);
             }
             versions.record_named(&model.name, model.version, nanos_of_ms(model.age_ms), now);
@@ -182,7 +182,7 @@
 
 /// How long ago a moment was, in whole milliseconds.
 fn age_ms(at: Timestamp, now: Nanos) -> u64 {
-    if is_injected(Defect::VersionAgeUnreported) {
+    if !rules::version_ages_reported() {
         return 0;
     }
     let age = i128::from(now) - i128::from(at);
--- a/crates/sparrouter-fleet/src/node/configuration_lease.rs
+++ b/crates/sparrouter-fleet/src/node/configuration_lease.rs
@@ -12,7 +12,7 @@
 //! Source: Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency",
 //! 1989; the lease here is of one read and is renewed by reads.
 #![deny(missing_docs)]
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::settings::{Bounds, nanos};
 use sparrouter_routing::{Nanos, Timestamp};
 use std::time::Duration;
@@ -38,7 +38,7 @@
         let length = bounds.revoke_timeout.mul_f64(LENGTH);
         ConfigurationLease {
             length: bounds.strict_revocation.then_some(length),
-            confirmed_at: is_injected(Defect::LeaseFromStart).then_some(0),
+            confirmed_at: !rules::lease_needs_confirmation().then_some(0),
         }
     }
 
@@ -49,7 +49,7 @@
 
     /// All that was acknowledged before `at` is in force here. `now`: when that became known.
     pub fn confirm(&mut self, at: Timestamp, now: Nanos) {
-        let at = if is_injected(Defect::LeaseFromAnswer) {
+        let at = if !rules::lease_counts_from_read() {
             Timestamp::try_from(now).unwrap_or(Timestamp::MAX)
         } else {
             at
--- a/crates/sparrouter-fleet/src/node/mod.rs
+++ b/crates/sparrouter-fleet/src/node/mod.rs
@@ -11,7 +11,7 @@
 use crate::node::counters::Counters;
 use crate::node::shutdown::GracefulShutdown;
 use crate::peer::links::Links;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::log_buffer::LogBuffer;
 use crate::platform::net::SharedNet;
 use crate::settings::{ProcessSettings, nanos};
@@ -264,7 +264,7 @@
     pub fn budget<T>(&self, service: &str, f: impl FnOnce(&mut RetryBudget, Nanos) -> T) -> T {
         let now = self.now();
         // The slack waits for a window, since a process before this one may have spent it.
-        let minted = if is_injected(Defect::RetrySlackRenewedByRestart) {
+        let minted = if !rules::restarts_renew_no_retry_slack() {
             nanos(self.settings.borrow().bounds.budget_window)
         } else {
             0
@@ -286,7 +286,7 @@
     /// have spent all that its requests had earned, and the window that is judged holds both.
     pub fn may_repeat(&self, service: &str) -> bool {
         let window = nanos(self.settings.borrow().bounds.budget_window);
-        let settled = self.now() >= window || is_injected(Defect::RetrySlackRenewedByRestart);
+        let settled = self.now() >= window || !rules::restarts_renew_no_retry_slack();
         settled && self.budget(service, |b, now| b.try_acquire(self.sharers(), now))
     }
 
@@ -303,7 +303,7 @@
 fn version_limits(boot: &ProcessSettings) -> OutdatedVersionLimits {
     let part_of = |bound: Duration| nanos(bound.mul_f64(VERSION_PATIENCE));
     let all = boot.bounds.version_all;
-    let is_added_up = !all.is_zero() && !is_injected(Defect::VersionSumIgnored);
+    let is_added_up = !all.is_zero() && rules::total_version_limit_applies();
     OutdatedVersionLimits {
         per_stretch: part_of(boot.bounds.version),
         in_total: is_added_up.then(|| part_of(all)),
--- a/crates/sparrouter-fleet/src/node/updates.rs
+++ b/crates/sparrouter-fleet/src/node/updates.rs
@@ -2,7 +2,7 @@
 use super::Node;
 use super::live_nodes::has_core_changed;
 use crate::node::counters::count;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::settings::nanos;
 use sparrouter_membership::MembershipDelta;
 use sparrouter_routing::Nanos;
@@ -142,7 +142,7 @@
             return;
         }
         let first_looks = self.now() < nanos(self.settings.borrow().bounds.contact)
-            && !is_injected(Defect::StartMovesLimits);
+            && rules::start_moves_no_limits();
         if has_core_changed(&known, states, first_looks) {
             count(&self.counters.core_changes);
             log::info!("the core changed: {states:?}");
--- a/crates/sparrouter-fleet/src/peer/links.rs
+++ b/crates/sparrouter-fleet/src/peer/links.rs
@@ -1,6 +1,6 @@
 //! Calls between nodes: one connection a peer and direction, many calls on it at a time, each with its own patience.
 use crate::peer::messages::{Call, HELLO, MAX_FRAME, Reply};
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::net::{self, Listener, SharedNet, Stream};
 use nanoserde::SerBin;
 use std::cell::{Cell, RefCell};
@@ -173,7 +173,7 @@
     /// A number that no other call of this process has, on any connection: an answer that comes late finds nobody.
     fn next_id(&self) -> u64 {
         let id = self.next.get();
-        if !is_injected(Defect::CallIdReused) {
+        if rules::call_ids_are_unique() {
             self.next.set(id + 1);
         }
         id
@@ -224,7 +224,7 @@
     /// How much of the answer to a call has come, while it is the one that is coming.
     fn arrived(&self, id: u64) -> usize {
         let arriving = self.arriving.get();
-        if arriving.id == id && !is_injected(Defect::VersionLimitNotRestarted) {
+        if arriving.id == id && rules::arriving_replies_extend_timeout() {
             arriving.bytes
         } else {
             0
--- a/crates/sparrouter-fleet/src/platform/defects.rs
+++ b/crates/sparrouter-fleet/src/platform/defects.rs
@@ -1,260 +1,210 @@
-//! Mistakes made on purpose, one at a time, so that a hunt can show that it would notice them.
+//! Injected defects: mistakes made on purpose, one at a time, so that tests can show that they would find them.
 //!
-//! Only the feature `planted` holds them, which the hunts' own tests ask for; without it `has` is a constant and the
-//! program knows nothing of them. The switch is of the thread, so that all nodes of one story share it.
+//! Sound code does not name a defect. Where a guard depends on one, the code asks for the *rule* that the defect
+//! switches off, such as [`rules::relay_needs_contact`]: a rule holds always, unless its defect is injected. Without the
+//! feature `injected-defects`, which tests alone enable, each rule is the constant `true` and nothing of this remains
+//! in the program. The injected defect is a state of the thread, so that all nodes of a simulation share it.
 
-/// One mistake. What each rests on in the sound program is at the line that asks for it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Defect {
-    /// Promises and votes are told before they are on disk.
-    AckBeforeSync,
-    /// A wiped disk comes back under its old id, and votes.
-    WipedDiskVotes,
+/// Defines [`Defect`], its list [`Defect::ALL`], and a rule for each variant from one table: `DEFECT => rule`.
+macro_rules! defects {
+    ($($(#[$doc:meta])* $defect:ident => $rule:ident,)*) => {
+        /// A mistake that can be injected.
+        #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+        pub enum Defect {
+            $($(#[$doc])* $defect,)*
+        }
+
+        impl Defect {
+            /// All defects, in the order in which tests inject them.
+            pub const ALL: &[Defect] = &[$(Defect::$defect,)*];
+        }
+
+        /// The rules that hold unless the defect is injected which switches them off.
+        pub(crate) mod rules {
+            $(
+                /// Whether the rule holds.
+                #[inline]
+                pub(crate) fn $rule() -> bool {
+                    !super::is_injected(super::Defect::$defect)
+                }
+            )*
+        }
+    };
+}
+
+defects! {
+    /// Promises and accepted proposals are sent before they are on disk.
+    AckBeforeSync => acks_follow_sync,
+    /// A disk that was wiped comes back under its old id, and its node votes.
+    WipedDiskVotes => wiped_disks_get_new_ids,
     /// Majorities are counted over the first group that the node knew.
-    OldGroupCounts,
-    /// A change of the group asks the new group only.
-    OldGroupNotAsked,
-    /// Callers are answered, and fences handed out, when the votes are asked for.
-    AnsweredBeforeChosen,
-    /// A proposal that this node had accepted is in force after its restart, won or lost.
-    LosingProposalInForce,
-    /// The same change sent again is judged anew.
-    SameBodyRefused,
+    OldGroupCounts => only_current_group_counts,
+    /// A reconfiguration asks the new group only.
+    OldGroupNotAsked => both_groups_asked,
+    /// Callers get their answers, and fencing tokens, when the votes are requested.
+    AnsweredBeforeChosen => answers_follow_choice,
+    /// A proposal that this node accepted is in force after its restart, chosen or not.
+    LosingProposalInForce => only_chosen_state_applies,
+    /// A change that is sent again is judged anew.
+    SameBodyRefused => repeated_orders_recognized,
     /// A change that no quorum answered is acknowledged.
-    MinorityAcks,
-    /// New routes, old keys.
-    MixedSnapshot,
-    /// A node that missed a version counts it as taken.
-    CatchUpSkips,
-    /// A source tells what it has, and a node takes it, be it older.
-    OlderConfigurationApplied,
+    MinorityAcks => acks_need_quorum,
+    /// A configuration applies with new routes and old keys.
+    MixedSnapshot => snapshots_apply_complete,
+    /// A node that missed a version counts it as applied.
+    CatchUpSkips => missed_versions_apply,
+    /// A source sends its configuration, and a node applies it, even if it is older.
+    OlderConfigurationApplied => older_configurations_ignored,
     /// Seeds are read at the start only.
-    SeedsReadAtStartOnly,
-    /// A late beat makes a draining server ready.
-    DrainReverted,
-    /// Draining and leaving are acknowledged before anybody else has heard.
-    AckWithoutReplica,
-    /// A lease is believed without asking again.
-    LeaseUnrenewed,
-    /// A process that starts anew has its slack of the retry budget anew.
-    RetrySlackRenewedByRestart,
-    /// The salt leaves out the version of the weights.
-    SaltWithoutVersion,
-    /// The salt leaves out the tenant that is isolated.
-    SaltWithoutTenant,
+    SeedsReadAtStartOnly => seeds_follow_settings,
+    /// A late heartbeat makes a draining server ready.
+    DrainReverted => late_heartbeats_ignored,
+    /// Draining and leaving are acknowledged before any other node has the record.
+    AckWithoutReplica => acks_need_replica,
+    /// A rollout lease counts as valid without renewal.
+    LeaseUnrenewed => orders_renew_lease,
+    /// A restarted process gets the slack of its retry budget anew.
+    RetrySlackRenewedByRestart => restarts_renew_no_retry_slack,
+    /// The cache salt leaves out the version of the weights.
+    SaltWithoutVersion => salt_names_version,
+    /// The cache salt leaves out the tenant that is isolated.
+    SaltWithoutTenant => salt_names_tenant,
     /// Requests do not name the server that they are for.
-    ExpectedInstanceOmitted,
-    /// What may have run is sent again, whatever its route says.
-    NonIdempotentRetried,
-    /// 503 is said for what may have run.
-    NeverRunPromiseBroken,
-    /// A stream that broke off is closed as if it were whole.
-    BrokenStreamClosedAsComplete,
-    /// A stream is taken up from its beginning.
-    ResumedFromStart,
-    /// Another request's answer is passed on.
-    ForeignAnswer,
-    /// A leaving process takes whatever comes.
-    RequestsAdmittedWhileLeaving,
-    /// Where no server is ready the route is called unknown.
-    NoServerReportedAsNoRoute,
-    /// An order is known again by its base and number alone.
-    OrderDigestIgnored,
+    ExpectedInstanceOmitted => requests_name_instance,
+    /// A request that may have run is retried, whatever its route allows.
+    NonIdempotentRetried => only_idempotent_retried,
+    /// 503, which promises that a request has not run, answers one that may have run.
+    NeverRunPromiseBroken => retry_later_proves_not_run,
+    /// A stream that broke off is closed as if it were complete.
+    BrokenStreamClosedAsComplete => broken_streams_stay_incomplete,
+    /// A stream resumes from its beginning.
+    ResumedFromStart => streams_resume_after_last_event,
+    /// The response to another request is relayed.
+    ForeignAnswer => responses_match_request,
+    /// A process that shuts down admits every request.
+    RequestsAdmittedWhileLeaving => shutdown_limits_admission,
+    /// Where no server is ready the client gets the status of an unknown route.
+    NoServerReportedAsNoRoute => missing_server_is_no_missing_route,
+    /// A repeated order is recognized by its base and number alone.
+    OrderDigestIgnored => order_digests_compared,
     /// An order is judged on the version in force, whatever version it builds on.
-    BaseIgnored,
-    /// Orders that were taken are forgotten once they are overtaken.
-    AppliedOrdersForgotten,
-    /// An order that is too old to tell whether it was taken is refused.
-    OldOrderRefused,
-    /// An order whose base has not been in force is refused, though a copy of it is still on its way.
-    EarlyReplicaRejected,
+    BaseIgnored => order_base_checked,
+    /// Applied orders are forgotten once a newer version is in force.
+    AppliedOrdersForgotten => applied_orders_remembered,
+    /// An order that is too old to tell whether it was applied is refused.
+    OldOrderRefused => old_orders_stay_unknown,
+    /// An order whose base has not been in force is refused, though a copy of it is still in flight.
+    EarlyReplicaRejected => early_copies_stay_unknown,
     /// A data directory of a newer release is emptied.
-    NewerFolderEmptied,
-    /// A record on disk that cannot be read counts as none, under the disk's old id.
-    RecordForgotten,
-    /// A holder that starts anew acts under the fencing token that its disk has.
-    FenceFromDisk,
+    NewerFolderEmptied => newer_folders_untouched,
+    /// A record on disk that cannot be read counts as absent, under the disk's old id.
+    RecordForgotten => unreadable_records_rejected,
+    /// A lease holder that restarts acts under the fencing token on its disk.
+    FenceFromDisk => fencing_tokens_come_from_quorum,
     /// A request that broke off while it was written counts as not sent.
-    PartialSendTreatedAsUnsent,
+    PartialSendTreatedAsUnsent => partial_sends_may_have_run,
     /// A connection whose last request is unfinished carries another.
-    UnfinishedConnectionPooled,
-    /// A failure is passed on as the rest of a resumed stream.
-    ErrorInStream,
-    /// A reset ends an answer without a length as if it were whole.
-    ResetTreatedAsEnd,
-    /// An order does not name the server that it is for.
-    OrderInstanceOmitted,
-    /// A request is sent though its client has left or its time is over.
-    SentAfterClientLeft,
-    /// A client's time runs from the end of its body.
-    DeadlineFromBody,
-    /// `Connection` takes away any field that it names.
-    ConnectionStripsFields,
-    /// Calls between nodes have no number of their own.
-    CallIdReused,
+    UnfinishedConnectionPooled => pooled_connections_are_finished,
+    /// A failure is relayed as the rest of a resumed stream.
+    ErrorInStream => only_success_resumes_stream,
+    /// A reset ends a response without a length as if it were complete.
+    ResetTreatedAsEnd => resets_are_no_end,
+    /// An order to load weights does not name the server that it is for.
+    OrderInstanceOmitted => orders_name_instance,
+    /// A request is sent though its client has left or its deadline has passed.
+    SentAfterClientLeft => client_checked_before_send,
+    /// A client's deadline is counted from the end of its body.
+    DeadlineFromBody => deadline_runs_from_first_byte,
+    /// `Connection` removes any field that it names.
+    ConnectionStripsFields => end_to_end_fields_preserved,
+    /// Calls between nodes share one id.
+    CallIdReused => call_ids_are_unique,
     /// A node joins a group before its disk holds the group's state.
-    UnconfirmedJoins,
-    /// A member ends without having handed over what only it holds.
-    LeavesWithoutHandover,
-    /// Members don't compare what they have with each other.
-    AntiEntropyDisabled,
-    /// Quorum contact, once confirmed, is never lost again.
-    ContactNeverLost,
+    UnconfirmedJoins => joins_need_stored_state,
+    /// A member ends without handing over what only it has.
+    LeavesWithoutHandover => shutdown_awaits_handover,
+    /// Members don't compare their states with each other.
+    AntiEntropyDisabled => members_compare_states,
+    /// Quorum contact, once confirmed, never expires.
+    ContactNeverLost => contact_expires,
     /// Frames that arrive from a majority count as quorum contact.
-    ContactFromAnyFrame,
-    /// A quorum's answer confirms the moment at which it is read, not the one at which it was asked for.
-    LateAnswerConfirms,
-    /// A poll's answer that waited in a frozen process counts as contact now.
-    StaleAnswerInforms,
-    /// A process that starts calls itself ready with a configuration that no quorum confirmed.
-    UnconfirmedReady,
-    /// A machine without quorum contact confirms rows to the node that sends them.
-    NotifyWithoutContact,
-    /// A draining heartbeat that is sent again is acknowledged though nobody else has it.
-    DrainRepeatAcked,
-    /// A machine without quorum contact acknowledges heartbeats.
-    HeartbeatWithoutContact,
-    /// A machine without quorum contact carries out changes that it is asked to relay.
-    RelayWithoutContact,
-    /// A machine without quorum contact calls nodes silent that no longer ask it.
-    MarksUnresponsiveWithoutContact,
-    /// An answer that is coming in is given up like one that is not.
-    VersionLimitNotRestarted,
+    ContactFromAnyFrame => contact_needs_confirmed_read,
+    /// A quorum's answer confirms the moment at which it is read, not the one at which the read began.
+    LateAnswerConfirms => reads_count_from_their_start,
+    /// The reply to a poll that waited in a frozen process counts as contact now.
+    StaleAnswerInforms => late_poll_replies_ignored,
+    /// A process that starts is ready with a configuration that no quorum confirmed.
+    UnconfirmedReady => readiness_needs_quorum,
+    /// A node without quorum contact acknowledges records to the node that sends them.
+    NotifyWithoutContact => notified_node_needs_contact,
+    /// A repeated draining heartbeat is acknowledged though no other node has the record.
+    DrainRepeatAcked => repeated_drains_need_replica,
+    /// A node without quorum contact acknowledges heartbeats.
+    HeartbeatWithoutContact => heartbeat_acks_need_contact,
+    /// A node without quorum contact carries out changes that it is asked to relay.
+    RelayWithoutContact => relay_needs_contact,
+    /// A node without quorum contact marks nodes that stopped polling it as unresponsive.
+    MarksUnresponsiveWithoutContact => watching_needs_contact,
+    /// A reply that is arriving times out like one that is not.
+    VersionLimitNotRestarted => arriving_replies_extend_timeout,
     /// A request goes to more servers than its route allows.
-    AttemptsUncounted,
-    /// A process that was told to end still counts as ready.
-    ReadyWhileLeaving,
-    /// An answer goes on although its client has left.
-    ClientUnwatched,
-    /// A version that is named takes the time limit of the one before it away.
-    LimitReplaced,
-    /// A process that starts counts the nodes that it learns of as changes of the core, which start time limits anew.
-    StartMovesLimits,
-    /// A process is not told how long ago versions were named.
-    VersionAgeUnreported,
-    /// The sum of calm stretches sets no limit to older versions.
-    VersionSumIgnored,
-    /// Nodes that poll don't tell a source that starts how long ago versions were named.
-    VersionAgeUnreturned,
+    AttemptsUncounted => attempts_are_limited,
+    /// A process that shuts down still counts as ready.
+    ReadyWhileLeaving => leaving_nodes_are_not_ready,
+    /// A response is relayed on although its client has left.
+    ClientUnwatched => client_watched_while_relaying,
+    /// A newly named version removes the time limit of the one before it.
+    LimitReplaced => older_limits_stay,
+    /// A process that starts counts the nodes that it learns of as changes of the core, which restart time limits.
+    StartMovesLimits => start_moves_no_limits,
+    /// A process does not learn how long ago versions were named.
+    VersionAgeUnreported => version_ages_reported,
+    /// The sum of stable periods sets no limit to older versions.
+    VersionSumIgnored => total_version_limit_applies,
+    /// Nodes that poll do not report to a source that starts how long ago versions were named.
+    VersionAgeUnreturned => pollers_report_version_ages,
     /// The lease on the configuration runs from the answer that renews it.
-    LeaseFromAnswer,
+    LeaseFromAnswer => lease_counts_from_read,
     /// A process that starts counts the configuration on its disk as confirmed.
-    LeaseFromStart,
+    LeaseFromStart => lease_needs_confirmation,
     /// A source without a quorum renews the leases of the nodes that poll it.
-    LeaseFromAnySource,
-    /// The lease on the configuration is not asked for before a request is sent on.
-    LeaseUnchecked,
-    /// Nobody is told of a server that fails what others would serve.
-    OutlierUnreported,
-    /// A key that was removed meanwhile still lets a request go to a further server.
-    RemovedKeyRetries,
+    LeaseFromAnySource => lease_needs_quorum,
+    /// The lease on the configuration is not checked before a request is forwarded.
+    LeaseUnchecked => keys_need_lease,
+    /// A request whose key was removed meanwhile still goes to a further server.
+    RemovedKeyRetries => retries_need_known_key,
+    /// No node learns of a server that fails requests which others would serve.
+    OutlierUnreported => outliers_are_reported,
 }
-
-impl Defect {
-    pub const ALL: &[Defect] = &[
-        Defect::AckBeforeSync,
-        Defect::WipedDiskVotes,
-        Defect::OldGroupCounts,
-        Defect::OldGroupNotAsked,
-        Defect::AnsweredBeforeChosen,
-        Defect::LosingProposalInForce,
-        Defect::SameBodyRefused,
-        Defect::MinorityAcks,
-        Defect::MixedSnapshot,
-        Defect::CatchUpSkips,
-        Defect::OlderConfigurationApplied,
-        Defect::SeedsReadAtStartOnly,
-        Defect::DrainReverted,
-        Defect::AckWithoutReplica,
-        Defect::LeaseUnrenewed,
-        Defect::RetrySlackRenewedByRestart,
-        Defect::SaltWithoutVersion,
-        Defect::SaltWithoutTenant,
-        Defect::ExpectedInstanceOmitted,
-        Defect::NonIdempotentRetried,
-        Defect::NeverRunPromiseBroken,
-        Defect::BrokenStreamClosedAsComplete,
-        Defect::ResumedFromStart,
-        Defect::ForeignAnswer,
-        Defect::RequestsAdmittedWhileLeaving,
-        Defect::NoServerReportedAsNoRoute,
-        Defect::OrderDigestIgnored,
-        Defect::BaseIgnored,
-        Defect::AppliedOrdersForgotten,
-        Defect::OldOrderRefused,
-        Defect::EarlyReplicaRejected,
-        Defect::NewerFolderEmptied,
-        Defect::RecordForgotten,
-        Defect::FenceFromDisk,
-        Defect::PartialSendTreatedAsUnsent,
-        Defect::UnfinishedConnectionPooled,
-        Defect::ErrorInStream,
-        Defect::ResetTreatedAsEnd,
-        Defect::OrderInstanceOmitted,
-        Defect::SentAfterClientLeft,
-        Defect::DeadlineFromBody,
-        Defect::ConnectionStripsFields,
-        Defect::CallIdReused,
-        Defect::UnconfirmedJoins,
-        Defect::LeavesWithoutHandover,
-        Defect::AntiEntropyDisabled,
-        Defect::ContactNeverLost,
-        Defect::ContactFromAnyFrame,
-        Defect::LateAnswerConfirms,
-        Defect::StaleAnswerInforms,
-        Defect::UnconfirmedReady,
-        Defect::NotifyWithoutContact,
-        Defect::DrainRepeatAcked,
-        Defect::HeartbeatWithoutContact,
-        Defect::RelayWithoutContact,
-        Defect::MarksUnresponsiveWithoutContact,
-        Defect::VersionLimitNotRestarted,
-        Defect::AttemptsUncounted,
-        Defect::ReadyWhileLeaving,
-        Defect::ClientUnwatched,
-        Defect::LimitReplaced,
-        Defect::StartMovesLimits,
-        Defect::VersionAgeUnreported,
-        Defect::VersionSumIgnored,
-        Defect::VersionAgeUnreturned,
-        Defect::LeaseFromAnswer,
-        Defect::LeaseFromStart,
-        Defect::LeaseFromAnySource,
-        Defect::LeaseUnchecked,
-        Defect::RemovedKeyRetries,
-        Defect::OutlierUnreported,
-    ];
-}
-
 #[cfg(feature = "injected-defects")]
 thread_local! {
-    static NOW: std::cell::Cell<Option<Defect>> = const { std::cell::Cell::new(None) };
+    static INJECTED: std::cell::Cell<Option<Defect>> = const { std::cell::Cell::new(None) };
 }
 
-/// Plants a defect in all processes of this thread, or takes it out.
+/// Injects a defect into all processes of this thread; `None` removes it.
 #[cfg(feature = "injected-defects")]
 pub fn inject(defect: Option<Defect>) {
-    NOW.set(defect);
+    INJECTED.set(defect);
 }
 
 #[cfg(feature = "injected-defects")]
-pub(crate) fn is_injected(defect: Defect) -> bool {
-    NOW.get() == Some(defect)
+fn is_injected(defect: Defect) -> bool {
+    INJECTED.get() == Some(defect)
 }
 
 #[cfg(not(feature = "injected-defects"))]
-pub(crate) const fn is_injected(_: Defect) -> bool {
+const fn is_injected(_: Defect) -> bool {
     false
 }
 
-/// Mistakes that the reads for quorum contact hide, as a second guard: they are planted together with the absence of
-/// those reads once a process has caught up. A member that reads learns what it missed, and one that cannot read gives up
-/// the lead with which it could go on without the old group.
+/// Whether a defect is injected that the reads for quorum contact hide. It is injected together with the absence of those
+/// reads once a process has caught up: a member that reads learns what it missed, and one that cannot read gives up the
+/// proposal with which it could go on without the old group.
 pub(crate) fn hidden_by_reads() -> bool {
     is_injected(Defect::OldGroupNotAsked) || is_injected(Defect::AntiEntropyDisabled)
 }
 
-/// Those that lie in the registers.
+/// The defects that the registers implement.
 pub(crate) fn of_registers() -> sparrouter_consensus::Defects {
     sparrouter_consensus::Defects {
         ack_before_sync: is_injected(Defect::AckBeforeSync),
@@ -267,10 +217,10 @@
     }
 }
 
-/// A configuration with the tenants of another, where that is planted.
-pub(crate) fn half(text: &str, known: &str) -> String {
-    let cut = |of: &str| of.find("\"tenants\":");
-    match (cut(text), cut(known)) {
+/// The text of a new configuration; where `MixedSnapshot` is injected, with the tenants of the one known before.
+pub(crate) fn snapshot_text(text: &str, known: &str) -> String {
+    let tenants_at = |of: &str| of.find("\"tenants\":");
+    match (tenants_at(text), tenants_at(known)) {
         (Some(new), Some(old)) if is_injected(Defect::MixedSnapshot) => {
             format!("{}{}", &text[..new], &known[old..])
         }
--- a/crates/sparrouter-fleet/src/platform/upstream.rs
+++ b/crates/sparrouter-fleet/src/platform/upstream.rs
@@ -2,7 +2,7 @@
 //!
 //! A request may have run as soon as one byte of it was accepted by the transport (`Sent::Begun`): a later write error,
 //! reset or silence proves nothing. Nothing here sends a request a second time.
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::net::{Net, Stream};
 use bytes::{Buf, Bytes, BytesMut};
 use sparrouter_http::head::ResponseHead;
@@ -129,7 +129,7 @@
         let mut begun = false;
         poll_fn(|context| self.poll_send(context, &mut begun)).await;
         let failed = self.stream.write_failed;
-        if !begun || (failed && is_injected(Defect::PartialSendTreatedAsUnsent)) {
+        if !begun || (failed && !rules::partial_sends_may_have_run()) {
             return SendOutcome::Nothing;
         }
         SendOutcome::Begun
@@ -161,7 +161,7 @@
     /// Whether it may carry another request after this answer, which has been read whole. Never while the last request is
     /// unfinished: the server would take the next one's bytes for the rest of that body.
     pub fn is_reusable(&self, head: &ResponseHead) -> bool {
-        let finished = self.stream.is_finished() || is_injected(Defect::UnfinishedConnectionPooled);
+        let finished = self.stream.is_finished() || !rules::pooled_connections_are_finished();
         finished && head.keep_alive && self.buffer.is_empty()
     }
 }
@@ -208,7 +208,7 @@
             return;
         }
         link.buffer = BytesMut::new();
-        if is_injected(Defect::UnfinishedConnectionPooled) {
+        if !rules::pooled_connections_are_finished() {
             link.stream.unwritten.clear();
         }
         link.used = true;
--- a/crates/sparrouter-fleet/src/process/run.rs
+++ b/crates/sparrouter-fleet/src/process/run.rs
@@ -12,7 +12,7 @@
 use crate::node::Node;
 use crate::node::shutdown::GracefulShutdown;
 use crate::peer::links;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::http::Response;
 use crate::platform::log_buffer::LogBuffer;
 use crate::platform::net::{Listener, Net, SharedNet};
@@ -158,7 +158,7 @@
     let keeps = boot.listen.control.is_some();
     let data = boot.data_directory.clone().filter(|_| keeps);
     let mut stock = open(data.as_deref(), &log_buffer, &mut rng)?;
-    if is_injected(Defect::WipedDiskVotes) {
+    if !rules::wiped_disks_get_new_ids() {
         stock.disk_id = sparrouter_rendezvous::hash(boot.node_name.as_bytes());
     }
     let (grace, contact) = (boot.bounds.grace, boot.bounds.contact);
@@ -172,7 +172,7 @@
     spawn_local(event_follower::follow(node.clone()));
     spawn_local(report_no_quorum(node.clone(), contact));
     while let Some(ProcessSignal::Seeds(seeds)) = orders.recv().await {
-        if !is_injected(Defect::SeedsReadAtStartOnly) {
+        if rules::seeds_follow_settings() {
             node.settings.borrow_mut().seeds = seeds;
         }
     }
@@ -306,7 +306,7 @@
 }
 
 fn is_ready(node: &Node) -> bool {
-    let leaving = node.leaving.get() && !is_injected(Defect::ReadyWhileLeaving);
+    let leaving = node.leaving.get() && rules::leaving_nodes_are_not_ready();
     node.is_confirmed() && !leaving && node.active_configuration().table.is_some()
 }
 
@@ -318,7 +318,7 @@
         node.log_buffer.breach(
             "no quorum of the control state is heard of since the start: not ready, the configuration here may be old",
         );
-        if is_injected(Defect::UnconfirmedReady) {
+        if !rules::readiness_needs_quorum() {
             node.informed.set(true);
         }
     }
--- a/crates/sparrouter-fleet/src/proxy/exchange.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange.rs
@@ -6,7 +6,7 @@
 mod relay;
 
 use crate::node::Node;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::http::{Request, Response};
 use crate::platform::net::Stream;
 use crate::platform::upstream::Pool;
@@ -165,7 +165,7 @@
     let Some(departure) = node
         .graceful_shutdown
         .get()
-        .filter(|_| !is_injected(Defect::RequestsAdmittedWhileLeaving))
+        .filter(|_| rules::shutdown_limits_admission())
     else {
         return true;
     };
@@ -185,7 +185,7 @@
                 Err(_) if begun => return Ended::Closed,
                 Err(answer) => return Ended::Own(answer),
             };
-            let from_start = is_injected(Defect::ResumedFromStart);
+            let from_start = !rules::streams_resume_after_last_event();
             let resumed = events.as_ref().filter(|_| !from_start);
             let last_id = resumed.and_then(|e| e.last_id().map(str::to_owned));
             self.tried.push(pick.server);
@@ -222,7 +222,7 @@
                 Turn::Unknown => {
                     guard.ending = RequestOutcome::Broke;
                     self.failed.push(pick.server);
-                    proved = is_injected(Defect::NonIdempotentRetried);
+                    proved = !rules::only_idempotent_retried();
                 }
                 Turn::ClientGone => return Ended::Closed,
                 Turn::TimeUp if begun => return Ended::Closed,
--- a/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
@@ -1,7 +1,7 @@
 //! Whom a request goes to next: the winner of the election, those behind it where it would be late, or nobody.
 use super::{Exchange, time_is_over};
 use crate::node::counters::count;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::http::Response;
 use crate::settings::nanos;
 use sparrouter_routing::{Selection, SelectionError, SelectionRequest, ServerIndex};
@@ -193,7 +193,7 @@
         let later = |ms: u64| Response::retry_later(self.node.jitter(Duration::from_millis(ms)));
         let gone = may_have_run();
         if again && !proved && !self.route.is_idempotent() {
-            return Err(if is_injected(Defect::NeverRunPromiseBroken) {
+            return Err(if !rules::retry_later_proves_not_run() {
                 later(120)
             } else {
                 gone
@@ -201,7 +201,7 @@
         }
         let refused = || if proved { later(120) } else { gone.clone() };
         let most = self.route.max_attempts.max(1);
-        if again && self.sent >= most && !is_injected(Defect::AttemptsUncounted) {
+        if again && self.sent >= most && rules::attempts_are_limited() {
             return Err(refused());
         }
         if Instant::now() >= self.until {
@@ -224,7 +224,7 @@
         }
         let pick = pick.map_err(|turned| match turned {
             SelectionError::NoneReady | SelectionError::NoServer
-                if is_injected(Defect::NoServerReportedAsNoRoute) =>
+                if !rules::missing_server_is_no_missing_route() =>
             {
                 Response::plain(404, "no route")
             }
--- a/crates/sparrouter-fleet/src/proxy/exchange/api_key.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/api_key.rs
@@ -5,7 +5,7 @@
 use super::{Exchange, admission};
 use crate::node::Node;
 use crate::node::counters::count;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::http::Response;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 
 /// Whether requests with keys may go by what is in force here.
 pub(super) fn may_go_by(node: &Node) -> bool {
-    node.holds_configuration_lease() || is_injected(Defect::LeaseUnchecked)
+    node.holds_configuration_lease() || !rules::keys_need_lease()
 }
 
 /// The answer to a request that has not run, where the configuration here may be old.
@@ -51,7 +51,7 @@
             .table
             .as_deref()
             .is_some_and(|table| std::ptr::eq(table, self.table));
-        if is_same || is_injected(Defect::RemovedKeyRetries) {
+        if is_same || !rules::retries_need_known_key() {
             return KeyState::Good;
         }
         let key = self.request.head.fields.text("sparrouter-key");
--- a/crates/sparrouter-fleet/src/proxy/exchange/attempt.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/attempt.rs
@@ -4,7 +4,7 @@
 use super::prefix_lookup::Memory;
 use super::{Exchange, left};
 use crate::node::counters::count;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::net::Stream;
 use crate::platform::upstream::{SendOutcome, Upstream};
 use bytes::{BufMut, Bytes, BytesMut};
@@ -78,8 +78,7 @@
         b"sparrouter-token-usage",
         b"sparrouter-prompt-prefix",
     ];
-    NAMES.iter().any(|n| name.eq_ignore_ascii_case(n))
-        && !is_injected(Defect::ConnectionStripsFields)
+    NAMES.iter().any(|n| name.eq_ignore_ascii_case(n)) && rules::end_to_end_fields_preserved()
 }
 
 impl Exchange<'_> {
@@ -102,7 +101,7 @@
             return Turn::Unsent;
         };
         let until = self.until;
-        if is_injected(Defect::SentAfterClientLeft) {
+        if !rules::client_checked_before_send() {
             return tokio::select! {
                 biased;
                 turn = self.speak(pick, &id, address, last_id, begun) => turn,
@@ -210,7 +209,7 @@
                 continue;
             }
             let other = head.fields.get("sparrouter-attempt-id") != attempt_id.as_ref();
-            if other && !is_injected(Defect::ForeignAnswer) {
+            if other && rules::responses_match_request() {
                 // An answer to an earlier request: its bytes belong to nobody. An answer that names an id is not that
                 // of a request without one either.
                 match crate::platform::http::read_body(
@@ -250,7 +249,7 @@
                 return Turn::Unknown;
             }
             // Only a success goes on with a stream that the client already has the beginning of.
-            if begun && !success && !is_injected(Defect::ErrorInStream) {
+            if begun && !success && rules::only_success_resumes_stream() {
                 return Turn::Unknown;
             }
             // A promise that only a server's own word for it could make.
@@ -388,7 +387,7 @@
             .as_millis()
             .max(1);
         field("Sparrouter-Deadline-Ms", &left.to_string());
-        if !is_injected(Defect::ExpectedInstanceOmitted) {
+        if rules::requests_name_instance() {
             field("Sparrouter-Expected-Instance", id);
         }
         if let Some(tenant) = self.tenant {
--- a/crates/sparrouter-fleet/src/proxy/exchange/prefix_lookup.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/prefix_lookup.rs
@@ -1,6 +1,6 @@
 //! Where a server finds what it lacks of a prompt, and who is to keep it.
 use super::Exchange;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use sparrouter_prefix_index::{PrefixLocation, PrefixQuery};
 use sparrouter_routing::{Selection, Server};
 
@@ -94,9 +94,9 @@
     pub(super) fn salt(&self, model: &str, version: u64) -> String {
         let isolated = self
             .tenant
-            .filter(|t| t.isolated && !is_injected(Defect::SaltWithoutTenant));
+            .filter(|t| t.isolated && rules::salt_names_tenant());
         let wall = isolated.map(|t| t.name.as_str()).unwrap_or_default();
-        let version = if is_injected(Defect::SaltWithoutVersion) {
+        let version = if !rules::salt_names_version() {
             0
         } else {
             version
--- a/crates/sparrouter-fleet/src/proxy/exchange/relay.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/relay.rs
@@ -1,7 +1,7 @@
 //! An answer on its way to the client: piece by piece as it comes, whole events where it may be resumed.
 use super::attempt::hop_by_hop;
 use super::{Exchange, left};
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::net::Stream;
 use crate::platform::upstream::Upstream;
 use crate::proxy::event_stream::EventSplitter;
@@ -158,18 +158,18 @@
                     Ok(()) => {}
                     Err(ReadError::Closed) if head.framing == Framing::ToEnd => body.ended = true,
                     Err(ReadError::Reset)
-                        if head.framing == Framing::ToEnd && is_injected(Defect::ResetTreatedAsEnd) =>
+                        if head.framing == Framing::ToEnd && !rules::resets_are_no_end() =>
                     {
                         body.ended = true;
                     }
-                    Err(_) if is_injected(Defect::BrokenStreamClosedAsComplete) && length.is_none() => {
+                    Err(_) if !rules::broken_streams_stay_incomplete() && length.is_none() => {
                         // Whether the client still hears it changes nothing.
                         let _ = to.write_all(b"0\r\n\r\n").await;
                         return Passed::Whole;
                     }
                     Err(_) => return Passed::Broke,
                 },
-                () = left(from, ahead), if !is_injected(Defect::ClientUnwatched) => return Passed::ClientGone,
+                () = left(from, ahead), if rules::client_watched_while_relaying() => return Passed::ClientGone,
                 () = tokio::time::sleep_until(self.until) => return Passed::TimeUp,
             }
         }
--- a/crates/sparrouter-fleet/src/proxy/frontend.rs
+++ b/crates/sparrouter-fleet/src/proxy/frontend.rs
@@ -1,6 +1,6 @@
 //! The client edge: connections, one request at a time on each, limits of the configuration, an honest end.
 use crate::node::Node;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::http::{self, ReadLimits, RequestReadError, Response};
 use crate::platform::net::{self, Listener, Stream};
 use crate::platform::upstream::Pool;
@@ -58,7 +58,7 @@
         let (stream, _) = tokio::select! {
             biased;
             accepted = net::accept(&*door) => accepted,
-            _ = closing.wait_for(|s| *s >= Stage::Closing), if !is_injected(Defect::RequestsAdmittedWhileLeaving) => return,
+            _ = closing.wait_for(|s| *s >= Stage::Closing), if rules::shutdown_limits_admission() => return,
         };
         let (node, pool, stage) = (node.clone(), pool.clone(), stage.clone());
         spawn_local(async move {
@@ -116,7 +116,7 @@
                 return http::drain_until_closed(stream).await;
             }
         };
-        let came = if is_injected(Defect::DeadlineFromBody) {
+        let came = if !rules::deadline_runs_from_first_byte() {
             Instant::now()
         } else {
             came
--- a/crates/sparrouter-fleet/src/rollout/load.rs
+++ b/crates/sparrouter-fleet/src/rollout/load.rs
@@ -2,7 +2,7 @@
 use super::calls::{Report, answer, report};
 use super::{DirectiveKind, FRESH, Held, RolloutTask};
 use crate::node::counters::count;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::platform::upstream::{SendOutcome, Upstream};
 use crate::settings::nanos;
 use bytes::Bytes;
@@ -223,7 +223,7 @@
             held.fencing_token
         );
         // Guards against a restarted server, or another one that has its address: both take an order without it.
-        let instance = if is_injected(Defect::OrderInstanceOmitted) {
+        let instance = if !rules::orders_name_instance() {
             String::new()
         } else {
             format!("Sparrouter-Expected-Instance: {id}\r\n")
--- a/crates/sparrouter-fleet/src/rollout/mod.rs
+++ b/crates/sparrouter-fleet/src/rollout/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::control::{self, Control, LEASE_SHARDS, shard_of};
 use crate::node::Node;
-use crate::platform::defects::{Defect, is_injected};
+use crate::platform::defects::rules;
 use crate::settings::nanos;
 use calls::CALL;
 use sparrouter_consensus::lease::{LeaseAnswer, LeaseChange, LeaseHolder};
@@ -150,7 +150,7 @@
     /// Takes the lease under a new fencing token, as a quorum confirms it. Neither the disk nor memory of an earlier
     /// process gives a token.
     async fn acquire(&self) {
-        if is_injected(Defect::FenceFromDisk) && self.take_from_disk() {
+        if !rules::fencing_tokens_come_from_quorum() && self.take_from_disk() {
             return;
         }
         let span = nanos(self.lease());
@@ -251,7 +251,7 @@
 
     async fn renew(&self, held: Held) -> bool {
         let began = self.node.now();
-        if is_injected(Defect::LeaseUnrenewed) || is_injected(Defect::FenceFromDisk) {
+        if !rules::orders_renew_lease() || !rules::fencing_tokens_come_from_quorum() {
             self.renewed.set(began);
             return true;
         }
