--- a/crates/sparrouter-fleet/src/api/control.rs
+++ b/crates/sparrouter-fleet/src/api/control.rs
@@ -2,7 +2,7 @@
 use crate::api::ControlServices;
 use crate::api::endpoint::{self, Matcher};
 use crate::control::configuration_state::Change;
-use crate::control::{self, NoChange};
+use crate::control::{self, ChangeError};
 use crate::platform::defects::rules;
 use crate::platform::http::{Request, Response};
 use sparrouter_codec::Blob;
@@ -135,10 +135,10 @@
     )
     .await
     {
-        Ok(answered) => match control::verdict(&answered.answer) {
+        Ok(answered) => match control::decode_verdict(&answered.answer) {
             Some(verdict)
                 if !verdict.binding
-                    && answered.copies_under_way
+                    && answered.has_copies_in_flight
                     && rules::early_copies_stay_unknown() =>
             {
                 unknown(&services)
@@ -150,31 +150,30 @@
                 "the answer is of another release: bring all nodes to one",
             ),
         },
-        Err(NoChange::NotMade(why)) => Response {
-            body: why,
-            ..Response::retry_later(services.node.jitter(Duration::from_millis(150)))
-        },
-        Err(NoChange::Unknown) if !rules::acks_need_quorum() && !get => {
+        Err(ChangeError::Unknown) if !rules::acks_need_quorum() && !get => {
             Response::plain(200, "taken")
         }
         // A read changes nothing: what it would have found is all that is not known.
-        Err(NoChange::Unknown) if get => Response {
+        Err(ChangeError::Unknown) if get => Response {
             body: "no quorum answered in time, so the newest configuration is not known here"
                 .into(),
             ..Response::retry_later(services.node.jitter(Duration::from_millis(150)))
         },
-        Err(NoChange::Unknown) => unknown(&services),
+        Err(ChangeError::Unknown) => unknown(&services),
+        Err(not_applied) => Response {
+            body: not_applied.to_string(),
+            ..Response::retry_later(services.node.jitter(Duration::from_millis(150)))
+        },
     }
 }
 
 /// The answer where nobody can say what became of a change.
 fn unknown(services: &ControlServices) -> Response {
-    let why =
-        "no quorum answered in time: the change may be in force or not; send it again unchanged";
-    let text = services
-        .control
-        .as_ref()
-        .map_or(why.to_owned(), |control| control.explain(why));
+    let reason = ChangeError::Unknown.to_string();
+    let text = match &services.control {
+        Some(control) => control.with_disk_failure(&reason),
+        None => reason,
+    };
     Response::plain(504, text)
 }
 
--- a/crates/sparrouter-fleet/src/api/peer.rs
+++ b/crates/sparrouter-fleet/src/api/peer.rs
@@ -99,8 +99,8 @@
 async fn hold_poll(services: &ControlServices, poll: Poll) -> Reply {
     let node = &services.node;
     if let Some(control) = &services.control {
-        control.heard_of(&poll.name);
-        control.polled(&poll.name);
+        control.record_contact(&poll.name);
+        control.record_poll(&poll.name);
     }
     if rules::pollers_report_version_ages() {
         node.take_models(&poll.models);
@@ -162,8 +162,8 @@
 
 fn take_message(services: &ControlServices, shard: u16, from: Member, message: &Blob) {
     if let Some(control) = &services.control {
-        control.heard_of(&from.name);
-        control.heard(shard, from, message);
+        control.record_contact(&from.name);
+        control.handle_message(shard, from, message);
     }
 }
 
@@ -187,7 +187,7 @@
     let patience = Duration::from_millis(u64::from(patience_ms.min(LONGEST_PATIENCE_MS)));
     match control.change_here(shard, change.0, patience).await {
         Outcome::Answered(answer) => Reply::Applied(Blob(answer)),
-        Outcome::Rejected(why) => Reply::NotApplied(control.explain(&why.to_string())),
+        Outcome::Rejected(why) => Reply::NotApplied(control.with_disk_failure(&why.to_string())),
         Outcome::Unknown => Reply::Unknown,
     }
 }
@@ -212,7 +212,7 @@
 
 fn join_first_group(services: &ControlServices, records: &[Blob]) -> Reply {
     let control = services.control.as_ref();
-    if control.is_some_and(|c| c.take_record(records)) {
+    if control.is_some_and(|c| c.accept_bootstrap(records)) {
         Reply::Acknowledged
     } else {
         Reply::Rejected("this node can't be a founder".into())
--- /dev/null
+++ b/crates/sparrouter-fleet/src/control/actions.rs
@@ -0,0 +1,168 @@
+//! The task that runs the registers: their timers, what the disk has written, and the actions that they ask for.
+use super::{CONFIG, Control, LEASE_SHARDS, MAX_MESSAGE_BYTES};
+use crate::control::configuration_state::{ConfigurationState, NamedVersion};
+use crate::control::disk::{WriteOutcome, WriteRequest};
+use crate::peer::messages::{Call, ConfigUpdate, ModelUpdate, TextUpdate, VersionsUpdate};
+use sparrouter_codec::Blob;
+use sparrouter_consensus::{Action, Member, Message, Register};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc::UnboundedReceiver;
+
+/// Longest time between two ticks of the registers, in nanoseconds.
+const MAX_TICK_INTERVAL: u64 = 1_000_000_000;
+/// Shortest time between two ticks, so that registers that are due all the time leave time for other tasks.
+const MIN_TICK_INTERVAL: Duration = Duration::from_micros(200);
+
+impl Control {
+    /// Runs the registers for as long as the process lives. `written` brings what became of writes to disk.
+    pub(super) async fn run_registers(
+        self: Rc<Self>,
+        mut written: UnboundedReceiver<WriteOutcome>,
+    ) {
+        loop {
+            // In this order, so that the same seed gives the same run; the timer first, since messages may come without
+            // end.
+            tokio::select! {
+                biased;
+                () = tokio::time::sleep(self.until_next_tick()) => self.tick_registers(),
+                Some(outcome) = written.recv() => self.handle_write_outcome(outcome),
+                () = self.wake.notified() => {}
+            }
+            self.carry_out_actions();
+        }
+    }
+
+    fn until_next_tick(&self) -> Duration {
+        let now = self.node.now();
+        let registers = self.registers.borrow();
+        let next = registers.iter().filter_map(Register::next_wake).min();
+        let tick_at = next.unwrap_or(now + MAX_TICK_INTERVAL);
+        Duration::from_nanos(tick_at.saturating_sub(now)).max(MIN_TICK_INTERVAL)
+    }
+
+    fn tick_registers(&self) {
+        let now = self.node.now();
+        for register in self.registers.borrow_mut().iter_mut() {
+            register.tick(now);
+        }
+    }
+
+    fn handle_write_outcome(&self, outcome: WriteOutcome) {
+        match outcome {
+            WriteOutcome::Rows => self.disk.finish_membership_write(),
+            WriteOutcome::Shard {
+                shard,
+                token,
+                error,
+            } => {
+                self.confirm_write(shard, token, error.is_none());
+                self.disk.record_failure(error);
+            }
+        }
+    }
+
+    /// Tells a register whether its record is on disk.
+    fn confirm_write(&self, shard: u16, token: u64, is_written: bool) {
+        let now = self.node.now();
+        self.registers.borrow_mut()[usize::from(shard)].stored(token, is_written, now);
+    }
+
+    /// Carries out what the registers ask for, until they ask for nothing more.
+    pub(super) fn carry_out_actions(&self) {
+        for shard in 0..=LEASE_SHARDS {
+            loop {
+                let actions = self.registers.borrow_mut()[usize::from(shard)].take_actions();
+                if actions.is_empty() {
+                    break;
+                }
+                for action in actions {
+                    self.carry_out(shard, action);
+                }
+            }
+        }
+    }
+
+    fn carry_out(&self, shard: u16, action: Action) {
+        match action {
+            Action::Send { to, message } => self.send_message(shard, &to, &message),
+            Action::Store { token, bytes } => self.write_record(shard, token, bytes),
+            Action::Chosen(state) => {
+                if shard == CONFIG {
+                    self.publish_configuration(state.slot, &state.body);
+                }
+                self.node.changed();
+            }
+            Action::Completed { op, outcome } => self.operations.complete(op, outcome),
+        }
+    }
+
+    fn send_message(&self, shard: u16, to: &Member, message: &Message) {
+        let Ok(address) = to.address.parse::<SocketAddr>() else {
+            return;
+        };
+        let own = &self.own_member;
+        let call = Call::Consensus {
+            shard,
+            disk_id: own.disk_id,
+            name: own.name.clone(),
+            address: own.address.clone(),
+            message: Blob(message.encode()),
+        };
+        self.node.links.cast(address, &call);
+    }
+
+    fn write_record(&self, shard: u16, token: u64, bytes: Vec<u8>) {
+        let request = WriteRequest::Shard {
+            shard,
+            token,
+            bytes,
+        };
+        if !self.disk.submit(request) {
+            // Without a disk nothing is promised beyond this incarnation, whose disk id ends with it.
+            self.confirm_write(shard, token, true);
+        }
+    }
+
+    /// Applies a configuration that the group chose.
+    pub(super) fn publish_configuration(&self, slot: u64, body: &[u8]) {
+        let state = match ConfigurationState::read(body) {
+            Ok(state) => state,
+            Err(error) => return self.node.log_buffer.breach(&error.to_string()),
+        };
+        let versions = VersionsUpdate {
+            models: state.models.iter().map(just_named).collect(),
+            core_changed_age_ms: None,
+        };
+        self.node.apply_configuration(ConfigUpdate {
+            // Register slots start at 0; nodes count from 1, so that 0 means that nothing is known yet.
+            slot: slot + 1,
+            version: state.version,
+            versions,
+            text: TextUpdate::Complete(state.text),
+        });
+    }
+
+    /// Handles a message of another member's register.
+    pub fn handle_message(&self, shard: u16, from: Member, message: &[u8]) {
+        let Ok(message) = Message::decode(message, MAX_MESSAGE_BYTES) else {
+            return;
+        };
+        let now = self.node.now();
+        if let Some(register) = self.registers.borrow_mut().get_mut(usize::from(shard)) {
+            register.handle(from, message, now);
+        }
+        self.wake.notify_one();
+    }
+}
+
+/// A named version as the register has it, which stores no times: it counts as named now unless this node knows it
+/// already, since the earliest moment counts.
+fn just_named(named: &NamedVersion) -> ModelUpdate {
+    ModelUpdate {
+        name: named.model.clone(),
+        version: named.version,
+        age_ms: 0,
+    }
+}
--- a/crates/sparrouter-fleet/src/control/change.rs
+++ b/crates/sparrouter-fleet/src/control/change.rs
@@ -1,140 +1,218 @@
-//! One change of a part, made through whoever may, and what a caller is told where it was not.
+//! One change of a shard, made through whichever member can make it.
 use super::Control;
 use crate::control::configuration_state::{Change, Verdict};
 use crate::node::Node;
 use crate::peer::links::LinkError;
 use crate::peer::messages::{Call, Reply};
 use sparrouter_codec::Blob;
-use sparrouter_consensus::{Member, Outcome};
+use sparrouter_consensus::{Outcome, Rejection};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Makes a change through whoever may: this node's register, or that of a member, the part's owner first.
+/// No attempt begins with less time than this.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(10);
+/// Part of the remaining time that an attempt gets while other members may be asked after it.
+const ATTEMPT_TIME_RATIO: f64 = 0.6;
+/// How much longer than the member itself this node waits for its reply.
+const REPLY_MARGIN: Duration = Duration::from_millis(20);
+
+/// What a quorum answered to a change.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ChangeAnswer {
+    /// The answer of the shard's state machine.
+    pub answer: Vec<u8>,
+    /// An earlier attempt of the same call ended without an answer: its copy may still be judged, on a later state.
+    pub has_copies_in_flight: bool,
+}
+
+/// Why a change has no answer, and so what its caller may do.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ChangeError {
+    /// Not applied; another node may know a member.
+    #[error("no node that keeps the control state is known here: ask another one")]
+    NoMember,
+    /// Not applied, and it never will be by this call: it may be sent again.
+    #[error("{}", with_remedy(*.rejection, .disk_failure.as_deref()))]
+    Rejected {
+        /// Why this node's register rejected it.
+        rejection: Rejection,
+        /// Why this node's disk fails, with the remedy, if it does.
+        disk_failure: Option<String>,
+    },
+    /// The same from another member.
+    #[error("{reason}")]
+    RejectedByPeer {
+        /// As the member says it, for people.
+        reason: String,
+    },
+    /// It may be applied or not; the same change sent again gets a definite answer.
+    #[error(
+        "no quorum answered in time: the change may be in force or not; send it again unchanged"
+    )]
+    Unknown,
+}
+
+fn with_remedy(rejection: Rejection, disk_failure: Option<&str>) -> String {
+    match disk_failure {
+        Some(failure) => format!("{rejection}; {failure}"),
+        None => rejection.to_string(),
+    }
+}
+
+/// What became of one attempt.
+enum AttemptOutcome {
+    Answered(Vec<u8>),
+    /// It proved that the change is not applied by this attempt.
+    Rejected(ChangeError),
+    /// The change did not reach a register.
+    Unsent,
+    Unknown,
+}
+
+/// Makes a change of a shard through this node's register or that of another member, the shard's owner first.
+///
+/// # Errors
+///
+/// [`ChangeError::Unknown`] if any attempt may have been applied; else why the last one was rejected.
 pub async fn change(
     node: &Rc<Node>,
     control: Option<&Rc<Control>>,
-    part: u16,
+    shard: u16,
     change: Vec<u8>,
-    patience: Duration,
-) -> Result<Answered, NoChange> {
-    let until = Instant::now() + patience;
-    let own = node.own_record.borrow().internal_address.clone();
-    let member = control.is_some_and(|c| c.is_member());
-    let mut to: Vec<SocketAddr> = Vec::new();
-    let known: Vec<Member> = control.map(|c| c.members(part)).unwrap_or_default();
-    let silent = |name: &str| {
-        node.membership
-            .borrow()
-            .node(name)
-            .is_some_and(|n| n.unresponsive || n.leaving)
+    timeout: Duration,
+) -> Result<ChangeAnswer, ChangeError> {
+    let deadline = Instant::now() + timeout;
+    let attempt = Attempt {
+        node,
+        own_register: control.filter(|c| c.is_member()),
+        shard,
+        change: &change,
     };
-    let ranked = sparrouter_consensus::owner::ranked(part, &known);
-    let live = ranked
-        .iter()
-        .filter(|m| m.address == own || !silent(&m.name));
-    let rest = ranked
-        .iter()
-        .filter(|m| m.address != own && silent(&m.name));
-    to.extend(
-        live.chain(rest)
-            .filter_map(|m| m.address.parse::<SocketAddr>().ok()),
-    );
-    if to.is_empty() {
-        let mut core = node.core();
-        core.sort_by_key(|c| {
-            (
-                silent(&c.0),
-                sparrouter_rendezvous::hash(c.0.as_bytes()) ^ u64::from(part),
-            )
-        });
-        to.extend(core.into_iter().map(|c| c.1));
-    }
-    let own: Option<SocketAddr> = own.parse().ok();
-    let answered = |answer: Vec<u8>, worst: &NoChange| Answered {
-        answer,
-        copies_under_way: *worst == NoChange::Unknown,
-    };
-    let mut worst = NoChange::NotMade(
-        "no node that keeps the control state is known here: ask another one".into(),
-    );
-    let tries = to.len().max(1);
-    for (place, address) in to.into_iter().enumerate() {
-        let left = until.saturating_duration_since(Instant::now());
-        if left < Duration::from_millis(10) {
+    let addresses = addresses_to_ask(node, control, shard);
+    let last = addresses.len().saturating_sub(1);
+    let mut error = ChangeError::NoMember;
+    for (index, address) in addresses.into_iter().enumerate() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining < MIN_ATTEMPT_TIME {
             break;
         }
-        // The rest of the time is shared with those that come after.
-        let share = if place + 1 == tries {
-            left
+        let time = if index == last {
+            remaining
         } else {
-            left.mul_f64(0.6)
+            remaining.mul_f64(ATTEMPT_TIME_RATIO)
         };
-        if Some(address) == own {
-            let (Some(control), true) = (control, member) else {
-                continue;
-            };
-            match control.change_here(part, change.clone(), share).await {
-                Outcome::Answered(answer) => return Ok(answered(answer, &worst)),
-                Outcome::Rejected(why) => {
-                    worst = worst.or(NoChange::NotMade(control.explain(&why.to_string())));
-                }
-                Outcome::Unknown => worst = NoChange::Unknown,
+        match attempt.at(address, time).await {
+            AttemptOutcome::Answered(answer) => {
+                let has_copies_in_flight = error == ChangeError::Unknown;
+                return Ok(ChangeAnswer {
+                    answer,
+                    has_copies_in_flight,
+                });
             }
-            continue;
-        }
-        let call = Call::Change {
-            shard: part,
-            change: Blob(change.clone()),
-            timeout_ms: share.as_millis() as u32,
-        };
-        match node
-            .links
-            .call(address, &call, share + Duration::from_millis(20))
-            .await
-        {
-            Ok(Reply::Applied(answer)) => return Ok(answered(answer.0, &worst)),
-            Ok(Reply::NotApplied(why)) => worst = worst.or(NoChange::NotMade(why)),
-            Err(LinkError::Unreachable | LinkError::Crowded) => {}
-            _ => worst = NoChange::Unknown,
+            AttemptOutcome::Unknown => error = ChangeError::Unknown,
+            // An earlier attempt may still be applied, whatever this one proved of itself.
+            AttemptOutcome::Rejected(_) if error == ChangeError::Unknown => {}
+            AttemptOutcome::Rejected(rejected) => error = rejected,
+            AttemptOutcome::Unsent => {}
         }
     }
-    Err(worst)
+    Err(error)
 }
 
-/// What a quorum answered to a change.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answered {
-    pub answer: Vec<u8>,
-    /// An earlier try of the same call ended without an answer: its copy may still be judged, on a later state.
-    pub copies_under_way: bool,
+/// The internal addresses of the nodes to ask, in this order: the members by their rank for the shard, unresponsive and
+/// leaving ones last; where no group is known here, all control nodes.
+fn addresses_to_ask(node: &Node, control: Option<&Rc<Control>>, shard: u16) -> Vec<SocketAddr> {
+    let own_address = node.own_record.borrow().internal_address.clone();
+    let members = control.map(|c| c.members(shard)).unwrap_or_default();
+    let is_away = |name: &str| {
+        let membership = node.membership.borrow();
+        membership
+            .node(name)
+            .is_some_and(|n| n.unresponsive || n.leaving)
+    };
+    let ranked = sparrouter_consensus::owner::ranked(shard, &members);
+    let (live, away): (Vec<_>, Vec<_>) = ranked
+        .into_iter()
+        .partition(|m| m.address == own_address || !is_away(&m.name));
+    let addresses: Vec<SocketAddr> = live
+        .iter()
+        .chain(&away)
+        .filter_map(|m| m.address.parse().ok())
+        .collect();
+    if !addresses.is_empty() {
+        return addresses;
+    }
+    let mut control_nodes = node.core();
+    control_nodes.sort_by_key(|(name, _)| {
+        let rank = sparrouter_rendezvous::hash(name.as_bytes()) ^ u64::from(shard);
+        (is_away(name), rank)
+    });
+    control_nodes
+        .into_iter()
+        .map(|(_, address)| address)
+        .collect()
 }
 
-/// Why a change has no answer.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NoChange {
-    /// It was not made, and won't be.
-    NotMade(String),
-    /// Nobody can say.
-    Unknown,
+/// One change, for each node that is asked to make it.
+struct Attempt<'a> {
+    node: &'a Rc<Node>,
+    /// Where this node is a member.
+    own_register: Option<&'a Rc<Control>>,
+    shard: u16,
+    change: &'a [u8],
 }
 
-impl NoChange {
-    /// Once nobody can say, nobody can.
-    fn or(self, other: NoChange) -> NoChange {
-        if self == NoChange::Unknown {
-            self
+impl Attempt<'_> {
+    async fn at(&self, address: SocketAddr, time: Duration) -> AttemptOutcome {
+        let own_address = self.node.own_record.borrow().internal_address.parse().ok();
+        if Some(address) == own_address {
+            self.here(time).await
         } else {
-            other
+            self.at_peer(address, time).await
+        }
+    }
+
+    async fn here(&self, time: Duration) -> AttemptOutcome {
+        let Some(control) = self.own_register else {
+            return AttemptOutcome::Unsent;
+        };
+        let outcome = control.change_here(self.shard, self.change.to_vec(), time);
+        match outcome.await {
+            Outcome::Answered(answer) => AttemptOutcome::Answered(answer),
+            Outcome::Rejected(rejection) => AttemptOutcome::Rejected(ChangeError::Rejected {
+                rejection,
+                disk_failure: control.disk.failure(),
+            }),
+            Outcome::Unknown => AttemptOutcome::Unknown,
+        }
+    }
+
+    async fn at_peer(&self, address: SocketAddr, time: Duration) -> AttemptOutcome {
+        let call = Call::Change {
+            shard: self.shard,
+            change: Blob(self.change.to_vec()),
+            timeout_ms: time.as_millis() as u32,
+        };
+        let reply = self.node.links.call(address, &call, time + REPLY_MARGIN);
+        match reply.await {
+            Ok(Reply::Applied(answer)) => AttemptOutcome::Answered(answer.0),
+            Ok(Reply::NotApplied(reason)) => {
+                AttemptOutcome::Rejected(ChangeError::RejectedByPeer { reason })
+            }
+            Err(LinkError::Unreachable | LinkError::Crowded) => AttemptOutcome::Unsent,
+            _ => AttemptOutcome::Unknown,
         }
     }
 }
 
-pub fn verdict(answer: &[u8]) -> Option<Verdict> {
+/// Reads the answer of the configuration's shard; `None` if it is of a release that this one does not know.
+pub fn decode_verdict(answer: &[u8]) -> Option<Verdict> {
     sparrouter_codec::read(answer)
 }
 
+/// The bytes of a change of the configuration's shard.
 pub fn encode(change: &Change) -> Vec<u8> {
     nanoserde::SerBin::serialize_bin(change)
 }
--- a/crates/sparrouter-fleet/src/control/configuration_state.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state.rs
@@ -1,6 +1,6 @@
 //! What a change means to the configuration's shard: configurations by compare-and-set, named versions of weights.
 //!
-//! `history` knows an order that comes again; `format` has the bytes of the state. Design and invariants:
+//! `history` recognizes an order that is sent again; `format` has the bytes of the state. Design and invariants:
 //! docs/design/control-state/orders.md.
 
 mod format;
@@ -15,18 +15,20 @@
 use sparrouter_config::{Accepted, ConfigError, Document, Method, Order, base_of};
 use sparrouter_consensus::{Applied, Machine, Settings};
 
-/// Models that versions may be named for.
-const MOST_MODELS: usize = 4_096;
+/// Most models that versions are named for.
+const MAX_MODELS: usize = 4_096;
 /// Longest name of a model, bytes.
-const MOST_MODEL_NAME: usize = 256;
+const MAX_MODEL_NAME_BYTES: usize = 256;
 
-/// Nothing proves that the order was taken, nothing that it was lost.
+/// HTTP status where nothing proves that the order was applied, nothing that it was lost.
 const STATUS_UNKNOWN: u16 = 504;
 
 /// The version of a model's weights that servers are brought to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct NamedVersion {
+    /// Name of the model.
     pub model: String,
+    /// Its newest version, 1 or more.
     pub version: u64,
 }
 
@@ -37,29 +39,46 @@
     pub version: u64,
     /// The configuration in force, without white space between tokens.
     pub text: String,
-    /// The orders that made the last versions; the newest made the one in force.
+    /// The orders that made the last versions. Invariant: the newest made the one in force.
     pub orders: OrderHistory,
+    /// The newest named version of each model, at most 4,096, each model once.
     pub models: Seq<NamedVersion>,
 }
 
 /// A call of an operator, as it travels between nodes.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Change {
-    /// A whole configuration.
-    Put { if_match: Option<u64>, body: Blob },
-    /// Items to add, replace and remove.
-    Patch { if_match: Option<u64>, body: Blob },
-    /// A version of a model's weights.
-    Name { model: String, version: u64 },
+    /// Replaces the configuration.
+    Put {
+        /// The version that it builds on; 0 or `None`: there is none yet.
+        if_match: Option<u64>,
+        /// The new configuration, JSON.
+        body: Blob,
+    },
+    /// Adds, replaces and removes items of the configuration.
+    Patch {
+        /// The version that it builds on.
+        if_match: Option<u64>,
+        /// The patch, JSON.
+        body: Blob,
+    },
+    /// Names a version of a model's weights.
+    Name {
+        /// Name of the model.
+        model: String,
+        /// The version, 1 or more.
+        version: u64,
+    },
     /// Reads the configuration in force at the moment of the call.
     Get,
 }
 
-/// What the caller is answered.
+/// The answer to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Verdict {
     /// HTTP status.
     pub status: u16,
+    /// For people; of a read the configuration.
     pub text: String,
     /// Whether it holds for every copy of the same order that is still on its way. Only the refusal of an order whose
     /// base has not been in force yet does not: a copy that arrives later may find that base in force.
@@ -88,7 +107,7 @@
 }
 
 impl ConfigurationState {
-    /// The configuration in force; None before the first one.
+    /// The configuration in force; `None` before the first one.
     pub fn document(&self) -> Option<Document> {
         (self.version > 0).then(|| Document {
             version: self.version,
@@ -96,23 +115,24 @@
         })
     }
 
-    /// Judges an order: it is taken if it builds on the version in force and is valid. One that builds on another
-    /// version is known again, refused, or neither.
+    /// Judges an order: it is applied if it builds on the version in force and is valid. One that builds on another
+    /// version was applied before, is refused, or nobody knows.
     fn submit(&mut self, method: Method, if_match: Option<u64>, body: &[u8]) -> Verdict {
-        let if_match = match !rules::order_base_checked() {
-            true => Some(self.version),
-            false => if_match,
+        let if_match = if rules::order_base_checked() {
+            if_match
+        } else {
+            Some(self.version)
         };
         if base_of(if_match) != self.version && rules::repeated_orders_recognized() {
             return self.recognize(method, if_match, body);
         }
         match sparrouter_config::accept(method, body, if_match, self.document().as_ref()) {
-            Ok(accepted) => self.take(accepted),
+            Ok(accepted) => self.apply_order(accepted),
             Err(refusal) => refusal.into(),
         }
     }
 
-    fn take(&mut self, accepted: Accepted) -> Verdict {
+    fn apply_order(&mut self, accepted: Accepted) -> Verdict {
         self.orders.push(&accepted.order);
         self.version = accepted.document.version;
         self.text = accepted.document.text;
@@ -125,7 +145,7 @@
             sent: if_match,
             current: self.version,
         };
-        // What can't be read was never taken.
+        // What can't be read was never applied.
         let Ok(order) = sparrouter_config::read_order(method, body, if_match) else {
             return stale.into();
         };
@@ -150,7 +170,7 @@
     fn fate_of(&self, order: &Order) -> OrderFate {
         match self.orders.fate(order) {
             OrderFate::Applied
-                if !rules::applied_orders_remembered() && order.number != self.version =>
+                if order.number != self.version && !rules::applied_orders_remembered() =>
             {
                 OrderFate::Lost
             }
@@ -159,15 +179,15 @@
         }
     }
 
-    fn name(&mut self, model: &str, version: u64) -> Verdict {
-        if model.is_empty() || model.len() > MOST_MODEL_NAME || version == 0 {
+    fn name_version(&mut self, model: &str, version: u64) -> Verdict {
+        if model.is_empty() || model.len() > MAX_MODEL_NAME_BYTES || version == 0 {
             return Verdict::new(400, "model must be a name and version 1 or more");
         }
-        let many = self.models.len() >= MOST_MODELS;
+        let is_full = self.models.len() >= MAX_MODELS;
         match self.models.iter_mut().find(|m| m.model == model) {
-            // An older one that comes late was acknowledged or overtaken: either way there is nothing to do.
+            // An older one that arrives late was acknowledged or overtaken: either way there is nothing to do.
             Some(known) => known.version = known.version.max(version),
-            None if many => {
+            None if is_full => {
                 return Verdict::new(422, "versions are named for too many models: name fewer");
             }
             None => self.models.push(NamedVersion {
@@ -190,7 +210,7 @@
         match change {
             Change::Put { if_match, body } => self.submit(Method::Put, *if_match, body),
             Change::Patch { if_match, body } => self.submit(Method::Patch, *if_match, body),
-            Change::Name { model, version } => self.name(model, *version),
+            Change::Name { model, version } => self.name_version(model, *version),
             Change::Get => self.get(),
         }
     }
@@ -206,7 +226,7 @@
         };
         let before = match ConfigurationState::read(body) {
             Ok(state) => state,
-            Err(why) => return unchanged(Verdict::new(500, why.to_string())),
+            Err(error) => return unchanged(Verdict::new(500, error.to_string())),
         };
         let Some(change) = sparrouter_codec::read::<Change>(change) else {
             return unchanged(Verdict::new(400, "no change that this release knows"));
--- a/crates/sparrouter-fleet/src/control/configuration_state/format.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state/format.rs
@@ -2,12 +2,12 @@
 //!
 //! | bytes | what |
 //! | --- | --- |
-//! | 8 | `MARK`, which no older form begins with |
+//! | 8 | `HEADER`, which no older form begins with |
 //! | 4 | number of the form, little-endian |
 //! | rest | the state, in `nanoserde`'s binary form |
 //!
-//! Form 1 had neither mark nor number and began with the version in force. It is read and converted; its 64-bit digests
-//! prove nothing and are dropped, so that orders taken before are neither confirmed nor refused.
+//! Form 1 had neither header nor number and began with the version in force. It is read and converted; its 64-bit digests
+//! prove nothing and are dropped, so that orders applied before are neither confirmed nor refused.
 
 use super::history::OrderHistory;
 use super::{ConfigurationState, NamedVersion};
@@ -15,20 +15,25 @@
 use sparrouter_codec::Seq;
 
 /// As the version number that form 1 begins with, this would be above 18 * 10^18.
-const MARK: [u8; 8] = *b"config\xff\xff";
+const HEADER: [u8; 8] = *b"config\xff\xff";
 /// The form that this release writes.
 pub const FORM: u32 = 2;
 
-const HEAD_BYTES: usize = MARK.len() + size_of::<u32>();
+const HEAD_BYTES: usize = HEADER.len() + size_of::<u32>();
 
 /// Why bytes are not read as the configuration's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateFormatError {
+    /// A newer release wrote them.
     #[error(
         "the configuration's shard has form {found}, this release reads forms 1 to {FORM}: bring all nodes to one \
          release, the newest that runs"
     )]
-    Newer { found: u32 },
+    Newer {
+        /// Number of their form.
+        found: u32,
+    },
+    /// They are damaged, or of a form that no release before this one wrote.
     #[error(
         "the configuration's shard is of a release that this one does not know: bring all nodes to one release"
     )]
@@ -41,13 +46,13 @@
     version: u64,
     text: String,
     #[expect(dead_code, reason = "part of form 1; 64-bit digests prove nothing")]
-    taken: Seq<FirstFormTaken>,
+    taken: Seq<FirstFormOrder>,
     models: Seq<NamedVersion>,
 }
 
-/// One of the orders that form 1 remembered; read only to be passed over.
+/// One of the orders that form 1 remembered; decoded only to be skipped.
 #[derive(DeBin)]
-struct FirstFormTaken {
+struct FirstFormOrder {
     #[expect(dead_code, reason = "part of form 1")]
     digest: u64,
     #[expect(dead_code, reason = "part of form 1")]
@@ -64,23 +69,23 @@
         if body.is_empty() {
             return Ok(ConfigurationState::default());
         }
-        match body.strip_prefix(&MARK) {
-            Some(rest) => read_marked(rest),
+        match body.strip_prefix(&HEADER) {
+            Some(rest) => read_with_header(rest),
             None => read_first_form(body),
         }
     }
 
-    /// The body in the form of this release.
+    /// The bytes in the form of this release.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(HEAD_BYTES + self.text.len());
-        out.extend_from_slice(&MARK);
+        out.extend_from_slice(&HEADER);
         FORM.ser_bin(&mut out);
         self.ser_bin(&mut out);
         out
     }
 }
 
-fn read_marked(rest: &[u8]) -> Result<ConfigurationState, StateFormatError> {
+fn read_with_header(rest: &[u8]) -> Result<ConfigurationState, StateFormatError> {
     let Some((form, state)) = rest.split_first_chunk() else {
         return Err(StateFormatError::Unreadable);
     };
--- a/crates/sparrouter-fleet/src/control/configuration_state/history.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state/history.rs
@@ -1,26 +1,28 @@
-//! The orders that were taken, and what is known of one that comes again.
+//! The orders that were applied, and what is known of one that is sent again.
 //!
-//! Version numbers rise strictly and each taken order builds on the version in force, so the taken versions form a
+//! Version numbers rise strictly and each applied order builds on the version in force, so the versions form a
 //! chain: every version but the newest has exactly one successor, made by exactly one order. An order that builds on an
-//! overtaken version was therefore taken if and only if it *is* the successor of that version. The newest links of the
-//! chain are kept with the digests of their orders; of an order that builds on an older one nothing is claimed.
+//! overtaken version was therefore applied if and only if it *is* the successor of that version. The newest links of the
+//! chain are stored with the digests of their orders; of an order that builds on an older one nothing is claimed.
 
 use crate::platform::defects::rules;
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use sparrouter_codec::Seq;
 use sparrouter_config::{ORDER_DIGEST_BYTES, Order, OrderDigest};
 
-/// Taken orders that are known exactly. 40 KB of the shard's body when full; three hours of changes at 7,800 a day.
+/// Applied orders that are known exactly. 40 KB of the shard's body when full; three hours of changes at 7,800 a day.
 pub const MAX_KNOWN_ORDERS: usize = 1_024;
 
 /// One link of the chain: the order that made a version. Its base is the number of the link before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppliedOrder {
+    /// The version that it made.
     pub number: u64,
+    /// Digest of the order.
     pub digest: OrderDigest,
 }
 
-/// What the chain tells of an order whose base is not the version in force.
+/// What the chain proves of an order whose base is not the version in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFate {
     /// This very order made a version; it may have been overtaken since.
@@ -29,11 +31,11 @@
     Lost,
     /// Its base has not been in force yet.
     Ahead,
-    /// Its base was overtaken before the oldest link that is kept: it was taken or lost.
+    /// Its base was overtaken before the oldest link that is stored: it was applied or lost.
     Unknown,
 }
 
-/// The newest part of the chain.
+/// The newest links of the chain. Invariant: their numbers rise strictly from above `base`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct OrderHistory {
     /// The version that the oldest link builds on.
@@ -78,7 +80,7 @@
             return OrderFate::Ahead;
         }
         if order.base < self.base {
-            // What such an order made stands at or before the oldest base.
+            // The version that such an order made is at or before the oldest base.
             return if order.number > self.base {
                 OrderFate::Lost
             } else {
@@ -91,16 +93,16 @@
         }
     }
 
-    /// The link that builds on `base`; None where no such version is known to have been taken.
+    /// The link that builds on `base`; `None` where no such version is known to have been in force.
     fn successor(&self, base: u64) -> Option<&AppliedOrder> {
         if base == self.base {
             return self.links.first();
         }
-        let place = self
+        let index = self
             .links
             .binary_search_by_key(&base, |link| link.number)
             .ok()?;
-        self.links.get(place + 1)
+        self.links.get(index + 1)
     }
 }
 
@@ -117,13 +119,13 @@
 }
 
 impl DeBin for AppliedOrder {
-    fn de_bin(at: &mut usize, input: &[u8]) -> Result<AppliedOrder, DeBinErr> {
-        let number = u64::de_bin(at, input)?;
-        let left = input.get(*at..).unwrap_or_default();
-        let Some(digest) = left.first_chunk::<ORDER_DIGEST_BYTES>() else {
-            return Err(DeBinErr::new(*at, ORDER_DIGEST_BYTES, left.len()));
+    fn de_bin(offset: &mut usize, input: &[u8]) -> Result<AppliedOrder, DeBinErr> {
+        let number = u64::de_bin(offset, input)?;
+        let remaining = input.get(*offset..).unwrap_or_default();
+        let Some(digest) = remaining.first_chunk::<ORDER_DIGEST_BYTES>() else {
+            return Err(DeBinErr::new(*offset, ORDER_DIGEST_BYTES, remaining.len()));
         };
-        *at += ORDER_DIGEST_BYTES;
+        *offset += ORDER_DIGEST_BYTES;
         Ok(AppliedOrder {
             number,
             digest: OrderDigest(*digest),
--- a/crates/sparrouter-fleet/src/control/disk.rs
+++ b/crates/sparrouter-fleet/src/control/disk.rs
@@ -1,6 +1,6 @@
-//! What a process keeps on disk: read once at the start, then saved by a keeper that alone waits for the disk.
+//! What a process has on disk: read once at the start, then written by a writer that alone waits for the disk.
 //!
-//! The program's keeper is a thread. Where stories are told it is a task in virtual time, over a disk that lies.
+//! The program's writer is a thread. The simulation's is a task in virtual time, over a disk that injects faults.
 use crate::control::LEASE_SHARDS;
 use crate::platform::defects::rules;
 use crate::platform::log_buffer::LogBuffer;
@@ -13,89 +13,111 @@
 use std::path::Path;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Why the data directory cannot be used as it is; each message says what to do.
+/// The name on disk of the record with the disk's id.
+const DISK_ID_RECORD: &str = "disk";
+/// The name on disk of the record with the membership.
+const MEMBERSHIP_RECORD: &str = "rows";
+
+/// Why the data directory cannot be used as it is. Each variant has the cause with its remedy, as text of the layer that
+/// found it.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// It stays untouched, since the release that wrote it can use it.
+    /// A newer release wrote it. It stays untouched, since that release can use it.
     #[error("{0}")]
     Newer(String),
-    /// What was promised may be lost, so that nothing in it may count.
+    /// What this node promised or accepted may be lost, so that nothing in it may count.
     #[error("{0}")]
     Damaged(String),
+    /// It cannot be read, so that this process does without a disk.
     #[error("{0}")]
     Unreadable(String),
 }
 
 impl DiskError {
-    fn of_folder(self, folder: &Path) -> DiskError {
-        let named = |why: String| format!("{}: {why}", folder.display());
+    /// The same error with the folder named.
+    fn in_folder(self, folder: &Path) -> DiskError {
+        let named = |cause: String| format!("{}: {cause}", folder.display());
         match self {
-            DiskError::Newer(why) => DiskError::Newer(named(why)),
-            DiskError::Damaged(why) => DiskError::Damaged(named(why)),
-            DiskError::Unreadable(why) => DiskError::Unreadable(named(why)),
+            DiskError::Newer(cause) => DiskError::Newer(named(cause)),
+            DiskError::Damaged(cause) => DiskError::Damaged(named(cause)),
+            DiskError::Unreadable(cause) => DiskError::Unreadable(named(cause)),
         }
     }
 }
 
 impl From<StorageError> for DiskError {
     fn from(error: StorageError) -> DiskError {
-        let why = error.to_string();
+        let cause = error.to_string();
         match error {
-            StorageError::Newer { .. } => DiskError::Newer(why),
-            StorageError::Damaged { .. } => DiskError::Damaged(why),
-            _ => DiskError::Unreadable(why),
+            StorageError::Newer { .. } => DiskError::Newer(cause),
+            StorageError::Damaged { .. } => DiskError::Damaged(cause),
+            _ => DiskError::Unreadable(cause),
         }
     }
 }
 
-/// One thing to be kept.
+/// One thing to write.
 #[derive(Debug)]
 pub enum WriteRequest {
+    /// A shard's record.
     Shard {
+        /// Number of the shard.
         shard: u16,
+        /// By which its register knows this write.
         token: u64,
+        /// The record.
         bytes: Vec<u8>,
     },
-    /// The first record of a part: nobody waits for it, since what is kept later stands behind it.
+    /// The first record of a shard. Nobody waits for it, since any later record is written after it.
     Bootstrap {
+        /// Number of the shard.
         shard: u16,
+        /// The record.
         bytes: Vec<u8>,
     },
+    /// The membership, for the next start.
     Rows(Vec<u8>),
 }
 
-/// What came of a save.
+/// What became of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// `failed`: why it is not kept, and the remedy.
+    /// Of a shard's record.
     Shard {
+        /// Number of the shard.
         shard: u16,
+        /// By which its register knows the write.
         token: u64,
+        /// Why it is not on disk, with the remedy; `None`: it is.
         error: Option<String>,
     },
+    /// Of the membership, written or not: a start does without it.
     Rows,
 }
 
-/// Takes saves and carries them out one after the other.
+/// Carries out writes one after the other, in the order in which they are requested.
 pub trait DiskWriter {
-    /// Gives back where saves go; what came of each is told to `done`.
-    fn start(self: Box<Self>, done: UnboundedSender<WriteOutcome>) -> WriteQueue;
+    /// Starts it. Returns where requests go; `outcomes` gets what became of each.
+    fn start(self: Box<Self>, outcomes: UnboundedSender<WriteOutcome>) -> WriteQueue;
 }
 
+/// Takes requests for a [`DiskWriter`].
 pub type WriteQueue = Box<dyn Fn(WriteRequest)>;
 
 /// What is on this node's disk when it starts.
 pub struct DiskContents {
-    /// Id of the disk's life, drawn anew where there is none.
+    /// Id of the disk since it was last emptied: drawn at random where it has none. Never 0.
     pub disk_id: u64,
+    /// The record of each shard by its number; `None` where there is none.
     pub records: Vec<Option<Vec<u8>>>,
+    /// The membership as it was last written.
     pub rows: Option<Vec<u8>>,
-    /// None: nothing outlives the process.
+    /// `None`: nothing outlives the process.
     pub writer: Option<Box<dyn DiskWriter>>,
 }
 
 impl DiskContents {
-    /// Of a process without a disk, or whose disk cannot be used.
+    /// The contents for a process without a disk, or whose disk cannot be used.
     pub fn empty(rng: &mut Rng) -> DiskContents {
         let records = vec![None; usize::from(LEASE_SHARDS) + 1];
         DiskContents {
@@ -106,55 +128,65 @@
         }
     }
 
-    /// What a folder holds; `keeper` is made of the folder for what comes.
+    /// The contents of a folder; `writer` makes the writer to it.
+    ///
+    /// # Errors
     ///
-    /// Errors: `Newer` and `Damaged` where a shard's record is no record of this release. A register that began
-    /// without it would have forgotten its promises under the disk's old id.
+    /// [`DiskError::Newer`] and [`DiskError::Damaged`] where a shard's record is no record of this release. A register
+    /// that began without it would have forgotten its promises under the disk's old id.
     pub fn of<F: Files>(
         mut store: Store<F>,
         opened: Opened,
         log_buffer: &LogBuffer,
         rng: &mut Rng,
-        keeper: impl FnOnce(Store<F>) -> Box<dyn DiskWriter>,
+        writer: impl FnOnce(Store<F>) -> Box<dyn DiskWriter>,
     ) -> Result<DiskContents, DiskError> {
         let mut records = match opened {
             Opened::Fresh => BTreeMap::new(),
             Opened::Existing(records) => records,
         };
-        let disk = records
-            .get("disk")
-            .and_then(|d| Some(u64::from_le_bytes(d.as_slice().try_into().ok()?)));
-        let disk = disk.unwrap_or_else(|| {
-            // Without its name on disk nothing that stands there may count.
+        let disk_id = disk_id_of(&records).unwrap_or_else(|| {
+            // Without the disk's id nothing on it may count.
             records.clear();
-            let disk = rng.u64(1..);
-            if let Err(why) = store.save("disk", &disk.to_le_bytes()) {
-                log_buffer.breach(&format!("the disk's name cannot be kept: {why}"));
-            }
-            disk
+            draw_disk_id(&mut store, log_buffer, rng)
         });
-        let parts: Vec<Option<Vec<u8>>> = (0..=LEASE_SHARDS)
-            .map(|p| records.remove(&record_name(p)))
+        let shards: Vec<Option<Vec<u8>>> = (0..=LEASE_SHARDS)
+            .map(|shard| records.remove(&record_name(shard)))
             .collect();
-        for (part, record) in (0..).zip(&parts) {
+        for (shard, record) in (0..).zip(&shards) {
             if let Some(record) = record {
-                check_record(part, record)?;
+                check_record(shard, record)?;
             }
         }
         Ok(DiskContents {
-            disk_id: disk,
-            records: parts,
-            rows: records.remove("rows"),
-            writer: Some(keeper(store)),
+            disk_id,
+            records: shards,
+            rows: records.remove(MEMBERSHIP_RECORD),
+            writer: Some(writer(store)),
         })
     }
 }
 
-fn check_record(part: u16, record: &[u8]) -> Result<(), DiskError> {
+fn disk_id_of(records: &BTreeMap<String, Vec<u8>>) -> Option<u64> {
+    let bytes = records.get(DISK_ID_RECORD)?.as_slice();
+    Some(u64::from_le_bytes(bytes.try_into().ok()?))
+}
+
+/// A new id for the disk, written to it.
+fn draw_disk_id<F: Files>(store: &mut Store<F>, log_buffer: &LogBuffer, rng: &mut Rng) -> u64 {
+    let disk_id = rng.u64(1..);
+    if let Err(error) = store.save(DISK_ID_RECORD, &disk_id.to_le_bytes()) {
+        log_buffer.breach(&format!("the disk's id cannot be written: {error}"));
+    }
+    disk_id
+}
+
+/// Checks that this release reads a shard's record.
+fn check_record(shard: u16, record: &[u8]) -> Result<(), DiskError> {
     if !rules::unreadable_records_rejected() {
         return Ok(());
     }
-    let name = record_name(part);
+    let name = record_name(shard);
     match Record::decode(record, Settings::default().max_message_bytes()) {
         Ok(_) => Ok(()),
         Err(CodecError::Format { found }) if found > codec::FORMAT => {
@@ -164,51 +196,53 @@
                 codec::FORMAT
             )))
         }
-        Err(why) => Err(DiskError::Damaged(format!(
-            "{name} holds no record that this release reads ({why}): the folder is emptied, so that the machine joins \
+        Err(error) => Err(DiskError::Damaged(format!(
+            "{name} holds no record that this release reads ({error}): the folder is emptied, so that the machine joins \
              as a new one"
         ))),
     }
 }
 
-fn record_name(part: u16) -> String {
-    format!("part-{part}")
+/// The name on disk of a shard's record.
+fn record_name(shard: u16) -> String {
+    format!("part-{shard}")
 }
 
-/// Carries out one save; blocks until the disk has answered.
-pub fn write<F: Files>(store: &mut Store<F>, save: WriteRequest) -> Option<WriteOutcome> {
-    match save {
+/// Carries out one write; blocks until the disk has answered. `None` where nobody waits for the outcome.
+pub fn write<F: Files>(store: &mut Store<F>, request: WriteRequest) -> Option<WriteOutcome> {
+    match request {
         WriteRequest::Shard {
             shard,
             token,
             bytes,
         } => {
-            let failed = store
-                .save(&record_name(shard), &bytes)
-                .err()
-                .map(|why| why.to_string());
+            let written = store.save(&record_name(shard), &bytes);
             Some(WriteOutcome::Shard {
                 shard,
                 token,
-                error: failed,
+                error: written.err().map(|error| error.to_string()),
             })
         }
         WriteRequest::Bootstrap { shard, bytes } => {
-            if let Err(why) = store.save(&record_name(shard), &bytes) {
-                log::warn!("{why}");
+            if let Err(error) = store.save(&record_name(shard), &bytes) {
+                log::warn!("disk write failed: {error}");
             }
             None
         }
         WriteRequest::Rows(bytes) => {
-            if let Err(why) = store.save("rows", &bytes) {
-                log::warn!("{why}");
+            if let Err(error) = store.save(MEMBERSHIP_RECORD, &bytes) {
+                log::warn!("disk write failed: {error}");
             }
             Some(WriteOutcome::Rows)
         }
     }
 }
 
-/// Opens the data directory as `open_with` does.
+/// Opens the data directory as [`open_with`] does. `data`: `None` for a process without one.
+///
+/// # Errors
+///
+/// [`DiskError::Newer`] alone.
 pub fn open(
     data: Option<&Path>,
     log_buffer: &LogBuffer,
@@ -218,33 +252,37 @@
         return Ok(DiskContents::empty(rng));
     };
     let files = || RealFiles::open(data);
-    open_with(files, log_buffer, rng, |store| Box::new(OnThread(store)))
-        .map_err(|why| why.of_folder(data))
+    open_with(files, log_buffer, rng, |store| {
+        Box::new(ThreadWriter(store))
+    })
+    .map_err(|error| error.in_folder(data))
 }
 
 /// Reads a folder, made by `files`. One that is damaged is emptied, since a vote that may be forgotten must not count
-/// under its old name. One that cannot be read stays as it is, and this process does without a disk.
+/// under the old disk id. One that cannot be read stays as it is, and this process does without a disk.
+///
+/// # Errors
 ///
-/// Errors: `Newer` alone. The folder stays as it is, for the release that wrote it.
+/// [`DiskError::Newer`] alone. The folder stays as it is, for the release that wrote it.
 pub fn open_with<F: Files>(
     files: impl Fn() -> io::Result<F>,
     log_buffer: &LogBuffer,
     rng: &mut Rng,
-    keeper: impl Fn(Store<F>) -> Box<dyn DiskWriter>,
+    writer: impl Fn(Store<F>) -> Box<dyn DiskWriter>,
 ) -> Result<DiskContents, DiskError> {
-    for again in [false, true] {
-        match read(&files, log_buffer, rng, &keeper) {
+    for is_last_attempt in [false, true] {
+        match read(&files, log_buffer, rng, &writer) {
             Ok(contents) => return Ok(contents),
-            Err(why @ DiskError::Newer(_)) if rules::newer_folders_untouched() => {
-                return Err(why);
+            Err(error @ DiskError::Newer(_)) if rules::newer_folders_untouched() => {
+                return Err(error);
             }
-            Err(why @ DiskError::Unreadable(_)) => {
-                log_buffer.breach(&format!("the data directory cannot be used: {why}"));
+            Err(error @ DiskError::Unreadable(_)) => {
+                log_buffer.breach(&format!("the data directory cannot be used: {error}"));
                 break;
             }
-            Err(why) => {
-                log_buffer.breach(&format!("the data directory cannot be used: {why}"));
-                if again || files().and_then(empty).is_err() {
+            Err(error) => {
+                log_buffer.breach(&format!("the data directory cannot be used: {error}"));
+                if is_last_attempt || files().and_then(empty).is_err() {
                     break;
                 }
             }
@@ -257,11 +295,11 @@
     files: impl Fn() -> io::Result<F>,
     log_buffer: &LogBuffer,
     rng: &mut Rng,
-    keeper: impl Fn(Store<F>) -> Box<dyn DiskWriter>,
+    writer: impl Fn(Store<F>) -> Box<dyn DiskWriter>,
 ) -> Result<DiskContents, DiskError> {
-    let files = files().map_err(|why| DiskError::Unreadable(why.to_string()))?;
+    let files = files().map_err(|error| DiskError::Unreadable(error.to_string()))?;
     let (store, opened) = Store::open(files)?;
-    DiskContents::of(store, opened, log_buffer, rng, keeper)
+    DiskContents::of(store, opened, log_buffer, rng, writer)
 }
 
 fn empty<F: Files>(mut files: F) -> io::Result<()> {
@@ -271,25 +309,27 @@
     files.sync_folder()
 }
 
-/// A disk with a thread of its own: it waits, nothing else does.
-struct OnThread(Store<RealFiles>);
+/// A writer on a thread of its own: that thread waits for the disk, nothing else does. It ends once the queue or the
+/// receiver of the outcomes is dropped.
+struct ThreadWriter(Store<RealFiles>);
 
-impl DiskWriter for OnThread {
-    fn start(self: Box<Self>, done: UnboundedSender<WriteOutcome>) -> WriteQueue {
-        let (saves, queue) = std::sync::mpsc::channel();
+impl DiskWriter for ThreadWriter {
+    fn start(self: Box<Self>, outcomes: UnboundedSender<WriteOutcome>) -> WriteQueue {
+        // Unbounded, as each register has one record in flight at a time and the membership is skipped while it has.
+        let (requests, queue) = std::sync::mpsc::channel();
         let mut store = self.0;
         std::thread::spawn(move || {
-            while let Ok(save) = queue.recv() {
-                if let Some(kept) = write(&mut store, save)
-                    && done.send(kept).is_err()
+            while let Ok(request) = queue.recv() {
+                if let Some(outcome) = write(&mut store, request)
+                    && outcomes.send(outcome).is_err()
                 {
                     return;
                 }
             }
         });
-        Box::new(move |save| {
+        Box::new(move |request| {
             // The thread ends with the process only.
-            let _ = saves.send(save);
+            let _ = requests.send(request);
         })
     }
 }
--- a/crates/sparrouter-fleet/src/control/groups.rs
+++ b/crates/sparrouter-fleet/src/control/groups.rs
@@ -1,195 +1,212 @@
-//! Who belongs to the parts' groups: the first ones founded, a member's catching up, and what is seen of the others.
-use super::{Control, LEASE_SHARDS, ShardMachine};
+//! Who belongs to the shards' groups: the first groups, catching up with them, and what is observed of other nodes.
+use super::{Control, LEASE_SHARDS, ShardMachine, open_register};
 use crate::control::disk::WriteRequest;
 use crate::node::Node;
 use crate::peer::messages::{Call, Reply};
 use crate::settings::nanos;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Member, NodeObservation, Record, Register};
+use sparrouter_membership::{MembershipTable, NodeRecord};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// The first group is formed once the nodes that count have been the same for so long, or some came in so long.
-const SETTLED: Duration = Duration::from_millis(900);
-const FOUNDING: Duration = Duration::from_millis(4_000);
+/// Time between two observations of the other nodes.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(200);
+/// The first group is formed once its members have been the same for this long ...
+const STABLE_FOR: Duration = Duration::from_millis(900);
+/// ... and one of them counts toward the quorum, or this much time has passed since the start.
+const MAX_WAIT_FOR_COUNTED: Duration = Duration::from_millis(4_000);
+/// Time between two looks at who may be a member of the first group.
+const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(50);
+/// Most members of the first group.
+const MAX_FIRST_MEMBERS: usize = 9;
+/// How often the first records are sent to a member, the time for each attempt, and the time between two.
+const BOOTSTRAP_ATTEMPTS: usize = 200;
+const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(500);
+const BOOTSTRAP_RETRY: Duration = Duration::from_millis(50);
 
 impl Control {
-    /// Looks after who belongs to the groups, and asks others for what a node that belongs to none should know.
-    pub(super) async fn tend(self: Rc<Self>) {
+    /// Maintains who belongs to the groups, and asks another node for the groups that this one does not know.
+    pub(super) async fn maintain_groups(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(self.node.jitter(Duration::from_millis(200))).await;
+            tokio::time::sleep(self.node.jitter(OBSERVATION_INTERVAL)).await;
+            let now = self.node.now();
             if self.has_quorum_contact() {
-                self.node.heard.set(self.node.now());
+                self.node.heard.set(now);
             }
-            let now = self.node.now();
-            let mut listening = self.listening.get();
-            listening.observe(nanos(self.node.settings.borrow().bounds.contact), now);
-            self.listening.set(listening);
-            let seen = self.seen();
-            let ask = |r: &Register<ShardMachine>| r.members().is_empty();
-            let others: Vec<Member> = seen
-                .iter()
-                .map(|s| s.member.clone())
-                .filter(|m| m.disk_id != self.me.disk_id)
-                .collect();
-            {
-                let mut registers = self.registers.borrow_mut();
-                let lonely = registers.iter().any(ask) && !others.is_empty();
-                let other = if lonely {
-                    Some(others[self.node.rng.borrow_mut().usize(..others.len())].clone())
-                } else {
-                    None
-                };
-                for register in registers.iter_mut() {
-                    if let (true, Some(other)) = (ask(register), &other) {
-                        register.request_state(other.clone(), now);
-                    }
-                    if register.is_member() {
-                        register.observe_nodes(&seen, now);
-                    }
-                }
+            let mut window = self.observation_window.get();
+            window.observe(nanos(self.node.settings.borrow().bounds.contact), now);
+            self.observation_window.set(window);
+            self.observe_nodes();
+            self.carry_out_actions();
+        }
+    }
+
+    /// Lets the registers know the other nodes: those with a group, whom to take in or out; those without, whom to ask.
+    fn observe_nodes(&self) {
+        let now = self.node.now();
+        let observations = self.observations();
+        let source = self.source_of_groups(&observations);
+        for register in self.registers.borrow_mut().iter_mut() {
+            if let Some(source) = source.as_ref().filter(|_| knows_no_group(register)) {
+                register.request_state(source.clone(), now);
+            }
+            if register.is_member() {
+                register.observe_nodes(&observations, now);
             }
-            self.carry_out();
         }
     }
 
-    /// The nodes that may keep control state, as this one sees them.
-    fn seen(&self) -> Vec<NodeObservation> {
+    /// A random other node, where a register here knows no group.
+    fn source_of_groups(&self, observations: &[NodeObservation]) -> Option<Member> {
+        let others: Vec<&Member> = observations
+            .iter()
+            .map(|observation| &observation.member)
+            .filter(|member| member.disk_id != self.own_member.disk_id)
+            .collect();
+        if others.is_empty() || !self.registers.borrow().iter().any(knows_no_group) {
+            return None;
+        }
+        let index = self.node.rng.borrow_mut().usize(..others.len());
+        Some(others[index].clone())
+    }
+
+    /// The nodes that may keep control state, as this one observes them.
+    fn observations(&self) -> Vec<NodeObservation> {
         let live = self.node.live_nodes();
         let now = self.node.now();
-        let fit = live.control_rows().iter().filter(|n| n.disk_id != 0);
-        fit.map(|n| {
-            let own = n.disk_id == self.me.disk_id;
-            let at = self.contacts.borrow().get(&n.name).copied();
-            NodeObservation {
-                member: Member {
-                    disk_id: n.disk_id,
-                    name: n.name.clone(),
-                    address: n.internal_address.clone(),
-                },
-                counts_toward_quorum: true,
-                since_last_contact: if own {
-                    Some(0)
-                } else {
-                    at.map(|at| self.listening.get().unresponsive_for(at, now))
-                },
-                leaving: n.leaving,
-            }
-        })
-        .collect()
+        let with_disk = live.control_rows().iter().filter(|n| n.disk_id != 0);
+        let observation = |node: &NodeRecord| NodeObservation {
+            member: member_of(node),
+            counts_toward_quorum: true,
+            since_last_contact: self.since_last_contact(node, now),
+            leaving: node.leaving,
+        };
+        with_disk.map(observation).collect()
     }
 
-    /// The first group's records, from the node that founds it.
-    pub fn take_record(&self, records: &[Blob]) -> bool {
-        if self.founded.get() {
+    /// Nanoseconds for which a node has been unresponsive to this one; `None` where it was never heard from.
+    fn since_last_contact(&self, node: &NodeRecord, now: u64) -> Option<u64> {
+        if node.disk_id == self.own_member.disk_id {
+            return Some(0);
+        }
+        let contacted_at = self.last_contacts.borrow().get(&node.name).copied()?;
+        let window = self.observation_window.get();
+        Some(window.unresponsive_for(contacted_at, now))
+    }
+
+    /// Takes the first groups' records, one for each shard. False where they are none that this node can be a member
+    /// by; true also where it has a group already.
+    pub fn accept_bootstrap(&self, records: &[Blob]) -> bool {
+        if self.is_bootstrapped.get() {
             return true;
         }
-        if records.len() != usize::from(LEASE_SHARDS) + 1 {
+        let Some(registers) = self.registers_of(records) else {
             return false;
+        };
+        *self.registers.borrow_mut() = registers;
+        self.is_bootstrapped.set(true);
+        for (shard, record) in (0..).zip(records) {
+            // On disk before any later record is, as writes are carried out in order.
+            self.disk.submit(WriteRequest::Bootstrap {
+                shard,
+                bytes: record.0.clone(),
+            });
         }
-        let settings = super::settings(&self.node);
-        let mut made = Vec::new();
-        let now = self.node.now();
-        for (part, record) in (0..).zip(records) {
-            let rng = self.node.rng.borrow_mut().fork();
-            let opened = Register::new(
-                part,
-                self.me.clone(),
-                Some(record),
-                ShardMachine(part),
-                rng,
-                settings.clone(),
-                now,
-            );
-            match opened {
-                Ok(register) if register.is_member() => made.push(register),
-                _ => return false,
-            }
+        self.wake.notify_one();
+        true
+    }
+
+    /// The registers that begin with these records; `None` unless this node is a member by each of them.
+    fn registers_of(&self, records: &[Blob]) -> Option<Vec<Register<ShardMachine>>> {
+        if records.len() != usize::from(LEASE_SHARDS) + 1 {
+            return None;
         }
-        *self.registers.borrow_mut() = made;
-        self.founded.set(true);
-        for (part, record) in (0..).zip(records) {
-            if let Some(save) = &*self.disk.borrow() {
-                // Kept before anything later is: saves are carried out in order.
-                save(WriteRequest::Bootstrap {
-                    shard: part,
-                    bytes: record.0.clone(),
-                });
-            }
+        let now = self.node.now();
+        let mut registers = Vec::new();
+        for (shard, record) in (0..).zip(records) {
+            let opened = open_register(&self.node, &self.own_member, shard, Some(record), now);
+            registers.push(opened.ok().filter(Register::is_member)?);
         }
-        self.woken.notify_one();
-        true
+        Some(registers)
     }
 }
 
-/// Founds the first group: on the first start of the whole system, by the first of the three seeds alone, so that
-/// there are never two.
+fn knows_no_group(register: &Register<ShardMachine>) -> bool {
+    register.members().is_empty()
+}
+
+fn member_of(node: &NodeRecord) -> Member {
+    Member {
+        disk_id: node.disk_id,
+        name: node.name.clone(),
+        address: node.internal_address.clone(),
+    }
+}
+
+/// Forms the first groups: on the first start of the whole system, by the first of the seeds alone, so that there are
+/// never two.
 pub async fn bootstrap(node: Rc<Node>) {
-    let started = Instant::now();
-    let mut last: Vec<(String, u64, String)> = Vec::new();
-    let mut since = Instant::now();
-    let members = loop {
-        tokio::time::sleep(Duration::from_millis(50)).await;
-        let now: Vec<(String, u64, String)> = {
-            let rows = node.membership.borrow();
-            let any = rows
-                .nodes()
-                .any(|n| n.counts_toward_quorum && !n.control_address.is_empty());
-            let fit = rows.nodes().filter(|n| {
-                !n.control_address.is_empty() && n.disk_id != 0 && (n.counts_toward_quorum || !any)
-            });
-            fit.map(|n| (n.name.clone(), n.disk_id, n.internal_address.clone()))
-                .collect()
-        };
-        if now != last {
-            (last, since) = (now, Instant::now());
-        }
-        let counted = node
-            .membership
-            .borrow()
-            .nodes()
-            .any(|n| n.counts_toward_quorum);
-        let enough = since.elapsed() >= SETTLED && (counted || started.elapsed() >= FOUNDING);
-        if enough && !last.is_empty() {
-            break last;
-        }
-    };
-    let members: Vec<Member> = members
-        .into_iter()
-        .map(|(name, disk, address)| Member {
-            disk_id: disk,
-            name,
-            address,
-        })
-        .take(9)
-        .collect();
-    let records: Vec<Blob> = (0..=LEASE_SHARDS)
-        .map(|_| Blob(Record::bootstrap(members.clone(), Vec::new()).encode()))
-        .collect();
-    log::info!("founding the control state with {} members", members.len());
+    let members = stable_candidates(&node).await;
+    let record = Record::bootstrap(members.clone(), Vec::new()).encode();
+    let records: Vec<Blob> = (0..=LEASE_SHARDS).map(|_| Blob(record.clone())).collect();
+    log::info!("control state is bootstrapped: members={}", members.len());
     let call = Rc::new(Call::Bootstrap {
         records: records.into(),
     });
     for member in members {
-        let (node, call) = (node.clone(), call.clone());
-        spawn_local(async move {
-            let Ok(address) = member.address.parse::<SocketAddr>() else {
-                return;
-            };
-            // Until it has it: it is needed for the first quorum, and was there a moment ago.
-            for _ in 0..200 {
-                if let Ok(Reply::Acknowledged) = node
-                    .links
-                    .call(address, &call, Duration::from_millis(500))
-                    .await
-                {
-                    return;
-                }
-                tokio::time::sleep(node.jitter(Duration::from_millis(50))).await;
-            }
-        });
+        if let Ok(address) = member.address.parse() {
+            spawn_local(send_bootstrap(node.clone(), address, call.clone()));
+        }
+    }
+}
+
+/// Waits until the candidates for the first groups have stayed the same for a while.
+async fn stable_candidates(node: &Node) -> Vec<Member> {
+    let started = Instant::now();
+    let mut candidates: Vec<Member> = Vec::new();
+    let mut unchanged_since = Instant::now();
+    loop {
+        tokio::time::sleep(BOOTSTRAP_INTERVAL).await;
+        let membership = node.membership.borrow();
+        let now = candidates_in(&membership);
+        if now != candidates {
+            (candidates, unchanged_since) = (now, Instant::now());
+        }
+        let any_counted = membership.nodes().any(|n| n.counts_toward_quorum);
+        let is_stable = unchanged_since.elapsed() >= STABLE_FOR;
+        let has_waited = any_counted || started.elapsed() >= MAX_WAIT_FOR_COUNTED;
+        if is_stable && has_waited && !candidates.is_empty() {
+            candidates.truncate(MAX_FIRST_MEMBERS);
+            return candidates;
+        }
+    }
+}
+
+/// The control nodes with a disk; where any of them count toward the quorum, those alone.
+fn candidates_in(membership: &MembershipTable) -> Vec<Member> {
+    let is_control = |n: &&NodeRecord| !n.control_address.is_empty();
+    let any_counted = membership
+        .nodes()
+        .any(|n| is_control(&n) && n.counts_toward_quorum);
+    membership
+        .nodes()
+        .filter(is_control)
+        .filter(|n| n.disk_id != 0 && (n.counts_toward_quorum || !any_counted))
+        .map(member_of)
+        .collect()
+}
+
+/// Sends the first records to a member until it has them: it is needed for the first quorum.
+async fn send_bootstrap(node: Rc<Node>, address: SocketAddr, call: Rc<Call>) {
+    for _ in 0..BOOTSTRAP_ATTEMPTS {
+        let reply = node.links.call(address, &call, BOOTSTRAP_TIMEOUT).await;
+        if matches!(reply, Ok(Reply::Acknowledged)) {
+            return;
+        }
+        tokio::time::sleep(node.jitter(BOOTSTRAP_RETRY)).await;
     }
 }
--- a/crates/sparrouter-fleet/src/control/handover.rs
+++ b/crates/sparrouter-fleet/src/control/handover.rs
@@ -1,38 +1,40 @@
-//! A process that leaves hands its control state over to the other members before it ends.
+//! A member that shuts down hands its control state over to the other members before it ends.
 use super::{CONFIG, Control};
 use crate::platform::defects::rules;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two questions to the other members what they hold.
-const ASK_EVERY: Duration = Duration::from_millis(150);
+/// Time between two questions to the other members about what they have.
+const HANDOVER_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Control {
-    /// Asks the other members until this process ends.
+    /// Asks the other members what they have, until this process ends.
     pub async fn hand_over(self: Rc<Self>) {
         loop {
             let now = self.node.now();
             for register in self.registers.borrow_mut().iter_mut() {
                 register.continue_handover(now);
             }
-            self.carry_out();
-            tokio::time::sleep(self.node.jitter(ASK_EVERY)).await;
+            self.carry_out_actions();
+            tokio::time::sleep(self.node.jitter(HANDOVER_INTERVAL)).await;
         }
     }
 
-    /// Whether the other members hold everything that this one holds, and can act without it; calls that wait for an
-    /// answer of the group here are over, too.
+    /// Whether the other members have everything that this one has and can act without it, and no call waits for an
+    /// answer of a group here.
     pub fn is_handed_over(&self) -> bool {
-        !rules::shutdown_awaits_handover()
-            || (self.ops.borrow().is_empty() && self.held_back().is_empty())
+        if !rules::shutdown_awaits_handover() {
+            return true;
+        }
+        self.operations.is_empty() && self.shards_not_handed_over().is_empty()
     }
 
-    /// The parts that are not handed over, by name.
-    pub fn held_back(&self) -> Vec<String> {
+    /// The shards that are not handed over, by the names that operators know them by.
+    pub fn shards_not_handed_over(&self) -> Vec<String> {
         let now = self.node.now();
         let registers = self.registers.borrow();
-        let parts = registers.iter().filter(|r| !r.is_handed_over(now));
-        parts
+        let remaining = registers.iter().filter(|r| !r.is_handed_over(now));
+        remaining
             .map(|register| match register.shard() {
                 CONFIG => "configuration".to_owned(),
                 shard => format!("leases {shard}"),
--- /dev/null
+++ b/crates/sparrouter-fleet/src/control/liveness.rs
@@ -0,0 +1,99 @@
+//! Which members and pollers this node hears from, and which member comes first for a lease.
+use super::{CONFIG, Control};
+use crate::platform::defects::rules;
+use crate::settings::nanos;
+use sparrouter_consensus::Member;
+use sparrouter_consensus::lease::Lease;
+use std::time::Duration;
+
+/// Control nodes poll each other so often that one without a frame for this long is unreachable.
+const PEER_CONTACT_WINDOW: Duration = Duration::from_millis(1_600);
+/// A node that polled here and has not for this long counts as unresponsive.
+const POLL_TIMEOUT: Duration = Duration::from_millis(2_500);
+
+impl Control {
+    /// Records that a frame of a control node arrived.
+    pub fn record_contact(&self, name: &str) {
+        self.last_contacts
+            .borrow_mut()
+            .insert(name.to_owned(), self.node.now());
+    }
+
+    /// Records that a node polled this one, which is one of its sources and so watches it.
+    pub fn record_poll(&self, name: &str) {
+        self.last_polls
+            .borrow_mut()
+            .insert(name.to_owned(), self.node.now());
+    }
+
+    /// Marks nodes that stopped polling as unresponsive. One that polls elsewhere refutes it.
+    pub fn mark_unresponsive_pollers(&self) {
+        let now = self.node.now();
+        if !self.has_quorum_contact() && rules::watching_needs_contact() {
+            // This node was cut off or frozen: its pollers ask other sources.
+            self.last_polls.borrow_mut().clear();
+        }
+        let mut overdue = Vec::new();
+        self.last_polls.borrow_mut().retain(|name, polled_at| {
+            let is_overdue = now.saturating_sub(*polled_at) > nanos(POLL_TIMEOUT);
+            if is_overdue {
+                overdue.push(name.clone());
+            }
+            !is_overdue
+        });
+        let mut has_changed = false;
+        for name in overdue {
+            let mut membership = self.node.membership.borrow_mut();
+            has_changed |= membership.mark_node_unresponsive(&name, now);
+        }
+        self.node.pollers.set(self.last_polls.borrow().len());
+        if has_changed {
+            self.node.stir();
+        }
+    }
+
+    /// The newest lease of a shard on this node's disk, which a quorum may have replaced since: only injected defects
+    /// act on it.
+    pub fn unconfirmed_lease(&self, shard: u16) -> Option<Lease> {
+        let registers = self.registers.borrow();
+        Lease::decode(&registers.get(usize::from(shard))?.unconfirmed()?.body)
+    }
+
+    /// Whether this node comes first among the live members of the shard, and so should hold its lease.
+    pub fn is_first(&self, shard: u16) -> bool {
+        let members = self.members(shard);
+        let is_leaving = |name: &str| {
+            let membership = self.node.membership.borrow();
+            membership.node(name).is_some_and(|n| n.leaving)
+        };
+        let is_live =
+            |m: &&Member| self.is_own(m) || (self.is_in_contact(m) && !is_leaving(&m.name));
+        sparrouter_consensus::owner::ranked(shard, &members)
+            .into_iter()
+            .find(is_live)
+            .is_some_and(|m| self.is_own(m))
+    }
+
+    /// Whether frames of a majority arrived lately. This is no proof of contact: see `quorum_contact`.
+    pub(super) fn hears_majority(&self) -> bool {
+        let members = self.members(CONFIG);
+        let in_contact = members
+            .iter()
+            .filter(|m| self.is_own(m) || self.is_in_contact(m))
+            .count();
+        self.is_member() && in_contact * 2 > members.len()
+    }
+
+    fn is_own(&self, member: &Member) -> bool {
+        member.disk_id == self.own_member.disk_id
+    }
+
+    /// Whether a frame of another member arrived lately.
+    fn is_in_contact(&self, member: &Member) -> bool {
+        let now = self.node.now();
+        self.last_contacts
+            .borrow()
+            .get(&member.name)
+            .is_some_and(|at| now.saturating_sub(*at) < nanos(PEER_CONTACT_WINDOW))
+    }
+}
--- a/crates/sparrouter-fleet/src/control/mod.rs
+++ b/crates/sparrouter-fleet/src/control/mod.rs
@@ -1,53 +1,81 @@
-//! The control state at one node: its registers, their disk, their messages.
+//! The control state at one node: configuration and rollout leases by quorum, what is on disk, contact with the quorum.
 //!
-//! What must hold is decided in `sparrouter-consensus`; here its actions are carried out. `presence`: whom this node hears, and
-//! whose duty a part is; `groups`: who belongs to the groups, and the first ones; `handover`: leaving them; `change`: a change through whoever may.
+//! What must hold is decided in `sparrouter-consensus`; here the actions that its registers ask for are carried out.
+//!
+//! | module | its job |
+//! | --- | --- |
+//! | `actions` | the task that runs the registers and carries out their actions |
+//! | `change` | one change, through whichever member can make it |
+//! | `operations` | one change or read through this node's own register |
+//! | [`configuration_state`] | what a change means to the configuration |
+//! | [`disk`] | what is on disk |
+//! | `disk_queue` | what this process has asked of its disk |
+//! | `groups` | who belongs to the shards' groups, and the first groups |
+//! | `handover` | leaving the groups without loss |
+//! | `liveness` | which members and pollers this node hears from, and who is first for a lease |
+//! | [`observation_window`] | since when this process could have heard the other members |
+//! | `quorum_reads` | the reads that quorum contact rests on |
+//! | [`quorum_contact`] | whether this member is in contact with a quorum |
+//!
+//! Owns the registers and their disk. Uses [`Node`] and, through its links, the other members; nothing below uses it.
+#![deny(
+    missing_docs,
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::needless_pass_by_value,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
+mod actions;
 mod change;
 pub mod configuration_state;
 pub mod disk;
+mod disk_queue;
 mod groups;
 mod handover;
-pub mod listening;
-mod presence;
+mod liveness;
+pub mod observation_window;
+mod operations;
 pub mod quorum_contact;
+mod quorum_reads;
 
-pub use change::{NoChange, change, encode, verdict};
+pub use change::{ChangeAnswer, ChangeError, change, decode_verdict, encode};
 pub use groups::bootstrap;
 
-use crate::control::configuration_state::{ConfigurationMachine, ConfigurationState, NamedVersion};
-use crate::control::disk::{DiskContents, WriteOutcome, WriteQueue, WriteRequest};
+use crate::control::configuration_state::ConfigurationMachine;
+use crate::control::disk::DiskContents;
 use crate::node::Node;
-use crate::peer::messages::{Call, ConfigUpdate, ModelUpdate, TextUpdate, VersionsUpdate};
 use crate::platform::defects::{self, rules};
 use crate::settings::nanos;
-use listening::Listening;
-use presence::CONTACT_WINDOW;
+use disk_queue::DiskQueue;
+use observation_window::ObservationWindow;
+use operations::PendingOperations;
 use quorum_contact::QuorumContact;
-use sparrouter_codec::Blob;
+use quorum_reads::CONTACT_WINDOW;
 use sparrouter_consensus::{
-    Action, Applied, Leases, Machine, Member, Message, Outcome, Record, Register, Rejection,
-    Settings,
+    Applied, Leases, Machine, Member, Record, Register, RegisterError, Settings,
 };
+use sparrouter_routing::Nanos;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
-use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
-use tokio::sync::{Notify, mpsc, oneshot};
+use tokio::sync::{Notify, mpsc};
 use tokio::task::spawn_local;
 
-/// The configuration's part, and how many parts the services' duties are cut into.
+/// Number of the configuration's shard.
 pub const CONFIG: u16 = 0;
+/// Shards of rollout leases, numbered from 1: each has the leases of a part of the services.
 pub const LEASE_SHARDS: u16 = 4;
-/// Largest message of a register.
-const MOST_MESSAGE: usize = 10 << 20;
+/// Largest message of a register, in bytes.
+const MAX_MESSAGE_BYTES: usize = 10 << 20;
 
-/// Which duty part a service belongs to.
+/// The lease shard that a service belongs to, from 1 to [`LEASE_SHARDS`].
 pub fn shard_of(service: &str) -> u16 {
     1 + (sparrouter_rendezvous::hash(service.as_bytes()) % u64::from(LEASE_SHARDS)) as u16
 }
 
-pub struct ShardMachine(u16);
+/// The state machine of the shard with this number: configuration or leases.
+struct ShardMachine(u16);
 
 impl Machine for ShardMachine {
     fn apply(&self, body: &[u8], change: &[u8]) -> Applied {
@@ -59,315 +87,138 @@
     }
 }
 
-fn settings(node: &Node) -> Settings {
-    let contact = nanos(node.settings.borrow().bounds.contact);
+/// The settings of this node's registers.
+fn register_settings(node: &Node) -> Settings {
     Settings {
-        contact_timeout: contact,
+        contact_timeout: nanos(node.settings.borrow().bounds.contact),
         defects: defects::of_registers(),
         ..Settings::default()
     }
 }
 
-type Ops = HashMap<u64, oneshot::Sender<Outcome>>;
-
+/// The control state at one node.
+///
+/// Its tasks, started by [`Control::start`], run until the process ends; nobody cancels them. All of them run on one
+/// thread, and no borrow of a `RefCell` here is held across an `await`, so that a borrow never meets another one.
 pub struct Control {
     node: Rc<Node>,
-    me: Member,
+    /// This node as a member: the id of its disk, its name, its internal address.
+    own_member: Member,
+    /// The register of each shard, by its number; as many as there are shards, always.
     registers: RefCell<Vec<Register<ShardMachine>>>,
-    ops: RefCell<Ops>,
-    next_op: Cell<u64>,
-    disk: RefCell<Option<WriteQueue>>,
-    /// Why the last save failed, with the remedy.
-    failing: RefCell<Option<String>>,
-    /// Saves that the disk has not answered yet.
-    saving: Cell<usize>,
-    woken: Notify,
-    /// When each node of the core was last heard of, by name.
-    contacts: RefCell<HashMap<String, u64>>,
-    /// Since when it could have heard them.
-    listening: Cell<Listening>,
-    /// Nodes that ask this one, and when each asked last.
-    pollers: RefCell<BTreeMap<String, u64>>,
-    /// Whether a quorum confirmed lately what is in force.
+    /// Whether the first group is known: from then on no other bootstrap is taken.
+    is_bootstrapped: Cell<bool>,
+    operations: PendingOperations,
+    disk: DiskQueue,
+    /// Wakes the task that carries out actions.
+    wake: Notify,
+    /// When each control node last sent a frame, by name.
+    last_contacts: RefCell<HashMap<String, Nanos>>,
+    /// Since when this process could have heard from the others.
+    observation_window: Cell<ObservationWindow>,
+    /// The nodes that poll this one, and when each last did, by name.
+    last_polls: RefCell<BTreeMap<String, Nanos>>,
+    /// Whether a quorum lately confirmed what is in force.
     quorum_contact: RefCell<QuorumContact>,
-    founded: Cell<bool>,
 }
 
 impl Control {
-    pub fn start(node: Rc<Node>, stock: DiskContents) -> Rc<Control> {
-        let (name, address) = {
-            let me = node.own_record.borrow();
-            (me.name.clone(), me.internal_address.clone())
-        };
-        let me = Member {
-            disk_id: stock.disk_id,
-            name,
-            address,
-        };
-        let settings = settings(&node);
-        let mut registers = Vec::new();
-        let mut founded = false;
-        for (part, record) in (0..).zip(&stock.records) {
-            let rng = node.rng.borrow_mut().fork();
-            let record = record.as_deref();
-            let opened = Register::new(
-                part,
-                me.clone(),
-                record,
-                ShardMachine(part),
-                rng,
-                settings.clone(),
-                0,
-            );
-            let register = opened.unwrap_or_else(|why| {
-                node.log_buffer.breach(&why.to_string());
-                let rng = node.rng.borrow_mut().fork();
-                Register::new(
-                    part,
-                    me.clone(),
-                    None,
-                    ShardMachine(part),
-                    rng,
-                    settings.clone(),
-                    0,
-                )
-                .expect("no record to misread")
-            });
-            founded |= !register.members().is_empty();
-            registers.push(register);
-        }
+    /// Starts the registers with what is on disk, and their tasks.
+    pub fn start(node: Rc<Node>, contents: DiskContents) -> Rc<Control> {
+        let own_member = own_member(&node, contents.disk_id);
+        let registers = open_registers(&node, &own_member, &contents.records);
+        let is_bootstrapped = registers.iter().any(|r| !r.members().is_empty());
+        let (outcomes, written) = mpsc::unbounded_channel();
         let control = Rc::new(Control {
             node,
-            me,
+            own_member,
             registers: RefCell::new(registers),
-            ops: RefCell::default(),
-            next_op: Cell::new(1),
-            disk: RefCell::default(),
-            failing: RefCell::default(),
-            saving: Cell::new(0),
-            woken: Notify::new(),
-            contacts: RefCell::default(),
-            listening: Cell::default(),
-            pollers: RefCell::default(),
+            is_bootstrapped: Cell::new(is_bootstrapped),
+            operations: PendingOperations::default(),
+            disk: DiskQueue::new(contents.writer.map(|writer| writer.start(outcomes))),
+            wake: Notify::new(),
+            last_contacts: RefCell::default(),
+            observation_window: Cell::default(),
+            last_polls: RefCell::default(),
             quorum_contact: RefCell::new(QuorumContact::new(nanos(CONTACT_WINDOW))),
-            founded: Cell::new(founded),
         });
-        if !rules::only_chosen_state_applies()
-            && let Some(record) = stock.records.first().and_then(Option::as_deref)
-            && let Some(vote) = Record::decode(record, MOST_MESSAGE)
-                .ok()
-                .and_then(|r| r.accepted)
-        {
-            control.publish(vote.state.slot, &vote.state.body);
+        if !rules::only_chosen_state_applies() {
+            control.inject_accepted_proposal(&contents.records);
         }
-        let (done, stored) = mpsc::unbounded_channel();
-        *control.disk.borrow_mut() = stock.writer.map(|keeper| keeper.start(done));
-        spawn_local(control.clone().run(stored));
-        spawn_local(control.clone().keep_contact());
-        spawn_local(control.clone().tend());
+        spawn_local(control.clone().run_registers(written));
+        spawn_local(control.clone().keep_quorum_contact());
+        spawn_local(control.clone().maintain_groups());
         control
     }
 
-    /// Whether this node's vote counts for the configuration.
+    /// Whether this node is a member of the configuration's group: its vote counts.
     pub fn is_member(&self) -> bool {
         self.registers.borrow()[usize::from(CONFIG)].is_member()
     }
 
-    pub fn disk(&self) -> u64 {
-        self.me.disk_id
-    }
-
-    /// The group of a part, as far as it is known here.
-    pub fn members(&self, part: u16) -> Vec<Member> {
+    /// The group of a shard, as far as this node knows it; empty if it knows none.
+    pub fn members(&self, shard: u16) -> Vec<Member> {
         self.registers
             .borrow()
-            .get(usize::from(part))
+            .get(usize::from(shard))
             .map(|r| r.members().to_vec())
             .unwrap_or_default()
     }
 
-    async fn run(self: Rc<Self>, mut stored: mpsc::UnboundedReceiver<WriteOutcome>) {
-        loop {
-            let now = self.node.now();
-            let next = self
-                .registers
-                .borrow()
-                .iter()
-                .filter_map(Register::next_wake)
-                .min();
-            let wake =
-                Duration::from_nanos(next.unwrap_or(now + 1_000_000_000).saturating_sub(now));
-            // In this order, so that the same seed gives the same run; the timer first, since words may come without end.
-            tokio::select! {
-                biased;
-                () = tokio::time::sleep(wake.max(Duration::from_micros(200))) => {
-                    let now = self.node.now();
-                    self.registers.borrow_mut().iter_mut().for_each(|r| r.tick(now));
-                }
-                Some(kept) = stored.recv() => match kept {
-                    WriteOutcome::Rows => self.saving.set(self.saving.get().saturating_sub(1)),
-                    WriteOutcome::Shard { shard, token, error } => {
-                        let now = self.node.now();
-                        let ok = error.is_none();
-                        self.registers.borrow_mut()[usize::from(shard)].stored(token, ok, now);
-                        self.disk_fails(error);
-                    }
-                },
-                () = self.woken.notified() => {}
-            }
-            self.carry_out();
-        }
-    }
-
-    fn disk_fails(&self, why: Option<String>) {
-        match (&why, &*self.failing.borrow()) {
-            (Some(why), None) => log::warn!("{why}"),
-            (None, Some(_)) => log::info!("the disk keeps what it is given again"),
-            _ => {}
-        }
-        *self.failing.borrow_mut() = why;
-    }
-
-    /// Why a change was not made, with the remedy where this node's disk is in its way.
-    pub fn explain(&self, why: &str) -> String {
-        match &*self.failing.borrow() {
-            Some(disk) => format!("{why}; {disk}"),
-            None => why.to_owned(),
-        }
-    }
-
-    /// Does what the registers ask for.
-    fn carry_out(&self) {
-        for part in 0..=LEASE_SHARDS {
-            loop {
-                let actions = self.registers.borrow_mut()[usize::from(part)].take_actions();
-                if actions.is_empty() {
-                    break;
-                }
-                for action in actions {
-                    self.act(part, action);
-                }
-            }
-        }
-    }
-
-    fn act(&self, part: u16, action: Action) {
-        match action {
-            Action::Send { to, message } => {
-                if let Ok(address) = to.address.parse::<SocketAddr>() {
-                    let me = &self.me;
-                    let call = Call::Consensus {
-                        shard: part,
-                        disk_id: me.disk_id,
-                        name: me.name.clone(),
-                        address: me.address.clone(),
-                        message: Blob(message.encode()),
-                    };
-                    self.node.links.cast(address, &call);
-                }
-            }
-            Action::Store { token, bytes } => match &*self.disk.borrow() {
-                Some(save) => save(WriteRequest::Shard {
-                    shard: part,
-                    token,
-                    bytes,
-                }),
-                // Without a disk nothing is promised beyond this life: its id goes with it.
-                None => {
-                    let now = self.node.now();
-                    self.registers.borrow_mut()[usize::from(part)].stored(token, true, now);
-                }
-            },
-            Action::Chosen(state) => {
-                if part == CONFIG {
-                    self.publish(state.slot, &state.body);
-                }
-                self.node.changed();
-            }
-            Action::Completed { op, outcome } => {
-                if let Some(waiting) = self.ops.borrow_mut().remove(&op) {
-                    // Whoever asked may have left.
-                    let _ = waiting.send(outcome);
-                }
-            }
-        }
-    }
-
-    fn publish(&self, seq: u64, body: &[u8]) {
-        let statute = match ConfigurationState::read(body) {
-            Ok(state) => state,
-            Err(why) => return self.node.log_buffer.breach(&why.to_string()),
-        };
-        let versions = VersionsUpdate {
-            models: statute.models.iter().map(just_named).collect(),
-            core_changed_age_ms: None,
-        };
-        // Register sequences start at 0; nodes count from 1, so that 0 is 'nothing yet'.
-        let told = ConfigUpdate {
-            slot: seq + 1,
-            version: statute.version,
-            versions,
-            text: TextUpdate::Complete(statute.text),
-        };
-        self.node.apply_configuration(told);
-    }
-
-    async fn operate(&self, part: u16, change: Option<Vec<u8>>, patience: Duration) -> Outcome {
-        let op = self.next_op.get();
-        self.next_op.set(op + 1);
-        let (ended, end) = oneshot::channel();
-        self.ops.borrow_mut().insert(op, ended);
+    /// Injected: what this node accepted before its restart counts as chosen.
+    fn inject_accepted_proposal(&self, records: &[Option<Vec<u8>>]) {
+        if let Some(record) = records.first().and_then(Option::as_deref)
+            && let Some(vote) = Record::decode(record, MAX_MESSAGE_BYTES)
+                .ok()
+                .and_then(|r| r.accepted)
         {
-            let now = self.node.now();
-            let mut registers = self.registers.borrow_mut();
-            let Some(register) = registers.get_mut(usize::from(part)) else {
-                return Outcome::Rejected(Rejection::NoGroup);
-            };
-            let deadline = now + nanos(patience);
-            match change {
-                Some(change) => register.propose(op, change, deadline, now),
-                None => register.read(op, deadline, now),
-            }
+            self.publish_configuration(vote.state.slot, &vote.state.body);
         }
-        self.woken.notify_one();
-        end.await.unwrap_or(Outcome::Unknown)
     }
+}
 
-    /// Makes a change through this node's own register.
-    pub async fn change_here(&self, part: u16, change: Vec<u8>, patience: Duration) -> Outcome {
-        self.operate(part, Some(change), patience).await
-    }
-
-    /// A message of another member's register.
-    pub fn heard(&self, part: u16, from: Member, message: &[u8]) {
-        let Ok(message) = Message::decode(message, MOST_MESSAGE) else {
-            return;
-        };
-        let now = self.node.now();
-        if let Some(register) = self.registers.borrow_mut().get_mut(usize::from(part)) {
-            register.handle(from, message, now);
-        }
-        self.woken.notify_one();
+fn own_member(node: &Node, disk_id: u64) -> Member {
+    let own = node.own_record.borrow();
+    Member {
+        disk_id,
+        name: own.name.clone(),
+        address: own.internal_address.clone(),
     }
+}
 
-    /// Keeps the rows for the next start; skipped while the disk is behind.
-    pub fn keep_rows(&self, bytes: Vec<u8>) {
-        if self.saving.get() > 0 {
-            return;
-        }
-        if let Some(save) = &*self.disk.borrow() {
-            self.saving.set(self.saving.get() + 1);
-            save(WriteRequest::Rows(bytes));
-        }
-    }
+/// The registers of all shards, each with its record on disk.
+fn open_registers(
+    node: &Node,
+    own_member: &Member,
+    records: &[Option<Vec<u8>>],
+) -> Vec<Register<ShardMachine>> {
+    let open = |(shard, record): (u16, &Option<Vec<u8>>)| {
+        open_register(node, own_member, shard, record.as_deref(), 0).unwrap_or_else(|error| {
+            // The disk's records were checked when they were read.
+            node.log_buffer.breach(&error.to_string());
+            open_register(node, own_member, shard, None, 0).expect("there is no record to misread")
+        })
+    };
+    (0..).zip(records).map(open).collect()
 }
 
-/// A version as the register tells of it, which knows no times: it counts as named now unless it is known already, as the
-/// earliest moment counts.
-fn just_named(named: &NamedVersion) -> ModelUpdate {
-    ModelUpdate {
-        name: named.model.clone(),
-        version: named.version,
-        age_ms: 0,
-    }
+/// The register of one shard.
+fn open_register(
+    node: &Node,
+    own_member: &Member,
+    shard: u16,
+    record: Option<&[u8]>,
+    now: Nanos,
+) -> Result<Register<ShardMachine>, RegisterError> {
+    let rng = node.rng.borrow_mut().fork();
+    let settings = register_settings(node);
+    Register::new(
+        shard,
+        own_member.clone(),
+        record,
+        ShardMachine(shard),
+        rng,
+        settings,
+        now,
+    )
 }
--- /dev/null
+++ b/crates/sparrouter-fleet/src/control/observation_window.rs
@@ -0,0 +1,32 @@
+//! Since when this process could have heard from the other members, without a pause.
+//!
+//! A process that was frozen, or hardly ran, heard from nobody meanwhile. That proves nothing of the others: the time for
+//! which they count as unresponsive begins after the pause, so that a member that thaws does not propose to take the
+//! others out of its groups.
+use sparrouter_routing::Nanos;
+
+/// When this process observed the other members, which it does several times a second.
+///
+/// Invariant: between `began` and `last_observed` there was no pause of more than half of the contact time-out.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ObservationWindow {
+    began: Nanos,
+    last_observed: Option<Nanos>,
+}
+
+impl ObservationWindow {
+    /// Records an observation of the others. A pause before it of more than half of `contact_timeout`, after which
+    /// members count as unresponsive, means that this process did not run.
+    pub fn observe(&mut self, contact_timeout: Nanos, now: Nanos) {
+        let has_paused = |last: Nanos| now.saturating_sub(last) > contact_timeout / 2;
+        if self.last_observed.is_none_or(has_paused) {
+            self.began = now;
+        }
+        self.last_observed = Some(now);
+    }
+
+    /// For how long a member that was last heard from at `contacted_at` has been unresponsive while this process ran.
+    pub fn unresponsive_for(&self, contacted_at: Nanos, now: Nanos) -> Nanos {
+        now.saturating_sub(contacted_at.max(self.began))
+    }
+}
--- a/crates/sparrouter-fleet/src/control/quorum_contact.rs
+++ b/crates/sparrouter-fleet/src/control/quorum_contact.rs
@@ -61,7 +61,7 @@
         self.newest_read
     }
 
-    /// Whether there was contact in this life of the process, and is none at `now`.
+    /// Whether there was contact since this process started, and is none at `now`.
     pub fn is_lost(&self, now: Nanos) -> bool {
         self.newest_read.is_some() && !self.is_confirmed(now)
     }
--- a/crates/sparrouter-fleet/src/node/configuration_lease.rs
+++ b/crates/sparrouter-fleet/src/node/configuration_lease.rs
@@ -38,7 +38,7 @@
         let length = bounds.revoke_timeout.mul_f64(LENGTH);
         ConfigurationLease {
             length: bounds.strict_revocation.then_some(length),
-            confirmed_at: !rules::lease_needs_confirmation().then_some(0),
+            confirmed_at: (!rules::lease_needs_confirmation()).then_some(0),
         }
     }
 
--- a/crates/sparrouter-fleet/src/platform/defects.rs
+++ b/crates/sparrouter-fleet/src/platform/defects.rs
@@ -23,7 +23,10 @@
         pub(crate) mod rules {
             $(
                 /// Whether the rule holds.
-                #[inline]
+                #[cfg_attr(
+                    not(feature = "injected-defects"),
+                    allow(dead_code, reason = "some rules are asked for where defects can be injected")
+                )]
                 pub(crate) fn $rule() -> bool {
                     !super::is_injected(super::Defect::$defect)
                 }
@@ -201,18 +204,18 @@
 /// reads once a process has caught up: a member that reads learns what it missed, and one that cannot read gives up the
 /// proposal with which it could go on without the old group.
 pub(crate) fn hidden_by_reads() -> bool {
-    is_injected(Defect::OldGroupNotAsked) || is_injected(Defect::AntiEntropyDisabled)
+    !rules::both_groups_asked() || !rules::members_compare_states()
 }
 
 /// The defects that the registers implement.
 pub(crate) fn of_registers() -> sparrouter_consensus::Defects {
     sparrouter_consensus::Defects {
-        ack_before_sync: is_injected(Defect::AckBeforeSync),
-        old_group_only: is_injected(Defect::OldGroupCounts),
-        skip_joint: is_injected(Defect::OldGroupNotAsked),
-        answer_unchosen: is_injected(Defect::AnsweredBeforeChosen),
-        unconfirmed_candidates: is_injected(Defect::UnconfirmedJoins),
-        exchange_silent: is_injected(Defect::AntiEntropyDisabled),
+        ack_before_sync: !rules::acks_follow_sync(),
+        old_group_only: !rules::only_current_group_counts(),
+        skip_joint: !rules::both_groups_asked(),
+        answer_unchosen: !rules::answers_follow_choice(),
+        unconfirmed_candidates: !rules::joins_need_stored_state(),
+        exchange_silent: !rules::members_compare_states(),
         ..sparrouter_consensus::Defects::default()
     }
 }
@@ -221,7 +224,7 @@
 pub(crate) fn snapshot_text(text: &str, known: &str) -> String {
     let tenants_at = |of: &str| of.find("\"tenants\":");
     match (tenants_at(text), tenants_at(known)) {
-        (Some(new), Some(old)) if is_injected(Defect::MixedSnapshot) => {
+        (Some(new), Some(old)) if !rules::snapshots_apply_complete() => {
             format!("{}{}", &text[..new], &known[old..])
         }
         _ => text.to_owned(),
--- a/crates/sparrouter-fleet/src/process/run.rs
+++ b/crates/sparrouter-fleet/src/process/run.rs
@@ -296,7 +296,9 @@
             node.open.get()
         ));
     }
-    let held_back = control.map(|c| c.held_back()).unwrap_or_default();
+    let held_back = control
+        .map(|c| c.shards_not_handed_over())
+        .unwrap_or_default();
     if !held_back.is_empty() {
         node.log_buffer.breach(&format!(
             "not handed over at the end of the grace period: {}; keep this machine's disk until the others form a quorum",
@@ -340,7 +342,7 @@
             .check_liveness(node, services.control.is_some());
         let now = node.now();
         if let Some(control) = &services.control {
-            control.watch();
+            control.mark_unresponsive_pollers();
             if quorum_contact != control.has_quorum_contact() {
                 // Nodes that poll this one want to know.
                 quorum_contact = !quorum_contact;
@@ -358,7 +360,7 @@
             let revision = node.membership.borrow().revision();
             if rounds.is_multiple_of(4) && revision != kept {
                 kept = revision;
-                control.keep_rows(
+                control.write_membership(
                     node.membership
                         .borrow()
                         .delta_since(0, 0, usize::MAX)
