--- a/crates/sparrouter-fleet/src/api/metrics.rs
+++ b/crates/sparrouter-fleet/src/api/metrics.rs
@@ -62,9 +62,9 @@
 
 fn state_of_process(page: &mut Page, node: &Node, control: Option<&Rc<Control>>) {
     page.line("uptime_seconds", &[], node.now() as f64 / SECOND);
-    page.flag("ready", node.is_confirmed() && !node.leaving.get());
-    page.flag("leaving", node.leaving.get());
-    page.line("open_requests", &[], node.open.get() as f64);
+    page.flag("ready", node.is_confirmed() && !node.is_leaving());
+    page.flag("leaving", node.is_leaving());
+    page.line("open_requests", &[], node.traffic.open_requests() as f64);
     page.line(
         "config_version",
         &[],
@@ -75,9 +75,9 @@
         &[],
         node.active_configuration().slot as f64,
     );
-    let heard = node.now().saturating_sub(node.heard.get());
+    let heard = node.now().saturating_sub(node.fleet_contact.last_at());
     page.line("quorum_heard_seconds_ago", &[], heard as f64 / SECOND);
-    page.flag("configuration_lease", node.holds_configuration_lease());
+    page.flag("configuration_lease", node.has_configuration_lease());
     let Some(control) = control else { return };
     page.flag("group_member", control.is_member());
     page.flag("quorum_contact", control.has_quorum_contact());
--- a/crates/sparrouter-fleet/src/api/peer.rs
+++ b/crates/sparrouter-fleet/src/api/peer.rs
@@ -76,11 +76,11 @@
             key,
             answered_milli,
         } => {
-            node.failure_reported(server, key, answered_milli);
+            node.count_reported_failure(server, key, answered_milli);
             None
         }
         Call::ServedElsewhere { server } => {
-            node.served_elsewhere_here(server);
+            node.count_served_elsewhere(server);
             None
         }
         Call::PromptFinished {
@@ -103,7 +103,7 @@
         control.record_poll(&poll.name);
     }
     if rules::pollers_report_version_ages() {
-        node.take_models(&poll.models);
+        node.record_models(&poll.models);
     }
     if let Some(row) = poll.record {
         node.merge_records(MembershipDelta {
@@ -111,7 +111,7 @@
             ..MembershipDelta::default()
         });
     }
-    let mut changes = node.changes();
+    let mut changes = node.subscribe();
     let came = Instant::now();
     let came_at = node.now();
     loop {
@@ -122,7 +122,7 @@
             false => LONGEST_HOLD_WITHOUT_CONTACT_MS,
         };
         let until = came + Duration::from_millis(u64::from(poll.max_wait_ms.min(longest)));
-        let rows = node.rows_since(poll.epoch, poll.revision);
+        let rows = node.packed_delta_since(poll.epoch, poll.revision);
         let known = node.active_configuration();
         let older = !rules::older_configurations_ignored()
             && known.slot > 0
@@ -195,7 +195,11 @@
 /// Says where a prefix is kept and who should save it.
 fn advise(services: &ControlServices, question: PrefixQuery) -> Reply {
     let node = &services.node;
-    let advice = node.index.borrow_mut().query(question, node.now());
+    let advice = node
+        .owned_keys
+        .prefix_index
+        .borrow_mut()
+        .query(question, node.now());
     let PrefixLocation {
         save,
         is_cached: held,
--- a/crates/sparrouter-fleet/src/api/status.rs
+++ b/crates/sparrouter-fleet/src/api/status.rs
@@ -105,13 +105,13 @@
         .unwrap_or_default();
     json::to_string(&Status {
         node: node.own_record.borrow().name.clone(),
-        ready: node.is_confirmed() && !node.leaving.get(),
+        ready: node.is_confirmed() && !node.is_leaving(),
         config_version: in_force.version,
         config_digest: Some(format!("{:016x}", in_force.digest)),
         member: control.is_some_and(|c| c.is_member()),
         in_touch: control.is_some_and(|c| c.has_quorum_contact()),
-        heard_ms_ago: node.now().saturating_sub(node.heard.get()) / 1_000_000,
-        open_requests: node.open.get() as u64,
+        heard_ms_ago: node.now().saturating_sub(node.fleet_contact.last_at()) / 1_000_000,
+        open_requests: node.traffic.open_requests() as u64,
         group: group.into_iter().map(|m| m.name).collect(),
         models: newest_versions(node),
         nodes: nodes(node),
--- a/crates/sparrouter-fleet/src/control/actions.rs
+++ b/crates/sparrouter-fleet/src/control/actions.rs
@@ -92,7 +92,7 @@
                 if shard == CONFIG {
                     self.publish_configuration(state.slot, &state.body);
                 }
-                self.node.changed();
+                self.node.notify_subscribers();
             }
             Action::Completed { op, outcome } => self.operations.complete(op, outcome),
         }
--- a/crates/sparrouter-fleet/src/control/change.rs
+++ b/crates/sparrouter-fleet/src/control/change.rs
@@ -144,7 +144,7 @@
     if !addresses.is_empty() {
         return addresses;
     }
-    let mut control_nodes = node.core();
+    let mut control_nodes = node.control_nodes();
     control_nodes.sort_by_key(|(name, _)| {
         let rank = sparrouter_rendezvous::hash(name.as_bytes()) ^ u64::from(shard);
         (is_away(name), rank)
--- a/crates/sparrouter-fleet/src/control/groups.rs
+++ b/crates/sparrouter-fleet/src/control/groups.rs
@@ -35,7 +35,7 @@
             tokio::time::sleep(self.node.jitter(OBSERVATION_INTERVAL)).await;
             let now = self.node.now();
             if self.has_quorum_contact() {
-                self.node.heard.set(now);
+                self.node.fleet_contact.record(now);
             }
             let mut window = self.observation_window.get();
             window.observe(nanos(self.node.settings.borrow().bounds.contact), now);
@@ -78,7 +78,7 @@
     fn observations(&self) -> Vec<NodeObservation> {
         let live = self.node.live_nodes();
         let now = self.node.now();
-        let with_disk = live.control_rows().iter().filter(|n| n.disk_id != 0);
+        let with_disk = live.control_records().iter().filter(|n| n.disk_id != 0);
         let observation = |node: &NodeRecord| NodeObservation {
             member: member_of(node),
             counts_toward_quorum: true,
--- a/crates/sparrouter-fleet/src/control/liveness.rs
+++ b/crates/sparrouter-fleet/src/control/liveness.rs
@@ -46,9 +46,11 @@
             let mut membership = self.node.membership.borrow_mut();
             has_changed |= membership.mark_node_unresponsive(&name, now);
         }
-        self.node.pollers.set(self.last_polls.borrow().len());
+        self.node
+            .publication
+            .set_poller_count(self.last_polls.borrow().len());
         if has_changed {
-            self.node.stir();
+            self.node.publish_changes();
         }
     }
 
--- a/crates/sparrouter-fleet/src/control/quorum_reads.rs
+++ b/crates/sparrouter-fleet/src/control/quorum_reads.rs
@@ -55,14 +55,14 @@
 
     /// One confirmed read where this node is a member; returns how long to wait for the next.
     async fn renew_quorum_contact(&self) -> Duration {
-        let has_caught_up = self.node.informed.get();
+        let has_caught_up = self.node.fleet_contact.is_informed();
         if !self.is_member() || (defects::hidden_by_reads() && has_caught_up) {
             return MEMBERSHIP_INTERVAL;
         }
         if !self.confirm_contact().await {
             return RETRY_INTERVAL;
         }
-        let lease = self.node.configuration_lease.borrow();
+        let lease = self.node.configuration.lease.borrow();
         lease.renewal(RENEWAL_INTERVAL)
     }
 
@@ -78,12 +78,12 @@
         self.node.confirm_configuration(timestamp_before(began, 0));
         let is_confirmed = self.quorum_contact.borrow_mut().confirm(began, now);
         if is_confirmed {
-            self.node.informed.set(true);
-            self.node.heard.set(now);
+            self.node.fleet_contact.mark_informed();
+            self.node.fleet_contact.record(now);
         }
         if is_confirmed && !had_contact {
             // Nodes that poll this one wait for it.
-            self.node.changed();
+            self.node.notify_subscribers();
         }
         is_confirmed
     }
--- /dev/null
+++ b/crates/sparrouter-fleet/src/membership/notify.rs
@@ -0,0 +1,54 @@
+//! Sending changed records to the control nodes at once, ahead of their polls.
+use crate::node::Node;
+use crate::peer::messages::{Call, Reply};
+use sparrouter_membership::MembershipDelta;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+
+/// Sends records that changed here to the control nodes. True once one of them that is in contact with a quorum has
+/// acknowledged them; the others still get them. False if none has within `timeout`.
+pub async fn notify(node: &Rc<Node>, delta: &MembershipDelta, timeout: Duration) -> bool {
+    let control_nodes = responsive_control_nodes(node);
+    if control_nodes.is_empty() {
+        return false;
+    }
+    let (acknowledged, mut replies) = mpsc::channel(control_nodes.len());
+    let call = Rc::new(Call::Notify(delta.clone()));
+    for address in control_nodes {
+        let (node, call, acknowledged) = (node.clone(), call.clone(), acknowledged.clone());
+        spawn_local(async move {
+            let reply = node.links.call(address, &call, timeout).await;
+            let is_acknowledged = matches!(reply, Ok(Reply::Acknowledged));
+            // Nobody listens any more once one has acknowledged.
+            let _ = acknowledged.send(is_acknowledged).await;
+        });
+    }
+    drop(acknowledged);
+    while let Some(is_acknowledged) = replies.recv().await {
+        if is_acknowledged {
+            return true;
+        }
+    }
+    false
+}
+
+/// The internal addresses of the other control nodes that respond; of all others where none does.
+fn responsive_control_nodes(node: &Node) -> Vec<SocketAddr> {
+    let own_address = node.own_address();
+    let mut others = node.control_nodes();
+    others.retain(|(_, address)| *address != own_address);
+    let membership = node.membership.borrow();
+    let is_responsive = |name: &str| membership.node(name).is_none_or(|n| !n.unresponsive);
+    let responsive: Vec<SocketAddr> = others
+        .iter()
+        .filter(|(name, _)| is_responsive(name))
+        .map(|(_, address)| *address)
+        .collect();
+    if responsive.is_empty() {
+        return others.into_iter().map(|(_, address)| address).collect();
+    }
+    responsive
+}
--- a/crates/sparrouter-fleet/src/membership/outliers.rs
+++ b/crates/sparrouter-fleet/src/membership/outliers.rs
@@ -1,6 +1,8 @@
-//! Failures at servers: reported to the node that keeps count of each server, which tells all nodes of those that fail
-//! what others would serve.
-use crate::membership::polls;
+//! Outliers: servers that fail requests which others would serve.
+//!
+//! Failures are reported to the node that owns the server, which counts them and asks all nodes to avoid an outlier for a
+//! while.
+use super::notify::notify;
 use crate::node::Node;
 use crate::node::counters::count;
 use crate::peer::messages::Call;
@@ -13,11 +15,11 @@
 
 /// Thousandths in one.
 const MILLI: f64 = 1_000.0;
-/// How long a member may take to acknowledge a notice on a server; without it the others hear of it later.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// How long a control node may take to acknowledge a directive to avoid a server; without it the others get it later.
+const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Node {
-    /// A request of this node failed at a server. `key`: of its election.
+    /// Reports that a request of this node failed at a server. `key`: by which its server was selected.
     pub fn report_failure(self: &Rc<Self>, ix: ServerIndex, key: u64) {
         let failure = {
             let server_table = self.server_table.borrow();
@@ -30,85 +32,83 @@
                 answered: server.recent_answers(self.now()),
             }
         };
-        match self.owner(failure.server) {
-            None => self.failed_here(failure),
-            Some(keeper) => self.links.cast(
-                keeper,
-                &Call::RequestFailed {
-                    server: failure.server,
-                    key,
-                    answered_milli: (failure.answered * MILLI) as u32,
-                },
-            ),
-        }
+        let Some(owner) = self.owner(failure.server) else {
+            return self.count_failure(failure);
+        };
+        let call = Call::RequestFailed {
+            server: failure.server,
+            key,
+            answered_milli: (failure.answered * MILLI) as u32,
+        };
+        self.links.cast(owner, &call);
     }
 
-    /// A request that failed at this server was answered by another one.
+    /// Reports that a request which failed at this server was answered by another one.
     pub fn report_served_elsewhere(&self, ix: ServerIndex) {
         let hash = self.server_table.borrow().get(ix).map(Server::hash);
         let Some(server) = hash else {
             return;
         };
         match self.owner(server) {
-            None => self.served_elsewhere_here(server),
-            Some(keeper) => self.links.cast(keeper, &Call::ServedElsewhere { server }),
+            None => self.count_served_elsewhere(server),
+            Some(owner) => self.links.cast(owner, &Call::ServedElsewhere { server }),
         }
     }
 
-    /// The same, at the server's keeper.
-    pub fn served_elsewhere_here(&self, server: u64) {
+    /// The same at the server's owner.
+    pub fn count_served_elsewhere(&self, server: u64) {
         let now = self.now();
-        self.outliers.borrow_mut().served_elsewhere(server, now);
+        let mut outliers = self.owned_keys.outliers.borrow_mut();
+        outliers.served_elsewhere(server, now);
     }
 
-    /// A failure as another node reports it to this one, the server's keeper.
-    pub fn failure_reported(self: &Rc<Self>, server: u64, key: u64, answered_milli: u32) {
-        self.failed_here(Failure {
+    /// Counts a failure that another node reports to this one, the server's owner.
+    pub fn count_reported_failure(self: &Rc<Self>, server: u64, key: u64, answered_milli: u32) {
+        self.count_failure(Failure {
             server,
             key,
             answered: f64::from(answered_milli) / MILLI,
         });
     }
 
-    fn failed_here(self: &Rc<Self>, failure: Failure) {
-        let (nodes, now) = (self.sharers(), self.now());
-        let is_outlier = self.outliers.borrow_mut().failed(failure, nodes, now);
-        let id = self
-            .server_table
-            .borrow()
-            .by_id_hash(failure.server)
-            .map(|server| server.id.clone());
+    fn count_failure(self: &Rc<Self>, failure: Failure) {
+        let (proxies, now) = (self.proxy_count(), self.now());
+        let is_outlier = {
+            let mut outliers = self.owned_keys.outliers.borrow_mut();
+            outliers.failed(failure, proxies, now)
+        };
+        let id = {
+            let server_table = self.server_table.borrow();
+            let server = server_table.by_id_hash(failure.server);
+            server.map(|server| server.id.clone())
+        };
         if let Some(id) = id.filter(|_| is_outlier && rules::outliers_are_reported()) {
-            self.tell_outlier(&id);
+            self.report_outlier(&id);
         }
     }
 
-    /// Tells all nodes to prefer other servers for a while.
-    fn tell_outlier(self: &Rc<Self>, id: &str) {
+    /// Asks all nodes to prefer other servers for a while.
+    fn report_outlier(self: &Rc<Self>, id: &str) {
         let key = format!("avoid/{id}/");
-        let number = self
-            .membership
-            .borrow()
-            .directive(&key)
-            .map_or(1, |n| n.sequence + 1);
-        let note = ServerDirective {
+        let known = self.membership.borrow().directive(&key).map(|d| d.sequence);
+        let directive = ServerDirective {
             key,
             fencing_token: 0,
-            sequence: number,
+            sequence: known.map_or(1, |sequence| sequence + 1),
             version: 0,
-            // It holds by its age alone, and is dropped like what is over.
+            // It is in force by its age alone, and is dropped like a directive that was withdrawn.
             withdrawn: true,
         };
         let delta = MembershipDelta {
-            directives: vec![note].into(),
+            directives: vec![directive].into(),
             ..MembershipDelta::default()
         };
-        log::info!("{id} fails requests that others would serve: others come first for a while");
+        log::info!("server is an outlier, other servers are preferred for a while: server={id}");
         count(&self.counters.servers_avoided);
         self.merge_records(delta.clone());
         let node = self.clone();
         spawn_local(async move {
-            polls::notify(&node, &delta, PATIENCE).await;
+            notify(&node, &delta, NOTIFY_TIMEOUT).await;
         });
     }
 }
--- a/crates/sparrouter-fleet/src/membership/registry.rs
+++ b/crates/sparrouter-fleet/src/membership/registry.rs
@@ -1,13 +1,13 @@
-//! What servers say of themselves: beats, draining, leaving, and who falls silent.
+//! The servers that call this node: heartbeats, draining, leaving, and which have become unresponsive.
+use super::heartbeat::{self, HeartbeatTarget, MAX_TEXT_BYTES};
+use super::notify::notify;
+use super::sources::has_recent_quorum_contact;
 use crate::control::{CONFIG, Control};
-use crate::membership::polls;
 use crate::node::Node;
 use crate::platform::defects::rules;
 use crate::platform::http::Response;
 use crate::settings::nanos;
-use miniserde::{Deserialize, json};
-use sparrouter_membership::{LifecycleState, LoadedModel, MembershipDelta, ServerRecord};
-use sparrouter_rendezvous::{hash, order};
+use sparrouter_membership::{LifecycleState, MembershipDelta, MembershipTable, ServerRecord};
 use sparrouter_routing::Nanos;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,52 +15,34 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Beats that may stay away before a server counts as silent.
-const MISSED: u32 = 3;
-/// A caller waits a second; the spreading of what binds has this much of it.
-const SPREAD: Duration = Duration::from_millis(700);
+/// Heartbeats in a row that may be missing before a server counts as unresponsive.
+const MAX_MISSED_HEARTBEATS: u32 = 3;
+/// Servers are forgotten here after this many times the time after which they count as unresponsive.
+const FORGET_AFTER: u64 = 10;
+/// A caller waits a second; other nodes have this much of it to acknowledge a record that binds them.
+const REPLICATION_TIMEOUT: Duration = Duration::from_millis(700);
 /// A server whose call is not acknowledged goes on to another node, and may come back after this.
-const TRY_ANOTHER: Duration = Duration::from_millis(100);
-/// Longest id, name or address that is taken, bytes.
-const MOST_TEXT: usize = 200;
-/// Models of a server that are taken.
-const MOST_MODELS: usize = 64;
-
-#[derive(Deserialize)]
-struct ModelBeat {
-    name: String,
-    version: u64,
-}
-
-#[derive(Deserialize)]
-struct Beat {
-    service: String,
-    address: String,
-    zone: Option<String>,
-    slot_count: Option<u32>,
-    state: String,
-    models: Option<Vec<ModelBeat>>,
-    call_sequence: u64,
-}
+const RETRY_AFTER: Duration = Duration::from_millis(100);
 
+/// The last heartbeat of a server that calls this node.
 #[derive(Clone, Copy)]
-struct Heard {
+struct LastHeartbeat {
     call_sequence: u64,
-    at: u64,
-    /// A node with quorum contact was told here that the server drains.
-    draining_told: bool,
+    received_at: Nanos,
+    /// A node with quorum contact has acknowledged that the server drains.
+    is_draining_replicated: bool,
 }
 
-/// The servers that call this node.
+/// The servers that call this node. Borrows of its cells are not held across an `await`.
 #[derive(Default)]
 pub struct Registry {
-    heard: RefCell<BTreeMap<String, Heard>>,
-    /// Servers whose registrar is not heard of, and since when.
-    orphaned: RefCell<BTreeMap<String, u64>>,
+    heartbeats: RefCell<BTreeMap<String, LastHeartbeat>>,
+    /// Servers whose registrar is unresponsive or gone, and since when.
+    orphaned: RefCell<BTreeMap<String, Nanos>>,
 }
 
 impl Registry {
-    /// A heartbeat of a server; the answer acknowledges it.
+    /// Handles a heartbeat of a server; a response with 200 acknowledges it and names the node to call next.
     pub async fn handle_heartbeat(
         &self,
         node: &Rc<Node>,
@@ -68,268 +50,279 @@
         id: &str,
         body: &[u8],
     ) -> Response {
-        let row = match read_heartbeat(id, body) {
-            Ok(row) => row,
+        let record = match heartbeat::read(id, body) {
+            Ok(record) => record,
             Err(refusal) => return refusal,
         };
-        // Whom it will call next looks after it; named in its first row already, so that the move is no news.
-        let target = target(node, control, id, &row.zone);
-        let registrar = target
-            .as_ref()
-            .map_or_else(|| node.own_record.borrow().name.clone(), |t| t.0.clone());
-        let row = ServerRecord { registrar, ..row };
-        let standing = row.state;
-        let told_before = self
-            .heard
-            .borrow()
-            .get(id)
-            .is_some_and(|heard| heard.draining_told);
-        let late = !self.record_heard(&row, node.now());
-        #[cfg(feature = "injected-defects")]
-        if late && !rules::late_heartbeats_ignored() {
-            node.membership
-                .borrow_mut()
-                .overwrite(row.clone(), node.now());
-            node.server_table.borrow_mut().overwrite(id, row.state);
+        let target = heartbeat::target(node, control, id, &record.zone);
+        let record = ServerRecord {
+            registrar: registrar(node, target.as_ref()),
+            ..record
+        };
+        let state = record.state;
+        let must_replicate = state == LifecycleState::Draining && !self.is_draining_replicated(id);
+        let reception = self.receive(node, record);
+        // A draining heartbeat that is sent again after a refusal still binds: what counts is whether other nodes have
+        // it, not whether it is new.
+        let must_replicate = must_replicate
+            && (reception == Reception::Merged || rules::repeated_drains_need_replica());
+        let must_send = must_replicate || reception == Reception::Merged;
+        if must_send && !self.replicate(node, control, id, must_replicate).await {
+            return Response::retry_later(RETRY_AFTER);
+        }
+        if must_replicate {
+            self.mark_draining_replicated(id);
         }
-        let same = says_nothing_new(node, &row);
-        let is_news = !late && !same;
-        if is_news {
-            node.merge_records(MembershipDelta {
-                servers: vec![row].into(),
-                ..MembershipDelta::default()
-            });
+        // Records of a machine that is cut off reach nobody: the server should call another one.
+        let needs_contact = state == LifecycleState::Ready && rules::heartbeat_acks_need_contact();
+        if needs_contact && !may_acknowledge(node, control) {
+            return Response::retry_later(RETRY_AFTER);
         }
-        let told_before = told_before || (!rules::repeated_drains_need_replica() && (same || late));
-        // Sent again after a refusal it still binds: what counts is whether others were told, not whether it is news.
-        let must_spread = standing == LifecycleState::Draining && !told_before;
-        if (must_spread || is_news) && !self.spread(node, control, id, must_spread).await {
-            return Response::retry_later(TRY_ANOTHER);
+        acknowledgement(target)
+    }
+
+    /// Records a heartbeat and merges what is new in it.
+    fn receive(&self, node: &Node, record: ServerRecord) -> Reception {
+        let is_late = !self.record_heartbeat(&record, node.now());
+        #[cfg(feature = "injected-defects")]
+        if is_late && !rules::late_heartbeats_ignored() {
+            overwrite_record(node, &record);
         }
-        if must_spread && let Some(heard) = self.heard.borrow_mut().get_mut(id) {
-            heard.draining_told = true;
+        if is_late {
+            return Reception::Late;
         }
-        // Rows of a machine that is cut off reach nobody: another one should look after the server.
-        let cut_off = standing == LifecycleState::Ready && !may_acknowledge(node, control);
-        if cut_off && rules::heartbeat_acks_need_contact() {
-            return Response::retry_later(TRY_ANOTHER);
+        if is_known(node, &record) {
+            return Reception::Known;
+        }
+        node.merge_records(MembershipDelta {
+            servers: vec![record].into(),
+            ..MembershipDelta::default()
+        });
+        Reception::Merged
+    }
+
+    fn is_draining_replicated(&self, id: &str) -> bool {
+        let heartbeats = self.heartbeats.borrow();
+        heartbeats.get(id).is_some_and(|h| h.is_draining_replicated)
+    }
+
+    fn mark_draining_replicated(&self, id: &str) {
+        if let Some(last) = self.heartbeats.borrow_mut().get_mut(id) {
+            last.is_draining_replicated = true;
         }
-        let told = |(_, at): (String, String)| format!("{{\"heartbeat_target\":\"{at}\"}}");
-        Response::json(200, target.map_or("{}".to_owned(), told))
     }
 
-    /// Records that a server called; false where a later call of it came before.
-    fn record_heard(&self, row: &ServerRecord, now: Nanos) -> bool {
-        let mut heard = self.heard.borrow_mut();
-        let known = heard.get(&row.id).copied();
-        if known.is_some_and(|known| known.call_sequence > row.call_sequence) {
+    /// Records that a server called; false where a later call of it has arrived before.
+    fn record_heartbeat(&self, record: &ServerRecord, now: Nanos) -> bool {
+        let mut heartbeats = self.heartbeats.borrow_mut();
+        let known = heartbeats.get(&record.id).copied();
+        if known.is_some_and(|known| known.call_sequence > record.call_sequence) {
             return false;
         }
-        let latest = Heard {
-            call_sequence: row.call_sequence,
-            at: now,
-            draining_told: known.is_some_and(|known| known.draining_told),
+        let last = LastHeartbeat {
+            call_sequence: record.call_sequence,
+            received_at: now,
+            is_draining_replicated: known.is_some_and(|known| known.is_draining_replicated),
         };
-        heard.insert(row.id.clone(), latest);
+        heartbeats.insert(record.id.clone(), last);
         true
     }
 
-    /// The server leaves.
+    /// Handles a server's call that it leaves; a response with 200 acknowledges it.
     pub async fn leave(
         &self,
         node: &Rc<Node>,
         control: Option<&Rc<Control>>,
         id: &str,
     ) -> Response {
-        if id.is_empty() || id.len() > MOST_TEXT {
+        if id.is_empty() || id.len() > MAX_TEXT_BYTES {
             return Response::plain(400, "no such id");
         }
         let now = node.now();
-        let changed = node.membership.borrow_mut().mark_server_left(id, now);
-        if changed {
-            node.stir();
+        let has_changed = node.membership.borrow_mut().mark_server_left(id, now);
+        if has_changed {
+            node.publish_changes();
         }
-        self.heard.borrow_mut().remove(id);
-        if !self.spread(node, control, id, true).await {
-            return Response::retry_later(TRY_ANOTHER);
+        self.heartbeats.borrow_mut().remove(id);
+        if !self.replicate(node, control, id, true).await {
+            return Response::retry_later(RETRY_AFTER);
         }
         Response::json(200, "{}")
     }
 
-    /// Tells the sources; where it binds others, only what one of them has that is in contact with a quorum is
-    /// acknowledged.
-    async fn spread(
+    /// Sends a server's record to the control nodes. Where it binds other nodes, it counts only once one that is in
+    /// contact with a quorum has acknowledged it; false if none has.
+    async fn replicate(
         &self,
         node: &Rc<Node>,
         control: Option<&Rc<Control>>,
         id: &str,
         binds: bool,
     ) -> bool {
-        let Some(row) = node.membership.borrow().server(id).cloned() else {
+        let Some(record) = node.membership.borrow().server(id).cloned() else {
             return true;
         };
         let delta = MembershipDelta {
-            servers: vec![row].into(),
+            servers: vec![record].into(),
             ..MembershipDelta::default()
         };
         if binds && rules::acks_need_replica() {
-            let told = polls::notify(node, &delta, SPREAD).await;
-            // Where this node is the only member there is nobody else to tell.
-            let only_member =
-                || control.is_some_and(|c| c.members(CONFIG).len() == 1 && c.has_quorum_contact());
-            return told || only_member();
+            let is_replicated = notify(node, &delta, REPLICATION_TIMEOUT).await;
+            return is_replicated || is_only_member(control);
         }
         let node = node.clone();
         spawn_local(async move {
             if !rules::acks_need_replica() {
-                tokio::time::sleep(SPREAD).await;
+                tokio::time::sleep(REPLICATION_TIMEOUT).await;
             }
-            // What is lost here the next beat brings, or the sources' own polls.
-            polls::notify(&node, &delta, SPREAD).await;
+            // What is lost here comes with the next heartbeat or the polls of other nodes.
+            notify(&node, &delta, REPLICATION_TIMEOUT).await;
         });
         true
     }
 
-    /// Notices who fell silent. `core`: this node also looks after servers whose registrar is gone.
-    pub fn check_liveness(&self, node: &Rc<Node>, core: bool) {
+    /// Marks servers that became unresponsive. `has_control_state`: this node also watches servers whose registrar is
+    /// gone.
+    pub fn check_liveness(&self, node: &Rc<Node>, has_control_state: bool) {
         let now = node.now();
-        let limit = nanos(node.settings.borrow().heartbeat * MISSED);
-        let own = node.own_record.borrow().name.clone();
-        let mut silent = Vec::new();
-        {
-            let rows = node.membership.borrow();
-            self.heard.borrow_mut().retain(|id, heard| {
-                let mine = rows.server(id).is_some_and(|r| r.registrar == own);
-                if mine && now.saturating_sub(heard.at) > limit {
-                    silent.push(id.clone());
-                }
-                // Another has it now, or it is long gone.
-                rows.server(id).is_some() && now.saturating_sub(heard.at) < limit * 10
-            });
-            if core {
-                let mut orphaned = self.orphaned.borrow_mut();
-                let lost = |r: &ServerRecord| {
-                    r.registrar != own
-                        && rows.node(&r.registrar).is_none_or(|n| n.unresponsive)
-                        && !r.unresponsive
-                };
-                for row in rows.servers().filter(|r| r.state != LifecycleState::Left) {
-                    if lost(row)
-                        || (row.registrar == own && !self.heard.borrow().contains_key(&row.id))
-                    {
-                        let since = *orphaned.entry(row.id.clone()).or_insert(now);
-                        if now.saturating_sub(since) > limit && !row.unresponsive {
-                            silent.push(row.id.clone());
-                        }
-                    } else {
-                        orphaned.remove(&row.id);
-                    }
-                }
-                orphaned.retain(|id, _| rows.server(id).is_some());
+        let limit = nanos(node.settings.borrow().heartbeat * MAX_MISSED_HEARTBEATS);
+        let unresponsive = {
+            let membership = node.membership.borrow();
+            let own_name = node.own_record.borrow().name.clone();
+            let mut ids = self.overdue_heartbeats(&membership, &own_name, limit, now);
+            if has_control_state {
+                ids.extend(self.overdue_orphans(&membership, &own_name, limit, now));
             }
+            ids
+        };
+        let mut has_changed = false;
+        for id in unresponsive {
+            let mut membership = node.membership.borrow_mut();
+            has_changed |= membership.mark_server_unresponsive(&id, now);
         }
-        let mut changed = false;
-        for id in silent {
-            changed |= node
-                .membership
-                .borrow_mut()
-                .mark_server_unresponsive(&id, now);
+        if has_changed {
+            node.publish_changes();
         }
-        if changed {
-            node.stir();
+    }
+
+    /// The servers that this node is the registrar of and that no longer call. Servers that call another node now, or are
+    /// long gone, are forgotten.
+    fn overdue_heartbeats(
+        &self,
+        membership: &MembershipTable,
+        own_name: &str,
+        limit: Nanos,
+        now: Nanos,
+    ) -> Vec<String> {
+        let mut overdue = Vec::new();
+        self.heartbeats.borrow_mut().retain(|id, last| {
+            let elapsed = now.saturating_sub(last.received_at);
+            let record = membership.server(id);
+            if elapsed > limit && record.is_some_and(|r| r.registrar == own_name) {
+                overdue.push(id.clone());
+            }
+            record.is_some() && elapsed < limit * FORGET_AFTER
+        });
+        overdue
+    }
+
+    /// The servers that have been without a registrar for too long.
+    fn overdue_orphans(
+        &self,
+        membership: &MembershipTable,
+        own_name: &str,
+        limit: Nanos,
+        now: Nanos,
+    ) -> Vec<String> {
+        let heartbeats = self.heartbeats.borrow();
+        let mut orphaned = self.orphaned.borrow_mut();
+        let is_orphan = |server: &ServerRecord| {
+            if server.registrar == own_name {
+                return !heartbeats.contains_key(&server.id);
+            }
+            let registrar = membership.node(&server.registrar);
+            registrar.is_none_or(|n| n.unresponsive) && !server.unresponsive
+        };
+        let mut overdue = Vec::new();
+        let present = membership
+            .servers()
+            .filter(|server| server.state != LifecycleState::Left);
+        for server in present {
+            if !is_orphan(server) {
+                orphaned.remove(&server.id);
+                continue;
+            }
+            let since = *orphaned.entry(server.id.clone()).or_insert(now);
+            if now.saturating_sub(since) > limit && !server.unresponsive {
+                overdue.push(server.id.clone());
+            }
         }
+        orphaned.retain(|id, _| membership.server(id).is_some());
+        overdue
     }
 }
 
-/// The row that a heartbeat makes, without its registrar; else the refusal.
-fn read_heartbeat(id: &str, body: &[u8]) -> Result<ServerRecord, Response> {
-    let text = std::str::from_utf8(body).unwrap_or_default();
-    let beat: Beat = json::from_str(text).map_err(|_| {
-        Response::plain(
-            400,
-            "a beat is JSON with service, address, state and call_sequence",
-        )
-    })?;
-    let standing = match beat.state.as_str() {
-        "ready" => LifecycleState::Ready,
-        "draining" => LifecycleState::Draining,
-        _ => return Err(Response::plain(400, "state is ready or draining")),
-    };
-    let is_short = |text: &str| !text.is_empty() && text.len() <= MOST_TEXT;
-    let has_address = beat.address.parse::<std::net::SocketAddr>().is_ok();
-    if !is_short(id) || !is_short(&beat.service) || !has_address {
-        let why = "id and service are short names, address is ip:port";
-        return Err(Response::plain(400, why));
+/// What a heartbeat brought.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Reception {
+    /// Something new, which is merged.
+    Merged,
+    /// Nothing new.
+    Known,
+    /// Less than a later call that arrived before it.
+    Late,
+}
+
+/// The node that looks after the server: the one that it calls next. It is in the server's first record already, so that
+/// the move to it changes nothing.
+fn registrar(node: &Node, target: Option<&HeartbeatTarget>) -> String {
+    match target {
+        Some(target) => target.name.clone(),
+        None => node.own_record.borrow().name.clone(),
     }
-    let models = beat
-        .models
-        .unwrap_or_default()
-        .into_iter()
-        .take(MOST_MODELS);
-    let model = |m: ModelBeat| LoadedModel {
-        name: m.name,
-        version: m.version,
+}
+
+/// The response that acknowledges a heartbeat.
+fn acknowledgement(target: Option<HeartbeatTarget>) -> Response {
+    let body = match target {
+        Some(target) => format!("{{\"heartbeat_target\":\"{}\"}}", target.address),
+        None => "{}".to_owned(),
     };
-    Ok(ServerRecord {
-        id: id.to_owned(),
-        service: beat.service,
-        address: beat.address,
-        zone: beat.zone.unwrap_or_default(),
-        slot_count: beat.slot_count.unwrap_or(1),
-        state: standing,
-        call_sequence: beat.call_sequence,
-        models: models.map(model).collect(),
-        registrar: String::new(),
-        unresponsive: false,
-    })
+    Response::json(200, body)
 }
 
-/// Whether a row differs from the known one in nothing but its call sequence: then it is news to nobody.
-fn says_nothing_new(node: &Node, row: &ServerRecord) -> bool {
-    let rows = node.membership.borrow();
-    rows.server(&row.id).is_some_and(|known| {
-        ServerRecord {
+/// Injected: a late heartbeat replaces a newer record.
+#[cfg(feature = "injected-defects")]
+fn overwrite_record(node: &Node, record: &ServerRecord) {
+    let now = node.now();
+    let mut membership = node.membership.borrow_mut();
+    membership.overwrite(record.clone(), now);
+    let mut server_table = node.server_table.borrow_mut();
+    server_table.overwrite(&record.id, record.state);
+}
+
+/// Whether a record differs from the known one in nothing but its call sequence.
+fn is_known(node: &Node, record: &ServerRecord) -> bool {
+    let membership = node.membership.borrow();
+    membership.server(&record.id).is_some_and(|known| {
+        let same_sequence = ServerRecord {
             call_sequence: known.call_sequence,
-            ..row.clone()
-        } == *known
+            ..record.clone()
+        };
+        same_sequence == *known
     })
 }
 
-/// Whether what a server says here reaches the rest of the fleet: a member needs quorum contact, any other node has to
-/// hear of a node that has it. A node that has not found the fleet yet takes what servers say until it has.
+/// Whether this node is the only member: there is no other node to replicate to.
+fn is_only_member(control: Option<&Rc<Control>>) -> bool {
+    control.is_some_and(|c| c.members(CONFIG).len() == 1 && c.has_quorum_contact())
+}
+
+/// Whether what a server reports here reaches the rest of the fleet: a member needs quorum contact, any other node must
+/// have heard from a node that has it. A node that has not found the fleet yet acknowledges until it has.
 fn may_acknowledge(node: &Node, control: Option<&Rc<Control>>) -> bool {
     match control.filter(|c| c.is_member()) {
         Some(control) => control.has_quorum_contact(),
-        None => !node.informed.get() || polls::has_recent_quorum_contact(node),
-    }
-}
-
-/// Where the server may send its later beats, name and address: a node of the core, in its zone if there is one. None
-/// where it should stay.
-fn target(
-    node: &Rc<Node>,
-    control: Option<&Rc<Control>>,
-    id: &str,
-    zone: &str,
-) -> Option<(String, String)> {
-    let leaving = node.leaving.get();
-    if control.is_some_and(|c| c.is_member()) && !leaving {
-        return None;
+        None => !node.fleet_contact.is_informed() || has_recent_quorum_contact(node),
     }
-    let live = node.live_nodes();
-    let fit = live
-        .control_rows()
-        .iter()
-        .filter(|n| n.counts_toward_quorum && !n.unresponsive && !n.leaving);
-    let ranked: Vec<(&str, &str, &str)> = order(
-        fit.map(|n| {
-            (
-                hash(n.name.as_bytes()),
-                (n.zone.as_str(), n.name.as_str(), n.control_address.as_str()),
-            )
-        }),
-        hash(id.as_bytes()),
-    );
-    let near = ranked.iter().find(|n| n.0 == zone).or(ranked.first())?;
-    Some((near.1.to_owned(), near.2.to_owned()))
 }
--- /dev/null
+++ b/crates/sparrouter-fleet/src/membership/sources.rs
@@ -0,0 +1,166 @@
+//! Which sources a node polls next, and what is known of each.
+use crate::node::Node;
+use crate::platform::defects::rules;
+use crate::settings::nanos;
+use sparrouter_membership::sources;
+use sparrouter_routing::Nanos;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// A source that failed is avoided for this long while there are others.
+const AVOID_TIME: Duration = Duration::from_millis(800);
+/// If no node with quorum contact was heard from for this long, the seeds are polled too, every other time.
+const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// How much longer than the source may wait with its reply a poll may take.
+const REPLY_MARGIN: Duration = Duration::from_millis(500);
+/// How often the time-out of a node without a configuration doubles. Many that start at once may fill the sources' links
+/// with large replies, each of which is sent again if a node gives up on it.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
+
+/// Which of a source's records this node has: a revision, of the process with this epoch.
+#[derive(Clone, Copy, Default)]
+pub(super) struct KnownRevision {
+    pub(super) epoch: u64,
+    pub(super) revision: u64,
+}
+
+/// What changes in a node's own record while it runs.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) struct RecordForm {
+    pub(super) incarnation: u64,
+    pub(super) leaving: bool,
+}
+
+/// What is known of sources at this node.
+#[derive(Default)]
+pub(super) struct Sources {
+    /// Sources that failed or have no quorum contact, and until when they are avoided.
+    avoided: RefCell<HashMap<SocketAddr, Nanos>>,
+    /// The source that each loop polls.
+    polled: RefCell<Vec<Option<SocketAddr>>>,
+    /// What this node has of each source's records.
+    pub(super) revisions: RefCell<HashMap<SocketAddr, KnownRevision>>,
+    /// The form in which each source has this node's record, with the epoch of the source.
+    pub(super) sent_records: RefCell<HashMap<SocketAddr, (u64, RecordForm)>>,
+    /// Whether the next poll asks for the complete text of the configuration.
+    pub(super) needs_complete_text: Cell<bool>,
+    /// Polls in a row without a reply.
+    pub(super) unanswered: Cell<u32>,
+}
+
+impl Sources {
+    /// Prepares for this many loops.
+    pub(super) fn set_loop_count(&self, count: usize) {
+        self.polled.borrow_mut().resize(count, None);
+    }
+
+    /// Records which source a loop polls.
+    pub(super) fn begin_poll(&self, loop_index: usize, source: SocketAddr) {
+        self.polled.borrow_mut()[loop_index] = Some(source);
+    }
+
+    /// Records that a source failed or has no quorum contact.
+    pub(super) fn avoid(&self, node: &Node, source: SocketAddr) {
+        let until = node.now() + nanos(AVOID_TIME);
+        self.avoided.borrow_mut().insert(source, until);
+    }
+
+    fn is_avoided(&self, source: SocketAddr) -> bool {
+        self.avoided.borrow().contains_key(&source)
+    }
+
+    /// Whether a source may be polled by this loop: it is not avoided, and no other loop polls it.
+    fn is_free(&self, source: SocketAddr, loop_index: usize) -> bool {
+        let polled = self.polled.borrow();
+        let mut others = polled
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| *index != loop_index);
+        !self.is_avoided(source) && !others.any(|(_, other)| *other == Some(source))
+    }
+
+    /// The source that a loop polls next; `None` if there is none.
+    pub(super) fn next(&self, node: &Node, loop_index: usize) -> Option<SocketAddr> {
+        let now = node.now();
+        self.avoided.borrow_mut().retain(|_, until| *until > now);
+        let ranked = self.ranked_control_nodes(node);
+        let seeds = seeds(node);
+        let is_free = |source: &SocketAddr| self.is_free(*source, loop_index);
+        let any_seed = || {
+            let free: Vec<SocketAddr> = seeds.iter().copied().filter(is_free).collect();
+            random(node, &free)
+        };
+        let any_source = || {
+            let all: Vec<SocketAddr> = ranked.iter().chain(&seeds).copied().collect();
+            random(node, &all)
+        };
+        let last_resort = if loop_index == 0 { any_source() } else { None };
+        // Machines that are gone for good time out more slowly than they are avoided. Without this a node that was cut
+        // off while all the nodes that it knows were replaced would poll those for ever.
+        let tries_seeds = !has_recent_quorum_contact(node) && node.rng.borrow_mut().bool();
+        let seed_first = if tries_seeds { any_seed() } else { None };
+        seed_first
+            .or_else(|| ranked.iter().copied().find(is_free))
+            .or_else(any_seed)
+            .or(last_resort)
+    }
+
+    /// The other control nodes in this node's order of preference; those that are avoided, unresponsive or leaving last.
+    fn ranked_control_nodes(&self, node: &Node) -> Vec<SocketAddr> {
+        let own_address = node.own_address();
+        let others: Vec<(String, SocketAddr)> = node
+            .control_nodes()
+            .into_iter()
+            .filter(|(_, address)| *address != own_address)
+            .collect();
+        let membership = node.membership.borrow();
+        let is_away = |name: &str| {
+            membership
+                .node(name)
+                .is_some_and(|n| n.unresponsive || n.leaving)
+        };
+        let candidates = others
+            .iter()
+            .map(|(name, address)| (name.as_str(), !self.is_avoided(*address) && !is_away(name)));
+        let own_name = node.settings.borrow().node_name.clone();
+        sources(&own_name, candidates, others.len())
+            .into_iter()
+            .filter_map(|name| others.iter().find(|(n, _)| n == name))
+            .map(|(_, address)| *address)
+            .collect()
+    }
+
+    /// How long a poll may take if the source may wait for `max_wait` with its reply.
+    pub(super) fn poll_timeout(&self, node: &Node, max_wait: Duration) -> Duration {
+        let has_configuration = node.active_configuration().slot > 0;
+        let doublings = if has_configuration || !rules::arriving_replies_extend_timeout() {
+            0
+        } else {
+            self.unanswered.get().min(MAX_TIMEOUT_DOUBLINGS)
+        };
+        (max_wait + REPLY_MARGIN) * (1 << doublings)
+    }
+}
+
+/// The internal addresses of the settings' seeds, without this node: for a node that knows no other node that answers.
+fn seeds(node: &Node) -> Vec<SocketAddr> {
+    let own_address = node.own_address();
+    let settings = node.settings.borrow();
+    let addresses = settings.seeds.iter().map(|s| settings.internal_of(s.ip()));
+    addresses.filter(|a| *a != own_address).collect()
+}
+
+fn random(node: &Node, sources: &[SocketAddr]) -> Option<SocketAddr> {
+    if sources.is_empty() {
+        return None;
+    }
+    Some(sources[node.rng.borrow_mut().usize(..sources.len())])
+}
+
+/// Whether a node with quorum contact answered this one lately.
+pub(super) fn has_recent_quorum_contact(node: &Node) -> bool {
+    let elapsed = node.now().saturating_sub(node.fleet_contact.last_at());
+    elapsed <= nanos(QUORUM_CONTACT_TIMEOUT)
+}
--- a/crates/sparrouter-fleet/src/node/counters.rs
+++ b/crates/sparrouter-fleet/src/node/counters.rs
@@ -6,17 +6,17 @@
 pub struct Counters {
     /// Changes of the core that this node saw; each restarts the time limits of versions.
     pub core_changes: Cell<u64>,
-    /// Requests that no server was ready for: all load weights, run too old ones, or are full or out of reach.
+    /// Requests that no server was ready for: all load weights, run outdated ones, or are full or unreachable.
     pub no_server_ready: Cell<u64>,
     /// Requests sent to a server with older weights than the newest.
     pub sent_to_older_weights: Cell<u64>,
-    /// Answers that began on weights after the time limit of a newer version: each breaks rule VERSION.
+    /// Answers that began on weights after the time limit of a newer version: each violates the rule VERSION of RULES.md.
     pub begun_too_late: Cell<u64>,
     /// Requests with API keys that were refused because the lease on the configuration had run out.
     pub refused_without_lease: Cell<u64>,
-    /// Verdicts of this node that a server fails requests which others would serve.
+    /// Servers that this node reported as outliers: they fail requests which others would serve.
     pub servers_avoided: Cell<u64>,
-    /// Orders to load weights that servers took.
+    /// Orders to load weights that servers accepted.
     pub orders_taken: Cell<u64>,
     /// Orders to load weights that were declined.
     pub orders_declined: Cell<u64>,
--- a/crates/sparrouter-fleet/src/node/live_nodes.rs
+++ b/crates/sparrouter-fleet/src/node/live_nodes.rs
@@ -1,5 +1,5 @@
-//! What a node works out from all node rows at once, held as a snapshot that is made anew only when one of them changes:
-//! who owns which keys, who keeps the control state, how many take clients.
+//! What follows from all node records at once, as a snapshot that is made anew only when one of them changes: who owns
+//! which keys, who keeps control state, how many nodes take clients.
 use super::Node;
 use sparrouter_membership::{MembershipTable, NodeRecord};
 use sparrouter_rendezvous::{Member, SlotTable};
@@ -7,103 +7,74 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A node that keeps control state, as it was last told of: what decides whether something befell it.
+/// A node that keeps control state, as far as a difference in it is a change of the core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlNodeState {
     name: String,
     process: u64,
-    silent: bool,
-    leaving: bool,
+    is_unresponsive: bool,
+    is_leaving: bool,
 }
 
-/// Whether something befell the core between two looks at it: a node joined, started anew, left, fell silent or was heard
-/// of again. Not that a row was forgotten of one that had left or fallen silent long before. `first_looks`: this process
-/// has just started and learns for the first time of nodes that have been there all along.
+/// Whether the core changed between two observations of it: a node joined, restarted, left, became unresponsive or
+/// responds again. That a record was forgotten of a node that had left or become unresponsive before is no change.
+/// `learns_existing`: this process has just started and learns for the first time of nodes that have been there all
+/// along.
 pub(super) fn has_core_changed(
     before: &[ControlNodeState],
     after: &[ControlNodeState],
-    first_looks: bool,
+    learns_existing: bool,
 ) -> bool {
     let same_name =
         |all: &[ControlNodeState], name: &str| all.iter().find(|state| state.name == name).cloned();
-    let is_event = |state: &ControlNodeState| match same_name(before, &state.name) {
+    let is_changed = |state: &ControlNodeState| match same_name(before, &state.name) {
         Some(known) => known != *state,
-        None => !first_looks,
+        None => !learns_existing,
     };
-    let is_gone = |state: &ControlNodeState| {
-        same_name(after, &state.name).is_none() && !state.silent && !state.leaving
+    let is_missing = |state: &ControlNodeState| {
+        same_name(after, &state.name).is_none() && !state.is_unresponsive && !state.is_leaving
     };
-    after.iter().any(is_event) || before.iter().any(is_gone)
+    after.iter().any(is_changed) || before.iter().any(is_missing)
 }
 
-/// The snapshot. Never changed: other node rows are another one.
+/// The snapshot. Never changed: other node records make another one.
 #[derive(Debug, Default)]
 pub struct LiveNodes {
-    /// [`Rows::node_changes`] when it was made.
+    /// `MembershipTable::node_changes` when it was made.
     node_changes: u64,
-    /// Owners of keys: the nodes that take clients and are neither silent nor leaving.
+    /// Owners of keys: the nodes that take clients and are neither unresponsive nor leaving.
     owners: Rc<SlotTable>,
-    /// Where the owners are, in the order of the table's members; None for this node itself.
+    /// Internal addresses of the owners, in the order of the table's members; `None` for this node itself.
     owner_addresses: Vec<Option<SocketAddr>>,
-    /// Nodes that take clients, silent ones included.
-    front_count: usize,
+    /// Nodes that take clients, unresponsive ones included.
+    proxy_count: usize,
     /// Nodes that keep control state: name and internal address.
     control_nodes: Vec<(String, SocketAddr)>,
-    /// The same nodes' rows.
-    control_rows: Vec<NodeRecord>,
-    /// Of the counted ones, what decides whether something befell them.
+    /// The same nodes' records.
+    control_records: Vec<NodeRecord>,
+    /// Of those that count toward the quorum, what decides whether the core changed.
     counted_states: Vec<ControlNodeState>,
 }
 
 impl LiveNodes {
-    /// Made from the rows and from the snapshot before, whose owners it keeps as far as they are the same.
-    fn made_from(rows: &MembershipTable, own_name: &str, before: &LiveNodes) -> LiveNodes {
-        let (mut owners, mut addresses) = (Vec::new(), HashMap::new());
-        let mut front_count = 0;
-        let mut control_rows: Vec<&NodeRecord> = Vec::new();
-        for row in rows.nodes() {
-            front_count += usize::from(row.serves_clients);
-            if owns_keys(row) {
-                let name = sparrouter_rendezvous::hash(row.name.as_bytes());
-                owners.push(Member {
-                    name,
-                    process: row.nonce,
-                });
-                let remote = row.name != own_name;
-                addresses.insert(
-                    name,
-                    remote.then(|| row.internal_address.parse().ok()).flatten(),
-                );
-            }
-            if !row.control_address.is_empty() {
-                control_rows.push(row);
-            }
-        }
-        if control_rows.iter().any(|row| row.counts_toward_quorum) {
-            control_rows.retain(|row| row.counts_toward_quorum);
-        }
-        owners.sort_unstable();
-        let owners = if before.owners.members() == owners {
-            before.owners.clone()
-        } else {
-            Rc::new(before.owners.with_members(owners))
-        };
-        let owner_addresses = owners
-            .members()
-            .iter()
-            .map(|member| addresses.get(&member.name).copied().flatten())
-            .collect();
+    /// The snapshot of these records. The owner table is that of the snapshot before, as far as its members are the same.
+    fn new(records: &MembershipTable, own_name: &str, before: &LiveNodes) -> LiveNodes {
+        let (owners, owner_addresses) = key_owners(records, own_name, before);
+        let control_records = control_records(records);
         LiveNodes {
-            node_changes: rows.node_changes(),
+            node_changes: records.node_changes(),
             owners,
             owner_addresses,
-            front_count,
-            control_nodes: control_rows.iter().filter_map(|r| address_of(r)).collect(),
-            counted_states: control_rows
+            proxy_count: records.nodes().filter(|n| n.serves_clients).count(),
+            control_nodes: control_records
+                .iter()
+                .filter_map(|r| address_of(r))
+                .collect(),
+            counted_states: control_records
                 .iter()
                 .filter_map(|r| counted_state(r))
                 .collect(),
-            control_rows: control_rows.into_iter().cloned().collect(),
+            control_records: control_records.into_iter().cloned().collect(),
         }
     }
 
@@ -112,74 +83,117 @@
         &self.owners
     }
 
-    /// Where the owner of a key is; None for this node itself, and where no owner is known.
+    /// Internal address of the owner of a key; `None` for this node itself, and where no owner is known.
     pub fn owner_address(&self, key: u64) -> Option<SocketAddr> {
-        self.address_at(self.owners.owner_index(key)?)
+        self.owner_address_at(self.owners.owner_index(key)?)
     }
 
-    /// Where the owner at a place of [`LiveNodes::owners`] is; None for this node itself.
-    pub fn address_at(&self, place: usize) -> Option<SocketAddr> {
-        self.owner_addresses.get(place).copied().flatten()
+    /// Internal address of the owner at an index of [`LiveNodes::owners`]; `None` for this node itself.
+    pub fn owner_address_at(&self, index: usize) -> Option<SocketAddr> {
+        self.owner_addresses.get(index).copied().flatten()
     }
 
-    /// Nodes that take clients, those not heard of for a while too.
-    pub fn front_count(&self) -> usize {
-        self.front_count
+    /// How many nodes take clients, unresponsive ones included.
+    pub fn proxy_count(&self) -> usize {
+        self.proxy_count
     }
 
-    /// Nodes that keep the control state, as far as they are known: name and internal address.
+    /// The nodes that keep control state, as far as they are known: name and internal address.
     pub fn control_nodes(&self) -> &[(String, SocketAddr)] {
         &self.control_nodes
     }
 
-    /// The rows of the nodes that keep the control state.
-    pub fn control_rows(&self) -> &[NodeRecord] {
-        &self.control_rows
+    /// The records of the nodes that keep control state.
+    pub fn control_records(&self) -> &[NodeRecord] {
+        &self.control_records
     }
 
-    /// What decides whether something befell the counted ones.
+    /// Of the nodes that count toward the quorum, what decides whether the core changed.
     pub fn counted_states(&self) -> &[ControlNodeState] {
         &self.counted_states
     }
 }
 
 impl Node {
-    /// The node that owns a key among those that take clients: None for this one itself.
+    /// Internal address of the node that owns a key, among those that take clients; `None` for this node itself.
     pub fn owner(&self, key: u64) -> Option<SocketAddr> {
         self.live_nodes().owner_address(key)
     }
 
-    /// Whether a key falls to this node.
+    /// Whether this node owns a key.
     pub fn keeps(&self, key: u64) -> bool {
         self.owner(key).is_none()
     }
 
-    /// The snapshot of the node rows as they are now.
+    /// The snapshot of the node records as they are now.
     pub fn live_nodes(&self) -> Rc<LiveNodes> {
-        let rows = self.membership.borrow();
+        let records = self.membership.borrow();
         let mut live = self.live_nodes.borrow_mut();
-        if live.node_changes != rows.node_changes() {
-            let made = LiveNodes::made_from(&rows, &self.own_name, &live);
-            *live = Rc::new(made);
+        if live.node_changes != records.node_changes() {
+            let newer = LiveNodes::new(&records, &self.own_name, &live);
+            *live = Rc::new(newer);
         }
         live.clone()
     }
 }
 
+/// The owners of keys as a table, and their addresses in its order.
+fn key_owners(
+    records: &MembershipTable,
+    own_name: &str,
+    before: &LiveNodes,
+) -> (Rc<SlotTable>, Vec<Option<SocketAddr>>) {
+    let (mut owners, mut addresses) = (Vec::new(), HashMap::new());
+    for record in records.nodes().filter(|record| owns_keys(record)) {
+        let name = sparrouter_rendezvous::hash(record.name.as_bytes());
+        owners.push(Member {
+            name,
+            process: record.nonce,
+        });
+        let is_other = record.name != own_name;
+        let address = is_other.then(|| record.internal_address.parse().ok());
+        addresses.insert(name, address.flatten());
+    }
+    owners.sort_unstable();
+    let table = if before.owners.members() == owners {
+        before.owners.clone()
+    } else {
+        Rc::new(before.owners.with_members(owners))
+    };
+    let in_order = table
+        .members()
+        .iter()
+        .map(|member| addresses.get(&member.name).copied().flatten())
+        .collect();
+    (table, in_order)
+}
+
+/// The nodes with control state; where any of them count toward the quorum, those alone.
+fn control_records(records: &MembershipTable) -> Vec<&NodeRecord> {
+    let mut control: Vec<&NodeRecord> = records
+        .nodes()
+        .filter(|record| !record.control_address.is_empty())
+        .collect();
+    if control.iter().any(|record| record.counts_toward_quorum) {
+        control.retain(|record| record.counts_toward_quorum);
+    }
+    control
+}
+
 /// Keys are divided among the nodes that take clients.
-fn owns_keys(row: &NodeRecord) -> bool {
-    row.serves_clients && !row.unresponsive && !row.leaving
+fn owns_keys(record: &NodeRecord) -> bool {
+    record.serves_clients && !record.unresponsive && !record.leaving
 }
 
-fn address_of(row: &NodeRecord) -> Option<(String, SocketAddr)> {
-    Some((row.name.clone(), row.internal_address.parse().ok()?))
+fn address_of(record: &NodeRecord) -> Option<(String, SocketAddr)> {
+    Some((record.name.clone(), record.internal_address.parse().ok()?))
 }
 
-fn counted_state(row: &NodeRecord) -> Option<ControlNodeState> {
-    row.counts_toward_quorum.then(|| ControlNodeState {
-        name: row.name.clone(),
-        process: row.nonce,
-        silent: row.unresponsive,
-        leaving: row.leaving,
+fn counted_state(record: &NodeRecord) -> Option<ControlNodeState> {
+    record.counts_toward_quorum.then(|| ControlNodeState {
+        name: record.name.clone(),
+        process: record.nonce,
+        is_unresponsive: record.unresponsive,
+        is_leaving: record.leaving,
     })
 }
--- /dev/null
+++ b/crates/sparrouter-fleet/src/node/traffic.rs
@@ -0,0 +1,88 @@
+//! Client requests at this node: retry budgets, how long requests last, how many are in flight.
+use super::Node;
+use crate::platform::defects::rules;
+use crate::settings::nanos;
+use sparrouter_routing::{Nanos, RetryBudget, RouteDurations, TypicalOutput};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+
+/// What is measured of client requests.
+#[derive(Default)]
+pub(crate) struct Traffic {
+    /// This node's share of each service's retry budget. Invariant: only services of the configuration in force, and the
+    /// one that was last used.
+    retry_budgets: RefCell<HashMap<String, RetryBudget>>,
+    /// How much requests usually generate.
+    pub(crate) typical_output: RefCell<TypicalOutput>,
+    /// How long requests of each route last.
+    pub(crate) durations: RefCell<RouteDurations>,
+    /// Requests that are being read or served.
+    open_requests: Cell<usize>,
+}
+
+impl Traffic {
+    /// How many requests are being read or served.
+    pub(crate) fn open_requests(&self) -> usize {
+        self.open_requests.get()
+    }
+}
+
+/// A request that is being read or served: counted as open until this is dropped.
+pub(crate) struct OpenRequest<'a>(&'a Traffic);
+
+impl<'a> OpenRequest<'a> {
+    /// Counts a request.
+    pub(crate) fn begin(traffic: &'a Traffic) -> OpenRequest<'a> {
+        traffic.open_requests.set(traffic.open_requests.get() + 1);
+        OpenRequest(traffic)
+    }
+}
+
+impl Drop for OpenRequest<'_> {
+    fn drop(&mut self) {
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
+    }
+}
+
+impl Node {
+    /// Counts a client request toward the retry budget of a service.
+    pub fn record_request(&self, service: &str) {
+        self.with_retry_budget(service, |budget, now| budget.record_request(now));
+    }
+
+    /// Takes one retry from this node's share of a service's budget, if there is one left. In its first window a process
+    /// has none: the one before it may have spent all that its requests had earned, and the window that is judged holds
+    /// both.
+    pub fn may_retry(&self, service: &str) -> bool {
+        let window = nanos(self.settings.borrow().bounds.budget_window);
+        let is_past_first_window = self.now() >= window || !rules::restarts_renew_no_retry_slack();
+        let proxies = self.proxy_count();
+        is_past_first_window
+            && self.with_retry_budget(service, |budget, now| budget.try_acquire(proxies, now))
+    }
+
+    fn with_retry_budget<T>(
+        &self,
+        service: &str,
+        use_budget: impl FnOnce(&mut RetryBudget, Nanos) -> T,
+    ) -> T {
+        let settings = self.settings.borrow();
+        // The slack waits for a window, since a process before this one may have spent it.
+        let head_start = if rules::restarts_renew_no_retry_slack() {
+            0
+        } else {
+            nanos(settings.bounds.budget_window)
+        };
+        let now = self.now() + head_start;
+        let mut budgets = self.traffic.retry_budgets.borrow_mut();
+        // Services that the configuration no longer has leave no counts behind.
+        let table = self.active_configuration().table.clone();
+        budgets.retain(|name, _| {
+            name == service || table.as_ref().is_none_or(|t| t.service(name).is_some())
+        });
+        let budget = budgets
+            .entry(service.to_owned())
+            .or_insert_with(|| RetryBudget::new(settings.bounds.budget(), 0, now));
+        use_budget(budget, now)
+    }
+}
--- a/crates/sparrouter-fleet/src/peer/links.rs
+++ b/crates/sparrouter-fleet/src/peer/links.rs
@@ -1,228 +1,182 @@
-//! Calls between nodes: one connection a peer and direction, many calls on it at a time, each with its own patience.
-use crate::peer::messages::{Call, HELLO, MAX_FRAME, Reply};
+//! Calls to other nodes: one connection a peer, many calls on it at a time, each with its own time-out.
+use super::frames::{self, MAX_QUEUED_FRAMES, Progress};
+use crate::peer::messages::{Call, HELLO, Reply};
 use crate::platform::defects::rules;
-use crate::platform::net::{self, Listener, SharedNet, Stream};
-use nanoserde::SerBin;
+use crate::platform::net::{SharedNet, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
-use tokio::io::{
-    AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, ReadHalf, WriteHalf, split,
-};
-use tokio::sync::{Semaphore, mpsc, oneshot};
+use tokio::io::{AsyncWriteExt, BufReader, ReadHalf, split};
+use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// How long a connection may take to come up, try after try. A first packet that found a machine without power is not
-/// sent again before a second has gone, and the machine may be back sooner.
-const DIALS: [Duration; 3] = [
+/// Time-outs of the attempts to connect, one after the other. A first packet that finds a machine without power is not
+/// sent again for a second, and the machine may be back sooner.
+const CONNECT_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(80),
     Duration::from_millis(160),
     Duration::from_millis(400),
 ];
-/// An answer that is coming in is waited for beyond its patience, as long as more of it comes, up to this. Without that
-/// nodes that ask for a large configuration at once over narrow lines would each give up on it and ask again, for ever.
-const LONGEST_ANSWER: Duration = Duration::from_secs(20);
-/// Most frames that wait for one peer; more are refused at once.
-const QUEUE: usize = 512;
-/// Most calls of one connection that are worked on at a time.
-const AT_ONCE: usize = 128;
-/// Most connections that other nodes may hold here.
-const PEERS: usize = 600;
+/// A reply that is arriving is awaited beyond its time-out, as long as more of it arrives, up to this. Without that nodes
+/// that ask for a large configuration at once over narrow links would each give up on it and ask again, for ever.
+const MAX_REPLY_TIME: Duration = Duration::from_secs(20);
 
+/// Why a call has no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LinkError {
+    /// It was not sent: it may be repeated.
     #[error(
         "no connection to the node came up: check that it runs and that its internal port is open"
     )]
     Unreachable,
+    /// It may have been carried out or not.
     #[error("the node did not answer in time: it may be frozen or cut off")]
     TimedOut,
+    /// It may have been carried out or not.
     #[error("the connection to the node broke: it may have ended")]
     Broken,
+    /// It was not sent: it may be repeated.
     #[error("too many calls wait for the node: it reads too slowly")]
     Crowded,
 }
 
-type Waiting = Rc<RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>>;
+/// The callers that wait for replies, by the id of their call.
+type PendingCalls = RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>;
 
+/// One connection, from the first call on it until it breaks.
 struct Link {
+    /// Frames to write, at most [`MAX_QUEUED_FRAMES`].
     queue: mpsc::Sender<Vec<u8>>,
-    waiting: Waiting,
-    up: Cell<bool>,
-    /// The answer that is coming in.
-    arriving: Cell<Arriving>,
-}
-
-/// Id of a call, and how much of its answer has come.
-#[derive(Clone, Copy, Default)]
-struct Arriving {
-    id: u64,
-    bytes: usize,
+    pending: PendingCalls,
+    /// Whether the connection came up.
+    is_connected: Cell<bool>,
+    /// The reply that is arriving.
+    arriving: Cell<Progress>,
 }
 
 /// This node's connections to others.
+///
+/// Each connection has a task that owns it. It ends when the connection breaks or does not come up; then callers that
+/// wait get an error, and the next call makes a new one. No borrow is held across an `await`.
 pub struct Links {
     net: SharedNet,
-    peers: RefCell<BTreeMap<SocketAddr, Rc<Link>>>,
-    next: Cell<u64>,
-}
-
-fn frame(id: u64, body: &impl SerBin) -> Vec<u8> {
-    let mut out = vec![0; 12];
-    body.ser_bin(&mut out);
-    let length = (out.len() - 4) as u32;
-    out[..4].copy_from_slice(&length.to_le_bytes());
-    out[4..12].copy_from_slice(&id.to_le_bytes());
-    out
-}
-
-/// Id and body of the next frame; None where the connection ends or is not ours. `progress` hears of each part that
-/// comes.
-async fn next_frame(
-    from: &mut BufReader<ReadHalf<Stream>>,
-    progress: impl Fn(Arriving),
-) -> Option<(u64, Vec<u8>)> {
-    let length = from.read_u32_le().await.ok()? as usize;
-    if !(8..=MAX_FRAME).contains(&length) {
-        return None;
-    }
-    let id = from.read_u64_le().await.ok()?;
-    let wanted = length - 8;
-    // Grows as bytes come, not as a hostile length claims.
-    let mut body = Vec::new();
-    while body.len() < wanted {
-        let part = from.fill_buf().await.ok()?;
-        if part.is_empty() {
-            return None;
-        }
-        let taken = part.len().min(wanted - body.len());
-        body.extend_from_slice(&part[..taken]);
-        from.consume(taken);
-        progress(Arriving {
-            id,
-            bytes: body.len(),
-        });
-    }
-    Some((id, body))
-}
-
-/// None where the peer refuses, or no try came through.
-async fn dial(net: &SharedNet, to: SocketAddr) -> Option<Stream> {
-    for patience in DIALS {
-        if let Ok(dialled) = timeout(patience, net.dial(to)).await {
-            return dialled.ok();
-        }
-    }
-    None
-}
-
-async fn write_frames(mut to: WriteHalf<Stream>, mut queue: mpsc::Receiver<Vec<u8>>) {
-    while let Some(mut bytes) = queue.recv().await {
-        // What waits goes out together: each write costs.
-        while bytes.len() < 64 << 10 {
-            match queue.try_recv() {
-                Ok(more) => bytes.extend_from_slice(&more),
-                Err(_) => break,
-            }
-        }
-        if to.write_all(&bytes).await.is_err() {
-            return;
-        }
-    }
+    /// Invariant: a link is here as long as its task runs.
+    links: RefCell<BTreeMap<SocketAddr, Rc<Link>>>,
+    next_id: Cell<u64>,
 }
 
 impl Links {
+    /// No connections yet.
     pub fn new(net: SharedNet) -> Rc<Links> {
         Rc::new(Links {
             net,
-            peers: RefCell::default(),
-            next: Cell::new(0),
+            links: RefCell::default(),
+            next_id: Cell::new(0),
         })
     }
 
+    /// The link to an address, made where there is none.
     fn link(self: &Rc<Self>, to: SocketAddr) -> Rc<Link> {
-        if let Some(link) = self.peers.borrow().get(&to) {
+        if let Some(link) = self.links.borrow().get(&to) {
             return link.clone();
         }
-        let (queue, queued) = mpsc::channel(QUEUE);
+        let (queue, queued) = mpsc::channel(MAX_QUEUED_FRAMES);
         let link = Rc::new(Link {
             queue,
-            waiting: Waiting::default(),
-            up: Cell::new(false),
+            pending: PendingCalls::default(),
+            is_connected: Cell::new(false),
             arriving: Cell::default(),
         });
-        self.peers.borrow_mut().insert(to, link.clone());
-        let (links, held) = (self.clone(), link.clone());
-        spawn_local(async move {
-            held.run(&links.net, to, queued).await;
-            // Dropping the senders tells every caller.
-            held.waiting.borrow_mut().clear();
-            let mut peers = links.peers.borrow_mut();
-            if peers.get(&to).is_some_and(|l| Rc::ptr_eq(l, &held)) {
-                peers.remove(&to);
-            }
-        });
+        self.links.borrow_mut().insert(to, link.clone());
+        spawn_local(self.clone().run_link(to, link.clone(), queued));
         link
     }
 
-    /// A number that no other call of this process has, on any connection: an answer that comes late finds nobody.
+    /// The task of a link.
+    async fn run_link(
+        self: Rc<Self>,
+        to: SocketAddr,
+        link: Rc<Link>,
+        queued: mpsc::Receiver<Vec<u8>>,
+    ) {
+        link.run(&self.net, to, queued).await;
+        // Callers learn of it by the drop of their sender.
+        link.pending.borrow_mut().clear();
+        let mut links = self.links.borrow_mut();
+        if links.get(&to).is_some_and(|l| Rc::ptr_eq(l, &link)) {
+            links.remove(&to);
+        }
+    }
+
+    /// A number that no other call of this process has, on any connection: a reply that arrives late finds nobody.
     fn next_id(&self) -> u64 {
-        let id = self.next.get();
+        let id = self.next_id.get();
         if rules::call_ids_are_unique() {
-            self.next.set(id + 1);
+            self.next_id.set(id + 1);
         }
         id
     }
 
-    /// One call and its answer. It is sent once: `Unreachable` and `Crowded` prove that it was not sent, `Broken` and
-    /// `Silent` prove nothing, and the caller decides whether it may be repeated.
+    /// Sends a call and waits for its reply. It is sent once; `reply_timeout` is extended while the reply is arriving.
+    ///
+    /// # Errors
+    ///
+    /// A [`LinkError`], which says whether the call may be repeated.
     pub async fn call(
         self: &Rc<Self>,
         to: SocketAddr,
         call: &Call,
-        patience: Duration,
+        reply_timeout: Duration,
     ) -> Result<Reply, LinkError> {
         let link = self.link(to);
         let id = self.next_id();
-        let (answer, mut answered) = oneshot::channel();
-        link.waiting.borrow_mut().insert(id, answer);
-        if link.queue.try_send(frame(id, call)).is_err() {
-            link.waiting.borrow_mut().remove(&id);
+        let (reply, mut replied) = oneshot::channel();
+        link.pending.borrow_mut().insert(id, reply);
+        if link.queue.try_send(frames::encode(id, call)).is_err() {
+            link.pending.borrow_mut().remove(&id);
             return Err(LinkError::Crowded);
         }
         let began = Instant::now();
         loop {
-            let before = link.arrived(id);
-            match timeout(patience, &mut answered).await {
+            let arrived_before = link.arrived_bytes(id);
+            match timeout(reply_timeout, &mut replied).await {
                 Ok(Ok(reply)) => return Ok(reply),
-                Ok(Err(_)) if link.up.get() => return Err(LinkError::Broken),
-                Ok(Err(_)) => return Err(LinkError::Unreachable),
-                Err(_) if link.arrived(id) > before && began.elapsed() < LONGEST_ANSWER => {}
+                Ok(Err(_)) => return Err(link.error()),
                 Err(_) => {
-                    link.waiting.borrow_mut().remove(&id);
-                    return Err(LinkError::TimedOut);
+                    let is_arriving = link.arrived_bytes(id) > arrived_before;
+                    if !is_arriving || began.elapsed() >= MAX_REPLY_TIME {
+                        link.pending.borrow_mut().remove(&id);
+                        return Err(LinkError::TimedOut);
+                    }
                 }
             }
         }
     }
 
-    /// One word that needs no answer; lost where the peer can't be reached.
+    /// Sends a call that has no reply. It is lost where the peer can't be reached or reads too slowly: whoever depends on
+    /// it sends it again.
     pub fn cast(self: &Rc<Self>, to: SocketAddr, call: &Call) {
         let link = self.link(to);
         let id = self.next_id();
-        // Full: the peer reads too slowly, and what was lost is said again by whoever needs it.
-        let _ = link.queue.try_send(frame(id, call));
+        let _ = link.queue.try_send(frames::encode(id, call));
     }
 }
 
 impl Link {
-    /// How much of the answer to a call has come, while it is the one that is coming.
-    fn arrived(&self, id: u64) -> usize {
+    /// The error of calls that wait on it when it ends.
+    fn error(&self) -> LinkError {
+        if self.is_connected.get() {
+            LinkError::Broken
+        } else {
+            LinkError::Unreachable
+        }
+    }
+
+    /// How much of the reply to a call has arrived, while it is the one that is arriving.
+    fn arrived_bytes(&self, id: u64) -> usize {
         let arriving = self.arriving.get();
         if arriving.id == id && rules::arriving_replies_extend_timeout() {
             arriving.bytes
@@ -231,92 +185,46 @@
         }
     }
 
+    /// Connects, then writes and reads frames until the connection breaks.
     async fn run(&self, net: &SharedNet, to: SocketAddr, queued: mpsc::Receiver<Vec<u8>>) {
-        let Some(mut stream) = dial(net, to).await else {
+        let Some(mut stream) = connect(net, to).await else {
             return;
         };
         if stream.write_all(HELLO).await.is_err() {
             return;
         }
-        self.up.set(true);
+        self.is_connected.set(true);
         let (from, into) = split(stream);
-        let mut from = BufReader::new(from);
-        let reading = async {
-            while let Some((id, body)) = next_frame(&mut from, |a| self.arriving.set(a)).await {
-                let Some(reply) = sparrouter_codec::read::<Reply>(&body) else {
-                    return;
-                };
-                if let Some(waiting) = self.waiting.borrow_mut().remove(&id) {
-                    // A caller that no longer waits has said so by dropping its end.
-                    let _ = waiting.send(reply);
-                }
-            }
-        };
         // In this order, so that the same seed gives the same run.
         tokio::select! {
             biased;
-            () = reading => {}
-            () = write_frames(into, queued) => {}
+            () = self.read_replies(BufReader::new(from)) => {}
+            () = frames::write_queue(into, queued) => {}
         }
     }
-}
 
-/// Takes the calls of other nodes; each is answered by `answer`, which may take its time.
-pub async fn serve<F, A>(door: Box<dyn Listener>, answer: F)
-where
-    F: Fn(SocketAddr, Call) -> A + Clone + 'static,
-    A: Future<Output = Option<Reply>> + 'static,
-{
-    let places = Arc::new(Semaphore::new(PEERS));
-    loop {
-        let (stream, peer) = net::accept(&*door).await;
-        let Ok(place) = places.clone().try_acquire_owned() else {
-            continue;
-        };
-        let answer = answer.clone();
-        spawn_local(async move {
-            attend(stream, peer, answer).await;
-            drop(place);
-        });
+    /// Gives each reply to its caller until the connection breaks.
+    async fn read_replies(&self, mut from: BufReader<ReadHalf<Stream>>) {
+        while let Some(frame) =
+            frames::read(&mut from, |progress| self.arriving.set(progress)).await
+        {
+            let Some(reply) = sparrouter_codec::read::<Reply>(&frame.body) else {
+                return;
+            };
+            if let Some(pending) = self.pending.borrow_mut().remove(&frame.id) {
+                // The caller may have stopped waiting.
+                let _ = pending.send(reply);
+            }
+        }
     }
 }
 
-async fn attend<F, A>(stream: Stream, peer: SocketAddr, answer: F)
-where
-    F: Fn(SocketAddr, Call) -> A + Clone + 'static,
-    A: Future<Output = Option<Reply>> + 'static,
-{
-    let (from, into) = split(stream);
-    let mut from = BufReader::new(from);
-    let mut hello = [0; HELLO.len()];
-    let greeted = timeout(Duration::from_secs(5), from.read_exact(&mut hello)).await;
-    if !matches!(greeted, Ok(Ok(_))) || &hello != HELLO {
-        return;
-    }
-    let (queue, queued) = mpsc::channel(QUEUE);
-    let at_once = Arc::new(Semaphore::new(AT_ONCE));
-    let reading = async {
-        while let Some((id, body)) = next_frame(&mut from, |_| ()).await {
-            let Some(call) = sparrouter_codec::read::<Call>(&body) else {
-                return;
-            };
-            let Ok(permit) = at_once.clone().acquire_owned().await else {
-                return;
-            };
-            let (answer, queue) = (answer.clone(), queue.clone());
-            spawn_local(async move {
-                if let Some(reply) = answer(peer, call).await {
-                    // The peer may have left meanwhile.
-                    let _ = queue.send(frame(id, &reply)).await;
-                }
-                drop(permit);
-            });
+/// A new connection; `None` where the peer refuses or no attempt succeeds in time.
+async fn connect(net: &SharedNet, to: SocketAddr) -> Option<Stream> {
+    for attempt_timeout in CONNECT_TIMEOUTS {
+        if let Ok(connected) = timeout(attempt_timeout, net.dial(to)).await {
+            return connected.ok();
         }
-    };
-    // In this order, so that the same seed gives the same run.
-    tokio::select! {
-        biased;
-        () = reading => {}
-        () = write_frames(into, queued) => {}
     }
+    None
 }
--- a/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
@@ -102,7 +102,7 @@
 
 /// Starts to follow what falls to this node and is not followed yet.
 fn start_new(node: &Rc<Node>, following: &Rc<Following>) {
-    if node.leaving.get() {
+    if node.is_leaving() {
         return;
     }
     for one in assigned_here(node) {
@@ -189,7 +189,7 @@
 async fn keep_on(node: &Rc<Node>, one: Followed) {
     let mut source = Source::default();
     let (mut failed, mut link) = (0u32, None);
-    while node.keeps(one.name) && !node.leaving.get() && is_there(node, &one) {
+    while node.keeps(one.name) && !node.is_leaving() && is_there(node, &one) {
         match ask(&*node.net, &mut link, one.address, source.next_event()).await {
             Some(page) => {
                 failed = 0;
--- a/crates/sparrouter-fleet/src/prefix_cache/location.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/location.rs
@@ -10,7 +10,8 @@
 impl Node {
     /// Whether a store may be named: not while its follower tells that it does not answer.
     pub fn store_is_up(&self, store: u64) -> bool {
-        self.stores
+        self.owned_keys
+            .store_epochs
             .borrow()
             .get(&store)
             .is_none_or(|told| *told != 0)
@@ -19,7 +20,12 @@
     /// Asks the owner of a prefix's last part where it is kept. None where it did not answer.
     pub async fn advice(&self, question: PrefixQuery) -> Option<PrefixLocation> {
         let Some(owner) = self.owner(question.key) else {
-            return Some(self.index.borrow_mut().query(question, self.now()));
+            return Some(
+                self.owned_keys
+                    .prefix_index
+                    .borrow_mut()
+                    .query(question, self.now()),
+            );
         };
         let PrefixQuery { key, server, store } = question;
         match self
@@ -45,7 +51,7 @@
     /// What a source keeps now of parts that this node owns.
     pub fn kept_here(&self, source: u64, void: bool, rows: &[CachedBlock]) {
         let now = self.now();
-        let mut index = self.index.borrow_mut();
+        let mut index = self.owned_keys.prefix_index.borrow_mut();
         if void {
             index.remove_source(source);
         }
@@ -74,7 +80,7 @@
                 tokens: c.tokens,
             };
             let rows: Vec<CachedBlock> = rows.iter().map(row).collect();
-            match live.address_at(place) {
+            match live.owner_address_at(place) {
                 None => self.kept_here(name, void, &rows),
                 Some(address) => {
                     self.links.cast(
--- a/crates/sparrouter-fleet/src/process/run.rs
+++ b/crates/sparrouter-fleet/src/process/run.rs
@@ -11,7 +11,7 @@
 use crate::membership::registry::Registry;
 use crate::node::Node;
 use crate::node::shutdown::GracefulShutdown;
-use crate::peer::links;
+use crate::peer::server;
 use crate::platform::defects::rules;
 use crate::platform::http::Response;
 use crate::platform::log_buffer::LogBuffer;
@@ -202,10 +202,10 @@
 fn start_endpoints(services: &Rc<ControlServices>, listeners: Listeners) -> watch::Sender<Stage> {
     let node = &services.node;
     let answering = services.clone();
-    spawn_local(links::serve(listeners.internal, move |peer, call| {
+    spawn_local(server::serve(listeners.internal, move |peer, call| {
         answer(answering.clone(), peer, call)
     }));
-    polls::start(node.clone(), services.control.is_some());
+    polls::start(node, services.control.is_some());
     let is_founder = {
         let boot = node.settings.borrow();
         boot.first_start && boot.seeds.first().is_none_or(|s| s.ip() == boot.ip)
@@ -273,9 +273,9 @@
     grace: Duration,
 ) {
     let departure = GracefulShutdown::new(Instant::now(), grace);
-    node.graceful_shutdown.set(Some(departure));
+    node.shutdown.set(Some(departure));
     stage.send_replace(Stage::Leaving);
-    node.say_leaving();
+    node.announce_leaving();
     if let Some(control) = control {
         spawn_local(control.clone().hand_over());
     }
@@ -284,16 +284,17 @@
     let mut quiet = 0;
     while Instant::now() < departure.process_ends() {
         tokio::time::sleep(QUIET_LOOK.min(departure.process_ends() - Instant::now())).await;
-        let is_done = node.open.get() == 0 && control.is_none_or(|c| c.is_handed_over());
+        let is_done =
+            node.traffic.open_requests() == 0 && control.is_none_or(|c| c.is_handed_over());
         quiet = if is_done { quiet + 1 } else { 0 };
         if quiet >= QUIET_LOOKS {
             return;
         }
     }
-    if node.open.get() > 0 {
+    if node.traffic.open_requests() > 0 {
         node.log_buffer.breach(&format!(
             "{} requests were still open at the end of the grace period",
-            node.open.get()
+            node.traffic.open_requests()
         ));
     }
     let held_back = control
@@ -308,7 +309,7 @@
 }
 
 fn is_ready(node: &Node) -> bool {
-    let leaving = node.leaving.get() && rules::leaving_nodes_are_not_ready();
+    let leaving = node.is_leaving() && rules::leaving_nodes_are_not_ready();
     node.is_confirmed() && !leaving && node.active_configuration().table.is_some()
 }
 
@@ -316,12 +317,12 @@
 /// that it was told may be an old one, but it serves by that configuration what clients send it all the same.
 async fn report_no_quorum(node: Rc<Node>, contact: Duration) {
     tokio::time::sleep(contact).await;
-    if !node.informed.get() && node.active_configuration().table.is_some() {
+    if !node.fleet_contact.is_informed() && node.active_configuration().table.is_some() {
         node.log_buffer.breach(
             "no quorum of the control state is heard of since the start: not ready, the configuration here may be old",
         );
         if !rules::readiness_needs_quorum() {
-            node.informed.set(true);
+            node.fleet_contact.mark_informed();
         }
     }
 }
@@ -346,7 +347,7 @@
             if quorum_contact != control.has_quorum_contact() {
                 // Nodes that poll this one want to know.
                 quorum_contact = !quorum_contact;
-                node.changed();
+                node.notify_subscribers();
             }
             if quorum_contact {
                 (had, lost) = (true, None);
@@ -371,7 +372,7 @@
         if rounds.is_multiple_of(16) {
             node.membership.borrow_mut().drop_expired(now);
             // What changed without a word to others goes out by now, and words on servers run out.
-            node.stir();
+            node.publish_changes();
         }
     }
 }
--- a/crates/sparrouter-fleet/src/proxy/backlogs.rs
+++ b/crates/sparrouter-fleet/src/proxy/backlogs.rs
@@ -1,5 +1,5 @@
 //! How long prompts wait at servers: each server's backlog is counted by the node that owns the server.
-use crate::node::{KEPT, Node};
+use crate::node::{Node, PREFIX_RETENTION};
 use crate::peer::messages::{Call, Reply};
 use sparrouter_routing::Nanos;
 use std::time::Duration;
@@ -13,9 +13,9 @@
     /// Counts a prompt at a server that this node keeps, unless it would wait too long. Gives back how long it would.
     pub fn wait_here(&self, server: u64, token: u64, cost: u32, urgency: u8, most: Nanos) -> Nanos {
         let now = self.now();
-        let mut backlogs = self.backlogs.borrow_mut();
+        let mut backlogs = self.owned_keys.backlogs.borrow_mut();
         if backlogs.len() > MOST_BACKLOGS {
-            backlogs.retain(|_, b| now.saturating_sub(b.last_used_at()) < KEPT);
+            backlogs.retain(|_, b| now.saturating_sub(b.last_used_at()) < PREFIX_RETENTION);
         }
         let backlog = backlogs.entry(server).or_default();
         let wait = backlog.estimate_wait(u32::from(urgency), now);
@@ -26,7 +26,7 @@
     }
 
     pub fn over_here(&self, server: u64, token: u64, began: bool) {
-        if let Some(backlog) = self.backlogs.borrow_mut().get_mut(&server) {
+        if let Some(backlog) = self.owned_keys.backlogs.borrow_mut().get_mut(&server) {
             backlog.remove(token, began, self.now());
         }
     }
--- a/crates/sparrouter-fleet/src/proxy/exchange.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange.rs
@@ -80,7 +80,7 @@
     ahead: &mut BytesMut,
     keep: bool,
 ) -> Ended {
-    let config = node.first_config(came + FIRST_CONFIG).await;
+    let config = node.first_configuration(came + FIRST_CONFIG).await;
     let Some(table) = config.table.as_deref() else {
         return Ended::Own(Response::retry_later(
             node.jitter(Duration::from_millis(200)),
@@ -118,7 +118,11 @@
         fields.text("sparrouter-prompt-prefix"),
         fields.text("sparrouter-token-usage"),
     );
-    let is_long = node.typical_output.borrow_mut().observe(prompt.tokens_out);
+    let is_long = node
+        .traffic
+        .typical_output
+        .borrow_mut()
+        .observe(prompt.tokens_out);
     let wall = tenant
         .filter(|t| t.isolated)
         .map(|t| t.name.as_str())
@@ -132,7 +136,7 @@
         .key(&group)
         .unwrap_or_else(|| sparrouter_rendezvous::hash(&attempt_id));
     let service = route.select_service(key).to_owned();
-    node.budget(&service, |b, now| b.record_request(now));
+    node.record_request(&service);
     let mut exchange = Exchange {
         node,
         pool,
@@ -163,13 +167,13 @@
 /// Whether a request that came just now can end before this process does. True where it was not told to end.
 fn may_end_here(node: &Node, route: &Route, until: Instant) -> bool {
     let Some(departure) = node
-        .graceful_shutdown
+        .shutdown
         .get()
         .filter(|_| rules::shutdown_limits_admission())
     else {
         return true;
     };
-    let longest = node.durations.borrow().longest(&route.name);
+    let longest = node.traffic.durations.borrow().longest(&route.name);
     departure.admits(Instant::now(), until, longest)
 }
 
@@ -287,10 +291,11 @@
 
     fn record_duration(&self) {
         let duration = nanos(self.came.elapsed());
-        self.node
-            .durations
-            .borrow_mut()
-            .record(&self.route.name, duration, self.node.now());
+        self.node.traffic.durations.borrow_mut().record(
+            &self.route.name,
+            duration,
+            self.node.now(),
+        );
     }
 
     fn instance(&self, ix: ServerIndex) -> String {
--- a/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
@@ -232,7 +232,7 @@
             SelectionError::NoServer if proved => later(300),
             _ => gone.clone(),
         })?;
-        if again && !self.node.may_repeat(&self.service) {
+        if again && !self.node.may_retry(&self.service) {
             return Err(refused());
         }
         Ok(pick)
--- a/crates/sparrouter-fleet/src/proxy/exchange/api_key.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/api_key.rs
@@ -25,7 +25,7 @@
 
 /// Whether requests with keys may go by what is in force here.
 pub(super) fn may_go_by(node: &Node) -> bool {
-    node.holds_configuration_lease() || !rules::keys_need_lease()
+    node.has_configuration_lease() || !rules::keys_need_lease()
 }
 
 /// The answer to a request that has not run, where the configuration here may be old.
@@ -40,7 +40,7 @@
         let Some(tenant) = self.tenant else {
             return KeyState::Good;
         };
-        if !self.node.configuration_lease.borrow().is_needed() {
+        if !self.node.configuration.lease.borrow().is_needed() {
             return KeyState::Good;
         }
         if !may_go_by(self.node) {
--- a/crates/sparrouter-fleet/src/proxy/frontend.rs
+++ b/crates/sparrouter-fleet/src/proxy/frontend.rs
@@ -1,5 +1,5 @@
 //! The client edge: connections, one request at a time on each, limits of the configuration, an honest end.
-use crate::node::Node;
+use crate::node::{Node, OpenRequest};
 use crate::platform::defects::rules;
 use crate::platform::http::{self, ReadLimits, RequestReadError, Response};
 use crate::platform::net::{self, Listener, Stream};
@@ -95,7 +95,7 @@
         {
             return;
         }
-        let _open = OpenRequest::new(&node);
+        let _open = OpenRequest::begin(&node.traffic);
         let header_timeout = Duration::from_millis(limits.header_timeout_ms.max(1));
         let room = ReadLimits {
             max_head_bytes: limits.max_header_bytes,
@@ -160,22 +160,6 @@
     }
 }
 
-/// A request that is read or worked on; counted until its answer is written.
-struct OpenRequest<'a>(&'a Node);
-
-impl<'a> OpenRequest<'a> {
-    fn new(node: &'a Node) -> OpenRequest<'a> {
-        node.open.set(node.open.get() + 1);
-        OpenRequest(node)
-    }
-}
-
-impl Drop for OpenRequest<'_> {
-    fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
-    }
-}
-
 /// Waits for a request to begin. False where the connection is to be closed.
 async fn first_byte(
     stream: &mut Stream,
--- a/crates/sparrouter-fleet/src/rollout/load.rs
+++ b/crates/sparrouter-fleet/src/rollout/load.rs
@@ -235,7 +235,7 @@
         );
         // Last thing before it leaves: a freeze may lie behind any wait.
         let waited = self.node.now().saturating_sub(began);
-        if waited > nanos(self.lease()) / 3 || self.node.leaving.get() {
+        if waited > nanos(self.lease()) / 3 || self.node.is_leaving() {
             return None;
         }
         if link.send(&Bytes::from(head), &Bytes::from(body)).await == SendOutcome::Nothing {
--- a/crates/sparrouter-fleet/src/rollout/mod.rs
+++ b/crates/sparrouter-fleet/src/rollout/mod.rs
@@ -131,7 +131,7 @@
             tokio::time::sleep(self.node.jitter(LOOK)).await;
             let mine = self.control.is_first(self.shard)
                 && self.control.has_quorum_contact()
-                && !self.node.leaving.get();
+                && !self.node.is_leaving();
             match (mine, self.held.get()) {
                 (true, None) => self.acquire().await,
                 (false, Some(held)) if self.loading.borrow().is_empty() => self.release(held).await,
