--- a/crates/sparrouter-fleet/src/api/peer.rs
+++ b/crates/sparrouter-fleet/src/api/peer.rs
@@ -55,7 +55,7 @@
             replaces_all,
             blocks: rows,
         } => {
-            node.kept_here(source, replaces_all, &rows);
+            node.record_cached_blocks(source, replaces_all, &rows);
             None
         }
         Call::EstimateWait {
--- a/crates/sparrouter-fleet/src/platform/upstream.rs
+++ b/crates/sparrouter-fleet/src/platform/upstream.rs
@@ -153,8 +153,9 @@
         Poll::Ready(())
     }
 
-    /// Open and silent, as a resting connection must be: bytes on it belong to no request of ours.
-    pub fn is_silent(&self) -> bool {
+    /// Whether the connection is open and nothing has arrived on it, as on one between requests: bytes on it belong to no
+    /// request of ours.
+    pub fn is_idle(&self) -> bool {
         self.buffer.is_empty() && self.stream.stream.read_available(&mut [0]).is_none()
     }
 
@@ -193,7 +194,7 @@
         let all = resting.get_mut(instance)?;
         let now = Instant::now();
         while let Some(link) = all.pop() {
-            if link.until > now && link.is_silent() {
+            if link.until > now && link.is_idle() {
                 return Some(link);
             }
         }
--- a/crates/sparrouter-fleet/src/process/run.rs
+++ b/crates/sparrouter-fleet/src/process/run.rs
@@ -189,7 +189,7 @@
     spawn_local(node.clone().carry_out());
     let control = in_core.then(|| Control::start(node.clone(), stock));
     if let Some(control) = &control {
-        rollout::start(node.clone(), control.clone());
+        rollout::start(&node, control);
     }
     Rc::new(ControlServices {
         node,
--- a/crates/sparrouter-fleet/src/proxy/exchange/prefix_lookup.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/prefix_lookup.rs
@@ -53,7 +53,7 @@
                 server,
                 store: if place == 0 { named } else { 0 },
             };
-            let Some(advice) = self.node.advice(question).await else {
+            let Some(advice) = self.node.locate_prefix(question).await else {
                 // Its owner is gone or slow: the store mostly has what is asked for often.
                 memory.fetch = store.clone();
                 break;
--- a/crates/sparrouter-fleet/src/rollout/load.rs
+++ b/crates/sparrouter-fleet/src/rollout/load.rs
@@ -1,261 +1,233 @@
-//! One server taken to the newest weights: nothing new goes to it, one order a version, until it runs the newest.
-use super::calls::{Report, answer, report};
-use super::{DirectiveKind, FRESH, Held, RolloutTask};
-use crate::node::counters::count;
-use crate::platform::defects::rules;
-use crate::platform::upstream::{SendOutcome, Upstream};
+//! One server brought to the newest weights: no new request goes to it, one order a version, until it runs the newest.
+use super::directives::{DirectiveKind, ServerModel};
+use super::lease::{FRESH_FOR, HeldLease};
+use super::order::Order;
+use super::server_calls::{Report, request_report};
+use super::{RolloutTask, TargetVersion};
 use crate::settings::nanos;
-use bytes::Bytes;
 use sparrouter_membership::LifecycleState;
 use sparrouter_routing::Nanos;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Other nodes have heard by then that nothing new goes to a server.
-const SPREAD: Duration = Duration::from_millis(40);
-/// Between two looks at a server that is taking new weights.
-const REPORT: Duration = Duration::from_millis(250);
-/// A report shows the state of some hundred milliseconds before: after so long an order that was taken shows in it.
+/// By then the other nodes know that no new request goes to a server.
+const DIRECTIVE_DELAY: Duration = Duration::from_millis(40);
+/// Time between two reports of a server that takes new weights.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// A report shows the state of some hundred milliseconds before: after this long it shows an order that was accepted.
 const REPORT_LAG: Duration = Duration::from_millis(1_000);
-/// A server is waited for so many times as long as requests may begin on older versions.
-const LONGEST: u64 = 2;
-/// Of the time that the last loads took, the part that the newest counts for.
+/// A server may take this many times as long as requests may begin on older versions.
+const MAX_LOAD_TIME_RATIO: u64 = 2;
+/// Weight of the newest load in the average of the time that loads take.
 const NEWEST_WEIGHT: f64 = 0.3;
 
-/// Why no more is done about a server for now.
+/// How the work on a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ended {
+enum LoadOutcome {
     /// It runs this version, the newest.
     Runs(u64),
-    /// It left, the lease is another's, no quorum answers, or it takes too long.
-    GivenUp,
+    /// It left, another node has the lease, no quorum answers, or it takes too long.
+    Abandoned,
 }
 
 /// What is known of one server while it is brought to the newest version.
 struct Progress {
-    /// The newest version, and since when it is.
+    /// The newest version, and since when it is the target.
     target: u64,
-    since: Nanos,
-    /// The last version that it took an order for.
+    target_since: Nanos,
+    /// The last version that the server accepted an order for.
     ordered: Option<u64>,
-    /// As it last told: the version that it runs, whether an order is under way, how many it took.
+    /// By its last report: the version that it runs, whether it carries out an order, how many orders it has accepted.
     runs: u64,
     is_busy: bool,
     call_sequence: Option<u64>,
-    /// When it last took an order or told that one is under way.
-    last_at_work: Nanos,
-    /// Another version was named meanwhile, so the time taken is not that of one load.
+    /// When it last accepted an order or reported that it carries one out.
+    last_busy_at: Nanos,
+    /// Another version was named meanwhile, so that the time taken is not that of one load.
     was_overtaken: bool,
 }
 
 impl Progress {
-    fn new(target: u64, since: Nanos) -> Progress {
+    fn new(target: u64, target_since: Nanos) -> Progress {
         Progress {
             target,
-            since,
+            target_since,
             ordered: None,
             runs: 0,
             is_busy: false,
             call_sequence: None,
-            last_at_work: 0,
+            last_busy_at: 0,
             was_overtaken: false,
         }
     }
 
-    /// Whether the target is to be ordered now. A server that is at work on another order, this node's or that of an earlier
-    /// holder, would decline. An order that a server took and shows nothing of is given again: it names how many orders
-    /// the server has taken, so that it is not done twice.
+    /// Whether the target is to be ordered now. A server that carries out another order, this node's or that of an
+    /// earlier lease holder, would decline. An order that the server accepted and shows nothing of is sent again: it
+    /// names how many orders the server has accepted, so that it is not carried out twice.
     fn may_order(&self, now: Nanos) -> bool {
         let was_ordered = self.ordered.is_some_and(|ordered| self.runs < ordered);
-        let may_not_show_yet = now.saturating_sub(self.last_at_work) < nanos(REPORT_LAG);
+        let may_not_show_yet = now.saturating_sub(self.last_busy_at) < nanos(REPORT_LAG);
         let is_at_work = self.is_busy || (was_ordered && may_not_show_yet);
         !is_at_work
     }
 
-    /// Takes in what the server told.
-    fn learn(&mut self, report: &Report, model: &str, now: Nanos) {
+    fn apply_report(&mut self, report: &Report, model: &str, now: Nanos) {
         self.runs = report.version_of(model);
         self.is_busy = report.is_busy;
         self.call_sequence = Some(report.call_sequence);
         if report.is_busy {
-            self.last_at_work = now;
+            self.last_busy_at = now;
         }
     }
+
+    /// Takes over a version that was named meanwhile.
+    fn retarget(&mut self, version: u64, now: Nanos) {
+        (self.target, self.target_since) = (version, now);
+        self.was_overtaken = true;
+    }
+}
+
+/// A server whose load goes on.
+struct LoadTarget {
+    address: SocketAddr,
+    /// The newest version of the model.
+    version: u64,
 }
 
 impl RolloutTask {
-    /// Brings one server to the newest version of a model. One that is named while the server loads is ordered next, and
-    /// nothing new goes to the server until it runs that.
-    pub(super) async fn bring_to_newest(&self, held: Held, id: &str, model: &str, version: u64) {
-        self.direct(held, DirectiveKind::Load, id, model, version, false);
-        tokio::time::sleep(SPREAD).await;
-        let mut progress = Progress::new(version, self.node.now());
-        let ended = self.load(held, id, model, &mut progress).await;
-        let reached = match ended {
-            Ended::Runs(version) => version,
-            Ended::GivenUp => 0,
+    /// Brings one server to the newest version of a model. A version that is named while the server loads is ordered
+    /// next, and no new request goes to the server until it runs that.
+    pub(super) async fn bring_to_newest(&self, held: HeldLease, id: &str, target: &TargetVersion) {
+        let model = target.model.as_str();
+        let server = ServerModel { id, model };
+        self.direct(held, DirectiveKind::Load, server, target.version);
+        tokio::time::sleep(DIRECTIVE_DELAY).await;
+        let mut progress = Progress::new(target.version, self.node.now());
+        let outcome = self.load(held, server, &mut progress).await;
+        let reached = match outcome {
+            LoadOutcome::Runs(version) => version,
+            LoadOutcome::Abandoned => 0,
         };
         if reached > 0 && !progress.was_overtaken {
-            let took = (self.node.now() - progress.since) as f64 / 1e9;
-            let before = self.seconds_each.get();
-            self.seconds_each
-                .set(before + NEWEST_WEIGHT * (took - before));
+            self.record_load_time(self.node.now() - progress.target_since);
         }
         let announced = (id.to_owned(), model.to_owned());
         if self.announced.borrow_mut().remove(&announced) {
-            self.direct(held, DirectiveKind::Soon, id, model, progress.target, true);
+            self.withdraw(held, DirectiveKind::Soon, server, progress.target);
         }
-        self.direct(held, DirectiveKind::Load, id, model, reached, true);
+        self.withdraw(held, DirectiveKind::Load, server, reached);
     }
 
-    async fn load(&self, held: Held, id: &str, model: &str, progress: &mut Progress) -> Ended {
-        let longest = nanos(self.node.settings.borrow().bounds.version) * LONGEST;
+    fn record_load_time(&self, elapsed: Nanos) {
+        let seconds = elapsed as f64 / 1e9;
+        let average = self.load_seconds.get();
+        self.load_seconds
+            .set(average + NEWEST_WEIGHT * (seconds - average));
+    }
+
+    async fn load(
+        &self,
+        held: HeldLease,
+        server: ServerModel<'_>,
+        progress: &mut Progress,
+    ) -> LoadOutcome {
+        let max_time = nanos(self.node.settings.borrow().bounds.version) * MAX_LOAD_TIME_RATIO;
         loop {
-            let Some((address, newest)) = self.still_to_do(held, id, model) else {
-                return Ended::GivenUp;
+            let Some(LoadTarget { address, version }) = self.load_target(held, server) else {
+                return LoadOutcome::Abandoned;
             };
-            if newest > progress.target {
-                (progress.target, progress.since) = (newest, self.node.now());
-                progress.was_overtaken = true;
-                self.direct(held, DirectiveKind::Load, id, model, newest, false);
+            if version > progress.target {
+                progress.retarget(version, self.node.now());
+                self.direct(held, DirectiveKind::Load, server, version);
             }
-            if self.node.now() - progress.since >= longest {
-                return Ended::GivenUp;
+            if self.node.now() - progress.target_since >= max_time {
+                return LoadOutcome::Abandoned;
             }
             if progress.may_order(self.node.now())
-                && !self.order_once(held, id, address, model, progress).await
+                && self.order_target(held, server, address, progress).await == NextStep::Abandon
             {
-                return Ended::GivenUp;
+                return LoadOutcome::Abandoned;
             }
-            tokio::time::sleep(self.node.jitter(REPORT)).await;
-            let Some(report) = report(&*self.node.net, address).await else {
+            tokio::time::sleep(self.node.jitter(REPORT_INTERVAL)).await;
+            let Some(report) = request_report(&*self.node.net, address).await else {
                 continue;
             };
-            progress.learn(&report, model, self.node.now());
+            progress.apply_report(&report, server.model, self.node.now());
             if progress.runs >= progress.target && !progress.is_busy {
-                return Ended::Runs(progress.runs);
+                return LoadOutcome::Runs(progress.runs);
             }
         }
     }
 
-    /// Where the server is and the newest version of the model, while it is this node's to bring there.
-    fn still_to_do(&self, held: Held, id: &str, model: &str) -> Option<(SocketAddr, u64)> {
-        let holds = self
-            .held
-            .get()
-            .is_some_and(|now| now.fencing_token == held.fencing_token);
-        let is_ready = self
-            .node
-            .membership
-            .borrow()
-            .server(id)
-            .is_some_and(|row| row.state == LifecycleState::Ready && !row.unresponsive);
-        if !holds || !is_ready {
+    /// Where the server is and the newest version of the model; `None` once it is no longer this node's to load.
+    fn load_target(&self, held: HeldLease, server: ServerModel<'_>) -> Option<LoadTarget> {
+        let is_ready = {
+            let membership = self.node.membership.borrow();
+            let record = membership.server(server.id);
+            record.is_some_and(|r| r.state == LifecycleState::Ready && !r.unresponsive)
+        };
+        if !self.lease.is_held(held) || !is_ready {
             return None;
         }
         let server_table = self.node.server_table.borrow();
-        let address = server_table.get(server_table.find(id)?)?.address;
-        Some((address, server_table.versions.required(model)?.version))
+        Some(LoadTarget {
+            address: server_table.get(server_table.find(server.id)?)?.address,
+            version: server_table.versions.required(server.model)?.version,
+        })
     }
 
-    /// Orders the target once; false where no more is to be done about the server.
-    async fn order_once(
+    /// Orders the target once.
+    async fn order_target(
         &self,
-        held: Held,
-        id: &str,
+        held: HeldLease,
+        server: ServerModel<'_>,
         address: SocketAddr,
-        model: &str,
         progress: &mut Progress,
-    ) -> bool {
-        let expected = progress.call_sequence;
-        let status = self
-            .order(held, id, address, model, progress.target, expected)
-            .await;
-        match status {
+    ) -> NextStep {
+        let order = Order {
+            server,
+            address,
+            version: progress.target,
+            accepted_before: progress.call_sequence,
+        };
+        match self.send_order(held, &order).await {
             Some(200..=299) => {
                 progress.ordered = Some(progress.target);
-                progress.last_at_work = self.node.now();
+                progress.last_busy_at = self.node.now();
+                NextStep::Continue
             }
-            // Fenced off: another holds the lease.
-            Some(412) => return false,
+            // Fenced off: another node has the lease.
+            Some(412) => NextStep::Abandon,
             Some(421) => {
-                self.is_gone(id);
-                return false;
+                self.mark_replaced(server.id);
+                NextStep::Abandon
             }
-            // No word of a quorum: the server is worth more serving than waiting.
-            None if expected.is_none() && self.since_renewal() > nanos(FRESH * 2) => return false,
-            _ => {}
+            // No quorum confirms the lease: the server had better serve requests than wait.
+            None if order.accepted_before.is_none()
+                && self.since_renewal() > nanos(FRESH_FOR * 2) =>
+            {
+                NextStep::Abandon
+            }
+            _ => NextStep::Continue,
         }
-        true
     }
 
-    /// Another server has its address: it counts as silent until it is heard of again.
-    fn is_gone(&self, id: &str) {
+    /// Another server has its address: it counts as unresponsive until it calls again.
+    fn mark_replaced(&self, id: &str) {
         let now = self.node.now();
-        let mut rows = self.node.membership.borrow_mut();
-        if rows.mark_server_unresponsive(id, now) {
-            self.node.server_table.borrow_mut().sync(&rows, now);
-        }
-    }
-
-    /// Sends the order; gives back the status. None where there was no answer, or it was not sent.
-    async fn order(
-        &self,
-        held: Held,
-        id: &str,
-        address: SocketAddr,
-        model: &str,
-        version: u64,
-        expected: Option<u64>,
-    ) -> Option<u16> {
-        let mut link = Upstream::dial(&*self.node.net, address).await?;
-        let began = self.node.now();
-        if !self.renew(held).await {
-            return None;
+        let mut membership = self.node.membership.borrow_mut();
+        if membership.mark_server_unresponsive(id, now) {
+            let mut server_table = self.node.server_table.borrow_mut();
+            server_table.sync(&membership, now);
         }
-        let holder = self.holder().name;
-        let count = expected
-            .map(|n| format!(",\"expected_count\":{n}"))
-            .unwrap_or_default();
-        let body = format!(
-            "{{\"operation\":\"version\",\"model\":\"{model}\",\"version\":{version},\"method\":\"queue\",\
-             \"holder_id\":\"{holder}\",\"fence_token\":{}{count}}}",
-            held.fencing_token
-        );
-        // Guards against a restarted server, or another one that has its address: both take an order without it.
-        let instance = if !rules::orders_name_instance() {
-            String::new()
-        } else {
-            format!("Sparrouter-Expected-Instance: {id}\r\n")
-        };
-        let head = format!(
-            "POST /api/order HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\n{instance}\
-             Content-Length: {}\r\nConnection: close\r\n\r\n",
-            body.len()
-        );
-        // Last thing before it leaves: a freeze may lie behind any wait.
-        let waited = self.node.now().saturating_sub(began);
-        if waited > nanos(self.lease()) / 3 || self.node.is_leaving() {
-            return None;
-        }
-        if link.send(&Bytes::from(head), &Bytes::from(body)).await == SendOutcome::Nothing {
-            return None;
-        }
-        let status = answer(&mut link).await.map(|answer| answer.0);
-        self.record_order(held, id, model, version, status);
-        status
     }
+}
 
-    fn record_order(&self, held: Held, id: &str, model: &str, version: u64, status: Option<u16>) {
-        let counters = &self.node.counters;
-        count(match status {
-            Some(200..=299) => &counters.orders_taken,
-            Some(_) => &counters.orders_declined,
-            None => &counters.orders_unanswered,
-        });
-        log::info!(
-            "ordered {id} to version {version} of {model} under {}: {status:?}",
-            held.fencing_token
-        );
-    }
+/// What follows from an order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum NextStep {
+    /// The server's reports show what becomes of it.
+    Continue,
+    /// The work on the server ends.
+    Abandon,
 }
--- /dev/null
+++ b/crates/sparrouter-fleet/src/rollout/order.rs
@@ -0,0 +1,95 @@
+//! One order to a server to load weights.
+use super::RolloutTask;
+use super::directives::ServerModel;
+use super::lease::HeldLease;
+use super::server_calls::read_reply;
+use crate::node::counters::count;
+use crate::platform::defects::rules;
+use crate::platform::upstream::{SendOutcome, Upstream};
+use crate::settings::nanos;
+use bytes::Bytes;
+use std::net::SocketAddr;
+
+/// Longest wait before an order is sent, as a divisor of the lease: a freeze may lie behind any wait.
+const MAX_WAIT_DIVISOR: u64 = 3;
+
+/// An order to load a version.
+pub(super) struct Order<'a> {
+    pub(super) server: ServerModel<'a>,
+    pub(super) address: SocketAddr,
+    pub(super) version: u64,
+    /// How many orders the server had accepted before, by its report: it declines this one if it has accepted another.
+    pub(super) accepted_before: Option<u64>,
+}
+
+impl Order<'_> {
+    fn body(&self, holder: &str, fencing_token: u64) -> String {
+        let expected = self
+            .accepted_before
+            .map(|count| format!(",\"expected_count\":{count}"))
+            .unwrap_or_default();
+        let (model, version) = (self.server.model, self.version);
+        format!(
+            "{{\"operation\":\"version\",\"model\":\"{model}\",\"version\":{version},\"method\":\"queue\",\
+             \"holder_id\":\"{holder}\",\"fence_token\":{fencing_token}{expected}}}"
+        )
+    }
+
+    fn head(&self, body_bytes: usize) -> String {
+        let (id, address) = (self.server.id, self.address);
+        // Guards against a restarted server, or another one that has its address: both accept an order without it.
+        let instance = if rules::orders_name_instance() {
+            format!("Sparrouter-Expected-Instance: {id}\r\n")
+        } else {
+            String::new()
+        };
+        format!(
+            "POST /api/order HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\n{instance}\
+             Content-Length: {body_bytes}\r\nConnection: close\r\n\r\n"
+        )
+    }
+}
+
+impl RolloutTask {
+    /// Sends an order under a lease that is renewed for it. Returns the HTTP status; `None` if there was no reply, or
+    /// the order was not sent.
+    pub(super) async fn send_order(&self, held: HeldLease, order: &Order<'_>) -> Option<u16> {
+        let mut connection = Upstream::dial(&*self.node.net, order.address).await?;
+        let began = self.node.now();
+        if !self.renew_lease(held).await {
+            return None;
+        }
+        let body = order.body(&self.holder().name, held.fencing_token);
+        let head = order.head(body.len());
+        // Last thing before the bytes leave.
+        let waited = self.node.now().saturating_sub(began);
+        if waited > nanos(self.lease_duration()) / MAX_WAIT_DIVISOR || self.node.is_leaving() {
+            return None;
+        }
+        let sent = connection
+            .send(&Bytes::from(head), &Bytes::from(body))
+            .await;
+        if sent == SendOutcome::Nothing {
+            return None;
+        }
+        let status = read_reply(&mut connection).await.map(|reply| reply.status);
+        self.record_order(held, order, status);
+        status
+    }
+
+    fn record_order(&self, held: HeldLease, order: &Order<'_>, status: Option<u16>) {
+        let counters = &self.node.counters;
+        count(match status {
+            Some(200..=299) => &counters.orders_taken,
+            Some(_) => &counters.orders_declined,
+            None => &counters.orders_unanswered,
+        });
+        let ServerModel { id, model } = order.server;
+        log::info!(
+            "order to load weights: server={id} model={model} version={} fencing_token={} status={}",
+            order.version,
+            held.fencing_token,
+            status.map_or("none".to_owned(), |status| status.to_string())
+        );
+    }
+}
--- a/crates/sparrouter-fleet/tests/upstream.rs
+++ b/crates/sparrouter-fleet/tests/upstream.rs
@@ -305,7 +305,7 @@
     let server = resets_after(0).await;
     let link = Upstream::dial(&sparrouter_fleet::platform::net::Sockets, server).await;
     let mut link = link.expect("a connection");
-    while link.is_silent() {
+    while link.is_idle() {
         tokio::task::yield_now().await;
     }
     let sent = link
