--- a/crates/sparrouter-fleet/src/api/mod.rs
+++ b/crates/sparrouter-fleet/src/api/mod.rs
@@ -10,14 +10,6 @@
 //! | [`status`] | the status of a node as JSON |
 //!
 //! Owns no state: each call is answered from the modules below it.
-#![deny(
-    missing_docs,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::needless_pass_by_value,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc
-)]
 pub mod control;
 pub mod endpoint;
 pub mod metrics;
--- a/crates/sparrouter-fleet/src/api/peer.rs
+++ b/crates/sparrouter-fleet/src/api/peer.rs
@@ -21,11 +21,8 @@
 const MAX_CHANGE_TIMEOUT_MS: u32 = 10_000;
 const NANOS_PER_MS: u64 = 1_000_000;
 
+#[expect(clippy::too_many_lines, reason = "a flat match of all calls")]
 /// Answers a call of another node; `None` where the call has no reply.
-#[expect(
-    clippy::too_many_lines,
-    reason = "a flat match of the protocol's calls"
-)]
 pub async fn answer(services: Rc<ControlServices>, call: Call) -> Option<Reply> {
     let node = &services.node;
     match call {
--- a/crates/sparrouter-fleet/src/client/mod.rs
+++ b/crates/sparrouter-fleet/src/client/mod.rs
@@ -10,14 +10,6 @@
 //! | [`error`] | what can go wrong, the remedy and the exit code |
 //!
 //! Owns no state beyond one command. Uses the settings, the platform and the form of [`crate::api::status`].
-#![deny(
-    missing_docs,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::needless_pass_by_value,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc
-)]
 
 pub mod call;
 pub mod commands;
--- a/crates/sparrouter-fleet/src/control/mod.rs
+++ b/crates/sparrouter-fleet/src/control/mod.rs
@@ -18,14 +18,6 @@
 //! | [`quorum_contact`] | whether this member is in contact with a quorum |
 //!
 //! Owns the registers and their disk. Uses [`Node`] and, through its links, the other members; nothing below uses it.
-#![deny(
-    missing_docs,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::needless_pass_by_value,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc
-)]
 mod actions;
 mod change;
 pub mod configuration_state;
--- a/crates/sparrouter-fleet/src/membership/mod.rs
+++ b/crates/sparrouter-fleet/src/membership/mod.rs
@@ -11,14 +11,6 @@
 //!
 //! Owns the registry and what is known of sources. The records themselves are in `sparrouter_membership::MembershipTable`,
 //! which the node owns. Uses `control` and what is below it.
-#![deny(
-    missing_docs,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::needless_pass_by_value,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc
-)]
 mod heartbeat;
 mod notify;
 mod outliers;
--- a/crates/sparrouter-fleet/src/node/mod.rs
+++ b/crates/sparrouter-fleet/src/node/mod.rs
@@ -14,14 +14,6 @@
 //! | `traffic` | client requests: retry budgets, durations, requests in flight |
 //!
 //! Uses the messages and connections of `peer`, the settings and the platform; nothing above.
-#![deny(
-    missing_docs,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::needless_pass_by_value,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc
-)]
 mod configuration;
 pub mod configuration_lease;
 pub mod counters;
--- a/crates/sparrouter-fleet/src/prefix_cache/mod.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/mod.rs
@@ -8,14 +8,6 @@
 //! | `location` | what is cached where: recorded and asked at the owner of each block |
 //!
 //! Owns the followers of events; what they find goes to the nodes that own the blocks. Uses `node` and what is below it.
-#![deny(
-    missing_docs,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::needless_pass_by_value,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc
-)]
 mod assignment;
 pub mod event_follower;
 pub mod event_page;
--- a/crates/sparrouter-fleet/src/process/mod.rs
+++ b/crates/sparrouter-fleet/src/process/mod.rs
@@ -9,14 +9,6 @@
 //! | `shutdown` | a graceful shutdown |
 //!
 //! Owns nothing that outlives a start. It wires the other modules together, so it may use all of them.
-#![deny(
-    missing_docs,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::needless_pass_by_value,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc
-)]
 mod endpoints;
 mod health_checks;
 mod maintenance;
--- a/crates/sparrouter-fleet/src/proxy/exchange/accept.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/accept.rs
@@ -40,10 +40,7 @@
         let tenant = identify_tenant(node, table, route, request)?;
         let client_timeout_ms = client_timeout_ms(request);
         let deadline = received_at + timeout(route, client_timeout_ms);
-        if !may_end_here(node, route, deadline) {
-            let delay = node.jitter(RETRY_ELSEWHERE);
-            return Err(Response::retry_later(delay));
-        }
+        check_shutdown(node, route, deadline)?;
         let model = fields.text("sparrouter-model").map(str::to_owned);
         let prompt = read_prompt(request);
         let is_long = {
@@ -117,16 +114,21 @@
     Duration::from_millis(of_client.min(of_route))
 }
 
-/// Whether a request that has just arrived can end before this process does. True where no shutdown has begun.
-fn may_end_here(node: &Node, route: &Route, deadline: Instant) -> bool {
+/// Checks that a request which has just arrived can end before this process does, where that shuts down.
+///
+/// # Errors
+///
+/// The response that sends the client to another node.
+fn check_shutdown(node: &Node, route: &Route, deadline: Instant) -> Result<(), Response> {
     let Some(shutdown) = node.shutdown.get() else {
-        return true;
+        return Ok(());
     };
-    if !rules::shutdown_limits_admission() {
-        return true;
-    }
     let longest = node.traffic.durations.borrow().longest(&route.name);
-    shutdown.admits(Instant::now(), deadline, longest)
+    let may_end_here = shutdown.admits(Instant::now(), deadline, longest);
+    if may_end_here || !rules::shutdown_limits_admission() {
+        return Ok(());
+    }
+    Err(Response::retry_later(node.jitter(RETRY_ELSEWHERE)))
 }
 
 fn read_prompt(request: &Request) -> Prompt {
--- a/crates/sparrouter-fleet/src/proxy/mod.rs
+++ b/crates/sparrouter-fleet/src/proxy/mod.rs
@@ -9,14 +9,6 @@
 //!
 //! Owns the connections of clients and the pool of those to servers. Uses the node's tables and, through its links, the
 //! owners of servers and prefix blocks.
-#![deny(
-    missing_docs,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::needless_pass_by_value,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc
-)]
 mod backlogs;
 pub mod event_stream;
 pub mod exchange;
--- a/crates/sparrouter-fleet/src/rollout/mod.rs
+++ b/crates/sparrouter-fleet/src/rollout/mod.rs
@@ -14,14 +14,6 @@
 //! | `server_calls` | the report of a server, and its replies |
 //!
 //! Owns the tasks of the shards and what they know of servers. Uses `control` for the lease and the node's tables.
-#![deny(
-    missing_docs,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::needless_pass_by_value,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc
-)]
 mod directives;
 mod lease;
 mod load;
--- a/crates/sparrouter-fleet/src/settings/mod.rs
+++ b/crates/sparrouter-fleet/src/settings/mod.rs
@@ -6,14 +6,6 @@
 //! | `bounds` | the limits of the rules |
 //! | `error` | what can be wrong with a file |
 //! | `fields` | typed access to the fields |
-#![deny(
-    missing_docs,
-    clippy::too_many_lines,
-    clippy::cognitive_complexity,
-    clippy::needless_pass_by_value,
-    clippy::missing_errors_doc,
-    clippy::missing_panics_doc
-)]
 mod bounds;
 mod error;
 mod fields;
--- a/crates/sparrouter-fleet/tests/client.rs
+++ b/crates/sparrouter-fleet/tests/client.rs
@@ -1,7 +1,7 @@
 //! The operators' client against scripted nodes, in virtual time.
 mod common;
 
-use common::{Act, Scripted, answers};
+use common::{Behavior, ScriptedNet, replies};
 use sparrouter_fleet::client::call::Call;
 use sparrouter_fleet::client::commands::{self, Output};
 use sparrouter_fleet::client::fleet::Fleet;
@@ -33,8 +33,8 @@
 }
 
 /// Sends a call for at most ten seconds; gives the answer and the calls that nodes got.
-async fn ask(
-    net: Scripted,
+async fn submit(
+    net: ScriptedNet,
     at: &[&str],
     call: Call,
 ) -> (Result<String, ClientError>, Vec<(SocketAddr, String)>) {
@@ -42,119 +42,122 @@
     let fleet =
         Fleet::new(Rc::new(net), addresses(at), Duration::from_secs(10)).expect("addresses");
     let local = LocalSet::new();
-    let asked = local
+    let submitted = local
         .run_until(async { fleet.submit(&call).await.map(|(_, reply)| reply.body) })
         .await;
     let calls = calls.borrow().clone();
-    (asked, calls)
+    (submitted, calls)
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_node_that_answers_when_asked_then_one_whole_call_is_sent() {
-    let net = Scripted::default().node(A, &[answers(200, "taken")]);
-    let (asked, calls) = ask(net, &[A, B], change()).await;
-    assert_eq!(asked.expect("taken"), "taken");
+async fn given_a_node_that_answers_when_called_then_one_complete_call_is_sent() {
+    let net = ScriptedNet::default().node(A, &[replies(200, "taken")]);
+    let (submitted, calls) = submit(net, &[A, B], change()).await;
+    assert_eq!(submitted.expect("taken"), "taken");
     insta::assert_snapshot!(calls[0].1.replace("\r\n", "|"), @r#"PUT /api/config HTTP/1.1|Host: 10.0.0.1:80|Connection: close|If-Match: 7|Content-Type: application/json|Content-Length: 13||{"version":8}"#);
     assert_eq!(calls.len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_nodes_that_fail_when_asked_then_the_next_gets_the_same_call() {
-    for act in [
-        Act::Refuse,
-        Act::Silent,
-        Act::Drops,
-        Act::Answers("no answer at all\r\n\r\n".into()),
-        answers(500, ""),
-        answers(503, ""),
-        answers(504, "unknown"),
-        answers(408, ""),
-        answers(429, ""),
+async fn given_nodes_that_fail_when_called_then_the_next_gets_the_same_call() {
+    for behavior in [
+        Behavior::Refuse,
+        Behavior::NoReply,
+        Behavior::Disconnect,
+        Behavior::Reply("no answer at all\r\n\r\n".into()),
+        replies(500, ""),
+        replies(503, ""),
+        replies(504, "unknown"),
+        replies(408, ""),
+        replies(429, ""),
     ] {
-        let refused = matches!(act, Act::Refuse);
-        let net = Scripted::default()
-            .node(A, std::slice::from_ref(&act))
-            .node(B, &[answers(200, "taken")]);
-        let (asked, calls) = ask(net, &[A, B], change()).await;
-        assert_eq!(asked.expect("taken"), "taken", "{act:?}");
+        let refused = matches!(behavior, Behavior::Refuse);
+        let net = ScriptedNet::default()
+            .node(A, std::slice::from_ref(&behavior))
+            .node(B, &[replies(200, "taken")]);
+        let (submitted, calls) = submit(net, &[A, B], change()).await;
+        assert_eq!(submitted.expect("taken"), "taken", "{behavior:?}");
         if !refused {
-            assert_eq!(calls[0].1.replace(A, B), calls[1].1, "{act:?}");
+            assert_eq!(calls[0].1.replace(A, B), calls[1].1, "{behavior:?}");
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_silent_node_when_asked_then_the_next_is_asked_after_a_second() {
-    let net = Scripted::default()
-        .node(A, &[Act::Silent])
-        .node(B, &[answers(200, "taken")]);
+async fn given_an_unresponsive_node_when_called_then_the_next_is_asked_after_a_second() {
+    let net = ScriptedNet::default()
+        .node(A, &[Behavior::NoReply])
+        .node(B, &[replies(200, "taken")]);
     let began = Instant::now();
-    ask(net, &[A, B], change()).await.0.expect("taken");
+    submit(net, &[A, B], change()).await.0.expect("taken");
     assert!((Duration::from_secs(1)..Duration::from_millis(1_300)).contains(&began.elapsed()));
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_final_refusal_when_asked_then_no_other_node_is_asked() {
+async fn given_a_final_refusal_when_called_then_no_other_node_is_asked() {
     for status in [400, 409, 412, 413, 422] {
-        let net = Scripted::default().node(A, &[answers(status, "why and what to do")]);
-        let (asked, calls) = ask(net, &[A, B], change()).await;
-        let error = asked.expect_err("refused");
+        let net = ScriptedNet::default().node(A, &[replies(status, "why and what to do")]);
+        let (submitted, calls) = submit(net, &[A, B], change()).await;
+        let error = submitted.expect_err("refused");
         assert_eq!((calls.len(), error.exit_code()), (1, 1));
         assert!(error.to_string().contains("why and what to do"), "{error}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_another_4xx_when_asked_then_it_is_final_at_the_third_attempt() {
-    let net = Scripted::default()
-        .node(A, &[answers(405, "")])
-        .node(B, &[answers(404, "")]);
-    let (asked, calls) = ask(net, &[A, B], change()).await;
+async fn given_another_4xx_when_called_then_it_is_final_at_the_third_attempt() {
+    let net = ScriptedNet::default()
+        .node(A, &[replies(405, "")])
+        .node(B, &[replies(404, "")]);
+    let (submitted, calls) = submit(net, &[A, B], change()).await;
     assert!(matches!(
-        asked,
+        submitted,
         Err(ClientError::Refused { status: 405, .. })
     ));
     assert_eq!(calls.len(), 3);
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_redirects_when_asked_then_at_most_two_are_followed() {
+async fn given_redirects_when_called_then_at_most_two_are_followed() {
     let to = |at: &str| {
-        Act::Answers(format!(
+        Behavior::Reply(format!(
             "HTTP/1.1 307 Word\r\nLocation: http://{at}/api/config\r\nContent-Length: 0\r\n\r\n"
         ))
     };
     let c = "10.0.0.3:80";
-    let net = Scripted::default()
+    let net = ScriptedNet::default()
         .node(A, &[to(B)])
         .node(B, &[to(c)])
-        .node(c, &[answers(200, "taken")]);
-    assert_eq!(ask(net, &[A], change()).await.0.expect("taken"), "taken");
-    let net = Scripted::default().node(A, &[to(A)]);
-    let (asked, calls) = ask(net, &[A], change()).await;
-    assert!(matches!(asked, Err(ClientError::NotApplied { .. })));
+        .node(c, &[replies(200, "taken")]);
+    assert_eq!(submit(net, &[A], change()).await.0.expect("taken"), "taken");
+    let net = ScriptedNet::default().node(A, &[to(A)]);
+    let (submitted, calls) = submit(net, &[A], change()).await;
+    assert!(matches!(submitted, Err(ClientError::NotApplied { .. })));
     assert!(calls.len() % 3 == 0, "{}", calls.len());
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_no_clear_answer_when_time_is_up_then_the_possible_effect_is_reported_and_the_code_is_3()
+async fn given_no_definite_reply_when_the_time_is_over_then_the_possible_effect_is_reported_and_the_code_is_3()
  {
     let cases = [
-        (Act::Refuse, "nothing was sent"),
-        (answers(503, "no quorum"), "nothing was changed"),
-        (answers(504, "no quorum"), "may be in force or not"),
-        (Act::Silent, "may be in force or not"),
-        (Act::Drops, "may be in force or not"),
+        (Behavior::Refuse, "nothing was sent"),
+        (replies(503, "no quorum"), "nothing was changed"),
+        (replies(504, "no quorum"), "may be in force or not"),
+        (Behavior::NoReply, "may be in force or not"),
+        (Behavior::Disconnect, "may be in force or not"),
     ];
-    for (act, wanted) in cases {
+    for (behavior, expected) in cases {
         let began = Instant::now();
-        let net = Scripted::default().node(A, std::slice::from_ref(&act));
-        let error = ask(net, &[A], change())
+        let net = ScriptedNet::default().node(A, std::slice::from_ref(&behavior));
+        let error = submit(net, &[A], change())
             .await
             .0
             .expect_err("no clear answer");
         assert_eq!(error.exit_code(), 3);
-        assert!(error.to_string().contains(wanted), "{act:?}: {error}");
+        assert!(
+            error.to_string().contains(expected),
+            "{behavior:?}: {error}"
+        );
         assert!(
             began.elapsed() <= Duration::from_secs(10),
             "{:?}",
@@ -164,16 +167,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_lost_answer_then_a_refusal_when_time_is_up_then_the_effect_is_unclear() {
-    let net = Scripted::default().node(A, &[Act::Drops, answers(503, "no quorum")]);
+async fn given_a_lost_reply_then_a_refusal_when_the_time_is_over_then_the_effect_is_unclear() {
+    let net = ScriptedNet::default().node(A, &[Behavior::Disconnect, replies(503, "no quorum")]);
     assert!(matches!(
-        ask(net, &[A], change()).await.0,
+        submit(net, &[A], change()).await.0,
         Err(ClientError::Unclear { .. })
     ));
 }
 
 /// Runs a subcommand; gives what it printed as its result and as diagnostics.
-async fn run(net: Scripted, what: FleetCommand) -> (Result<(), ClientError>, String, String) {
+async fn run(net: ScriptedNet, what: FleetCommand) -> (Result<(), ClientError>, String, String) {
     let (mut result, mut diagnostics) = (Vec::new(), Vec::new());
     let local = LocalSet::new();
     let done = {
@@ -211,7 +214,7 @@
 async fn given_no_if_match_when_put_then_the_version_in_force_is_read_and_printed() {
     let files = Files::new();
     let file = files.with("next.json", "{\"version\":9,\"routes\":[],\"services\":[]}");
-    let net = Scripted::default().node(A, &[answers(200, CONFIG), answers(200, "taken")]);
+    let net = ScriptedNet::default().node(A, &[replies(200, CONFIG), replies(200, "taken")]);
     let calls = net.calls.clone();
     let (done, result, diagnostics) = run(
         net,
@@ -234,14 +237,14 @@
 async fn given_no_configuration_yet_when_put_then_it_is_the_first() {
     let files = Files::new();
     let file = files.with("first.json", CONFIG);
-    let acts = [
-        answers(404, ""),
-        answers(404, ""),
-        answers(404, ""),
-        answers(200, "taken"),
+    let behaviors = [
+        replies(404, ""),
+        replies(404, ""),
+        replies(404, ""),
+        replies(200, "taken"),
     ];
     let (done, _, diagnostics) = run(
-        Scripted::default().node(A, &acts),
+        ScriptedNet::default().node(A, &behaviors),
         FleetCommand::Put {
             file,
             if_match: None,
@@ -262,7 +265,7 @@
         "bad.json",
         "{\"version\":9,\"routes\":[{\"name\":\"r\"}],\"services\":[]}",
     );
-    let net = Scripted::default().node(A, &[answers(200, "taken")]);
+    let net = ScriptedNet::default().node(A, &[replies(200, "taken")]);
     let calls = net.calls.clone();
     let (done, ..) = run(
         net,
@@ -284,7 +287,7 @@
 async fn given_a_patch_of_a_version_that_is_not_above_when_sent_then_it_is_refused_here() {
     let files = Files::new();
     let file = files.with("patch.json", "{\"version\":7,\"upsert_items\":{}}");
-    let net = Scripted::default().node(A, &[answers(200, CONFIG)]);
+    let net = ScriptedNet::default().node(A, &[replies(200, CONFIG)]);
     let (done, ..) = run(
         net,
         FleetCommand::Patch {
@@ -302,7 +305,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn given_a_version_when_named_then_model_and_version_are_sent() {
-    let net = Scripted::default().node(A, &[answers(200, "named")]);
+    let net = ScriptedNet::default().node(A, &[replies(200, "named")]);
     let calls = net.calls.clone();
     let (done, ..) = run(
         net,
@@ -319,7 +322,7 @@
             .ends_with("{\"model\":\"m \\\"1\\\"\",\"version\":2}")
     );
     let (done, ..) = run(
-        Scripted::default(),
+        ScriptedNet::default(),
         FleetCommand::NameVersion {
             model: "m".into(),
             version: 0,
@@ -339,7 +342,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn given_a_status_when_shown_then_it_is_a_table() {
-    let net = Scripted::default().node(A, &[answers(200, STATUS)]);
+    let net = ScriptedNet::default().node(A, &[replies(200, STATUS)]);
     let (done, result, diagnostics) = run(
         net,
         FleetCommand::Status {
@@ -365,7 +368,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn given_a_node_that_is_down_when_all_are_asked_then_it_is_reported() {
-    let net = Scripted::default().node(A, &[answers(200, STATUS)]);
+    let net = ScriptedNet::default().node(A, &[replies(200, STATUS)]);
     let (done, result, diagnostics) = run(
         net,
         FleetCommand::Status {
@@ -385,7 +388,7 @@
 #[test]
 fn given_files_when_checked_then_verdict_and_remedy_are_printed() {
     let files = Files::new();
-    let whole = files.with("whole.json", CONFIG);
+    let complete = files.with("whole.json", CONFIG);
     let patch = files.with(
         "patch.json",
         "{\"version\":9,\"remove_names\":{\"routes\":[\"gone\"]}}",
@@ -399,15 +402,15 @@
         };
         let done = commands::check(file, against.map(PathBuf::as_path), &mut out);
         let folder = file.parent().expect("a folder").display().to_string() + "/";
-        let said = String::from_utf8(result).expect("text");
-        done.map_or_else(|e| format!("{}: {e}", e.exit_code()), |()| said)
+        let printed = String::from_utf8(result).expect("text");
+        done.map_or_else(|e| format!("{}: {e}", e.exit_code()), |()| printed)
             .replace(&folder, "")
     };
     let all = [
-        check(&whole, None),
-        check(&patch, Some(&whole)),
+        check(&complete, None),
+        check(&patch, Some(&complete)),
         check(&patch, None),
-        check(&whole, Some(&whole)),
+        check(&complete, Some(&complete)),
         check(&broken, None),
         check(&files.0.path().join("none.json"), None),
     ];
@@ -427,9 +430,9 @@
 fn given_command_lines_when_parsed_then_they_are_commands_or_errors() {
     use sparrouter_fleet::client::{Command, command};
     let read = |line: &str| {
-        let words: Vec<&str> = line.split_whitespace().collect();
+        let arguments: Vec<&str> = line.split_whitespace().collect();
         command()
-            .run_inner(words.as_slice())
+            .run_inner(arguments.as_slice())
             .map_err(|e| e.unwrap_stderr())
     };
     let addresses = addresses(&[A, B]);
@@ -469,7 +472,7 @@
 }
 
 #[test]
-fn given_a_port_for_figures_when_a_process_is_started_then_it_is_taken_and_a_bad_one_refused() {
+fn given_a_port_for_metrics_when_a_process_is_started_then_it_is_used_and_an_invalid_one_refused() {
     let parsed = |arguments: &[&str]| sparrouter_fleet::client::command().run_inner(arguments);
     let run = |role, metrics_port| Command::Run { role, metrics_port };
     assert_eq!(
--- a/crates/sparrouter-fleet/tests/common/mod.rs
+++ b/crates/sparrouter-fleet/tests/common/mod.rs
@@ -1,5 +1,8 @@
 //! A network in memory of scripted nodes, for tests of what calls them.
-#![allow(dead_code)] // Each test file is a program of its own and uses a part.
+#![allow(
+    dead_code,
+    reason = "each test file is a program of its own and uses a part"
+)]
 use sparrouter_fleet::platform::net::{BoxFuture, Connection, Listener, Net, Stream};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -13,9 +16,9 @@
 };
 
 /// One end of a pipe, as a connection.
-pub struct Wired(pub DuplexStream);
+pub struct PipeConnection(pub DuplexStream);
 
-impl AsyncRead for Wired {
+impl AsyncRead for PipeConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -25,7 +28,7 @@
     }
 }
 
-impl AsyncWrite for Wired {
+impl AsyncWrite for PipeConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -41,7 +44,7 @@
     }
 }
 
-impl Connection for Wired {
+impl Connection for PipeConnection {
     fn read_available(&self, _: &mut [u8]) -> Option<io::Result<usize>> {
         None
     }
@@ -49,46 +52,49 @@
 
 /// What a scripted node does with one connection.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Behavior {
+    /// Refuses the connection.
     Refuse,
-    /// Takes the call and says nothing.
-    Silent,
-    /// Takes the call and ends the connection.
-    Drops,
-    Answers(String),
+    /// Reads the call and never replies.
+    NoReply,
+    /// Reads the call and closes the connection.
+    Disconnect,
+    /// Replies with these bytes.
+    Reply(String),
 }
 
-/// Status and body, as a node answers.
-pub fn answers(status: u16, body: &str) -> Act {
-    Act::Answers(format!(
+/// A reply with this status and body.
+pub fn replies(status: u16, body: &str) -> Behavior {
+    Behavior::Reply(format!(
         "HTTP/1.1 {status} Word\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
-/// Nodes that do what they are told, connection by connection; the last act is repeated.
+/// Nodes that behave as scripted, connection by connection; the last behavior repeats.
 #[derive(Default)]
-pub struct Scripted {
-    acts: RefCell<HashMap<SocketAddr, VecDeque<Act>>>,
-    /// What each connection brought, in order.
+pub struct ScriptedNet {
+    behaviors: RefCell<HashMap<SocketAddr, VecDeque<Behavior>>>,
+    /// The calls that arrived, in order.
     pub calls: Rc<RefCell<Vec<(SocketAddr, String)>>>,
 }
 
-impl Scripted {
-    pub fn node(self, at: &str, acts: &[Act]) -> Scripted {
-        self.acts.borrow_mut().insert(
-            at.parse().expect("an address"),
-            acts.iter().cloned().collect(),
+impl ScriptedNet {
+    /// Adds a node.
+    pub fn node(self, address: &str, behaviors: &[Behavior]) -> ScriptedNet {
+        self.behaviors.borrow_mut().insert(
+            address.parse().expect("an address"),
+            behaviors.iter().cloned().collect(),
         );
         self
     }
 }
 
-impl Net for Scripted {
+impl Net for ScriptedNet {
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Stream>> {
-        let act = {
-            let mut acts = self.acts.borrow_mut();
-            let own = acts.entry(to).or_default();
+        let behavior = {
+            let mut behaviors = self.behaviors.borrow_mut();
+            let own = behaviors.entry(to).or_default();
             if own.len() > 1 {
                 own.pop_front()
             } else {
@@ -97,33 +103,33 @@
         };
         let calls = self.calls.clone();
         Box::pin(async move {
-            let act = act.unwrap_or(Act::Refuse);
-            if matches!(act, Act::Refuse) {
+            let behavior = behavior.unwrap_or(Behavior::Refuse);
+            if matches!(behavior, Behavior::Refuse) {
                 return Err(io::ErrorKind::ConnectionRefused.into());
             }
             let (near, mut far) = duplex(1 << 20);
             tokio::task::spawn_local(async move {
                 let mut text = Vec::new();
-                while !is_whole(&text) {
-                    let mut piece = [0; 4096];
-                    match far.read(&mut piece).await {
-                        Ok(read) if read > 0 => text.extend_from_slice(&piece[..read]),
+                while !is_complete(&text) {
+                    let mut chunk = [0; 4096];
+                    match far.read(&mut chunk).await {
+                        Ok(read) if read > 0 => text.extend_from_slice(&chunk[..read]),
                         _ => break,
                     }
                 }
                 calls
                     .borrow_mut()
                     .push((to, String::from_utf8_lossy(&text).into_owned()));
-                match act {
-                    Act::Answers(answer) => {
+                match behavior {
+                    Behavior::Reply(answer) => {
                         // The caller may have left.
                         let _ = far.write_all(answer.as_bytes()).await;
                     }
-                    Act::Silent => std::future::pending().await,
-                    Act::Drops | Act::Refuse => {}
+                    Behavior::NoReply => std::future::pending().await,
+                    Behavior::Disconnect | Behavior::Refuse => {}
                 }
             });
-            Ok(Box::new(Wired(near)) as Stream)
+            Ok(Box::new(PipeConnection(near)) as Stream)
         })
     }
 
@@ -132,7 +138,7 @@
     }
 }
 
-fn is_whole(text: &[u8]) -> bool {
+fn is_complete(text: &[u8]) -> bool {
     let text = String::from_utf8_lossy(text);
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
--- a/crates/sparrouter-fleet/tests/configuration_format.rs
+++ b/crates/sparrouter-fleet/tests/configuration_format.rs
@@ -11,12 +11,12 @@
 struct FirstForm {
     version: u64,
     text: String,
-    taken: Seq<FirstFormTaken>,
+    taken: Seq<FirstFormOrder>,
     models: Seq<NamedVersion>,
 }
 
 #[derive(SerBin)]
-struct FirstFormTaken {
+struct FirstFormOrder {
     digest: u64,
     version: u64,
 }
@@ -24,7 +24,7 @@
 const TEXT: &str = "{\"version\":7,\"routes\":[],\"services\":[]}";
 
 fn first_form() -> Vec<u8> {
-    let taken = FirstFormTaken {
+    let taken = FirstFormOrder {
         digest: 0x1234_5678_9abc_def0,
         version: 7,
     };
@@ -129,10 +129,10 @@
     for _ in 0..2_000 {
         let mut body = body.clone();
         for _ in 0..rng.usize(1..6) {
-            let place = rng.usize(..body.len());
-            body[place] = rng.u8(..);
+            let index = rng.usize(..body.len());
+            body[index] = rng.u8(..);
         }
-        // Whatever it comes to, it comes back.
+        // Any result will do, a panic will not.
         let _ = ConfigurationState::read(&body);
     }
 }
--- a/crates/sparrouter-fleet/tests/configuration_lease.rs
+++ b/crates/sparrouter-fleet/tests/configuration_lease.rs
@@ -11,8 +11,8 @@
         "node_name=n1\nip_address=10.1.0.21\ninternal_port_range=7360,7375\n\
          bounds.strict_revocation={strict}\nbounds.revoke_timeout_ms={revoke_timeout_ms}\n"
     );
-    let boot = ProcessSettings::parse(Path::new("boot.conf"), &text).expect("valid settings");
-    ConfigurationLease::new(&boot.bounds)
+    let settings = ProcessSettings::parse(Path::new("boot.conf"), &text).expect("valid settings");
+    ConfigurationLease::new(&settings.bounds)
 }
 
 fn at(ms: i64) -> i64 {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn given_no_strict_revocation_then_the_lease_is_always_held() {
+fn given_no_strict_revocation_then_the_lease_is_always_valid() {
     let lease = lease(false, 5_000);
     assert!(!lease.is_needed());
     assert!(lease.is_valid(0) && lease.is_valid(u64::MAX));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn given_strict_revocation_when_nothing_is_confirmed_then_the_lease_is_not_held() {
+fn given_strict_revocation_when_nothing_is_confirmed_then_the_lease_is_not_valid() {
     assert!(!lease(true, 5_000).is_valid(0));
 }
 
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn given_a_read_from_before_the_start_of_the_process_then_it_counts_for_what_is_left() {
+fn given_a_read_from_before_the_start_of_the_process_then_it_counts_for_the_rest_of_the_lease() {
     let mut lease = lease(true, 5_000);
     lease.confirm(at(-4_000), 0);
     assert!(lease.is_valid(499 * MS));
--- a/crates/sparrouter-fleet/tests/configuration_state.rs
+++ b/crates/sparrouter-fleet/tests/configuration_state.rs
@@ -156,10 +156,10 @@
 #[test]
 fn given_a_patch_when_applied_then_its_items_come_and_go_and_its_repeat_is_200() {
     let mut part = Part::default();
-    let whole = "{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"},{\"name\":\"t\"}],\"tenants\":[]}";
+    let complete = "{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"},{\"name\":\"t\"}],\"tenants\":[]}";
     part.apply(&Change::Put {
         if_match: Some(0),
-        body: Blob(whole.as_bytes().to_vec()),
+        body: Blob(complete.as_bytes().to_vec()),
     });
     let text = "{\"version\":4,\"upsert_items\":{\"services\":[{\"name\":\"u\"}]},\
                 \"remove_names\":{\"services\":[\"s\"]}}";
@@ -173,7 +173,7 @@
     );
     assert_eq!(part.apply(&patch(1, text)), 200);
     assert_eq!(part.version(), 4);
-    // The same bytes as a whole configuration are another change.
+    // The same bytes as a complete configuration are another change.
     assert_eq!(
         part.apply(&Change::Put {
             if_match: Some(1),
@@ -261,7 +261,10 @@
     let mut part = Part::default();
     assert_eq!(part.apply_bytes(b"\xff\xff").status, 400);
     let mut strange = Part(vec![1, 2, 3]);
-    let told = strange.apply_bytes(&Change::Get.serialize_bin());
-    assert_eq!((told.status, strange.0.as_slice()), (500, &[1, 2, 3][..]));
-    assert!(told.text.contains("bring all nodes to one"));
+    let reported = strange.apply_bytes(&Change::Get.serialize_bin());
+    assert_eq!(
+        (reported.status, strange.0.as_slice()),
+        (500, &[1, 2, 3][..])
+    );
+    assert!(reported.text.contains("bring all nodes to one"));
 }
--- a/crates/sparrouter-fleet/tests/events.rs
+++ b/crates/sparrouter-fleet/tests/event_stream.rs
@@ -1,12 +1,12 @@
-//! Streams cut into whole events, wherever their bytes are cut.
+//! Streams cut into complete events, wherever their bytes are cut.
 use sparrouter_fleet::proxy::event_stream::EventSplitter;
 
 const STREAM: &str = "id: 1\ndata: one\n\nid: 2\r\ndata: two\r\n\r\n: a comment\n\nid:3\ndata: three\ndata: more\n\n";
 
-/// What goes out of pieces, and what is held back at the end.
-fn passed(pieces: &[&[u8]]) -> (Vec<Vec<u8>>, Vec<u8>, Option<String>) {
+/// What goes out of chunks, and what is held back at the end.
+fn passed(chunks: &[&[u8]]) -> (Vec<Vec<u8>>, Vec<u8>, Option<String>) {
     let mut events = EventSplitter::default();
-    let out = pieces
+    let out = chunks
         .iter()
         .map(|p| events.push(p).expect("short").to_vec())
         .collect();
@@ -24,21 +24,21 @@
         let (out, rest, last) = passed(&[&bytes[..cut], &bytes[cut..]]);
         assert_eq!(out.concat(), bytes, "cut at {cut}");
         assert!(rest.is_empty());
-        let whole = ends
+        let complete = ends
             .iter()
             .copied()
             .filter(|e| *e <= cut)
             .max()
             .unwrap_or(0);
-        assert_eq!(out[0], &bytes[..whole], "cut at {cut}");
+        assert_eq!(out[0], &bytes[..complete], "cut at {cut}");
         assert_eq!(last.as_deref(), Some("3"));
     }
 }
 
 #[test]
 fn given_a_stream_byte_by_byte_when_passed_then_nothing_is_lost_or_changed() {
-    let pieces: Vec<&[u8]> = STREAM.as_bytes().chunks(1).collect();
-    let (out, rest, last) = passed(&pieces);
+    let chunks: Vec<&[u8]> = STREAM.as_bytes().chunks(1).collect();
+    let (out, rest, last) = passed(&chunks);
     assert_eq!(out.concat(), STREAM.as_bytes());
     assert!(rest.is_empty());
     assert_eq!(last.as_deref(), Some("3"));
@@ -95,9 +95,9 @@
 #[test]
 fn given_an_event_without_end_when_passed_then_it_is_given_up_at_its_bound() {
     let mut events = EventSplitter::default();
-    let piece = vec![b'x'; 64 << 10];
+    let chunk = vec![b'x'; 64 << 10];
     let taken = (0..100)
-        .take_while(|_| events.push(&piece).is_some())
+        .take_while(|_| events.push(&chunk).is_some())
         .count();
     assert_eq!(taken, 4);
 }
@@ -109,7 +109,7 @@
     assert_eq!(
         events
             .push(many.as_bytes())
-            .expect("whole events are not held")
+            .expect("complete events are not held")
             .len(),
         many.len()
     );
--- a/crates/sparrouter-fleet/tests/http.rs
+++ b/crates/sparrouter-fleet/tests/http.rs
@@ -7,12 +7,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::time::{Instant, sleep};
 
-const ROOM: ReadLimits = ReadLimits {
+const LIMITS: ReadLimits = ReadLimits {
     max_head_bytes: 256,
     max_body_bytes: 64,
     header_timeout: Duration::from_secs(3),
 };
-const WHOLE: Duration = Duration::from_secs(12);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Reads one request of what `client` writes.
 async fn read_of<F: Future<Output = ()>>(
@@ -20,9 +20,9 @@
 ) -> (Result<Request, RequestReadError>, BytesMut) {
     let (near, mut far) = duplex(1 << 20);
     let mut buffer = BytesMut::new();
-    let until = Instant::now() + WHOLE;
+    let deadline = Instant::now() + REQUEST_TIMEOUT;
     let (read, ()) = tokio::join!(
-        read_request(&mut far, &mut buffer, ROOM, until),
+        read_request(&mut far, &mut buffer, LIMITS, deadline),
         client(near)
     );
     (read, buffer)
@@ -30,8 +30,10 @@
 
 async fn read(text: &'static str) -> Result<Request, RequestReadError> {
     let sending = |mut near: DuplexStream| async move {
-        near.write_all(text.as_bytes()).await.expect("room");
-        sleep(WHOLE * 2).await;
+        near.write_all(text.as_bytes())
+            .await
+            .expect("space in the pipe");
+        sleep(REQUEST_TIMEOUT * 2).await;
     };
     read_of(sending).await.0
 }
@@ -47,12 +49,14 @@
 async fn given_a_whole_request_when_read_then_head_and_body_are_there_and_the_next_is_left() {
     let text = "POST /a/b?c HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n";
     let sending = |mut near: DuplexStream| async move {
-        near.write_all(text.as_bytes()).await.expect("room")
+        near.write_all(text.as_bytes())
+            .await
+            .expect("space in the pipe")
     };
-    let (read, left) = read_of(sending).await;
-    let read = read.expect("whole");
+    let (read, remaining) = read_of(sending).await;
+    let read = read.expect("complete");
     assert_eq!((read.path(), &read.body[..]), ("/a/b", &b"abc"[..]));
-    assert_eq!(&left[..], b"GET / HTTP/1.1\r\n");
+    assert_eq!(&remaining[..], b"GET / HTTP/1.1\r\n");
 }
 
 #[tokio::test(start_paused = true)]
@@ -60,13 +64,17 @@
     let text = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n";
     for cut in 1..text.len() {
         let sending = |mut near: DuplexStream| async move {
-            near.write_all(&text.as_bytes()[..cut]).await.expect("room");
+            near.write_all(&text.as_bytes()[..cut])
+                .await
+                .expect("space in the pipe");
             sleep(Duration::from_millis(10)).await;
-            near.write_all(&text.as_bytes()[cut..]).await.expect("room");
+            near.write_all(&text.as_bytes()[cut..])
+                .await
+                .expect("space in the pipe");
         };
-        let (read, left) = read_of(sending).await;
-        assert_eq!(&read.expect("whole").body[..], b"abcde", "cut at {cut}");
-        assert!(left.is_empty());
+        let (read, remaining) = read_of(sending).await;
+        assert_eq!(&read.expect("complete").body[..], b"abcde", "cut at {cut}");
+        assert!(remaining.is_empty());
     }
 }
 
@@ -107,20 +115,23 @@
 async fn given_half_a_head_when_no_more_comes_then_it_is_408_after_the_header_timeout() {
     let began = Instant::now();
     let sending = |mut near: DuplexStream| async move {
-        near.write_all(b"GET / HT").await.expect("room");
-        sleep(WHOLE * 2).await;
+        near.write_all(b"GET / HT")
+            .await
+            .expect("space in the pipe");
+        sleep(REQUEST_TIMEOUT * 2).await;
     };
     let (near, mut far) = duplex(1 << 10);
     let mut buffer = BytesMut::new();
     let reading = async {
-        let read = read_request(&mut far, &mut buffer, ROOM, began + WHOLE).await;
+        let read = read_request(&mut far, &mut buffer, LIMITS, began + REQUEST_TIMEOUT).await;
         (read, began.elapsed())
     };
-    let ((read, took), ()) = tokio::join!(reading, sending(near));
+    let ((read, elapsed), ()) = tokio::join!(reading, sending(near));
     assert_eq!(status(read), 408);
     assert!(
-        (ROOM.header_timeout..ROOM.header_timeout + Duration::from_millis(5)).contains(&took),
-        "{took:?}"
+        (LIMITS.header_timeout..LIMITS.header_timeout + Duration::from_millis(5))
+            .contains(&elapsed),
+        "{elapsed:?}"
     );
 }
 
@@ -142,7 +153,7 @@
     let sending = |mut near: DuplexStream| async move {
         near.write_all(b"POST / HTTP/1.1\r\nContent-Length: 60\r\n\r\n")
             .await
-            .expect("room");
+            .expect("space in the pipe");
         for _ in 0..30 {
             if near.write_all(b"x").await.is_err() {
                 return;
@@ -160,7 +171,9 @@
         "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc",
     ] {
         let sending = |mut near: DuplexStream| async move {
-            near.write_all(text.as_bytes()).await.expect("room")
+            near.write_all(text.as_bytes())
+                .await
+                .expect("space in the pipe")
         };
         assert_eq!(
             read_of(sending).await.0.expect_err("left"),
@@ -194,13 +207,15 @@
 async fn given_expect_continue_when_read_then_the_body_is_asked_for() {
     let sending = |mut near: DuplexStream| async move {
         let head = b"POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n";
-        near.write_all(head).await.expect("room");
-        let mut told = [0; 25];
-        near.read_exact(&mut told).await.expect("an interim answer");
-        assert_eq!(&told, b"HTTP/1.1 100 Continue\r\n\r\n");
-        near.write_all(b"ok").await.expect("room");
+        near.write_all(head).await.expect("space in the pipe");
+        let mut reported = [0; 25];
+        near.read_exact(&mut reported)
+            .await
+            .expect("an interim answer");
+        assert_eq!(&reported, b"HTTP/1.1 100 Continue\r\n\r\n");
+        near.write_all(b"ok").await.expect("space in the pipe");
     };
-    assert_eq!(&read_of(sending).await.0.expect("whole").body[..], b"ok");
+    assert_eq!(&read_of(sending).await.0.expect("complete").body[..], b"ok");
 }
 
 #[test]
@@ -230,6 +245,6 @@
         drain_until_closed(far).await;
         began.elapsed()
     };
-    let (took, ()) = tokio::join!(lingering, writing);
-    assert!(took <= Duration::from_millis(310), "{took:?}");
+    let (elapsed, ()) = tokio::join!(lingering, writing);
+    assert!(elapsed <= Duration::from_millis(310), "{elapsed:?}");
 }
--- a/crates/sparrouter-fleet/tests/log_buffer.rs
+++ b/crates/sparrouter-fleet/tests/log_buffer.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn given_more_lines_than_are_kept_when_written_out_then_the_newest_are_there() {
+fn given_more_lines_than_are_buffered_when_written_out_then_the_newest_are_there() {
     let (mut log_buffer, sink) = log_buffer();
     for n in 0..LINES + 10 {
         writeln!(log_buffer, "line {n}").expect("never fails");
@@ -85,10 +85,10 @@
 }
 
 #[test]
-fn given_trouble_without_end_when_told_then_dumps_are_bounded_and_the_last_says_so() {
+fn given_endless_violations_when_reported_then_dumps_are_bounded_and_the_last_says_so() {
     let (log_buffer, sink) = log_buffer();
     for n in 0..1_000 {
-        log_buffer.breach(&format!("trouble {n}"));
+        log_buffer.breach(&format!("violation {n}"));
     }
     let text = sink.text();
     assert_eq!(
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn given_a_panic_when_heeded_then_the_ring_is_written_before_it_unwinds() {
+fn given_a_panic_when_the_hook_runs_then_the_lines_are_written_before_it_unwinds() {
     let (mut log_buffer, sink) = log_buffer();
     writeln!(log_buffer, "what led there").expect("never fails");
     // The hook is the process's own: the other tests of this file do not panic.
--- a/crates/sparrouter-fleet/tests/loopback.rs
+++ b/crates/sparrouter-fleet/tests/loopback.rs
@@ -26,10 +26,10 @@
     LocalSet::new().block_on(&runtime, of)
 }
 
-async fn until(what: &str, done: impl Fn() -> bool) {
+async fn wait_until(condition: &str, done: impl Fn() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !done() {
-        assert!(Instant::now() < deadline, "{what} within {PATIENCE:?}");
+        assert!(Instant::now() < deadline, "{condition} within {PATIENCE:?}");
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -52,44 +52,46 @@
     assert!(served * 10 >= report.results.len() * 9, "{}", report.table);
 }
 
+/// The only machine of a fleet.
+fn only_machine(addresses: Addresses, directory: &Path, grace: Duration) -> Rc<Machine> {
+    let machine = Machine::new(0, true, 1, addresses, directory, Path::new(PROGRAM), grace);
+    Rc::new(machine.expect("settings are written"))
+}
+
+/// A server whose requests take longer than the test waits.
+fn endless_server(addresses: Addresses, machine: &Machine) -> ServerSettings {
+    ServerSettings {
+        id: "i-1".into(),
+        zone: "zone-1".into(),
+        address: addresses.server_at(0),
+        slots: 1,
+        work: PATIENCE * 2,
+        gap: Duration::ZERO,
+        load: Duration::ZERO,
+        events: 1,
+        version: 1,
+        control: vec![machine.control()],
+    }
+}
+
 #[test]
 fn given_a_request_that_does_not_end_when_terminated_then_the_log_reports_it_in_time() {
     let grace = Duration::from_secs(2);
     let directory = tempfile::tempdir().expect("a directory");
     let mut rng = fastrand::Rng::new();
     let addresses = Addresses::find(1, &mut rng).expect("free ports");
-    let machine = Machine::new(
-        0,
-        true,
-        1,
-        addresses,
-        directory.path(),
-        Path::new(PROGRAM),
-        grace,
-    );
-    let machine = Rc::new(machine.expect("settings are written"));
+    let machine = only_machine(addresses, directory.path(), grace);
     block_on(async {
         machine.start().expect("started");
         spawn_local(check_readiness(machine.clone()));
         let ledger = Rc::new(Ledger::default());
-        let settings = ServerSettings {
-            id: "i-1".into(),
-            zone: "zone-1".into(),
-            address: addresses.server_at(0),
-            slots: 1,
-            work: PATIENCE * 2,
-            gap: Duration::ZERO,
-            load: Duration::ZERO,
-            events: 1,
-            version: 1,
-            control: vec![machine.control()],
-        };
+        let settings = endless_server(addresses, &machine);
         let server = ModelServer::start(settings, ledger.clone(), rng.fork())
             .await
             .expect("a server");
         let operator = Operator::new(vec![machine.control()], PATIENCE).expect("an operator");
         operator.put_first(1).await.expect("taken");
-        until("ready", || machine.ready.get()).await;
+        wait_until("ready", || machine.ready.get()).await;
         let clients = Clients {
             ledger: ledger.clone(),
             machines: vec![machine.clone()],
@@ -102,7 +104,7 @@
             patience: PATIENCE,
         };
         let asking = spawn_local(async move { clients.send(&request, Some(0)).await.ending });
-        until("the server works on it", || {
+        wait_until("the server works on it", || {
             !ledger.runs.borrow().is_empty()
         })
         .await;
@@ -116,6 +118,7 @@
     });
     let log = machine.log_text();
     let first = log.lines().next().unwrap_or_default();
-    let wanted = "sparrouter: 1 requests were still open at the end of the grace period; the last ";
-    assert!(first.starts_with(wanted), "{log}");
+    let expected =
+        "sparrouter: 1 requests were still open at the end of the grace period; the last ";
+    assert!(first.starts_with(expected), "{log}");
 }
--- a/crates/sparrouter-fleet/tests/order_answers.rs
+++ b/crates/sparrouter-fleet/tests/order_answers.rs
@@ -15,7 +15,7 @@
 
 const METHODS: [Method; 2] = [Method::Put, Method::Patch];
 
-/// An order on `base` that makes `number`; `route` tells it from others.
+/// An order on `base` that makes `number`; `service` makes it differ from others.
 fn order(method: Method, base: u64, number: u64, service: &str) -> Change {
     let items = format!("\"services\":[{{\"name\":\"{service}\"}}]");
     let if_match = Some(base);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn given_an_order_in_force_when_it_comes_again_then_it_is_acknowledged() {
+fn given_an_order_in_force_when_it_is_sent_again_then_it_is_acknowledged() {
     for method in METHODS {
         let mut shard = Shard::begun();
         let sent = order(method, 5, 8, "a");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn given_an_order_overtaken_by_hundreds_when_it_comes_again_then_it_is_acknowledged_and_stays_overtaken()
+fn given_an_order_overtaken_by_hundreds_when_it_is_sent_again_then_it_is_acknowledged_and_stays_overtaken()
  {
     for method in METHODS {
         let mut shard = Shard::begun();
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn given_an_order_overtaken_by_thousands_when_it_comes_again_then_it_is_left_without_a_clear_answer()
+fn given_an_order_overtaken_by_thousands_when_it_is_sent_again_then_it_is_left_without_a_clear_answer()
  {
     for method in METHODS {
         let mut shard = Shard::begun();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn given_an_order_that_lost_when_it_comes_again_then_it_is_refused_for_ever() {
+fn given_an_order_that_lost_when_it_is_sent_again_then_it_is_refused_for_ever() {
     for method in METHODS {
         let mut shard = Shard::begun();
         let lost = [
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn given_the_same_text_by_the_other_method_or_on_another_base_when_it_comes_then_it_is_another_order()
+fn given_the_same_text_by_the_other_method_or_on_another_base_when_it_is_sent_then_it_is_another_order()
  {
     for (method, other) in [(Method::Put, Method::Patch), (Method::Patch, Method::Put)] {
         let mut shard = Shard::begun();
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn given_a_body_that_differs_in_spaces_only_when_it_comes_then_it_is_that_very_configuration() {
+fn given_a_body_that_differs_in_spaces_only_when_it_is_sent_then_it_is_that_very_configuration() {
     for method in METHODS {
         let mut shard = Shard::begun();
         let sent = order(method, 5, 8, "a");
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn given_an_order_that_could_not_be_taken_when_it_comes_again_then_it_is_refused_for_ever() {
+fn given_an_order_that_could_not_be_taken_when_it_is_sent_again_then_it_is_refused_for_ever() {
     for method in METHODS {
         let mut shard = Shard::begun();
         let low = order(method, 5, 5, "a");
@@ -302,8 +302,9 @@
 /// cores by Pollard's rho with distinguished points.
 #[test]
 fn given_two_bodies_that_collide_in_a_weak_hash_when_one_was_taken_then_the_other_is_refused() {
-    let body =
-        |note: &str| format!("{{\"version\":8,\"routes\":[],\"services\":[],\"note\":\"{note}\"}}");
+    let body = |filler: &str| {
+        format!("{{\"version\":8,\"routes\":[],\"services\":[],\"note\":\"{filler}\"}}")
+    };
     let bodies = [body("vGJJrf/weLP"), body("51bOSnk4+FB")];
     let weak = bodies
         .each_ref()
@@ -322,18 +323,18 @@
 #[test]
 fn given_a_change_that_makes_the_state_too_large_when_sent_then_it_is_refused_clearly_and_not_left_open()
  {
-    let most = sparrouter_consensus::Settings::default().max_body_bytes;
-    let note = "n".repeat(most - 200);
+    let max_bytes = sparrouter_consensus::Settings::default().max_body_bytes;
+    let filler = "n".repeat(max_bytes - 200);
     let mut shard = Shard::default();
     let large = Change::Put {
         if_match: Some(0),
         body: Blob(
-            format!("{{\"version\":5,\"routes\":[],\"services\":[],\"note\":\"{note}\"}}")
+            format!("{{\"version\":5,\"routes\":[],\"services\":[],\"note\":\"{filler}\"}}")
                 .into_bytes(),
         ),
     };
     assert_eq!(shard.submit(&large), 200);
-    assert!(shard.0.len() <= most);
+    assert!(shard.0.len() <= max_bytes);
     let longer_name = "s".repeat(200);
     assert_eq!(
         shard.unchanged(&order(Method::Patch, 5, 8, &longer_name)),
--- a/crates/sparrouter-fleet/tests/boot.rs
+++ b/crates/sparrouter-fleet/tests/process_settings.rs
@@ -3,91 +3,97 @@
 use std::path::Path;
 use std::time::Duration;
 
-const PAGE: &str = include_str!("settings/page.conf");
+const EXAMPLE: &str = include_str!("settings/page.conf");
 
 fn parse(text: &str) -> Result<ProcessSettings, SettingsError> {
     ProcessSettings::parse(Path::new("boot.conf"), text)
 }
 
-/// The least that a process needs, and this line.
-fn least_and(line: &str) -> String {
+/// The settings that a process needs at least, and this line.
+fn minimal_with(line: &str) -> String {
     format!("node_name=n1\nip_address=10.1.0.21\ninternal_port_range=7360,7375\n{line}\n")
 }
 
-fn told(line: &str) -> String {
-    parse(&least_and(line)).expect_err("a fault").to_string()
+fn error_of(line: &str) -> String {
+    parse(&minimal_with(line))
+        .expect_err("an error")
+        .to_string()
 }
 
 #[test]
 fn given_the_example_of_the_deploy_page_when_read_then_every_field_has_its_value() {
-    let boot = parse(PAGE).expect("valid");
-    assert_eq!(boot.node_name, "frontend-lalitpur-hall-1");
+    let settings = parse(EXAMPLE).expect("valid");
+    assert_eq!(settings.node_name, "frontend-lalitpur-hall-1");
     assert_eq!(
-        (boot.role.as_str(), boot.machine_class.as_str()),
+        (settings.role.as_str(), settings.machine_class.as_str()),
         ("my-frontend", "frontend")
     );
-    assert_eq!(boot.served_roles, ["frontend", "control_plane"]);
-    assert_eq!(boot.ip.to_string(), "10.1.0.21");
-    assert_eq!(boot.regions.len(), 3);
-    assert_eq!(boot.regions["kirtipur-hall"], "kathmandu-valley");
-    assert_eq!(boot.listen.front.unwrap().to_string(), "10.1.0.21:8689");
-    assert_eq!(boot.listen.readiness.unwrap().port(), 8687);
-    assert_eq!(boot.listen.control.unwrap().port(), 8683);
-    assert_eq!((boot.internal_port, boot.last_internal_port), (7360, 7375));
-    assert_eq!(boot.seeds.len(), 3);
-    assert!(boot.first_start && boot.counts_toward_quorum);
+    assert_eq!(settings.served_roles, ["frontend", "control_plane"]);
+    assert_eq!(settings.ip.to_string(), "10.1.0.21");
+    assert_eq!(settings.regions.len(), 3);
+    assert_eq!(settings.regions["kirtipur-hall"], "kathmandu-valley");
+    assert_eq!(settings.listen.front.unwrap().to_string(), "10.1.0.21:8689");
+    assert_eq!(settings.listen.readiness.unwrap().port(), 8687);
+    assert_eq!(settings.listen.control.unwrap().port(), 8683);
     assert_eq!(
-        (boot.cpu_share, boot.cpu_cores, boot.link_mbps),
+        (settings.internal_port, settings.last_internal_port),
+        (7360, 7375)
+    );
+    assert_eq!(settings.seeds.len(), 3);
+    assert!(settings.first_start && settings.counts_toward_quorum);
+    assert_eq!(
+        (settings.cpu_share, settings.cpu_cores, settings.link_mbps),
         (0.45, 1.0, 1000.0)
     );
     assert_eq!(
-        (boot.memory_mb, boot.open_files, boot.disk_mb),
+        (settings.memory_mb, settings.open_files, settings.disk_mb),
         (260, 4100, 64)
     );
     assert_eq!(
-        boot.data_directory.as_deref(),
+        settings.data_directory.as_deref(),
         Some(Path::new("/data/my-frontend"))
     );
     assert_eq!(
-        (boot.discovery.as_str(), boot.entry_mode.as_str()),
+        (settings.discovery.as_str(), settings.entry_mode.as_str()),
         ("registration", "virtual_ip")
     );
-    assert_eq!(boot.heartbeat, Duration::from_millis(1_200));
-    assert_eq!(boot.active_contracts.len(), 10);
+    assert_eq!(settings.heartbeat, Duration::from_millis(1_200));
+    assert_eq!(settings.active_contracts.len(), 10);
     assert_eq!(
         (
-            boot.tolerated_machines,
-            boot.tolerated_zones,
-            boot.tolerated_regions
+            settings.tolerated_machines,
+            settings.tolerated_zones,
+            settings.tolerated_regions
         ),
         (1, 0, 0)
     );
-    assert_eq!(boot.bounds.grace, Duration::from_secs(8));
-    assert_eq!(boot.bounds.rollback_slack, Duration::from_millis(250));
-    assert_eq!(boot.bounds.retry_budget_slack, 64.0);
-    assert!(boot.bounds.fencing && !boot.bounds.strict_revocation);
-    assert_eq!(boot.bounds.version_all, Duration::ZERO);
+    assert_eq!(settings.bounds.grace, Duration::from_secs(8));
+    assert_eq!(settings.bounds.rollback_slack, Duration::from_millis(250));
+    assert_eq!(settings.bounds.retry_budget_slack, 64.0);
+    assert!(settings.bounds.fencing && !settings.bounds.strict_revocation);
+    assert_eq!(settings.bounds.version_all, Duration::ZERO);
 }
 
 #[test]
-fn given_strict_revocation_with_a_bound_too_short_for_a_lease_when_read_then_it_is_refused() {
+fn given_strict_revocation_with_a_bound_too_short_for_a_lease_when_read_then_it_is_rejected() {
     let strict = "bounds.strict_revocation=true\nbounds.revoke_timeout_ms=";
     for short in ["0", "999"] {
-        let message = told(&format!("{strict}{short}"));
-        let wanted = format!(
+        let message = error_of(&format!("{strict}{short}"));
+        let expected = format!(
             "bounds.revoke_timeout_ms={short} is not at least 1000 where bounds.strict_revocation is true"
         );
-        assert!(message.contains(&wanted), "{message}");
+        assert!(message.contains(&expected), "{message}");
     }
     for (strict, bound) in [(true, "1000"), (false, "0")] {
         let line = format!("bounds.strict_revocation={strict}\nbounds.revoke_timeout_ms={bound}");
-        assert!(parse(&least_and(&line)).is_ok(), "{line}");
+        assert!(parse(&minimal_with(&line)).is_ok(), "{line}");
     }
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "a snapshot of all fields")]
 fn given_the_example_of_the_deploy_page_when_shown_then_every_field_is_named() {
-    insta::assert_snapshot!(ProcessSettings::show_text(Path::new("boot.conf"), PAGE).expect("valid"), @r"
+    insta::assert_snapshot!(ProcessSettings::show_text(Path::new("boot.conf"), EXAMPLE).expect("valid"), @r"
     # as given in boot.conf
     node_name=frontend-lalitpur-hall-1
     role=my-frontend
@@ -149,8 +155,9 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "a snapshot of all fields")]
 fn given_minimal_settings_when_shown_then_defaults_are_filled_in_and_unknown_fields_named() {
-    let text = least_and("later.field=7");
+    let text = minimal_with("later.field=7");
     insta::assert_snapshot!(ProcessSettings::show_text(Path::new("boot.conf"), &text).expect("valid"), @r"
     # as given in boot.conf
     node_name=n1
@@ -209,7 +216,7 @@
 
 #[test]
 fn given_shown_settings_when_read_again_then_they_are_the_same() {
-    for text in [PAGE.to_owned(), least_and("")] {
+    for text in [EXAMPLE.to_owned(), minimal_with("")] {
         let shown = ProcessSettings::show_text(Path::new("boot.conf"), &text).expect("valid");
         assert_eq!(parse(&shown).expect("valid"), parse(&text).expect("valid"));
     }
@@ -218,27 +225,31 @@
 #[test]
 fn given_a_field_of_a_later_release_when_read_then_it_is_ignored() {
     assert_eq!(
-        parse(&least_and("limits.gpus=eight")).expect("valid"),
-        parse(&least_and("")).expect("valid")
+        parse(&minimal_with("limits.gpus=eight")).expect("valid"),
+        parse(&minimal_with("")).expect("valid")
     );
 }
 
 #[test]
 fn given_an_empty_field_when_read_then_it_counts_as_left_out() {
-    let boot = parse(&least_and(
+    let settings = parse(&minimal_with(
         "data_directory=\nlimits.memory_mb= \nseed_nodes=",
     ))
     .expect("valid");
     assert_eq!(
-        (boot.data_directory, boot.memory_mb, boot.seeds.len()),
+        (
+            settings.data_directory,
+            settings.memory_mb,
+            settings.seeds.len()
+        ),
         (None, 256, 0)
     );
 }
 
 #[test]
-fn given_a_whole_number_with_a_point_when_read_then_it_is_one() {
+fn given_a_whole_number_with_a_decimal_point_when_read_then_it_is_one() {
     assert_eq!(
-        parse(&least_and("limits.memory_mb=260.0"))
+        parse(&minimal_with("limits.memory_mb=260.0"))
             .expect("valid")
             .memory_mb,
         260
@@ -252,23 +263,23 @@
 
 #[test]
 fn given_a_file_that_is_not_there_when_read_then_path_and_remedy_are_named() {
-    let told = ProcessSettings::read(Path::new("/nowhere/boot.conf"))
-        .expect_err("a fault")
+    let message = ProcessSettings::read(Path::new("/nowhere/boot.conf"))
+        .expect_err("an error")
         .to_string();
-    insta::assert_snapshot!(told, @"/nowhere/boot.conf: cannot be read (No such file or directory (os error 2)): check that the file exists and its owner may read it");
+    insta::assert_snapshot!(message, @"/nowhere/boot.conf: cannot be read (No such file or directory (os error 2)): check that the file exists and its owner may read it");
 }
 
 #[test]
 fn given_a_line_that_cannot_be_read_when_parsed_then_it_is_named() {
-    insta::assert_snapshot!(told("a=\\uZZZZ"), @r"boot.conf: not lines of a.b=value (Malformed \uxxxx encoding: not hex. (line_number = 4)): correct the line");
+    insta::assert_snapshot!(error_of("a=\\uZZZZ"), @r"boot.conf: not lines of a.b=value (Malformed \uxxxx encoding: not hex. (line_number = 4)): correct the line");
 }
 
 #[test]
 fn given_no_name_when_parsed_then_the_field_is_named() {
-    let told = parse("ip_address=10.1.0.21\ninternal_port_range=7360,7375")
-        .expect_err("a fault")
+    let message = parse("ip_address=10.1.0.21\ninternal_port_range=7360,7375")
+        .expect_err("an error")
         .to_string();
-    insta::assert_snapshot!(told, @"boot.conf: node_name is missing: add a line node_name=…");
+    insta::assert_snapshot!(message, @"boot.conf: node_name is missing: add a line node_name=…");
 }
 
 #[test]
@@ -293,7 +304,7 @@
         "bounds.retry_budget_ratio=1e3",
         "bounds.fencing_enabled=1",
     ];
-    let all: Vec<String> = lines.iter().map(|l| told(l)).collect();
+    let all: Vec<String> = lines.iter().map(|l| error_of(l)).collect();
     insta::assert_snapshot!(all.join("\n"), @r"
     boot.conf: ip_address=ten is not an IP address such as 10.1.0.21: correct that line
     boot.conf: listen_addresses.front_http=10.1.0.21 is not an address such as 10.1.0.21:8683: correct that line
@@ -317,6 +328,6 @@
 }
 
 #[test]
-fn given_a_value_without_end_when_parsed_then_the_error_stays_short() {
-    assert!(told(&format!("first_start={}", "x".repeat(100_000))).len() < 300);
+fn given_an_endless_value_when_parsed_then_the_error_stays_short() {
+    assert!(error_of(&format!("first_start={}", "x".repeat(100_000))).len() < 300);
 }
--- a/crates/sparrouter-fleet/tests/recorded_bytes.rs
+++ b/crates/sparrouter-fleet/tests/recorded_bytes.rs
@@ -34,14 +34,14 @@
     }
 }
 
-fn server(id: &str, standing: LifecycleState) -> ServerRecord {
+fn server(id: &str, state: LifecycleState) -> ServerRecord {
     ServerRecord {
         id: id.to_owned(),
         service: "chat".to_owned(),
         address: "10.0.1.1:9000".to_owned(),
         zone: "a".to_owned(),
         slot_count: 300,
-        state: standing,
+        state,
         call_sequence: 9,
         models: vec![LoadedModel {
             name: "daka".to_owned(),
@@ -96,7 +96,7 @@
 }
 
 fn edits() -> TextUpdate {
-    let piece = HunkUpdate {
+    let hunk = HunkUpdate {
         start: 2,
         length: 5,
         text: "new".to_owned(),
@@ -104,7 +104,7 @@
     let edit = EditUpdate {
         from: 1,
         to: 2,
-        hunks: vec![piece].into(),
+        hunks: vec![hunk].into(),
     };
     TextUpdate::Edits(vec![edit].into())
 }
@@ -113,6 +113,7 @@
     Blob(text.as_bytes().to_vec())
 }
 
+#[allow(clippy::too_many_lines, reason = "a table of all calls")]
 fn calls() -> Vec<(&'static str, Vec<u8>)> {
     let poll = Poll {
         name: "n1".to_owned(),
@@ -131,7 +132,7 @@
         address: "10.0.0.2:7360".to_owned(),
         message: blob("message"),
     };
-    let kept = Call::CachedBlocks {
+    let cached = Call::CachedBlocks {
         source: 6,
         replaces_all: true,
         blocks: vec![CachedBlock { key: 7, tokens: 64 }].into(),
@@ -165,7 +166,7 @@
             }
             .serialize_bin(),
         ),
-        ("call-kept", kept.serialize_bin()),
+        ("call-kept", cached.serialize_bin()),
         ("call-wait", wait.serialize_bin()),
         (
             "call-over",
--- a/crates/sparrouter-fleet/tests/upstream.rs
+++ b/crates/sparrouter-fleet/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: what left of a request that broke off, early answers, and what may rest in the pool.
+//! Connections to servers: what of a broken request has left, early responses, and what may be pooled.
 use bytes::{Bytes, BytesMut};
 use sparrouter_fleet::platform::net::{BoxFuture, Connection, Listener, Net, Stream};
 use sparrouter_fleet::platform::upstream::{Pool, SendOutcome, Upstream};
@@ -14,34 +14,34 @@
 
 const HEAD: &[u8] = b"POST /a HTTP/1.1\r\nContent-Length: 40000\r\n\r\n";
 const LONG_BODY: usize = 40_000;
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\nContent-Length: 2\r\n\r\nok";
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\nContent-Length: 2\r\n\r\nok";
 
 /// What the transport does with writes, and what can be read from it.
 #[derive(Default)]
 struct Script {
-    /// Bytes that writes still accept; then `then` happens.
+    /// Bytes that writes still accept; after them `error` happens.
     accepts: usize,
-    then: Option<ErrorKind>,
-    /// Bytes that come once as many were accepted as `after` says.
-    answer: BytesMut,
+    error: Option<ErrorKind>,
+    /// Bytes that can be read once `after` bytes were accepted.
+    response: BytesMut,
     after: usize,
     accepted: Vec<u8>,
     ended: bool,
 }
 
 #[derive(Clone)]
-struct Line(Rc<RefCell<Script>>);
+struct ScriptedConnection(Rc<RefCell<Script>>);
 
-impl AsyncRead for Line {
+impl AsyncRead for ScriptedConnection {
     fn poll_read(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let script = &mut *self.0.borrow_mut();
-        if script.accepted.len() >= script.after && !script.answer.is_empty() {
-            let length = script.answer.len().min(buffer.remaining());
-            buffer.put_slice(&script.answer.split_to(length));
+        if script.accepted.len() >= script.after && !script.response.is_empty() {
+            let length = script.response.len().min(buffer.remaining());
+            buffer.put_slice(&script.response.split_to(length));
             return Poll::Ready(Ok(()));
         }
         if script.ended {
@@ -51,7 +51,7 @@
     }
 }
 
-impl AsyncWrite for Line {
+impl AsyncWrite for ScriptedConnection {
     fn poll_write(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -59,7 +59,7 @@
     ) -> Poll<io::Result<usize>> {
         let script = &mut *self.0.borrow_mut();
         if script.accepts == 0 {
-            return match script.then {
+            return match script.error {
                 Some(kind) => Poll::Ready(Err(kind.into())),
                 None => Poll::Pending,
             };
@@ -77,14 +77,14 @@
     }
 }
 
-impl Connection for Line {
+impl Connection for ScriptedConnection {
     fn read_available(&self, _: &mut [u8]) -> Option<io::Result<usize>> {
         let script = self.0.borrow();
-        (!script.answer.is_empty()).then_some(Ok(1))
+        (!script.response.is_empty()).then_some(Ok(1))
     }
 }
 
-impl Net for Line {
+impl Net for ScriptedConnection {
     fn dial(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Stream>> {
         Box::pin(async move { Ok(Box::new(self.clone()) as Stream) })
     }
@@ -93,13 +93,15 @@
     }
 }
 
-fn line(script: Script) -> Line {
-    Line(Rc::new(RefCell::new(script)))
+fn connection(script: Script) -> ScriptedConnection {
+    ScriptedConnection(Rc::new(RefCell::new(script)))
 }
 
-async fn dial(line: &Line) -> Upstream {
+async fn dial(connection: &ScriptedConnection) -> Upstream {
     let server = "10.0.0.1:8080".parse().expect("an address");
-    Upstream::dial(line, server).await.expect("a connection")
+    Upstream::dial(connection, server)
+        .await
+        .expect("a connection")
 }
 
 async fn send_long(link: &mut Upstream) -> SendOutcome {
@@ -107,8 +109,8 @@
     link.send(&Bytes::from_static(HEAD), &body).await
 }
 
-/// Reads one whole answer.
-async fn read_answer(link: &mut Upstream) -> ResponseHead {
+/// Reads one complete response.
+async fn read_response(link: &mut Upstream) -> ResponseHead {
     let bytes = reading::head(&mut link.stream, &mut link.buffer, head::REPLY, 4096)
         .await
         .expect("a head");
@@ -120,17 +122,17 @@
         1 << 20,
     )
     .await
-    .expect("a whole body");
+    .expect("a complete body");
     head
 }
 
 #[tokio::test]
-async fn given_a_connection_that_takes_no_byte_when_sent_then_nothing_left() {
-    let line = line(Script {
-        then: Some(ErrorKind::ConnectionReset),
+async fn given_a_connection_that_accepts_no_byte_when_sent_then_nothing_left() {
+    let connection = connection(Script {
+        error: Some(ErrorKind::ConnectionReset),
         ..Script::default()
     });
-    let mut link = dial(&line).await;
+    let mut link = dial(&connection).await;
     assert_eq!(send_long(&mut link).await, SendOutcome::Nothing);
     let small = link
         .send(
@@ -142,16 +144,22 @@
 }
 
 #[tokio::test]
-async fn given_an_error_after_any_byte_was_taken_when_sent_then_it_may_have_run() {
+async fn given_an_error_after_any_byte_was_accepted_when_sent_then_it_may_have_run() {
     // Part of the head, all of it without a body byte, part of the body, all but the last byte.
-    let whole = HEAD.len() + LONG_BODY;
-    for accepts in [1, HEAD.len() - 1, HEAD.len(), HEAD.len() + 1, whole - 1] {
-        let line = line(Script {
+    let request_bytes = HEAD.len() + LONG_BODY;
+    for accepts in [
+        1,
+        HEAD.len() - 1,
+        HEAD.len(),
+        HEAD.len() + 1,
+        request_bytes - 1,
+    ] {
+        let connection = connection(Script {
             accepts,
-            then: Some(ErrorKind::BrokenPipe),
+            error: Some(ErrorKind::BrokenPipe),
             ..Script::default()
         });
-        let mut link = dial(&line).await;
+        let mut link = dial(&connection).await;
         assert_eq!(
             send_long(&mut link).await,
             SendOutcome::Begun,
@@ -162,12 +170,12 @@
 
 #[tokio::test]
 async fn given_a_request_without_a_body_when_its_head_is_cut_then_it_may_have_run() {
-    let line = line(Script {
+    let connection = connection(Script {
         accepts: 5,
-        then: Some(ErrorKind::ConnectionReset),
+        error: Some(ErrorKind::ConnectionReset),
         ..Script::default()
     });
-    let mut link = dial(&line).await;
+    let mut link = dial(&connection).await;
     let sent = link
         .send(
             &Bytes::from_static(b"GET / HTTP/1.1\r\n\r\n"),
@@ -179,15 +187,15 @@
 
 #[tokio::test]
 async fn given_a_server_that_answers_before_a_long_body_is_in_then_the_answer_is_read_at_once() {
-    let line = line(Script {
+    let connection = connection(Script {
         accepts: 1_000,
-        answer: BytesMut::from(ANSWER),
+        response: BytesMut::from(RESPONSE),
         after: 1_000,
         ..Script::default()
     });
-    let mut link = dial(&line).await;
+    let mut link = dial(&connection).await;
     assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
-    let head = read_answer(&mut link).await;
+    let head = read_response(&mut link).await;
     assert_eq!(head.status, 200);
     assert!(
         !link.is_reusable(&head),
@@ -206,60 +214,61 @@
         &[b'y'; 9_000],
     ]
     .concat();
-    let line = line(Script {
+    let connection = connection(Script {
         accepts: 1_000,
-        answer: BytesMut::from(&answer[..]),
+        response: BytesMut::from(&answer[..]),
         after: 1_000,
         ..Script::default()
     });
-    let mut link = dial(&line).await;
+    let mut link = dial(&connection).await;
     assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
-    line.0.borrow_mut().accepts = usize::MAX;
-    let head = read_answer(&mut link).await;
+    connection.0.borrow_mut().accepts = usize::MAX;
+    let head = read_response(&mut link).await;
     assert!(link.is_reusable(&head));
     let expected = [HEAD, &vec![b'x'; LONG_BODY]].concat();
-    assert!(line.0.borrow().accepted == expected);
+    assert!(connection.0.borrow().accepted == expected);
 }
 
 #[tokio::test]
-async fn given_an_answer_to_a_request_that_broke_off_when_it_is_whole_then_the_connection_ends() {
-    let line = line(Script {
+async fn given_an_answer_to_a_request_that_broke_off_when_it_is_complete_then_the_connection_ends()
+{
+    let connection = connection(Script {
         accepts: 1_000,
-        then: Some(ErrorKind::BrokenPipe),
-        answer: BytesMut::from(ANSWER),
+        error: Some(ErrorKind::BrokenPipe),
+        response: BytesMut::from(RESPONSE),
         after: 1_000,
         ..Script::default()
     });
-    let mut link = dial(&line).await;
+    let mut link = dial(&connection).await;
     assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
-    let head = read_answer(&mut link).await;
+    let head = read_response(&mut link).await;
     assert!(!link.is_reusable(&head));
 }
 
 #[tokio::test]
 async fn given_a_connection_that_ends_while_a_body_is_written_then_sending_ends_too() {
-    let line = line(Script {
+    let connection = connection(Script {
         accepts: 1_000,
         ended: true,
         ..Script::default()
     });
-    let mut link = dial(&line).await;
+    let mut link = dial(&connection).await;
     assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
 }
 
 #[tokio::test]
-async fn given_a_resting_connection_when_bytes_come_unasked_then_it_is_not_taken() {
-    let line = line(Script {
+async fn given_a_pooled_connection_when_bytes_arrive_unrequested_then_it_is_not_used() {
+    let connection = connection(Script {
         accepts: usize::MAX,
-        answer: BytesMut::from(ANSWER),
+        response: BytesMut::from(RESPONSE),
         ..Script::default()
     });
-    let mut link = dial(&line).await;
+    let mut link = dial(&connection).await;
     assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
-    let head = read_answer(&mut link).await;
+    let head = read_response(&mut link).await;
     let pool = Pool::default();
     pool.put("i-1", link, &head);
-    line.0.borrow_mut().answer = BytesMut::from(ANSWER);
+    connection.0.borrow_mut().response = BytesMut::from(RESPONSE);
     assert!(pool.take("i-1").is_none());
 }
 
@@ -271,8 +280,8 @@
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        let mut taken = vec![0; read];
-        tokio::io::AsyncReadExt::read_exact(&mut stream, &mut taken)
+        let mut received = vec![0; read];
+        tokio::io::AsyncReadExt::read_exact(&mut stream, &mut received)
             .await
             .expect("bytes");
         let no_linger = Some(std::time::Duration::ZERO);
