--- a/crates/sparrouter-fleet/src/api/metrics.rs
+++ b/crates/sparrouter-fleet/src/api/metrics.rs
@@ -149,13 +149,13 @@
         "sent_to_older_weights_total",
         &counters.sent_to_older_weights,
     );
-    line("begun_too_late_total", &counters.begun_too_late);
+    line("begun_too_late_total", &counters.began_beyond_limit);
     line(
         "refused_without_configuration_lease_total",
         &counters.refused_without_lease,
     );
     line("servers_avoided_total", &counters.servers_avoided);
-    line("orders_taken_total", &counters.orders_taken);
+    line("orders_taken_total", &counters.orders_accepted);
     line("orders_declined_total", &counters.orders_declined);
     line("orders_unanswered_total", &counters.orders_unanswered);
 }
--- a/crates/sparrouter-fleet/src/control/actions.rs
+++ b/crates/sparrouter-fleet/src/control/actions.rs
@@ -129,7 +129,7 @@
     pub(super) fn publish_configuration(&self, slot: u64, body: &[u8]) {
         let state = match ConfigurationState::read(body) {
             Ok(state) => state,
-            Err(error) => return self.node.log_buffer.breach(&error.to_string()),
+            Err(error) => return self.node.log_buffer.report_violation(&error.to_string()),
         };
         let versions = VersionsUpdate {
             models: state.models.iter().map(just_named).collect(),
--- a/crates/sparrouter-fleet/src/control/disk.rs
+++ b/crates/sparrouter-fleet/src/control/disk.rs
@@ -176,7 +176,7 @@
 fn draw_disk_id<F: Files>(store: &mut Store<F>, log_buffer: &LogBuffer, rng: &mut Rng) -> u64 {
     let disk_id = rng.u64(1..);
     if let Err(error) = store.save(DISK_ID_RECORD, &disk_id.to_le_bytes()) {
-        log_buffer.breach(&format!("the disk's id cannot be written: {error}"));
+        log_buffer.report_violation(&format!("the disk's id cannot be written: {error}"));
     }
     disk_id
 }
@@ -277,11 +277,11 @@
                 return Err(error);
             }
             Err(error @ DiskError::Unreadable(_)) => {
-                log_buffer.breach(&format!("the data directory cannot be used: {error}"));
+                log_buffer.report_violation(&format!("the data directory cannot be used: {error}"));
                 break;
             }
             Err(error) => {
-                log_buffer.breach(&format!("the data directory cannot be used: {error}"));
+                log_buffer.report_violation(&format!("the data directory cannot be used: {error}"));
                 if is_last_attempt || files().and_then(empty).is_err() {
                     break;
                 }
--- a/crates/sparrouter-fleet/src/control/disk_queue.rs
+++ b/crates/sparrouter-fleet/src/control/disk_queue.rs
@@ -1,4 +1,4 @@
-//! What this process has asked of its disk, and why the disk last failed.
+//! The writes that this process has requested of its disk, and why the disk last failed.
 use super::Control;
 use crate::control::disk::{WriteQueue, WriteRequest};
 use std::cell::{Cell, RefCell};
--- a/crates/sparrouter-fleet/src/control/groups.rs
+++ b/crates/sparrouter-fleet/src/control/groups.rs
@@ -19,7 +19,7 @@
 const STABLE_FOR: Duration = Duration::from_millis(900);
 /// ... and one of them counts toward the quorum, or this much time has passed since the start.
 const MAX_WAIT_FOR_COUNTED: Duration = Duration::from_millis(4_000);
-/// Time between two looks at who may be a member of the first group.
+/// Time between two checks of who may be a member of the first group.
 const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(50);
 /// Most members of the first group.
 const MAX_FIRST_MEMBERS: usize = 9;
--- a/crates/sparrouter-fleet/src/control/mod.rs
+++ b/crates/sparrouter-fleet/src/control/mod.rs
@@ -13,7 +13,7 @@
 //! | `groups` | who belongs to the shards' groups, and the first groups |
 //! | `handover` | leaving the groups without loss |
 //! | `liveness` | which members and pollers this node hears from, and who is first for a lease |
-//! | [`observation_window`] | since when this process could have heard the other members |
+//! | [`observation_window`] | since when this process could have heard from the other members |
 //! | `quorum_reads` | the reads that quorum contact rests on |
 //! | [`quorum_contact`] | whether this member is in contact with a quorum |
 //!
@@ -187,7 +187,7 @@
     let open = |(shard, record): (u16, &Option<Vec<u8>>)| {
         open_register(node, own_member, shard, record.as_deref(), 0).unwrap_or_else(|error| {
             // The disk's records were checked when they were read.
-            node.log_buffer.breach(&error.to_string());
+            node.log_buffer.report_violation(&error.to_string());
             open_register(node, own_member, shard, None, 0).expect("there is no record to misread")
         })
     };
--- a/crates/sparrouter-fleet/src/control/observation_window.rs
+++ b/crates/sparrouter-fleet/src/control/observation_window.rs
@@ -1,4 +1,4 @@
-//! Since when this process could have heard from the other members, without a pause.
+//! Since when this process has been running without a pause, and so could have heard from the other members.
 //!
 //! A process that was frozen, or hardly ran, heard from nobody meanwhile. That proves nothing of the others: the time for
 //! which they count as unresponsive begins after the pause, so that a member that thaws does not propose to take the
--- a/crates/sparrouter-fleet/src/control/operations.rs
+++ b/crates/sparrouter-fleet/src/control/operations.rs
@@ -9,7 +9,8 @@
 
 /// The operations that callers wait for, by their number.
 ///
-/// Invariant: an entry is there from before its register knows the operation until the register completes it.
+/// Invariant: an entry is there from before its register knows the operation until the register completes it. An operation
+/// on a number that no shard has is answered at once and leaves its entry.
 #[derive(Default)]
 pub(super) struct PendingOperations {
     waiting: RefCell<HashMap<u64, oneshot::Sender<Outcome>>>,
--- a/crates/sparrouter-fleet/src/control/quorum_reads.rs
+++ b/crates/sparrouter-fleet/src/control/quorum_reads.rs
@@ -16,7 +16,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// How long one read may take.
 const READ_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often a node that is in no group looks whether it is.
+/// Time between two checks whether a node that is in no group has joined one.
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Control {
--- a/crates/sparrouter-fleet/src/lib.rs
+++ b/crates/sparrouter-fleet/src/lib.rs
@@ -1,22 +1,26 @@
 //! The router fleet: one process of it, and the operators' client. `docs/architecture.md` shows how the modules work
-//! together; `docs/design/system.md` says what was weighed.
+//! together; `docs/design/system.md` has the alternatives that were considered.
 //!
-//! Each folder answers one question of an engineer; a folder uses those below it:
+//! Each folder answers one question of an engineer. A folder uses those below it in this table, never one above:
 //!
 //! | folder | its job |
 //! | --- | --- |
-//! | [`process`] | a process: settings, start, signals, shutdown, log |
+//! | [`process`] | a process: start, signals, periodic work, shutdown |
 //! | [`client`] | the operators' command line |
-//! | [`api`] | control endpoints for operators and servers; answers to other nodes; status |
+//! | [`api`] | calls of operators, servers, scrapers and other nodes; status and metrics |
 //! | [`proxy`] | one client request from accept to the last byte |
 //! | [`rollout`] | new weights, brought to servers a few at a time |
-//! | [`prefix_cache`] | who has which prompt in its cache |
-//! | [`membership`] | heartbeats of servers, long polls between nodes, liveness |
-//! | [`control`] | configuration and leases by quorum; what is on disk |
+//! | [`prefix_cache`] | which server or store has which prompt in its cache |
+//! | [`membership`] | heartbeats of servers, long polls between nodes, liveness, outliers |
+//! | [`control`] | configuration and rollout leases by quorum; what is on disk |
 //! | [`node`] | what the folders above share: the state of one process |
 //! | [`peer`] | messages and connections between nodes |
 //! | [`platform`] | network, HTTP messages, connections to servers, log, injected defects |
 //! | [`settings`] | the settings file of a process |
+//!
+//! A process runs on one thread: tasks are spawned on its `LocalSet`, share state by `Rc` and `RefCell`, and hold no
+//! borrow across an `await`. Where the order of `select!` arms matters it is `biased`, so that a simulated day is played
+//! twice alike. Public items that only tests and the simulation use are public for them.
 pub mod api;
 pub mod client;
 pub mod control;
--- a/crates/sparrouter-fleet/src/main.rs
+++ b/crates/sparrouter-fleet/src/main.rs
@@ -94,7 +94,7 @@
             return ExitCode::from(if failure.exit_code() == 0 { 0 } else { 2 });
         }
     };
-    let done = match command {
+    let finished = match command {
         Command::Run { role, metrics_port } => {
             return match serve(role, metrics_port) {
                 Ok(()) => ExitCode::SUCCESS,
@@ -117,8 +117,8 @@
         Command::Check { file, against } => commands::check(&file, against.as_deref(), &mut out),
         Command::Show { file } => show(file, &mut out),
     };
-    let done = done.and_then(|()| out.result.flush().map_err(ClientError::Output));
-    match done {
+    let finished = finished.and_then(|()| out.result.flush().map_err(ClientError::Output));
+    match finished {
         Ok(()) => ExitCode::SUCCESS,
         // The reader of a pipe, such as `head`, has read enough.
         Err(ClientError::Output(error)) if error.kind() == std::io::ErrorKind::BrokenPipe => {
--- a/crates/sparrouter-fleet/src/membership/polls.rs
+++ b/crates/sparrouter-fleet/src/membership/polls.rs
@@ -21,7 +21,7 @@
 const MAX_WAIT_OF_CONTROL_NODES: Duration = Duration::from_millis(600);
 /// Time after a poll that failed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
-/// Time between two looks at which control nodes there are.
+/// Time between two checks of which control nodes there are.
 const SOURCES_INTERVAL: Duration = Duration::from_millis(150);
 /// A process that starts polls at short intervals until it is informed, but no longer than this.
 const START_TIME: Duration = Duration::from_secs(10);
--- a/crates/sparrouter-fleet/src/node/configuration.rs
+++ b/crates/sparrouter-fleet/src/node/configuration.rs
@@ -172,7 +172,7 @@
         match RouteTable::read(&document) {
             Ok(table) => Some(Rc::new(table)),
             Err(error) => {
-                self.log_buffer.breach(&format!(
+                self.log_buffer.report_violation(&format!(
                     "configuration cannot be read here: version={version}: {error}"
                 ));
                 None
--- a/crates/sparrouter-fleet/src/node/counters.rs
+++ b/crates/sparrouter-fleet/src/node/counters.rs
@@ -1,4 +1,4 @@
-//! What a process counts as it happens; `api::metrics` shows it.
+//! What a process counts as it happens; `api::metrics` shows it, by the names that dashboards know.
 use std::cell::Cell;
 
 /// What is counted as it happens.
@@ -11,13 +11,13 @@
     /// Requests sent to a server with older weights than the newest.
     pub sent_to_older_weights: Cell<u64>,
     /// Answers that began on weights after the time limit of a newer version: each violates the rule VERSION of RULES.md.
-    pub begun_too_late: Cell<u64>,
+    pub began_beyond_limit: Cell<u64>,
     /// Requests with API keys that were refused because the lease on the configuration had run out.
     pub refused_without_lease: Cell<u64>,
     /// Servers that this node reported as outliers: they fail requests which others would serve.
     pub servers_avoided: Cell<u64>,
     /// Orders to load weights that servers accepted.
-    pub orders_taken: Cell<u64>,
+    pub orders_accepted: Cell<u64>,
     /// Orders to load weights that were declined.
     pub orders_declined: Cell<u64>,
     /// Orders to load weights without an answer.
--- a/crates/sparrouter-fleet/src/platform/log_buffer.rs
+++ b/crates/sparrouter-fleet/src/platform/log_buffer.rs
@@ -79,7 +79,7 @@
     }
 
     /// Reports a violation of something that must always hold: logs it and writes the log out.
-    pub fn breach(&self, violation: &str) {
+    pub fn report_violation(&self, violation: &str) {
         log::error!("{violation}");
         self.dump(violation);
     }
@@ -113,7 +113,7 @@
         let _ = state.sink.write_all(&out).and_then(|()| state.sink.flush());
     }
 
-    /// A thread that panicked while it held the lock lost a line at worst, so the log stays usable.
+    /// A thread that panicked with the lock lost a line at worst, so the log stays usable.
     fn state(&self) -> MutexGuard<'_, State> {
         self.0
             .lock()
--- a/crates/sparrouter-fleet/src/platform/net.rs
+++ b/crates/sparrouter-fleet/src/platform/net.rs
@@ -96,7 +96,7 @@
 /// The network, shared by the tasks of a process.
 pub type SharedNet = Rc<dyn Net>;
 
-/// Waits for the next connection. After an error, such as too few descriptors, it tries again until it succeeds.
+/// Waits for the next connection. After an error, such as too few descriptors, the attempt is repeated until one succeeds.
 pub async fn accept(listener: &dyn Listener) -> (Stream, SocketAddr) {
     loop {
         match listener.accept().await {
--- a/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Time between two looks at which sources fall to this node.
+/// Time between two checks of which sources fall to this node.
 const ASSIGNMENT_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two requests to a source: its events of that time come in one reply.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
@@ -33,7 +33,7 @@
 struct Following {
     /// Their names. Invariant: each has one task.
     names: RefCell<HashSet<u64>>,
-    /// Whether a task has ended since the last look.
+    /// Whether a task has ended since the last check.
     has_ended: Cell<bool>,
 }
 
--- a/crates/sparrouter-fleet/src/process/health_checks.rs
+++ b/crates/sparrouter-fleet/src/process/health_checks.rs
@@ -7,7 +7,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Time between two looks at which checks are due.
+/// Time between two rounds of checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a connection may take to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/sparrouter-fleet/src/process/maintenance.rs
+++ b/crates/sparrouter-fleet/src/process/maintenance.rs
@@ -84,7 +84,7 @@
             let limit = nanos(node.settings.borrow().bounds.contact);
             if now.saturating_sub(lost_at) > limit {
                 self.reports_loss = false;
-                node.log_buffer.breach(
+                node.log_buffer.report_violation(
                     "the quorum of the control state is lost here: bring back its members, with their disks",
                 );
             }
@@ -100,7 +100,7 @@
     if node.fleet_contact.is_informed() || !has_configuration {
         return;
     }
-    node.log_buffer.breach(
+    node.log_buffer.report_violation(
         "no quorum of the control state is heard of since the start: not ready, the configuration here may be old",
     );
     if !rules::readiness_needs_quorum() {
--- a/crates/sparrouter-fleet/src/process/run.rs
+++ b/crates/sparrouter-fleet/src/process/run.rs
@@ -25,7 +25,7 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Time between two looks at whether the settings file has changed.
+/// Time between two checks whether the settings file has changed.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a process does not start.
--- a/crates/sparrouter-fleet/src/process/shutdown.rs
+++ b/crates/sparrouter-fleet/src/process/shutdown.rs
@@ -9,7 +9,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Time between two looks at whether anything is in flight, and how many in a row must find nothing.
+/// Time between two checks whether anything is in flight, and how many in a row must find nothing.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 const IDLE_CHECKS: u32 = 6;
 
@@ -54,7 +54,7 @@
 fn report_unfinished(node: &Node, control: Option<&Rc<Control>>) {
     let open_requests = node.traffic.open_requests();
     if open_requests > 0 {
-        node.log_buffer.breach(&format!(
+        node.log_buffer.report_violation(&format!(
             "{open_requests} requests were still open at the end of the grace period"
         ));
     }
@@ -62,7 +62,7 @@
         .map(|c| c.shards_not_handed_over())
         .unwrap_or_default();
     if !shards.is_empty() {
-        node.log_buffer.breach(&format!(
+        node.log_buffer.report_violation(&format!(
             "not handed over at the end of the grace period: {}; keep this machine's disk until the others form a quorum",
             shards.join(", ")
         ));
--- a/crates/sparrouter-fleet/src/proxy/exchange.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange.rs
@@ -33,7 +33,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A process that has just started mostly knows the configuration after this long. A request is held for it, since a
+/// A process that has just started mostly knows the configuration after this long. A request waits for it, since a
 /// client that is rejected has one attempt less.
 const FIRST_CONFIGURATION_WAIT: Duration = Duration::from_millis(150);
 /// A client that is rejected for want of a configuration may come back after this.
--- a/crates/sparrouter-fleet/src/proxy/exchange/response_head.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/response_head.rs
@@ -142,8 +142,8 @@
         if is_allowed {
             return;
         }
-        count(&self.node.counters.begun_too_late);
-        self.node.log_buffer.breach(&format!(
+        count(&self.node.counters.began_beyond_limit);
+        self.node.log_buffer.report_violation(&format!(
             "a request began on version {version} of {model} at {} after the time limit of a newer version",
             self.id_of(selection.server)
         ));
--- a/crates/sparrouter-fleet/src/rollout/mod.rs
+++ b/crates/sparrouter-fleet/src/rollout/mod.rs
@@ -30,7 +30,7 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Time between two looks at what there is to do.
+/// Time between two evaluations of what there is to do.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(60);
 /// Seconds that one server takes until that was measured: its requests finish first.
 const INITIAL_LOAD_SECONDS: f64 = 1.2;
--- a/crates/sparrouter-fleet/src/rollout/order.rs
+++ b/crates/sparrouter-fleet/src/rollout/order.rs
@@ -80,7 +80,7 @@
     fn record_order(&self, lease: ActiveLease, order: &Order<'_>, status: Option<u16>) {
         let counters = &self.node.counters;
         count(match status {
-            Some(200..=299) => &counters.orders_taken,
+            Some(200..=299) => &counters.orders_accepted,
             Some(_) => &counters.orders_declined,
             None => &counters.orders_unanswered,
         });
--- a/crates/sparrouter-fleet/tests/configuration_state.rs
+++ b/crates/sparrouter-fleet/tests/configuration_state.rs
@@ -1,4 +1,4 @@
-//! What changes mean to the configuration's part: the same on every member, whatever order repeats come in.
+//! What changes mean to the configuration's shard: the same on every member, whatever order repeats come in.
 use nanoserde::SerBin;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Applied, Machine};
@@ -6,11 +6,11 @@
     Change, ConfigurationMachine, ConfigurationState, MAX_KNOWN_ORDERS, Verdict,
 };
 
-/// The part's body as it goes from change to change.
+/// The shard's body as it goes from change to change.
 #[derive(Default)]
-struct Part(Vec<u8>);
+struct Shard(Vec<u8>);
 
-impl Part {
+impl Shard {
     fn apply_bytes(&mut self, change: &[u8]) -> Verdict {
         match ConfigurationMachine.apply(&self.0, change) {
             Applied::Changed { body, answer } => {
@@ -57,16 +57,16 @@
 
 #[test]
 fn given_nothing_yet_when_read_then_it_is_404_and_nothing_changes() {
-    let mut part = Part::default();
-    assert_eq!(part.apply(&Change::Get), 404);
-    assert!(part.0.is_empty());
+    let mut shard = Shard::default();
+    assert_eq!(shard.apply(&Change::Get), 404);
+    assert!(shard.0.is_empty());
 }
 
 #[test]
 fn given_a_first_configuration_when_put_then_it_is_read_back_as_it_was_sent() {
-    let mut part = Part::default();
-    assert_eq!(part.apply(&put(0, 3, "a")), 200);
-    let read = part.apply_bytes(&Change::Get.serialize_bin());
+    let mut shard = Shard::default();
+    assert_eq!(shard.apply(&put(0, 3, "a")), 200);
+    let read = shard.apply_bytes(&Change::Get.serialize_bin());
     assert_eq!(read.status, 200);
     assert_eq!(
         read.text,
@@ -76,47 +76,47 @@
 
 #[test]
 fn given_the_same_body_again_when_put_then_it_is_200_and_nothing_changes() {
-    let mut part = Part::default();
-    part.apply(&put(0, 3, "a"));
-    let before = part.0.clone();
-    assert_eq!(part.apply(&put(0, 3, "a")), 200);
-    assert_eq!(part.0, before);
+    let mut shard = Shard::default();
+    shard.apply(&put(0, 3, "a"));
+    let before = shard.0.clone();
+    assert_eq!(shard.apply(&put(0, 3, "a")), 200);
+    assert_eq!(shard.0, before);
 }
 
 #[test]
 fn given_a_body_that_was_overtaken_when_it_comes_again_then_it_is_200_and_does_not_come_back() {
-    let mut part = Part::default();
-    part.apply(&put(0, 3, "a"));
-    part.apply(&put(3, 5, "b"));
-    assert_eq!(part.apply(&put(0, 3, "a")), 200);
-    assert_eq!(part.version(), 5);
+    let mut shard = Shard::default();
+    shard.apply(&put(0, 3, "a"));
+    shard.apply(&put(3, 5, "b"));
+    assert_eq!(shard.apply(&put(0, 3, "a")), 200);
+    assert_eq!(shard.version(), 5);
 }
 
 #[test]
 fn given_two_on_one_version_when_put_then_one_wins_and_the_other_never_comes_in() {
-    let mut part = Part::default();
-    part.apply(&put(0, 3, "a"));
-    assert_eq!(part.apply(&put(3, 5, "b")), 200);
+    let mut shard = Shard::default();
+    shard.apply(&put(0, 3, "a"));
+    assert_eq!(shard.apply(&put(3, 5, "b")), 200);
     for _ in 0..3 {
-        assert_eq!(part.apply(&put(3, 7, "c")), 412);
+        assert_eq!(shard.apply(&put(3, 7, "c")), 412);
     }
-    assert_eq!(part.version(), 5);
+    assert_eq!(shard.version(), 5);
     // Built on the winner it is another change.
-    assert_eq!(part.apply(&put(5, 7, "c")), 200);
+    assert_eq!(shard.apply(&put(5, 7, "c")), 200);
 }
 
 #[test]
 fn given_two_of_one_number_when_put_then_one_wins() {
-    let mut part = Part::default();
-    part.apply(&put(0, 3, "a"));
-    assert_eq!(part.apply(&put(3, 5, "b")), 200);
-    assert_eq!(part.apply(&put(3, 5, "c")), 412);
-    assert!(part.statute().text.contains("\"b\""));
+    let mut shard = Shard::default();
+    shard.apply(&put(0, 3, "a"));
+    assert_eq!(shard.apply(&put(3, 5, "b")), 200);
+    assert_eq!(shard.apply(&put(3, 5, "c")), 412);
+    assert!(shard.statute().text.contains("\"b\""));
 }
 
 #[test]
 fn given_no_if_match_when_put_then_only_the_first_is_taken() {
-    let mut part = Part::default();
+    let mut shard = Shard::default();
     let bare = |version: u64| {
         let body = format!("{{\"version\":{version},\"routes\":[],\"services\":[]}}");
         Change::Put {
@@ -124,15 +124,15 @@
             body: Blob(body.into_bytes()),
         }
     };
-    assert_eq!(part.apply(&bare(1)), 200);
-    assert_eq!(part.apply(&bare(2)), 412);
+    assert_eq!(shard.apply(&bare(1)), 200);
+    assert_eq!(shard.apply(&bare(2)), 412);
 }
 
 #[test]
 fn given_invalid_bodies_when_put_then_each_is_a_4xx_and_nothing_changes() {
-    let mut part = Part::default();
-    part.apply(&put(0, 3, "a"));
-    let before = part.0.clone();
+    let mut shard = Shard::default();
+    shard.apply(&put(0, 3, "a"));
+    let before = shard.0.clone();
     let bodies: [&[u8]; 6] = [
         b"",
         b"{\"version\":4",
@@ -147,35 +147,35 @@
             if_match: Some(3),
             body: Blob(body.to_vec()),
         };
-        let status = part.apply(&change);
+        let status = shard.apply(&change);
         assert!(matches!(status, 400 | 422), "{status}");
-        assert_eq!(part.0, before);
+        assert_eq!(shard.0, before);
     }
 }
 
 #[test]
 fn given_a_patch_when_applied_then_its_items_come_and_go_and_its_repeat_is_200() {
-    let mut part = Part::default();
+    let mut shard = Shard::default();
     let complete = "{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"},{\"name\":\"t\"}],\"tenants\":[]}";
-    part.apply(&Change::Put {
+    shard.apply(&Change::Put {
         if_match: Some(0),
         body: Blob(complete.as_bytes().to_vec()),
     });
     let text = "{\"version\":4,\"upsert_items\":{\"services\":[{\"name\":\"u\"}]},\
                 \"remove_names\":{\"services\":[\"s\"]}}";
-    assert_eq!(part.apply(&patch(1, text)), 200);
-    let after = part.statute();
+    assert_eq!(shard.apply(&patch(1, text)), 200);
+    let after = shard.statute();
     assert_eq!(after.version, 4);
     assert!(
         !after.text.contains("\"s\"") && after.text.contains("\"u\""),
         "{}",
         after.text
     );
-    assert_eq!(part.apply(&patch(1, text)), 200);
-    assert_eq!(part.version(), 4);
+    assert_eq!(shard.apply(&patch(1, text)), 200);
+    assert_eq!(shard.version(), 4);
     // The same bytes as a complete configuration are another change.
     assert_eq!(
-        part.apply(&Change::Put {
+        shard.apply(&Change::Put {
             if_match: Some(1),
             body: Blob(text.as_bytes().to_vec())
         }),
@@ -185,56 +185,60 @@
 
 #[test]
 fn given_nothing_yet_when_patched_then_it_is_refused() {
-    let mut part = Part::default();
+    let mut shard = Shard::default();
     assert_eq!(
-        part.apply(&patch(0, "{\"version\":1,\"upsert_items\":{}}")),
+        shard.apply(&patch(0, "{\"version\":1,\"upsert_items\":{}}")),
         422
     );
 }
 
 #[test]
 fn given_versions_of_weights_when_named_then_they_only_rise() {
-    let mut part = Part::default();
-    assert_eq!(part.apply(&name("m", 2)), 200);
-    assert_eq!(part.apply(&name("m", 1)), 200);
-    assert_eq!(part.apply(&name("n", 1)), 200);
-    let named: Vec<(String, u64)> = part
+    let mut shard = Shard::default();
+    assert_eq!(shard.apply(&name("m", 2)), 200);
+    assert_eq!(shard.apply(&name("m", 1)), 200);
+    assert_eq!(shard.apply(&name("n", 1)), 200);
+    let named: Vec<(String, u64)> = shard
         .statute()
         .models
         .iter()
         .map(|m| (m.model.clone(), m.version))
         .collect();
     assert_eq!(named, [("m".to_owned(), 2), ("n".to_owned(), 1)]);
-    assert_eq!(part.apply(&name("", 1)), 400);
-    assert_eq!(part.apply(&name("m", 0)), 400);
-    assert_eq!(part.apply(&name(&"m".repeat(300), 1)), 400);
+    assert_eq!(shard.apply(&name("", 1)), 400);
+    assert_eq!(shard.apply(&name("m", 0)), 400);
+    assert_eq!(shard.apply(&name(&"m".repeat(300), 1)), 400);
 }
 
 #[test]
 fn given_a_configuration_when_weights_are_named_then_it_stays_as_it_was() {
-    let mut part = Part::default();
-    part.apply(&put(0, 3, "a"));
-    let text = part.statute().text;
-    part.apply(&name("m", 2));
-    assert_eq!((part.version(), part.statute().text), (3, text));
-    assert_eq!(part.apply(&put(3, 4, "b")), 200);
+    let mut shard = Shard::default();
+    shard.apply(&put(0, 3, "a"));
+    let text = shard.statute().text;
+    shard.apply(&name("m", 2));
+    assert_eq!((shard.version(), shard.statute().text), (3, text));
+    assert_eq!(shard.apply(&put(3, 4, "b")), 200);
 }
 
 #[test]
 fn given_many_changes_when_taken_then_what_is_remembered_of_them_is_bounded_and_none_is_refused() {
     const CHANGES: u64 = 3 * MAX_KNOWN_ORDERS as u64;
-    let mut part = Part::default();
+    let mut shard = Shard::default();
     for version in 1..=CHANGES {
-        assert_eq!(part.apply(&put(version - 1, version, "a")), 200);
+        assert_eq!(shard.apply(&put(version - 1, version, "a")), 200);
     }
-    let state = part.statute();
+    let state = shard.statute();
     assert_eq!(state.orders.known(), MAX_KNOWN_ORDERS);
-    let most = 40 * MAX_KNOWN_ORDERS + state.text.len() + 64;
-    assert!(part.0.len() <= most, "{} of {most}", part.0.len());
+    let max_bytes = 40 * MAX_KNOWN_ORDERS + state.text.len() + 64;
+    assert!(
+        shard.0.len() <= max_bytes,
+        "{} of {max_bytes}",
+        shard.0.len()
+    );
     let oldest_known = CHANGES - MAX_KNOWN_ORDERS as u64 + 1;
     for version in 1..=CHANGES {
-        let taken = part.apply(&put(version - 1, version, "a"));
-        let lost = part.apply(&put(version - 1, version, "b"));
+        let taken = shard.apply(&put(version - 1, version, "a"));
+        let lost = shard.apply(&put(version - 1, version, "b"));
         let expected = if version >= oldest_known {
             (200, 412)
         } else {
@@ -247,20 +251,20 @@
 #[test]
 fn given_a_base_that_is_too_old_when_the_number_is_not_then_it_was_never_taken_and_is_refused() {
     const CHANGES: u64 = MAX_KNOWN_ORDERS as u64 + 10;
-    let mut part = Part::default();
+    let mut shard = Shard::default();
     for version in 1..=CHANGES {
-        part.apply(&put(version - 1, version, "a"));
+        shard.apply(&put(version - 1, version, "a"));
     }
-    assert_eq!(part.apply(&put(4, 10, "b")), 504);
-    assert_eq!(part.apply(&put(4, 11, "b")), 412);
-    assert_eq!(part.apply(&put(4, CHANGES + 1, "b")), 412);
+    assert_eq!(shard.apply(&put(4, 10, "b")), 504);
+    assert_eq!(shard.apply(&put(4, 11, "b")), 412);
+    assert_eq!(shard.apply(&put(4, CHANGES + 1, "b")), 412);
 }
 
 #[test]
 fn given_bytes_of_another_release_when_applied_then_they_are_told_and_nothing_changes() {
-    let mut part = Part::default();
-    assert_eq!(part.apply_bytes(b"\xff\xff").status, 400);
-    let mut strange = Part(vec![1, 2, 3]);
+    let mut shard = Shard::default();
+    assert_eq!(shard.apply_bytes(b"\xff\xff").status, 400);
+    let mut strange = Shard(vec![1, 2, 3]);
     let reported = strange.apply_bytes(&Change::Get.serialize_bin());
     assert_eq!(
         (reported.status, strange.0.as_slice()),
--- a/crates/sparrouter-fleet/tests/event_stream.rs
+++ b/crates/sparrouter-fleet/tests/event_stream.rs
@@ -4,7 +4,7 @@
 const STREAM: &str = "id: 1\ndata: one\n\nid: 2\r\ndata: two\r\n\r\n: a comment\n\nid:3\ndata: three\ndata: more\n\n";
 
 /// What goes out of chunks, and what is held back at the end.
-fn passed(chunks: &[&[u8]]) -> (Vec<Vec<u8>>, Vec<u8>, Option<String>) {
+fn split_stream(chunks: &[&[u8]]) -> (Vec<Vec<u8>>, Vec<u8>, Option<String>) {
     let mut events = EventSplitter::default();
     let out = chunks
         .iter()
@@ -21,7 +21,7 @@
         .filter(|n| bytes[..*n].ends_with(b"\n\n") || bytes[..*n].ends_with(b"\r\n\r\n"))
         .collect();
     for cut in 0..=bytes.len() {
-        let (out, rest, last) = passed(&[&bytes[..cut], &bytes[cut..]]);
+        let (out, rest, last) = split_stream(&[&bytes[..cut], &bytes[cut..]]);
         assert_eq!(out.concat(), bytes, "cut at {cut}");
         assert!(rest.is_empty());
         let complete = ends
@@ -38,7 +38,7 @@
 #[test]
 fn given_a_stream_byte_by_byte_when_passed_then_nothing_is_lost_or_changed() {
     let chunks: Vec<&[u8]> = STREAM.as_bytes().chunks(1).collect();
-    let (out, rest, last) = passed(&chunks);
+    let (out, rest, last) = split_stream(&chunks);
     assert_eq!(out.concat(), STREAM.as_bytes());
     assert!(rest.is_empty());
     assert_eq!(last.as_deref(), Some("3"));
@@ -73,7 +73,7 @@
 
 #[test]
 fn given_events_without_ids_when_passed_then_the_last_id_stands() {
-    let (_, _, last) = passed(&[
+    let (_, _, last) = split_stream(&[
         b"id: 4\n\n",
         b"data: x\n\n",
         b"id:\ndata: y\n\n",
@@ -84,7 +84,7 @@
 
 #[test]
 fn given_ids_of_any_kind_when_passed_then_the_last_is_kept_as_text() {
-    let (_, _, last) = passed(&[
+    let (_, _, last) = split_stream(&[
         b"id:  a-1 \ndata: x\n\n",
         "id: é9\n\n".as_bytes(),
         b"id: \xff\n\n",
@@ -93,13 +93,13 @@
 }
 
 #[test]
-fn given_an_event_without_end_when_passed_then_it_is_given_up_at_its_bound() {
+fn given_an_endless_event_when_pushed_then_it_is_rejected_at_its_bound() {
     let mut events = EventSplitter::default();
     let chunk = vec![b'x'; 64 << 10];
-    let taken = (0..100)
+    let pushed = (0..100)
         .take_while(|_| events.push(&chunk).is_some())
         .count();
-    assert_eq!(taken, 4);
+    assert_eq!(pushed, 4);
 }
 
 #[test]
--- a/crates/sparrouter-fleet/tests/log_buffer.rs
+++ b/crates/sparrouter-fleet/tests/log_buffer.rs
@@ -43,7 +43,7 @@
     writeln!(log_buffer, "first").expect("never fails");
     write!(log_buffer, "sec").expect("never fails");
     writeln!(log_buffer, "ond").expect("never fails");
-    log_buffer.breach("the quorum is lost");
+    log_buffer.report_violation("the quorum is lost");
     assert_eq!(
         sink.text(),
         "sparrouter: the quorum is lost; the last 2 lines:\nfirst\nsecond\n"
@@ -88,7 +88,7 @@
 fn given_endless_violations_when_reported_then_dumps_are_bounded_and_the_last_says_so() {
     let (log_buffer, sink) = log_buffer();
     for n in 0..1_000 {
-        log_buffer.breach(&format!("violation {n}"));
+        log_buffer.report_violation(&format!("violation {n}"));
     }
     let text = sink.text();
     assert_eq!(
@@ -116,7 +116,7 @@
         }
     }
     let log_buffer = LogBuffer::to(Full);
-    log_buffer.breach("why");
+    log_buffer.report_violation("why");
 }
 
 #[test]
