--- a/crates/sparrouter-fleet/tests/common/mod.rs
+++ b/crates/sparrouter-fleet/tests/common/mod.rs
@@ -16,9 +16,9 @@
 };
 
 /// One end of a pipe, as a connection.
-pub struct PipeConnection(pub DuplexStream);
+pub struct Wired(pub DuplexStream);
 
-impl AsyncRead for PipeConnection {
+impl AsyncRead for Wired {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -28,7 +28,7 @@
     }
 }
 
-impl AsyncWrite for PipeConnection {
+impl AsyncWrite for Wired {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -44,7 +44,7 @@
     }
 }
 
-impl Connection for PipeConnection {
+impl Connection for Wired {
     fn read_available(&self, _: &mut [u8]) -> Option<io::Result<usize>> {
         None
     }
@@ -129,7 +129,7 @@
                     Behavior::Disconnect | Behavior::Refuse => {}
                 }
             });
-            Ok(Box::new(PipeConnection(near)) as Stream)
+            Ok(Box::new(Wired(near)) as Stream)
         })
     }
 
