--- a/crates/sparrouter-fleet/src/client/options.rs
+++ b/crates/sparrouter-fleet/src/client/options.rs
@@ -234,7 +234,7 @@
 fn process(name: &'static str, role: Role, help: &'static str) -> impl Parser<Command> {
     let metrics_port = long("metrics-port")
         .argument::<u16>("PORT")
-        .help("tell figures of this process as text at http://ADDRESS:PORT/metrics")
+        .help("serve the metrics of this process as text at http://ADDRESS:PORT/metrics")
         .optional();
     let role = pure(role);
     subcommand(name, help, construct!(Command::Run { role, metrics_port }))
--- a/crates/sparrouter-fleet/src/control/change.rs
+++ b/crates/sparrouter-fleet/src/control/change.rs
@@ -145,14 +145,12 @@
         return addresses;
     }
     let mut control_nodes = node.control_nodes();
-    control_nodes.sort_by_key(|(name, _)| {
+    control_nodes.sort_by_key(|control_node| {
+        let name = &control_node.name;
         let rank = sparrouter_rendezvous::hash(name.as_bytes()) ^ u64::from(shard);
         (is_away(name), rank)
     });
-    control_nodes
-        .into_iter()
-        .map(|(_, address)| address)
-        .collect()
+    control_nodes.into_iter().map(|n| n.address).collect()
 }
 
 /// One change, for each node that is asked to make it.
--- a/crates/sparrouter-fleet/src/control/disk.rs
+++ b/crates/sparrouter-fleet/src/control/disk.rs
@@ -110,7 +110,7 @@
     pub disk_id: u64,
     /// The record of each shard by its number; `None` where there is none.
     pub records: Vec<Option<Vec<u8>>>,
-    /// The membership as it was last written.
+    /// The membership as it was last written; its record is named `rows`, on disk too.
     pub rows: Option<Vec<u8>>,
     /// `None`: nothing outlives the process.
     pub writer: Option<Box<dyn DiskWriter>>,
--- a/crates/sparrouter-fleet/src/membership/notify.rs
+++ b/crates/sparrouter-fleet/src/membership/notify.rs
@@ -39,16 +39,16 @@
 fn responsive_control_nodes(node: &Node) -> Vec<SocketAddr> {
     let own_address = node.own_address();
     let mut others = node.control_nodes();
-    others.retain(|(_, address)| *address != own_address);
+    others.retain(|control_node| control_node.address != own_address);
     let membership = node.membership.borrow();
     let is_responsive = |name: &str| membership.node(name).is_none_or(|n| !n.unresponsive);
     let responsive: Vec<SocketAddr> = others
         .iter()
-        .filter(|(name, _)| is_responsive(name))
-        .map(|(_, address)| *address)
+        .filter(|control_node| is_responsive(&control_node.name))
+        .map(|control_node| control_node.address)
         .collect();
     if responsive.is_empty() {
-        return others.into_iter().map(|(_, address)| address).collect();
+        return others.into_iter().map(|n| n.address).collect();
     }
     responsive
 }
--- a/crates/sparrouter-fleet/src/membership/polls.rs
+++ b/crates/sparrouter-fleet/src/membership/polls.rs
@@ -88,7 +88,11 @@
 }
 
 fn control_nodes_and_seeds(node: &Node) -> Vec<SocketAddr> {
-    let mut addresses: Vec<SocketAddr> = node.control_nodes().into_iter().map(|c| c.1).collect();
+    let mut addresses: Vec<SocketAddr> = node
+        .control_nodes()
+        .into_iter()
+        .map(|n| n.address)
+        .collect();
     let settings = node.settings.borrow();
     addresses.extend(settings.seeds.iter().map(|s| settings.internal_of(s.ip())));
     addresses
@@ -108,7 +112,7 @@
     let settings = node.settings.borrow();
     node.control_nodes()
         .iter()
-        .any(|(_, address)| *address == source)
+        .any(|control_node| control_node.address == source)
         || settings.seeds.iter().any(|s| s.ip() == source.ip())
 }
 
--- a/crates/sparrouter-fleet/src/membership/registry.rs
+++ b/crates/sparrouter-fleet/src/membership/registry.rs
@@ -187,11 +187,15 @@
         let now = node.now();
         let limit = nanos(node.settings.borrow().heartbeat * MAX_MISSED_HEARTBEATS);
         let unresponsive = {
-            let membership = node.membership.borrow();
-            let own_name = node.own_record.borrow().name.clone();
-            let mut ids = self.overdue_heartbeats(&membership, &own_name, limit, now);
+            let check = LivenessCheck {
+                membership: &node.membership.borrow(),
+                own_name: &node.own_record.borrow().name,
+                limit,
+                now,
+            };
+            let mut ids = self.overdue_heartbeats(&check);
             if has_control_state {
-                ids.extend(self.overdue_orphans(&membership, &own_name, limit, now));
+                ids.extend(self.overdue_orphans(&check));
             }
             ids
         };
@@ -207,13 +211,13 @@
 
     /// The servers that this node is the registrar of and that no longer call. Servers that call another node now, or are
     /// long gone, are forgotten.
-    fn overdue_heartbeats(
-        &self,
-        membership: &MembershipTable,
-        own_name: &str,
-        limit: Nanos,
-        now: Nanos,
-    ) -> Vec<String> {
+    fn overdue_heartbeats(&self, check: &LivenessCheck<'_>) -> Vec<String> {
+        let LivenessCheck {
+            membership,
+            own_name,
+            limit,
+            now,
+        } = *check;
         let mut overdue = Vec::new();
         self.heartbeats.borrow_mut().retain(|id, last| {
             let elapsed = now.saturating_sub(last.received_at);
@@ -227,13 +231,13 @@
     }
 
     /// The servers that have been without a registrar for too long.
-    fn overdue_orphans(
-        &self,
-        membership: &MembershipTable,
-        own_name: &str,
-        limit: Nanos,
-        now: Nanos,
-    ) -> Vec<String> {
+    fn overdue_orphans(&self, check: &LivenessCheck<'_>) -> Vec<String> {
+        let LivenessCheck {
+            membership,
+            own_name,
+            limit,
+            now,
+        } = *check;
         let heartbeats = self.heartbeats.borrow();
         let mut orphaned = self.orphaned.borrow_mut();
         let is_orphan = |server: &ServerRecord| {
@@ -262,6 +266,15 @@
     }
 }
 
+/// What servers are checked against.
+struct LivenessCheck<'a> {
+    membership: &'a MembershipTable,
+    own_name: &'a str,
+    /// How long a server may be without a heartbeat, or without a registrar.
+    limit: Nanos,
+    now: Nanos,
+}
+
 /// What a heartbeat brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reception {
--- a/crates/sparrouter-fleet/src/membership/sources.rs
+++ b/crates/sparrouter-fleet/src/membership/sources.rs
@@ -1,5 +1,5 @@
 //! Which sources a node polls next, and what is known of each.
-use crate::node::Node;
+use crate::node::{ControlNode, Node};
 use crate::platform::defects::rules;
 use crate::settings::nanos;
 use sparrouter_membership::sources;
@@ -110,10 +110,10 @@
     /// The other control nodes in this node's order of preference; those that are avoided, unresponsive or leaving last.
     fn ranked_control_nodes(&self, node: &Node) -> Vec<SocketAddr> {
         let own_address = node.own_address();
-        let others: Vec<(String, SocketAddr)> = node
+        let others: Vec<ControlNode> = node
             .control_nodes()
             .into_iter()
-            .filter(|(_, address)| *address != own_address)
+            .filter(|control_node| control_node.address != own_address)
             .collect();
         let membership = node.membership.borrow();
         let is_away = |name: &str| {
@@ -121,14 +121,17 @@
                 .node(name)
                 .is_some_and(|n| n.unresponsive || n.leaving)
         };
-        let candidates = others
-            .iter()
-            .map(|(name, address)| (name.as_str(), !self.is_avoided(*address) && !is_away(name)));
+        let candidates = others.iter().map(|n| {
+            (
+                n.name.as_str(),
+                !self.is_avoided(n.address) && !is_away(&n.name),
+            )
+        });
         let own_name = node.settings.borrow().node_name.clone();
         sources(&own_name, candidates, others.len())
             .into_iter()
-            .filter_map(|name| others.iter().find(|(n, _)| n == name))
-            .map(|(_, address)| *address)
+            .filter_map(|name| others.iter().find(|n| n.name == name))
+            .map(|control_node| control_node.address)
             .collect()
     }
 
--- a/crates/sparrouter-fleet/src/node/live_nodes.rs
+++ b/crates/sparrouter-fleet/src/node/live_nodes.rs
@@ -7,6 +7,15 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+/// Where a node that keeps control state is.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ControlNode {
+    /// Its name.
+    pub name: String,
+    /// Its internal address.
+    pub address: SocketAddr,
+}
+
 /// A node that keeps control state, as far as a difference in it is a change of the core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlNodeState {
@@ -48,8 +57,8 @@
     owner_addresses: Vec<Option<SocketAddr>>,
     /// Nodes that take clients, unresponsive ones included.
     proxy_count: usize,
-    /// Nodes that keep control state: name and internal address.
-    control_nodes: Vec<(String, SocketAddr)>,
+    /// Nodes that keep control state.
+    control_nodes: Vec<ControlNode>,
     /// The same nodes' records.
     control_records: Vec<NodeRecord>,
     /// Of those that count toward the quorum, what decides whether the core changed.
@@ -59,16 +68,18 @@
 impl LiveNodes {
     /// The snapshot of these records. The owner table is that of the snapshot before, as far as its members are the same.
     fn new(records: &MembershipTable, own_name: &str, before: &LiveNodes) -> LiveNodes {
-        let (owners, owner_addresses) = key_owners(records, own_name, before);
-        let control_records = control_records(records);
+        // Walked once: there may be thousands of nodes, and each change of one makes a snapshot.
+        let nodes: Vec<&NodeRecord> = records.nodes().collect();
+        let (owners, owner_addresses) = key_owners(&nodes, own_name, before);
+        let control_records = control_records(&nodes);
         LiveNodes {
             node_changes: records.node_changes(),
             owners,
             owner_addresses,
-            proxy_count: records.nodes().filter(|n| n.serves_clients).count(),
+            proxy_count: nodes.iter().filter(|n| n.serves_clients).count(),
             control_nodes: control_records
                 .iter()
-                .filter_map(|r| address_of(r))
+                .filter_map(|r| control_node(r))
                 .collect(),
             counted_states: control_records
                 .iter()
@@ -98,8 +109,8 @@
         self.proxy_count
     }
 
-    /// The nodes that keep control state, as far as they are known: name and internal address.
-    pub fn control_nodes(&self) -> &[(String, SocketAddr)] {
+    /// The nodes that keep control state, as far as they are known.
+    pub fn control_nodes(&self) -> &[ControlNode] {
         &self.control_nodes
     }
 
@@ -139,12 +150,12 @@
 
 /// The owners of keys as a table, and their addresses in its order.
 fn key_owners(
-    records: &MembershipTable,
+    nodes: &[&NodeRecord],
     own_name: &str,
     before: &LiveNodes,
 ) -> (Rc<SlotTable>, Vec<Option<SocketAddr>>) {
     let (mut owners, mut addresses) = (Vec::new(), HashMap::new());
-    for record in records.nodes().filter(|record| owns_keys(record)) {
+    for record in nodes.iter().filter(|record| owns_keys(record)) {
         let name = sparrouter_rendezvous::hash(record.name.as_bytes());
         owners.push(Member {
             name,
@@ -169,9 +180,10 @@
 }
 
 /// The nodes with control state; where any of them count toward the quorum, those alone.
-fn control_records(records: &MembershipTable) -> Vec<&NodeRecord> {
-    let mut control: Vec<&NodeRecord> = records
-        .nodes()
+fn control_records<'a>(nodes: &[&'a NodeRecord]) -> Vec<&'a NodeRecord> {
+    let mut control: Vec<&NodeRecord> = nodes
+        .iter()
+        .copied()
         .filter(|record| !record.control_address.is_empty())
         .collect();
     if control.iter().any(|record| record.counts_toward_quorum) {
@@ -185,8 +197,11 @@
     record.serves_clients && !record.unresponsive && !record.leaving
 }
 
-fn address_of(record: &NodeRecord) -> Option<(String, SocketAddr)> {
-    Some((record.name.clone(), record.internal_address.parse().ok()?))
+fn control_node(record: &NodeRecord) -> Option<ControlNode> {
+    Some(ControlNode {
+        name: record.name.clone(),
+        address: record.internal_address.parse().ok()?,
+    })
 }
 
 fn counted_state(record: &NodeRecord) -> Option<ControlNodeState> {
--- a/crates/sparrouter-fleet/src/node/mod.rs
+++ b/crates/sparrouter-fleet/src/node/mod.rs
@@ -26,7 +26,7 @@
 mod traffic;
 
 pub use configuration::ActiveConfiguration;
-pub use live_nodes::{ControlNodeState, LiveNodes};
+pub use live_nodes::{ControlNode, ControlNodeState, LiveNodes};
 pub(crate) use owned_keys::PREFIX_RETENTION;
 pub use publication::ChangeSubscription;
 pub(crate) use traffic::OpenRequest;
@@ -170,8 +170,8 @@
         self.is_leaving.get()
     }
 
-    /// The nodes that keep control state, as far as they are known: name and internal address.
-    pub fn control_nodes(&self) -> Vec<(String, SocketAddr)> {
+    /// The nodes that keep control state, as far as they are known.
+    pub fn control_nodes(&self) -> Vec<ControlNode> {
         self.live_nodes().control_nodes().to_vec()
     }
 
--- a/crates/sparrouter-fleet/tests/upstream.rs
+++ b/crates/sparrouter-fleet/tests/upstream.rs
@@ -29,6 +29,16 @@
     ended: bool,
 }
 
+/// A server that responds once it has 1,000 bytes and reads no more.
+fn early_response(response: &[u8]) -> Script {
+    Script {
+        accepts: 1_000,
+        response: BytesMut::from(response),
+        after: 1_000,
+        ..Script::default()
+    }
+}
+
 #[derive(Clone)]
 struct ScriptedConnection(Rc<RefCell<Script>>);
 
@@ -187,12 +197,7 @@
 
 #[tokio::test]
 async fn given_a_server_that_answers_before_a_long_body_is_in_then_the_answer_is_read_at_once() {
-    let connection = connection(Script {
-        accepts: 1_000,
-        response: BytesMut::from(RESPONSE),
-        after: 1_000,
-        ..Script::default()
-    });
+    let connection = connection(early_response(RESPONSE));
     let mut link = dial(&connection).await;
     assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
     let head = read_response(&mut link).await;
@@ -214,12 +219,7 @@
         &[b'y'; 9_000],
     ]
     .concat();
-    let connection = connection(Script {
-        accepts: 1_000,
-        response: BytesMut::from(&answer[..]),
-        after: 1_000,
-        ..Script::default()
-    });
+    let connection = connection(early_response(&answer));
     let mut link = dial(&connection).await;
     assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
     connection.0.borrow_mut().accepts = usize::MAX;
@@ -233,11 +233,8 @@
 async fn given_an_answer_to_a_request_that_broke_off_when_it_is_complete_then_the_connection_ends()
 {
     let connection = connection(Script {
-        accepts: 1_000,
         error: Some(ErrorKind::BrokenPipe),
-        response: BytesMut::from(RESPONSE),
-        after: 1_000,
-        ..Script::default()
+        ..early_response(RESPONSE)
     });
     let mut link = dial(&connection).await;
     assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
