--- a/crates/sparrouter-fleet/src/client/mod.rs
+++ b/crates/sparrouter-fleet/src/client/mod.rs
@@ -8,7 +8,8 @@
 //! | [`commands`] | what each subcommand sends and prints |
 //! | [`page`] | a node's status as a table |
 //! | [`error`] | what can go wrong, the remedy and the exit code |
-#![deny(missing_docs)]
+//!
+//! Owns no state beyond one command. Uses the settings, the platform and the form of [`crate::api::status`].
 
 pub mod call;
 pub mod commands;
--- /dev/null
+++ b/crates/sparrouter-fleet/src/membership/outliers.rs
@@ -0,0 +1,114 @@
+//! Outliers: servers that fail requests which others would serve.
+//!
+//! Failures are reported to the node that owns the server, which counts them and asks all nodes to avoid an outlier for a
+//! while.
+use super::notify::notify;
+use crate::node::Node;
+use crate::node::counters::count;
+use crate::peer::messages::Call;
+use crate::platform::defects::rules;
+use sparrouter_membership::{MembershipDelta, ServerDirective};
+use sparrouter_routing::{Failure, Server, ServerIndex};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::spawn_local;
+
+/// Thousandths in one.
+const MILLI: f64 = 1_000.0;
+/// How long a control node may take to acknowledge a directive to avoid a server; without it the others get it later.
+const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
+
+impl Node {
+    /// Reports that a request of this node failed at a server. `key`: by which its server was selected.
+    pub fn report_failure(self: &Rc<Self>, ix: ServerIndex, key: u64) {
+        let failure = {
+            let server_table = self.server_table.borrow();
+            let Some(server) = server_table.get(ix) else {
+                return;
+            };
+            Failure {
+                server: server.hash(),
+                key,
+                answered: server.recent_answers(self.now()),
+            }
+        };
+        let Some(owner) = self.owner(failure.server) else {
+            return self.count_failure(failure);
+        };
+        let call = Call::RequestFailed {
+            server: failure.server,
+            key,
+            answered_milli: (failure.answered * MILLI) as u32,
+        };
+        self.links.cast(owner, &call);
+    }
+
+    /// Reports that a request which failed at this server was answered by another one.
+    pub fn report_served_elsewhere(&self, ix: ServerIndex) {
+        let hash = self.server_table.borrow().get(ix).map(Server::hash);
+        let Some(server) = hash else {
+            return;
+        };
+        match self.owner(server) {
+            None => self.count_served_elsewhere(server),
+            Some(owner) => self.links.cast(owner, &Call::ServedElsewhere { server }),
+        }
+    }
+
+    /// The same at the server's owner.
+    pub fn count_served_elsewhere(&self, server: u64) {
+        let now = self.now();
+        let mut outliers = self.owned_keys.outliers.borrow_mut();
+        outliers.served_elsewhere(server, now);
+    }
+
+    /// Counts a failure that another node reports to this one, the server's owner.
+    pub fn count_reported_failure(self: &Rc<Self>, server: u64, key: u64, answered_milli: u32) {
+        self.count_failure(Failure {
+            server,
+            key,
+            answered: f64::from(answered_milli) / MILLI,
+        });
+    }
+
+    fn count_failure(self: &Rc<Self>, failure: Failure) {
+        let (proxies, now) = (self.proxy_count(), self.now());
+        let is_outlier = {
+            let mut outliers = self.owned_keys.outliers.borrow_mut();
+            outliers.failed(failure, proxies, now)
+        };
+        let id = {
+            let server_table = self.server_table.borrow();
+            let server = server_table.by_id_hash(failure.server);
+            server.map(|server| server.id.clone())
+        };
+        if let Some(id) = id.filter(|_| is_outlier && rules::outliers_are_reported()) {
+            self.report_outlier(&id);
+        }
+    }
+
+    /// Asks all nodes to prefer other servers for a while.
+    fn report_outlier(self: &Rc<Self>, id: &str) {
+        let key = format!("avoid/{id}/");
+        let known = self.membership.borrow().directive(&key).map(|d| d.sequence);
+        let directive = ServerDirective {
+            key,
+            fencing_token: 0,
+            sequence: known.map_or(1, |sequence| sequence + 1),
+            version: 0,
+            // It is in force by its age alone, and is dropped like a directive that was withdrawn.
+            withdrawn: true,
+        };
+        let delta = MembershipDelta {
+            directives: vec![directive].into(),
+            ..MembershipDelta::default()
+        };
+        log::info!("server is an outlier, other servers are preferred for a while: server={id}");
+        count(&self.counters.servers_avoided);
+        self.merge_records(delta.clone());
+        let node = self.clone();
+        spawn_local(async move {
+            notify(&node, &delta, NOTIFY_TIMEOUT).await;
+        });
+    }
+}
--- a/crates/sparrouter-fleet/src/peer/mod.rs
+++ b/crates/sparrouter-fleet/src/peer/mod.rs
@@ -1,5 +1,7 @@
-//! The protocol between nodes: its messages, and the connections that carry them.
+//! Messages between the nodes of the fleet, and the connections that carry them.
 //!
-//! Owns the connections to other nodes. Uses `platform` alone.
+//! Owns the connections to other nodes. Uses the platform alone; what a message means is decided in `api` and `membership`.
+mod frames;
 pub mod links;
 pub mod messages;
+pub mod server;
--- a/crates/sparrouter-fleet/src/platform/mod.rs
+++ b/crates/sparrouter-fleet/src/platform/mod.rs
@@ -1,5 +1,7 @@
-//! What lies below everything else: the network, HTTP messages, and the defects that tests inject. The simulation puts
-//! a network of its own in place of the sockets.
+//! What lies below everything else: the network, HTTP messages, connections to servers, the log, and the defects that
+//! tests inject. The simulation puts a network of its own in place of the sockets.
 pub mod defects;
 pub mod http;
+pub mod log_buffer;
 pub mod net;
+pub mod upstream;
--- a/crates/sparrouter-fleet/src/process/mod.rs
+++ b/crates/sparrouter-fleet/src/process/mod.rs
@@ -1,7 +1,19 @@
-//! One process from start to end: its settings, its tasks, its signals, its log, and the drain period in which it ends.
+//! One process from start to end: its tasks, its signals, and the drain period in which it ends.
+//!
+//! | module | its job |
+//! | --- | --- |
+//! | `endpoints` | the listeners of a process, and what serves them |
+//! | `health_checks` | connecting to servers that could not be reached |
+//! | `maintenance` | periodic work: liveness, expiry, membership on disk |
+//! | [`run`] | the start of a process, and its signals |
+//! | `shutdown` | a graceful shutdown |
 //!
 //! Owns nothing that outlives a start. It wires the other modules together, so it may use all of them.
-pub mod log_buffer;
+mod endpoints;
+mod health_checks;
+mod maintenance;
 pub mod run;
-pub mod settings;
-pub mod shutdown;
+mod shutdown;
+
+pub use crate::platform::log_buffer;
+pub use crate::settings;
--- a/crates/sparrouter-fleet/src/process/shutdown.rs
+++ b/crates/sparrouter-fleet/src/process/shutdown.rs
@@ -1,61 +1,70 @@
-//! Leaving without a loss: which requests a process that was told to end still takes, and when it ends.
-//!
-//! | time after SIGTERM | new connections | requests on connections that are open |
-//! | --- | --- | --- |
-//! | until `notice_ends` | taken: the platform in front has not noticed yet that this node is not ready | taken |
-//! | until `process_ends` | not taken, so that the client asks another node at once | taken where they can end in time, else refused at once with 503 and `Retry-After` |
-//!
-//! Measured against answering new connections too (docs/measured/system.md): a connection that is not taken costs the
-//! client one attempt to connect, a refusal costs it half of the worth of the request.
-//!
-//! Both moments follow from `bounds.grace_period_s`. The process ends earlier once nothing is at work any more.
-use sparrouter_routing::Nanos;
+//! A graceful shutdown: not ready at first, then no new connections, then the end once nothing is in flight.
+use crate::control::Control;
+use crate::node::Node;
+use crate::node::shutdown::GracefulShutdown;
+use crate::proxy::frontend::Stage;
+use std::rc::Rc;
 use std::time::Duration;
+use tokio::sync::watch;
+use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// The platform asks every second and believes the second miss (PROTOCOL.md, Ingress); 300 ms for the way there.
-const PLATFORM_NOTICES: Duration = Duration::from_millis(2_300);
-/// Part of the grace period after which requests are taken only if they can end, where that is sooner.
-const NOTICE_SHARE: f64 = 0.45;
-/// Part of the grace period that is left at the end, for the runtime to stop before SIGKILL.
-const END_MARGIN_SHARE: f64 = 0.02;
-/// A request may last this many times as long as the longest recent one of its route.
-const DURATION_MARGIN: u32 = 2;
+/// Time between two checks whether anything is in flight, and how many in a row must find nothing.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const IDLE_CHECKS: u32 = 6;
 
-/// The schedule of one departure.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GracefulShutdown {
-    notice_ends: Instant,
-    process_ends: Instant,
+/// Shuts the process down: all requests that were accepted are answered, and the control state is handed over. Ends at the
+/// end of the grace period at the latest, and reports what was left.
+pub(super) async fn run(
+    node: &Rc<Node>,
+    control: Option<&Rc<Control>>,
+    stage: &watch::Sender<Stage>,
+    grace: Duration,
+) {
+    let schedule = GracefulShutdown::new(Instant::now(), grace);
+    node.shutdown.set(Some(schedule));
+    stage.send_replace(Stage::Leaving);
+    node.announce_leaving();
+    if let Some(control) = control {
+        spawn_local(control.clone().hand_over());
+    }
+    tokio::time::sleep_until(schedule.notice_ends()).await;
+    stage.send_replace(Stage::Closing);
+    if !is_idle_before(schedule.process_ends(), node, control).await {
+        report_unfinished(node, control);
+    }
 }
 
-impl GracefulShutdown {
-    /// The schedule of a process that was told to end at `began`.
-    pub fn new(began: Instant, grace_period: Duration) -> GracefulShutdown {
-        GracefulShutdown {
-            notice_ends: began + PLATFORM_NOTICES.min(grace_period.mul_f64(NOTICE_SHARE)),
-            process_ends: began + grace_period.mul_f64(1.0 - END_MARGIN_SHARE),
+/// Waits until nothing is in flight; false if something still is at the deadline.
+async fn is_idle_before(deadline: Instant, node: &Node, control: Option<&Rc<Control>>) -> bool {
+    let mut idle_checks = 0;
+    while Instant::now() < deadline {
+        tokio::time::sleep(IDLE_CHECK_INTERVAL.min(deadline - Instant::now())).await;
+        let is_idle =
+            node.traffic.open_requests() == 0 && control.is_none_or(|c| c.is_handed_over());
+        idle_checks = if is_idle { idle_checks + 1 } else { 0 };
+        if idle_checks >= IDLE_CHECKS {
+            return true;
         }
     }
+    false
+}
 
-    /// When requests that may last too long are refused from.
-    pub fn notice_ends(&self) -> Instant {
-        self.notice_ends
-    }
-
-    /// When the process ends, whatever is at work.
-    pub fn process_ends(&self) -> Instant {
-        self.process_ends
+/// Reports the requests that are still open and the control state that is not handed over.
+fn report_unfinished(node: &Node, control: Option<&Rc<Control>>) {
+    let open_requests = node.traffic.open_requests();
+    if open_requests > 0 {
+        node.log_buffer.report_violation(&format!(
+            "{open_requests} requests were still open at the end of the grace period"
+        ));
     }
-
-    /// Whether a request read at `now` is taken. `deadline`: when it is over for its client or its route;
-    /// `longest_recent`: the longest recent duration of its route, if one was measured.
-    pub fn admits(&self, now: Instant, deadline: Instant, longest_recent: Option<Nanos>) -> bool {
-        if now < self.notice_ends {
-            return true;
-        }
-        let expected =
-            longest_recent.map(|longest| now + Duration::from_nanos(longest) * DURATION_MARGIN);
-        deadline.min(expected.unwrap_or(deadline)) <= self.process_ends
+    let shards = control
+        .map(|c| c.shards_not_handed_over())
+        .unwrap_or_default();
+    if !shards.is_empty() {
+        node.log_buffer.report_violation(&format!(
+            "not handed over at the end of the grace period: {}; keep this machine's disk until the others form a quorum",
+            shards.join(", ")
+        ));
     }
 }
--- a/crates/sparrouter-fleet/tests/events.rs
+++ b/crates/sparrouter-fleet/tests/event_stream.rs
@@ -1,17 +1,17 @@
-//! Streams cut into whole events, wherever their bytes are cut.
+//! Streams cut into complete events, wherever their bytes are cut.
 use sparrouter_fleet::proxy::event_stream::EventSplitter;
 
 const STREAM: &str = "id: 1\ndata: one\n\nid: 2\r\ndata: two\r\n\r\n: a comment\n\nid:3\ndata: three\ndata: more\n\n";
 
-/// What goes out of pieces, and what is held back at the end.
-fn passed(pieces: &[&[u8]]) -> (Vec<Vec<u8>>, Vec<u8>, Option<String>) {
+/// What goes out of chunks, and what is held back at the end.
+fn split_stream(chunks: &[&[u8]]) -> (Vec<Vec<u8>>, Vec<u8>, Option<String>) {
     let mut events = EventSplitter::default();
-    let out = pieces
+    let out = chunks
         .iter()
         .map(|p| events.push(p).expect("short").to_vec())
         .collect();
     let last = events.last_id().map(str::to_owned);
-    (out, events.rest().to_vec(), last)
+    (out, events.take_partial().to_vec(), last)
 }
 
 #[test]
@@ -21,24 +21,24 @@
         .filter(|n| bytes[..*n].ends_with(b"\n\n") || bytes[..*n].ends_with(b"\r\n\r\n"))
         .collect();
     for cut in 0..=bytes.len() {
-        let (out, rest, last) = passed(&[&bytes[..cut], &bytes[cut..]]);
+        let (out, rest, last) = split_stream(&[&bytes[..cut], &bytes[cut..]]);
         assert_eq!(out.concat(), bytes, "cut at {cut}");
         assert!(rest.is_empty());
-        let whole = ends
+        let complete = ends
             .iter()
             .copied()
             .filter(|e| *e <= cut)
             .max()
             .unwrap_or(0);
-        assert_eq!(out[0], &bytes[..whole], "cut at {cut}");
+        assert_eq!(out[0], &bytes[..complete], "cut at {cut}");
         assert_eq!(last.as_deref(), Some("3"));
     }
 }
 
 #[test]
 fn given_a_stream_byte_by_byte_when_passed_then_nothing_is_lost_or_changed() {
-    let pieces: Vec<&[u8]> = STREAM.as_bytes().chunks(1).collect();
-    let (out, rest, last) = passed(&pieces);
+    let chunks: Vec<&[u8]> = STREAM.as_bytes().chunks(1).collect();
+    let (out, rest, last) = split_stream(&chunks);
     assert_eq!(out.concat(), STREAM.as_bytes());
     assert!(rest.is_empty());
     assert_eq!(last.as_deref(), Some("3"));
@@ -66,14 +66,14 @@
 fn given_half_an_event_when_the_stream_ends_then_it_is_the_rest() {
     let mut events = EventSplitter::default();
     assert!(events.push(b"id: 1\ndata: a").expect("short").is_empty());
-    assert_eq!(&events.rest()[..], b"id: 1\ndata: a");
-    assert!(events.rest().is_empty());
+    assert_eq!(&events.take_partial()[..], b"id: 1\ndata: a");
+    assert!(events.take_partial().is_empty());
     assert_eq!(events.last_id(), None);
 }
 
 #[test]
 fn given_events_without_ids_when_passed_then_the_last_id_stands() {
-    let (_, _, last) = passed(&[
+    let (_, _, last) = split_stream(&[
         b"id: 4\n\n",
         b"data: x\n\n",
         b"id:\ndata: y\n\n",
@@ -84,7 +84,7 @@
 
 #[test]
 fn given_ids_of_any_kind_when_passed_then_the_last_is_kept_as_text() {
-    let (_, _, last) = passed(&[
+    let (_, _, last) = split_stream(&[
         b"id:  a-1 \ndata: x\n\n",
         "id: é9\n\n".as_bytes(),
         b"id: \xff\n\n",
@@ -93,13 +93,13 @@
 }
 
 #[test]
-fn given_an_event_without_end_when_passed_then_it_is_given_up_at_its_bound() {
+fn given_an_endless_event_when_pushed_then_it_is_rejected_at_its_bound() {
     let mut events = EventSplitter::default();
-    let piece = vec![b'x'; 64 << 10];
-    let taken = (0..100)
-        .take_while(|_| events.push(&piece).is_some())
+    let chunk = vec![b'x'; 64 << 10];
+    let pushed = (0..100)
+        .take_while(|_| events.push(&chunk).is_some())
         .count();
-    assert_eq!(taken, 4);
+    assert_eq!(pushed, 4);
 }
 
 #[test]
@@ -109,7 +109,7 @@
     assert_eq!(
         events
             .push(many.as_bytes())
-            .expect("whole events are not held")
+            .expect("complete events are not held")
             .len(),
         many.len()
     );
--- a/crates/sparrouter-fleet/tests/log_buffer.rs
+++ b/crates/sparrouter-fleet/tests/log_buffer.rs
@@ -1,5 +1,5 @@
 //! The log: bounded, and written out when something goes wrong.
-use sparrouter_fleet::process::log_buffer::{LINES, LONGEST, LogBuffer, MAX_DUMPS};
+use sparrouter_fleet::platform::log_buffer::{LINES, LONGEST, LogBuffer, MAX_DUMPS};
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
@@ -43,7 +43,7 @@
     writeln!(log_buffer, "first").expect("never fails");
     write!(log_buffer, "sec").expect("never fails");
     writeln!(log_buffer, "ond").expect("never fails");
-    log_buffer.breach("the quorum is lost");
+    log_buffer.report_violation("the quorum is lost");
     assert_eq!(
         sink.text(),
         "sparrouter: the quorum is lost; the last 2 lines:\nfirst\nsecond\n"
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn given_more_lines_than_are_kept_when_written_out_then_the_newest_are_there() {
+fn given_more_lines_than_are_buffered_when_written_out_then_the_newest_are_there() {
     let (mut log_buffer, sink) = log_buffer();
     for n in 0..LINES + 10 {
         writeln!(log_buffer, "line {n}").expect("never fails");
@@ -85,10 +85,10 @@
 }
 
 #[test]
-fn given_trouble_without_end_when_told_then_dumps_are_bounded_and_the_last_says_so() {
+fn given_endless_violations_when_reported_then_dumps_are_bounded_and_the_last_says_so() {
     let (log_buffer, sink) = log_buffer();
     for n in 0..1_000 {
-        log_buffer.breach(&format!("trouble {n}"));
+        log_buffer.report_violation(&format!("violation {n}"));
     }
     let text = sink.text();
     assert_eq!(
@@ -116,11 +116,11 @@
         }
     }
     let log_buffer = LogBuffer::to(Full);
-    log_buffer.breach("why");
+    log_buffer.report_violation("why");
 }
 
 #[test]
-fn given_a_panic_when_heeded_then_the_ring_is_written_before_it_unwinds() {
+fn given_a_panic_when_the_hook_runs_then_the_lines_are_written_before_it_unwinds() {
     let (mut log_buffer, sink) = log_buffer();
     writeln!(log_buffer, "what led there").expect("never fails");
     // The hook is the process's own: the other tests of this file do not panic.
