--- a/crates/sparrouter-simulation/examples/availability.rs
+++ b/crates/sparrouter-simulation/examples/availability.rs
@@ -3,11 +3,11 @@
 //! trouble is the holder's: whole nodes in virtual time, by seed.
 //!
 //! `cargo run --release -p sparrouter-simulation --example availability -- SEEDS THREADS`
-use sparrouter_simulation::fabric::Cut;
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
 use sparrouter_simulation::http_messages::call;
-use sparrouter_simulation::plan::{Kind, Plan, Route};
-use sparrouter_simulation::scenario::play;
-use sparrouter_simulation::world::{Terms, World, first_plan};
+use sparrouter_simulation::network::Partition;
+use sparrouter_simulation::runtime::play;
 use std::rc::Rc;
 use std::thread;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 enum Trouble {
     Kill,
     Freeze,
-    Cut,
+    Partition,
 }
 
 /// None where it took longer than `LONGEST`.
@@ -36,23 +36,23 @@
 }
 
 async fn until_200(
-    world: &Rc<World>,
+    cluster: &Rc<SimulatedCluster>,
     machine: &str,
     method: &str,
     base: &str,
     body: &str,
 ) -> Option<Duration> {
-    let net = world.outside_net();
-    let to = world.control_of(machine);
+    let net = cluster.outside_net();
+    let to = cluster.control_of(machine);
     let began = Instant::now();
-    let patience = Duration::from_secs(2);
+    let timeout_after = Duration::from_secs(2);
     while began.elapsed() < LONGEST {
         let conditional = [("If-Match", base)];
         let fields = match method {
             "PUT" => &conditional[..],
             _ => &[],
         };
-        let sent = call(&net, to, method, "/api/config", fields, body, patience);
+        let sent = call(&net, to, method, "/api/config", fields, body, timeout_after);
         if sent.await.is_ok_and(|reply| reply.status == 200) {
             return Some(began.elapsed());
         }
@@ -63,31 +63,31 @@
 
 /// From the trouble of the machine that orders new weights until another one orders under a higher token.
 async fn without_holder(seed: u64, trouble: Trouble) -> Option<Duration> {
-    let world = World::serving(Terms {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         others: 0,
         servers: 4,
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     })
     .await;
     let naming = {
-        let world = world.clone();
-        spawn_local(async move { world.operator.name_version(2).await })
+        let cluster = cluster.clone();
+        spawn_local(async move { cluster.operator.name_version(2).await })
     };
-    let first = ordering(&world, None).await?;
+    let first = ordering(&cluster, None).await?;
     let machine = first.split('@').next().unwrap_or_default();
-    let victim = world.names().into_iter().find(|name| name == machine)?;
-    begin(&world, trouble, &victim);
+    let victim = cluster.names().into_iter().find(|name| name == machine)?;
+    begin(&cluster, trouble, &victim);
     let began = Instant::now();
-    let second = ordering(&world, Some(&first)).await;
+    let second = ordering(&cluster, Some(&first)).await;
     naming.abort();
     second.map(|_| began.elapsed())
 }
 
 /// Waits until a holder orders, another one than `before`.
-async fn ordering(world: &Rc<World>, before: Option<&str>) -> Option<String> {
+async fn ordering(cluster: &Rc<SimulatedCluster>, before: Option<&str>) -> Option<String> {
     let began = Instant::now();
     while began.elapsed() < LONGEST {
-        let holder = world.judge.last_holder();
+        let holder = cluster.monitor.last_lease_owner();
         if holder.is_some() && holder.as_deref() != before {
             return holder;
         }
@@ -96,41 +96,42 @@
     None
 }
 
-fn begin(world: &Rc<World>, trouble: Trouble, victim: &str) {
+fn begin(cluster: &Rc<SimulatedCluster>, trouble: Trouble, victim: &str) {
     match trouble {
-        Trouble::Kill => world.kill(victim),
-        Trouble::Freeze => world.freeze(victim, true),
-        Trouble::Cut => world.cut_off(&[victim], Some(Cut::Silent)),
+        Trouble::Kill => cluster.kill(victim),
+        Trouble::Freeze => cluster.freeze(victim, true),
+        Trouble::Partition => cluster.partition(&[victim], Some(Partition::PacketsLost)),
     }
 }
 
-fn next_plan() -> Plan {
-    first_plan().next(1, |plan| {
-        plan.routes
-            .push(Route::new("new", Kind::Idempotent, "models"));
+fn next_plan() -> Configuration {
+    initial_configuration().next(1, |configuration| {
+        configuration
+            .routes
+            .push(Route::new("new", RouteKind::Idempotent, "models"));
     })
 }
 
 async fn measured(seed: u64, trouble: Trouble) -> Measured {
-    let world = World::serving(Terms {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         others: 0,
         servers: 1,
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     })
     .await;
     let victim = format!("core-{}", seed % 3);
     let survivor = format!("core-{}", (seed + 1) % 3);
-    let moment = world.rng.borrow_mut().u64(..1_500);
+    let moment = cluster.rng.borrow_mut().u64(..1_500);
     sleep(Duration::from_millis(moment)).await;
-    begin(&world, trouble, &victim);
-    let change = until_200(&world, &survivor, "PUT", "1", &next_plan().json()).await;
+    begin(&cluster, trouble, &victim);
+    let change = until_200(&cluster, &survivor, "PUT", "1", &next_plan().json()).await;
     sleep(TROUBLE).await;
     match trouble {
-        Trouble::Kill => world.start(&victim, false),
-        Trouble::Freeze => world.freeze(&victim, false),
-        Trouble::Cut => world.cut_off(&[&victim], None),
+        Trouble::Kill => cluster.start(&victim, false),
+        Trouble::Freeze => cluster.freeze(&victim, false),
+        Trouble::Partition => cluster.partition(&[&victim], None),
     }
-    let back = until_200(&world, &victim, "GET", "", "").await;
+    let back = until_200(&cluster, &victim, "GET", "", "").await;
     Measured { change, back }
 }
 
@@ -156,8 +157,8 @@
     let mut known: Vec<Duration> = spans.into_iter().flatten().collect();
     known.sort_unstable();
     let at = |share: f64| {
-        let place = (known.len() as f64 * share) as usize;
-        known.get(place.min(known.len().saturating_sub(1)))
+        let index = (known.len() as f64 * share) as usize;
+        known.get(index.min(known.len().saturating_sub(1)))
     };
     let ms = |span: Option<&Duration>| span.map_or(0, Duration::as_millis);
     let (middle, high, most) = (ms(at(0.5)), ms(at(0.99)), ms(known.last()));
@@ -174,7 +175,7 @@
     };
     println!("| trouble | what | seeds | p50 ms | p99 ms | most ms | not in 30 s |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for trouble in [Trouble::Kill, Trouble::Freeze, Trouble::Cut] {
+    for trouble in [Trouble::Kill, Trouble::Freeze, Trouble::Partition] {
         let (changes, backs): (Vec<_>, Vec<_>) =
             run(seeds, threads, move |seed| play(measured(seed, trouble)))
                 .into_iter()
--- a/crates/sparrouter-simulation/examples/contact_times.rs
+++ b/crates/sparrouter-simulation/examples/contact_times.rs
@@ -1,33 +1,33 @@
 //! How long quorum contact outlasts a cut of 20 s, and how long it takes to come back after it, over many seeds:
 //! `cargo run --release -p sparrouter-simulation --example contact_times -- SEEDS`.
-use sparrouter_simulation::contact_watch::{CLOSELY, ContactWatch};
-use sparrouter_simulation::fabric::Cut;
-use sparrouter_simulation::scenario::play;
-use sparrouter_simulation::world::cuts::CutWay;
-use sparrouter_simulation::world::{Terms, World};
+use sparrouter_simulation::cluster::partitions::PartitionScope;
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
+use sparrouter_simulation::contact_watch::{ContactWatch, FAST_POLL};
+use sparrouter_simulation::network::Partition;
+use sparrouter_simulation::runtime::play;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
 const VICTIM: &str = "core-0";
 
 /// Contact after the cut began, and from its end until there is contact again.
-async fn times(seed: u64, way: CutWay) -> (Duration, Duration) {
-    let world = World::serving(Terms {
+async fn times(seed: u64, way: PartitionScope) -> (Duration, Duration) {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         others: 1,
         servers: 1,
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     })
     .await;
-    let watch = ContactWatch::begin(&world, &[VICTIM.to_owned()], CLOSELY);
+    let watch = ContactWatch::begin(&cluster, &[VICTIM.to_owned()], FAST_POLL);
     sleep(Duration::from_millis(500 + seed % 500)).await;
     let cut_at = Instant::now();
-    world.cut_core(VICTIM, way, Some(Cut::Silent));
+    cluster.partition_core(VICTIM, way, Some(Partition::PacketsLost));
     sleep(Duration::from_secs(20)).await;
     let heal_at = Instant::now();
-    world.cut_core(VICTIM, way, None);
+    cluster.partition_core(VICTIM, way, None);
     sleep(Duration::from_secs(5)).await;
     watch.stop();
-    let ip = world.ip(VICTIM);
+    let ip = cluster.ip(VICTIM);
     let last = watch.claim_times(ip, cut_at, heal_at).into_iter().max();
     let first = watch
         .claim_times(ip, heal_at, Instant::now())
@@ -48,7 +48,7 @@
         .unwrap_or(100);
     println!("| cut | lost after, p50 | p99 | most | back after, p50 | p99 | most |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for way in CutWay::ALL {
+    for way in PartitionScope::ALL {
         let (mut lost, mut back): (Vec<_>, Vec<_>) =
             (0..seeds).map(|seed| play(times(seed, way))).unzip();
         lost.sort_unstable();
--- a/crates/sparrouter-simulation/examples/hunt.rs
+++ b/crates/sparrouter-simulation/examples/hunt.rs
@@ -10,8 +10,8 @@
 //! | `--defect NAME` | plant a mistake first (`sparrouter_fleet::platform::defects`) |
 //! | `--planted` | plant each mistake in turn, and print after how many days it was found |
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::faults::{self, Day, Report};
-use sparrouter_simulation::scenario;
+use sparrouter_simulation::faults::{self, Report, Scenario};
+use sparrouter_simulation::runtime;
 use std::collections::BTreeSet;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
@@ -35,19 +35,19 @@
 }
 
 /// Plays a day; `None` if the simulation itself ended by a panic, as when a node ended that it needs.
-fn played(day: &Day) -> Option<Report> {
-    catch_unwind(AssertUnwindSafe(|| scenario::play(faults::play(day)))).ok()
+fn played(day: &Scenario) -> Option<Report> {
+    catch_unwind(AssertUnwindSafe(|| runtime::play(faults::play(day)))).ok()
 }
 
 /// The first seed that finds a mistake, and the rules that were violated.
 fn first_found(defect: Defect, first: u64, days: u64) -> Option<(u64, String)> {
     inject(Some(defect));
     let found = (first..first + days).find_map(|seed| {
-        let Some(report) = played(&Day::drawn(seed)) else {
+        let Some(report) = played(&Scenario::from_seed(seed)) else {
             return Some((seed, "the day could not be played to its end".to_owned()));
         };
         let rules: BTreeSet<&str> = report
-            .breaches
+            .violations
             .iter()
             .filter_map(|b| b.split(':').next())
             .collect();
@@ -56,19 +56,21 @@
     inject(None);
     // The day must have no violation without the mistake.
     let (seed, rules) = found?;
-    if played(&Day::drawn(seed)).is_some_and(|sound| sound.breaches.is_empty()) {
+    if played(&Scenario::from_seed(seed)).is_some_and(|sound| sound.violations.is_empty()) {
         return Some((seed, rules));
     }
     first_found(defect, seed + 1, (first + days).saturating_sub(seed + 1))
 }
 
-/// A smallest day that still has a violation: the arguments of `Day::only`, and a description.
-fn shrunk(day: &Day) -> String {
-    let still = |d: &Day| played(d).is_none_or(|r| !r.breaches.is_empty());
-    let (places, final_fault) = day.shrunk(still);
+/// A smallest day that still has a violation: the arguments of `Scenario::only`, and a description.
+fn smallest(day: &Scenario) -> String {
+    let still = |d: &Scenario| played(d).is_none_or(|r| !r.violations.is_empty());
+    let (indices, final_fault) = day.shrink(still);
     format!(
-        "only {places:?}, {final_fault}: {}",
-        day.clone().only(&places, final_fault).description()
+        "only {indices:?}, {final_fault}: {}",
+        day.clone()
+            .restricted_to(&indices, final_fault)
+            .description()
     )
 }
 
@@ -91,7 +93,7 @@
                 inject(Some(defect));
                 println!(
                     "{defect:?} from {seed} {}; then {rules}",
-                    shrunk(&Day::drawn(seed))
+                    smallest(&Scenario::from_seed(seed))
                 );
                 inject(None);
             }
@@ -113,7 +115,7 @@
 }
 
 fn main() -> ExitCode {
-    scenario::heed_panics();
+    runtime::collect_panics();
     let arguments: Vec<String> = std::env::args().collect();
     let days = number(&arguments, "--days").unwrap_or(20);
     let first = number(&arguments, "--seed").unwrap_or(1);
@@ -127,32 +129,32 @@
     let began = Instant::now();
     let (mut broken, mut wasted, mut sent, mut served) = (0, 0, 0u64, 0u64);
     for seed in first..first + days {
-        let day = Day {
+        let day = Scenario {
             verbose: print_log,
-            ..Day::drawn(seed)
+            ..Scenario::from_seed(seed)
         };
         let Some(report) = played(&day) else {
             broken += 1;
             println!(
                 "seed {seed}: the day could not be played to its end: {:?}",
-                scenario::panics()
+                runtime::panics()
             );
             continue;
         };
         sent += u64::from(report.sent);
         served += u64::from(report.served);
         wasted += report.waste.len();
-        if !report.breaches.is_empty() || print_log {
-            broken += u64::from(!report.breaches.is_empty());
+        if !report.violations.is_empty() || print_log {
+            broken += u64::from(!report.violations.is_empty());
             println!(
                 "seed {seed}: {:?}, final fault {:?}",
                 day.faults, day.final_fault
             );
-            if shrink && !report.breaches.is_empty() {
-                println!("  {}", shrunk(&Day::drawn(seed)));
+            if shrink && !report.violations.is_empty() {
+                println!("  {}", smallest(&Scenario::from_seed(seed)));
             }
             report
-                .breaches
+                .violations
                 .iter()
                 .take(6)
                 .for_each(|b| println!("  {b}"));
--- a/crates/sparrouter-simulation/examples/node_work.rs
+++ b/crates/sparrouter-simulation/examples/node_work.rs
@@ -1,10 +1,10 @@
 //! What one node's work costs at 10, 100, 300 and 1,000 nodes, and how it grows:
 //! `cargo run --release -p sparrouter-simulation --example node_work`.
-use sparrouter_simulation::node_work::{Cost, NodeWork, measure};
+use sparrouter_simulation::node_work::{Cost, NodeCost, measure};
 
 const SIZES: [usize; 4] = [10, 100, 300, 1_000];
 
-type Step = (&'static str, fn(&NodeWork) -> Cost);
+type Step = (&'static str, fn(&NodeCost) -> Cost);
 
 const STEPS: [Step; 5] = [
     ("a poll with one server", |work| work.server_poll),
@@ -15,7 +15,7 @@
 ];
 
 fn main() {
-    let all: Vec<NodeWork> = SIZES.into_iter().map(measure).collect();
+    let all: Vec<NodeCost> = SIZES.into_iter().map(measure).collect();
     println!(
         "rows records_visited / servers records_visited / microseconds, and the slope of time from 30 % to 100 % of the last size"
     );
@@ -28,7 +28,7 @@
                 work.nodes, cost.rows, cost.servers, cost.microseconds
             );
         }
-        let time = |place: usize| cost(&all[place]).microseconds;
+        let time = |index: usize| cost(&all[index]).microseconds;
         let sizes = SIZES[3] as f64 / SIZES[2] as f64;
         println!(" | slope {:.2}", (time(3) / time(2)).ln() / sizes.ln());
     }
--- a/crates/sparrouter-simulation/examples/order_storm.rs
+++ b/crates/sparrouter-simulation/examples/order_load.rs
@@ -1,9 +1,9 @@
 //! Operators at once over a core in trouble, seed after seed, each history checked for linearizability:
-//! `cargo run --release -p sparrouter-simulation --example order_storm -- FIRST COUNT [DEFECT]`.
+//! `cargo run --release -p sparrouter-simulation --example order_load -- FIRST COUNT [DEFECT]`.
 //!
 //! With DEFECT that mistake is planted, to see which seeds find it.
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::{order_storm, scenario};
+use sparrouter_simulation::{order_load, runtime};
 use std::process::ExitCode;
 use std::time::Instant;
 
@@ -29,14 +29,14 @@
     let (mut calls, mut acknowledged, mut refused, mut unclear) = (0, 0, 0, 0);
     let mut broken = 0;
     for seed in first..first + count {
-        let report = scenario::play(order_storm::play(seed));
+        let report = runtime::play(order_load::play(seed));
         calls += report.calls;
         acknowledged += report.acknowledged;
         refused += report.refused;
         unclear += report.unclear;
-        if !report.breaches.is_empty() {
+        if !report.violations.is_empty() {
             broken += 1;
-            println!("seed {seed}: {}", report.breaches.join("; "));
+            println!("seed {seed}: {}", report.violations.join("; "));
         }
     }
     println!(
--- a/crates/sparrouter-simulation/examples/reconfiguration_times.rs
+++ b/crates/sparrouter-simulation/examples/reconfiguration_times.rs
@@ -1,15 +1,15 @@
 //! How long a core of three takes until a lost or leaving machine's successor is a member with a copy, by kind of loss.
 //!
 //! `cargo run --release -p sparrouter-simulation --example reconfiguration_times -- SEEDS`
-use sparrouter_simulation::copies::is_repaired;
-use sparrouter_simulation::scenario::play;
-use sparrouter_simulation::world::{Terms, World, ZONES};
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, ZONES};
+use sparrouter_simulation::durability::is_repaired;
+use sparrouter_simulation::runtime::play;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
 const LOOK: Duration = Duration::from_millis(10);
-const PATIENCE: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 const SUCCESSOR_AFTER: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug)]
@@ -23,32 +23,32 @@
 }
 
 /// From the successor's start (planned: from SIGTERM) to the repaired group.
-async fn repair(world: &Rc<World>, lost: &str, loss: Loss) -> Option<Duration> {
+async fn repair(cluster: &Rc<SimulatedCluster>, lost: &str, loss: Loss) -> Option<Duration> {
     let began = match loss {
         Loss::Replaced => {
-            world.retire(lost);
+            cluster.retire(lost);
             sleep(SUCCESSOR_AFTER).await;
-            world.add_core(ZONES[0]);
+            cluster.add_core(ZONES[0]);
             Instant::now()
         }
         Loss::Wiped => {
-            world.power_off(lost);
-            world.wipe(lost);
+            cluster.power_off(lost);
+            cluster.wipe(lost);
             sleep(Duration::from_millis(500)).await;
-            world.power_on(lost);
+            cluster.power_on(lost);
             Instant::now()
         }
         Loss::Planned => {
-            world.add_core(ZONES[0]);
+            cluster.add_core(ZONES[0]);
             sleep(SUCCESSOR_AFTER).await;
             let began = Instant::now();
-            world.term(lost).await;
-            world.retire(lost);
+            cluster.terminate(lost).await;
+            cluster.retire(lost);
             began
         }
     };
-    while !is_repaired(world) {
-        if began.elapsed() > PATIENCE {
+    while !is_repaired(cluster) {
+        if began.elapsed() > CALL_TIMEOUT {
             return None;
         }
         sleep(LOOK).await;
@@ -64,13 +64,15 @@
         let mut times = Vec::new();
         let mut late = 0;
         for seed in 0..seeds {
-            let terms = Terms {
+            let settings = ClusterSettings {
                 others: 1,
                 servers: 1,
-                ..Terms::seeded(seed)
+                ..ClusterSettings::seeded(seed)
             };
             let lost = format!("core-{}", seed % 3);
-            let took = play(async { repair(&World::serving(terms).await, &lost, loss).await });
+            let took = play(async {
+                repair(&SimulatedCluster::serving(settings).await, &lost, loss).await
+            });
             match took {
                 Some(took) => times.push(took.as_secs_f64()),
                 None => late += 1,
--- a/crates/sparrouter-simulation/examples/second_losses.rs
+++ b/crates/sparrouter-simulation/examples/second_losses.rs
@@ -5,9 +5,9 @@
 mod losses;
 
 use fastrand::Rng;
-use losses::{CATCH_UP, LOSSES, change, lose, terms, watched};
-use sparrouter_simulation::scenario::{heed_panics, panics, play};
-use sparrouter_simulation::world::first_plan;
+use losses::{CATCH_UP, LOSSES, change, lose, settings, watched};
+use sparrouter_simulation::cluster::initial_configuration;
+use sparrouter_simulation::runtime::{collect_panics, panics, play};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -20,23 +20,23 @@
 async fn day(seed: u64) -> Vec<String> {
     let mut rng = Rng::with_seed(seed);
     let core = [3, 3, 5, 7][rng.usize(..4)];
-    let world = watched(terms(seed, core)).await;
-    let mut plan = first_plan();
+    let cluster = watched(settings(seed, core)).await;
+    let mut configuration = initial_configuration();
     for number in 0..LOSSES_A_DAY {
-        let machines = world.core();
+        let machines = cluster.core();
         let oldest_first = rng.bool();
-        let place = if oldest_first {
+        let index = if oldest_first {
             0
         } else {
             rng.usize(..machines.len())
         };
         let loss = LOSSES[rng.usize(..LOSSES.len())];
-        lose(&world, &mut plan, &machines[place], loss).await;
+        lose(&cluster, &mut configuration, &machines[index], loss).await;
         sleep(CATCH_UP + Duration::from_millis(rng.u64(..400))).await;
-        change(&world, &mut plan, &format!("after-{number}")).await;
+        change(&cluster, &mut configuration, &format!("after-{number}")).await;
     }
-    world.operator.read_back().await;
-    world.judge.breaches()
+    cluster.operator.read_back().await;
+    cluster.monitor.violations()
 }
 
 fn main() -> ExitCode {
@@ -44,7 +44,7 @@
         .skip(1)
         .filter_map(|a| a.parse::<u64>().ok());
     let (seeds, first) = (numbers.next().unwrap_or(100), numbers.next().unwrap_or(0));
-    heed_panics();
+    collect_panics();
     for seed in first..first + seeds {
         let played = catch_unwind(AssertUnwindSafe(|| play(day(seed))));
         let mut broken = panics();
--- a/crates/sparrouter-simulation/src/judge/answers.rs
+++ b/crates/sparrouter-simulation/src/checkers/answers.rs
@@ -1,12 +1,12 @@
 //! Answers as clients got them: MIXED, ORDER, REFUSED, LOST, and refusals by the configuration.
-use super::Judge;
+use super::Monitor;
 use super::requests::Handled;
 use crate::server::{body_of, event_of};
 use tokio::time::Instant;
 
 /// What came on the client's connection.
 #[derive(Clone, Debug, Default)]
-pub struct Answer {
+pub struct ClientResponse {
     /// 0: none.
     pub status: u16,
     pub seal: Option<String>,
@@ -14,35 +14,35 @@
     pub streams: bool,
     pub body: Vec<u8>,
     /// The end came as the protocol has it.
-    pub whole: bool,
+    pub is_complete: bool,
     pub bad: Option<&'static str>,
     /// The client gave up on it.
     pub abandoned: bool,
 }
 
-impl Judge {
-    pub fn answered(&self, id: &str, answer: &Answer) {
-        self.detail(|| {
+impl Monitor {
+    pub fn response_received(&self, id: &str, answer: &ClientResponse) {
+        self.trace_detail(|| {
             format!(
                 "{id} ends: {} whole {} {} bytes",
                 answer.status,
-                answer.whole,
+                answer.is_complete,
                 answer.body.len()
             )
         });
         if let Some(bad) = answer.bad {
-            self.breach("MIXED", format!("{id}: bytes that are no answer: {bad}"));
+            self.report_violation("MIXED", format!("{id}: bytes that are no answer: {bad}"));
         }
         let (asked, sent, runs) = {
             let requests = self.requests.borrow();
             let Some(attempt) = requests.attempts.get(id) else {
                 return;
             };
-            (attempt.asked.clone(), attempt.sent, attempt.runs.clone())
+            (attempt.attempt.clone(), attempt.sent, attempt.runs.clone())
         };
         self.count(&asked, sent, answer);
         if answer.attempt.as_deref().is_some_and(|other| other != id) {
-            self.breach(
+            self.report_violation(
                 "MIXED",
                 format!("{id} got the answer of {:?}", answer.attempt),
             );
@@ -50,9 +50,12 @@
         match answer.status {
             0 => {}
             200..=299 => self.check_success(id, answer, &runs),
-            408 | 421 | 429 | 503 if !asked.kind.repeatable() => {
+            408 | 421 | 429 | 503 if !asked.kind.is_retryable() => {
                 if !runs.is_empty() {
-                    self.breach("REFUSED", format!("{id} got {} and has run", answer.status));
+                    self.report_violation(
+                        "REFUSED",
+                        format!("{id} got {} and has run", answer.status),
+                    );
                 }
                 if let Some(attempt) = self.requests.borrow_mut().attempts.get_mut(id) {
                     attempt.promised = Some(answer.status);
@@ -66,18 +69,18 @@
         if answer.status == 0 && !answer.abandoned {
             self.count_unanswered(&asked, sent, &runs);
         }
-        if !answer.whole && !answer.abandoned {
+        if !answer.is_complete && !answer.abandoned {
             self.check_lost(id, &asked, sent, &runs);
         }
     }
 
-    fn check_success(&self, id: &str, answer: &Answer, runs: &[u64]) {
+    fn check_success(&self, id: &str, answer: &ClientResponse, runs: &[u64]) {
         let sealed = answer
             .seal
             .as_deref()
             .and_then(|s| s.strip_prefix("seal-")?.parse::<u64>().ok());
         let Some(run) = sealed.filter(|r| runs.contains(r)) else {
-            return self.breach(
+            return self.report_violation(
                 "MIXED",
                 format!("{id} got a success under the seal {:?}", answer.seal),
             );
@@ -91,8 +94,8 @@
             .next()
             .and_then(|w| w.get(1..)?.parse().ok())
             .unwrap_or(1);
-        if answer.whole && answer.body != body_of(run, length).as_bytes() {
-            self.breach(
+        if answer.is_complete && answer.body != body_of(run, length).as_bytes() {
+            self.report_violation(
                 "MIXED",
                 format!("{id} got another body than run {run} made"),
             );
@@ -100,7 +103,7 @@
     }
 
     /// Events rise by one; a change of the run is where that run went on.
-    fn check_events(&self, id: &str, answer: &Answer, runs: &[u64], first: u64) {
+    fn check_events(&self, id: &str, answer: &ClientResponse, runs: &[u64], first: u64) {
         let (resumed, path): (Vec<(u64, u64)>, String) = {
             let requests = self.requests.borrow();
             let resumed = runs
@@ -136,12 +139,12 @@
                 }
                 None => {
                     let what = format!("{id}: {event:?} after event {last} of run {run}");
-                    return self.breach("ORDER", what);
+                    return self.report_violation("ORDER", what);
                 }
             }
         }
-        if answer.whole && (last != count || !rest.is_empty()) {
-            self.breach(
+        if answer.is_complete && (last != count || !rest.is_empty()) {
+            self.report_violation(
                 "ORDER",
                 format!("{id} looks complete after event {last} of {count}"),
             );
@@ -149,24 +152,29 @@
     }
 
     /// LOST: around planned work alone, what was read is answered.
-    fn check_lost(&self, id: &str, asked: &super::Asked, sent: Instant, runs: &[u64]) {
+    fn check_lost(&self, id: &str, asked: &super::Attempt, sent: Instant, runs: &[u64]) {
         let now = Instant::now();
-        let faulty = self
+        let server_faulted = self
             .requests
             .borrow()
-            .faulty
+            .server_faulted
             .iter()
             .any(|f| runs.contains(f));
         let from = sent.checked_sub(self.bounds.contact).unwrap_or(sent);
         let late = now - sent > self.bounds.loss_slack || !runs.is_empty();
         let planned = self.is_planned(asked.node, sent, now);
-        if planned && late && !faulty && now < asked.until && !self.any_unplanned(from, now) {
+        if planned
+            && late
+            && !server_faulted
+            && now < asked.until
+            && !self.any_unplanned_fault(from, now)
+        {
             let what = format!(
                 "{id} at {} ended without a whole answer, sent {:?} before",
                 asked.node,
                 now - sent
             );
-            self.breach("LOST", what);
+            self.report_violation("LOST", what);
         }
     }
 }
--- a/crates/sparrouter-simulation/src/judge/trouble.rs
+++ b/crates/sparrouter-simulation/src/checkers/fault_timeline.rs
@@ -1,5 +1,5 @@
 //! When which machine had trouble, and when the core was shaken: who is in touch, in the page's words.
-use super::Judge;
+use super::Monitor;
 use std::net::IpAddr;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -8,7 +8,7 @@
 const SHORTEST_STRETCH: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
-struct Span {
+struct FaultInterval {
     /// None: the core as a whole.
     ip: Option<IpAddr>,
     from: Instant,
@@ -18,7 +18,7 @@
     down: bool,
 }
 
-impl Span {
+impl FaultInterval {
     /// Whether time does not count for VERSION meanwhile: the core is not stable, or a link is in trouble.
     fn disturbs_versions(&self) -> bool {
         let is_moment = self.until == Some(self.from);
@@ -27,27 +27,32 @@
 }
 
 #[derive(Default)]
-pub(super) struct Troubles(Vec<Span>);
-
-impl Troubles {
-    fn touches(&self, from: Instant, until: Instant, fits: impl Fn(&Span) -> bool) -> bool {
-        let overlaps = |s: &Span| s.from <= until && s.until.is_none_or(|end| end >= from);
+pub(super) struct FaultTimeline(Vec<FaultInterval>);
+
+impl FaultTimeline {
+    fn touches(
+        &self,
+        from: Instant,
+        until: Instant,
+        fits: impl Fn(&FaultInterval) -> bool,
+    ) -> bool {
+        let overlaps = |s: &FaultInterval| s.from <= until && s.until.is_none_or(|end| end >= from);
         self.0.iter().any(|s| fits(s) && overlaps(s))
     }
 }
 
-impl Judge {
+impl Monitor {
     /// Trouble at a machine begins; `ip` None: the core is shaken.
-    pub fn trouble(&self, ip: Option<IpAddr>) {
+    pub fn fault_began(&self, ip: Option<IpAddr>) {
         self.begins(ip, false);
     }
 
     /// It ends; what else befalls that machine goes on.
-    pub fn calm(&self, ip: Option<IpAddr>) {
+    pub fn fault_ended(&self, ip: Option<IpAddr>) {
         let now = Instant::now();
-        let mut troubles = self.troubles.borrow_mut();
-        let open = |s: &&mut Span| s.ip == ip && s.until.is_none() && !s.down;
-        troubles
+        let mut fault_timeline = self.fault_timeline.borrow_mut();
+        let open = |s: &&mut FaultInterval| s.ip == ip && s.until.is_none() && !s.down;
+        fault_timeline
             .0
             .iter_mut()
             .find(open)
@@ -56,16 +61,16 @@
     }
 
     /// No process runs on a machine.
-    pub fn down(&self, ip: IpAddr) {
+    pub fn process_stopped(&self, ip: IpAddr) {
         self.begins(Some(ip), true);
     }
 
     /// One does again.
-    pub fn up(&self, ip: IpAddr) {
+    pub fn process_started(&self, ip: IpAddr) {
         let now = Instant::now();
-        let mut troubles = self.troubles.borrow_mut();
-        let open = |s: &&mut Span| s.ip == Some(ip) && s.until.is_none() && s.down;
-        troubles
+        let mut fault_timeline = self.fault_timeline.borrow_mut();
+        let open = |s: &&mut FaultInterval| s.ip == Some(ip) && s.until.is_none() && s.down;
+        fault_timeline
             .0
             .iter_mut()
             .filter(open)
@@ -73,20 +78,20 @@
     }
 
     fn begins(&self, ip: Option<IpAddr>, down: bool) {
-        let span = Span {
+        let span = FaultInterval {
             ip,
             from: Instant::now(),
             until: None,
             planned: false,
             down,
         };
-        self.troubles.borrow_mut().0.push(span);
+        self.fault_timeline.borrow_mut().0.push(span);
     }
 
     /// A moment's trouble.
-    pub fn shaken(&self, ip: Option<IpAddr>) {
+    pub fn momentary_fault(&self, ip: Option<IpAddr>) {
         let now = Instant::now();
-        self.troubles.borrow_mut().0.push(Span {
+        self.fault_timeline.borrow_mut().0.push(FaultInterval {
             ip,
             from: now,
             until: Some(now),
@@ -96,53 +101,55 @@
     }
 
     /// A machine was told to end: what it took is to be answered.
-    pub fn told_to_end(&self, ip: IpAddr) {
+    pub fn shutdown_requested(&self, ip: IpAddr) {
         let now = Instant::now();
         let until = now + self.bounds.grace + Duration::from_secs(1);
-        let span = Span {
+        let span = FaultInterval {
             ip: Some(ip),
             from: now,
             until: Some(until),
             planned: true,
             down: false,
         };
-        self.troubles.borrow_mut().0.push(span);
+        self.fault_timeline.borrow_mut().0.push(span);
     }
 
     pub(super) fn is_planned(&self, ip: IpAddr, from: Instant, until: Instant) -> bool {
-        self.troubles
+        self.fault_timeline
             .borrow()
             .touches(from, until, |s| s.planned && s.ip == Some(ip))
     }
 
-    pub(crate) fn any_unplanned(&self, from: Instant, until: Instant) -> bool {
-        self.troubles.borrow().touches(from, until, |s| !s.planned)
+    pub(crate) fn any_unplanned_fault(&self, from: Instant, until: Instant) -> bool {
+        self.fault_timeline
+            .borrow()
+            .touches(from, until, |s| !s.planned)
     }
 
     /// Whether a machine was in touch throughout a span of time, `contact` before it included.
-    pub fn in_touch(&self, ip: IpAddr, from: Instant, until: Instant) -> bool {
+    pub fn in_contact(&self, ip: IpAddr, from: Instant, until: Instant) -> bool {
         let from = from.checked_sub(self.bounds.contact).unwrap_or(self.began);
         !self
-            .troubles
+            .fault_timeline
             .borrow()
             .touches(from, until, |s| s.ip == Some(ip) || s.ip.is_none())
     }
 
     /// Since when the core has been stable and no link in trouble, as far as that reaches back to `from`; None while it is
     /// not so now. The start and the end of a process on a machine that does not count are no trouble of a link.
-    pub(super) fn calm_since(&self, from: Instant, now: Instant) -> Option<Instant> {
-        let troubles = self.troubles.borrow();
+    pub(super) fn stable_since(&self, from: Instant, now: Instant) -> Option<Instant> {
+        let fault_timeline = self.fault_timeline.borrow();
         let mut since = from;
-        for span in troubles.0.iter().filter(|s| s.disturbs_versions()) {
+        for span in fault_timeline.0.iter().filter(|s| s.disturbs_versions()) {
             since = since.max(span.until? + self.bounds.contact);
         }
         (since <= now).then_some(since)
     }
 
     /// What the calm stretches between two moments add up to; those shorter than [`SHORTEST_STRETCH`] do not count.
-    pub(super) fn calm_total(&self, from: Instant, now: Instant) -> Duration {
-        let troubles = self.troubles.borrow();
-        let mut disturbed: Vec<(Instant, Instant)> = troubles
+    pub(super) fn stable_total(&self, from: Instant, now: Instant) -> Duration {
+        let fault_timeline = self.fault_timeline.borrow();
+        let mut disturbed: Vec<(Instant, Instant)> = fault_timeline
             .0
             .iter()
             .filter(|span| span.disturbs_versions())
@@ -166,7 +173,7 @@
     pub fn core_stable(&self, from: Instant, until: Instant) -> bool {
         let from = from.checked_sub(self.bounds.contact).unwrap_or(self.began);
         !self
-            .troubles
+            .fault_timeline
             .borrow()
             .touches(from, until, |s| s.ip.is_none())
     }
--- a/crates/sparrouter-simulation/src/judge/mod.rs
+++ b/crates/sparrouter-simulation/src/checkers/mod.rs
@@ -5,24 +5,24 @@
 //! `orders` (CONFIG of the operator, ONE, ACKS), `budget`.
 //! Where the page leaves a bound to machines in touch, a breach elsewhere is none.
 mod answers;
-mod budget;
+mod fault_timeline;
 mod orders;
-mod prices;
 mod requests;
-mod trouble;
+mod retry_budget;
+mod totals;
 
-pub use answers::Answer;
-pub use orders::Sent;
-pub use requests::{Asked, Made, Run};
+pub use answers::ClientResponse;
+pub use orders::Submission;
+pub use requests::{Attempt, CachedBlock, Run};
 
-use crate::order_history::OrderHistory;
-use budget::Budget;
+use crate::history::History;
+use fault_timeline::FaultTimeline;
 use orders::Orders;
 use requests::Requests;
+use retry_budget::Budget;
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tokio::time::Instant;
-use trouble::Troubles;
 
 /// The figures of the rules.
 #[derive(Clone, Copy, Debug)]
@@ -79,29 +79,29 @@
 /// Lines of the event log that are printed with a violation.
 const PRINTED: usize = 60;
 
-pub struct Judge {
+pub struct Monitor {
     pub bounds: Bounds,
     began: Instant,
-    breaches: RefCell<Vec<String>>,
+    violations: RefCell<Vec<String>>,
     events: RefCell<Vec<String>>,
-    troubles: RefCell<Troubles>,
+    fault_timeline: RefCell<FaultTimeline>,
     requests: RefCell<Requests>,
     orders: RefCell<Orders>,
     budget: RefCell<Budget>,
     /// The operators' calls, checked by `check_history`.
-    pub history: RefCell<OrderHistory>,
+    pub history: RefCell<History>,
     /// Each request is logged too, not only faults and changes.
     pub verbose: Cell<bool>,
 }
 
-impl Judge {
-    pub fn new(bounds: Bounds) -> Judge {
-        Judge {
+impl Monitor {
+    pub fn new(bounds: Bounds) -> Monitor {
+        Monitor {
             bounds,
             began: Instant::now(),
-            breaches: RefCell::default(),
+            violations: RefCell::default(),
             events: RefCell::default(),
-            troubles: RefCell::default(),
+            fault_timeline: RefCell::default(),
             requests: RefCell::default(),
             orders: RefCell::default(),
             budget: RefCell::new(Budget::new(bounds)),
@@ -114,47 +114,47 @@
     pub fn check_history(&self) {
         let violation = self.history.borrow().violation();
         if let Some(violation) = violation {
-            self.breach("LINEAR", violation);
+            self.report_violation("LINEAR", violation);
         }
     }
 
     /// A line of the event log.
-    pub fn note(&self, what: impl Into<String>) {
+    pub fn trace(&self, what: impl Into<String>) {
         let line = format!("{:9.3} {}", self.began.elapsed().as_secs_f64(), what.into());
         self.events.borrow_mut().push(line);
     }
 
-    pub(crate) fn detail(&self, what: impl FnOnce() -> String) {
+    pub(crate) fn trace_detail(&self, what: impl FnOnce() -> String) {
         if self.verbose.get() {
-            self.note(what());
+            self.trace(what());
         }
     }
 
     /// A rule is broken.
-    pub fn breach(&self, rule: &str, what: impl Into<String>) {
+    pub fn report_violation(&self, rule: &str, what: impl Into<String>) {
         let what = format!("{rule}: {}", what.into());
-        self.note(format!("BROKEN {what}"));
-        self.breaches.borrow_mut().push(what);
+        self.trace(format!("BROKEN {what}"));
+        self.violations.borrow_mut().push(what);
     }
 
-    pub fn breaches(&self) -> Vec<String> {
-        self.breaches.borrow().clone()
+    pub fn violations(&self) -> Vec<String> {
+        self.violations.borrow().clone()
     }
 
     /// What happened so far, a line each, with its time since the start.
-    pub fn event_log(&self) -> Vec<String> {
+    pub fn event_trace(&self) -> Vec<String> {
         self.events.borrow().clone()
     }
 
     /// Fails the test if a rule was broken, with the end of the event log.
-    pub fn assert_kept(&self) {
-        let breaches = self.breaches();
-        if !breaches.is_empty() {
-            let events = self.event_log();
+    pub fn assert_no_violations(&self) {
+        let violations = self.violations();
+        if !violations.is_empty() {
+            let events = self.event_trace();
             let last = &events[events.len().saturating_sub(PRINTED)..];
             panic!(
                 "rules broken:\n{}\nevents:\n{}",
-                breaches.join("\n"),
+                violations.join("\n"),
                 last.join("\n")
             );
         }
--- a/crates/sparrouter-simulation/src/judge/orders.rs
+++ b/crates/sparrouter-simulation/src/checkers/orders.rs
@@ -1,15 +1,15 @@
 //! What the operator sent and was told, versions of weights, and orders to servers: CONFIG, VERSION, ONE.
-use super::Judge;
-use crate::order_history::OrderCall;
-use crate::plan::Plan;
+use super::Monitor;
+use crate::configuration::Configuration;
+use crate::history::OrderCall;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use tokio::time::Instant;
 
 /// A configuration that was sent.
 #[derive(Clone, Debug)]
-pub struct Sent {
-    pub plan: Plan,
+pub struct Submission {
+    pub configuration: Configuration,
     pub base: u64,
     pub valid: bool,
     pub sent: Instant,
@@ -22,13 +22,13 @@
 #[derive(Clone, Debug)]
 struct LastOrder {
     holder: String,
-    fence: u64,
+    fencing_token: u64,
     at: Instant,
 }
 
 #[derive(Default)]
 pub(super) struct Orders {
-    pub(super) sent: Vec<Sent>,
+    pub(super) sent: Vec<Submission>,
     /// Versions of weights, and when each was acknowledged.
     pub(super) named: Vec<(u64, Instant)>,
     /// When a machine in touch acknowledged that a server drains or is gone.
@@ -39,29 +39,40 @@
     thawed: BTreeMap<IpAddr, Instant>,
 }
 
-impl Judge {
+impl Monitor {
     /// A configuration leaves the operator, for the first time or again. Gives back its place. Its calls are not
     /// recorded one by one: for the history it may be taken at any later moment.
-    pub fn config_sent(&self, plan: &Plan, base: u64, valid: bool) -> usize {
+    pub fn configuration_submitted(
+        &self,
+        configuration: &Configuration,
+        base: u64,
+        valid: bool,
+    ) -> usize {
         self.history.borrow_mut().order_invoked(OrderCall {
             base,
-            number: plan.version,
-            request: format!("PUT {}", plan.json()),
-            document: plan.json(),
+            number: configuration.version,
+            request: format!("PUT {}", configuration.json()),
+            document: configuration.json(),
             valid,
         });
-        self.body_sent(plan, base, valid, plan.json())
+        self.submit(configuration, base, valid, configuration.json())
     }
 
     /// The same for another body than the plan's: a PATCH, or one that is invalid.
-    pub fn body_sent(&self, plan: &Plan, base: u64, valid: bool, body: String) -> usize {
-        self.note(format!(
+    pub fn submit(
+        &self,
+        configuration: &Configuration,
+        base: u64,
+        valid: bool,
+        body: String,
+    ) -> usize {
+        self.trace(format!(
             "operator sends {} on {base}{}",
-            plan.version,
+            configuration.version,
             if valid { "" } else { ", invalid" }
         ));
-        let sent = Sent {
-            plan: plan.clone(),
+        let sent = Submission {
+            configuration: configuration.clone(),
             base,
             valid,
             sent: Instant::now(),
@@ -74,53 +85,56 @@
         orders.sent.len() - 1
     }
 
-    pub fn config_acknowledged(&self, place: usize) {
-        let (plan, base, valid, others) = {
+    pub fn configuration_acknowledged(&self, index: usize) {
+        let (configuration, base, valid, others) = {
             let mut orders = self.orders.borrow_mut();
-            let sent = &mut orders.sent[place];
+            let sent = &mut orders.sent[index];
             if sent.acknowledged.is_some() {
                 return;
             }
             sent.acknowledged = Some(Instant::now());
-            let (plan, base, valid) = (sent.plan.clone(), sent.base, sent.valid);
-            let rival = |s: &&Sent| s.base == base && s.acknowledged.is_some() && s.plan != plan;
+            let (configuration, base, valid) = (sent.configuration.clone(), sent.base, sent.valid);
+            let rival = |s: &&Submission| {
+                s.base == base && s.acknowledged.is_some() && s.configuration != configuration
+            };
             let others: Vec<u64> = orders
                 .sent
                 .iter()
                 .filter(rival)
-                .map(|s| s.plan.version)
+                .map(|s| s.configuration.version)
                 .collect();
-            (plan, base, valid, others)
+            (configuration, base, valid, others)
         };
-        self.note(format!("config {} is acknowledged", plan.version));
+        self.trace(format!("config {} is acknowledged", configuration.version));
         if !valid {
-            self.breach(
+            self.report_violation(
                 "CONFIG",
-                format!("the invalid {} was acknowledged", plan.version),
+                format!("the invalid {} was acknowledged", configuration.version),
             );
         }
         if !others.is_empty() {
             let what = format!(
                 "{} and {others:?}, both on {base}, were acknowledged",
-                plan.version
+                configuration.version
             );
-            self.breach("CONFIG", what);
+            self.report_violation("CONFIG", what);
         }
     }
 
-    pub fn config_refused(&self, place: usize, status: u16) {
+    pub fn configuration_rejected(&self, index: usize, status: u16) {
         let (version, taken) = {
             let mut orders = self.orders.borrow_mut();
-            let sent = orders.sent[place].clone();
-            let same =
-                |s: &Sent| s.acknowledged.is_some() && (&s.body, s.base) == (&sent.body, sent.base);
+            let sent = orders.sent[index].clone();
+            let same = |s: &Submission| {
+                s.acknowledged.is_some() && (&s.body, s.base) == (&sent.body, sent.base)
+            };
             let taken = orders.sent.iter().any(same);
-            orders.sent[place].refused = !taken;
-            (sent.plan.version, taken)
+            orders.sent[index].refused = !taken;
+            (sent.configuration.version, taken)
         };
-        self.note(format!("config {version} is refused with {status}"));
+        self.trace(format!("config {version} is refused with {status}"));
         if taken {
-            self.breach(
+            self.report_violation(
                 "CONFIG",
                 format!("{version} is refused with {status}, and has been taken"),
             );
@@ -128,14 +142,14 @@
     }
 
     /// The newest that was acknowledged.
-    pub fn newest(&self) -> Option<Sent> {
+    pub fn newest_acknowledged(&self) -> Option<Submission> {
         let orders = self.orders.borrow();
         let known = orders.sent.iter().filter(|s| s.acknowledged.is_some());
-        known.max_by_key(|s| s.plan.version).cloned()
+        known.max_by_key(|s| s.configuration.version).cloned()
     }
 
     /// The last configurations that were sent, taken or not.
-    pub fn last_sent(&self, most: usize) -> Vec<Plan> {
+    pub fn last_sent(&self, most: usize) -> Vec<Configuration> {
         let orders = self.orders.borrow();
         orders
             .sent
@@ -143,36 +157,38 @@
             .rev()
             .filter(|s| s.valid)
             .take(most)
-            .map(|s| s.plan.clone())
+            .map(|s| s.configuration.clone())
             .collect()
     }
 
     /// What was read back at the end.
     pub fn read_back(&self, status: u16, text: &str) {
-        let Some(newest) = self.newest() else { return };
+        let Some(newest) = self.newest_acknowledged() else {
+            return;
+        };
         let version = text
             .split("\"version\":")
             .nth(1)
             .and_then(|t| t.split([',', '}']).next());
         let version: Option<u64> = version.and_then(|v| v.trim().parse().ok());
-        if status != 200 || version.is_none_or(|v| v < newest.plan.version) {
+        if status != 200 || version.is_none_or(|v| v < newest.configuration.version) {
             let what = format!(
                 "{} was acknowledged, read back: {status} {version:?}",
-                newest.plan.version
+                newest.configuration.version
             );
-            return self.breach("LOST", what);
+            return self.report_violation("LOST", what);
         }
-        let is = |s: &Sent| s.valid && !s.refused && text == s.plan.json();
+        let is = |s: &Submission| s.valid && !s.refused && text == s.configuration.json();
         if !self.orders.borrow().sent.iter().any(is) {
             let what =
                 format!("{version:?} is read back, which is not what was sent under that number");
-            self.breach("CONFIG", what);
+            self.report_violation("CONFIG", what);
         }
     }
 
     /// New weights are acknowledged.
-    pub fn named(&self, version: u64) {
-        self.note(format!("weights {version} are named and acknowledged"));
+    pub fn weights_acknowledged(&self, version: u64) {
+        self.trace(format!("weights {version} are named and acknowledged"));
         self.orders
             .borrow_mut()
             .named
@@ -180,8 +196,8 @@
     }
 
     /// A node acknowledged that a server drains, or has left.
-    pub fn draining(&self, instance: &str, by: SocketAddr) {
-        self.note(format!(
+    pub fn drain_acknowledged(&self, instance: &str, by: SocketAddr) {
+        self.trace(format!(
             "{} acknowledges that {instance} drains or left",
             by.ip()
         ));
@@ -194,13 +210,13 @@
     }
 
     /// Orders of a machine that was just thawed, or joined again, are not counted for a moment.
-    pub fn thawed(&self, ip: IpAddr) {
+    pub fn resumed(&self, ip: IpAddr) {
         self.orders.borrow_mut().thawed.insert(ip, Instant::now());
     }
 
     /// An order reached a server.
-    pub fn ordered(&self, instance: &str, holder: &str, fence: u64, by: IpAddr) {
-        self.note(format!("{holder} orders {instance} under {fence}"));
+    pub fn command_received(&self, instance: &str, holder: &str, fencing_token: u64, by: IpAddr) {
+        self.trace(format!("{holder} orders {instance} under {fencing_token}"));
         let now = Instant::now();
         let mut broken = None;
         {
@@ -213,8 +229,13 @@
                 return;
             }
             let last = orders.servers.entry(instance.to_owned()).or_default();
-            if last.iter().any(|l| l.fence == fence && l.holder != holder) {
-                broken = Some(format!("two holders order {instance} under {fence}"));
+            if last
+                .iter()
+                .any(|l| l.fencing_token == fencing_token && l.holder != holder)
+            {
+                broken = Some(format!(
+                    "two holders order {instance} under {fencing_token}"
+                ));
             }
             // A holder, another, and the first one again.
             let own = last.iter().rposition(|l| l.holder == holder);
@@ -224,24 +245,24 @@
             {
                 broken = Some(format!("{holder} and another take turns at {instance}"));
             }
-            if !self.bounds.fencing && last.iter().any(|l| l.fence > fence) {
+            if !self.bounds.fencing && last.iter().any(|l| l.fencing_token > fencing_token) {
                 broken = Some(format!(
-                    "{holder} orders {instance} under {fence}, lower than before"
+                    "{holder} orders {instance} under {fencing_token}, lower than before"
                 ));
             }
             last.push(LastOrder {
                 holder: holder.to_owned(),
-                fence,
+                fencing_token,
                 at: now,
             });
         }
         if let Some(what) = broken {
-            self.breach("ONE", what);
+            self.report_violation("ONE", what);
         }
     }
 
     /// Who ordered last.
-    pub fn last_holder(&self) -> Option<String> {
+    pub fn last_lease_owner(&self) -> Option<String> {
         self.last_order().map(|(holder, _)| holder)
     }
 
@@ -257,8 +278,8 @@
     }
 
     /// A server takes new weights.
-    pub fn loads(&self, instance: &str, version: u64) {
-        self.note(format!("{instance} loads weights {version}"));
+    pub fn load_started(&self, instance: &str, version: u64) {
+        self.trace(format!("{instance} loads weights {version}"));
         *self
             .orders
             .borrow_mut()
--- a/crates/sparrouter-simulation/src/judge/requests.rs
+++ b/crates/sparrouter-simulation/src/checkers/requests.rs
@@ -1,7 +1,7 @@
 //! Requests as clients sent them and as servers ran them.
-use super::Judge;
-use super::orders::Sent;
-use crate::plan::{Kind, Plan};
+use super::Monitor;
+use super::orders::Submission;
+use crate::configuration::{Configuration, RouteKind};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -9,16 +9,16 @@
 
 /// One try of a client, with its own id.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Attempt {
     pub method: String,
     pub host: String,
     pub path: String,
     pub body: Bytes,
     pub key: String,
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Whom the client sent it to, and which life of it.
     pub node: IpAddr,
-    pub life: u64,
+    pub incarnation: u64,
     /// When it gives up.
     pub until: Instant,
     /// It was sent on a connection that had carried another request before.
@@ -40,20 +40,20 @@
     /// Of the weights it runs on.
     pub version: u64,
     /// Who made the memory that it uses of each part of its prompt.
-    pub made: Vec<Made>,
+    pub cached_blocks: Vec<CachedBlock>,
     /// The event it goes on from.
     pub resumed: u64,
 }
 
 /// The run that first read a part of a prompt: whose, and on which weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Made {
+pub struct CachedBlock {
     pub version: u64,
     pub tenant: Option<String>,
 }
 
-pub(super) struct Attempt {
-    pub asked: Asked,
+pub(super) struct AttemptRecord {
+    pub attempt: Attempt,
     pub sent: Instant,
     pub runs: Vec<u64>,
     /// It was promised that it has not run and won't.
@@ -62,9 +62,9 @@
 
 #[derive(Default)]
 pub(super) struct Requests {
-    pub attempts: BTreeMap<String, Attempt>,
+    pub attempts: BTreeMap<String, AttemptRecord>,
     pub runs: Vec<Run>,
-    pub faulty: Vec<u64>,
+    pub server_faulted: Vec<u64>,
     pub prices: Prices,
     /// Of each life of a node, the newest version whose effect was seen, and when.
     seen: BTreeMap<(IpAddr, u64), (u64, Instant)>,
@@ -94,18 +94,20 @@
 }
 
 /// Whether a configuration lets this request in.
-pub(super) fn allows(plan: &Plan, asked: &Asked) -> bool {
-    let open =
-        |public: bool| public || plan.tenants.is_empty() || plan.tenant_of(&asked.key).is_some();
-    plan.route(&asked.host, &asked.path)
+pub(super) fn allows(configuration: &Configuration, asked: &Attempt) -> bool {
+    let open = |public: bool| {
+        public || configuration.tenants.is_empty() || configuration.tenant_of(&asked.key).is_some()
+    };
+    configuration
+        .route(&asked.host, &asked.path)
         .is_some_and(|r| open(r.public))
 }
 
 impl Handled<'_> {
-    fn fits(&self, plan: &Plan, asked: &Asked) -> bool {
-        let route = plan.route(&asked.host, &asked.path);
-        let open = |public: bool| public || plan.tenants.is_empty();
-        let tenant = plan.tenant_of(&asked.key).map(|t| t.name.as_str());
+    fn fits(&self, configuration: &Configuration, asked: &Attempt) -> bool {
+        let route = configuration.route(&asked.host, &asked.path);
+        let open = |public: bool| public || configuration.tenants.is_empty();
+        let tenant = configuration.tenant_of(&asked.key).map(|t| t.name.as_str());
         match (self, route) {
             (
                 Handled::Ran {
@@ -125,13 +127,13 @@
     }
 }
 
-impl Judge {
-    pub fn asked(&self, attempt: &str, asked: Asked) {
-        self.detail(|| format!("{attempt} goes to {} for {}", asked.node, asked.path));
+impl Monitor {
+    pub fn attempt_sent(&self, attempt: &str, asked: Attempt) {
+        self.trace_detail(|| format!("{attempt} goes to {} for {}", asked.node, asked.path));
         let services: Vec<String> = {
             let orders = self.orders.borrow();
-            let service = |s: &Sent| {
-                s.plan
+            let service = |s: &Submission| {
+                s.configuration
                     .route(&asked.host, &asked.path)
                     .map(|r| r.service.clone())
             };
@@ -141,8 +143,8 @@
             services
         };
         services.iter().for_each(|s| self.requested(s));
-        let attempt_of = Attempt {
-            asked,
+        let attempt_of = AttemptRecord {
+            attempt: asked,
             sent: Instant::now(),
             runs: Vec::new(),
             promised: None,
@@ -154,8 +156,8 @@
     }
 
     /// Gives back the number of the run, which its answer names.
-    pub fn ran(&self, run: Run) -> u64 {
-        self.detail(|| format!("{} runs at {} ({})", run.attempt, run.instance, run.service));
+    pub fn run_started(&self, run: Run) -> u64 {
+        self.trace_detail(|| format!("{} runs at {} ({})", run.attempt, run.instance, run.service));
         let now = Instant::now();
         let number = {
             let mut requests = self.requests.borrow_mut();
@@ -171,16 +173,16 @@
             .borrow()
             .attempts
             .get(&run.attempt)
-            .map(|a| (a.asked.clone(), a.sent, a.runs.len(), a.promised));
+            .map(|a| (a.attempt.clone(), a.sent, a.runs.len(), a.promised));
         let Some((asked, sent, runs, promised)) = known else {
-            self.breach(
+            self.report_violation(
                 "UNASKED",
                 format!("{} ran {}, which nobody sent", run.instance, run.attempt),
             );
             return number;
         };
         if (&run.method, &run.path, &run.body) != (&asked.method, &asked.path, &asked.body) {
-            self.breach(
+            self.report_violation(
                 "UNASKED",
                 format!(
                     "{} was changed on its way: {} {}",
@@ -189,19 +191,19 @@
             );
         }
         if run.key.is_some() {
-            self.breach(
+            self.report_violation(
                 "UNASKED",
                 format!("the key of {} was shown to {}", run.attempt, run.instance),
             );
         }
-        if runs > 1 && !asked.kind.repeatable() {
-            self.breach(
+        if runs > 1 && !asked.kind.is_retryable() {
+            self.report_violation(
                 "TWICE",
                 format!("{} ran {runs} times, now at {}", run.attempt, run.instance),
             );
         }
-        if let (Some(status), false) = (promised, asked.kind.repeatable()) {
-            self.breach(
+        if let (Some(status), false) = (promised, asked.kind.is_retryable()) {
+            self.report_violation(
                 "REFUSED",
                 format!("{} ran at {} after {status}", run.attempt, run.instance),
             );
@@ -217,9 +219,9 @@
             .borrow()
             .sent
             .iter()
-            .any(|s| handled.fits(&s.plan, &asked));
+            .any(|s| handled.fits(&s.configuration, &asked));
         if !allowed {
-            self.breach(
+            self.report_violation(
                 "ROUTE",
                 format!(
                     "{} of {} ran at {} as {:?}",
@@ -229,12 +231,12 @@
         } else {
             self.check_config(&run.attempt, &asked, sent, handled);
         }
-        if let Some(made) = run.made.iter().find(|m| m.version != run.version) {
+        if let Some(made) = run.cached_blocks.iter().find(|m| m.version != run.version) {
             let what = format!(
                 "{} runs on {} with memory of {}",
                 run.attempt, run.version, made.version
             );
-            self.breach("STALE", what);
+            self.report_violation("STALE", what);
         }
         self.check_wall(&run);
         self.check_version(&run, now);
@@ -242,21 +244,21 @@
     }
 
     /// What becomes of this run is the server's own fault.
-    pub fn faulty(&self, run: u64) {
-        self.requests.borrow_mut().faulty.push(run);
+    pub fn server_faulted(&self, run: u64) {
+        self.requests.borrow_mut().server_faulted.push(run);
     }
 
-    fn check_tenant(&self, run: &Run, asked: &Asked) {
+    fn check_tenant(&self, run: &Run, asked: &Attempt) {
         let Some(told) = &run.tenant else { return };
         let orders = self.orders.borrow();
-        let holds = |s: &Sent| {
-            s.plan
+        let holds = |s: &Submission| {
+            s.configuration
                 .tenant_of(&asked.key)
                 .is_some_and(|t| t.name == *told)
         };
         if !orders.sent.iter().any(holds) {
             drop(orders);
-            self.breach(
+            self.report_violation(
                 "UNASKED",
                 format!("{} ran as {told}, whose key it has not", run.attempt),
             );
@@ -265,23 +267,28 @@
 
     /// CONFIG, strict revocation: a key that was removed long enough before the request was sent lets nothing run, whichever
     /// machine took the request.
-    fn check_revocation(&self, attempt: &str, asked: &Asked, sent: Instant) {
+    fn check_revocation(&self, attempt: &str, asked: &Attempt, sent: Instant) {
         if !self.bounds.strict_revocation {
             return;
         }
         let orders = self.orders.borrow();
-        let binds = |s: &&Sent| {
+        let binds = |s: &&Submission| {
             s.acknowledged
                 .is_some_and(|at| at + self.bounds.revoke_timeout < sent)
         };
         let binding = orders.sent.iter().filter(binds);
-        let floor = binding.map(|s| s.plan.version).max().unwrap_or(0);
-        let may_be_in_force = |s: &&Sent| s.valid && !s.refused && s.plan.version >= floor;
-        let mut plans = orders.sent.iter().filter(may_be_in_force).map(|s| &s.plan);
-        let is_allowed = plans.any(|plan| allows(plan, asked));
+        let floor = binding.map(|s| s.configuration.version).max().unwrap_or(0);
+        let may_be_in_force =
+            |s: &&Submission| s.valid && !s.refused && s.configuration.version >= floor;
+        let mut plans = orders
+            .sent
+            .iter()
+            .filter(may_be_in_force)
+            .map(|s| &s.configuration);
+        let is_allowed = plans.any(|configuration| allows(configuration, asked));
         drop(orders);
         if !is_allowed {
-            self.breach(
+            self.report_violation(
                 "CONFIG",
                 format!(
                     "{attempt} ran at {}, its key was taken away long before",
@@ -295,17 +302,18 @@
     fn check_wall(&self, run: &Run) {
         let orders = self.orders.borrow();
         let isolated = |name: &Option<String>| {
-            let is = |s: &Sent| {
-                s.plan
+            let is = |s: &Submission| {
+                s.configuration
                     .tenants
                     .iter()
                     .any(|t| t.isolated && Some(&t.name) == name.as_ref())
             };
             orders.sent.iter().any(is)
         };
-        let other =
-            |m: &&Made| m.tenant != run.tenant && (isolated(&m.tenant) || isolated(&run.tenant));
-        let Some(made) = run.made.iter().find(other) else {
+        let other = |m: &&CachedBlock| {
+            m.tenant != run.tenant && (isolated(&m.tenant) || isolated(&run.tenant))
+        };
+        let Some(made) = run.cached_blocks.iter().find(other) else {
             return;
         };
         let what = format!(
@@ -313,26 +321,26 @@
             run.attempt, run.tenant, made.tenant
         );
         drop(orders);
-        self.breach("WALL", what);
+        self.report_violation("WALL", what);
     }
 
     fn check_version(&self, run: &Run, now: Instant) {
         let named = self.orders.borrow().named.clone();
-        if !self.in_touch(run.by, now, now) {
+        if !self.in_contact(run.by, now, now) {
             return;
         }
         for (version, at) in named {
             let late = self
-                .calm_since(at, now)
+                .stable_since(at, now)
                 .is_some_and(|since| now - since > self.bounds.version);
             let all = self.bounds.version_all;
-            let late_in_all = !all.is_zero() && self.calm_total(at, now) > all;
+            let late_in_all = !all.is_zero() && self.stable_total(at, now) > all;
             if run.version < version && (late || late_in_all) {
                 let what = format!(
                     "{} begins on {} at {}, {version} is named",
                     run.attempt, run.version, run.instance
                 );
-                self.breach("VERSION", what);
+                self.report_violation("VERSION", what);
             }
         }
     }
@@ -341,14 +349,14 @@
     pub(super) fn check_config(
         &self,
         attempt: &str,
-        asked: &Asked,
+        asked: &Attempt,
         sent: Instant,
         handled: Handled,
     ) {
         let now = Instant::now();
         let (floor, fitting) = {
             let orders = self.orders.borrow();
-            let old = |s: &&Sent| {
+            let old = |s: &&Submission| {
                 s.acknowledged
                     .is_some_and(|at| at + self.bounds.config_apply < sent)
             };
@@ -356,15 +364,16 @@
                 .sent
                 .iter()
                 .filter(old)
-                .map(|s| s.plan.version)
+                .map(|s| s.configuration.version)
                 .max()
                 .unwrap_or(0);
-            let fits = |s: &&Sent| !s.refused && s.valid && handled.fits(&s.plan, asked);
+            let fits =
+                |s: &&Submission| !s.refused && s.valid && handled.fits(&s.configuration, asked);
             let fitting: Vec<u64> = orders
                 .sent
                 .iter()
                 .filter(fits)
-                .map(|s| s.plan.version)
+                .map(|s| s.configuration.version)
                 .collect();
             (floor, fitting)
         };
@@ -375,30 +384,31 @@
             asked.node
         );
         if fitting.is_empty() && !none_yet {
-            return self.breach("CONFIG", format!("{shown}, which are not in force"));
+            return self.report_violation("CONFIG", format!("{shown}, which are not in force"));
         }
-        if fitting.iter().all(|v| *v < floor) && !none_yet && self.in_touch(asked.node, sent, now) {
-            return self.breach(
+        if fitting.iter().all(|v| *v < floor) && !none_yet && self.in_contact(asked.node, sent, now)
+        {
+            return self.report_violation(
                 "CONFIG",
                 format!("{shown}, {floor} was acknowledged long before"),
             );
         }
-        let life = (asked.node, asked.life);
+        let incarnation = (asked.node, asked.incarnation);
         let mut requests = self.requests.borrow_mut();
-        if let Some((version, at)) = requests.seen.get(&life).copied()
+        if let Some((version, at)) = requests.seen.get(&incarnation).copied()
             && sent > at + self.bounds.rollback_slack
             && !fitting.is_empty()
             && fitting.iter().all(|v| *v < version)
         {
             drop(requests);
-            return self.breach(
+            return self.report_violation(
                 "CONFIG",
                 format!("{shown}, the machine went by {version} before"),
             );
         }
         // Only what no older one explains shows a version's effect.
         if let Some(least) = fitting.iter().min().copied() {
-            let seen = requests.seen.entry(life).or_insert((least, now));
+            let seen = requests.seen.entry(incarnation).or_insert((least, now));
             if least > seen.0 {
                 *seen = (least, now);
             }
@@ -410,13 +420,13 @@
         let at = self.orders.borrow().drains.get(instance).copied();
         if let Some(at) = at
             && now - at > self.bounds.drain_timeout
-            && self.in_touch(by, now, now)
+            && self.in_contact(by, now, now)
         {
             let what = format!(
                 "{attempt} reaches {instance} {:?} after its draining was acknowledged",
                 now - at
             );
-            self.breach("DRAIN", what);
+            self.report_violation("DRAIN", what);
         }
     }
 }
--- a/crates/sparrouter-simulation/src/judge/budget.rs
+++ b/crates/sparrouter-simulation/src/checkers/retry_budget.rs
@@ -1,5 +1,5 @@
 //! BUDGET: arrivals beyond the first of each request, in any window, against the requests for the service.
-use super::{Bounds, Judge};
+use super::{Bounds, Monitor};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -39,7 +39,7 @@
     }
 
     /// What broke it, if it is broken now.
-    pub(super) fn arrived(&mut self, service: &str, attempt: &str) -> Option<String> {
+    pub(super) fn request_arrived(&mut self, service: &str, attempt: &str) -> Option<String> {
         let now = Instant::now();
         let Bounds {
             budget_window: window,
@@ -74,13 +74,19 @@
     }
 }
 
-impl Judge {
+impl Monitor {
     /// A request reached a server, which may still decline it.
-    pub fn arrived(&self, service: &str, attempt: &str, instance: &str, by: std::net::IpAddr) {
-        self.detail(|| format!("{attempt} reaches {instance} from {by}"));
-        let broken = self.budget.borrow_mut().arrived(service, attempt);
+    pub fn request_arrived(
+        &self,
+        service: &str,
+        attempt: &str,
+        instance: &str,
+        by: std::net::IpAddr,
+    ) {
+        self.trace_detail(|| format!("{attempt} reaches {instance} from {by}"));
+        let broken = self.budget.borrow_mut().request_arrived(service, attempt);
         if let Some(what) = broken {
-            self.breach("BUDGET", what);
+            self.report_violation("BUDGET", what);
         }
         self.check_drain(instance, attempt, by);
     }
--- a/crates/sparrouter-simulation/src/client.rs
+++ b/crates/sparrouter-simulation/src/client.rs
@@ -1,11 +1,11 @@
 //! Clients by PROTOCOL.md: a new id for each attempt, retries as the answers allow, a whole answer or none.
 #![deny(missing_docs)]
 
-use crate::connection::End;
-use crate::judge::{Answer, Asked, Judge};
-use crate::net::MemoryNet;
-use crate::plan::Kind;
-use crate::platform::Platform;
+use crate::checkers::{Attempt, ClientResponse, Monitor};
+use crate::configuration::RouteKind;
+use crate::load_balancer::LoadBalancer;
+use crate::network::connection::End;
+use crate::network::interface::NetworkInterface;
 use crate::server::MODEL;
 use bytes::{Bytes, BytesMut};
 use fastrand::Rng;
@@ -37,7 +37,7 @@
     /// Path of the request.
     pub path: String,
     /// Whether it may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// API key.
     pub key: String,
     /// Zone of the client.
@@ -47,11 +47,11 @@
     /// Most attempts after the first one.
     pub retries: u32,
     /// Id of the prompt's shared part.
-    pub topic: String,
+    pub prompt_id: String,
     /// Tokens of the shared part.
-    pub shared: u64,
+    pub shared_tokens: u64,
     /// The client disconnects so long after it sent an attempt.
-    pub leaves: Option<Duration>,
+    pub disconnects_after: Option<Duration>,
 }
 
 /// How a request ended, after all its attempts.
@@ -60,18 +60,18 @@
     /// With a whole answer.
     Served,
     /// With a refusal; holds the last status.
-    Refused(u16),
+    Rejected(u16),
     /// Without a whole answer.
     Failed,
 }
 
 /// A client.
 pub struct Client {
-    net: MemoryNet,
-    judge: Rc<Judge>,
-    platform: Rc<Platform>,
+    net: NetworkInterface,
+    monitor: Rc<Monitor>,
+    load_balancer: Rc<LoadBalancer>,
     rng: RefCell<Rng>,
-    /// A connection that may carry another request, its node's address and [`Platform::life`].
+    /// A connection that may carry another request, its node's address and [`LoadBalancer::incarnation`].
     kept: RefCell<Option<(End, SocketAddr, u64)>>,
     keeps: bool,
 }
@@ -79,16 +79,16 @@
 impl Client {
     /// `keeps`: it keeps connections open between requests.
     pub fn new(
-        net: MemoryNet,
-        judge: Rc<Judge>,
-        platform: Rc<Platform>,
+        net: NetworkInterface,
+        monitor: Rc<Monitor>,
+        load_balancer: Rc<LoadBalancer>,
         rng: Rng,
         keeps: bool,
     ) -> Client {
         Client {
             net,
-            judge,
-            platform,
+            monitor,
+            load_balancer,
             rng: RefCell::new(rng),
             kept: RefCell::default(),
             keeps,
@@ -96,21 +96,22 @@
     }
 
     /// Sends a request with its retries, to the nodes that the platform chooses.
-    pub async fn get(&self, request: &ClientRequest) -> RequestOutcome {
-        self.get_from(request, None).await
+    pub async fn send(&self, request: &ClientRequest) -> RequestOutcome {
+        self.send_with_retries(request, None).await
     }
 
-    /// Sends a request with its retries to one node. `life`: see [`Platform::life`].
-    pub async fn get_at(
+    /// Sends a request with its retries to one node. `incarnation`: see [`LoadBalancer::incarnation`].
+    pub async fn send_to(
         &self,
         request: &ClientRequest,
         to: SocketAddr,
-        life: u64,
+        incarnation: u64,
     ) -> RequestOutcome {
-        self.get_from(request, Some((to, life))).await
+        self.send_with_retries(request, Some((to, incarnation)))
+            .await
     }
 
-    async fn get_from(
+    async fn send_with_retries(
         &self,
         request: &ClientRequest,
         direct: Option<(SocketAddr, u64)>,
@@ -124,12 +125,12 @@
             let (answer, retry_after, unread) = self.attempt(request, until, direct).await;
             let promised = matches!(answer.status, 408 | 421 | 429 | 503);
             came = match answer.status {
-                200..=299 if answer.whole => return RequestOutcome::Served,
+                200..=299 if answer.is_complete => return RequestOutcome::Served,
                 0 | 200..=299 => RequestOutcome::Failed,
-                status => RequestOutcome::Refused(status),
+                status => RequestOutcome::Rejected(status),
             };
             let last = matches!(answer.status, 200..=299 | 400 | 401 | 404 | 413 | 431);
-            if last || !(request.kind.repeatable() || promised || unread) {
+            if last || !(request.kind.is_retryable() || promised || unread) {
                 break;
             }
             let left = until.saturating_duration_since(Instant::now());
@@ -145,14 +146,15 @@
         request: &ClientRequest,
         until: Instant,
         direct: Option<(SocketAddr, u64)>,
-    ) -> (Answer, Option<Duration>, bool) {
+    ) -> (ClientResponse, Option<Duration>, bool) {
         let id = format!("{:016x}", self.rng.borrow_mut().u64(..));
-        let mut answer = Answer::default();
-        let Some((mut stream, to, life, kept)) = self.connection(request, direct).await else {
+        let mut answer = ClientResponse::default();
+        let Some((mut stream, to, incarnation, kept)) = self.connection(request, direct).await
+        else {
             return (answer, None, true);
         };
         let body = Bytes::from(format!("body of {id}"));
-        let asked = Asked {
+        let asked = Attempt {
             method: "POST".to_owned(),
             host: request.host.clone(),
             path: request.path.clone(),
@@ -160,11 +162,11 @@
             key: request.key.clone(),
             kind: request.kind,
             node: to.ip(),
-            life,
+            incarnation,
             until,
             kept,
         };
-        self.judge.asked(&id, asked);
+        self.monitor.attempt_sent(&id, asked);
         let head = request_head(request, &id, until, body.len());
         let mut keep = false;
         let mut after = None;
@@ -175,7 +177,7 @@
         {
             let reading = self.read(&mut stream, &mut answer);
             let last = request
-                .leaves
+                .disconnects_after
                 .map_or(until, |after| until.min(Instant::now() + after));
             match timeout_at(last, reading).await {
                 Ok((kept, told)) => (keep, after) = (kept, told),
@@ -183,9 +185,9 @@
             }
         }
         // After a reset, or an end before any byte, the node may have read the request.
-        self.judge.answered(&id, &answer);
-        if keep && self.keeps && answer.whole {
-            *self.kept.borrow_mut() = Some((stream, to, life));
+        self.monitor.response_received(&id, &answer);
+        if keep && self.keeps && answer.is_complete {
+            *self.kept.borrow_mut() = Some((stream, to, incarnation));
         }
         (answer, after, false)
     }
@@ -201,26 +203,30 @@
             None => true,
             Some(Ok(0) | Err(_)) => false,
             Some(Ok(_)) => {
-                self.judge
-                    .breach("MIXED", "bytes on a connection where no request waits");
+                self.monitor
+                    .report_violation("MIXED", "bytes on a connection where no request waits");
                 false
             }
         });
-        if let Some((stream, to, life)) = kept {
-            return Some((stream, to, life, true));
+        if let Some((stream, to, incarnation)) = kept {
+            return Some((stream, to, incarnation, true));
         }
-        let (to, life) = direct.or_else(|| {
-            self.platform
+        let (to, incarnation) = direct.or_else(|| {
+            self.load_balancer
                 .pick(&request.zone, &mut self.rng.borrow_mut())
         })?;
         let connected = timeout(CONNECT_TIMEOUT, self.net.connect(to)).await;
         let stream = connected.ok()?.ok()?;
-        Some((stream, to, life, false))
+        Some((stream, to, incarnation, false))
     }
 
     /// Reads an answer. Gives whether the connection may carry another request, and how long the answer asks to wait before
     /// a retry.
-    async fn read(&self, stream: &mut End, answer: &mut Answer) -> (bool, Option<Duration>) {
+    async fn read(
+        &self,
+        stream: &mut End,
+        answer: &mut ClientResponse,
+    ) -> (bool, Option<Duration>) {
         let mut buffer = BytesMut::new();
         let bytes = match reading::head(stream, &mut buffer, head::REPLY, MAX_HEAD_BYTES).await {
             Ok(bytes) => bytes,
@@ -252,14 +258,14 @@
                     let room = length - answer.body.len();
                     let piece = buffer.split_to(buffer.len().min(room));
                     answer.body.extend_from_slice(&piece);
-                    answer.whole = answer.body.len() == length;
+                    answer.is_complete = answer.body.len() == length;
                 }
                 Framing::Chunked => loop {
                     match chunks.next(&mut buffer) {
                         Ok(ChunkEvent::Data(piece)) => answer.body.extend_from_slice(&piece),
                         Ok(ChunkEvent::More) => break,
                         Ok(ChunkEvent::End) => {
-                            answer.whole = true;
+                            answer.is_complete = true;
                             break;
                         }
                         Err(bad) => {
@@ -270,7 +276,7 @@
                 },
                 Framing::ToEnd => answer.body.extend_from_slice(&buffer.split()),
             }
-            if answer.whole {
+            if answer.is_complete {
                 return (head.keep_alive && buffer.is_empty(), after);
             }
             match timeout(READ_TIMEOUT, reading::more(stream, &mut buffer)).await {
@@ -298,9 +304,9 @@
          Sparrouter-Deadline-Ms: {left_ms}\r\nSparrouter-Key: {}\r\nContent-Length: {length}\r\n\r\n",
         request.path,
         request.host,
-        request.shared + 100,
-        request.topic,
-        request.shared,
+        request.shared_tokens + 100,
+        request.prompt_id,
+        request.shared_tokens,
         &id[..8],
         request.key,
     )
--- a/crates/sparrouter-simulation/src/world/machines.rs
+++ b/crates/sparrouter-simulation/src/cluster/machines.rs
@@ -1,7 +1,7 @@
 //! What becomes of machines: processes start, end, freeze and slow down, power and disks are lost, ways are cut.
-use super::{CONTROL, FRONT, Machine, READINESS, World};
-use crate::fabric::Cut;
-use crate::net::MemoryNet;
+use super::{CONTROL, FRONT, Machine, READINESS, SimulatedCluster};
+use crate::network::Partition;
+use crate::network::interface::NetworkInterface;
 use crate::process::SimulatedProcess;
 use fastrand::Rng;
 use sparrouter_fleet::process::log_buffer::LogBuffer;
@@ -21,11 +21,11 @@
     seeds: Vec<SocketAddr>,
 }
 
-impl World {
-    fn boot_text(&self, name: &str, first: bool) -> String {
+impl SimulatedCluster {
+    fn settings_text(&self, name: &str, first: bool) -> String {
         let machines = self.machines.borrow();
         let m = &machines[name];
-        let (ip, b) = (m.ip, &self.terms.bounds);
+        let (ip, b) = (m.ip, &self.settings.bounds);
         let seeds: Vec<String> = self
             .seeds
             .borrow()
@@ -52,8 +52,8 @@
             m.zone,
             seeds.join(","),
             m.counted,
-            ms(self.terms.heartbeat),
-            self.terms.tolerated(),
+            ms(self.settings.heartbeat),
+            self.settings.tolerated(),
             ms(b.contact),
             ms(b.ack_timeout),
             ms(b.drain_timeout),
@@ -75,19 +75,19 @@
 
     /// Starts a process on a machine that has power; `first`: the whole system starts for the first time.
     pub fn start(&self, name: &str, first: bool) {
-        let text = self.boot_text(name, first);
+        let text = self.settings_text(name, first);
         let mut boot = ProcessSettings::parse(Path::new("story"), &text)
             .expect("settings that the page describes");
         boot.listen.metrics = Some(self.metrics_of(name));
         let mut rng = self.rng.borrow_mut().fork();
-        let net = Rc::new(MemoryNet::new(self.fabric.clone(), self.ip(name)));
+        let net = Rc::new(NetworkInterface::new(self.network.clone(), self.ip(name)));
         let (give, orders) = unbounded_channel();
         let mut machines = self.machines.borrow_mut();
         let Some(machine) = machines.get_mut(name) else {
             return;
         };
         let (log_buffer, disk) = (machine.log_buffer.clone(), machine.disk.clone());
-        let (judge, label, at) = (self.judge.clone(), name.to_owned(), machine.ip);
+        let (monitor, label, at) = (self.monitor.clone(), name.to_owned(), machine.ip);
         machine.process = Some(SimulatedProcess::start(async move {
             let open = move |_: Option<&Path>, log_buffer: &LogBuffer, rng: &mut Rng| match &disk {
                 Some(disk) => disk.stock(log_buffer, rng),
@@ -95,7 +95,7 @@
             };
             let rng = rng.fork();
             if let Err(why) = serve(Role::Proxy, boot, open, log_buffer, net, rng, orders).await {
-                judge.breach("FAULT", format!("{label} at {at} did not start: {why}"));
+                monitor.report_violation("FAULT", format!("{label} at {at} did not start: {why}"));
             }
         }));
         machine.orders = Some(give);
@@ -104,35 +104,35 @@
         let (ip, counted) = (machine.ip, machine.counted);
         drop(machines);
         if again {
-            self.platform.reborn(name);
+            self.load_balancer.restarted(name);
         }
-        self.judge.note(format!("{name} starts"));
+        self.monitor.trace(format!("{name} starts"));
         self.shake(ip, counted);
-        self.judge.up(ip);
+        self.monitor.process_started(ip);
     }
 
     pub(super) fn shake(&self, ip: IpAddr, counted: bool) {
-        self.judge.shaken(Some(ip));
+        self.monitor.momentary_fault(Some(ip));
         if counted {
-            self.judge.shaken(None);
+            self.monitor.momentary_fault(None);
         }
     }
 
-    fn down(&self, name: &str) {
-        self.judge.down(self.ip(name));
+    fn process_stopped(&self, name: &str) {
+        self.monitor.process_stopped(self.ip(name));
         if self.machines.borrow()[name].counted {
-            self.judge.shaken(None);
+            self.monitor.momentary_fault(None);
         }
     }
 
-    pub(super) fn trouble(&self, name: &str) {
+    pub(super) fn fault_began(&self, name: &str) {
         let (ip, counted) = {
             let machines = self.machines.borrow();
             (machines[name].ip, machines[name].counted)
         };
-        self.judge.trouble(Some(ip));
+        self.monitor.fault_began(Some(ip));
         if counted {
-            self.judge.shaken(None);
+            self.monitor.momentary_fault(None);
         }
     }
 
@@ -151,12 +151,12 @@
     }
 
     /// Until all that run take clients.
-    pub async fn until_ready(&self) {
+    pub async fn wait_until_ready(&self) {
         let began = Instant::now();
         let all = || {
             self.names()
                 .into_iter()
-                .all(|n| !self.runs(&n) || self.platform.is_in(&n))
+                .all(|n| !self.runs(&n) || self.load_balancer.is_in_service(&n))
         };
         while !all() {
             assert!(
@@ -171,14 +171,14 @@
     fn unready(&self) -> Vec<String> {
         self.names()
             .into_iter()
-            .filter(|n| self.runs(n) && !self.platform.is_in(n))
+            .filter(|n| self.runs(n) && !self.load_balancer.is_in_service(n))
             .collect()
     }
 
     /// The process ends between two steps; its machine stays.
     pub fn kill(&self, name: &str) {
-        self.judge.note(format!("{name} is killed"));
-        self.down(name);
+        self.monitor.trace(format!("{name} is killed"));
+        self.process_stopped(name);
         let process = self
             .machines
             .borrow_mut()
@@ -189,9 +189,9 @@
 
     /// The machine loses power, and its disk what was not synced.
     pub fn power_off(&self, name: &str) {
-        self.judge.note(format!("{name} loses power"));
-        self.down(name);
-        self.fabric.power(self.ip(name), false);
+        self.monitor.trace(format!("{name} loses power"));
+        self.process_stopped(name);
+        self.network.power(self.ip(name), false);
         let process = self
             .machines
             .borrow_mut()
@@ -205,40 +205,41 @@
 
     /// Power is back, and the process starts.
     pub fn power_on(&self, name: &str) {
-        self.fabric.power(self.ip(name), true);
+        self.network.power(self.ip(name), true);
         self.start(name, false);
     }
 
     /// The disk is replaced by an empty one while no process runs.
     pub fn wipe(&self, name: &str) {
-        self.judge.note(format!("the disk of {name} is lost"));
+        self.monitor.trace(format!("the disk of {name} is lost"));
         self.disk(name).files.wipe();
     }
 
     pub fn freeze(&self, name: &str, frozen: bool) {
-        self.judge.note(format!(
+        self.monitor.trace(format!(
             "{name} {}",
             if frozen { "freezes" } else { "wakes" }
         ));
         if frozen {
-            self.trouble(name);
+            self.fault_began(name);
         }
         let ip = self.ip(name);
-        self.fabric.freeze(ip, frozen);
+        self.network.freeze(ip, frozen);
         if let Some(process) = &self.machines.borrow()[name].process {
             process.freeze(frozen);
         }
         if !frozen {
             let counted = self.machines.borrow()[name].counted;
-            self.judge.calm(Some(ip));
-            self.judge.thawed(ip);
+            self.monitor.fault_ended(Some(ip));
+            self.monitor.resumed(ip);
             self.shake(ip, counted);
         }
     }
 
     /// A machine whose processor hardly gets to it; zero: as it should.
     pub fn slow(&self, name: &str, pace: Duration) {
-        self.judge.note(format!("{name} takes {pace:?} for a turn"));
+        self.monitor
+            .trace(format!("{name} takes {pace:?} for a turn"));
         let (ip, counted) = {
             let machines = self.machines.borrow();
             (machines[name].ip, machines[name].counted)
@@ -248,9 +249,9 @@
             .flatten();
         whose.for_each(|w| {
             if pace.is_zero() {
-                self.judge.calm(w)
+                self.monitor.fault_ended(w)
             } else {
-                self.judge.trouble(w)
+                self.monitor.fault_began(w)
             }
         });
         if let Some(process) = &self.machines.borrow()[name].process {
@@ -259,22 +260,22 @@
     }
 
     /// SIGTERM; the process ends by itself, or is killed after its grace period.
-    pub async fn term(&self, name: &str) {
-        self.judge.note(format!("{name} is told to end"));
-        self.judge.told_to_end(self.ip(name));
+    pub async fn terminate(&self, name: &str) {
+        self.monitor.trace(format!("{name} is told to end"));
+        self.monitor.shutdown_requested(self.ip(name));
         if self.machines.borrow()[name].counted {
-            self.judge.shaken(None);
+            self.monitor.momentary_fault(None);
         }
         if let Some(orders) = &self.machines.borrow()[name].orders {
             // One that has ended already needs none.
             let _ = orders.send(ProcessSignal::Leave);
         }
         let began = Instant::now();
-        while self.runs(name) && began.elapsed() < self.terms.bounds.grace {
+        while self.runs(name) && began.elapsed() < self.settings.bounds.grace {
             sleep(Duration::from_millis(50)).await;
         }
-        self.judge
-            .note(format!("{name} has ended: {}", !self.runs(name)));
+        self.monitor
+            .trace(format!("{name} has ended: {}", !self.runs(name)));
         self.machines
             .borrow_mut()
             .get_mut(name)
@@ -293,12 +294,12 @@
         if self.machines.borrow()[name].process.is_some() {
             self.power_off(name);
         }
-        self.judge.note(format!("{name} is gone for good"));
-        self.platform.remove(name);
+        self.monitor.trace(format!("{name} is gone for good"));
+        self.load_balancer.remove(name);
         let gone = self.control_of(name);
         self.control.borrow_mut().retain(|a| *a != gone);
         let machine = self.machines.borrow_mut().remove(name);
-        self.judge.up(gone.ip());
+        self.monitor.process_started(gone.ip());
         RetiredMachine {
             name: name.to_owned(),
             machine: machine.expect("a machine of this name"),
@@ -310,20 +311,20 @@
     pub fn add_core(&self, zone: &'static str) -> String {
         let new = format!("core-{}", self.next_ip.get());
         self.add_machine(&new, zone, true);
-        self.seeds_anew();
+        self.refresh_seeds();
         self.start(&new, false);
         new
     }
 
     /// A machine that was gone for good starts with its old disk and the seeds of its time. It is on none of the
     /// operator's lists.
-    pub fn bring_back(&self, retired: RetiredMachine) -> String {
+    pub fn restore(&self, retired: RetiredMachine) -> String {
         let RetiredMachine {
             name,
             machine,
             seeds,
         } = retired;
-        self.fabric.power(machine.ip, true);
+        self.network.power(machine.ip, true);
         self.machines.borrow_mut().insert(name.clone(), machine);
         let newer = std::mem::replace(&mut *self.seeds.borrow_mut(), seeds);
         self.start(&name, false);
@@ -332,7 +333,7 @@
     }
 
     /// The seeds are the first three of the operator's list now; running processes are told.
-    pub fn seeds_anew(&self) {
+    pub fn refresh_seeds(&self) {
         let seeds: Vec<SocketAddr> = self
             .core()
             .iter()
@@ -354,18 +355,19 @@
     }
 
     /// Cuts machines off from all others of the fleet, or joins them again.
-    pub fn cut_off(&self, names: &[&str], cut: Option<Cut>) {
-        self.judge.note(format!("{names:?} cut off: {cut:?}"));
+    pub fn partition(&self, names: &[&str], cut: Option<Partition>) {
+        self.monitor.trace(format!("{names:?} cut off: {cut:?}"));
         for inside in names {
             for other in self.names().iter().filter(|n| !names.contains(&n.as_str())) {
-                self.fabric.cut_both(self.ip(inside), self.ip(other), cut);
+                self.network
+                    .partition_both(self.ip(inside), self.ip(other), cut);
             }
             let ip = self.ip(inside);
             match cut {
-                Some(_) => self.trouble(inside),
+                Some(_) => self.fault_began(inside),
                 None => {
-                    self.judge.calm(Some(ip));
-                    self.judge.thawed(ip);
+                    self.monitor.fault_ended(Some(ip));
+                    self.monitor.resumed(ip);
                     self.shake(ip, self.machines.borrow()[*inside].counted);
                 }
             }
@@ -373,19 +375,20 @@
     }
 
     /// A zone's machines and servers cut off from all others, or joined again.
-    pub fn cut_zone(&self, zone: &str, cut: Option<Cut>) {
+    pub fn partition_zone(&self, zone: &str, cut: Option<Partition>) {
         let names = self.names();
         let inside: Vec<&str> = names
             .iter()
             .map(String::as_str)
             .filter(|n| self.zone_of(n) == zone)
             .collect();
-        self.cut_off(&inside, cut);
+        self.partition(&inside, cut);
         for hosted in self.servers.borrow().values() {
-            let t = &hosted.server.terms;
+            let t = &hosted.server.settings;
             for name in &names {
                 if (self.zone_of(name) == zone) != (t.zone == zone) {
-                    self.fabric.cut_both(self.ip(name), t.address.ip(), cut);
+                    self.network
+                        .partition_both(self.ip(name), t.address.ip(), cut);
                 }
             }
         }
--- a/crates/sparrouter-simulation/src/world.rs
+++ b/crates/sparrouter-simulation/src/cluster/mod.rs
@@ -1,22 +1,22 @@
 //! One deployment: machines of the fleet with their disks and processes, servers, clients' platform, the operator.
 //! `machines`: what becomes of machines; `hosts`: of servers.
-pub mod cuts;
-mod hosts;
 mod machines;
+pub mod partitions;
+mod servers;
 
 pub use machines::RetiredMachine;
 
+use crate::checkers::{Bounds, Monitor};
 use crate::client::{Client, ClientRequest};
+use crate::configuration::{Configuration, Route, RouteKind, Tenant};
 use crate::disk::SimulatedDisk;
-use crate::fabric::Fabric;
 use crate::http_messages::call;
-use crate::judge::{Bounds, Judge};
-use crate::net::MemoryNet;
+use crate::load_balancer::LoadBalancer;
+use crate::network::SimulatedNetwork;
+use crate::network::interface::NetworkInterface;
 use crate::operator::Operator;
-use crate::plan::{Kind, Plan, Route, Tenant};
-use crate::platform::Platform;
 use crate::process::SimulatedProcess;
-use crate::server::{Memories, Memory, Server};
+use crate::server::{BlockStore, BlockStores, Server};
 use fastrand::Rng;
 use sparrouter_fleet::process::log_buffer::LogBuffer;
 use sparrouter_fleet::process::run::ProcessSignal;
@@ -39,7 +39,7 @@
 
 /// How large a deployment is.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct ClusterSettings {
     pub seed: u64,
     /// Counted machines, one a zone in turn, and others.
     pub core: usize,
@@ -56,9 +56,9 @@
     pub load: Duration,
 }
 
-impl Terms {
-    pub fn seeded(seed: u64) -> Terms {
-        Terms {
+impl ClusterSettings {
+    pub fn seeded(seed: u64) -> ClusterSettings {
+        ClusterSettings {
             seed,
             core: 3,
             others: 3,
@@ -113,23 +113,23 @@
     up_since: Option<Instant>,
 }
 
-struct Hosted {
+struct ServerProcess {
     server: Rc<Server>,
     process: SimulatedProcess,
 }
 
-pub struct World {
-    pub terms: Terms,
-    pub fabric: Rc<Fabric>,
-    pub judge: Rc<Judge>,
-    pub platform: Rc<Platform>,
+pub struct SimulatedCluster {
+    pub settings: ClusterSettings,
+    pub network: Rc<SimulatedNetwork>,
+    pub monitor: Rc<Monitor>,
+    pub load_balancer: Rc<LoadBalancer>,
     pub operator: Operator,
     machines: RefCell<BTreeMap<String, Machine>>,
-    servers: RefCell<BTreeMap<String, Hosted>>,
+    servers: RefCell<BTreeMap<String, ServerProcess>>,
     /// Addresses that serve control, as the operator's list has them now.
     pub control: Rc<RefCell<Vec<SocketAddr>>>,
     seeds: RefCell<Vec<SocketAddr>>,
-    pub memories: Memories,
+    pub block_stores: BlockStores,
     pub rng: RefCell<Rng>,
     next_ip: Cell<u8>,
     next_server: Cell<u32>,
@@ -142,92 +142,92 @@
 }
 
 /// Where the store of kept prompts is.
-pub fn store() -> SocketAddr {
+pub fn kv_store_address() -> SocketAddr {
     SocketAddr::new(IpAddr::from([10, 0, 0, 9]), 8680)
 }
 
-impl World {
+impl SimulatedCluster {
     /// Machines that are not started yet, clients, an operator.
-    pub fn new(terms: Terms) -> Rc<World> {
-        let mut rng = Rng::with_seed(terms.seed);
-        let fabric = Fabric::new(
+    pub fn new(settings: ClusterSettings) -> Rc<SimulatedCluster> {
+        let mut rng = Rng::with_seed(settings.seed);
+        let network = SimulatedNetwork::new(
             rng.fork(),
-            (terms.across / 2).max(Duration::from_millis(1)),
-            terms.across,
+            (settings.across / 2).max(Duration::from_millis(1)),
+            settings.across,
         );
-        let judge = Rc::new(Judge::new(terms.bounds));
+        let monitor = Rc::new(Monitor::new(settings.bounds));
         for last in 1..=3 {
-            fabric.add(outside(last), "outside");
+            network.add(outside(last), "outside");
         }
-        let platform = Platform::new(MemoryNet::new(fabric.clone(), outside(1)));
+        let load_balancer = LoadBalancer::new(NetworkInterface::new(network.clone(), outside(1)));
         let control: Rc<RefCell<Vec<SocketAddr>>> = Rc::default();
         let operator = Operator::new(
-            MemoryNet::new(fabric.clone(), outside(2)),
-            judge.clone(),
+            NetworkInterface::new(network.clone(), outside(2)),
+            monitor.clone(),
             rng.fork(),
             control.clone(),
         );
-        let world = Rc::new(World {
-            terms,
-            fabric,
-            judge,
-            platform,
+        let cluster = Rc::new(SimulatedCluster {
+            settings,
+            network,
+            monitor,
+            load_balancer,
             operator,
             machines: RefCell::default(),
             servers: RefCell::default(),
             control,
             seeds: RefCell::default(),
-            memories: Memories::default(),
+            block_stores: BlockStores::default(),
             rng: RefCell::new(rng),
             next_ip: Cell::new(20),
             next_server: Cell::new(0),
             newest_weights: Cell::new(1),
         });
-        world
-            .memories
+        cluster
+            .block_stores
             .borrow_mut()
-            .insert(store(), Memory::default());
-        for n in 0..terms.core {
-            world.add_machine(&format!("core-{n}"), ZONES[n % 3], true);
+            .insert(kv_store_address(), BlockStore::default());
+        for n in 0..settings.core {
+            cluster.add_machine(&format!("core-{n}"), ZONES[n % 3], true);
         }
-        for n in 0..terms.others {
-            world.add_machine(&format!("edge-{n}"), ZONES[n % 3], false);
+        for n in 0..settings.others {
+            cluster.add_machine(&format!("edge-{n}"), ZONES[n % 3], false);
         }
-        let seeds = world
+        let seeds = cluster
             .core()
             .iter()
             .take(3)
-            .map(|n| SocketAddr::new(world.ip(n), CONTROL))
+            .map(|n| SocketAddr::new(cluster.ip(n), CONTROL))
             .collect();
-        *world.seeds.borrow_mut() = seeds;
-        world
+        *cluster.seeds.borrow_mut() = seeds;
+        cluster
     }
 
     /// A fleet that has formed, has servers and a first configuration.
-    pub async fn serving(terms: Terms) -> Rc<World> {
-        let world = World::new(terms);
-        world.start_all(true).await;
-        for n in 0..terms.servers {
-            world.add_server("models", ZONES[n % 3]);
+    pub async fn serving(settings: ClusterSettings) -> Rc<SimulatedCluster> {
+        let cluster = SimulatedCluster::new(settings);
+        cluster.start_all(true).await;
+        for n in 0..settings.servers {
+            cluster.add_server("models", ZONES[n % 3]);
         }
         assert_eq!(
-            world.operator.put(&first_plan(), 0).await,
+            cluster.operator.put(&initial_configuration(), 0).await,
             200,
             "the first configuration is taken"
         );
-        world.until_ready().await;
+        cluster.wait_until_ready().await;
         // Until then the machines were not in touch, as their start counts as trouble.
-        sleep(terms.bounds.contact + Duration::from_millis(500)).await;
-        world
+        sleep(settings.bounds.contact + Duration::from_millis(500)).await;
+        cluster
     }
 
     fn add_machine(&self, name: &str, zone: &'static str, counted: bool) {
         let last = self.next_ip.get();
         self.next_ip.set(last + 1);
         let ip = IpAddr::from([10, 0, 0, last]);
-        self.fabric.add(ip, zone);
+        self.network.add(ip, zone);
         let disk =
-            counted.then(|| SimulatedDisk::new(self.rng.borrow_mut().u64(..), self.terms.sync));
+            counted.then(|| SimulatedDisk::new(self.rng.borrow_mut().u64(..), self.settings.sync));
         let written = Written::default();
         let machine = Machine {
             ip,
@@ -243,7 +243,7 @@
         };
         self.machines.borrow_mut().insert(name.to_owned(), machine);
         self.control.borrow_mut().push(SocketAddr::new(ip, CONTROL));
-        self.platform.add(
+        self.load_balancer.add(
             name,
             zone,
             SocketAddr::new(ip, FRONT),
@@ -275,8 +275,8 @@
     /// A figure as a machine tells it now, by the whole name with its labels; `None` where it has none or does not answer.
     pub async fn figure(&self, name: &str, figure: &str) -> Option<f64> {
         let (net, to) = (self.outside_net(), self.metrics_of(name));
-        let patience = Duration::from_secs(1);
-        let reply = call(&net, to, "GET", "/metrics", &[], "", patience);
+        let timeout_after = Duration::from_secs(1);
+        let reply = call(&net, to, "GET", "/metrics", &[], "", timeout_after);
         let reply = reply.await.ok()?;
         let value = |line: &str| line.strip_prefix(figure)?.trim().parse().ok();
         reply.text().lines().find_map(value)
@@ -322,12 +322,12 @@
 
     /// A client; `keeps`: whether it uses a connection for many requests.
     pub fn client(&self, keeps: bool) -> Rc<Client> {
-        let net = MemoryNet::new(self.fabric.clone(), outside(3));
+        let net = NetworkInterface::new(self.network.clone(), outside(3));
         let rng = self.rng.borrow_mut().fork();
         Rc::new(Client::new(
             net,
-            self.judge.clone(),
-            self.platform.clone(),
+            self.monitor.clone(),
+            self.load_balancer.clone(),
             rng,
             keeps,
         ))
@@ -338,29 +338,29 @@
         outside(2)
     }
 
-    pub fn outside_net(&self) -> MemoryNet {
-        MemoryNet::new(self.fabric.clone(), outside(3))
+    pub fn outside_net(&self) -> NetworkInterface {
+        NetworkInterface::new(self.network.clone(), outside(3))
     }
 }
 
 /// Four routes, one of each kind, over one service; two tenants, of which one is alone with its memory.
-pub fn first_plan() -> Plan {
+pub fn initial_configuration() -> Configuration {
     let routes = vec![
-        Route::new("idem", Kind::Idempotent, "models"),
-        Route::new("once", Kind::NonIdempotent, "models"),
-        Route::new("stream", Kind::Streaming, "models"),
-        Route::new("resume", Kind::Resumable, "models"),
+        Route::new("idem", RouteKind::Idempotent, "models"),
+        Route::new("once", RouteKind::NonIdempotent, "models"),
+        Route::new("stream", RouteKind::Streaming, "models"),
+        Route::new("resume", RouteKind::Resumable, "models"),
     ];
     let tenant = |name: &str, key: &str, isolated| Tenant {
         name: name.to_owned(),
         keys: vec![key.to_owned()],
         isolated,
     };
-    Plan {
+    Configuration {
         version: 1,
         routes,
         services: vec!["models".to_owned(), "others".to_owned()],
-        store: Some(store()),
+        kv_store: Some(kv_store_address()),
         tenants: vec![
             tenant("kaje", KEY, false),
             tenant("mela", "key-of-mela", true),
@@ -368,13 +368,13 @@
     }
 }
 
-/// A request on one of the routes of `first_plan`: `word` says what the server answers.
-pub fn request(kind: Kind, word: &str) -> ClientRequest {
+/// A request on one of the routes of `initial_configuration`: `word` says what the server answers.
+pub fn request(kind: RouteKind, word: &str) -> ClientRequest {
     let route = match kind {
-        Kind::Idempotent => "idem",
-        Kind::NonIdempotent => "once",
-        Kind::Streaming => "stream",
-        Kind::Resumable => "resume",
+        RouteKind::Idempotent => "idem",
+        RouteKind::NonIdempotent => "once",
+        RouteKind::Streaming => "stream",
+        RouteKind::Resumable => "resume",
     };
     ClientRequest {
         host: HOST.to_owned(),
@@ -384,8 +384,8 @@
         zone: ZONES[0].to_owned(),
         deadline: Duration::from_secs(6),
         retries: 1,
-        topic: "5c1e07a2".to_owned(),
-        shared: 800,
-        leaves: None,
+        prompt_id: "5c1e07a2".to_owned(),
+        shared_tokens: 800,
+        disconnects_after: None,
     }
 }
--- a/crates/sparrouter-simulation/src/world/hosts.rs
+++ b/crates/sparrouter-simulation/src/cluster/servers.rs
@@ -1,6 +1,6 @@
 //! Servers of the deployment: new ones, crashes, another start at the same place.
-use super::{Hosted, SERVER, World};
-use crate::net::MemoryNet;
+use super::{SERVER, ServerProcess, SimulatedCluster};
+use crate::network::interface::NetworkInterface;
 use crate::process::SimulatedProcess;
 use crate::server::{self, Server};
 use std::net::{IpAddr, SocketAddr};
@@ -8,13 +8,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-impl World {
+impl SimulatedCluster {
     /// A new server of a service, with a new id.
     pub fn add_server(&self, service: &str, zone: &str) -> String {
         let last = self.next_ip.get();
         self.next_ip.set(last + 1);
         let ip = IpAddr::from([10, 0, 0, last]);
-        self.fabric.add(ip, zone);
+        self.network.add(ip, zone);
         self.host(
             service,
             zone,
@@ -28,37 +28,37 @@
         let n = self.next_server.get();
         self.next_server.set(n + 1);
         let id = format!("i-{n:04}");
-        let terms = server::Terms {
+        let settings = server::ClusterSettings {
             id: id.clone(),
             service: service.to_owned(),
             zone: zone.to_owned(),
             address,
-            slots: self.terms.slots,
+            slots: self.settings.slots,
             version,
-            heartbeat: self.terms.heartbeat,
-            first_beat: Duration::from_millis(self.rng.borrow_mut().u64(..600)),
-            drain_timeout: self.terms.bounds.drain_timeout,
+            heartbeat: self.settings.heartbeat,
+            first_heartbeat_after: Duration::from_millis(self.rng.borrow_mut().u64(..600)),
+            drain_timeout: self.settings.bounds.drain_timeout,
             work: Duration::from_millis(20),
             gap: Duration::from_millis(10),
-            load: self.terms.load,
+            load: self.settings.load,
             control: self.control.clone(),
-            memories: self.memories.clone(),
+            block_stores: self.block_stores.clone(),
         };
-        let net = MemoryNet::new(self.fabric.clone(), address.ip());
+        let net = NetworkInterface::new(self.network.clone(), address.ip());
         let rng = self.rng.borrow_mut().fork();
-        let server = Server::new(terms, net.clone(), self.judge.clone(), rng);
+        let server = Server::new(settings, net.clone(), self.monitor.clone(), rng);
         let living = server.clone();
         let process = SimulatedProcess::start(async move {
             match net.open(address) {
-                Ok(door) => living.live(door).await,
+                Ok(listener) => living.run(listener).await,
                 Err(why) => panic!("a stand-in cannot listen at {address}: {why}"),
             }
         });
-        self.judge
-            .note(format!("{id} of {service} starts at {address}"));
+        self.monitor
+            .trace(format!("{id} of {service} starts at {address}"));
         self.servers
             .borrow_mut()
-            .insert(id.clone(), Hosted { server, process });
+            .insert(id.clone(), ServerProcess { server, process });
         id
     }
 
@@ -79,25 +79,25 @@
 
     /// It says nothing and is gone.
     pub fn crash_server(&self, id: &str) -> SocketAddr {
-        self.judge.note(format!("{id} crashes"));
+        self.monitor.trace(format!("{id} crashes"));
         let hosted = self
             .servers
             .borrow_mut()
             .remove(id)
             .expect("a server that runs");
-        let address = hosted.server.terms.address;
-        self.judge.shaken(Some(address.ip()));
+        let address = hosted.server.settings.address;
+        self.monitor.momentary_fault(Some(address.ip()));
         drop(hosted.process);
         address
     }
 
     /// Another start of a server that crashed: same place, new id, the weights that it had.
     pub fn restart_server(&self, of: &Server) -> String {
-        let t = &of.terms;
+        let t = &of.settings;
         self.host(&t.service, &t.zone, t.address, of.version())
     }
 
-    pub async fn until_servers_have(&self, version: u64) {
+    pub async fn wait_for_weights(&self, version: u64) {
         let began = Instant::now();
         let has = |id: &String| !self.server_runs(id) || self.server(id).version() >= version;
         while !self.server_ids().iter().all(has) {
--- a/crates/sparrouter-simulation/src/plan.rs
+++ b/crates/sparrouter-simulation/src/configuration.rs
@@ -7,7 +7,7 @@
 
 /// Whether a route's requests may be repeated, and whether they are answered by streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     /// They may run more than once.
     Idempotent,
     /// They may run once.
@@ -18,14 +18,14 @@
     Resumable,
 }
 
-impl Kind {
+impl RouteKind {
     /// Whether a request may run at a second server.
-    pub fn repeatable(self) -> bool {
-        matches!(self, Kind::Idempotent | Kind::Resumable)
+    pub fn is_retryable(self) -> bool {
+        matches!(self, RouteKind::Idempotent | RouteKind::Resumable)
     }
     /// Whether the answer is a stream.
     pub fn streams(self) -> bool {
-        matches!(self, Kind::Streaming | Kind::Resumable)
+        matches!(self, RouteKind::Streaming | RouteKind::Resumable)
     }
 }
 
@@ -39,7 +39,7 @@
     /// Its path prefix.
     pub prefix: String,
     /// Whether its requests may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time that a request may take, in ms.
     pub timeout_ms: u64,
     /// Its service.
@@ -52,7 +52,7 @@
 
 impl Route {
     /// A route with defaults; its path prefix is the name between slashes.
-    pub fn new(name: &str, kind: Kind, service: &str) -> Route {
+    pub fn new(name: &str, kind: RouteKind, service: &str) -> Route {
         Route {
             name: name.to_owned(),
             host: "rota.example".to_owned(),
@@ -67,9 +67,9 @@
 
     fn json(&self) -> String {
         let kind = match self.kind {
-            Kind::Idempotent => "idempotent",
-            Kind::NonIdempotent => "non_idempotent",
-            Kind::Streaming | Kind::Resumable => "streaming",
+            RouteKind::Idempotent => "idempotent",
+            RouteKind::NonIdempotent => "non_idempotent",
+            RouteKind::Streaming | RouteKind::Resumable => "streaming",
         };
         format!(
             "{{\"name\":\"{}\",\"host\":\"{}\",\"path_prefix\":\"{}\",\"kind\":\"{kind}\",\"timeout_ms\":{},\
@@ -82,7 +82,7 @@
             self.service,
             self.max_attempts,
             self.public,
-            self.kind == Kind::Resumable,
+            self.kind == RouteKind::Resumable,
         )
     }
 }
@@ -100,7 +100,7 @@
 
 /// A whole configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct Configuration {
     /// Its version.
     pub version: u64,
     /// Its routes.
@@ -108,12 +108,12 @@
     /// Names of its services.
     pub services: Vec<String>,
     /// Address of the KV store, if there is one.
-    pub store: Option<SocketAddr>,
+    pub kv_store: Option<SocketAddr>,
     /// Its tenants.
     pub tenants: Vec<Tenant>,
 }
 
-impl Plan {
+impl Configuration {
     /// The route of a request.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let fits = self
@@ -131,7 +131,7 @@
     }
 
     /// A changed copy whose version is higher by `step`.
-    pub fn next(&self, step: u64, change: impl FnOnce(&mut Plan)) -> Plan {
+    pub fn next(&self, step: u64, change: impl FnOnce(&mut Configuration)) -> Configuration {
         let mut next = self.clone();
         next.version += step;
         change(&mut next);
@@ -142,7 +142,7 @@
     pub fn json(&self) -> String {
         let routes: Vec<String> = self.routes.iter().map(Route::json).collect();
         let mut services: Vec<String> = self.services.iter().map(|s| service(s)).collect();
-        services.extend(self.store.map(|at| {
+        services.extend(self.kv_store.map(|at| {
             format!(
                 "{{\"name\":\"store\",\"kv_store_address\":\"{at}\",\"zone\":\"bhaktapur\",\
                  \"kv_capacity_tokens\":500000,\"link_mbps\":180000.0,\"max_concurrent\":12}}"
@@ -160,7 +160,7 @@
     }
 
     /// A PATCH of routes and tenants that leads from `before` to this, as JSON.
-    pub fn patch_json(&self, before: &Plan) -> String {
+    pub fn patch_json(&self, before: &Configuration) -> String {
         let mut out = format!("{{\"version\":{}", self.version);
         let routes: Vec<String> = self
             .routes
--- a/crates/sparrouter-simulation/src/contact_watch.rs
+++ b/crates/sparrouter-simulation/src/contact_watch.rs
@@ -2,8 +2,8 @@
 //!
 //! The rule: a machine that claims quorum contact has every configuration that was acknowledged more than the contact
 //! window before it was asked. Answers that took longer than a node would wait are left out, as a node leaves them out.
-use crate::net::MemoryNet;
-use crate::world::World;
+use crate::cluster::SimulatedCluster;
+use crate::network::interface::NetworkInterface;
 use sparrouter_fleet::peer::links::Links;
 use sparrouter_fleet::peer::messages::{Call, Poll, Reply, Update};
 use std::cell::{Cell, RefCell};
@@ -16,29 +16,34 @@
 /// How far a claim of quorum contact may lag behind an acknowledgement.
 pub const CONTACT_WINDOW: Duration = Duration::from_millis(1_600);
 /// What a node waits for the answer to a poll that asks for one at once.
-const PATIENCE: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Between two polls of one machine, where the moment of a claim matters.
-pub const CLOSELY: Duration = Duration::from_millis(5);
+pub const FAST_POLL: Duration = Duration::from_millis(5);
 /// Between two polls of one machine over long times.
-pub const LOOSELY: Duration = Duration::from_millis(30);
+pub const SLOW_POLL: Duration = Duration::from_millis(30);
 /// First of the ports that the settings of simulated machines leave to nodes among themselves.
 const INTERNAL: u16 = 7360;
 
 /// Where a machine takes the calls of other nodes.
-pub fn internal_of(world: &World, name: &str) -> SocketAddr {
-    SocketAddr::new(world.ip(name), INTERNAL)
+pub fn internal_of(cluster: &SimulatedCluster, name: &str) -> SocketAddr {
+    SocketAddr::new(cluster.ip(name), INTERNAL)
 }
 
 /// Calls machines as another node does.
 pub struct Caller(Rc<Links>);
 
 impl Caller {
-    pub fn new(net: MemoryNet) -> Caller {
+    pub fn new(net: NetworkInterface) -> Caller {
         Caller(Links::new(Rc::new(net)))
     }
 
-    pub async fn call(&self, to: SocketAddr, call: &Call, patience: Duration) -> Option<Reply> {
-        self.0.call(to, call, patience).await.ok()
+    pub async fn call(
+        &self,
+        to: SocketAddr,
+        call: &Call,
+        timeout_after: Duration,
+    ) -> Option<Reply> {
+        self.0.call(to, call, timeout_after).await.ok()
     }
 
     /// One poll that asks for everything at once.
@@ -47,7 +52,7 @@
             name: "watcher".to_owned(),
             ..Poll::default()
         };
-        match self.call(to, &Call::Poll(poll), PATIENCE).await? {
+        match self.call(to, &Call::Poll(poll), CALL_TIMEOUT).await? {
             Reply::Update(update) => Some(update),
             _ => None,
         }
@@ -64,11 +69,15 @@
 
 impl ContactWatch {
     /// Watches these machines until it is stopped, with a poll of each about this often.
-    pub fn begin(world: &Rc<World>, names: &[String], every: Duration) -> Rc<ContactWatch> {
+    pub fn begin(
+        cluster: &Rc<SimulatedCluster>,
+        names: &[String],
+        every: Duration,
+    ) -> Rc<ContactWatch> {
         let watch = Rc::new(ContactWatch::default());
         for name in names {
-            let (watch, world, name) = (watch.clone(), world.clone(), name.clone());
-            spawn_local(async move { watch.follow(&world, &name, every).await });
+            let (watch, cluster, name) = (watch.clone(), cluster.clone(), name.clone());
+            spawn_local(async move { watch.follow(&cluster, &name, every).await });
         }
         watch
     }
@@ -98,38 +107,41 @@
         self.claim_times(ip, from, until).len()
     }
 
-    async fn follow(&self, world: &Rc<World>, name: &str, every: Duration) {
-        let (caller, to) = (Caller::new(world.outside_net()), internal_of(world, name));
+    async fn follow(&self, cluster: &Rc<SimulatedCluster>, name: &str, every: Duration) {
+        let (caller, to) = (
+            Caller::new(cluster.outside_net()),
+            internal_of(cluster, name),
+        );
         while !self.stopped.get() {
             let sent = Instant::now();
             if let Some(update) = caller.poll(to).await
                 && update.has_quorum_contact()
-                && sent.elapsed() <= PATIENCE
+                && sent.elapsed() <= CALL_TIMEOUT
             {
                 self.claims.borrow_mut().push((sent, to.ip()));
-                self.check(world, name, sent, &update);
+                self.check(cluster, name, sent, &update);
             }
             sleep(every).await;
         }
     }
 
-    fn check(&self, world: &World, name: &str, sent: Instant, update: &Update) {
+    fn check(&self, cluster: &SimulatedCluster, name: &str, sent: Instant, update: &Update) {
         let version = update.config.as_ref().map_or(0, |c| c.version);
         let known_by = sent.checked_sub(CONTACT_WINDOW).unwrap_or(sent);
         let due = |a: &&(Instant, u64)| a.0 <= known_by;
-        let owed = self
+        let unplaced_responses = self
             .acknowledged
             .borrow()
             .iter()
             .filter(due)
             .map(|a| a.1)
             .max();
-        if owed.is_some_and(|owed| version < owed) {
+        if unplaced_responses.is_some_and(|unplaced_responses| version < unplaced_responses) {
             self.stopped.set(true);
-            world.judge.breach(
+            cluster.monitor.report_violation(
                 "CONTACT",
                 format!(
-                    "{name} claims quorum contact with {version}, {owed:?} was acknowledged before"
+                    "{name} claims quorum contact with {version}, {unplaced_responses:?} was acknowledged before"
                 ),
             );
         }
--- a/crates/sparrouter-simulation/src/disk.rs
+++ b/crates/sparrouter-simulation/src/disk.rs
@@ -48,7 +48,7 @@
         let files = || Ok(self.files.clone());
         let stock = open_with(files, log_buffer, rng, |store| {
             let disk = self.clone();
-            Box::new(Late { store, disk })
+            Box::new(DelayedWriter { store, disk })
         })?;
         if self.rows_lost.take() {
             Ok(DiskContents {
@@ -61,12 +61,12 @@
     }
 }
 
-struct Late {
+struct DelayedWriter {
     store: Store<SimulatedFiles>,
     disk: SimulatedDisk,
 }
 
-impl DiskWriter for Late {
+impl DiskWriter for DelayedWriter {
     fn start(self: Box<Self>, done: UnboundedSender<WriteOutcome>) -> WriteQueue {
         let (give, queue) = unbounded_channel();
         spawn_local(carry_out(*self, queue, done));
@@ -78,11 +78,11 @@
 }
 
 async fn carry_out(
-    late: Late,
+    late: DelayedWriter,
     mut queue: UnboundedReceiver<WriteRequest>,
     done: UnboundedSender<WriteOutcome>,
 ) {
-    let Late { mut store, disk } = late;
+    let DelayedWriter { mut store, disk } = late;
     while let Some(save) = queue.recv().await {
         // Half of its time before the bytes last and half after: a process may end on either side.
         sleep(disk.delay.get() / 2).await;
--- a/crates/sparrouter-simulation/src/copies.rs
+++ b/crates/sparrouter-simulation/src/durability.rs
@@ -2,7 +2,7 @@
 //!
 //! A machine counts as lost while it is down and until it has been up for `catch_up` again, or its successor has. The
 //! disks are read as a loss of power would leave them.
-use crate::world::World;
+use crate::cluster::SimulatedCluster;
 use sparrouter_consensus::{Member, Record, SharedVote, VoteId};
 use sparrouter_storage::{Opened, Store};
 use std::collections::BTreeMap;
@@ -14,25 +14,25 @@
 /// Between two looks at the disks.
 const LOOK: Duration = Duration::from_millis(25);
 /// Largest record that is read.
-const MOST_RECORD: usize = 16 << 20;
+const MAX_RECORD_BYTES: usize = 16 << 20;
 
 /// Votes on the disks that are there, by disk.
 type Votes = BTreeMap<u64, SharedVote>;
 
 /// Looks at the disks of the counted machines again and again, and reports to the judge.
-pub struct CopiesMonitor {
-    world: Rc<World>,
+pub struct DurabilityMonitor {
+    cluster: Rc<SimulatedCluster>,
     catch_up: Duration,
     began: Instant,
     /// The newest vote of each part that was chosen, by the disks.
     chosen: BTreeMap<String, SharedVote>,
 }
 
-impl CopiesMonitor {
+impl DurabilityMonitor {
     /// Watches for as long as the world is told of; machines that run now count as there.
-    pub fn start(world: &Rc<World>, catch_up: Duration) {
-        let mut monitor = CopiesMonitor {
-            world: world.clone(),
+    pub fn start(cluster: &Rc<SimulatedCluster>, catch_up: Duration) {
+        let mut monitor = DurabilityMonitor {
+            cluster: cluster.clone(),
             catch_up,
             began: Instant::now(),
             chosen: BTreeMap::new(),
@@ -46,17 +46,17 @@
     }
 
     fn look(&mut self) {
-        let running = running(&self.world);
-        let parts = votes_by_part(&self.world, &running);
+        let running = running(&self.cluster);
+        let parts = votes_by_part(&self.cluster, &running);
         let spare = self.spare(&running);
         for (part, votes) in parts {
             self.note_chosen(&part, &votes);
             if let Some(chosen) = self.chosen.get(&part)
                 && let Some(what) = weakness(chosen, &votes, spare)
             {
-                self.world
-                    .judge
-                    .breach("COPIES", format!("{part}: {what}, {running:?} run"));
+                self.cluster
+                    .monitor
+                    .report_violation("COPIES", format!("{part}: {what}, {running:?} run"));
             }
         }
     }
@@ -64,13 +64,13 @@
     /// How many more machines may be lost now.
     fn spare(&self, running: &[String]) -> usize {
         let settled = running.iter().filter(|name| {
-            self.world
+            self.cluster
                 .up_since(name)
                 .is_some_and(|at| at <= self.began || at.elapsed() >= self.catch_up)
         });
-        let terms = &self.world.terms;
-        let lost = terms.core.saturating_sub(settled.count());
-        terms.tolerated().saturating_sub(lost)
+        let settings = &self.cluster.settings;
+        let lost = settings.core.saturating_sub(settled.count());
+        settings.tolerated().saturating_sub(lost)
     }
 
     fn note_chosen(&mut self, part: &str, votes: &Votes) {
@@ -86,8 +86,8 @@
 }
 
 /// Whether every part's group is made of machines of the core that run, each with the newest chosen state on its disk.
-pub fn is_repaired(world: &World) -> bool {
-    let parts = votes_by_part(world, &running(world));
+pub fn is_repaired(cluster: &SimulatedCluster) -> bool {
+    let parts = votes_by_part(cluster, &running(cluster));
     let is_whole = |votes: &Votes| {
         newest_chosen(votes).is_some_and(|chosen| {
             let has_copy = |m: &Member| {
@@ -101,15 +101,15 @@
     !parts.is_empty() && parts.values().all(is_whole)
 }
 
-fn running(world: &World) -> Vec<String> {
-    let core = world.core();
-    core.into_iter().filter(|name| world.runs(name)).collect()
+fn running(cluster: &SimulatedCluster) -> Vec<String> {
+    let core = cluster.core();
+    core.into_iter().filter(|name| cluster.runs(name)).collect()
 }
 
-fn votes_by_part(world: &World, machines: &[String]) -> BTreeMap<String, Votes> {
+fn votes_by_part(cluster: &SimulatedCluster, machines: &[String]) -> BTreeMap<String, Votes> {
     let mut parts: BTreeMap<String, Votes> = BTreeMap::new();
     for name in machines {
-        for (part, disk, vote) in synced_votes(world, name) {
+        for (part, disk, vote) in synced_votes(cluster, name) {
             parts.entry(part).or_default().insert(disk, vote);
         }
     }
@@ -166,8 +166,8 @@
 }
 
 /// The votes that a machine would find after a loss of power: part, disk, vote.
-fn synced_votes(world: &World, name: &str) -> Vec<(String, u64, SharedVote)> {
-    let files = world.disk(name).files.synced_snapshot();
+fn synced_votes(cluster: &SimulatedCluster, name: &str) -> Vec<(String, u64, SharedVote)> {
+    let files = cluster.disk(name).files.synced_snapshot();
     let Ok((_, Opened::Existing(records))) = Store::open(files) else {
         return Vec::new();
     };
@@ -180,7 +180,7 @@
     let parts = records.iter().filter(|(name, _)| name.starts_with("part-"));
     parts
         .filter_map(|(name, bytes)| {
-            let record = Record::decode(bytes, MOST_RECORD).ok()?;
+            let record = Record::decode(bytes, MAX_RECORD_BYTES).ok()?;
             Some((name.clone(), disk, record.accepted?))
         })
         .collect()
--- a/crates/sparrouter-simulation/src/faults/core.rs
+++ b/crates/sparrouter-simulation/src/faults/core.rs
@@ -1,8 +1,8 @@
 //! Faults of core machines: one at a time is lost, or the way to it, or its disk.
 use super::Fault::*;
-use super::{CATCH_UP, DayRun, Fault};
-use crate::fabric::Cut;
-use crate::operator::How;
+use super::{CATCH_UP, Fault, ScenarioRun};
+use crate::network::Partition;
+use crate::operator::Encoding;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
@@ -11,10 +11,10 @@
 /// How many times as long a save takes on a slow disk.
 const SLOW_DISK: u32 = 16;
 
-impl DayRun {
+impl ScenarioRun {
     pub(super) async fn inject_core(&self, fault: Fault) {
         let _lost = self.core.lock().await;
-        let world = &self.world;
+        let cluster = &self.cluster;
         let Some(name) = self.any(&self.core_running()) else {
             return;
         };
@@ -23,112 +23,117 @@
             CoreKill => self.kill_for(&name, duration).await,
             CorePower => self.power_off_for(&name, duration).await,
             CoreFreeze => self.freeze_for(&name, duration).await,
-            ReplaceCore => drop(world.replace(&name)),
+            ReplaceCore => drop(cluster.replace(&name)),
             CoreSlow => self.slow_for(&name, duration).await,
-            ZoneCut => {
-                let zone = world.zone_of(&name);
-                world.cut_zone(zone, Some(Cut::Silent));
+            ZonePartition => {
+                let zone = cluster.zone_of(&name);
+                cluster.partition_zone(zone, Some(Partition::PacketsLost));
                 sleep(duration).await;
-                world.cut_zone(zone, None);
+                cluster.partition_zone(zone, None);
             }
-            AckWipe => self.wipe_acknowledging_node(name, duration).await,
+            WipeAcknowledgingMachine => self.wipe_acknowledging_node(name, duration).await,
             DiskSlow | DiskStall | DiskFull => self.harm_disk(fault, &name, duration).await,
-            OneWayCut => self.cut_one_way(&name, duration).await,
-            CoreCutRefusing => self.cut_off_for(&name, Cut::Refusing, duration).await,
-            _ => self.cut_off_for(&name, Cut::Silent, duration).await,
+            OneWayPartition => self.cut_one_way(&name, duration).await,
+            CoreConnectionsRefused => self.cut_off_for(&name, Partition::Refusing, duration).await,
+            _ => {
+                self.cut_off_for(&name, Partition::PacketsLost, duration)
+                    .await
+            }
         }
         sleep(CATCH_UP).await;
     }
 
     pub(super) async fn kill_for(&self, name: &str, duration: Duration) {
-        self.world.kill(name);
+        self.cluster.kill(name);
         sleep(duration).await;
-        self.world.start(name, false);
+        self.cluster.start(name, false);
     }
 
     pub(super) async fn power_off_for(&self, name: &str, duration: Duration) {
-        self.world.power_off(name);
+        self.cluster.power_off(name);
         sleep(duration).await;
-        self.world.power_on(name);
+        self.cluster.power_on(name);
     }
 
     pub(super) async fn freeze_for(&self, name: &str, duration: Duration) {
-        self.world.freeze(name, true);
+        self.cluster.freeze(name, true);
         sleep(duration).await;
-        self.world.freeze(name, false);
+        self.cluster.freeze(name, false);
     }
 
     pub(super) async fn slow_for(&self, name: &str, duration: Duration) {
-        self.world.slow(name, SLOW_LINK);
+        self.cluster.slow(name, SLOW_LINK);
         sleep(duration).await;
-        self.world.slow(name, Duration::ZERO);
+        self.cluster.slow(name, Duration::ZERO);
     }
 
-    pub(super) async fn cut_off_for(&self, name: &str, cut: Cut, duration: Duration) {
-        self.world.cut_off(&[name], Some(cut));
+    pub(super) async fn cut_off_for(&self, name: &str, cut: Partition, duration: Duration) {
+        self.cluster.partition(&[name], Some(cut));
         sleep(duration).await;
-        self.world.cut_off(&[name], None);
+        self.cluster.partition(&[name], None);
     }
 
     /// Changes the configuration, then wipes the core machine that acknowledged it, or else `name`.
     async fn wipe_acknowledging_node(&self, name: String, duration: Duration) {
-        let world = &self.world;
-        let mut plan = self.plan.lock().await;
-        let next = self.another(&plan);
-        let (status, by) = world
+        let cluster = &self.cluster;
+        let mut configuration = self.configuration.lock().await;
+        let next = self.another(&configuration);
+        let (status, by) = cluster
             .operator
-            .change(&next, plan.version, How::Whole, true)
+            .change(&next, configuration.version, Encoding::Full, true)
             .await;
         if status == 200 {
-            *plan = next;
+            *configuration = next;
         }
         let by = by
-            .and_then(|address| world.name_of(address.ip()))
-            .filter(|n| world.core().contains(n) && world.runs(n));
+            .and_then(|address| cluster.name_of(address.ip()))
+            .filter(|n| cluster.core().contains(n) && cluster.runs(n));
         let name = by.unwrap_or(name);
-        world.power_off(&name);
-        world.wipe(&name);
+        cluster.power_off(&name);
+        cluster.wipe(&name);
         sleep(duration).await;
-        world.power_on(&name);
+        cluster.power_on(&name);
     }
 
     async fn harm_disk(&self, fault: Fault, name: &str, duration: Duration) {
-        let world = &self.world;
-        world.judge.note(format!("disk trouble at {name}"));
-        world.judge.trouble(Some(world.ip(name)));
-        world.judge.trouble(None);
-        let disk = world.disk(name);
+        let cluster = &self.cluster;
+        cluster.monitor.trace(format!("disk trouble at {name}"));
+        cluster.monitor.fault_began(Some(cluster.ip(name)));
+        cluster.monitor.fault_began(None);
+        let disk = cluster.disk(name);
         match fault {
-            DiskSlow => disk.delay.set(world.terms.sync * SLOW_DISK),
+            DiskSlow => disk.delay.set(cluster.settings.sync * SLOW_DISK),
             DiskStall => disk.stalled.set(Instant::now() + duration),
             _ => disk.files.set_capacity(Some(0)),
         }
         sleep(duration).await;
-        disk.delay.set(world.terms.sync);
+        disk.delay.set(cluster.settings.sync);
         disk.files.set_capacity(None);
-        world.judge.calm(Some(world.ip(name)));
-        world.judge.calm(None);
+        cluster.monitor.fault_ended(Some(cluster.ip(name)));
+        cluster.monitor.fault_ended(None);
     }
 
     /// Loses packets from a core machine to the rest of the core.
     async fn cut_one_way(&self, name: &str, duration: Duration) {
-        let world = &self.world;
-        world
-            .judge
-            .note(format!("{name} is heard by nobody of the core"));
-        world.judge.trouble(Some(world.ip(name)));
-        world.judge.trouble(None);
-        let others: Vec<String> = world.core().into_iter().filter(|n| n != name).collect();
+        let cluster = &self.cluster;
+        cluster
+            .monitor
+            .trace(format!("{name} is heard by nobody of the core"));
+        cluster.monitor.fault_began(Some(cluster.ip(name)));
+        cluster.monitor.fault_began(None);
+        let others: Vec<String> = cluster.core().into_iter().filter(|n| n != name).collect();
         let set_cut = |cut| {
             for other in &others {
-                world.fabric.cut(world.ip(name), world.ip(other), cut);
+                cluster
+                    .network
+                    .cut(cluster.ip(name), cluster.ip(other), cut);
             }
         };
-        set_cut(Some(Cut::Silent));
+        set_cut(Some(Partition::PacketsLost));
         sleep(duration).await;
         set_cut(None);
-        world.judge.calm(Some(world.ip(name)));
-        world.judge.calm(None);
-        world.judge.thawed(world.ip(name));
+        cluster.monitor.fault_ended(Some(cluster.ip(name)));
+        cluster.monitor.fault_ended(None);
+        cluster.monitor.resumed(cluster.ip(name));
     }
 }
--- a/crates/sparrouter-simulation/src/faults/kinds.rs
+++ b/crates/sparrouter-simulation/src/faults/kinds.rs
@@ -23,7 +23,7 @@
     /// All servers crash and restart.
     AllServersCrash,
     /// All servers are replaced, one after the other.
-    Release,
+    ServerRollout,
     /// A node outside of the core is killed and restarts.
     NodeKill,
     /// A machine outside of the core loses power for a while.
@@ -37,15 +37,15 @@
     /// A node outside of the core freezes for a while.
     NodeFreeze,
     /// All nodes are killed and restart.
-    HerdKill,
+    KillAllNodes,
     /// Nodes are ended by SIGTERM and restarted, one after the other.
-    RollTerm,
+    RollingRestart,
     /// A machine of the core is replaced by a new one.
     ReplaceCore,
     /// The list of seeds changes.
-    SeedTurnover,
+    SeedChange,
     /// The core machine that acknowledged a configuration loses its disk.
-    AckWipe,
+    WipeAcknowledgingMachine,
     /// The disk of a core machine is slow for a while.
     DiskSlow,
     /// The disk of a core machine is full for a while.
@@ -53,64 +53,64 @@
     /// The disk of a core machine does nothing for a while.
     DiskStall,
     /// A core machine is cut off; packets to it are lost.
-    CoreCut,
+    CorePartition,
     /// A core machine is cut off; connections to it are refused.
-    CoreCutRefusing,
+    CoreConnectionsRefused,
     /// Packets of a core machine to the rest of the core are lost.
-    OneWayCut,
+    OneWayPartition,
     /// A machine outside of the core is cut off.
-    NodeCut,
+    NodePartition,
     /// All connections of a node outside of the core are reset.
-    Resets,
+    ConnectionResets,
     /// The configuration changes.
-    ConfigChange,
+    ConfigurationChange,
     /// The configuration changes many times in a row.
-    ConfigStorm,
+    ConfigurationBurst,
     /// Two operators change the same version of the configuration.
-    ConfigRace,
+    ConfigurationRace,
     /// A change that was acknowledged before a later one is sent once more, unchanged.
-    ConfigAgain,
+    ConfigurationRepeated,
     /// An invalid configuration is sent.
-    BadConfig,
+    InvalidConfiguration,
     /// The API key of a tenant is replaced.
-    Revoke,
+    KeyReplaced,
     /// New weights are named.
-    VersionBump,
+    NewWeights,
     /// The KV store restarts empty.
     StoreLost,
     /// A server resets connections.
-    AnswersLost,
+    ServerResets,
     /// A server sends malformed and surplus answers.
-    Garbled,
+    MalformedAnswers,
     /// A server breaks off its answers.
-    Broken,
+    BrokenStreams,
     /// A server crashes and another one gets its address.
     AddressReused,
     /// A server stops answering some requests.
-    Hanging,
+    UnresponsiveServer,
     /// A zone with a core machine is cut off.
-    ZoneCut,
+    ZonePartition,
     /// The link of a core machine is slow.
     CoreSlow,
     /// The link of a machine outside of the core is slow.
     NodeSlow,
     /// Clients send far more requests.
-    Press,
+    Overload,
     /// A node outside of the core loses power just after it acknowledged that a server drains.
     DrainRace,
     /// Two operators change the same version, one of them at a node that is cut off at that moment and restarts later.
-    RaceCut,
+    RacePartition,
     /// A change is acknowledged while less than half of the core is cut off. Then a machine that accepted it loses its disk
     /// and the others power, and those that were cut off return first.
-    WipeBehindCut,
+    WipeBehindPartition,
     /// Every machine of the core is replaced while another node is cut off.
     CoreTurnover,
     /// A core machine is cut off from the rest of the core only.
     CoreSplit,
     /// The holder of a rollout lease freezes for longer than its lease.
-    HolderFreeze,
+    LeaseOwnerFreeze,
     /// Servers reset most connections, and all processes are killed twice meanwhile.
-    BudgetPress,
+    RetryBudgetPressure,
 }
 
 use Fault::*;
@@ -119,81 +119,81 @@
 /// the retry budget, servers that leave.
 pub(super) const THEMES: [&[Fault]; 8] = [
     &[
-        ConfigRace,
-        RaceCut,
-        RaceCut,
+        ConfigurationRace,
+        RacePartition,
+        RacePartition,
         CoreKill,
         CorePower,
-        CoreCut,
+        CorePartition,
         CoreFreeze,
         DiskSlow,
-        ConfigAgain,
-        Revoke,
+        ConfigurationRepeated,
+        KeyReplaced,
     ],
     &[
-        AckWipe,
-        WipeBehindCut,
-        WipeBehindCut,
+        WipeAcknowledgingMachine,
+        WipeBehindPartition,
+        WipeBehindPartition,
         CorePower,
         DiskStall,
         DiskSlow,
-        ConfigStorm,
+        ConfigurationBurst,
         ReplaceCore,
     ],
     &[
-        ConfigStorm,
-        Revoke,
+        ConfigurationBurst,
+        KeyReplaced,
         CoreSplit,
-        NodeCut,
+        NodePartition,
         NodeFreeze,
-        OneWayCut,
-        ConfigChange,
-        CoreCut,
+        OneWayPartition,
+        ConfigurationChange,
+        CorePartition,
         NodeSlow,
     ],
     &[
         ReplaceCore,
         CoreTurnover,
-        SeedTurnover,
-        ConfigChange,
+        SeedChange,
+        ConfigurationChange,
         NodeKill,
-        WipeBehindCut,
+        WipeBehindPartition,
     ],
     &[
-        VersionBump,
-        HolderFreeze,
-        HolderFreeze,
-        Release,
+        NewWeights,
+        LeaseOwnerFreeze,
+        LeaseOwnerFreeze,
+        ServerRollout,
         StoreLost,
-        CoreCut,
+        CorePartition,
         ServerCrash,
         AddressReused,
     ],
     &[
-        AnswersLost,
-        Garbled,
-        Broken,
-        Hanging,
+        ServerResets,
+        MalformedAnswers,
+        BrokenStreams,
+        UnresponsiveServer,
         NodeKill,
-        Resets,
+        ConnectionResets,
         AllServersCrash,
-        Press,
+        Overload,
     ],
     &[
-        BudgetPress,
-        BudgetPress,
-        ConfigChange,
+        RetryBudgetPressure,
+        RetryBudgetPressure,
+        ConfigurationChange,
         NodeSlow,
-        VersionBump,
+        NewWeights,
     ],
     &[
-        Release,
+        ServerRollout,
         DrainRace,
         DrainRace,
         DrainRace,
         AddressReused,
-        RollTerm,
+        RollingRestart,
         ServerLost,
-        VersionBump,
+        NewWeights,
     ],
 ];
--- a/crates/sparrouter-simulation/src/faults.rs
+++ b/crates/sparrouter-simulation/src/faults/mod.rs
@@ -13,22 +13,22 @@
 //! | `combined` | sequences of several faults |
 //! | `probes` | requests that show which configuration a node goes by |
 //! | `closing` | the final fault, and the checks after it |
-mod changes;
-mod closing;
 mod combined;
+mod configuration;
 mod core;
 mod kinds;
 mod nodes;
 mod probes;
+mod recovery;
 mod servers;
 
 pub use kinds::Fault;
 
-use crate::judge::Bounds;
-use crate::load::{self, Manner, Tally};
-use crate::plan::Plan;
-use crate::scenario;
-use crate::world::{Terms, World, ZONES, first_plan};
+use crate::checkers::Bounds;
+use crate::cluster::{ClusterSettings, SimulatedCluster, ZONES, initial_configuration};
+use crate::configuration::Configuration;
+use crate::load::{ClientLoad, Traffic};
+use crate::runtime;
 use fastrand::Rng;
 use kinds::{ALL, Fault::*, THEMES};
 use std::cell::{Cell, RefCell};
@@ -63,11 +63,11 @@
 
 /// The plan of a simulated day.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Scenario {
     /// The seed that it was drawn from.
     pub seed: u64,
     /// The deployment.
-    pub terms: Terms,
+    pub settings: ClusterSettings,
     /// When each fault begins, in ms of the day, and its kind.
     pub faults: Vec<(u64, Fault)>,
     /// The final fault.
@@ -76,11 +76,11 @@
     pub verbose: bool,
 }
 
-impl Day {
+impl Scenario {
     /// Draws a day. The same seed gives the same day.
-    pub fn drawn(seed: u64) -> Day {
+    pub fn from_seed(seed: u64) -> Scenario {
         let mut rng = Rng::with_seed(seed ^ DRAW_SEED);
-        let terms = draw_terms(seed, &mut rng);
+        let settings = draw_terms(seed, &mut rng);
         let faults = draw_faults(&mut rng);
         let final_fault = match rng.u8(..6) {
             0 => FinalFault::PowerOffAll,
@@ -88,9 +88,9 @@
             2 => FinalFault::WipeOneOthersLosePower,
             _ => FinalFault::None,
         };
-        Day {
+        Scenario {
             seed,
-            terms,
+            settings,
             faults,
             final_fault,
             verbose: false,
@@ -98,10 +98,10 @@
     }
 
     /// The same day with only those faults whose places are given, and the final fault only if asked for.
-    pub fn only(mut self, places: &[usize], final_fault: bool) -> Day {
-        self.faults = places
+    pub fn restricted_to(mut self, indices: &[usize], final_fault: bool) -> Scenario {
+        self.faults = indices
             .iter()
-            .filter_map(|place| self.faults.get(*place).copied())
+            .filter_map(|index| self.faults.get(*index).copied())
             .collect();
         if !final_fault {
             self.final_fault = FinalFault::None;
@@ -109,14 +109,14 @@
         self
     }
 
-    /// A smaller day for which `still_holds` is true, as the arguments of [`Day::only`]. Every fault is left out that can be,
+    /// A smaller day for which `still_holds` is true, as the arguments of [`Scenario::only`]. Every fault is left out that can be,
     /// one after the other, the last first.
-    pub fn shrunk(&self, still_holds: impl Fn(&Day) -> bool) -> (Vec<usize>, bool) {
+    pub fn shrink(&self, still_holds: impl Fn(&Scenario) -> bool) -> (Vec<usize>, bool) {
         let mut kept: Vec<usize> = (0..self.faults.len()).collect();
-        let final_fault = !still_holds(&self.clone().only(&kept, false));
-        for place in (0..self.faults.len()).rev() {
-            let fewer: Vec<usize> = kept.iter().copied().filter(|p| *p != place).collect();
-            if still_holds(&self.clone().only(&fewer, final_fault)) {
+        let final_fault = !still_holds(&self.clone().restricted_to(&kept, false));
+        for index in (0..self.faults.len()).rev() {
+            let fewer: Vec<usize> = kept.iter().copied().filter(|p| *p != index).collect();
+            if still_holds(&self.clone().restricted_to(&fewer, final_fault)) {
                 kept = fewer;
             }
         }
@@ -130,12 +130,12 @@
             .iter()
             .map(|(at, fault)| format!("{fault:?} after {:.1} s", *at as f64 / 1e3))
             .collect();
-        let Terms {
+        let ClusterSettings {
             core,
             others,
             servers,
             ..
-        } = self.terms;
+        } = self.settings;
         let final_fault = if self.final_fault == FinalFault::None {
             String::new()
         } else {
@@ -148,8 +148,8 @@
     }
 }
 
-fn draw_terms(seed: u64, rng: &mut Rng) -> Terms {
-    let terms = Terms {
+fn draw_terms(seed: u64, rng: &mut Rng) -> ClusterSettings {
+    let settings = ClusterSettings {
         core: if rng.u8(..5) == 0 { 5 } else { 3 },
         others: rng.usize(1..6),
         servers: rng.usize(3..7),
@@ -157,14 +157,14 @@
         sync: Duration::from_millis([1, 2, 6, 30][rng.usize(..4)]),
         across: Duration::from_millis(rng.u64(2..5)),
         load: Duration::from_millis([600, 1_500][rng.usize(..2)]),
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     };
     let bounds = Bounds {
         fencing: rng.bool(),
         budget_slack: if rng.bool() { 8.0 } else { 64.0 },
-        ..terms.bounds
+        ..settings.bounds
     };
-    Terms { bounds, ..terms }
+    ClusterSettings { bounds, ..settings }
 }
 
 /// Half of the days draw from all kinds, the others from one theme. A third of the faults follow closely on another one.
@@ -191,7 +191,7 @@
 /// The result of a day.
 pub struct Report {
     /// Violations of rules, each beginning with the rule's name.
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
     /// What costs more than it must, but violates no rule.
     pub waste: Vec<String>,
     /// What happened, in order, with the time in seconds.
@@ -203,16 +203,16 @@
 }
 
 /// A day that is being played.
-struct DayRun {
-    world: Rc<World>,
+struct ScenarioRun {
+    cluster: Rc<SimulatedCluster>,
     /// Held while a core machine is lost.
     core: Mutex<()>,
     /// The configuration; held while it is changed.
-    plan: Mutex<Plan>,
+    configuration: Mutex<Configuration>,
     /// The newest version of the weights; held while it is named.
     weights: Mutex<u64>,
     rng: RefCell<Rng>,
-    tally: Rc<Tally>,
+    load: Rc<ClientLoad>,
     /// No more probes are sent.
     probing_ended: Cell<bool>,
     /// Probes under way.
@@ -220,62 +220,62 @@
 }
 
 /// Plays a day to its end.
-pub async fn play(day: &Day) -> Report {
-    let world = World::serving(day.terms).await;
-    world.judge.verbose.set(day.verbose);
-    world.add_server("others", ZONES[0]);
-    let tally = load::begin_as(Manner::Mixed, &world, CLIENTS, CLIENT_PAUSE);
-    let run = Rc::new(DayRun {
-        world: world.clone(),
+pub async fn play(day: &Scenario) -> Report {
+    let cluster = SimulatedCluster::serving(day.settings).await;
+    cluster.monitor.verbose.set(day.verbose);
+    cluster.add_server("others", ZONES[0]);
+    let load = ClientLoad::start_with(Traffic::Mixed, &cluster, CLIENTS, CLIENT_PAUSE);
+    let run = Rc::new(ScenarioRun {
+        cluster: cluster.clone(),
         core: Mutex::new(()),
-        plan: Mutex::new(first_plan()),
+        configuration: Mutex::new(initial_configuration()),
         weights: Mutex::new(1),
-        rng: RefCell::new(world.rng.borrow_mut().fork()),
-        tally,
+        rng: RefCell::new(cluster.rng.borrow_mut().fork()),
+        load,
         probing_ended: Cell::new(false),
         open_probes: Cell::new(0),
     });
     spawn_local(run.clone().probe());
     for fault in run.begin_faults(day).await {
         if fault.await.is_err() {
-            world
-                .judge
-                .breach("FAULT", "a trouble of the day did not come to its end");
+            cluster
+                .monitor
+                .report_violation("FAULT", "a trouble of the day did not come to its end");
         }
     }
     run.close(day.final_fault).await;
-    for panic in scenario::panics() {
-        world
-            .judge
-            .breach("FAULT", format!("a task ended by a panic: {panic}"));
+    for panic in runtime::panics() {
+        cluster
+            .monitor
+            .report_violation("FAULT", format!("a task ended by a panic: {panic}"));
     }
-    world.judge.check_history();
+    cluster.monitor.check_history();
     Report {
-        breaches: world.judge.breaches(),
-        waste: repeated_loads(&world),
-        log: world.judge.event_log(),
-        sent: run.tally.sent.get(),
-        served: run.tally.served.get(),
+        violations: cluster.monitor.violations(),
+        waste: repeated_loads(&cluster),
+        log: cluster.monitor.event_trace(),
+        sent: run.load.sent.get(),
+        served: run.load.served.get(),
     }
 }
 
 /// Servers that loaded a version more than once.
-fn repeated_loads(world: &World) -> Vec<String> {
-    let load_counts = world.judge.load_counts();
+fn repeated_loads(cluster: &SimulatedCluster) -> Vec<String> {
+    let load_counts = cluster.monitor.load_counts();
     let repeated = load_counts.iter().filter(|(_, count)| **count > 1);
     repeated
         .map(|((id, version), count)| format!("{id} loaded {version} {count} times"))
         .collect()
 }
 
-impl DayRun {
+impl ScenarioRun {
     /// Begins each fault at its time; gives their tasks.
-    async fn begin_faults(self: &Rc<Self>, day: &Day) -> Vec<JoinHandle<()>> {
+    async fn begin_faults(self: &Rc<Self>, day: &Scenario) -> Vec<JoinHandle<()>> {
         let began = Instant::now();
         let mut tasks = Vec::new();
         for (at, fault) in &day.faults {
             tokio::time::sleep_until(began + Duration::from_millis(*at)).await;
-            self.world.judge.note(format!("-- {fault:?}"));
+            self.cluster.monitor.trace(format!("-- {fault:?}"));
             tasks.push(spawn_local(self.clone().inject(*fault)));
         }
         tasks
@@ -293,55 +293,66 @@
 
     /// Names of the running nodes outside of the core.
     fn edges(&self) -> Vec<String> {
-        let core = self.world.core();
-        self.world
+        let core = self.cluster.core();
+        self.cluster
             .names()
             .into_iter()
-            .filter(|n| !core.contains(n) && self.world.runs(n))
+            .filter(|n| !core.contains(n) && self.cluster.runs(n))
             .collect()
     }
 
     /// Names of the running nodes of the core.
     fn core_running(&self) -> Vec<String> {
-        self.world
+        self.cluster
             .core()
             .into_iter()
-            .filter(|n| self.world.runs(n))
+            .filter(|n| self.cluster.runs(n))
             .collect()
     }
 
     /// Ids of the servers that run and do not drain.
     fn servers(&self) -> Vec<String> {
-        let world = &self.world;
-        world
+        let cluster = &self.cluster;
+        cluster
             .server_ids()
             .into_iter()
-            .filter(|id| world.server_runs(id) && !world.server(id).is_leaving())
+            .filter(|id| cluster.server_runs(id) && !cluster.server(id).is_draining())
             .collect()
     }
 
     /// Makes a fault happen, to its end.
     async fn inject(self: Rc<Self>, fault: Fault) {
         match fault {
-            RaceCut | WipeBehindCut | CoreTurnover | CoreSplit | HolderFreeze | BudgetPress => {
-                self.inject_combined(fault).await
-            }
-            CoreKill | CorePower | CoreFreeze | ReplaceCore | AckWipe | DiskSlow | DiskFull
-            | DiskStall | CoreCut | CoreCutRefusing | OneWayCut | ZoneCut | CoreSlow => {
-                self.inject_core(fault).await
-            }
-            NodeKill | NodePower | NodeFreeze | NodeCut | Resets | NodeSlow => {
+            RacePartition | WipeBehindPartition | CoreTurnover | CoreSplit | LeaseOwnerFreeze
+            | RetryBudgetPressure => self.inject_combined(fault).await,
+            CoreKill
+            | CorePower
+            | CoreFreeze
+            | ReplaceCore
+            | WipeAcknowledgingMachine
+            | DiskSlow
+            | DiskFull
+            | DiskStall
+            | CorePartition
+            | CoreConnectionsRefused
+            | OneWayPartition
+            | ZonePartition
+            | CoreSlow => self.inject_core(fault).await,
+            NodeKill | NodePower | NodeFreeze | NodePartition | ConnectionResets | NodeSlow => {
                 self.inject_node(fault).await
             }
-            HerdKill => self.restart_all().await,
-            RollTerm => self.roll().await,
-            SeedTurnover => self.exchange_seeds(),
-            ConfigChange | ConfigStorm | ConfigRace | ConfigAgain | BadConfig | Revoke => {
-                self.configure(fault).await
-            }
-            VersionBump => self.name_next_version().await,
-            Press => {
-                let crowd = load::begin(&self.world, 60, Duration::from_millis(60));
+            KillAllNodes => self.restart_all().await,
+            RollingRestart => self.roll().await,
+            SeedChange => self.exchange_seeds(),
+            ConfigurationChange
+            | ConfigurationBurst
+            | ConfigurationRace
+            | ConfigurationRepeated
+            | InvalidConfiguration
+            | KeyReplaced => self.configure(fault).await,
+            NewWeights => self.name_next_version().await,
+            Overload => {
+                let crowd = ClientLoad::start(&self.cluster, 60, Duration::from_millis(60));
                 sleep(self.span(500..3_000)).await;
                 crowd.stop().await;
             }
@@ -350,11 +361,11 @@
     }
 
     fn exchange_seeds(&self) {
-        let names = self.world.names();
+        let names = self.cluster.names();
         let seeds: Vec<_> = (0..3)
             .filter_map(|_| self.any(&names))
-            .map(|n| self.world.control_of(&n))
+            .map(|n| self.cluster.control_of(&n))
             .collect();
-        self.world.exchange_seeds(&seeds);
+        self.cluster.exchange_seeds(&seeds);
     }
 }
--- a/crates/sparrouter-simulation/src/faults/nodes.rs
+++ b/crates/sparrouter-simulation/src/faults/nodes.rs
@@ -1,12 +1,12 @@
 //! Faults of nodes outside of the core, of all nodes at once, and planned restarts.
 use super::Fault::*;
-use super::{CATCH_UP, DayRun, Fault};
-use crate::fabric::Cut;
+use super::{CATCH_UP, Fault, ScenarioRun};
+use crate::network::Partition;
 use tokio::time::sleep;
 
-impl DayRun {
+impl ScenarioRun {
     pub(super) async fn inject_node(&self, fault: Fault) {
-        let world = &self.world;
+        let cluster = &self.cluster;
         let Some(name) = self.any(&self.edges()) else {
             return;
         };
@@ -16,10 +16,13 @@
             NodePower => self.power_off_for(&name, duration).await,
             NodeFreeze => self.freeze_for(&name, duration).await,
             NodeSlow => self.slow_for(&name, duration).await,
-            NodeCut => self.cut_off_for(&name, Cut::Silent, duration).await,
+            NodePartition => {
+                self.cut_off_for(&name, Partition::PacketsLost, duration)
+                    .await
+            }
             _ => {
-                world.judge.shaken(Some(world.ip(&name)));
-                world.fabric.reset(world.ip(&name));
+                cluster.monitor.momentary_fault(Some(cluster.ip(&name)));
+                cluster.network.reset(cluster.ip(&name));
             }
         }
     }
@@ -28,17 +31,17 @@
     pub(super) async fn restart_all(&self) {
         let _lost = self.core.lock().await;
         let running: Vec<String> = self
-            .world
+            .cluster
             .names()
             .into_iter()
-            .filter(|n| self.world.runs(n))
+            .filter(|n| self.cluster.runs(n))
             .collect();
-        running.iter().for_each(|n| self.world.kill(n));
+        running.iter().for_each(|n| self.cluster.kill(n));
         sleep(self.span(200..1_000)).await;
         for name in running {
             // Another fault may have started it meanwhile.
-            if !self.world.runs(&name) {
-                self.world.start(&name, false);
+            if !self.cluster.runs(&name) {
+                self.cluster.start(&name, false);
             }
         }
         sleep(CATCH_UP).await;
@@ -47,14 +50,14 @@
     /// Ends about half of the nodes by SIGTERM and starts them again, one after the other.
     pub(super) async fn roll(&self) {
         let _lost = self.core.lock().await;
-        for name in self.world.names() {
-            if !self.world.runs(&name) || self.rng.borrow_mut().bool() {
+        for name in self.cluster.names() {
+            if !self.cluster.runs(&name) || self.rng.borrow_mut().bool() {
                 continue;
             }
-            self.world.term(&name).await;
+            self.cluster.terminate(&name).await;
             sleep(self.span(300..1_000)).await;
-            if !self.world.runs(&name) {
-                self.world.start(&name, false);
+            if !self.cluster.runs(&name) {
+                self.cluster.start(&name, false);
             }
             sleep(CATCH_UP).await;
         }
--- a/crates/sparrouter-simulation/src/faults/probes.rs
+++ b/crates/sparrouter-simulation/src/faults/probes.rs
@@ -1,9 +1,9 @@
 //! Requests to single nodes, on routes and with keys that are in force, were, or never will be. The answers show which
 //! configuration a node goes by.
-use super::DayRun;
+use super::ScenarioRun;
 use crate::client::ClientRequest;
-use crate::plan::{Kind, Plan};
-use crate::world::request;
+use crate::cluster::request;
+use crate::configuration::{Configuration, RouteKind};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_local;
@@ -12,18 +12,18 @@
 /// Probes use routes and keys of so many of the last configurations.
 const LAST: usize = 5;
 /// How long a probe may take.
-const PATIENCE: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-impl DayRun {
+impl ScenarioRun {
     /// Sends probes until the end of the day.
     pub(super) async fn probe(self: Rc<Self>) {
-        let world = &self.world;
+        let cluster = &self.cluster;
         while !self.probing_ended.get() {
             sleep(self.span(30..150)).await;
-            let in_service: Vec<String> = world
+            let in_service: Vec<String> = cluster
                 .names()
                 .into_iter()
-                .filter(|n| world.runs(n) && world.platform.is_in(n))
+                .filter(|n| cluster.runs(n) && cluster.load_balancer.is_in_service(n))
                 .collect();
             let Some(name) = self.any(&in_service) else {
                 continue;
@@ -31,11 +31,14 @@
             let Some(request) = self.question() else {
                 continue;
             };
-            let (front, run) = (world.front_of(&name), self.clone());
-            let life = world.platform.life(front.ip());
+            let (front, run) = (cluster.front_of(&name), self.clone());
+            let incarnation = cluster.load_balancer.incarnation(front.ip());
             run.open_probes.set(run.open_probes.get() + 1);
             spawn_local(async move {
-                run.world.client(false).get_at(&request, front, life).await;
+                run.cluster
+                    .client(false)
+                    .send_to(&request, front, incarnation)
+                    .await;
                 run.open_probes.set(run.open_probes.get() - 1);
             });
         }
@@ -43,7 +46,7 @@
 
     /// A random probe.
     fn question(&self) -> Option<ClientRequest> {
-        let last = self.world.judge.last_sent(LAST);
+        let last = self.cluster.monitor.last_sent(LAST);
         let routes = self.any(&last)?.routes;
         // Half of the probes use the route that was added last.
         let newest = self.rng.borrow_mut().bool();
@@ -52,7 +55,7 @@
         } else {
             self.any(&routes)
         }?;
-        let keys = |p: &Plan| {
+        let keys = |p: &Configuration| {
             p.tenants
                 .iter()
                 .flat_map(|t| t.keys.clone())
@@ -66,12 +69,12 @@
             route.prefix
         };
         let word = if route.kind.streams() { "s4" } else { "b10" };
-        let asked = request(Kind::Idempotent, word);
+        let asked = request(RouteKind::Idempotent, word);
         Some(ClientRequest {
             path: format!("{prefix}{word}"),
             kind: route.kind,
             key,
-            deadline: PATIENCE,
+            deadline: CALL_TIMEOUT,
             retries: 0,
             ..asked
         })
--- a/crates/sparrouter-simulation/src/faults/closing.rs
+++ b/crates/sparrouter-simulation/src/faults/recovery.rs
@@ -1,5 +1,6 @@
 //! The final fault, and what must hold once it is over.
-use super::{DayRun, FinalFault};
+use super::{FinalFault, ScenarioRun};
+use crate::load::RecentCounts;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -10,61 +11,63 @@
 const CALM_TIME: Duration = Duration::from_secs(3);
 const MIN_SERVED: f64 = 0.9;
 
-impl DayRun {
+impl ScenarioRun {
     /// Makes the final fault happen, waits until the fleet must have recovered, and checks that it has.
     pub(super) async fn close(&self, final_fault: FinalFault) {
-        let world = &self.world;
-        world.judge.note(format!("-- closing: {final_fault:?}"));
+        let cluster = &self.cluster;
+        cluster
+            .monitor
+            .trace(format!("-- closing: {final_fault:?}"));
         if final_fault == FinalFault::None {
-            sleep(world.terms.bounds.contact * 2).await;
+            sleep(cluster.settings.bounds.contact * 2).await;
         } else {
             self.inject_final(final_fault).await;
-            sleep(world.terms.bounds.recovery).await;
+            sleep(cluster.settings.bounds.recovery).await;
         }
-        self.tally.count_anew();
+        self.load.reset_recent();
         sleep(CALM_TIME).await;
-        self.tally.stop().await;
+        self.load.stop().await;
         self.end_probes().await;
-        world.judge.day_ends();
+        cluster.monitor.scenario_ended();
         self.check_served();
         self.check_ready();
         self.check_weights().await;
-        world.operator.read_back().await;
+        cluster.operator.read_back().await;
     }
 
     /// Changes the configuration, then ends all processes and starts them again.
     async fn inject_final(&self, final_fault: FinalFault) {
-        let world = &self.world;
-        let plan = self.plan.lock().await.clone();
-        let next = self.another(&plan);
-        world.operator.put(&next, plan.version).await;
-        let names = world.names();
+        let cluster = &self.cluster;
+        let configuration = self.configuration.lock().await.clone();
+        let next = self.another(&configuration);
+        cluster.operator.put(&next, configuration.version).await;
+        let names = cluster.names();
         let wiped = (final_fault == FinalFault::WipeOneOthersLosePower)
-            .then(|| self.any(&world.core()))
+            .then(|| self.any(&cluster.core()))
             .flatten();
         let is_kill = final_fault == FinalFault::KillAll;
         for name in &names {
             if is_kill {
-                world.kill(name)
+                cluster.kill(name)
             } else {
-                world.power_off(name)
+                cluster.power_off(name)
             }
         }
-        wiped.iter().for_each(|name| world.wipe(name));
+        wiped.iter().for_each(|name| cluster.wipe(name));
         sleep(OUTAGE).await;
         for name in &names {
             if is_kill {
-                world.start(name, false)
+                cluster.start(name, false)
             } else {
-                world.power_on(name)
+                cluster.power_on(name)
             }
         }
     }
 
     fn check_served(&self) {
-        let (sent, served) = self.tally.late.get();
+        let RecentCounts { sent, served } = self.load.recent.get();
         if f64::from(served) < MIN_SERVED * f64::from(sent) {
-            self.world.judge.breach(
+            self.cluster.monitor.report_violation(
                 "RECOVER",
                 format!("{served} of {sent} are served once all is calm"),
             );
@@ -72,14 +75,14 @@
     }
 
     fn check_ready(&self) {
-        let world = &self.world;
-        let names = world.names();
+        let cluster = &self.cluster;
+        let names = cluster.names();
         let not_ready: Vec<String> = names
             .into_iter()
-            .filter(|n| !world.platform.is_in(n))
+            .filter(|n| !cluster.load_balancer.is_in_service(n))
             .collect();
         if !not_ready.is_empty() {
-            world.judge.breach(
+            cluster.monitor.report_violation(
                 "DUTY",
                 format!("{not_ready:?} are not ready once all is calm"),
             );
@@ -88,20 +91,20 @@
 
     /// Servers on older weights get the time that RULES.md gives for the newest ones.
     async fn check_weights(&self) {
-        let world = &self.world;
+        let cluster = &self.cluster;
         let newest = *self.weights.lock().await;
-        let is_old = |id: &String| world.server(id).version() < newest;
+        let is_old = |id: &String| cluster.server(id).version() < newest;
         let old: Vec<String> = self.servers().into_iter().filter(is_old).collect();
         if old.is_empty() {
             return;
         }
-        sleep(world.terms.bounds.version).await;
+        sleep(cluster.settings.bounds.version).await;
         let still_old: Vec<&String> = old
             .iter()
-            .filter(|id| world.server_runs(id) && is_old(id))
+            .filter(|id| cluster.server_runs(id) && is_old(id))
             .collect();
         if !still_old.is_empty() {
-            world.judge.breach(
+            cluster.monitor.report_violation(
                 "VERSION",
                 format!("{still_old:?} never come to weights {newest}"),
             );
--- a/crates/sparrouter-simulation/src/order_history.rs
+++ b/crates/sparrouter-simulation/src/history.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 /// Configurations (calls done, state) that a check may look at; a history that takes more is called undecided.
-const MOST_CONFIGURATIONS: usize = 2_000_000;
+const MAX_CONFIGURATIONS: usize = 2_000_000;
 
 /// A PUT or PATCH, by what makes it that very order.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 
 /// All calls of a story.
 #[derive(Clone, Debug, Default)]
-pub struct OrderHistory {
+pub struct History {
     orders: Vec<OrderCall>,
     calls: Vec<RecordedCall<Call, Outcome>>,
     events: usize,
@@ -70,7 +70,7 @@
     kept.collect()
 }
 
-impl OrderHistory {
+impl History {
     fn next_event(&mut self) -> usize {
         self.events += 1;
         self.events - 1
@@ -106,7 +106,7 @@
     }
 
     /// Its caller hears a clear answer.
-    pub fn answered(&mut self, id: CallId, outcome: Outcome) {
+    pub fn response_received(&mut self, id: CallId, outcome: Outcome) {
         let at = self.next_event();
         self.calls[id.0].response = Some(Response { at, outcome });
     }
@@ -124,16 +124,16 @@
         let model = ConfigurationModel {
             orders: &self.orders,
         };
-        match linearizability::check(&model, &self.calls, MOST_CONFIGURATIONS) {
+        match linearizability::check(&model, &self.calls, MAX_CONFIGURATIONS) {
             linearizability::Verdict::Linearizable(_) => None,
             linearizability::Verdict::Undecided => {
                 Some(format!("{} calls are too many to decide", self.calls.len()))
             }
             linearizability::Verdict::NotLinearizable { longest, stuck } => {
-                let last = longest.last().map(|call| self.shown(*call));
+                let last = longest.last().map(|call| self.describe(*call));
                 Some(format!(
                     "no order explains {}; after {} calls, the last {}",
-                    self.shown(stuck),
+                    self.describe(stuck),
                     longest.len(),
                     last.unwrap_or_default()
                 ))
@@ -141,7 +141,7 @@
         }
     }
 
-    fn shown(&self, call: usize) -> String {
+    fn describe(&self, call: usize) -> String {
         let recorded = &self.calls[call];
         let what = match &recorded.call {
             Call::Order(id) => {
@@ -232,7 +232,11 @@
         allowed.then(|| state.clone())
     }
 
-    fn apply_unheard(&self, state: &ConfigurationState, call: &Call) -> Option<ConfigurationState> {
+    fn apply_unanswered(
+        &self,
+        state: &ConfigurationState,
+        call: &Call,
+    ) -> Option<ConfigurationState> {
         match call {
             Call::Order(id) => self.take(state, *id),
             Call::Read => None,
--- a/crates/sparrouter-simulation/src/http_messages.rs
+++ b/crates/sparrouter-simulation/src/http_messages.rs
@@ -1,8 +1,8 @@
 //! HTTP for stand-ins: calls with their answers, and requests that stand-ins receive.
 #![deny(missing_docs)]
 
-use crate::connection::End;
-use crate::net::MemoryNet;
+use crate::network::connection::End;
+use crate::network::interface::NetworkInterface;
 use bytes::{Bytes, BytesMut};
 use sparrouter_fleet::platform::http;
 use sparrouter_http::head::{self, RequestHead, ResponseHead};
@@ -18,11 +18,11 @@
 
 /// Why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoAnswer {
+pub enum CallError {
     /// No connection could be established.
     Unreachable,
-    /// No whole answer came in time.
-    Silent,
+    /// No complete response came in time.
+    TimedOut,
     /// The connection broke, or the answer was malformed.
     Broken,
 }
@@ -44,23 +44,23 @@
     }
 }
 
-/// Sends a call on a new connection. `patience`: how long all of it may take.
+/// Sends a call on a new connection. `timeout_after`: how long all of it may take.
 ///
 /// # Errors
 ///
-/// [`NoAnswer`] if no whole answer came.
+/// [`CallError`] if no whole answer came.
 pub async fn call(
-    net: &MemoryNet,
+    net: &NetworkInterface,
     to: SocketAddr,
     method: &str,
     path: &str,
     fields: &[(&str, &str)],
     body: &str,
-    patience: Duration,
-) -> Result<Reply, NoAnswer> {
+    timeout_after: Duration,
+) -> Result<Reply, CallError> {
     let mut reached = false;
     let exchange = async {
-        let mut stream = net.connect(to).await.map_err(|_| NoAnswer::Unreachable)?;
+        let mut stream = net.connect(to).await.map_err(|_| CallError::Unreachable)?;
         reached = true;
         let mut text = format!("{method} {path} HTTP/1.1\r\nHost: {to}\r\n");
         for (name, value) in fields {
@@ -73,23 +73,23 @@
         stream
             .write_all(text.as_bytes())
             .await
-            .map_err(|_| NoAnswer::Broken)?;
+            .map_err(|_| CallError::Broken)?;
         let mut buffer = BytesMut::new();
         let bytes = reading::head(&mut stream, &mut buffer, head::REPLY, MAX_HEAD_BYTES).await;
-        let head = head::parse_response(&bytes.map_err(|_| NoAnswer::Broken)?)
-            .map_err(|_| NoAnswer::Broken)?;
+        let head = head::parse_response(&bytes.map_err(|_| CallError::Broken)?)
+            .map_err(|_| CallError::Broken)?;
         let body = http::read_body(&mut stream, &mut buffer, head.framing, MAX_BODY_BYTES).await;
-        let body = body.ok().flatten().ok_or(NoAnswer::Broken)?;
+        let body = body.ok().flatten().ok_or(CallError::Broken)?;
         Ok(Reply {
             status: head.status,
             head,
             body,
         })
     };
-    match timeout(patience, exchange).await {
+    match timeout(timeout_after, exchange).await {
         Ok(answer) => answer,
-        Err(_) if reached => Err(NoAnswer::Silent),
-        Err(_) => Err(NoAnswer::Unreachable),
+        Err(_) if reached => Err(CallError::TimedOut),
+        Err(_) => Err(CallError::Unreachable),
     }
 }
 
@@ -107,7 +107,7 @@
 }
 
 /// The text of an answer with a body of known length. `fields`: further header fields, each with its line end.
-pub fn whole(status: u16, fields: &str, body: &str) -> String {
+pub fn response_text(status: u16, fields: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status} Word\r\n{fields}Content-Length: {}\r\n\r\n{body}",
         body.len()
--- a/crates/sparrouter-simulation/src/linearizability.rs
+++ b/crates/sparrouter-simulation/src/linearizability.rs
@@ -27,7 +27,7 @@
 
     /// The state after a call whose outcome nobody heard of, or None where it changes nothing: then it need not have
     /// happened.
-    fn apply_unheard(&self, state: &Self::State, call: &Self::Call) -> Option<Self::State>;
+    fn apply_unanswered(&self, state: &Self::State, call: &Self::Call) -> Option<Self::State>;
 }
 
 /// One call. Invocations and responses of a history are numbered in the order in which they happened, from 0, each
@@ -70,11 +70,11 @@
 struct CallSet(Vec<u64>);
 
 impl CallSet {
-    fn with_room_for(calls: usize) -> CallSet {
+    fn with_capacity(calls: usize) -> CallSet {
         CallSet(vec![0; calls.div_ceil(64)])
     }
-    fn flip(&mut self, place: usize) {
-        self.0[place / 64] ^= 1 << (place % 64);
+    fn flip(&mut self, index: usize) {
+        self.0[index / 64] ^= 1 << (index % 64);
     }
 }
 
@@ -95,32 +95,32 @@
 
 impl EventList {
     fn new(in_order: Vec<Event>) -> EventList {
-        let places = in_order.len() + 1;
+        let indices = in_order.len() + 1;
         let mut events = vec![None];
         events.extend(in_order.into_iter().map(Some));
         EventList {
             events,
-            next: (0..places).map(|p| (p + 1) % places).collect(),
-            previous: (0..places).map(|p| (p + places - 1) % places).collect(),
+            next: (0..indices).map(|p| (p + 1) % indices).collect(),
+            previous: (0..indices).map(|p| (p + indices - 1) % indices).collect(),
         }
     }
 
-    fn unlink(&mut self, place: usize) {
-        let (before, after) = (self.previous[place], self.next[place]);
+    fn unlink(&mut self, index: usize) {
+        let (before, after) = (self.previous[index], self.next[index]);
         self.next[before] = after;
         self.previous[after] = before;
     }
 
     /// Undoes the last `unlink` that is not undone yet.
-    fn relink(&mut self, place: usize) {
-        let (before, after) = (self.previous[place], self.next[place]);
-        self.next[before] = place;
-        self.previous[after] = place;
+    fn relink(&mut self, index: usize) {
+        let (before, after) = (self.previous[index], self.next[index]);
+        self.next[before] = index;
+        self.previous[after] = index;
     }
 }
 
 /// Where the two events of a call stand in the list.
-struct Places {
+struct ListIndices {
     invocation: usize,
     response: Option<usize>,
 }
@@ -135,10 +135,10 @@
     model: &'a M,
     history: &'a [RecordedCall<M::Call, M::Outcome>],
     list: EventList,
-    places: Vec<Places>,
+    indices: Vec<ListIndices>,
     done: CallSet,
     /// Calls with a response that are not part of the order yet.
-    owed: usize,
+    unplaced_responses: usize,
     steps: Vec<Step<M::State>>,
     seen: HashSet<(CallSet, M::State)>,
 }
@@ -158,8 +158,8 @@
         events.sort_by_key(|(at, _)| *at);
         let in_order: Vec<Event> = events.into_iter().map(|(_, event)| event).collect();
         let place_of = |event: Event| in_order.iter().position(|e| *e == event).map(|p| p + 1);
-        let places = (0..history.len())
-            .map(|call| Places {
+        let indices = (0..history.len())
+            .map(|call| ListIndices {
                 invocation: place_of(Event::Invocation(call)).unwrap_or(HEAD),
                 response: place_of(Event::Response(call)),
             })
@@ -167,10 +167,10 @@
         Search {
             model,
             history,
-            places,
+            indices,
             list: EventList::new(in_order),
-            done: CallSet::with_room_for(history.len()),
-            owed: history.iter().filter(|c| c.response.is_some()).count(),
+            done: CallSet::with_capacity(history.len()),
+            unplaced_responses: history.iter().filter(|c| c.response.is_some()).count(),
             steps: Vec::new(),
             seen: HashSet::new(),
         }
@@ -181,7 +181,7 @@
         let mut longest: Vec<usize> = Vec::new();
         let mut stuck = None;
         let mut at = self.list.next[HEAD];
-        while self.owed > 0 {
+        while self.unplaced_responses > 0 {
             if self.seen.len() > most_configurations {
                 return Verdict::Undecided;
             }
@@ -206,9 +206,9 @@
                 let stuck = stuck.unwrap_or_default();
                 return Verdict::NotLinearizable { longest, stuck };
             };
-            self.take_back(step.call);
+            self.undo(step.call);
             state = step.before;
-            at = self.list.next[self.places[step.call].invocation];
+            at = self.list.next[self.indices[step.call].invocation];
         }
         Verdict::Linearizable(self.order())
     }
@@ -222,7 +222,7 @@
         let recorded = &self.history[call];
         let after = match &recorded.response {
             Some(response) => self.model.apply(state, &recorded.call, &response.outcome),
-            None => self.model.apply_unheard(state, &recorded.call),
+            None => self.model.apply_unanswered(state, &recorded.call),
         }?;
         let mut done = self.done.clone();
         done.flip(call);
@@ -230,21 +230,21 @@
     }
 
     fn put(&mut self, call: usize, before: M::State) {
-        self.list.unlink(self.places[call].invocation);
-        if let Some(response) = self.places[call].response {
+        self.list.unlink(self.indices[call].invocation);
+        if let Some(response) = self.indices[call].response {
             self.list.unlink(response);
-            self.owed -= 1;
+            self.unplaced_responses -= 1;
         }
         self.done.flip(call);
         self.steps.push(Step { call, before });
     }
 
-    fn take_back(&mut self, call: usize) {
-        if let Some(response) = self.places[call].response {
+    fn undo(&mut self, call: usize) {
+        if let Some(response) = self.indices[call].response {
             self.list.relink(response);
-            self.owed += 1;
+            self.unplaced_responses += 1;
         }
-        self.list.relink(self.places[call].invocation);
+        self.list.relink(self.indices[call].invocation);
         self.done.flip(call);
     }
 }
--- a/crates/sparrouter-simulation/src/platform.rs
+++ b/crates/sparrouter-simulation/src/load_balancer.rs
@@ -3,7 +3,7 @@
 #![deny(missing_docs)]
 
 use crate::http_messages;
-use crate::net::MemoryNet;
+use crate::network::interface::NetworkInterface;
 use fastrand::Rng;
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr};
@@ -25,7 +25,7 @@
     address: SocketAddr,
     readiness: SocketAddr,
     /// Counts the processes that ran there.
-    life: u64,
+    incarnation: u64,
     /// Failed checks in a row.
     misses: u32,
     /// It was ready at least once.
@@ -33,20 +33,20 @@
 }
 
 /// The platform.
-pub struct Platform {
-    net: MemoryNet,
+pub struct LoadBalancer {
+    net: NetworkInterface,
     fronts: RefCell<Vec<Front>>,
 }
 
-impl Platform {
+impl LoadBalancer {
     /// A platform without nodes; begins its checks.
-    pub fn new(net: MemoryNet) -> Rc<Platform> {
-        let platform = Rc::new(Platform {
+    pub fn new(net: NetworkInterface) -> Rc<LoadBalancer> {
+        let load_balancer = Rc::new(LoadBalancer {
             net,
             fronts: RefCell::default(),
         });
-        spawn_local(platform.clone().check_nodes());
-        platform
+        spawn_local(load_balancer.clone().check_nodes());
+        load_balancer
     }
 
     /// Adds a node, with its addresses for clients and for checks.
@@ -56,7 +56,7 @@
             zone: zone.to_owned(),
             address,
             readiness,
-            life: 0,
+            incarnation: 0,
             misses: FAILED_CHECKS,
             known: false,
         };
@@ -69,25 +69,25 @@
     }
 
     /// A new process runs on the node.
-    pub fn reborn(&self, name: &str) {
+    pub fn restarted(&self, name: &str) {
         self.fronts
             .borrow_mut()
             .iter_mut()
             .filter(|f| f.name == name)
-            .for_each(|f| f.life += 1);
+            .for_each(|f| f.incarnation += 1);
     }
 
     /// How many processes ran on the node with this address before the current one.
-    pub fn life(&self, ip: IpAddr) -> u64 {
+    pub fn incarnation(&self, ip: IpAddr) -> u64 {
         self.fronts
             .borrow()
             .iter()
             .find(|f| f.address.ip() == ip)
-            .map_or(0, |f| f.life)
+            .map_or(0, |f| f.incarnation)
     }
 
     /// Whether the node gets new connections.
-    pub fn is_in(&self, name: &str) -> bool {
+    pub fn is_in_service(&self, name: &str) -> bool {
         self.fronts
             .borrow()
             .iter()
@@ -104,10 +104,10 @@
                 .map(|f| (f.name.clone(), f.readiness))
                 .collect();
             for (name, at) in all {
-                let platform = self.clone();
+                let load_balancer = self.clone();
                 spawn_local(async move {
                     let call = http_messages::call(
-                        &platform.net,
+                        &load_balancer.net,
                         at,
                         "GET",
                         "/api/readiness",
@@ -116,7 +116,7 @@
                         CHECK_INTERVAL,
                     );
                     let ready = call.await.is_ok_and(|r| r.status == 200);
-                    let mut fronts = platform.fronts.borrow_mut();
+                    let mut fronts = load_balancer.fronts.borrow_mut();
                     if let Some(front) = fronts.iter_mut().find(|f| f.name == name) {
                         front.misses = if ready { 0 } else { front.misses + 1 };
                         front.known |= ready;
@@ -127,13 +127,13 @@
         }
     }
 
-    /// The address for a new connection of a client in a zone, and the node's [`Platform::life`]. `None` without nodes.
+    /// The address for a new connection of a client in a zone, and the node's [`LoadBalancer::incarnation`]. `None` without nodes.
     pub fn pick(&self, zone: &str, rng: &mut Rng) -> Option<(SocketAddr, u64)> {
         let fronts = self.fronts.borrow();
-        let is_in = |f: &&Front| f.known && f.misses < FAILED_CHECKS;
+        let is_in_service = |f: &&Front| f.known && f.misses < FAILED_CHECKS;
         let own: Vec<&Front> = fronts.iter().filter(|f| f.zone == zone).collect();
-        let own_in: Vec<&Front> = own.iter().copied().filter(|f| is_in(f)).collect();
-        let others: Vec<&Front> = fronts.iter().filter(is_in).collect();
+        let own_in: Vec<&Front> = own.iter().copied().filter(|f| is_in_service(f)).collect();
+        let others: Vec<&Front> = fronts.iter().filter(is_in_service).collect();
         let from = if own_in.is_empty() && !others.is_empty() {
             others
         } else if own_in.len() * 2 < own.len() {
@@ -148,7 +148,7 @@
         };
         (!from.is_empty()).then(|| {
             let front = from[rng.usize(..from.len())];
-            (front.address, front.life)
+            (front.address, front.incarnation)
         })
     }
 }
--- a/crates/sparrouter-simulation/src/connection.rs
+++ b/crates/sparrouter-simulation/src/network/connection.rs
@@ -1,5 +1,5 @@
 //! One connection: what is on its way in each direction, and the two ends that processes hold.
-use crate::fabric::{Fabric, UNACKNOWLEDGED};
+use crate::network::{SimulatedNetwork, UNACKNOWLEDGED};
 use bytes::{Buf, Bytes, BytesMut};
 use sparrouter_fleet::platform::net::Connection;
 use std::cell::RefCell;
@@ -23,7 +23,7 @@
     Reset,
 }
 
-struct Parcel {
+struct Segment {
     due: Instant,
     what: What,
 }
@@ -39,7 +39,7 @@
     vanished: bool,
     said_over: bool,
     hasty: bool,
-    coming: VecDeque<Parcel>,
+    coming: VecDeque<Segment>,
     unread: BytesMut,
     over: bool,
     broken: Option<ErrorKind>,
@@ -75,13 +75,16 @@
     }
 }
 
-pub struct Line(RefCell<[Side; 2]>);
+pub struct ConnectionState(RefCell<[Side; 2]>);
 
-impl Line {
-    pub(crate) fn new(addresses: [SocketAddr; 2], fabric: &Fabric) -> Rc<Line> {
+impl ConnectionState {
+    pub(crate) fn new(
+        addresses: [SocketAddr; 2],
+        network: &SimulatedNetwork,
+    ) -> Rc<ConnectionState> {
         let side = |address: SocketAddr| Side {
             address,
-            generation: fabric.generation(address.ip()),
+            generation: network.generation(address.ip()),
             held: true,
             vanished: false,
             said_over: false,
@@ -94,7 +97,7 @@
             reader: None,
             writer: None,
         };
-        Rc::new(Line(RefCell::new(addresses.map(side))))
+        Rc::new(ConnectionState(RefCell::new(addresses.map(side))))
     }
 
     pub(crate) fn touches(&self, ip: IpAddr) -> bool {
@@ -113,13 +116,13 @@
     }
 
     /// The machine loses power: its end is gone without a word, and what a cut holds up of its bytes is lost.
-    pub(crate) fn vanish(&self, ip: IpAddr, fabric: &Fabric) {
+    pub(crate) fn vanish(&self, ip: IpAddr, network: &SimulatedNetwork) {
         let sides = &mut *self.0.borrow_mut();
         for from in 0..2 {
             if sides[from].address.ip() == ip {
                 sides[from].vanished = true;
                 let to = sides[1 - from].address.ip();
-                if !fabric.reaches(ip, to) {
+                if !network.reaches(ip, to) {
                     sides[1 - from].coming.clear();
                 }
             }
@@ -127,11 +130,11 @@
     }
 
     /// Acknowledges what has arrived; a hasty end whose bytes wait too long gives up.
-    pub(crate) fn look(&self, fabric: &Fabric, now: Instant) {
+    pub(crate) fn look(&self, network: &SimulatedNetwork, now: Instant) {
         let sides = &mut *self.0.borrow_mut();
         for from in 0..2 {
             let (own, other) = (sides[from].address.ip(), sides[1 - from].address.ip());
-            let there = fabric.reaches(own, other) && fabric.reaches(other, own);
+            let there = network.reaches(own, other) && network.reaches(other, own);
             if there && !sides[1 - from].vanished {
                 sides[from].unacknowledged = None;
             } else if sides[from].hasty
@@ -142,33 +145,33 @@
                 sides[from].vanished = true;
                 sides[from].break_off(ErrorKind::TimedOut);
                 // Nobody sends again what a cut held up, so it never arrives.
-                if fabric.is_cut(own, other) {
+                if network.is_cut(own, other) {
                     sides[1 - from].coming.clear();
                 }
             }
         }
     }
 
-    fn send(&self, from: usize, what: What, fabric: &Fabric) {
+    fn send(&self, from: usize, what: What, network: &SimulatedNetwork) {
         let sides = &mut *self.0.borrow_mut();
         let (own, other) = (sides[from].address.ip(), sides[1 - from].address.ip());
         let to = &mut sides[1 - from];
         let left = match &what {
-            What::Bytes(bytes) => fabric.leave_at(own, bytes.len()),
+            What::Bytes(bytes) => network.leave_at(own, bytes.len()),
             What::Over | What::Reset => Instant::now(),
         };
-        let due = left + fabric.delay(own, other);
+        let due = left + network.delay(own, other);
         let due = to.coming.back().map_or(due, |last| due.max(last.due));
-        to.coming.push_back(Parcel { due, what });
+        to.coming.push_back(Segment { due, what });
         to.reader.take().into_iter().for_each(Waker::wake);
     }
 
     /// Moves what has come into the end's hands.
-    fn arrive(&self, at: usize, fabric: &Fabric) {
+    fn arrive(&self, at: usize, network: &SimulatedNetwork) {
         let sides = &mut *self.0.borrow_mut();
         let (own, other) = (sides[at].address.ip(), sides[1 - at].address.ip());
         // What was on its way when the sender went is not held up by that.
-        let open = fabric.reaches(other, own) || (sides[1 - at].vanished && fabric.powered(own));
+        let open = network.reaches(other, own) || (sides[1 - at].vanished && network.powered(own));
         let now = Instant::now();
         let side = &mut sides[at];
         while open && side.coming.front().is_some_and(|p| p.due <= now) {
@@ -182,8 +185,13 @@
     }
 
     /// Bytes, an end (0) or an error that the end may have now.
-    fn take(&self, at: usize, buffer: &mut [u8], fabric: &Fabric) -> Option<io::Result<usize>> {
-        self.arrive(at, fabric);
+    fn take(
+        &self,
+        at: usize,
+        buffer: &mut [u8],
+        network: &SimulatedNetwork,
+    ) -> Option<io::Result<usize>> {
+        self.arrive(at, network);
         let sides = &mut *self.0.borrow_mut();
         let side = &mut sides[at];
         if !side.unread.is_empty() {
@@ -206,19 +214,24 @@
 
 /// What a process holds of a connection.
 pub struct End {
-    line: Rc<Line>,
+    line: Rc<ConnectionState>,
     at: usize,
-    fabric: Rc<Fabric>,
+    network: Rc<SimulatedNetwork>,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl End {
-    pub(crate) fn new(line: Rc<Line>, at: usize, fabric: Rc<Fabric>, hasty: bool) -> End {
+    pub(crate) fn new(
+        line: Rc<ConnectionState>,
+        at: usize,
+        network: Rc<SimulatedNetwork>,
+        hasty: bool,
+    ) -> End {
         line.0.borrow_mut()[at].hasty = hasty;
         End {
             line,
             at,
-            fabric,
+            network,
             timer: None,
         }
     }
@@ -233,7 +246,7 @@
 
 impl Connection for End {
     fn read_available(&self, buffer: &mut [u8]) -> Option<io::Result<usize>> {
-        self.line.take(self.at, buffer, &self.fabric)
+        self.line.take(self.at, buffer, &self.network)
     }
 }
 
@@ -245,7 +258,7 @@
     ) -> Poll<io::Result<()>> {
         loop {
             let room = buffer.initialize_unfilled();
-            if let Some(read) = self.line.take(self.at, room, &self.fabric) {
+            if let Some(read) = self.line.take(self.at, room, &self.network) {
                 return Poll::Ready(read.map(|length| buffer.advance(length)));
             }
             let due = {
@@ -294,8 +307,9 @@
             }
             let ip = other.address.ip();
             // Nobody holds the other end: its machine answers with a reset, if it is there.
-            let unknown = other.vanished && self.fabric.generation(ip) != other.generation;
-            let answered = (!other.held && !other.vanished) || (unknown && self.fabric.powered(ip));
+            let unknown = other.vanished && self.network.generation(ip) != other.generation;
+            let answered =
+                (!other.held && !other.vanished) || (unknown && self.network.powered(ip));
             sides[self.at]
                 .unacknowledged
                 .get_or_insert_with(Instant::now);
@@ -310,14 +324,14 @@
                 ip,
             )
         };
-        self.fabric.count_written(from, to, length);
+        self.network.count_written(from, to, length);
         if answered {
-            self.line.send(1 - self.at, What::Reset, &self.fabric);
+            self.line.send(1 - self.at, What::Reset, &self.network);
         } else {
             self.line.send(
                 self.at,
                 What::Bytes(Bytes::copy_from_slice(&bytes[..length])),
-                &self.fabric,
+                &self.network,
             );
         }
         Poll::Ready(Ok(length))
@@ -330,7 +344,7 @@
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         let said = std::mem::replace(&mut self.line.0.borrow_mut()[self.at].said_over, true);
         if !said {
-            self.line.send(self.at, What::Over, &self.fabric);
+            self.line.send(self.at, What::Over, &self.network);
         }
         Poll::Ready(Ok(()))
     }
@@ -339,8 +353,8 @@
 impl Drop for End {
     fn drop(&mut self) {
         let ip = self.line.0.borrow()[self.at].address.ip();
-        if self.fabric.powered(ip) {
-            self.line.arrive(self.at, &self.fabric);
+        if self.network.powered(ip) {
+            self.line.arrive(self.at, &self.network);
         }
         let (last, cut) = {
             let sides = &mut *self.line.0.borrow_mut();
@@ -354,14 +368,14 @@
                 (_, _, false) => Some(What::Over),
                 _ => None,
             };
-            (last, !self.fabric.reaches(ip, other))
+            (last, !self.network.reaches(ip, other))
         };
         if let Some(last) = last {
             if cut && matches!(last, What::Reset) {
                 // What the cut holds up is lost with the reset of its sender.
                 self.line.0.borrow_mut()[1 - self.at].coming.clear();
             }
-            self.line.send(self.at, last, &self.fabric);
+            self.line.send(self.at, last, &self.network);
         }
         self.line.wake();
     }
