--- a/crates/sparrouter-simulation/src/net.rs
+++ b/crates/sparrouter-simulation/src/network/interface.rs
@@ -1,8 +1,8 @@
 //! The in-memory network as one machine sees it: the implementation of the fleet's network traits.
 #![deny(missing_docs)]
 
-use crate::connection::End;
-use crate::fabric::Fabric;
+use crate::network::SimulatedNetwork;
+use crate::network::connection::End;
 use sparrouter_fleet::platform::net::{BoxFuture, Listener, Net, Stream};
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -13,21 +13,21 @@
 
 /// The network of one machine.
 #[derive(Clone)]
-pub struct MemoryNet {
-    fabric: Rc<Fabric>,
+pub struct NetworkInterface {
+    network: Rc<SimulatedNetwork>,
     /// Address of the machine.
     pub ip: IpAddr,
 }
 
-impl MemoryNet {
+impl NetworkInterface {
     /// The network of the machine with this address.
-    pub fn new(fabric: Rc<Fabric>, ip: IpAddr) -> MemoryNet {
-        MemoryNet { fabric, ip }
+    pub fn new(network: Rc<SimulatedNetwork>, ip: IpAddr) -> NetworkInterface {
+        NetworkInterface { network, ip }
     }
 
     /// Connects a stand-in. Unlike connections of nodes this one has no timeout for unacknowledged bytes.
     pub async fn connect(&self, to: SocketAddr) -> io::Result<End> {
-        self.fabric.dial(self.ip, to, false).await
+        self.network.dial(self.ip, to, false).await
     }
 
     /// Listens on an address.
@@ -35,18 +35,18 @@
     /// # Errors
     ///
     /// If the address is in use.
-    pub fn open(&self, at: SocketAddr) -> io::Result<MemoryListener> {
-        Ok(MemoryListener {
-            fabric: self.fabric.clone(),
+    pub fn open(&self, at: SocketAddr) -> io::Result<SimulatedListener> {
+        Ok(SimulatedListener {
+            network: self.network.clone(),
             at,
-            queue: RefCell::new(self.fabric.open(at)?),
+            queue: RefCell::new(self.network.open(at)?),
         })
     }
 }
 
-impl Net for MemoryNet {
+impl Net for NetworkInterface {
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Stream>> {
-        Box::pin(async move { Ok(Box::new(self.fabric.dial(self.ip, to, true).await?) as Stream) })
+        Box::pin(async move { Ok(Box::new(self.network.dial(self.ip, to, true).await?) as Stream) })
     }
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
         Ok(Box::new(self.open(at)?))
@@ -54,13 +54,13 @@
 }
 
 /// An address that connections are accepted on, until this is dropped.
-pub struct MemoryListener {
-    fabric: Rc<Fabric>,
+pub struct SimulatedListener {
+    network: Rc<SimulatedNetwork>,
     at: SocketAddr,
     queue: RefCell<mpsc::UnboundedReceiver<(End, SocketAddr)>>,
 }
 
-impl MemoryListener {
+impl SimulatedListener {
     /// Waits for the next connection; gives it with the peer's address.
     pub async fn next(&self) -> (End, SocketAddr) {
         match poll_fn(|context| self.queue.borrow_mut().poll_recv(context)).await {
@@ -71,7 +71,7 @@
     }
 }
 
-impl Listener for MemoryListener {
+impl Listener for SimulatedListener {
     fn accept(&self) -> BoxFuture<'_, io::Result<(Stream, SocketAddr)>> {
         Box::pin(async move {
             let (end, from) = self.next().await;
@@ -80,8 +80,8 @@
     }
 }
 
-impl Drop for MemoryListener {
+impl Drop for SimulatedListener {
     fn drop(&mut self) {
-        self.fabric.close(self.at);
+        self.network.close(self.at);
     }
 }
--- a/crates/sparrouter-simulation/src/fabric.rs
+++ b/crates/sparrouter-simulation/src/network/mod.rs
@@ -7,7 +7,10 @@
 //! | no door | refused |
 //! | process ended | an end of stream, or a reset where bytes were unread or come later |
 //! | power lost | nothing; a reset once the machine is there again and hears of the old connection |
-use crate::connection::{End, Line};
+pub mod connection;
+pub mod interface;
+
+use crate::network::connection::{ConnectionState, End};
 use fastrand::Rng;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,8 +32,8 @@
 
 /// What lies between two machines, in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
-    Silent,
+pub enum Partition {
+    PacketsLost,
     Refusing,
 }
 
@@ -43,17 +46,17 @@
     generation: u64,
 }
 
-type Doors = BTreeMap<SocketAddr, mpsc::UnboundedSender<(End, SocketAddr)>>;
+type Listeners = BTreeMap<SocketAddr, mpsc::UnboundedSender<(End, SocketAddr)>>;
 
 struct Inner {
-    places: BTreeMap<IpAddr, Place>,
-    cuts: BTreeMap<(IpAddr, IpAddr), Cut>,
-    doors: Doors,
-    lines: Vec<Weak<Line>>,
+    indices: BTreeMap<IpAddr, Place>,
+    cuts: BTreeMap<(IpAddr, IpAddr), Partition>,
+    listeners: Listeners,
+    lines: Vec<Weak<ConnectionState>>,
     next_port: u16,
 }
 
-pub struct Fabric {
+pub struct SimulatedNetwork {
     inner: RefCell<Inner>,
     pub rng: RefCell<Rng>,
     in_zone: Duration,
@@ -66,17 +69,17 @@
     line_free: RefCell<BTreeMap<IpAddr, Instant>>,
 }
 
-impl Fabric {
+impl SimulatedNetwork {
     /// `in_zone`, `across`: one way, in whole ms, as the clock of the runtime knows nothing finer.
-    pub fn new(rng: Rng, in_zone: Duration, across: Duration) -> Rc<Fabric> {
+    pub fn new(rng: Rng, in_zone: Duration, across: Duration) -> Rc<SimulatedNetwork> {
         let inner = Inner {
-            places: BTreeMap::new(),
+            indices: BTreeMap::new(),
             cuts: BTreeMap::new(),
-            doors: BTreeMap::new(),
+            listeners: BTreeMap::new(),
             lines: Vec::new(),
             next_port: 20_000,
         };
-        let fabric = Rc::new(Fabric {
+        let network = Rc::new(SimulatedNetwork {
             inner: RefCell::new(inner),
             rng: RefCell::new(rng),
             in_zone,
@@ -85,23 +88,23 @@
             line_rate: Cell::new(None),
             line_free: RefCell::default(),
         });
-        spawn_local(look(Rc::downgrade(&fabric)));
-        fabric
+        spawn_local(look(Rc::downgrade(&network)));
+        network
     }
 
     pub fn add(&self, ip: IpAddr, zone: &str) {
-        let place = Place {
+        let index = Place {
             zone: zone.to_owned(),
             power: true,
             frozen: false,
             generation: 0,
         };
-        self.inner.borrow_mut().places.insert(ip, place);
+        self.inner.borrow_mut().indices.insert(ip, index);
     }
 
     fn change(&self, ip: IpAddr, change: impl FnOnce(&mut Place)) {
-        if let Some(place) = self.inner.borrow_mut().places.get_mut(&ip) {
-            change(place);
+        if let Some(index) = self.inner.borrow_mut().indices.get_mut(&ip) {
+            change(index);
         }
         self.wake_all();
     }
@@ -111,18 +114,18 @@
         if !on {
             self.lines().iter().for_each(|l| l.vanish(ip, self));
         }
-        self.change(ip, |place| {
-            place.power = on;
-            place.generation += u64::from(!on);
+        self.change(ip, |index| {
+            index.power = on;
+            index.generation += u64::from(!on);
         });
     }
 
     pub fn freeze(&self, ip: IpAddr, frozen: bool) {
-        self.change(ip, |place| place.frozen = frozen);
+        self.change(ip, |index| index.frozen = frozen);
     }
 
     /// One direction; `None` joins them again.
-    pub fn cut(&self, from: IpAddr, to: IpAddr, cut: Option<Cut>) {
+    pub fn cut(&self, from: IpAddr, to: IpAddr, cut: Option<Partition>) {
         {
             let mut inner = self.inner.borrow_mut();
             match cut {
@@ -133,7 +136,7 @@
         self.wake_all();
     }
 
-    pub fn cut_both(&self, a: IpAddr, b: IpAddr, cut: Option<Cut>) {
+    pub fn partition_both(&self, a: IpAddr, b: IpAddr, cut: Option<Partition>) {
         self.cut(a, b, cut);
         self.cut(b, a, cut);
     }
@@ -146,7 +149,7 @@
             .for_each(|l| l.reset());
     }
 
-    fn lines(&self) -> Vec<Rc<Line>> {
+    fn lines(&self) -> Vec<Rc<ConnectionState>> {
         self.inner
             .borrow()
             .lines
@@ -161,7 +164,7 @@
 
     pub fn delay(&self, a: IpAddr, b: IpAddr) -> Duration {
         let inner = self.inner.borrow();
-        let zone = |ip| inner.places.get(ip).map(|p| p.zone.as_str());
+        let zone = |ip| inner.indices.get(ip).map(|p| p.zone.as_str());
         if zone(&a) == zone(&b) {
             self.in_zone
         } else {
@@ -172,20 +175,24 @@
     /// Whether a word gets from one to the other now.
     pub fn reaches(&self, from: IpAddr, to: IpAddr) -> bool {
         let inner = self.inner.borrow();
-        let up = |ip| inner.places.get(ip).is_some_and(|p| p.power && !p.frozen);
+        let up = |ip| inner.indices.get(ip).is_some_and(|p| p.power && !p.frozen);
         up(&from) && up(&to) && !inner.cuts.contains_key(&(from, to))
     }
 
     pub fn generation(&self, ip: IpAddr) -> u64 {
         self.inner
             .borrow()
-            .places
+            .indices
             .get(&ip)
             .map_or(0, |p| p.generation)
     }
 
     pub fn powered(&self, ip: IpAddr) -> bool {
-        self.inner.borrow().places.get(&ip).is_some_and(|p| p.power)
+        self.inner
+            .borrow()
+            .indices
+            .get(&ip)
+            .is_some_and(|p| p.power)
     }
 
     /// Whether the way from one to the other is cut.
@@ -194,7 +201,7 @@
     }
 
     fn refuses(&self, from: IpAddr, to: IpAddr) -> bool {
-        self.inner.borrow().cuts.get(&(from, to)) == Some(&Cut::Refusing)
+        self.inner.borrow().cuts.get(&(from, to)) == Some(&Partition::Refusing)
     }
 
     pub(crate) async fn dial(
@@ -211,8 +218,8 @@
             }
             if self.reaches(from, to.ip()) && self.reaches(to.ip(), from) {
                 sleep(self.delay(from, to.ip())).await;
-                let door = self.inner.borrow().doors.get(&to).cloned();
-                let Some(door) = door else {
+                let listener = self.inner.borrow().listeners.get(&to).cloned();
+                let Some(listener) = listener else {
                     return Err(refused());
                 };
                 let port = {
@@ -221,11 +228,11 @@
                     inner.next_port
                 };
                 let own = SocketAddr::new(from, port);
-                let line = Line::new([own, to], self);
+                let line = ConnectionState::new([own, to], self);
                 self.inner.borrow_mut().lines.push(Rc::downgrade(&line));
                 let far = End::new(line.clone(), 1, self.clone(), true);
                 let near = End::new(line, 0, self.clone(), hasty);
-                if door.send((far, own)).is_err() {
+                if listener.send((far, own)).is_err() {
                     return Err(refused());
                 }
                 sleep(self.delay(from, to.ip())).await;
@@ -262,31 +269,31 @@
         at: SocketAddr,
     ) -> io::Result<mpsc::UnboundedReceiver<(End, SocketAddr)>> {
         let mut inner = self.inner.borrow_mut();
-        if inner.doors.contains_key(&at) {
+        if inner.listeners.contains_key(&at) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
         let (give, take) = mpsc::unbounded_channel();
-        inner.doors.insert(at, give);
+        inner.listeners.insert(at, give);
         Ok(take)
     }
 
     pub(crate) fn close(&self, at: SocketAddr) {
-        let door = self.inner.borrow_mut().doors.remove(&at);
-        drop(door);
+        let listener = self.inner.borrow_mut().listeners.remove(&at);
+        drop(listener);
     }
 }
 
 /// Ends that wait in vain give up; lines that both ends have left are forgotten.
-async fn look(fabric: Weak<Fabric>) {
+async fn look(network: Weak<SimulatedNetwork>) {
     loop {
         sleep(LOOK).await;
-        let Some(fabric) = fabric.upgrade() else {
+        let Some(network) = network.upgrade() else {
             return;
         };
-        let lines = fabric.lines();
+        let lines = network.lines();
         let now = Instant::now();
-        lines.iter().for_each(|l| l.look(&fabric, now));
-        fabric
+        lines.iter().for_each(|l| l.look(&network, now));
+        network
             .inner
             .borrow_mut()
             .lines
--- a/crates/sparrouter-simulation/src/node_work.rs
+++ b/crates/sparrouter-simulation/src/node_work.rs
@@ -3,9 +3,9 @@
 //! election's pass over the servers of a service and the snapshot that is made anew when a node row changes.
 //!
 //! The node is the fleet's own code with the rows of a whole fleet; nobody answers where it dials.
-use crate::plan::Plan;
-use crate::scenario;
-use crate::world::first_plan;
+use crate::cluster::initial_configuration;
+use crate::configuration::Configuration;
+use crate::runtime;
 use sparrouter_fleet::node::Node;
 use sparrouter_fleet::peer::messages::{ConfigUpdate, TextUpdate};
 use sparrouter_fleet::platform::net::{BoxFuture, Listener, Net, Stream};
@@ -24,18 +24,18 @@
 use tokio::time::sleep;
 
 /// Servers before each node, as in the sweep of sizes.
-pub const SERVERS_A_NODE: usize = 10;
+pub const SERVERS_PER_NODE: usize = 10;
 /// Machines that keep the control state, whatever the size.
-const COUNTED: usize = 3;
+const CORE_MACHINES: usize = 3;
 const SERVICE: &str = "models";
 /// Parts that each followed server keeps when the measurement begins.
-const KEPT_PARTS: u64 = 500;
+const CACHED_BLOCKS: u64 = 500;
 /// Owners of parts that a request asks at most.
-const PARTS_A_REQUEST: u64 = 3;
+const BLOCKS_PER_REQUEST: u64 = 3;
 /// Each step is played so often, and its figures are means.
 const REPEATS: u64 = 50;
 /// Longer than rows that changed wait to be looked at together, at any size that is measured.
-const SETTLED: Duration = Duration::from_millis(500);
+const UPDATE_DELAY: Duration = Duration::from_millis(500);
 
 /// What one step costs.
 #[derive(Clone, Copy, Debug, Default)]
@@ -49,7 +49,7 @@
 
 /// What each kind of step costs in a fleet of one size.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NodeWork {
+pub struct NodeCost {
     pub nodes: usize,
     /// A poll brings one server that changed.
     pub server_poll: Cost,
@@ -64,10 +64,10 @@
 }
 
 /// Plays a node among `nodes`.
-pub fn measure(nodes: usize) -> NodeWork {
-    scenario::play(async move {
+pub fn measure(nodes: usize) -> NodeCost {
+    runtime::play(async move {
         let mut fleet = Fleet::new(nodes).await;
-        NodeWork {
+        NodeCost {
             nodes,
             idle_10s: fleet.idle().await,
             event: fleet.events().await,
@@ -79,9 +79,9 @@
 }
 
 /// A network in which nobody answers.
-struct Nobody;
+struct UnreachableNetwork;
 
-impl Net for Nobody {
+impl Net for UnreachableNetwork {
     fn dial(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Stream>> {
         Box::pin(async { Err(io::ErrorKind::ConnectionRefused.into()) })
     }
@@ -108,31 +108,31 @@
             boot,
             0,
             LogBuffer::gathering(),
-            Rc::new(Nobody),
+            Rc::new(UnreachableNetwork),
             fastrand::Rng::with_seed(7),
         );
-        let plan: Plan = Plan {
-            store: None,
-            ..first_plan()
+        let configuration: Configuration = Configuration {
+            kv_store: None,
+            ..initial_configuration()
         };
         node.apply_configuration(ConfigUpdate {
             slot: 1,
             version: 1,
-            text: TextUpdate::Complete(plan.json()),
+            text: TextUpdate::Complete(configuration.json()),
             ..ConfigUpdate::default()
         });
         node.merge_records(MembershipDelta {
-            nodes: (1..nodes).map(|number| node_row(number, 1)).collect(),
-            servers: (0..nodes * SERVERS_A_NODE)
-                .map(|number| server_row(number, 1))
+            nodes: (1..nodes).map(|number| node_record(number, 1)).collect(),
+            servers: (0..nodes * SERVERS_PER_NODE)
+                .map(|number| server_record(number, 1))
                 .collect(),
             ..MembershipDelta::default()
         });
         spawn_local(node.clone().carry_out());
         spawn_local(event_follower::follow(node.clone()));
-        sleep(SETTLED).await;
+        sleep(UPDATE_DELAY).await;
         let mut source = Source::default();
-        source.apply_page(page(0, (0..KEPT_PARTS).map(part_key)));
+        source.apply_page(page(0, (0..CACHED_BLOCKS).map(block_key)));
         node.report_cached_blocks(&mut source, 1, false);
         Fleet {
             node,
@@ -171,7 +171,7 @@
 
     async fn events(&mut self) -> Cost {
         self.cost(async |fleet| {
-            let key = part_key(KEPT_PARTS + fleet.step);
+            let key = block_key(CACHED_BLOCKS + fleet.step);
             fleet.source.apply_page(page(fleet.step, [key].into_iter()));
             fleet.node.report_cached_blocks(&mut fleet.source, 1, false);
         })
@@ -182,7 +182,7 @@
         self.cost(async |fleet| {
             let ask = SelectionRequest {
                 service: SERVICE,
-                key: part_key(fleet.step),
+                key: block_key(fleet.step),
                 model: None,
                 is_long_generation: false,
                 attempted: &[],
@@ -191,11 +191,11 @@
             let picked = fleet.node.server_table.borrow().select(&ask, now);
             let server = picked.expect("all servers are ready").server as u64;
             let _ = fleet.node.keeps(server);
-            for part in 0..PARTS_A_REQUEST {
-                let _ = fleet.node.keeps(part_key(fleet.step + part));
+            for part in 0..BLOCKS_PER_REQUEST {
+                let _ = fleet.node.keeps(block_key(fleet.step + part));
             }
             let table = fleet.node.server_table.borrow();
-            let _ = table.by_id_hash(part_key(fleet.step));
+            let _ = table.by_id_hash(block_key(fleet.step));
         })
         .await
     }
@@ -203,10 +203,10 @@
     async fn server_polls(&mut self) -> Cost {
         self.cost(async |fleet| {
             fleet.node.merge_records(MembershipDelta {
-                servers: vec![server_row(1, fleet.step)].into(),
+                servers: vec![server_record(1, fleet.step)].into(),
                 ..MembershipDelta::default()
             });
-            sleep(SETTLED).await;
+            sleep(UPDATE_DELAY).await;
         })
         .await
     }
@@ -215,7 +215,7 @@
         self.cost(async |fleet| {
             let row = NodeRecord {
                 leaving: fleet.step.is_multiple_of(2),
-                ..node_row(fleet.nodes - 1, fleet.step)
+                ..node_record(fleet.nodes - 1, fleet.step)
             };
             fleet.node.merge_records(MembershipDelta {
                 nodes: vec![row].into(),
@@ -227,9 +227,9 @@
     }
 }
 
-fn node_row(number: usize, life: u64) -> NodeRecord {
+fn node_record(number: usize, incarnation: u64) -> NodeRecord {
     let address = |port: u16| format!("10.{}.{}.2:{port}", 100 + number / 250, number % 250);
-    let counted = number < COUNTED;
+    let counted = number < CORE_MACHINES;
     NodeRecord {
         name: format!("machine-{number}"),
         internal_address: address(7360),
@@ -241,13 +241,13 @@
         zone: format!("zone-{}", number % 3),
         counts_toward_quorum: counted,
         serves_clients: true,
-        incarnation: life,
-        nonce: life,
+        incarnation: incarnation,
+        nonce: incarnation,
         ..NodeRecord::default()
     }
 }
 
-fn server_row(number: usize, call_sequence: u64) -> ServerRecord {
+fn server_record(number: usize, call_sequence: u64) -> ServerRecord {
     ServerRecord {
         id: format!("i-{number:06}"),
         service: SERVICE.into(),
@@ -258,7 +258,7 @@
     }
 }
 
-fn part_key(number: u64) -> u64 {
+fn block_key(number: u64) -> u64 {
     sparrouter_rendezvous::mix(number + 1)
 }
 
--- a/crates/sparrouter-simulation/src/operator.rs
+++ b/crates/sparrouter-simulation/src/operator.rs
@@ -1,9 +1,9 @@
 //! The operator: configurations and versions, each sent until there is a clear answer, to any node of a lagging list.
+use crate::checkers::Monitor;
+use crate::configuration::Configuration;
+use crate::history::{OrderCall, Outcome};
 use crate::http_messages::{self, Reply};
-use crate::judge::Judge;
-use crate::net::MemoryNet;
-use crate::order_history::{OrderCall, Outcome};
-use crate::plan::Plan;
+use crate::network::interface::NetworkInterface;
 use crate::server::MODEL;
 use fastrand::Rng;
 use std::cell::RefCell;
@@ -12,22 +12,22 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-const PATIENCE: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Nothing is sent for longer.
-const GIVES_UP: Duration = Duration::from_secs(40);
+const SEND_TIMEOUT: Duration = Duration::from_secs(40);
 
 pub struct Operator {
-    net: MemoryNet,
-    judge: Rc<Judge>,
+    net: NetworkInterface,
+    monitor: Rc<Monitor>,
     rng: RefCell<Rng>,
     control: Rc<RefCell<Vec<SocketAddr>>>,
 }
 
 /// How a configuration is sent.
 #[derive(Clone, Debug)]
-pub enum How {
-    Whole,
-    Patch(Plan),
+pub enum Encoding {
+    Full,
+    Patch(Configuration),
     /// This body instead of the plan's.
     Body(String),
 }
@@ -39,23 +39,23 @@
     pub base: u64,
     pub body: String,
     /// The configuration that is in force once it is taken.
-    pub plan: Plan,
+    pub configuration: Configuration,
     /// Whether it may be taken at all.
     pub valid: bool,
 }
 
 impl Order {
-    pub fn new(plan: &Plan, base: u64, how: How, valid: bool) -> Order {
+    pub fn new(configuration: &Configuration, base: u64, how: Encoding, valid: bool) -> Order {
         let (method, body) = match how {
-            How::Whole => ("PUT", plan.json()),
-            How::Patch(before) => ("PATCH", plan.patch_json(&before)),
-            How::Body(body) => ("PUT", body),
+            Encoding::Full => ("PUT", configuration.json()),
+            Encoding::Patch(before) => ("PATCH", configuration.patch_json(&before)),
+            Encoding::Body(body) => ("PUT", body),
         };
         Order {
             method,
             base,
             body,
-            plan: plan.clone(),
+            configuration: configuration.clone(),
             valid,
         }
     }
@@ -67,9 +67,9 @@
     fn recorded(&self) -> OrderCall {
         OrderCall {
             base: self.base,
-            number: self.plan.version,
+            number: self.configuration.version,
             request: self.request(),
-            document: self.plan.json(),
+            document: self.configuration.json(),
             valid: self.valid,
         }
     }
@@ -77,14 +77,14 @@
 
 impl Operator {
     pub fn new(
-        net: MemoryNet,
-        judge: Rc<Judge>,
+        net: NetworkInterface,
+        monitor: Rc<Monitor>,
         rng: Rng,
         control: Rc<RefCell<Vec<SocketAddr>>>,
     ) -> Operator {
         Operator {
             net,
-            judge,
+            monitor,
             rng: RefCell::new(rng),
             control,
         }
@@ -96,68 +96,79 @@
     }
 
     /// Sends a whole configuration on top of `base`; gives back the status that ended it, 0 where none did.
-    pub async fn put(&self, plan: &Plan, base: u64) -> u16 {
-        self.change(plan, base, How::Whole, true).await.0
-    }
-
-    pub async fn patch(&self, plan: &Plan, before: &Plan) -> u16 {
-        self.change(plan, before.version, How::Patch(before.clone()), true)
+    pub async fn put(&self, configuration: &Configuration, base: u64) -> u16 {
+        self.change(configuration, base, Encoding::Full, true)
             .await
             .0
     }
 
+    pub async fn patch(&self, configuration: &Configuration, before: &Configuration) -> u16 {
+        self.change(
+            configuration,
+            before.version,
+            Encoding::Patch(before.clone()),
+            true,
+        )
+        .await
+        .0
+    }
+
     /// The status that ended it, and who answered. `valid`: whether it may be taken at all.
     pub async fn change(
         &self,
-        plan: &Plan,
+        configuration: &Configuration,
         base: u64,
-        how: How,
+        how: Encoding,
         valid: bool,
     ) -> (u16, Option<SocketAddr>) {
-        self.change_at(None, plan, base, how, valid).await
+        self.change_at(None, configuration, base, how, valid).await
     }
 
     /// The same, asking this node first.
     pub async fn change_at(
         &self,
         mut first: Option<SocketAddr>,
-        plan: &Plan,
+        configuration: &Configuration,
         base: u64,
-        how: How,
+        how: Encoding,
         valid: bool,
     ) -> (u16, Option<SocketAddr>) {
-        let order = Order::new(plan, base, how, valid);
-        let place = self.judge.body_sent(plan, base, valid, order.request());
+        let order = Order::new(configuration, base, how, valid);
+        let index = self
+            .monitor
+            .submit(configuration, base, valid, order.request());
         let began = Instant::now();
         let mut told = false;
         let mut others = 0;
         let mut pause = Duration::from_millis(50);
-        while began.elapsed() < GIVES_UP {
+        while began.elapsed() < SEND_TIMEOUT {
             let to = first.take().unwrap_or_else(|| self.any());
             let status = self.send(to, &order).await;
             match status {
                 200..=299 => {
-                    self.judge.config_acknowledged(place);
+                    self.monitor.configuration_acknowledged(index);
                     return (status, Some(to));
                 }
                 400 | 409 | 412 | 413 | 422 => {
                     // Had an earlier send been taken, unheard, it would be 200: so none was, and none may be.
-                    self.judge.config_refused(place, status);
+                    self.monitor.configuration_rejected(index, status);
                     return (status, Some(to));
                 }
                 404 | 405 if others >= 2 => return (status, Some(to)),
                 404 | 405 => others += 1,
                 _ => {}
             }
-            if !told && valid && began.elapsed() > self.judge.bounds.ack_timeout {
+            if !told && valid && began.elapsed() > self.monitor.bounds.ack_timeout {
                 let now = Instant::now();
-                if self.judge.core_stable(began, now) && !self.judge.any_unplanned(began, now) {
+                if self.monitor.core_stable(began, now)
+                    && !self.monitor.any_unplanned_fault(began, now)
+                {
                     told = true;
-                    self.judge.breach(
+                    self.monitor.report_violation(
                         "ACKS",
                         format!(
                             "{} has no acknowledgement after {:?}",
-                            plan.version,
+                            configuration.version,
                             now - began
                         ),
                     );
@@ -172,7 +183,7 @@
     /// One call to one node, recorded for the check of the history; the status, 0 where no answer came.
     pub async fn send(&self, to: SocketAddr, order: &Order) -> u16 {
         let call = self
-            .judge
+            .monitor
             .history
             .borrow_mut()
             .order_invoked(order.recorded());
@@ -188,7 +199,7 @@
             "/api/config",
             &fields,
             &order.body,
-            PATIENCE,
+            CALL_TIMEOUT,
         )
         .await;
         let text = |r: &Reply| {
@@ -198,8 +209,8 @@
                 r.text().chars().take(80).collect::<String>()
             )
         };
-        self.judge
-            .detail(|| format!("{to} answers the operator: {:?}", reply.as_ref().map(text)));
+        self.monitor
+            .trace_detail(|| format!("{to} answers the operator: {:?}", reply.as_ref().map(text)));
         let status = reply.map_or(0, |r| r.status);
         let outcome = match status {
             200..=299 => Some(Outcome::Acknowledged),
@@ -207,7 +218,10 @@
             _ => None,
         };
         if let Some(outcome) = outcome {
-            self.judge.history.borrow_mut().answered(call, outcome);
+            self.monitor
+                .history
+                .borrow_mut()
+                .response_received(call, outcome);
         }
         status
     }
@@ -216,7 +230,7 @@
     pub async fn name_version(&self, version: u64) -> bool {
         let began = Instant::now();
         let body = format!("{{\"model\":\"{MODEL}\",\"version\":{version}}}");
-        while began.elapsed() < GIVES_UP {
+        while began.elapsed() < SEND_TIMEOUT {
             let to = self.any();
             let call = http_messages::call(
                 &self.net,
@@ -225,10 +239,10 @@
                 "/api/version-put",
                 &[],
                 &body,
-                PATIENCE,
+                CALL_TIMEOUT,
             );
             if call.await.is_ok_and(|r| r.status < 300) {
-                self.judge.named(version);
+                self.monitor.weights_acknowledged(version);
                 return true;
             }
             sleep(Duration::from_millis(100)).await;
@@ -238,8 +252,8 @@
 
     /// One question to one node, recorded for the check of the history.
     pub async fn get_from(&self, to: SocketAddr) -> Option<Reply> {
-        let call = self.judge.history.borrow_mut().read_invoked();
-        let reply = http_messages::call(&self.net, to, "GET", "/api/config", &[], "", PATIENCE)
+        let call = self.monitor.history.borrow_mut().read_invoked();
+        let reply = http_messages::call(&self.net, to, "GET", "/api/config", &[], "", CALL_TIMEOUT)
             .await
             .ok()?;
         let outcome = match reply.status {
@@ -248,7 +262,10 @@
             _ => None,
         };
         if let Some(outcome) = outcome {
-            self.judge.history.borrow_mut().answered(call, outcome);
+            self.monitor
+                .history
+                .borrow_mut()
+                .response_received(call, outcome);
         }
         Some(reply)
     }
@@ -257,7 +274,7 @@
     pub async fn read_back(&self) {
         let began = Instant::now();
         let mut last = (0, String::new());
-        while began.elapsed() < self.judge.bounds.contact * 2 {
+        while began.elapsed() < self.monitor.bounds.contact * 2 {
             if let Some(reply) = self.get_from(self.any()).await {
                 last = (reply.status, reply.text().to_owned());
                 if reply.status == 200 {
@@ -266,6 +283,6 @@
             }
             sleep(Duration::from_millis(200)).await;
         }
-        self.judge.read_back(last.0, &last.1);
+        self.monitor.read_back(last.0, &last.1);
     }
 }
--- a/crates/sparrouter-simulation/src/order_storm.rs
+++ b/crates/sparrouter-simulation/src/order_load.rs
@@ -3,10 +3,10 @@
 //! Each operator reads, builds orders on what it last knew, sends them to any node, sends them again or gives up, takes
 //! up orders that others sent long ago, and puts other bodies under their numbers. One machine of the core at a time is
 //! killed, frozen, cut off or without power, answers to the operators are lost, and at times every process ends.
-use crate::fabric::Cut;
-use crate::operator::{How, Order};
-use crate::plan::{Kind, Plan, Route};
-use crate::world::{Terms, World, first_plan};
+use crate::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use crate::configuration::{Configuration, Route, RouteKind};
+use crate::network::Partition;
+use crate::operator::{Encoding, Order};
 use fastrand::Rng;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 /// What a storm came to.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
     pub story: Vec<String>,
     pub calls: usize,
     pub acknowledged: u32,
@@ -38,9 +38,9 @@
     Killed,
     PowerLost,
     Frozen,
-    CutOff(Cut),
+    CutOff(Partition),
     /// Its answers to operators are lost.
-    AnswersLost,
+    ServerResets,
     AllKilled,
 }
 
@@ -48,19 +48,19 @@
     Trouble::Killed,
     Trouble::PowerLost,
     Trouble::Frozen,
-    Trouble::CutOff(Cut::Silent),
-    Trouble::CutOff(Cut::Refusing),
-    Trouble::AnswersLost,
+    Trouble::CutOff(Partition::PacketsLost),
+    Trouble::CutOff(Partition::Refusing),
+    Trouble::ServerResets,
     Trouble::AllKilled,
 ];
 
-struct Storm {
-    world: Rc<World>,
+struct OrderLoad {
+    cluster: Rc<SimulatedCluster>,
     rng: RefCell<Rng>,
     /// Orders that were sent, whatever became of them.
     sent: RefCell<Vec<Order>>,
     /// Configurations by their text, to build on what was read.
-    plans: RefCell<BTreeMap<String, Plan>>,
+    plans: RefCell<BTreeMap<String, Configuration>>,
     over: Cell<bool>,
     report: RefCell<Report>,
 }
@@ -68,24 +68,24 @@
 /// Plays a storm to its end and checks its history.
 pub async fn play(seed: u64) -> Report {
     let mut rng = Rng::with_seed(seed ^ 0x0dde_4557);
-    let world = World::serving(Terms {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         core: if rng.u8(..4) == 0 { 5 } else { 3 },
         others: rng.usize(1..3),
         servers: 1,
         sync: Duration::from_millis([1, 2, 6, 30][rng.usize(..4)]),
         across: Duration::from_millis(rng.u64(2..12)),
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     })
     .await;
-    let storm = Rc::new(Storm {
-        world: world.clone(),
+    let storm = Rc::new(OrderLoad {
+        cluster: cluster.clone(),
         rng: RefCell::new(rng),
         sent: RefCell::default(),
         plans: RefCell::default(),
         over: Cell::new(false),
         report: RefCell::default(),
     });
-    storm.remember(&first_plan());
+    storm.remember(&initial_configuration());
     let operators: Vec<_> = (0..OPERATORS)
         .map(|n| spawn_local(storm.clone().operate(n)))
         .collect();
@@ -96,21 +96,21 @@
     storm.over.set(true);
     for operator in operators {
         if operator.await.is_err() {
-            world
-                .judge
-                .breach("FAULT", "an operator did not come to its end");
+            cluster
+                .monitor
+                .report_violation("FAULT", "an operator did not come to its end");
         }
     }
     storm.settle().await;
-    world.judge.check_history();
+    cluster.monitor.check_history();
     let mut report = storm.report.borrow().clone();
-    report.calls = world.judge.history.borrow().len();
-    report.breaches = world.judge.breaches();
-    report.story = world.judge.event_log();
+    report.calls = cluster.monitor.history.borrow().len();
+    report.violations = cluster.monitor.violations();
+    report.story = cluster.monitor.event_trace();
     report
 }
 
-impl Storm {
+impl OrderLoad {
     async fn pause(&self, ms: std::ops::Range<u64>) {
         let pause = Duration::from_millis(self.rng.borrow_mut().u64(ms));
         sleep(pause).await;
@@ -121,18 +121,20 @@
     }
 
     fn any_node(&self) -> SocketAddr {
-        let names = self.world.names();
-        let place = self.rng.borrow_mut().usize(..names.len());
-        self.world.control_of(&names[place])
+        let names = self.cluster.names();
+        let index = self.rng.borrow_mut().usize(..names.len());
+        self.cluster.control_of(&names[index])
     }
 
-    fn remember(&self, plan: &Plan) {
-        self.plans.borrow_mut().insert(plan.json(), plan.clone());
+    fn remember(&self, configuration: &Configuration) {
+        self.plans
+            .borrow_mut()
+            .insert(configuration.json(), configuration.clone());
     }
 
     /// One operator until the troubles are over.
     async fn operate(self: Rc<Self>, own: usize) {
-        let mut known = first_plan();
+        let mut known = initial_configuration();
         let mut round = 0;
         while !self.over.get() {
             self.pause(0..400).await;
@@ -144,19 +146,19 @@
                 Some(old) => old,
                 None => self.new_order(&known, &format!("o{own}n{round}")),
             };
-            if self.submit(&order).await == 200 && order.plan.version > known.version {
-                known = order.plan.clone();
+            if self.submit(&order).await == 200 && order.configuration.version > known.version {
+                known = order.configuration.clone();
             }
         }
     }
 
     /// The configuration that a node reads, if it answers with one; half of the time nobody is asked.
-    async fn read(&self) -> Option<Plan> {
+    async fn read(&self) -> Option<Configuration> {
         if self.one_in(2) {
             return None;
         }
         let to = self.any_node();
-        let reply = self.world.operator.get_from(to).await?;
+        let reply = self.cluster.operator.get_from(to).await?;
         self.plans.borrow().get(reply.text()).cloned()
     }
 
@@ -174,24 +176,25 @@
         if self.one_in(2) {
             return Some(old);
         }
-        let mut plan = old.plan.clone();
-        plan.routes[0].timeout_ms += 1;
-        self.remember(&plan);
-        Some(Order::new(&plan, old.base, How::Whole, true))
+        let mut configuration = old.configuration.clone();
+        configuration.routes[0].timeout_ms += 1;
+        self.remember(&configuration);
+        Some(Order::new(&configuration, old.base, Encoding::Full, true))
     }
 
-    fn new_order(&self, base: &Plan, name: &str) -> Order {
+    fn new_order(&self, base: &Configuration, name: &str) -> Order {
         let step = self.rng.borrow_mut().u64(1..4);
-        let plan = base.next(step, |p| {
+        let configuration = base.next(step, |p| {
             p.routes.truncate(8);
-            p.routes.push(Route::new(name, Kind::Idempotent, "models"));
+            p.routes
+                .push(Route::new(name, RouteKind::Idempotent, "models"));
         });
-        self.remember(&plan);
+        self.remember(&configuration);
         let how = match self.one_in(2) {
-            true => How::Whole,
-            false => How::Patch(base.clone()),
+            true => Encoding::Full,
+            false => Encoding::Patch(base.clone()),
         };
-        Order::new(&plan, base.version, how, true)
+        Order::new(&configuration, base.version, how, true)
     }
 
     /// Sends an order until there is a clear answer, or the operator gives up.
@@ -200,7 +203,7 @@
         let tries = self.rng.borrow_mut().u32(1..8);
         for _ in 0..tries {
             let to = self.any_node();
-            let status = self.world.operator.send(to, order).await;
+            let status = self.cluster.operator.send(to, order).await;
             self.count(status);
             if matches!(status, 200 | 400..=499) {
                 return status;
@@ -222,12 +225,12 @@
     async fn strike(&self) {
         let trouble = ALL_TROUBLES[self.rng.borrow_mut().usize(..ALL_TROUBLES.len())];
         let names = match self.one_in(4) {
-            true => self.world.names(),
-            false => self.world.core(),
+            true => self.cluster.names(),
+            false => self.cluster.core(),
         };
         let name = names[self.rng.borrow_mut().usize(..names.len())].clone();
-        self.world.judge.note(format!("-- {trouble:?} {name}"));
-        let w = &self.world;
+        self.cluster.monitor.trace(format!("-- {trouble:?} {name}"));
+        let w = &self.cluster;
         match trouble {
             Trouble::Killed => {
                 w.kill(&name);
@@ -245,15 +248,15 @@
                 w.freeze(&name, false);
             }
             Trouble::CutOff(cut) => {
-                w.cut_off(&[&name], Some(cut));
+                w.partition(&[&name], Some(cut));
                 self.pause(200..6_000).await;
-                w.cut_off(&[&name], None);
+                w.partition(&[&name], None);
             }
-            Trouble::AnswersLost => {
+            Trouble::ServerResets => {
                 let (from, to) = (w.ip(&name), w.operator_ip());
-                w.fabric.cut(from, to, Some(Cut::Silent));
+                w.network.cut(from, to, Some(Partition::PacketsLost));
                 self.pause(200..4_000).await;
-                w.fabric.cut(from, to, None);
+                w.network.cut(from, to, None);
                 return;
             }
             Trouble::AllKilled => {
@@ -270,15 +273,15 @@
         let sent = self.sent.borrow().clone();
         for order in sent {
             let to = self.any_node();
-            self.world.operator.send(to, &order).await;
+            self.cluster.operator.send(to, &order).await;
         }
-        for name in self.world.names() {
-            let to = self.world.control_of(&name);
-            let read = self.world.operator.get_from(to).await;
+        for name in self.cluster.names() {
+            let to = self.cluster.control_of(&name);
+            let read = self.cluster.operator.get_from(to).await;
             if read.is_none_or(|r| r.status != 200) {
-                self.world
-                    .judge
-                    .breach("LOST", format!("{name} reads nothing in calm"));
+                self.cluster
+                    .monitor
+                    .report_violation("LOST", format!("{name} reads nothing in calm"));
             }
         }
     }
--- a/crates/sparrouter-simulation/src/process.rs
+++ b/crates/sparrouter-simulation/src/process.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Sleep, sleep};
 
 #[derive(Default)]
-struct Inside {
+struct ProcessState {
     tasks: RefCell<Option<LocalSet>>,
     frozen: Cell<bool>,
     /// Pause between two turns.
@@ -21,12 +21,12 @@
 }
 
 /// A simulated process. Dropping it kills the process.
-pub struct SimulatedProcess(Rc<Inside>);
+pub struct SimulatedProcess(Rc<ProcessState>);
 
 impl SimulatedProcess {
     /// Starts a process. It ends when `main` does, whatever other tasks it has.
     pub fn start(main: impl Future<Output = ()> + 'static) -> SimulatedProcess {
-        let inside = Rc::new(Inside::default());
+        let inside = Rc::new(ProcessState::default());
         let tasks = LocalSet::new();
         let held = Rc::downgrade(&inside);
         tasks.spawn_local(async move {
--- a/crates/sparrouter-simulation/src/scenario.rs
+++ b/crates/sparrouter-simulation/src/runtime.rs
@@ -1,5 +1,5 @@
 //! Tells a story: a runtime whose clock runs only where nothing else does, and the rules at the end.
-use crate::world::World;
+use crate::cluster::SimulatedCluster;
 use std::cell::RefCell;
 use std::future::Future;
 use std::rc::Rc;
@@ -18,11 +18,11 @@
 }
 
 /// A story whose world is judged at the end.
-pub fn run_judged<F: Future<Output = Rc<World>>>(story: impl FnOnce() -> F) {
+pub fn run_checked<F: Future<Output = Rc<SimulatedCluster>>>(story: impl FnOnce() -> F) {
     play(async move {
-        let world = story().await;
-        world.judge.check_history();
-        world.judge.assert_kept();
+        let cluster = story().await;
+        cluster.monitor.check_history();
+        cluster.monitor.assert_no_violations();
     });
 }
 
@@ -31,7 +31,7 @@
 }
 
 /// From now on panics are kept for `panics` of their thread: the runtime ends the task alone and says nothing of it.
-pub fn heed_panics() {
+pub fn collect_panics() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
         std::panic::set_hook(Box::new(|panic| {
--- a/crates/sparrouter-simulation/src/server/heartbeats.rs
+++ b/crates/sparrouter-simulation/src/server/heartbeats.rs
@@ -1,7 +1,7 @@
 //! A server's life as the fleet hears of it: beats, draining, leaving.
 use super::{MODEL, Server, State};
 use crate::http_messages;
-use crate::net::MemoryListener;
+use crate::network::interface::SimulatedListener;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 use tokio::time::{Instant, sleep};
 
 /// A caller waits a second for an acknowledgement.
-const PATIENCE: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// It serves on so long beyond its drain time, and waits so long where nobody acknowledges.
 const LINGER: Duration = Duration::from_millis(800);
 const UNHEARD: Duration = Duration::from_secs(5);
 
 impl Server {
     /// Its whole life: it ends by itself only after `drain`.
-    pub async fn live(self: Rc<Self>, door: MemoryListener) {
+    pub async fn run(self: Rc<Self>, listener: SimulatedListener) {
         let serving = self.clone();
         spawn_local(async move {
             loop {
-                let (stream, from) = door.next().await;
+                let (stream, from) = listener.next().await;
                 let server = serving.clone();
-                spawn_local(async move { server.attend(stream, from).await });
+                spawn_local(async move { server.serve_connection(stream, from).await });
             }
         });
-        sleep(self.terms.first_beat).await;
-        let first = self.beat_body();
+        sleep(self.settings.first_heartbeat_after).await;
+        let first = self.heartbeat_body();
         while self.state.get() == State::Ready {
             self.beat().await;
             let pause = self
-                .terms
+                .settings
                 .heartbeat
                 .mul_f64(0.9 + 0.2 * self.rng.borrow_mut().f64());
             let until = Instant::now() + pause;
@@ -48,22 +48,22 @@
         }
         if let Some(by) = acknowledged {
             self.drained_by.set(Some(by));
-            self.judge.draining(&self.terms.id, by);
-            if self.late_beat.get() {
-                let path = format!("/api/instances/{}", self.terms.id);
-                let _ =
-                    http_messages::call(&self.net, by, "PUT", &path, &[], &first, PATIENCE).await;
+            self.monitor.drain_acknowledged(&self.settings.id, by);
+            if self.duplicate_first_heartbeat.get() {
+                let path = format!("/api/instances/{}", self.settings.id);
+                let _ = http_messages::call(&self.net, by, "PUT", &path, &[], &first, CALL_TIMEOUT)
+                    .await;
             }
-            sleep(self.terms.drain_timeout + LINGER).await;
+            sleep(self.settings.drain_timeout + LINGER).await;
         }
         for _ in 0..3 {
-            let path = format!("/api/instances/{}", self.terms.id);
+            let path = format!("/api/instances/{}", self.settings.id);
             if let Some(to) = self.whom()
                 && let Ok(reply) =
-                    http_messages::call(&self.net, to, "DELETE", &path, &[], "", PATIENCE).await
+                    http_messages::call(&self.net, to, "DELETE", &path, &[], "", CALL_TIMEOUT).await
                 && reply.status < 300
             {
-                self.judge.draining(&self.terms.id, to);
+                self.monitor.drain_acknowledged(&self.settings.id, to);
                 break;
             }
             self.target.set(None);
@@ -75,7 +75,7 @@
         }
     }
 
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.state.get() == State::Draining
     }
 
@@ -90,14 +90,14 @@
     }
 
     fn whom(&self) -> Option<SocketAddr> {
-        let list = self.terms.control.borrow();
+        let list = self.settings.control.borrow();
         let any = || (!list.is_empty()).then(|| list[self.rng.borrow_mut().usize(..list.len())]);
         self.target.get().or_else(any)
     }
 
-    fn beat_body(&self) -> String {
+    fn heartbeat_body(&self) -> String {
         self.call_sequence.set(self.call_sequence.get() + 1);
-        let t = &self.terms;
+        let t = &self.settings;
         let state = if self.state.get() == State::Ready {
             "ready"
         } else {
@@ -120,9 +120,9 @@
     async fn beat(&self) -> Option<SocketAddr> {
         for _ in 0..3 {
             let to = self.whom()?;
-            let path = format!("/api/instances/{}", self.terms.id);
-            let body = self.beat_body();
-            match http_messages::call(&self.net, to, "PUT", &path, &[], &body, PATIENCE).await {
+            let path = format!("/api/instances/{}", self.settings.id);
+            let body = self.heartbeat_body();
+            match http_messages::call(&self.net, to, "PUT", &path, &[], &body, CALL_TIMEOUT).await {
                 Ok(reply) if reply.status < 300 && reply.body.len() <= 4 << 10 => {
                     let told = reply.text().split("\"heartbeat_target\":\"").nth(1);
                     let told = told
--- a/crates/sparrouter-simulation/src/server.rs
+++ b/crates/sparrouter-simulation/src/server/mod.rs
@@ -3,14 +3,14 @@
 //! What it answers is told by the path's last word: `sN` a stream of N events, `bN` a body of N bytes. Every event and
 //! body names the run it comes from, so that the judge can tell pieces of two runs apart.
 mod heartbeats;
-mod work;
+mod requests;
 
-pub use work::{body_of, event_of};
+pub use requests::{body_of, event_of};
 
-use crate::connection::End;
-use crate::http_messages::{next_call, whole};
-use crate::judge::{Judge, Made};
-use crate::net::MemoryNet;
+use crate::checkers::{CachedBlock, Monitor};
+use crate::http_messages::{next_call, response_text};
+use crate::network::connection::End;
+use crate::network::interface::NetworkInterface;
 use bytes::{Bytes, BytesMut};
 use fastrand::Rng;
 use sparrouter_http::head::RequestHead;
@@ -27,13 +27,13 @@
 /// The one model of these stories.
 pub const MODEL: &str = "daka510000";
 /// Parts that a server or store keeps: under which salt and id, made by whom.
-pub type Memory = Rc<RefCell<BTreeMap<(String, String), Made>>>;
+pub type BlockStore = Rc<RefCell<BTreeMap<(String, String), CachedBlock>>>;
 /// All of them by address, as `Kv-Fetch` and `Kv-Save` name them.
-pub type Memories = Rc<RefCell<BTreeMap<SocketAddr, Memory>>>;
+pub type BlockStores = Rc<RefCell<BTreeMap<SocketAddr, BlockStore>>>;
 
 /// What a server does wrong, as chances.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Faults {
+pub struct ServerFaults {
     /// Breaks a stream off midway.
     pub breaks: f64,
     /// Runs a request and resets the connection without a word.
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct ClusterSettings {
     pub id: String,
     pub service: String,
     pub zone: String,
@@ -56,7 +56,7 @@
     pub version: u64,
     pub heartbeat: Duration,
     /// After it takes requests.
-    pub first_beat: Duration,
+    pub first_heartbeat_after: Duration,
     pub drain_timeout: Duration,
     /// Until its first token, between two, and how long new weights take.
     pub work: Duration,
@@ -64,7 +64,7 @@
     pub load: Duration,
     /// Addresses that serve control, as the operator's list has them.
     pub control: Rc<RefCell<Vec<SocketAddr>>>,
-    pub memories: Memories,
+    pub block_stores: BlockStores,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,50 +74,55 @@
 }
 
 pub struct Server {
-    pub terms: Terms,
-    net: MemoryNet,
-    judge: Rc<Judge>,
+    pub settings: ClusterSettings,
+    net: NetworkInterface,
+    monitor: Rc<Monitor>,
     rng: RefCell<Rng>,
-    pub faults: Cell<Faults>,
+    pub faults: Cell<ServerFaults>,
     state: Cell<State>,
     version: Cell<u64>,
     loading: Cell<bool>,
     orders: Cell<u64>,
-    fence: Cell<u64>,
+    fencing_token: Cell<u64>,
     call_sequence: Cell<u64>,
     target: Cell<Option<SocketAddr>>,
     slots: Semaphore,
     queued: Cell<u32>,
     running: Cell<u32>,
-    kept: Memory,
+    kept: BlockStore,
     /// What it kept and let go, as it tells it; and how often it took a part from another.
     told: RefCell<Vec<String>>,
     pub moves: Cell<u32>,
     /// Who acknowledged that it drains.
     pub drained_by: Cell<Option<SocketAddr>>,
     /// A delayed copy of its first beat, sent once more after it drains.
-    pub late_beat: Cell<bool>,
+    pub duplicate_first_heartbeat: Cell<bool>,
 }
 
 impl Server {
-    pub fn new(terms: Terms, net: MemoryNet, judge: Rc<Judge>, rng: Rng) -> Rc<Server> {
-        let kept = Memory::default();
-        terms
-            .memories
+    pub fn new(
+        settings: ClusterSettings,
+        net: NetworkInterface,
+        monitor: Rc<Monitor>,
+        rng: Rng,
+    ) -> Rc<Server> {
+        let kept = BlockStore::default();
+        settings
+            .block_stores
             .borrow_mut()
-            .insert(terms.address, kept.clone());
+            .insert(settings.address, kept.clone());
         Rc::new(Server {
-            version: Cell::new(terms.version),
-            slots: Semaphore::new(terms.slots as usize),
-            terms,
+            version: Cell::new(settings.version),
+            slots: Semaphore::new(settings.slots as usize),
+            settings,
             net,
-            judge,
+            monitor,
             rng: RefCell::new(rng),
             faults: Cell::default(),
             state: Cell::new(State::Ready),
             loading: Cell::new(false),
             orders: Cell::new(0),
-            fence: Cell::new(0),
+            fencing_token: Cell::new(0),
             call_sequence: Cell::new(0),
             target: Cell::new(None),
             queued: Cell::new(0),
@@ -126,7 +131,7 @@
             told: RefCell::default(),
             moves: Cell::new(0),
             drained_by: Cell::new(None),
-            late_beat: Cell::new(false),
+            duplicate_first_heartbeat: Cell::new(false),
         })
     }
 
@@ -141,8 +146,8 @@
         self.orders.get()
     }
 
-    async fn attend(self: Rc<Self>, mut stream: End, from: SocketAddr) {
-        let mut talk = Talk::default();
+    async fn serve_connection(self: Rc<Self>, mut stream: End, from: SocketAddr) {
+        let mut talk = ServerConnection::default();
         while let Some((head, body)) = next_call(&mut stream, &mut talk.buffer).await {
             let late = std::mem::take(&mut talk.late);
             if !late.is_empty() && stream.write_all(late.as_bytes()).await.is_err() {
@@ -150,21 +155,21 @@
             }
             let path = String::from_utf8_lossy(&head.target).into_owned();
             let answer = match (&head.method[..], path.as_str()) {
-                (b"GET", "/health") => whole(
+                (b"GET", "/health") => response_text(
                     if self.state.get() == State::Ready {
                         200
                     } else {
                         503
                     },
-                    &format!("Sparrouter-Instance-Id: {}\r\n", self.terms.id),
+                    &format!("Sparrouter-Instance-Id: {}\r\n", self.settings.id),
                     "",
                 ),
-                (b"GET", "/api/report") => whole(200, "", &self.report()),
+                (b"GET", "/api/report") => response_text(200, "", &self.report()),
                 (b"POST", "/api/order") => self.clone().order(&head, &body, from),
                 (b"GET", path) if path.starts_with("/api/kv-events") => {
                     self.events(path, &head).await
                 }
-                (b"GET", "/api/kv-list") => whole(
+                (b"GET", "/api/kv-list") => response_text(
                     200,
                     "",
                     "{\"epoch\":1,\"next_page_token\":0,\"held_count\":[]}",
@@ -224,7 +229,7 @@
         let told = self.told.borrow();
         let news = told.get(since..).unwrap_or_default().join(",");
         let next = told.len();
-        whole(
+        response_text(
             200,
             "",
             &format!(
@@ -235,9 +240,9 @@
 
     fn order(self: Rc<Self>, head: &RequestHead, body: &Bytes, from: SocketAddr) -> String {
         let expected = head.fields.text("sparrouter-expected-instance");
-        if expected.is_some_and(|id| id != self.terms.id) {
-            let own = format!("Sparrouter-Instance-Id: {}\r\n", self.terms.id);
-            return whole(421, &own, "");
+        if expected.is_some_and(|id| id != self.settings.id) {
+            let own = format!("Sparrouter-Instance-Id: {}\r\n", self.settings.id);
+            return response_text(421, &own, "");
         }
         #[derive(miniserde::Deserialize)]
         struct Order {
@@ -251,29 +256,29 @@
         }
         let text = std::str::from_utf8(body).unwrap_or_default();
         let Ok(order) = miniserde::json::from_str::<Order>(text) else {
-            return whole(400, "", "");
+            return response_text(400, "", "");
         };
-        self.judge.ordered(
-            &self.terms.id,
+        self.monitor.command_received(
+            &self.settings.id,
             &order.holder_id,
             order.fence_token,
             from.ip(),
         );
         if order.operation != "version" || order.model != MODEL || order.method != "queue" {
-            return whole(400, "", "");
+            return response_text(400, "", "");
         }
-        if order.fence_token < self.fence.get() && self.judge.bounds.fencing {
-            return whole(412, "", "");
+        if order.fence_token < self.fencing_token.get() && self.monitor.bounds.fencing {
+            return response_text(412, "", "");
         }
-        self.fence.set(order.fence_token);
+        self.fencing_token.set(order.fence_token);
         if order.version <= self.version.get() {
-            return whole(200, "", "");
+            return response_text(200, "", "");
         }
         if self.loading.get() || order.expected_count.is_some_and(|n| n != self.orders.get()) {
-            return whole(409, "", "");
+            return response_text(409, "", "");
         }
         self.orders.set(self.orders.get() + 1);
-        self.judge.loads(&self.terms.id, order.version);
+        self.monitor.load_started(&self.settings.id, order.version);
         self.loading.set(true);
         let server = self.clone();
         spawn_local(async move {
@@ -281,7 +286,7 @@
             while server.running.get() > 0 {
                 sleep(Duration::from_millis(5)).await;
             }
-            sleep(server.terms.load).await;
+            sleep(server.settings.load).await;
             let dropped = std::mem::take(&mut *server.kept.borrow_mut());
             dropped
                 .keys()
@@ -289,13 +294,13 @@
             server.version.set(order.version);
             server.loading.set(false);
         });
-        whole(202, "", "")
+        response_text(202, "", "")
     }
 }
 
 /// A connection between two calls: what came ahead, and an answer too many that is still to come.
 #[derive(Default)]
-struct Talk {
+struct ServerConnection {
     buffer: BytesMut,
     late: String,
 }
--- a/crates/sparrouter-simulation/src/server/work.rs
+++ b/crates/sparrouter-simulation/src/server/requests.rs
@@ -1,8 +1,8 @@
 //! A request at a server: declined, queued, run, and its answer with what may be wrong with it.
-use super::{Server, Talk};
-use crate::connection::End;
-use crate::http_messages::whole;
-use crate::judge::{Made, Run};
+use super::{Server, ServerConnection};
+use crate::checkers::{CachedBlock, Run};
+use crate::http_messages::response_text;
+use crate::network::connection::End;
 use bytes::{Bytes, BytesMut};
 use sparrouter_http::head::{Fields, RequestHead};
 use sparrouter_http::reading;
@@ -17,12 +17,12 @@
     async fn decline(&self, stream: &mut End, status: u16, id: &str) -> Option<bool> {
         let fields = format!(
             "Sparrouter-Attempt-Id: {id}\r\nSparrouter-Not-Executed: 1\r\nSparrouter-Instance-Id: {}\r\nVersions: {}\r\n",
-            self.terms.id,
+            self.settings.id,
             self.version.get()
         );
         Some(
             stream
-                .write_all(whole(status, &fields, "").as_bytes())
+                .write_all(response_text(status, &fields, "").as_bytes())
                 .await
                 .is_ok(),
         )
@@ -32,7 +32,7 @@
     pub(super) async fn serve(
         &self,
         stream: &mut End,
-        talk: &mut Talk,
+        talk: &mut ServerConnection,
         head: &RequestHead,
         body: &Bytes,
         path: &str,
@@ -42,14 +42,14 @@
         let text = |name: &str| fields.text(name).unwrap_or_default().to_owned();
         let id = text("sparrouter-attempt-id");
         let expected = fields.text("sparrouter-expected-instance");
-        if expected.is_some_and(|e| e != self.terms.id) {
+        if expected.is_some_and(|e| e != self.settings.id) {
             return self.decline(stream, 421, &id).await;
         }
         if id.is_empty() {
             return self.decline(stream, 400, &id).await;
         }
-        self.judge
-            .arrived(&self.terms.service, &id, &self.terms.id, from.ip());
+        self.monitor
+            .request_arrived(&self.settings.service, &id, &self.settings.id, from.ip());
         let wanted = |v: u64| {
             fields
                 .text("expect-version")
@@ -58,7 +58,7 @@
         if !wanted(self.version.get()) && !self.loading.get() {
             return self.decline(stream, 421, &id).await;
         }
-        if self.loading.get() || self.queued.get() > self.terms.slots * 3 {
+        if self.loading.get() || self.queued.get() > self.settings.slots * 3 {
             return self.decline(stream, 503, &id).await;
         }
         let left = text("sparrouter-deadline-ms").parse().unwrap_or(30_000);
@@ -106,14 +106,14 @@
         let salt = fields.text("cache-salt").unwrap_or_default().to_owned();
         let version = self.version.get();
         let tenant = fields.text("sparrouter-tenant").map(str::to_owned);
-        let own = Made {
+        let own = CachedBlock {
             version,
             tenant: tenant.clone(),
         };
-        let mut made = Vec::new();
+        let mut cached_blocks = Vec::new();
         let memory = |name: &str| {
             let at: SocketAddr = fields.text(name)?.parse().ok()?;
-            self.terms.memories.borrow().get(&at).cloned()
+            self.settings.block_stores.borrow().get(&at).cloned()
         };
         let (fetch, save) = (memory("kv-fetch"), memory("kv-save"));
         for part in fields
@@ -148,12 +148,12 @@
                 // What it has stays as it was first made.
                 store.borrow_mut().entry(key).or_insert_with(|| at.clone());
             }
-            made.push(at);
+            cached_blocks.push(at);
         }
-        self.judge.ran(Run {
+        self.monitor.run_started(Run {
             attempt: id.to_owned(),
-            service: self.terms.service.clone(),
-            instance: self.terms.id.clone(),
+            service: self.settings.service.clone(),
+            instance: self.settings.id.clone(),
             by: from.ip(),
             method: String::from_utf8_lossy(&head.method).into_owned(),
             path: path.to_owned(),
@@ -161,7 +161,7 @@
             tenant,
             key: fields.text("sparrouter-key").map(str::to_owned),
             version,
-            made,
+            cached_blocks,
             resumed: fields
                 .text("last-event-id")
                 .and_then(|l| l.trim().parse().ok())
@@ -181,16 +181,16 @@
         let chance = |of: f64| of > 0.0 && self.rng.borrow_mut().f64() < of;
         let faults = self.faults.get();
         if chance(faults.resets) {
-            self.judge.faulty(run);
+            self.monitor.server_faulted(run);
             return None;
         }
-        sleep(self.terms.work).await;
+        sleep(self.settings.work).await;
         if chance(faults.hangs) {
-            self.judge.faulty(run);
+            self.monitor.server_faulted(run);
             std::future::pending::<()>().await;
         }
         if chance(faults.garbles) {
-            self.judge.faulty(run);
+            self.monitor.server_faulted(run);
             // No more can come of it, whether it is heard or not.
             let _ = stream
                 .write_all(b"\x16\x03\x01 no answer at all\r\n\r\n")
@@ -203,7 +203,7 @@
             self.version.get(),
             self.running.get(),
             self.queued.get(),
-            self.terms.slots
+            self.settings.slots
         );
         let word = path
             .split('?')
@@ -214,7 +214,7 @@
             .unwrap_or_default();
         let count: u64 = word.get(1..).and_then(|n| n.parse().ok()).unwrap_or(1);
         if !word.starts_with('s') {
-            let answer = whole(200, &own, &body_of(run, count as usize));
+            let answer = response_text(200, &own, &body_of(run, count as usize));
             stream.write_all(answer.as_bytes()).await.ok()?;
             if chance(faults.surplus) {
                 self.surplus(stream, answer, late).await?;
@@ -233,7 +233,7 @@
         for event in first + 1..=count {
             let text = event_of(run, event);
             if breaks == Some(event - 1) {
-                self.judge.faulty(run);
+                self.monitor.server_faulted(run);
                 // Anywhere in an event, and as often at its end.
                 let upto = self
                     .rng
@@ -254,12 +254,12 @@
                 .await
                 .ok()?;
             if event < count {
-                sleep(self.terms.gap).await;
+                sleep(self.settings.gap).await;
             }
         }
         stream.write_all(b"0\r\n\r\n").await.ok()?;
         if chance(faults.surplus) {
-            self.surplus(stream, whole(200, &own, "surplus"), late)
+            self.surplus(stream, response_text(200, &own, "surplus"), late)
                 .await?;
         }
         Some(true)
--- a/crates/sparrouter-simulation/tests/budget.rs
+++ b/crates/sparrouter-simulation/tests/budget.rs
@@ -1,9 +1,9 @@
 //! The budget of what is sent again, over all nodes and over their lives.
-use sparrouter_simulation::judge::Bounds;
-use sparrouter_simulation::load;
-use sparrouter_simulation::scenario::run_judged;
-use sparrouter_simulation::server::Faults;
-use sparrouter_simulation::world::{Terms, World};
+use sparrouter_simulation::checkers::Bounds;
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
+use sparrouter_simulation::load::ClientLoad;
+use sparrouter_simulation::runtime::run_checked;
+use sparrouter_simulation::server::ServerFaults;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -11,33 +11,33 @@
 fn given_a_budget_spent_on_failing_servers_when_all_processes_start_anew_then_they_spend_no_second_one()
  {
     for seed in 0..2 {
-        run_judged(|| async {
+        run_checked(|| async {
             let bounds = Bounds {
                 budget_slack: 8.0,
                 ..Bounds::default()
             };
-            let world = World::serving(Terms {
+            let cluster = SimulatedCluster::serving(ClusterSettings {
                 bounds,
-                ..Terms::seeded(120 + seed)
+                ..ClusterSettings::seeded(120 + seed)
             })
             .await;
-            let tally = load::begin(&world, 16, Duration::from_millis(150));
+            let load = ClientLoad::start(&cluster, 16, Duration::from_millis(150));
             sleep(bounds.budget_window).await;
-            for id in world.server_ids() {
-                world.server(&id).faults.set(Faults {
+            for id in cluster.server_ids() {
+                cluster.server(&id).faults.set(ServerFaults {
                     resets: 0.9,
-                    ..Faults::default()
+                    ..ServerFaults::default()
                 });
             }
             sleep(Duration::from_secs(1)).await;
-            for name in world.names() {
-                world.kill(&name);
+            for name in cluster.names() {
+                cluster.kill(&name);
             }
             sleep(Duration::from_millis(200)).await;
-            world.start_all(false).await;
+            cluster.start_all(false).await;
             sleep(bounds.budget_window).await;
-            tally.stop().await;
-            world
+            load.stop().await;
+            cluster
         });
     }
 }
--- /dev/null
+++ b/crates/sparrouter-simulation/tests/checkers.rs
@@ -0,0 +1,650 @@
+//! The judge itself: each rule is broken on purpose, and must be found broken by its name.
+use bytes::Bytes;
+use sparrouter_simulation::checkers::{Attempt, Bounds, CachedBlock, ClientResponse, Monitor, Run};
+use sparrouter_simulation::cluster::{HOST, KEY, initial_configuration};
+use sparrouter_simulation::configuration::{Route, RouteKind};
+use sparrouter_simulation::runtime::play;
+use sparrouter_simulation::server::{body_of, event_of};
+use std::net::{IpAddr, SocketAddr};
+use std::time::Duration;
+use tokio::time::{Instant, sleep};
+
+const NODE: IpAddr = IpAddr::V4(std::net::Ipv4Addr::new(10, 0, 0, 20));
+
+fn asked(kind: RouteKind, path: &str) -> Attempt {
+    Attempt {
+        method: "POST".into(),
+        host: HOST.into(),
+        path: path.into(),
+        body: Bytes::from("body"),
+        key: KEY.into(),
+        kind,
+        node: NODE,
+        incarnation: 0,
+        until: Instant::now() + Duration::from_secs(6),
+        kept: true,
+    }
+}
+
+fn run(attempt: &str, path: &str) -> Run {
+    Run {
+        attempt: attempt.into(),
+        service: "models".into(),
+        instance: "i-1".into(),
+        by: NODE,
+        method: "POST".into(),
+        path: path.into(),
+        body: Bytes::from("body"),
+        tenant: Some("kaje".into()),
+        key: None,
+        version: 1,
+        cached_blocks: vec![CachedBlock {
+            version: 1,
+            tenant: Some("kaje".into()),
+        }],
+        resumed: 0,
+    }
+}
+
+fn success(run: u64, body: Vec<u8>, streams: bool) -> ClientResponse {
+    ClientResponse {
+        status: 200,
+        seal: Some(format!("seal-{run}")),
+        attempt: Some("a".into()),
+        streams,
+        body,
+        is_complete: true,
+        ..ClientResponse::default()
+    }
+}
+
+fn events(parts: &[(u64, u64)]) -> Vec<u8> {
+    parts
+        .iter()
+        .map(|(run, event)| event_of(*run, *event))
+        .collect::<String>()
+        .into_bytes()
+}
+
+/// A judge who knows the first plan as acknowledged, and the time to settle over.
+async fn monitor() -> Monitor {
+    let monitor = Monitor::new(Bounds::default());
+    let index = monitor.configuration_submitted(&initial_configuration(), 0, true);
+    monitor.configuration_acknowledged(index);
+    sleep(Duration::from_secs(10)).await;
+    monitor
+}
+
+async fn once(kind: RouteKind, path: &str) -> Monitor {
+    let monitor = monitor().await;
+    monitor.attempt_sent("a", asked(kind, path));
+    monitor
+}
+
+fn broken(monitor: &Monitor, rule: &str) {
+    let violations = monitor.violations();
+    assert!(
+        violations.iter().any(|b| b.starts_with(rule)),
+        "{rule} was not found broken: {violations:?}"
+    );
+}
+
+fn kept(monitor: &Monitor) {
+    assert!(
+        monitor.violations().is_empty(),
+        "{:?}",
+        monitor.violations()
+    );
+}
+
+#[test]
+fn given_proper_answers_then_no_rule_is_broken() {
+    play(async {
+        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        let run_of = monitor.run_started(run("a", "/idem/b9"));
+        monitor.response_received(
+            "a",
+            &success(run_of, body_of(run_of, 9).into_bytes(), false),
+        );
+        kept(&monitor);
+        let monitor = once(RouteKind::Resumable, "/resume/s3").await;
+        let first = monitor.run_started(run("a", "/resume/s3"));
+        let second = monitor.run_started(Run {
+            resumed: 1,
+            ..run("a", "/resume/s3")
+        });
+        let body = events(&[(first, 1), (second, 2), (second, 3)]);
+        monitor.response_received("a", &success(first, body, true));
+        kept(&monitor);
+    });
+}
+
+#[test]
+fn given_answers_that_are_not_the_servers_then_mixed_is_broken() {
+    play(async {
+        for bad in 0..5 {
+            let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+            let run_of = monitor.run_started(run("a", "/idem/b9"));
+            let good = success(run_of, body_of(run_of, 9).into_bytes(), false);
+            let answer = match bad {
+                0 => ClientResponse { seal: None, ..good },
+                1 => ClientResponse {
+                    body: b"something".to_vec(),
+                    ..good
+                },
+                2 => ClientResponse {
+                    attempt: Some("b".into()),
+                    ..good
+                },
+                3 => ClientResponse {
+                    seal: Some("seal-7".into()),
+                    ..good
+                },
+                _ => ClientResponse {
+                    bad: Some("no HTTP"),
+                    ..good
+                },
+            };
+            monitor.response_received("a", &answer);
+            broken(&monitor, "MIXED");
+        }
+    });
+}
+
+#[test]
+fn given_streams_with_gaps_doubles_or_joined_runs_then_order_is_broken() {
+    play(async {
+        for pieces in [
+            vec![(0, 1), (0, 3)],
+            vec![(0, 1), (0, 1)],
+            vec![(0, 1), (1, 2), (1, 3)],
+            vec![(0, 1)],
+        ] {
+            let monitor = once(RouteKind::Resumable, "/resume/s3").await;
+            monitor.run_started(run("a", "/resume/s3"));
+            monitor.run_started(run("a", "/resume/s3"));
+            monitor.response_received("a", &success(0, events(&pieces), true));
+            broken(&monitor, "ORDER");
+        }
+    });
+}
+
+#[test]
+fn given_runs_that_nobody_asked_for_then_unasked_or_route_is_broken() {
+    play(async {
+        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        monitor.run_started(run("b", "/idem/b9"));
+        broken(&monitor, "UNASKED");
+        for bad in 0..4 {
+            let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+            let good = run("a", "/idem/b9");
+            monitor.run_started(match bad {
+                0 => Run {
+                    path: "/idem/b8".into(),
+                    ..good
+                },
+                1 => Run {
+                    body: Bytes::from("other"),
+                    ..good
+                },
+                2 => Run {
+                    tenant: Some("mela".into()),
+                    ..good
+                },
+                _ => Run {
+                    key: Some(KEY.into()),
+                    ..good
+                },
+            });
+            broken(&monitor, "UNASKED");
+        }
+        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        monitor.run_started(Run {
+            service: "others".into(),
+            ..run("a", "/idem/b9")
+        });
+        broken(&monitor, "ROUTE");
+    });
+}
+
+#[test]
+fn given_requests_that_may_not_repeat_then_twice_and_refused_are_found() {
+    play(async {
+        let monitor = once(RouteKind::Streaming, "/stream/s3").await;
+        monitor.run_started(run("a", "/stream/s3"));
+        kept(&monitor);
+        monitor.run_started(run("a", "/stream/s3"));
+        broken(&monitor, "TWICE");
+        for before in [true, false] {
+            let monitor = once(RouteKind::NonIdempotent, "/once/b3").await;
+            if before {
+                monitor.run_started(run("a", "/once/b3"));
+            }
+            monitor.response_received(
+                "a",
+                &ClientResponse {
+                    status: 503,
+                    is_complete: true,
+                    ..ClientResponse::default()
+                },
+            );
+            monitor.run_started(run("a", "/once/b3"));
+            broken(&monitor, "REFUSED");
+        }
+    });
+}
+
+#[test]
+fn given_memory_or_weights_of_another_version_then_stale_and_version_are_broken() {
+    play(async {
+        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        monitor.run_started(Run {
+            version: 2,
+            ..run("a", "/idem/b9")
+        });
+        broken(&monitor, "STALE");
+        let monitor = judge_named().await;
+        monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.run_started(run("a", "/idem/b9"));
+        broken(&monitor, "VERSION");
+    });
+}
+
+async fn judge_named() -> Monitor {
+    let monitor = monitor().await;
+    monitor.weights_acknowledged(2);
+    sleep(Duration::from_secs(9)).await;
+    monitor
+}
+
+#[test]
+fn given_changes_that_are_late_or_go_back_then_config_is_broken() {
+    play(async {
+        let gone = || initial_configuration().next(1, |p| p.routes.retain(|r| r.name != "idem"));
+        // Long after the route is gone it still runs.
+        let monitor = monitor().await;
+        let index = monitor.configuration_submitted(&gone(), 1, true);
+        monitor.configuration_acknowledged(index);
+        sleep(Duration::from_secs(3)).await;
+        monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.run_started(run("a", "/idem/b9"));
+        broken(&monitor, "CONFIG");
+        // Its effect was seen, then not any more.
+        let monitor = self::monitor().await;
+        monitor.configuration_submitted(&gone(), 1, true);
+        monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.response_received(
+            "a",
+            &ClientResponse {
+                status: 404,
+                is_complete: true,
+                ..ClientResponse::default()
+            },
+        );
+        kept(&monitor);
+        sleep(Duration::from_millis(300)).await;
+        monitor.attempt_sent("b", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.run_started(run("b", "/idem/b9"));
+        broken(&monitor, "CONFIG");
+        // What was refused is in force.
+        let monitor = self::monitor().await;
+        let index = monitor.configuration_submitted(&gone(), 1, true);
+        monitor.configuration_rejected(index, 412);
+        monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.response_received(
+            "a",
+            &ClientResponse {
+                status: 404,
+                is_complete: true,
+                ..ClientResponse::default()
+            },
+        );
+        broken(&monitor, "CONFIG");
+        // Both of a race.
+        let monitor = self::monitor().await;
+        for step in [1, 2] {
+            let index = monitor.configuration_submitted(
+                &initial_configuration().next(step, |_| ()),
+                1,
+                true,
+            );
+            monitor.configuration_acknowledged(index);
+        }
+        broken(&monitor, "CONFIG");
+        let monitor = self::monitor().await;
+        monitor.read_back(200, "{\"version\":0}");
+        broken(&monitor, "LOST");
+    });
+}
+
+#[test]
+fn given_draining_repeats_orders_and_ends_then_their_rules_are_found_broken() {
+    play(async {
+        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        monitor.drain_acknowledged("i-1", SocketAddr::new(NODE, 1));
+        sleep(Duration::from_millis(1_900)).await;
+        monitor.request_arrived("models", "a", "i-1", NODE);
+        kept(&monitor);
+        sleep(Duration::from_millis(200)).await;
+        monitor.request_arrived("models", "a", "i-1", NODE);
+        broken(&monitor, "DRAIN");
+        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        for _ in 0..66 {
+            monitor.request_arrived("models", "a", "i-1", NODE);
+        }
+        broken(&monitor, "BUDGET");
+        let monitor = self::monitor().await;
+        monitor.command_received("i-1", "x", 4, NODE);
+        monitor.command_received("i-1", "y", 4, NODE);
+        broken(&monitor, "ONE");
+        let monitor = self::monitor().await;
+        for (holder, fencing_token) in [("x", 4), ("y", 5), ("x", 6)] {
+            monitor.command_received("i-1", holder, fencing_token, NODE);
+        }
+        broken(&monitor, "ONE");
+        let monitor = once(RouteKind::Streaming, "/stream/s3").await;
+        monitor.shutdown_requested(NODE);
+        monitor.run_started(run("a", "/stream/s3"));
+        monitor.response_received(
+            "a",
+            &ClientResponse {
+                status: 200,
+                seal: Some("seal-0".into()),
+                streams: true,
+                ..ClientResponse::default()
+            },
+        );
+        broken(&monitor, "LOST");
+    });
+}
+
+#[test]
+fn given_memory_of_another_tenant_then_wall_is_broken_only_where_one_of_the_two_is_isolated() {
+    play(async {
+        let made = |tenant: Option<&str>| {
+            vec![CachedBlock {
+                version: 1,
+                tenant: tenant.map(str::to_owned),
+            }]
+        };
+        // Mela is isolated, kaje is not, and who has no tenant is nobody's.
+        for (maker, is_broken) in [(Some("kaje"), false), (None, false), (Some("mela"), true)] {
+            let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+            monitor.run_started(Run {
+                cached_blocks: made(maker),
+                ..run("a", "/idem/b9")
+            });
+            if is_broken {
+                broken(&monitor, "WALL")
+            } else {
+                kept(&monitor)
+            }
+        }
+        for (maker, is_broken) in [(Some("mela"), false), (Some("kaje"), true), (None, true)] {
+            let monitor = monitor().await;
+            monitor.attempt_sent(
+                "a",
+                Attempt {
+                    key: "key-of-mela".into(),
+                    ..asked(RouteKind::Idempotent, "/idem/b9")
+                },
+            );
+            let tenant = Some("mela".to_owned());
+            monitor.run_started(Run {
+                cached_blocks: made(maker),
+                tenant,
+                ..run("a", "/idem/b9")
+            });
+            if is_broken {
+                broken(&monitor, "WALL")
+            } else {
+                kept(&monitor)
+            }
+        }
+    });
+}
+
+/// So many requests, each answered so.
+fn answered_all(monitor: &Monitor, count: u32, asked: &Attempt, answer: &ClientResponse) {
+    for n in 0..count {
+        let id = format!("{}-{}-{n}", asked.path, answer.status);
+        monitor.attempt_sent(&id, asked.clone());
+        monitor.response_received(
+            &id,
+            &ClientResponse {
+                attempt: None,
+                is_complete: true,
+                ..answer.clone()
+            },
+        );
+    }
+}
+
+#[test]
+fn given_proper_requests_that_are_refused_then_denied_is_broken_beyond_five_and_one_in_five_hundred()
+ {
+    play(async {
+        let proper = asked(RouteKind::Idempotent, "/idem/b9");
+        let of = |status| ClientResponse {
+            status,
+            ..ClientResponse::default()
+        };
+        let sealed = ClientResponse {
+            seal: Some("seal-1".into()),
+            ..of(400)
+        };
+        let unknown = Attempt {
+            key: "nobody's".into(),
+            ..proper.clone()
+        };
+        let cases: [(u32, &Attempt, ClientResponse, bool); 6] = [
+            (5, &proper, of(400), false),
+            (6, &proper, of(400), true),
+            (6, &proper, of(302), true),
+            // Promises to be tried again, a server's own word, and one that may be refused.
+            (50, &proper, of(429), false),
+            (50, &proper, sealed, false),
+            (50, &unknown, of(401), false),
+        ];
+        for (count, asked, answer, is_broken) in cases {
+            let monitor = monitor().await;
+            let asked = Attempt {
+                until: Instant::now() + Duration::from_secs(6),
+                ..asked.clone()
+            };
+            answered_all(&monitor, count, &asked, &answer);
+            monitor.scenario_ended();
+            if is_broken {
+                broken(&monitor, "DENIED")
+            } else {
+                kept(&monitor)
+            }
+        }
+        let monitor = monitor().await;
+        answered_all(&monitor, 494, &proper, &of(503));
+        answered_all(&monitor, 6, &proper, &of(400));
+        monitor.scenario_ended();
+        kept(&monitor);
+        // A machine in trouble, and a configuration that may not be in force yet.
+        let monitor = self::monitor().await;
+        monitor.fault_began(Some(NODE));
+        answered_all(&monitor, 50, &proper, &of(400));
+        monitor.scenario_ended();
+        kept(&monitor);
+        let monitor = self::monitor().await;
+        monitor.configuration_submitted(
+            &initial_configuration().next(1, |p| p.routes.retain(|r| r.name != "idem")),
+            1,
+            true,
+        );
+        answered_all(&monitor, 50, &proper, &of(400));
+        monitor.scenario_ended();
+        kept(&monitor);
+    });
+}
+
+#[test]
+fn given_routes_that_were_added_when_they_are_hardly_served_in_calm_times_then_config_is_broken() {
+    play(async {
+        for (count, served, calm, is_broken) in [
+            (20, 0, true, true),
+            (20, 10, true, false),
+            (19, 0, true, false),
+            (20, 0, false, false),
+        ] {
+            let monitor = monitor().await;
+            let added = initial_configuration().next(1, |p| {
+                p.routes
+                    .push(Route::new("new", RouteKind::Idempotent, "models"))
+            });
+            let index = monitor.configuration_submitted(&added, 1, true);
+            monitor.configuration_acknowledged(index);
+            sleep(Duration::from_secs(3)).await;
+            if !calm {
+                monitor.momentary_fault(None);
+            }
+            for (path, count, served) in [("/idem/b9", 20, 20), ("/new/b9", count, served)] {
+                for n in 0..count {
+                    let id = format!("{path}{n}");
+                    monitor.attempt_sent(&id, asked(RouteKind::Idempotent, path));
+                    let run = monitor.run_started(run(&id, path));
+                    let good = success(run, body_of(run, 9).into_bytes(), false);
+                    let refused = ClientResponse {
+                        status: 503,
+                        is_complete: true,
+                        ..ClientResponse::default()
+                    };
+                    monitor.response_received(
+                        &id,
+                        &ClientResponse {
+                            attempt: None,
+                            ..if n < served { good } else { refused }
+                        },
+                    );
+                }
+            }
+            monitor.scenario_ended();
+            if is_broken {
+                broken(&monitor, "CONFIG")
+            } else {
+                kept(&monitor)
+            }
+        }
+    });
+}
+
+#[test]
+fn given_what_was_taken_when_it_is_refused_or_read_back_otherwise_then_config_is_broken() {
+    play(async {
+        let next = initial_configuration().next(2, |_| ());
+        for (second, is_broken) in [
+            (next.clone(), true),
+            (initial_configuration().next(3, |_| ()), false),
+        ] {
+            let monitor = monitor().await;
+            let index = monitor.configuration_submitted(&next, 1, true);
+            monitor.configuration_acknowledged(index);
+            let index = monitor.configuration_submitted(&second, 1, true);
+            monitor.configuration_rejected(index, 412);
+            if is_broken {
+                broken(&monitor, "CONFIG")
+            } else {
+                kept(&monitor)
+            }
+        }
+        let monitor = monitor().await;
+        monitor.read_back(200, &initial_configuration().json());
+        kept(&monitor);
+        monitor.read_back(200, &initial_configuration().json().replace("8000", "9000"));
+        broken(&monitor, "CONFIG");
+        let monitor = self::monitor().await;
+        monitor.read_back(503, "");
+        broken(&monitor, "LOST");
+    });
+}
+
+#[test]
+fn given_a_lower_token_after_a_higher_then_one_is_broken_where_servers_do_not_check_it() {
+    play(async {
+        for fencing in [true, false] {
+            let monitor = Monitor::new(Bounds {
+                fencing,
+                ..Bounds::default()
+            });
+            monitor.command_received("i-1", "x", 5, NODE);
+            monitor.command_received("i-1", "y", 4, NODE);
+            if fencing {
+                kept(&monitor)
+            } else {
+                broken(&monitor, "ONE")
+            }
+        }
+    });
+}
+
+#[test]
+fn given_two_troubles_of_a_machine_when_one_ends_then_it_is_not_in_touch() {
+    play(async {
+        let monitor = monitor().await;
+        monitor.process_stopped(NODE);
+        monitor.fault_began(Some(NODE));
+        monitor.fault_began(Some(NODE));
+        for end in 0..3 {
+            if end == 0 {
+                monitor.process_started(NODE)
+            } else {
+                monitor.fault_ended(Some(NODE))
+            }
+            sleep(Duration::from_secs(4)).await;
+            let now = Instant::now();
+            assert_eq!(monitor.in_contact(NODE, now, now), end == 2);
+        }
+    });
+}
+
+#[test]
+fn given_kept_connections_closed_without_an_answer_then_lost_is_broken_beyond_three() {
+    play(async {
+        for (count, kept_open, server_faulted, is_broken) in [
+            (3, true, false, false),
+            (4, true, false, true),
+            (50, false, false, false),
+            (50, true, true, false),
+        ] {
+            let monitor = monitor().await;
+            for n in 0..count {
+                let id = format!("a{n}");
+                let asked = Attempt {
+                    kept: kept_open,
+                    ..asked(RouteKind::Idempotent, "/idem/b9")
+                };
+                monitor.attempt_sent(&id, asked);
+                let number = monitor.run_started(run(&id, "/idem/b9"));
+                if server_faulted {
+                    monitor.server_faulted(number);
+                }
+                monitor.response_received(&id, &ClientResponse::default());
+            }
+            monitor.scenario_ended();
+            if is_broken {
+                broken(&monitor, "LOST")
+            } else {
+                kept(&monitor)
+            }
+        }
+    });
+}
+
+#[test]
+fn given_draining_acknowledged_by_a_machine_out_of_touch_then_it_binds_all_the_same() {
+    play(async {
+        let monitor = monitor().await;
+        let other = SocketAddr::new(IpAddr::from([10, 0, 0, 21]), 80);
+        monitor.fault_began(Some(other.ip()));
+        monitor.drain_acknowledged("i-1", other);
+        sleep(Duration::from_millis(2_500)).await;
+        monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.request_arrived("models", "a", "i-1", NODE);
+        broken(&monitor, "DRAIN");
+    });
+}
--- a/crates/sparrouter-simulation/tests/edits.rs
+++ b/crates/sparrouter-simulation/tests/configuration_changes.rs
@@ -4,11 +4,11 @@
 use sparrouter_fleet::platform::net::Sockets;
 use sparrouter_fleet::process::log_buffer::LogBuffer;
 use sparrouter_fleet::process::settings::ProcessSettings;
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
 use sparrouter_simulation::http_messages;
-use sparrouter_simulation::load;
-use sparrouter_simulation::plan::{Kind, Plan, Route};
-use sparrouter_simulation::scenario::{play, run_judged};
-use sparrouter_simulation::world::{Terms, World, first_plan};
+use sparrouter_simulation::load::ClientLoad;
+use sparrouter_simulation::runtime::{play, run_checked};
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,25 +27,25 @@
     )
 }
 
-fn plan(version: u64) -> Plan {
-    let mut plan = first_plan();
-    plan.version = version;
-    let routes = (0..50).map(|i| Route::new(&format!("r{i}"), Kind::Idempotent, "models"));
-    plan.routes.extend(routes);
-    plan.routes.push(Route::new(
+fn configuration(version: u64) -> Configuration {
+    let mut configuration = initial_configuration();
+    configuration.version = version;
+    let routes = (0..50).map(|i| Route::new(&format!("r{i}"), RouteKind::Idempotent, "models"));
+    configuration.routes.extend(routes);
+    configuration.routes.push(Route::new(
         &format!("new{version}"),
-        Kind::Idempotent,
+        RouteKind::Idempotent,
         "models",
     ));
-    plan
+    configuration
 }
 
 fn chosen(seq: u64) -> ConfigUpdate {
-    let plan = plan(seq);
+    let configuration = configuration(seq);
     ConfigUpdate {
         slot: seq,
-        version: plan.version,
-        text: TextUpdate::Complete(plan.json()),
+        version: configuration.version,
+        text: TextUpdate::Complete(configuration.json()),
         ..ConfigUpdate::default()
     }
 }
@@ -74,7 +74,7 @@
         assert_eq!(polls(&poller, &source), (false, true));
         let (held, known) = (poller.active_configuration(), source.active_configuration());
         assert_eq!((held.slot, held.version, &held.text), (2, 2, &known.text));
-        assert_eq!(*held.text, *plan(2).json());
+        assert_eq!(*held.text, *configuration(2).json());
         assert!(held.table.as_ref().is_some_and(|t| t.version == 2));
     });
 }
@@ -92,12 +92,15 @@
                 poller.active_configuration().slot,
                 &*poller.active_configuration().text
             ),
-            (6, &*plan(6).json())
+            (6, &*configuration(6).json())
         );
         // So far back that the source knows the way no more.
         (7..=80).for_each(|seq| assert!(source.apply_configuration(chosen(seq))));
         assert_eq!(polls(&poller, &source), (true, true));
-        assert_eq!(&*poller.active_configuration().text, &*plan(80).json());
+        assert_eq!(
+            &*poller.active_configuration().text,
+            &*configuration(80).json()
+        );
     });
 }
 
@@ -116,7 +119,10 @@
             (false, true),
             "from there on changes do"
         );
-        assert_eq!(&*poller.active_configuration().text, &*plan(4).json());
+        assert_eq!(
+            &*poller.active_configuration().text,
+            &*configuration(4).json()
+        );
     });
 }
 
@@ -139,7 +145,7 @@
                 assert!(polls(&poller, source).1);
             }
             let held = poller.active_configuration();
-            assert!(held.slot >= last && *held.text == *plan(held.slot).json());
+            assert!(held.slot >= last && *held.text == *configuration(held.slot).json());
             last = held.slot;
         }
     });
@@ -152,26 +158,30 @@
         let (source, poller) = (node(1), node(2));
         source.apply_configuration(chosen(1));
         let other = ConfigUpdate {
-            text: TextUpdate::Complete(plan(9).json()),
+            text: TextUpdate::Complete(configuration(9).json()),
             ..chosen(1)
         };
         poller.apply_configuration(other);
         source.apply_configuration(chosen(2));
         // As though it had the text that the source made its change from.
-        let change = source.config_update(sparrouter_config::digest_of_text(&plan(1).json()));
+        let change =
+            source.config_update(sparrouter_config::digest_of_text(&configuration(1).json()));
         assert!(!is_whole(&change) && !poller.apply_configuration(change));
         assert_eq!(
             (
                 poller.active_configuration().slot,
                 &*poller.active_configuration().text
             ),
-            (1, &*plan(9).json())
+            (1, &*configuration(9).json())
         );
         assert!(
             poller.apply_configuration(source.config_update(0)),
             "0 asks for it whole"
         );
-        assert_eq!(&*poller.active_configuration().text, &*plan(2).json());
+        assert_eq!(
+            &*poller.active_configuration().text,
+            &*configuration(2).json()
+        );
     });
 }
 
@@ -194,35 +204,35 @@
 #[test]
 fn given_patches_and_core_nodes_killed_when_all_is_calm_again_then_every_node_has_the_text_of_the_register()
  {
-    run_judged(|| async {
-        let world = World::serving(Terms::seeded(77)).await;
-        let tally = load::begin(&world, 4, Duration::from_millis(200));
-        let mut before = first_plan();
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(77)).await;
+        let load = ClientLoad::start(&cluster, 4, Duration::from_millis(200));
+        let mut before = initial_configuration();
         for round in 0..8 {
             let next = before.next(2, |p| {
                 let name = format!("new{round}");
                 p.routes.push(Route {
                     public: true,
-                    ..Route::new(&name, Kind::Idempotent, "models")
+                    ..Route::new(&name, RouteKind::Idempotent, "models")
                 });
             });
             if round % 3 == 1 {
                 let victim = format!("core-{}", round % 2);
-                world.kill(&victim);
+                cluster.kill(&victim);
                 sleep(Duration::from_millis(100)).await;
-                world.start(&victim, false);
+                cluster.start(&victim, false);
             }
-            assert_eq!(world.operator.patch(&next, &before).await, 200);
+            assert_eq!(cluster.operator.patch(&next, &before).await, 200);
             sleep(Duration::from_millis(700)).await;
             before = next;
         }
-        sleep(world.terms.bounds.contact).await;
-        tally.stop().await;
-        world.operator.read_back().await;
-        let net = world.outside_net();
+        sleep(cluster.settings.bounds.contact).await;
+        load.stop().await;
+        cluster.operator.read_back().await;
+        let net = cluster.outside_net();
         let mut digests = Vec::new();
-        for name in world.names() {
-            let at = world.control_of(&name);
+        for name in cluster.names() {
+            let at = cluster.control_of(&name);
             let asked = http_messages::call(
                 &net,
                 at,
@@ -240,9 +250,9 @@
                 .and_then(|r| r.split(',').next());
             digests.push(digest.expect("a digest").to_owned());
         }
-        let read = world
+        let read = cluster
             .operator
-            .get_from(world.control_of("core-0"))
+            .get_from(cluster.control_of("core-0"))
             .await
             .expect("the register's text");
         let register = format!(
@@ -253,6 +263,6 @@
             digests.iter().all(|d| *d == register),
             "{register}: {digests:?}"
         );
-        world
+        cluster
     });
 }
--- a/crates/sparrouter-simulation/tests/same.rs
+++ b/crates/sparrouter-simulation/tests/determinism.rs
@@ -1,23 +1,23 @@
 //! The same seed gives the same run, word for word: otherwise no fault found by seed could be looked at again.
-use sparrouter_simulation::load;
-use sparrouter_simulation::scenario::play;
-use sparrouter_simulation::world::{Terms, World};
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
+use sparrouter_simulation::load::ClientLoad;
+use sparrouter_simulation::runtime::play;
 use std::time::Duration;
 use tokio::time::sleep;
 
 fn story(seed: u64) -> Vec<String> {
     play(async move {
-        let world = World::serving(Terms::seeded(seed)).await;
-        world.judge.verbose.set(true);
-        let tally = load::begin(&world, 8, Duration::from_millis(150));
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(seed)).await;
+        cluster.monitor.verbose.set(true);
+        let load = ClientLoad::start(&cluster, 8, Duration::from_millis(150));
         sleep(Duration::from_secs(1)).await;
-        world.kill("core-1");
-        assert!(world.operator.name_version(2).await);
+        cluster.kill("core-1");
+        assert!(cluster.operator.name_version(2).await);
         sleep(Duration::from_secs(2)).await;
-        world.start("core-1", false);
+        cluster.start("core-1", false);
         sleep(Duration::from_secs(3)).await;
-        tally.stop().await;
-        world.judge.event_log()
+        load.stop().await;
+        cluster.monitor.event_trace()
     })
 }
 
--- a/crates/sparrouter-simulation/tests/disks.rs
+++ b/crates/sparrouter-simulation/tests/disks.rs
@@ -1,30 +1,36 @@
 //! Disks that are full, slow or stalled: what cannot be kept is not acknowledged, and it mends itself.
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
 use sparrouter_simulation::http_messages::{self, Reply};
-use sparrouter_simulation::plan::{Kind, Plan, Route};
-use sparrouter_simulation::scenario::run_judged;
-use sparrouter_simulation::world::{Terms, World, first_plan};
+use sparrouter_simulation::runtime::run_checked;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-fn with_route(plan: &Plan, name: &str) -> Plan {
-    plan.next(2, |p| {
-        p.routes.push(Route::new(name, Kind::Idempotent, "models"))
+fn with_route(configuration: &Configuration, name: &str) -> Configuration {
+    configuration.next(2, |p| {
+        p.routes
+            .push(Route::new(name, RouteKind::Idempotent, "models"))
     })
 }
 
-async fn once(world: &World, to: &str, plan: &Plan, base: u64) -> Option<Reply> {
+async fn once(
+    cluster: &SimulatedCluster,
+    to: &str,
+    configuration: &Configuration,
+    base: u64,
+) -> Option<Reply> {
     let base = base.to_string();
     let fields = [("If-Match", base.as_str())];
-    let patience = Duration::from_millis(1_500);
-    let (net, at) = (world.outside_net(), world.control_of(to));
+    let timeout_after = Duration::from_millis(1_500);
+    let (net, at) = (cluster.outside_net(), cluster.control_of(to));
     http_messages::call(
         &net,
         at,
         "PUT",
         "/api/config",
         &fields,
-        &plan.json(),
-        patience,
+        &configuration.json(),
+        timeout_after,
     )
     .await
     .ok()
@@ -32,78 +38,85 @@
 
 #[test]
 fn given_one_full_disk_then_the_others_take_changes_and_it_catches_up() {
-    run_judged(|| async {
-        let world = World::serving(Terms::seeded(101)).await;
-        world.disk("core-0").files.set_capacity(Some(0));
-        let plan = with_route(&first_plan(), "new");
-        assert_eq!(world.operator.put(&plan, 1).await, 200);
-        world.disk("core-0").files.set_capacity(None);
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(101)).await;
+        cluster.disk("core-0").files.set_capacity(Some(0));
+        let configuration = with_route(&initial_configuration(), "new");
+        assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
+        cluster.disk("core-0").files.set_capacity(None);
         sleep(Duration::from_secs(4)).await;
-        world.kill("core-1");
-        let next = with_route(&plan, "newer");
+        cluster.kill("core-1");
+        let next = with_route(&configuration, "newer");
         assert_eq!(
-            world.operator.put(&next, plan.version).await,
+            cluster.operator.put(&next, configuration.version).await,
             200,
             "the full one votes again"
         );
-        world.operator.read_back().await;
-        world
+        cluster.operator.read_back().await;
+        cluster
     });
 }
 
 #[test]
 fn given_full_disks_at_a_majority_when_a_change_comes_then_it_is_refused_with_the_remedy_and_later_taken()
  {
-    run_judged(|| async {
-        let world = World::serving(Terms::seeded(102)).await;
-        for name in world.core() {
-            world.disk(&name).files.set_capacity(Some(0));
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(102)).await;
+        for name in cluster.core() {
+            cluster.disk(&name).files.set_capacity(Some(0));
         }
-        let plan = with_route(&first_plan(), "new");
+        let configuration = with_route(&initial_configuration(), "new");
         sleep(Duration::from_secs(1)).await;
-        let reply = once(&world, "core-0", &plan, 1).await.expect("an answer");
+        let reply = once(&cluster, "core-0", &configuration, 1)
+            .await
+            .expect("an answer");
         assert!(reply.status >= 500, "{}", reply.status);
-        let again = once(&world, "core-0", &plan, 1).await.expect("an answer");
+        let again = once(&cluster, "core-0", &configuration, 1)
+            .await
+            .expect("an answer");
         assert!(
             again.text().contains("free"),
             "no remedy in {} {:?}",
             again.status,
             again.text()
         );
-        for name in world.core() {
-            world.disk(&name).files.set_capacity(None);
+        for name in cluster.core() {
+            cluster.disk(&name).files.set_capacity(None);
         }
         sleep(Duration::from_secs(2)).await;
-        assert_eq!(world.operator.put(&plan, 1).await, 200);
-        world.operator.read_back().await;
-        world
+        assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
+        cluster.operator.read_back().await;
+        cluster
     });
 }
 
 #[test]
 fn given_slow_and_stalled_disks_then_changes_wait_no_longer_than_a_majority_needs() {
-    run_judged(|| async {
-        let world = World::serving(Terms::seeded(103)).await;
-        world.disk("core-0").delay.set(Duration::from_millis(400));
-        world
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(103)).await;
+        cluster.disk("core-0").delay.set(Duration::from_millis(400));
+        cluster
             .disk("core-1")
             .stalled
             .set(Instant::now() + Duration::from_millis(700));
-        let plan = with_route(&first_plan(), "new");
+        let configuration = with_route(&initial_configuration(), "new");
         let began = Instant::now();
-        assert_eq!(world.operator.put(&plan, 1).await, 200);
+        assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
         assert!(
-            began.elapsed() < world.terms.bounds.ack_timeout,
+            began.elapsed() < cluster.settings.bounds.ack_timeout,
             "{:?}",
             began.elapsed()
         );
-        world
+        cluster
             .disk("core-1")
             .stalled
             .set(Instant::now() + Duration::from_secs(20));
-        let next = with_route(&plan, "newer");
-        assert_eq!(world.operator.put(&next, plan.version).await, 200);
-        world.operator.read_back().await;
-        world
+        let next = with_route(&configuration, "newer");
+        assert_eq!(
+            cluster.operator.put(&next, configuration.version).await,
+            200
+        );
+        cluster.operator.read_back().await;
+        cluster
     });
 }
--- a/crates/sparrouter-simulation/tests/edge.rs
+++ b/crates/sparrouter-simulation/tests/edge.rs
@@ -4,9 +4,9 @@
 
 use scripted::{Act, Ask, Servers};
 use sparrouter_fleet::platform::defects::{Defect, inject};
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
 use sparrouter_simulation::http_messages;
-use sparrouter_simulation::scenario::play;
-use sparrouter_simulation::world::{Terms, World};
+use sparrouter_simulation::runtime::play;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -19,12 +19,12 @@
 #[test]
 fn given_a_node_without_a_configuration_when_asked_then_it_answers_503_and_when_to_come_back() {
     play(async {
-        let world = World::new(Terms::seeded(260));
-        world.start_all(true).await;
+        let cluster = SimulatedCluster::new(ClusterSettings::seeded(260));
+        cluster.start_all(true).await;
         sleep(Duration::from_secs(4)).await;
-        for node in world.names() {
+        for node in cluster.names() {
             for path in ["/idem/a", "/once/a", "/stream/a", "/unknown"] {
-                let got = Ask::new(path, "a1").at(&world, &node).await;
+                let got = Ask::new(path, "a1").at(&cluster, &node).await;
                 assert_eq!((got.status, got.retry_after), (503, true), "{node} {path}");
             }
         }
@@ -35,14 +35,14 @@
 fn given_a_stream_that_lasts_longer_than_its_request_may_then_it_ends_incomplete_in_time() {
     for path in ["/stream/a", "/resume/a"] {
         play(async {
-            let world = scripted::world(261).await;
+            let cluster = scripted::cluster(261).await;
             let head = "HTTP/1.1 200 OK\r\nSparrouter-Attempt-Id: {id}\r\nSparrouter-Response-Seal: seal\r\n\
                         Transfer-Encoding: chunked\r\n\r\n17\r\nid: 1\ndata: an event\n\n\r\n";
             let act = Act::AnswerAndStay(head.to_owned());
-            let servers = Servers::start(&world, 3, move |_, _| act.clone()).await;
-            let got = Ask::new(path, "a1").at(&world, NODE).await;
+            let servers = Servers::start(&cluster, 3, move |_, _| act.clone()).await;
+            let got = Ask::new(path, "a1").at(&cluster, NODE).await;
             assert!(
-                !got.whole && !got.spoilt && got.status == 200,
+                !got.is_complete && !got.spoilt && got.status == 200,
                 "{path} {got:?}"
             );
             let deadline = Duration::from_secs(3);
@@ -64,15 +64,15 @@
 fn given_an_answer_whose_body_does_not_come_when_the_time_is_over_then_each_request_ends() {
     for (path, status) in [("/idem/a", 504), ("/resume/a", 504), ("/once/a", 200)] {
         play(async {
-            let world = scripted::world(264).await;
+            let cluster = scripted::cluster(264).await;
             let head = "HTTP/1.1 200 OK\r\nSparrouter-Attempt-Id: {id}\r\nSparrouter-Response-Seal: seal\r\n\
                         Content-Length: 100\r\n\r\n";
             let act = Act::AnswerAndStay(head.to_owned());
-            let servers = Servers::start(&world, 3, move |_, _| act.clone()).await;
-            let got = Ask::new(path, "a1").at(&world, NODE).await;
+            let servers = Servers::start(&cluster, 3, move |_, _| act.clone()).await;
+            let got = Ask::new(path, "a1").at(&cluster, NODE).await;
             // What may not be repeated is passed on as it comes, and can only be broken off.
             assert_eq!(
-                (got.status, got.whole),
+                (got.status, got.is_complete),
                 (status, status == 504),
                 "{path} {got:?}"
             );
@@ -82,30 +82,38 @@
     }
 }
 
-async fn is_ready(world: &World, node: &str) -> bool {
-    let net = world.outside_net();
-    let readiness = SocketAddr::new(world.ip(node), READINESS_PORT);
-    let patience = Duration::from_millis(500);
-    let reply = http_messages::call(&net, readiness, "GET", "/api/readiness", &[], "", patience);
+async fn is_ready(cluster: &SimulatedCluster, node: &str) -> bool {
+    let net = cluster.outside_net();
+    let readiness = SocketAddr::new(cluster.ip(node), READINESS_PORT);
+    let timeout_after = Duration::from_millis(500);
+    let reply = http_messages::call(
+        &net,
+        readiness,
+        "GET",
+        "/api/readiness",
+        &[],
+        "",
+        timeout_after,
+    );
     reply.await.is_ok_and(|r| r.status == 200)
 }
 
 /// All machines are told to end at once; whether none was ready at any look from 100 ms to 10 s later.
 fn none_is_ready_while_leaving() -> bool {
     play(async {
-        let world = World::serving(Terms::seeded(262)).await;
-        for node in world.names() {
-            assert!(is_ready(&world, &node).await, "{node}");
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(262)).await;
+        for node in cluster.names() {
+            assert!(is_ready(&cluster, &node).await, "{node}");
         }
         let told = Instant::now();
-        for node in world.names() {
-            let world = world.clone();
-            tokio::task::spawn_local(async move { world.term(&node).await });
+        for node in cluster.names() {
+            let cluster = cluster.clone();
+            tokio::task::spawn_local(async move { cluster.terminate(&node).await });
         }
         sleep(Duration::from_millis(100)).await;
         while told.elapsed() < Duration::from_secs(10) {
-            for node in world.names() {
-                if is_ready(&world, &node).await {
+            for node in cluster.names() {
+                if is_ready(&cluster, &node).await {
                     return false;
                 }
             }
@@ -127,16 +135,16 @@
 #[test]
 fn given_a_server_that_leaves_without_draining_then_its_streams_end_whole_and_nothing_new_comes() {
     play(async {
-        let world = scripted::world(263).await;
+        let cluster = scripted::cluster(263).await;
         let ok = scripted::success("ok");
         let slow = Act::AnswerAfter(Duration::from_millis(1_500), ok.clone());
-        let servers = Servers::start(&world, 2, move |_, n| match n {
+        let servers = Servers::start(&cluster, 2, move |_, n| match n {
             0 => slow.clone(),
-            _ => Act::Answer(ok.clone()),
+            _ => Act::ClientResponse(ok.clone()),
         })
         .await;
         let (asking, answer) = tokio::sync::oneshot::channel();
-        let asked = world.clone();
+        let asked = cluster.clone();
         tokio::task::spawn_local(async move {
             let got = Ask::new("/stream/a", "a1").at(&asked, NODE).await;
             asking.send(got).expect("somebody waits");
@@ -144,18 +152,21 @@
         sleep(Duration::from_millis(200)).await;
         let leaves = servers.last().server;
         let path = format!("/api/instances/{}", scripted::id_of(leaves));
-        let to = world.control_of("core-0");
-        let patience = Duration::from_secs(1);
-        let net = world.outside_net();
-        let told = http_messages::call(&net, to, "DELETE", &path, &[], "", patience).await;
+        let to = cluster.control_of("core-0");
+        let timeout_after = Duration::from_secs(1);
+        let net = cluster.outside_net();
+        let told = http_messages::call(&net, to, "DELETE", &path, &[], "", timeout_after).await;
         assert!(told.is_ok_and(|r| r.status < 300));
         sleep(Duration::from_millis(300)).await;
-        for (n, node) in world.names().iter().enumerate() {
+        for (n, node) in cluster.names().iter().enumerate() {
             let id = format!("b{n}");
-            assert_eq!(Ask::new("/once/a", &id).at(&world, node).await.status, 200);
+            assert_eq!(
+                Ask::new("/once/a", &id).at(&cluster, node).await.status,
+                200
+            );
         }
         let got = answer.await.expect("an answer");
-        assert!(got.whole && got.status == 200, "{got:?}");
+        assert!(got.is_complete && got.status == 200, "{got:?}");
         let heard = servers.heard.borrow();
         let there = heard.iter().filter(|h| h.server == leaves);
         assert_eq!(there.filter(|h| !h.path().starts_with("/api/")).count(), 1);
--- a/crates/sparrouter-simulation/tests/calls.rs
+++ b/crates/sparrouter-simulation/tests/forwarding.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use scripted::{Act, Ask, Got, Servers, answer, declined, success};
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::scenario::play;
+use sparrouter_simulation::runtime::play;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -63,9 +63,9 @@
     script: impl Fn(usize) -> Act + 'static,
     ask: Ask<'_>,
 ) -> (Rc<Servers>, Got) {
-    let world = scripted::world(seed).await;
-    let servers = Servers::start(&world, 3, move |_, n| script(n)).await;
-    let got = ask.at(&world, NODE).await;
+    let cluster = scripted::cluster(seed).await;
+    let servers = Servers::start(&cluster, 3, move |_, n| script(n)).await;
+    let got = ask.at(&cluster, NODE).await;
     (servers, got)
 }
 
@@ -81,15 +81,15 @@
         Act::End,
         Act::AnswerAndEnd("no answer at all\r\n\r\n".to_owned()),
         // Servers' own words of these kinds promise nothing without the field that says so.
-        Act::Answer(answer(503, "", "")),
-        Act::Answer(answer(429, "", "")),
+        Act::ClientResponse(answer(503, "", "")),
+        Act::ClientResponse(answer(429, "", "")),
     ];
-    for (place, failure) in failures.into_iter().enumerate() {
-        for (path, repeatable) in ROUTES {
+    for (index, failure) in failures.into_iter().enumerate() {
+        for (path, is_retryable) in ROUTES {
             for body in [Bytes::new(), Bytes::from_static(b"a body"), long_body()] {
                 let (failure, size) = (failure.clone(), body.len());
                 let (servers, got) = play(one(
-                    200 + place as u64,
+                    200 + index as u64,
                     move |_| failure.clone(),
                     Ask {
                         body,
@@ -97,9 +97,9 @@
                     },
                 ));
                 let runs = servers.runs();
-                let shown = format!("{path}, {size} bytes, failure {place}: {runs} runs, {got:?}");
+                let shown = format!("{path}, {size} bytes, failure {index}: {runs} runs, {got:?}");
                 assert!(!promises(&got) && !got.sealed, "{shown}");
-                assert_eq!(runs, if repeatable { 3 } else { 1 }, "{shown}");
+                assert_eq!(runs, if is_retryable { 3 } else { 1 }, "{shown}");
             }
         }
     }
@@ -126,7 +126,7 @@
 #[test]
 fn given_a_silent_server_then_every_request_ends_at_its_deadline_and_nothing_is_sent_again() {
     for (path, _) in ROUTES {
-        let (servers, got) = play(one(211, |_| Act::Silent, Ask::new(path, "a1")));
+        let (servers, got) = play(one(211, |_| Act::Unresponsive, Ask::new(path, "a1")));
         assert_eq!((servers.runs(), got.status), (1, 504), "{path}");
         let late = got.took.saturating_sub(Duration::from_secs(3));
         assert!(late < Duration::from_millis(500), "{path}: {late:?}");
@@ -139,7 +139,7 @@
         fields: "",
         ..Ask::new("/once/a", "a1")
     };
-    let (servers, got) = play(one(212, |_| Act::Silent, ask));
+    let (servers, got) = play(one(212, |_| Act::Unresponsive, ask));
     assert_eq!(got.status, 504);
     // `timeout_ms` of the first plan's routes is 8,000.
     assert!(got.took >= Duration::from_secs(8) && got.took < Duration::from_millis(8_500));
@@ -156,8 +156,8 @@
     for status in [503, 429, 421] {
         for (path, _) in ROUTES {
             let script = move |n| match n {
-                0 => Act::Answer(declined(status)),
-                _ => Act::Answer(success("ok")),
+                0 => Act::ClientResponse(declined(status)),
+                _ => Act::ClientResponse(success("ok")),
             };
             let (servers, got) = play(one(213, script, Ask::new(path, "a1")));
             assert_eq!((servers.runs(), got.status), (2, 200), "{path} {status}");
@@ -170,7 +170,7 @@
     for (path, _) in ROUTES {
         let (servers, got) = play(one(
             214,
-            |_| Act::Answer(declined(503)),
+            |_| Act::ClientResponse(declined(503)),
             Ask::new(path, "a1"),
         ));
         assert_eq!(
@@ -185,10 +185,10 @@
 fn attempts_are_counted() -> bool {
     ["/once/a", "/idem/a"].iter().all(|path| {
         play(async {
-            let world = scripted::world(228).await;
-            let act = Act::Answer(declined(503));
-            let servers = Servers::start(&world, 5, move |_, _| act.clone()).await;
-            Ask::new(path, "a1").at(&world, NODE).await;
+            let cluster = scripted::cluster(228).await;
+            let act = Act::ClientResponse(declined(503));
+            let servers = Servers::start(&cluster, 5, move |_, _| act.clone()).await;
+            Ask::new(path, "a1").at(&cluster, NODE).await;
             servers.runs() <= 3
         })
     })
@@ -203,18 +203,18 @@
 /// Two requests at a server that answers the first before its long body is in, and reads on a second later.
 fn bodies_kept_apart() -> bool {
     play(async {
-        let world = scripted::world(215).await;
-        let servers = Servers::start(&world, 1, |_, n| match n {
+        let cluster = scripted::cluster(215).await;
+        let servers = Servers::start(&cluster, 1, |_, n| match n {
             0 => Act::AnswerEarly(success("early"), Duration::from_secs(1)),
-            _ => Act::Answer(success("next")),
+            _ => Act::ClientResponse(success("next")),
         })
         .await;
         let first = Ask {
             body: long_body(),
             ..Ask::new("/once/a", "a1")
         };
-        let first = first.at(&world, NODE).await;
-        let second = Ask::new("/once/b", "a2").at(&world, NODE).await;
+        let first = first.at(&cluster, NODE).await;
+        let second = Ask::new("/once/b", "a2").at(&cluster, NODE).await;
         sleep(Duration::from_secs(2)).await;
         assert_eq!((first.status, first.text.as_str()), (200, "early"));
         assert!(first.took < Duration::from_millis(500), "{:?}", first.took);
@@ -239,7 +239,7 @@
     for (path, _) in ROUTES {
         let script = |n| match n {
             0 => Act::AnswerEarly(declined(503), Duration::from_secs(1)),
-            _ => Act::Answer(success("ok")),
+            _ => Act::ClientResponse(success("ok")),
         };
         let ask = Ask {
             body: long_body(),
@@ -261,7 +261,7 @@
         let body = event(1);
         let script = move |_| Act::AnswerAndEnd(without_length(&body));
         let (_, got) = play(one(217, script, Ask::new(path, "a1")));
-        assert!(got.whole && got.text == event(1), "{path} {got:?}");
+        assert!(got.is_complete && got.text == event(1), "{path} {got:?}");
     }
 }
 
@@ -271,7 +271,7 @@
         .iter()
         .all(|path| {
             let (_, got) = play(one(218, script, Ask::new(path, "a1")));
-            !got.whole || got.status >= 500
+            !got.is_complete || got.status >= 500
         })
 }
 
@@ -293,10 +293,10 @@
         let failure = failure.clone();
         let script = move |n| match n {
             0 => Act::AnswerAndReset(chunked(&[event(1), "id: 2\nda".to_owned()], false)),
-            _ => Act::Answer(failure.clone()),
+            _ => Act::ClientResponse(failure.clone()),
         };
         let (_, got) = play(one(219, script, Ask::new("/resume/a", "a1")));
-        got.text == event(1) && !got.whole && !got.spoilt
+        got.text == event(1) && !got.is_complete && !got.spoilt
     })
 }
 
@@ -311,10 +311,10 @@
  {
     let script = |n| match n {
         0 => Act::AnswerAndReset(chunked(&[event(1), "id: 2\nda".to_owned()], false)),
-        _ => Act::Answer(chunked(&[event(2), event(3)], true)),
+        _ => Act::ClientResponse(chunked(&[event(2), event(3)], true)),
     };
     let (servers, got) = play(one(220, script, Ask::new("/resume/a", "a1")));
-    assert!(got.whole);
+    assert!(got.is_complete);
     assert_eq!(got.text, [event(1), event(2), event(3)].concat());
     assert_eq!(servers.last().text("last-event-id"), Some("1"));
 }
@@ -327,7 +327,7 @@
             "" => success("own").replace("Sparrouter-Attempt-Id: {id}\r\n", ""),
             _ => success("own"),
         };
-        let script = move |_| Act::Answer(format!("{foreign}{own}"));
+        let script = move |_| Act::ClientResponse(format!("{foreign}{own}"));
         let (_, got) = play(one(221, script, Ask::new("/once/a", id)));
         got.text == "own"
     })
@@ -342,11 +342,13 @@
 #[test]
 fn given_a_second_answer_behind_a_whole_one_then_the_next_request_does_not_get_it() {
     play(async {
-        let world = scripted::world(222).await;
+        let cluster = scripted::cluster(222).await;
         let twice = |n| format!("{}{}", success(&format!("answer {n}")), success("twice"));
-        let servers = Servers::start(&world, 1, move |_, n| Act::Answer(twice(n))).await;
+        let servers = Servers::start(&cluster, 1, move |_, n| Act::ClientResponse(twice(n))).await;
         for n in 0..5 {
-            let got = Ask::new("/once/a", &format!("a{n}")).at(&world, NODE).await;
+            let got = Ask::new("/once/a", &format!("a{n}"))
+                .at(&cluster, NODE)
+                .await;
             assert_eq!(got.text, format!("answer {n}"));
         }
         assert_eq!(servers.runs(), 5);
@@ -355,13 +357,13 @@
 
 fn within_half_a_second_of_leaving(path: &str, act: Act) -> bool {
     play(async {
-        let world = scripted::world(223).await;
-        let servers = Servers::start(&world, 3, move |_, _| act.clone()).await;
+        let cluster = scripted::cluster(223).await;
+        let servers = Servers::start(&cluster, 3, move |_, _| act.clone()).await;
         let ask = Ask {
-            leaves: Some(Duration::from_millis(400)),
+            disconnects_after: Some(Duration::from_millis(400)),
             ..Ask::new(path, "a1")
         };
-        ask.at(&world, NODE).await;
+        ask.at(&cluster, NODE).await;
         sleep(Duration::from_millis(500)).await;
         let ended = servers.ended.borrow().len();
         sleep(Duration::from_secs(4)).await;
@@ -372,7 +374,10 @@
 #[test]
 fn given_a_client_that_leaves_then_its_server_is_left_within_half_a_second_and_no_other_is_asked() {
     for (path, _) in ROUTES {
-        assert!(within_half_a_second_of_leaving(path, Act::Silent), "{path}");
+        assert!(
+            within_half_a_second_of_leaving(path, Act::Unresponsive),
+            "{path}"
+        );
         let stream = Act::AnswerAndStay(chunked(&[event(1)], false));
         assert!(within_half_a_second_of_leaving(path, stream), "{path}");
     }
@@ -386,8 +391,8 @@
 /// A client that leaves while its request waits to be admitted, with a connection to the server at hand.
 fn nothing_is_sent_for_a_client_that_left() -> bool {
     play(async {
-        let world = scripted::world(224).await;
-        let servers = Servers::start(&world, 3, |_, _| Act::Answer(success("ok"))).await;
+        let cluster = scripted::cluster(224).await;
+        let servers = Servers::start(&cluster, 3, |_, _| Act::ClientResponse(success("ok"))).await;
         let fields = "Sparrouter-Deadline-Ms: 3000\r\nSparrouter-Model: daka510000\r\n\
                       Sparrouter-Token-Usage: 900,5\r\n";
         for n in 0..9 {
@@ -396,26 +401,26 @@
                 fields,
                 ..Ask::new("/once/a", &id)
             };
-            assert_eq!(ask.at(&world, NODE).await.status, 200);
+            assert_eq!(ask.at(&cluster, NODE).await.status, 200);
         }
         // Admission asks the node that counts what waits at the server, which does not answer any more.
-        for name in world.names().iter().filter(|n| *n != NODE) {
-            world.freeze(name, true);
+        for name in cluster.names().iter().filter(|n| *n != NODE) {
+            cluster.freeze(name, true);
         }
         let before = servers.runs();
         for n in 0..9 {
             let id = format!("b{n}");
             let ask = Ask {
                 fields,
-                leaves: Some(Duration::from_millis(10)),
+                disconnects_after: Some(Duration::from_millis(10)),
                 ..Ask::new("/once/a", &id)
             };
-            ask.at(&world, NODE).await;
+            ask.at(&cluster, NODE).await;
             sleep(Duration::from_millis(100)).await;
         }
         let sent = servers.runs() - before;
-        for name in world.names().iter().filter(|n| *n != NODE) {
-            world.freeze(name, false);
+        for name in cluster.names().iter().filter(|n| *n != NODE) {
+            cluster.freeze(name, false);
         }
         sent == 0
     })
@@ -436,7 +441,7 @@
         pause: Duration::from_millis(1_200),
         ..Ask::new("/once/a", "a1")
     };
-    let (servers, _) = play(one(225, |_| Act::Answer(success("ok")), ask));
+    let (servers, _) = play(one(225, |_| Act::ClientResponse(success("ok")), ask));
     let told = servers
         .last()
         .text("sparrouter-deadline-ms")
@@ -456,7 +461,7 @@
     for (path, _) in ROUTES {
         let script = |n| match n {
             0 => Act::AnswerAfter(Duration::from_millis(1_000), declined(503)),
-            _ => Act::Answer(success("ok")),
+            _ => Act::ClientResponse(success("ok")),
         };
         let (servers, got) = play(one(226, script, Ask::new(path, "a1")));
         assert_eq!(got.status, 200, "{path}");
@@ -486,7 +491,7 @@
         fields,
         ..Ask::new("/once/a?x=1", "a1")
     };
-    let (servers, _) = play(one(227, |_| Act::Answer(success("ok")), ask));
+    let (servers, _) = play(one(227, |_| Act::ClientResponse(success("ok")), ask));
     let heard = servers.last();
     assert_eq!(heard.path(), "/once/a?x=1");
     assert_eq!(heard.body.as_deref(), Some(&b"a body"[..]));
--- a/crates/sparrouter-simulation/tests/leaving.rs
+++ b/crates/sparrouter-simulation/tests/graceful_shutdown.rs
@@ -4,10 +4,12 @@
 use sparrouter_http::head;
 use sparrouter_http::reading;
 use sparrouter_simulation::client::{Client, ClientRequest, RequestOutcome};
-use sparrouter_simulation::load;
-use sparrouter_simulation::plan::{Kind, Route};
-use sparrouter_simulation::scenario::{play, run_judged};
-use sparrouter_simulation::world::{HOST, KEY, Terms, World, first_plan, request};
+use sparrouter_simulation::cluster::{
+    ClusterSettings, HOST, KEY, SimulatedCluster, initial_configuration, request,
+};
+use sparrouter_simulation::configuration::{Route, RouteKind};
+use sparrouter_simulation::load::ClientLoad;
+use sparrouter_simulation::runtime::{play, run_checked};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -19,17 +21,17 @@
 }
 
 /// SIGTERM to a machine; gives back how long its process took to end.
-fn leaves(world: &Rc<World>, name: &str) -> JoinHandle<Duration> {
-    let (world, name) = (world.clone(), name.to_owned());
+fn leaves(cluster: &Rc<SimulatedCluster>, name: &str) -> JoinHandle<Duration> {
+    let (cluster, name) = (cluster.clone(), name.to_owned());
     spawn_local(async move {
         let began = Instant::now();
-        world.term(&name).await;
+        cluster.terminate(&name).await;
         began.elapsed()
     })
 }
 
 /// A stream of 4.5 s, longer than what is left late in the grace period.
-fn long_stream(kind: Kind) -> ClientRequest {
+fn long_stream(kind: RouteKind) -> ClientRequest {
     ClientRequest {
         retries: 0,
         ..request(kind, "s450")
@@ -38,18 +40,18 @@
 
 /// Long requests to one leaving machine, on new connections, all through its grace period.
 async fn long_requests_through_a_departure(
-    world: &Rc<World>,
+    cluster: &Rc<SimulatedCluster>,
     name: &str,
 ) -> Vec<(Duration, RequestOutcome)> {
-    let (front, began) = (world.front_of(name), Instant::now());
-    let ending = leaves(world, name);
+    let (front, began) = (cluster.front_of(name), Instant::now());
+    let ending = leaves(cluster, name);
     let mut asking = Vec::new();
     for moment in 0..30 {
-        let kind = [Kind::Streaming, Kind::Resumable][moment % 2];
-        let client = world.client(false);
+        let kind = [RouteKind::Streaming, RouteKind::Resumable][moment % 2];
+        let client = cluster.client(false);
         asking.push(spawn_local(async move {
             let sent = began.elapsed();
-            (sent, client.get_at(&long_stream(kind), front, 0).await)
+            (sent, client.send_to(&long_stream(kind), front, 0).await)
         }));
         sleep(ms(250)).await;
     }
@@ -64,15 +66,15 @@
 #[test]
 fn given_long_requests_all_through_a_departure_then_none_is_taken_that_cannot_end() {
     for seed in 0..3 {
-        run_judged(|| async {
-            let world = World::serving(Terms::seeded(300 + seed)).await;
-            let outcomes = long_requests_through_a_departure(&world, "edge-0").await;
+        run_checked(|| async {
+            let cluster = SimulatedCluster::serving(ClusterSettings::seeded(300 + seed)).await;
+            let outcomes = long_requests_through_a_departure(&cluster, "edge-0").await;
             for (sent, came) in outcomes {
                 if sent < ms(2_200) {
                     assert_eq!(came, RequestOutcome::Served, "sent {sent:?} after SIGTERM");
                 }
             }
-            world
+            cluster
         });
     }
 }
@@ -80,34 +82,37 @@
 #[test]
 fn given_a_process_that_takes_whatever_comes_while_it_leaves_then_the_loss_is_found() {
     inject(Some(Defect::RequestsAdmittedWhileLeaving));
-    let breaches = play(async {
-        let world = World::serving(Terms::seeded(300)).await;
-        long_requests_through_a_departure(&world, "edge-0").await;
-        world.judge.breaches()
+    let violations = play(async {
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(300)).await;
+        long_requests_through_a_departure(&cluster, "edge-0").await;
+        cluster.monitor.violations()
     });
     inject(None);
-    assert!(breaches.iter().any(|b| b.contains("LOST")), "{breaches:?}");
+    assert!(
+        violations.iter().any(|b| b.contains("LOST")),
+        "{violations:?}"
+    );
 }
 
 /// Sends one short request on a connection that is kept, and another at `moment` after SIGTERM.
 async fn kept_connection(
-    world: &Rc<World>,
+    cluster: &Rc<SimulatedCluster>,
     client: &Rc<Client>,
     name: &str,
     moment: Duration,
 ) -> RequestOutcome {
-    let front = world.front_of(name);
+    let front = cluster.front_of(name);
     let short = ClientRequest {
         retries: 0,
-        ..request(Kind::Streaming, "s20")
+        ..request(RouteKind::Streaming, "s20")
     };
     assert_eq!(
-        client.get_at(&short, front, 0).await,
+        client.send_to(&short, front, 0).await,
         RequestOutcome::Served
     );
-    let ending = leaves(world, name);
+    let ending = leaves(cluster, name);
     sleep(moment).await;
-    let came = client.get_at(&short, front, 0).await;
+    let came = client.send_to(&short, front, 0).await;
     ending.await.expect("the process ends");
     came
 }
@@ -118,75 +123,75 @@
     for moment in [
         0, 1, 1_000, 2_290, 2_297, 2_298, 2_299, 2_300, 2_301, 2_302, 2_305, 2_599, 2_600, 2_601,
     ] {
-        run_judged(|| async {
-            let world = World::serving(Terms {
+        run_checked(|| async {
+            let cluster = SimulatedCluster::serving(ClusterSettings {
                 servers: 2,
-                ..Terms::seeded(310)
+                ..ClusterSettings::seeded(310)
             })
             .await;
-            let client = world.client(true);
-            let came = kept_connection(&world, &client, "edge-0", ms(moment)).await;
+            let client = cluster.client(true);
+            let came = kept_connection(&cluster, &client, "edge-0", ms(moment)).await;
             if moment < 2_290 {
                 assert_eq!(came, RequestOutcome::Served, "at {moment} ms");
             }
-            world
+            cluster
         });
     }
 }
 
 #[test]
 fn given_load_when_all_machines_of_a_zone_leave_at_once_then_nothing_is_lost_and_others_serve() {
-    run_judged(|| async {
-        let world = World::serving(Terms::seeded(320)).await;
-        let tally = load::begin(&world, 12, ms(200));
-        let zone = world.zone_of("edge-0");
-        let names = world.names();
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(320)).await;
+        let load = ClientLoad::start(&cluster, 12, ms(200));
+        let zone = cluster.zone_of("edge-0");
+        let names = cluster.names();
         let ending: Vec<_> = names
             .iter()
-            .filter(|name| world.zone_of(name) == zone)
-            .map(|name| leaves(&world, name))
+            .filter(|name| cluster.zone_of(name) == zone)
+            .map(|name| leaves(&cluster, name))
             .collect();
         for ended in ending {
             let took = ended.await.expect("the process ends");
             assert!(
-                took < world.terms.bounds.grace,
+                took < cluster.settings.bounds.grace,
                 "it ends by itself: {took:?}"
             );
         }
-        tally.stop().await;
-        assert!(tally.share() > 0.95, "{}", tally.share());
-        world
+        load.stop().await;
+        assert!(load.served_fraction() > 0.95, "{}", load.served_fraction());
+        cluster
     });
 }
 
 #[test]
 fn given_the_last_machine_that_runs_when_it_leaves_then_what_it_took_is_answered() {
-    run_judged(|| async {
-        let world = World::serving(Terms::seeded(321)).await;
-        for name in world.names().iter().filter(|name| *name != "edge-0") {
-            world.kill(name);
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(321)).await;
+        for name in cluster.names().iter().filter(|name| *name != "edge-0") {
+            cluster.kill(name);
         }
         sleep(ms(4_000)).await;
-        let tally = load::begin(&world, 6, ms(200));
-        let ended = leaves(&world, "edge-0").await.expect("the process ends");
-        assert!(ended < world.terms.bounds.grace, "{ended:?}");
-        tally.stop().await;
-        world
+        let load = ClientLoad::start(&cluster, 6, ms(200));
+        let ended = leaves(&cluster, "edge-0").await.expect("the process ends");
+        assert!(ended < cluster.settings.bounds.grace, "{ended:?}");
+        load.stop().await;
+        cluster
     });
 }
 
 #[test]
 fn given_sigterm_right_after_the_start_then_the_process_ends_in_time() {
     for moment in [0, 1, 5, 50, 400] {
-        run_judged(|| async {
-            let world = World::serving(Terms::seeded(322)).await;
-            world.kill("edge-0");
+        run_checked(|| async {
+            let cluster = SimulatedCluster::serving(ClusterSettings::seeded(322)).await;
+            cluster.kill("edge-0");
             sleep(ms(300)).await;
-            world.start("edge-0", false);
+            cluster.start("edge-0", false);
             sleep(ms(moment)).await;
-            let ended = leaves(&world, "edge-0").await.expect("the process ends");
+            let ended = leaves(&cluster, "edge-0").await.expect("the process ends");
             assert!(ended < ms(3_500), "at {moment} ms: {ended:?}");
-            world
+            cluster
         });
     }
 }
@@ -194,75 +199,76 @@
 #[test]
 fn given_a_core_without_quorum_and_a_stalled_disk_when_a_member_leaves_then_it_ends_in_time_without_a_loss()
  {
-    run_judged(|| async {
-        let world = World::serving(Terms::seeded(323)).await;
-        let tally = load::begin(&world, 8, ms(200));
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(323)).await;
+        let load = ClientLoad::start(&cluster, 8, ms(200));
         for name in ["core-1", "core-2"] {
-            world.kill(name);
+            cluster.kill(name);
         }
-        world.disk("core-0").files.set_capacity(Some(0));
+        cluster.disk("core-0").files.set_capacity(Some(0));
         sleep(ms(1_000)).await;
-        let ended = leaves(&world, "core-0").await.expect("the process ends");
-        assert!(ended <= world.terms.bounds.grace, "{ended:?}");
-        tally.stop().await;
-        world
+        let ended = leaves(&cluster, "core-0").await.expect("the process ends");
+        assert!(ended <= cluster.settings.bounds.grace, "{ended:?}");
+        load.stop().await;
+        cluster
     });
 }
 
 #[test]
 fn given_a_departure_beside_a_new_configuration_and_exchanged_seeds_then_nothing_is_lost() {
-    run_judged(|| async {
-        let world = World::serving(Terms::seeded(324)).await;
-        let tally = load::begin(&world, 12, ms(150));
-        let ending = leaves(&world, "core-1");
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(324)).await;
+        let load = ClientLoad::start(&cluster, 12, ms(150));
+        let ending = leaves(&cluster, "core-1");
         sleep(ms(100)).await;
-        world.seeds_anew();
-        let plan = first_plan().next(2, |p| {
-            p.routes.push(Route::new("new", Kind::Idempotent, "models"));
+        cluster.refresh_seeds();
+        let configuration = initial_configuration().next(2, |p| {
+            p.routes
+                .push(Route::new("new", RouteKind::Idempotent, "models"));
         });
-        assert_eq!(world.operator.put(&plan, 1).await, 200);
+        assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
         let took = ending.await.expect("the process ends");
-        assert!(took < world.terms.bounds.grace, "{took:?}");
-        tally.stop().await;
-        assert!(tally.share() > 0.95, "{}", tally.share());
-        world.operator.read_back().await;
-        world
+        assert!(took < cluster.settings.bounds.grace, "{took:?}");
+        load.stop().await;
+        assert!(load.served_fraction() > 0.95, "{}", load.served_fraction());
+        cluster.operator.read_back().await;
+        cluster
     });
 }
 
 #[test]
 fn given_machines_that_leave_in_turn_under_load_then_nothing_is_lost() {
     for seed in 0..2 {
-        run_judged(|| async {
-            let world = World::serving(Terms::seeded(330 + seed)).await;
-            let tally = load::begin(&world, 16, ms(150));
+        run_checked(|| async {
+            let cluster = SimulatedCluster::serving(ClusterSettings::seeded(330 + seed)).await;
+            let load = ClientLoad::start(&cluster, 16, ms(150));
             let mut ending = Vec::new();
             for name in ["edge-0", "core-0", "edge-1"] {
-                ending.push(leaves(&world, name));
+                ending.push(leaves(&cluster, name));
                 sleep(ms(1_000)).await;
             }
             for ended in ending {
                 ended.await.expect("the process ends");
             }
-            tally.stop().await;
-            assert!(tally.share() > 0.95, "{}", tally.share());
-            world
+            load.stop().await;
+            assert!(load.served_fraction() > 0.95, "{}", load.served_fraction());
+            cluster
         });
     }
 }
 
 /// The status that a client gets whose request of a long stream is whole only at `moment` after SIGTERM.
-async fn slow_body(world: &Rc<World>, name: &str, moment: Duration) -> (u16, bool) {
-    let net = world.outside_net();
+async fn slow_body(cluster: &Rc<SimulatedCluster>, name: &str, moment: Duration) -> (u16, bool) {
+    let net = cluster.outside_net();
     let mut stream = net
-        .connect(world.front_of(name))
+        .connect(cluster.front_of(name))
         .await
         .expect("it takes connections");
     let head = format!(
         "POST /stream/s450 HTTP/1.1\r\nHost: {HOST}\r\nSparrouter-Key: {KEY}\r\n\
          Sparrouter-Attempt-Id: 00000000000000aa\r\nSparrouter-Deadline-Ms: 9000\r\nContent-Length: 2\r\n\r\na"
     );
-    let ending = leaves(world, name);
+    let ending = leaves(cluster, name);
     stream
         .write_all(head.as_bytes())
         .await
@@ -280,10 +286,10 @@
 
 #[test]
 fn given_a_body_that_is_whole_late_in_a_departure_then_its_client_is_told_to_come_back() {
-    run_judged(|| async {
-        let world = World::serving(Terms::seeded(340)).await;
-        let (status, retry_after) = slow_body(&world, "edge-0", ms(2_900)).await;
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(340)).await;
+        let (status, retry_after) = slow_body(&cluster, "edge-0", ms(2_900)).await;
         assert_eq!((status, retry_after), (503, true));
-        world
+        cluster
     });
 }
--- a/crates/sparrouter-simulation/tests/planted.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects.rs
@@ -1,30 +1,30 @@
 //! Each planted mistake is found by a fixed day, of which only what it takes is played; the long hunt is the example
 //! `hunt`, and its `--planted --shrink` gives these days.
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::faults::{self, Day};
-use sparrouter_simulation::scenario::play;
+use sparrouter_simulation::faults::{self, Scenario};
+use sparrouter_simulation::runtime::play;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// Should a day still differ a little from run to run.
 const TRIES: usize = 3;
 
-fn is_found(defect: Defect, seed: u64, places: &[usize], closing: bool) -> bool {
+fn is_found(defect: Defect, seed: u64, indices: &[usize], closing: bool) -> bool {
     inject(Some(defect));
-    let day = Day::drawn(seed).only(places, closing);
+    let day = Scenario::from_seed(seed).restricted_to(indices, closing);
     let found = (0..TRIES).any(|_| {
         // A core may notice it itself, by an assertion without which the story cannot go on.
         let played = catch_unwind(AssertUnwindSafe(|| play(faults::play(&day))));
-        played.map_or(true, |report| !report.breaches.is_empty())
+        played.map_or(true, |report| !report.violations.is_empty())
     });
     inject(None);
     found
 }
 
 macro_rules! found {
-    ($($name:ident: $defect:ident in $seed:literal $places:expr, $closing:literal;)*) => {$(
+    ($($name:ident: $defect:ident in $seed:literal $indices:expr, $closing:literal;)*) => {$(
         #[test]
         fn $name() {
-            let found = is_found(Defect::$defect, $seed, &$places, $closing);
+            let found = is_found(Defect::$defect, $seed, &$indices, $closing);
             assert!(found, "{:?} is not found any more: hunt for a day that does", Defect::$defect);
         }
     )*};
--- a/crates/sparrouter-simulation/tests/planted_orders.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects_orders.rs
@@ -6,35 +6,36 @@
     Change, ConfigurationMachine, MAX_KNOWN_ORDERS, Verdict,
 };
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::operator::{How, Order};
-use sparrouter_simulation::plan::{Kind, Plan, Route};
-use sparrouter_simulation::scenario::play;
-use sparrouter_simulation::world::{Terms, World, first_plan};
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
+use sparrouter_simulation::operator::{Encoding, Order};
+use sparrouter_simulation::runtime::play;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
 
-fn with_route(plan: &Plan, step: u64, name: &str) -> Plan {
-    plan.next(step, |p| {
-        p.routes.push(Route::new(name, Kind::Idempotent, "models"))
+fn with_route(configuration: &Configuration, step: u64, name: &str) -> Configuration {
+    configuration.next(step, |p| {
+        p.routes
+            .push(Route::new(name, RouteKind::Idempotent, "models"))
     })
 }
 
-fn put(plan: &Plan, base: u64) -> Order {
-    Order::new(plan, base, How::Whole, true)
+fn put(configuration: &Configuration, base: u64) -> Order {
+    Order::new(configuration, base, Encoding::Full, true)
 }
 
 /// What the check of the history says of a story.
-fn violation<F: Future<Output = Rc<World>>>(story: impl FnOnce() -> F) -> Vec<String> {
+fn violation<F: Future<Output = Rc<SimulatedCluster>>>(story: impl FnOnce() -> F) -> Vec<String> {
     play(async move {
-        let world = story().await;
-        world.judge.check_history();
-        world.judge.breaches()
+        let cluster = story().await;
+        cluster.monitor.check_history();
+        cluster.monitor.violations()
     })
 }
 
-fn assert_found<F: Future<Output = Rc<World>>>(defect: Defect, story: fn() -> F) {
+fn assert_found<F: Future<Output = Rc<SimulatedCluster>>>(defect: Defect, story: fn() -> F) {
     assert_eq!(violation(story), Vec::<String>::new(), "without a defect");
     inject(Some(defect));
     let found = violation(story);
@@ -45,68 +46,72 @@
     );
 }
 
-async fn world() -> Rc<World> {
-    World::serving(Terms {
+async fn cluster() -> Rc<SimulatedCluster> {
+    SimulatedCluster::serving(ClusterSettings {
         others: 1,
         servers: 1,
-        ..Terms::seeded(500)
+        ..ClusterSettings::seeded(500)
     })
     .await
 }
 
 /// Sends an order to a member of the core, whose answer counts.
-async fn send(world: &World, order: &Order) {
-    let to = world.control_of("core-0");
-    world.operator.send(to, order).await;
+async fn send(cluster: &SimulatedCluster, order: &Order) {
+    let to = cluster.control_of("core-0");
+    cluster.operator.send(to, order).await;
 }
 
-async fn two_under_one_number() -> Rc<World> {
-    let world = world().await;
+async fn two_under_one_number() -> Rc<SimulatedCluster> {
+    let cluster = cluster().await;
     for name in ["left", "right"] {
-        send(&world, &put(&with_route(&first_plan(), 2, name), 1)).await;
+        send(
+            &cluster,
+            &put(&with_route(&initial_configuration(), 2, name), 1),
+        )
+        .await;
     }
-    world
+    cluster
 }
 
-async fn one_on_an_older_version() -> Rc<World> {
-    let world = world().await;
+async fn one_on_an_older_version() -> Rc<SimulatedCluster> {
+    let cluster = cluster().await;
     let (newer, stale) = (
-        with_route(&first_plan(), 2, "newer"),
-        with_route(&first_plan(), 4, "stale"),
+        with_route(&initial_configuration(), 2, "newer"),
+        with_route(&initial_configuration(), 4, "stale"),
     );
-    for plan in [newer, stale] {
-        send(&world, &put(&plan, 1)).await;
+    for configuration in [newer, stale] {
+        send(&cluster, &put(&configuration, 1)).await;
     }
-    world
+    cluster
 }
 
-async fn a_repeat() -> Rc<World> {
-    let world = world().await;
-    let order = put(&with_route(&first_plan(), 2, "new"), 1);
+async fn a_repeat() -> Rc<SimulatedCluster> {
+    let cluster = cluster().await;
+    let order = put(&with_route(&initial_configuration(), 2, "new"), 1);
     for _ in 0..2 {
-        send(&world, &order).await;
+        send(&cluster, &order).await;
     }
-    world
+    cluster
 }
 
-async fn a_repeat_after_another_change() -> Rc<World> {
-    let world = world().await;
-    let plan = with_route(&first_plan(), 2, "new");
-    let later = with_route(&plan, 2, "later");
-    let order = put(&plan, 1);
-    send(&world, &order).await;
-    send(&world, &put(&later, plan.version)).await;
-    send(&world, &order).await;
-    world
+async fn a_repeat_after_another_change() -> Rc<SimulatedCluster> {
+    let cluster = cluster().await;
+    let configuration = with_route(&initial_configuration(), 2, "new");
+    let later = with_route(&configuration, 2, "later");
+    let order = put(&configuration, 1);
+    send(&cluster, &order).await;
+    send(&cluster, &put(&later, configuration.version)).await;
+    send(&cluster, &order).await;
+    cluster
 }
 
 /// The order waits at the frozen member that a relay asks first, and the next one refuses it, as its base is not in
 /// force. Then the base is, and the frozen member thaws.
-async fn a_copy_that_waits() -> Rc<World> {
-    let world = world().await;
-    let base = with_route(&first_plan(), 2, "base");
+async fn a_copy_that_waits() -> Rc<SimulatedCluster> {
+    let cluster = cluster().await;
+    let base = with_route(&initial_configuration(), 2, "base");
     let ahead = put(&with_route(&base, 2, "ahead"), base.version);
-    let core = world.core();
+    let core = cluster.core();
     let asked_first = core
         .iter()
         .min_by_key(|name| sparrouter_rendezvous::hash(name.as_bytes()))
@@ -114,16 +119,16 @@
     let other = core
         .iter()
         .find(|name| *name != asked_first)
-        .map(|name| world.control_of(name))
+        .map(|name| cluster.control_of(name))
         .expect("another member");
-    world.freeze(asked_first, true);
-    let relay = world.control_of("edge-0");
-    world.operator.send(relay, &ahead).await;
-    world.operator.send(other, &put(&base, 1)).await;
-    world.freeze(asked_first, false);
+    cluster.freeze(asked_first, true);
+    let relay = cluster.control_of("edge-0");
+    cluster.operator.send(relay, &ahead).await;
+    cluster.operator.send(other, &put(&base, 1)).await;
+    cluster.freeze(asked_first, false);
     sleep(Duration::from_secs(4)).await;
-    world.operator.get_from(other).await;
-    world
+    cluster.operator.get_from(other).await;
+    cluster
 }
 
 #[test]
@@ -162,7 +167,7 @@
         body: Blob(format!("{{\"version\":{number},\"routes\":[],\"services\":[]}}").into_bytes()),
     };
     let mut body = Vec::new();
-    let mut judge = |change: &Change| -> u16 {
+    let mut monitor = |change: &Change| -> u16 {
         let answer = match ConfigurationMachine.apply(&body, &change.serialize_bin()) {
             Applied::Changed { body: new, answer } => {
                 body = new;
@@ -174,11 +179,11 @@
         verdict.status
     };
     for number in 1..=MAX_KNOWN_ORDERS as u64 + 1 {
-        assert_eq!(judge(&order(number)), 200);
+        assert_eq!(monitor(&order(number)), 200);
     }
-    assert_eq!(judge(&order(1)), 504);
+    assert_eq!(monitor(&order(1)), 504);
     inject(Some(Defect::OldOrderRefused));
-    let refused = judge(&order(1));
+    let refused = monitor(&order(1));
     inject(None);
     assert_eq!(refused, 412, "the mistake refuses an order that was taken");
 }
--- a/crates/sparrouter-simulation/tests/lease_restart.rs
+++ b/crates/sparrouter-simulation/tests/lease_restart.rs
@@ -1,16 +1,16 @@
 //! A lease holder that starts anew over an old disk: it orders nothing under a fencing token that was replaced.
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::judge::Bounds;
-use sparrouter_simulation::scenario::play;
-use sparrouter_simulation::world::{Terms, World};
+use sparrouter_simulation::checkers::Bounds;
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
+use sparrouter_simulation::runtime::play;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
 /// Until somebody else than `not` ordered a server, or the time is up.
-async fn next_holder(world: &World, not: Option<&str>) -> Option<String> {
+async fn next_holder(cluster: &SimulatedCluster, not: Option<&str>) -> Option<String> {
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(15) {
-        let holder = world.judge.last_holder();
+        let holder = cluster.monitor.last_lease_owner();
         let name = holder.and_then(|h| Some(h.split('@').next()?.to_owned()));
         if name.is_some() && name.as_deref() != not {
             return name;
@@ -22,27 +22,27 @@
 
 /// What broke where the holder is killed, another takes over, and the first one is back with its old disk while there
 /// are more servers to order. Servers don't refuse old tokens here, so that the orders themselves show.
-async fn breaches(seed: u64) -> Vec<String> {
-    let terms = Terms::seeded(seed);
+async fn violations(seed: u64) -> Vec<String> {
+    let settings = ClusterSettings::seeded(seed);
     let bounds = Bounds {
         fencing: false,
-        ..terms.bounds
+        ..settings.bounds
     };
-    let world = World::serving(Terms {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         servers: 9,
         bounds,
-        ..terms
+        ..settings
     })
     .await;
-    assert!(world.operator.name_version(2).await);
-    let first = next_holder(&world, None).await.expect("a first holder");
-    world.kill(&first);
-    let second = next_holder(&world, Some(&first)).await;
+    assert!(cluster.operator.name_version(2).await);
+    let first = next_holder(&cluster, None).await.expect("a first holder");
+    cluster.kill(&first);
+    let second = next_holder(&cluster, Some(&first)).await;
     assert!(second.is_some(), "nobody took over from {first}");
-    world.start(&first, false);
-    assert!(world.operator.name_version(3).await);
+    cluster.start(&first, false);
+    assert!(cluster.operator.name_version(3).await);
     sleep(Duration::from_secs(8)).await;
-    world.judge.breaches()
+    cluster.monitor.violations()
 }
 
 const SEEDS: std::ops::Range<u64> = 4_900..4_906;
@@ -51,7 +51,7 @@
 fn given_a_holder_restarted_over_its_old_disk_when_another_took_over_then_its_old_token_is_not_used()
  {
     for seed in SEEDS {
-        let broken = play(breaches(seed));
+        let broken = play(violations(seed));
         assert!(broken.is_empty(), "seed {seed}: {broken:?}");
     }
 }
@@ -59,7 +59,7 @@
 #[test]
 fn given_a_token_taken_from_the_disk_then_an_order_under_a_lower_one_is_found() {
     inject(Some(Defect::FenceFromDisk));
-    let broken: Vec<String> = SEEDS.flat_map(|seed| play(breaches(seed))).collect();
+    let broken: Vec<String> = SEEDS.flat_map(|seed| play(violations(seed))).collect();
     inject(None);
     let found = broken.iter().any(|b| b.contains("lower than before"));
     assert!(found, "{broken:?}");
@@ -68,25 +68,25 @@
 /// What broke where the holder freezes between two orders, another takes over, and the first one wakes while there are
 /// servers to order.
 async fn breaches_after_a_freeze(seed: u64) -> Vec<String> {
-    let terms = Terms::seeded(seed);
+    let settings = ClusterSettings::seeded(seed);
     let bounds = Bounds {
         fencing: false,
-        ..terms.bounds
+        ..settings.bounds
     };
-    let world = World::serving(Terms {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         servers: 24,
         bounds,
-        ..terms
+        ..settings
     })
     .await;
-    assert!(world.operator.name_version(2).await);
-    let first = next_holder(&world, None).await.expect("a first holder");
-    world.freeze(&first, true);
-    let second = next_holder(&world, Some(&first)).await;
+    assert!(cluster.operator.name_version(2).await);
+    let first = next_holder(&cluster, None).await.expect("a first holder");
+    cluster.freeze(&first, true);
+    let second = next_holder(&cluster, Some(&first)).await;
     assert!(second.is_some(), "nobody took over from {first}");
-    world.freeze(&first, false);
+    cluster.freeze(&first, false);
     sleep(Duration::from_secs(8)).await;
-    world.judge.breaches()
+    cluster.monitor.violations()
 }
 
 #[test]
--- a/crates/sparrouter-simulation/tests/linearizability.rs
+++ b/crates/sparrouter-simulation/tests/linearizability.rs
@@ -1,8 +1,8 @@
 //! The checker of histories on histories whose verdict is known, and the model of the configuration's register.
+use sparrouter_simulation::history::{History, OrderCall, Outcome, without_space};
 use sparrouter_simulation::linearizability::{
     RecordedCall, Response, SequentialModel, Verdict, check,
 };
-use sparrouter_simulation::order_history::{OrderCall, OrderHistory, Outcome, without_space};
 use std::collections::BTreeSet;
 
 const MOST: usize = 1_000_000;
@@ -19,23 +19,23 @@
 use Operation::{CompareAndSet, Read, Write};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answer {
+enum ClientResponse {
     Value(u8),
     Done,
     Failed,
 }
-use Answer::{Done, Failed, Value};
+use ClientResponse::{Done, Failed, Value};
 
 impl SequentialModel for Register {
     type State = u8;
     type Call = Operation;
-    type Outcome = Answer;
+    type Outcome = ClientResponse;
 
     fn initial(&self) -> u8 {
         0
     }
 
-    fn apply(&self, state: &u8, call: &Operation, outcome: &Answer) -> Option<u8> {
+    fn apply(&self, state: &u8, call: &Operation, outcome: &ClientResponse) -> Option<u8> {
         match (call, outcome) {
             (Read, Value(value)) => (value == state).then_some(*state),
             (Write(value), Done) => Some(*value),
@@ -45,7 +45,7 @@
         }
     }
 
-    fn apply_unheard(&self, state: &u8, call: &Operation) -> Option<u8> {
+    fn apply_unanswered(&self, state: &u8, call: &Operation) -> Option<u8> {
         match call {
             Read => None,
             Write(value) => Some(*value),
@@ -54,10 +54,10 @@
     }
 }
 
-type Recorded = RecordedCall<Operation, Answer>;
+type Recorded = RecordedCall<Operation, ClientResponse>;
 
 /// A call by the moments of its invocation and response.
-fn call(invoked: usize, call: Operation, at: usize, outcome: Answer) -> Recorded {
+fn call(invoked: usize, call: Operation, at: usize, outcome: ClientResponse) -> Recorded {
     RecordedCall {
         call,
         invoked,
@@ -92,15 +92,15 @@
     assert!(answered.into_iter().all(|c| distinct.contains(&c)));
     let mut state = Register.initial();
     let mut latest_invocation = 0;
-    for place in order {
-        let recorded = &history[*place];
+    for index in order {
+        let recorded = &history[*index];
         latest_invocation = latest_invocation.max(recorded.invoked);
         let after = match &recorded.response {
             Some(response) => {
                 assert!(response.at > latest_invocation, "{order:?}");
                 Register.apply(&state, &recorded.call, &response.outcome)
             }
-            None => Register.apply_unheard(&state, &recorded.call),
+            None => Register.apply_unanswered(&state, &recorded.call),
         };
         state = after.expect("the model allows each step");
     }
@@ -220,7 +220,7 @@
 fn given_drawn_histories_when_checked_then_the_verdict_is_that_of_trying_every_order() {
     let (mut fits, mut breaks) = (0, 0);
     for seed in 0..3_000 {
-        let history = drawn(&mut fastrand::Rng::with_seed(seed));
+        let history = from_seed(&mut fastrand::Rng::with_seed(seed));
         let expected = some_order_fits(&history, &mut Vec::new(), 0);
         assert_eq!(is_linearizable(&history), expected, "{seed}: {history:?}");
         *if expected { &mut fits } else { &mut breaks } += 1;
@@ -228,7 +228,7 @@
     assert!(fits > 500 && breaks > 500, "{fits} {breaks}");
 }
 
-fn drawn(rng: &mut fastrand::Rng) -> Vec<Recorded> {
+fn from_seed(rng: &mut fastrand::Rng) -> Vec<Recorded> {
     let calls = rng.usize(2..7);
     let mut moments: Vec<usize> = (0..2 * calls).collect();
     rng.shuffle(&mut moments);
@@ -266,7 +266,7 @@
         }
         let after = match &recorded.response {
             Some(response) => Register.apply(&state, &recorded.call, &response.outcome),
-            None => Register.apply_unheard(&state, &recorded.call),
+            None => Register.apply_unanswered(&state, &recorded.call),
         };
         if let Some(after) = after {
             order.push(*next);
@@ -291,20 +291,20 @@
 }
 
 /// Orders one after the other, and how each was answered.
-fn told(calls: &[(OrderCall, Option<Outcome>)]) -> OrderHistory {
-    let mut history = OrderHistory::default();
+fn told(calls: &[(OrderCall, Option<Outcome>)]) -> History {
+    let mut history = History::default();
     for (order, outcome) in calls {
         let call = history.order_invoked(order.clone());
         if let Some(outcome) = outcome {
-            history.answered(call, outcome.clone());
+            history.response_received(call, outcome.clone());
         }
     }
     history
 }
 
-fn read(history: &mut OrderHistory, order: &OrderCall) {
+fn read(history: &mut History, order: &OrderCall) {
     let call = history.read_invoked();
-    history.answered(call, Outcome::Document(order.document.clone()));
+    history.response_received(call, Outcome::Document(order.document.clone()));
 }
 
 const ACKNOWLEDGED: Option<Outcome> = Some(Outcome::Acknowledged);
--- a/crates/sparrouter-simulation/tests/links.rs
+++ b/crates/sparrouter-simulation/tests/links.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
-const PATIENCE: Duration = Duration::from_millis(300);
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Each connection that is dialled comes out at the other end of the channel.
 struct Dialled(UnboundedSender<DuplexStream>);
@@ -65,7 +65,7 @@
             server: 0,
             store: 0,
         };
-        spawn_local(async move { links.call(peer(), &call, PATIENCE).await })
+        spawn_local(async move { links.call(peer(), &call, CALL_TIMEOUT).await })
     }
 
     async fn connection(&mut self) -> Peer {
@@ -121,8 +121,8 @@
         for (id, asked) in ids.into_iter().rev() {
             peer.answer(id, asked).await;
         }
-        for (place, call) in calls.into_iter().enumerate() {
-            assert_eq!(number(call).await, Ok(place as u64 + 1));
+        for (index, call) in calls.into_iter().enumerate() {
+            assert_eq!(number(call).await, Ok(index as u64 + 1));
         }
     });
 }
@@ -209,7 +209,7 @@
             server: 0,
             store: 0,
         };
-        let answer = links.call(peer(), &call, PATIENCE).await;
+        let answer = links.call(peer(), &call, CALL_TIMEOUT).await;
         assert!(matches!(answer, Err(LinkError::Unreachable)), "{answer:?}");
     });
 }
--- /dev/null
+++ b/crates/sparrouter-simulation/tests/long_partitions.rs
@@ -0,0 +1,234 @@
+//! A core machine cut off for 20 s in every way, joined again in the middle of a change, a replacement or new weights,
+//! under load, with all rules judged and every claim of quorum contact checked.
+use sparrouter_simulation::cluster::partitions::PartitionScope;
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
+use sparrouter_simulation::contact_watch::{ContactWatch, SLOW_POLL};
+use sparrouter_simulation::load::ClientLoad;
+use sparrouter_simulation::network::Partition;
+use sparrouter_simulation::runtime::run_checked;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::{Instant, sleep, sleep_until};
+
+const CUT: Duration = Duration::from_secs(20);
+/// A machine that is back counts as lost for so long.
+const CATCH_UP: Duration = Duration::from_secs(4);
+/// Whatever is under way when the cut ends began at most this long before, in ms.
+const BEFORE_HEAL_MS: u64 = 24;
+
+/// What is done to other machines while one is cut off.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Beside {
+    Nothing,
+    /// The settings name seeds that begin with the machine that is cut off, and the others are restarted.
+    Seeds,
+    /// The machine that is cut off is restarted, then the other core machines, one after the other.
+    Both,
+}
+
+/// What is under way when the cut ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum UnderWay {
+    Change,
+    Replacement,
+    Weights,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct LongCut {
+    seed: u64,
+    way: PartitionScope,
+    beside: Beside,
+    under_way: UnderWay,
+}
+
+fn with_route(configuration: &Configuration, name: &str) -> Configuration {
+    configuration.next(2, |p| {
+        p.routes
+            .push(Route::new(name, RouteKind::Idempotent, "models"))
+    })
+}
+
+impl LongCut {
+    fn settings(&self) -> ClusterSettings {
+        ClusterSettings {
+            // With three machines a replacement beside a cut would lose two at once.
+            core: if self.under_way == UnderWay::Replacement {
+                5
+            } else {
+                3
+            },
+            others: 2,
+            servers: 3,
+            ..ClusterSettings::seeded(self.seed)
+        }
+    }
+
+    /// The machine that ordered or acknowledged last, or one by the seed.
+    fn victim(&self, cluster: &SimulatedCluster) -> String {
+        let core = cluster.core();
+        let holder = cluster.monitor.last_lease_owner();
+        let leader = holder.and_then(|h| core.iter().find(|c| h.starts_with(c.as_str())).cloned());
+        let by_seed = core[self.seed as usize % core.len()].clone();
+        leader.filter(|_| self.seed % 2 == 1).unwrap_or(by_seed)
+    }
+
+    async fn disturb_others(&self, cluster: &Rc<SimulatedCluster>, victim: &str) {
+        match self.beside {
+            Beside::Nothing => {}
+            Beside::Seeds => {
+                let mut names = cluster.core();
+                names.sort_by_key(|n| n != victim);
+                let seeds: Vec<_> = names
+                    .iter()
+                    .take(3)
+                    .map(|n| cluster.control_of(n))
+                    .collect();
+                cluster.exchange_seeds(&seeds);
+                restart(cluster, "edge-0").await;
+            }
+            Beside::Both => {
+                restart(cluster, victim).await;
+                for name in cluster.core().iter().filter(|n| *n != victim) {
+                    restart(cluster, name).await;
+                    sleep(Duration::from_secs(1)).await;
+                }
+            }
+        }
+    }
+
+    /// Starts what is to be under way when the cut ends; gives back the configuration that it ends with.
+    fn begin_work(
+        &self,
+        cluster: &Rc<SimulatedCluster>,
+        configuration: &Configuration,
+        victim: &str,
+    ) -> JoinHandle<Configuration> {
+        let (cluster, configuration, under_way) =
+            (cluster.clone(), configuration.clone(), self.under_way);
+        let other = cluster.core().into_iter().find(|n| n != victim);
+        spawn_local(async move {
+            let next = with_route(&configuration, "healed");
+            match under_way {
+                UnderWay::Change => {}
+                UnderWay::Replacement => drop(other.map(|o| cluster.replace(&o))),
+                UnderWay::Weights => {
+                    cluster.newest_weights.set(2);
+                    assert!(cluster.operator.name_version(2).await, "weights are named");
+                }
+            }
+            assert_eq!(
+                cluster.operator.put(&next, configuration.version).await,
+                200
+            );
+            next
+        })
+    }
+
+    async fn play(self) -> Rc<SimulatedCluster> {
+        let cluster = SimulatedCluster::serving(self.settings()).await;
+        cluster.monitor.trace(format!("{self:?}"));
+        let watch = ContactWatch::begin(&cluster, &cluster.core(), SLOW_POLL);
+        let load = ClientLoad::start(&cluster, 4, Duration::from_millis(300));
+        cluster.newest_weights.set(1);
+        let victim = self.victim(&cluster);
+        let heal_at = Instant::now() + CUT;
+        cluster.partition_core(&victim, self.way, Some(Partition::PacketsLost));
+        sleep(Duration::from_millis(200 * (self.seed % 10))).await;
+        let first = with_route(&initial_configuration(), "cut");
+        assert_eq!(cluster.operator.put(&first, 1).await, 200);
+        watch.acknowledged(first.version);
+        self.disturb_others(&cluster, &victim).await;
+        sleep_until(heal_at - Duration::from_millis(self.seed * 7 % BEFORE_HEAL_MS)).await;
+        let work = self.begin_work(&cluster, &first, &victim);
+        sleep_until(heal_at).await;
+        cluster.partition_core(&victim, self.way, None);
+        let last = work.await.expect("what was under way ends");
+        watch.acknowledged(last.version);
+        sleep(CATCH_UP + cluster.settings.bounds.contact).await;
+        load.stop().await;
+        watch.stop();
+        if self.under_way == UnderWay::Weights {
+            cluster.wait_for_weights(2).await;
+        }
+        for name in cluster.names() {
+            let reply = cluster.operator.get_from(cluster.control_of(&name)).await;
+            let text = reply.map(|r| r.text().to_owned()).unwrap_or_default();
+            let current = format!("\"version\":{},", last.version);
+            assert!(text.contains(&current), "{name} of {self:?}: {text}");
+        }
+        cluster.operator.read_back().await;
+        cluster
+    }
+}
+
+async fn restart(cluster: &SimulatedCluster, name: &str) {
+    cluster.kill(name);
+    sleep(Duration::from_millis(400)).await;
+    cluster.start(name, false);
+}
+
+/// Two seeds of each way and each disturbance beside it.
+fn in_every_way(first_seed: u64, under_way: UnderWay) {
+    let mut seed = first_seed;
+    for way in PartitionScope::ALL {
+        for beside in [Beside::Nothing, Beside::Seeds, Beside::Both] {
+            for _ in 0..2 {
+                let cut = LongCut {
+                    seed,
+                    way,
+                    beside,
+                    under_way,
+                };
+                run_checked(|| cut.play());
+                seed += 1;
+            }
+        }
+    }
+}
+
+#[test]
+fn given_a_cut_of_20_s_healed_in_the_middle_of_a_change_then_no_rule_is_broken() {
+    in_every_way(900, UnderWay::Change);
+}
+
+#[test]
+fn given_a_cut_of_20_s_healed_in_the_middle_of_a_replacement_then_no_rule_is_broken() {
+    in_every_way(1_000, UnderWay::Replacement);
+}
+
+#[test]
+fn given_a_cut_of_20_s_healed_in_the_middle_of_new_weights_then_no_rule_is_broken() {
+    in_every_way(1_100, UnderWay::Weights);
+}
+
+#[test]
+fn given_core_machines_cut_off_for_20_s_in_turn_then_no_rule_is_broken() {
+    for seed in 0..4 {
+        run_checked(|| async {
+            let cluster = SimulatedCluster::serving(ClusterSettings::seeded(1_200 + seed)).await;
+            let watch = ContactWatch::begin(&cluster, &cluster.core(), SLOW_POLL);
+            let mut configuration = initial_configuration();
+            for (n, victim) in cluster.core().into_iter().enumerate() {
+                let way = PartitionScope::ALL[(n + seed as usize) % PartitionScope::ALL.len()];
+                cluster.partition_core(&victim, way, Some(Partition::PacketsLost));
+                let next = with_route(&configuration, &format!("without-{victim}"));
+                assert_eq!(
+                    cluster.operator.put(&next, configuration.version).await,
+                    200
+                );
+                watch.acknowledged(next.version);
+                configuration = next;
+                sleep(CUT).await;
+                cluster.partition_core(&victim, way, None);
+                sleep(CATCH_UP).await;
+            }
+            sleep(cluster.settings.bounds.contact).await;
+            watch.stop();
+            cluster.operator.read_back().await;
+            cluster
+        });
+    }
+}
--- a/crates/sparrouter-simulation/tests/losses/mod.rs
+++ b/crates/sparrouter-simulation/tests/losses/mod.rs
@@ -1,7 +1,7 @@
 //! Machines of the core lost in one way or another, under the monitor of the copies that are left.
-use sparrouter_simulation::copies::CopiesMonitor;
-use sparrouter_simulation::plan::{Kind, Plan, Route};
-use sparrouter_simulation::world::{Terms, World};
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
+use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
+use sparrouter_simulation::durability::DurabilityMonitor;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -25,57 +25,68 @@
     Loss::WipedAfterAcknowledgement,
 ];
 
-pub fn terms(seed: u64, core: usize) -> Terms {
-    Terms {
+pub fn settings(seed: u64, core: usize) -> ClusterSettings {
+    ClusterSettings {
         core,
         others: 1,
         servers: 1,
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     }
 }
 
-pub async fn watched(terms: Terms) -> Rc<World> {
-    let world = World::serving(terms).await;
-    CopiesMonitor::start(&world, CATCH_UP);
-    world
+pub async fn watched(settings: ClusterSettings) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(settings).await;
+    DurabilityMonitor::start(&cluster, CATCH_UP);
+    cluster
 }
 
 /// Changes the configuration, and expects that it is taken.
-pub async fn change(world: &Rc<World>, plan: &mut Plan, name: &str) {
-    let next = plan.next(2, |p| {
-        p.routes.push(Route::new(name, Kind::Idempotent, "models"));
+pub async fn change(cluster: &Rc<SimulatedCluster>, configuration: &mut Configuration, name: &str) {
+    let next = configuration.next(2, |p| {
+        p.routes
+            .push(Route::new(name, RouteKind::Idempotent, "models"));
     });
-    let status = world.operator.put(&next, plan.version).await;
+    let status = cluster.operator.put(&next, configuration.version).await;
     assert_eq!(status, 200, "the change {name}");
-    *plan = next;
+    *configuration = next;
 }
 
 /// Loses the machine; ends once its successor has started.
-pub async fn lose(world: &Rc<World>, plan: &mut Plan, name: &str, loss: Loss) {
-    let zone = world.zone_of(name);
+pub async fn lose(
+    cluster: &Rc<SimulatedCluster>,
+    configuration: &mut Configuration,
+    name: &str,
+    loss: Loss,
+) {
+    let zone = cluster.zone_of(name);
     match loss {
         Loss::Replaced => {
-            world.retire(name);
+            cluster.retire(name);
             sleep(Duration::from_secs(2)).await;
-            world.add_core(zone);
+            cluster.add_core(zone);
         }
         Loss::Planned => {
-            world.add_core(zone);
+            cluster.add_core(zone);
             sleep(Duration::from_secs(2)).await;
-            world.term(name).await;
-            world.retire(name);
+            cluster.terminate(name).await;
+            cluster.retire(name);
         }
         Loss::WipedAfterAcknowledgement => {
-            change(world, plan, &format!("before-{name}-{}", plan.version)).await;
-            wipe(world, name).await;
+            change(
+                cluster,
+                configuration,
+                &format!("before-{name}-{}", configuration.version),
+            )
+            .await;
+            wipe(cluster, name).await;
         }
     }
 }
 
 /// The machine loses power and its disk, and starts again with an empty one.
-pub async fn wipe(world: &World, name: &str) {
-    world.power_off(name);
-    world.wipe(name);
+pub async fn wipe(cluster: &SimulatedCluster, name: &str) {
+    cluster.power_off(name);
+    cluster.wipe(name);
     sleep(Duration::from_millis(500)).await;
-    world.power_on(name);
+    cluster.power_on(name);
 }
--- a/crates/sparrouter-simulation/tests/lost_race.rs
+++ b/crates/sparrouter-simulation/tests/lost_race.rs
@@ -1,41 +1,42 @@
 //! A change that one machine alone accepted, and that lost its slot to another: it is in force nowhere, also not at that
 //! machine once it starts anew over its disk.
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::fabric::Cut;
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
 use sparrouter_simulation::http_messages;
-use sparrouter_simulation::plan::{Kind, Plan, Route};
-use sparrouter_simulation::scenario::play;
-use sparrouter_simulation::world::{Terms, World, first_plan};
+use sparrouter_simulation::network::Partition;
+use sparrouter_simulation::runtime::play;
 use std::time::Duration;
 use tokio::time::sleep;
 
-fn with_route(plan: &Plan, name: &str) -> Plan {
-    plan.next(2, |p| {
-        p.routes.push(Route::new(name, Kind::Idempotent, "models"))
+fn with_route(configuration: &Configuration, name: &str) -> Configuration {
+    configuration.next(2, |p| {
+        p.routes
+            .push(Route::new(name, RouteKind::Idempotent, "models"))
     })
 }
 
 /// One try at one machine; it may take what it wants and answer or not.
-async fn try_once(world: &World, to: &str, plan: &Plan, base: u64) {
+async fn try_once(cluster: &SimulatedCluster, to: &str, configuration: &Configuration, base: u64) {
     let base = base.to_string();
     let _ = http_messages::call(
-        &world.outside_net(),
-        world.control_of(to),
+        &cluster.outside_net(),
+        cluster.control_of(to),
         "PUT",
         "/api/config",
         &[("If-Match", base.as_str())],
-        &plan.json(),
+        &configuration.json(),
         Duration::from_millis(1_500),
     )
     .await;
 }
 
 /// The digest of the configuration that a machine has in force, as its status says.
-async fn digest_at(world: &World, name: &str) -> Option<String> {
-    let net = world.outside_net();
+async fn digest_at(cluster: &SimulatedCluster, name: &str) -> Option<String> {
+    let net = cluster.outside_net();
     let reply = http_messages::call(
         &net,
-        world.control_of(name),
+        cluster.control_of(name),
         "GET",
         "/api/status",
         &[],
@@ -49,33 +50,36 @@
 
 /// What the machines have in force after one of them accepted alone a change that lost.
 async fn digests_after_a_lost_race(seed: u64, alone: &str) -> Vec<Option<String>> {
-    let world = World::serving(Terms::seeded(seed)).await;
+    let cluster = SimulatedCluster::serving(ClusterSettings::seeded(seed)).await;
     // Whoever made a change last proposes the next one without asking first.
-    let plan = with_route(&first_plan(), "before");
-    assert_eq!(world.operator.put(&plan, 1).await, 200);
-    world.cut_off(&[alone], Some(Cut::Silent));
-    let lost = with_route(&plan, "lost");
-    world
-        .judge
-        .body_sent(&lost, plan.version, true, format!("PUT {}", lost.json()));
-    try_once(&world, alone, &lost, plan.version).await;
-    world.kill(alone);
-    let other = world.core().into_iter().find(|n| n != alone);
+    let configuration = with_route(&initial_configuration(), "before");
+    assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
+    cluster.partition(&[alone], Some(Partition::PacketsLost));
+    let lost = with_route(&configuration, "lost");
+    cluster.monitor.submit(
+        &lost,
+        configuration.version,
+        true,
+        format!("PUT {}", lost.json()),
+    );
+    try_once(&cluster, alone, &lost, configuration.version).await;
+    cluster.kill(alone);
+    let other = cluster.core().into_iter().find(|n| n != alone);
     let other = other.expect("three machines of the core");
-    let won = with_route(&plan, "won");
-    let at = Some(world.control_of(&other));
-    let how = sparrouter_simulation::operator::How::Whole;
-    let (status, _) = world
+    let won = with_route(&configuration, "won");
+    let at = Some(cluster.control_of(&other));
+    let how = sparrouter_simulation::operator::Encoding::Full;
+    let (status, _) = cluster
         .operator
-        .change_at(at, &won, plan.version, how, true)
+        .change_at(at, &won, configuration.version, how, true)
         .await;
     assert_eq!(status, 200);
-    world.cut_off(&[alone], None);
-    world.start(alone, false);
+    cluster.partition(&[alone], None);
+    cluster.start(alone, false);
     sleep(Duration::from_secs(6)).await;
     let mut digests = Vec::new();
-    for name in world.core() {
-        digests.push(digest_at(&world, &name).await);
+    for name in cluster.core() {
+        digests.push(digest_at(&cluster, &name).await);
     }
     digests
 }
--- a/crates/sparrouter-simulation/tests/many_changes.rs
+++ b/crates/sparrouter-simulation/tests/many_changes.rs
@@ -4,11 +4,11 @@
 use sparrouter_consensus::{Record, Settings};
 use sparrouter_fleet::control::configuration_state::ConfigurationState;
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::fabric::Cut;
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use sparrouter_simulation::configuration::{Configuration, Route, RouteKind, Tenant};
 use sparrouter_simulation::http_messages;
-use sparrouter_simulation::plan::{Kind, Plan, Route, Tenant};
-use sparrouter_simulation::scenario::play;
-use sparrouter_simulation::world::{Terms, World, first_plan};
+use sparrouter_simulation::network::Partition;
+use sparrouter_simulation::runtime::play;
 use sparrouter_storage::{Opened, Store};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
@@ -29,7 +29,7 @@
     Restart,
     Wipe,
     Freeze,
-    Cut,
+    Partition,
     PowerLoss,
     FullDisk,
     StalledDisk,
@@ -39,27 +39,27 @@
     Trouble::Restart,
     Trouble::Wipe,
     Trouble::Freeze,
-    Trouble::Cut,
+    Trouble::Partition,
     Trouble::PowerLoss,
     Trouble::FullDisk,
     Trouble::StalledDisk,
 ];
 
 impl Trouble {
-    fn begin(self, world: &World, name: &str) {
+    fn begin(self, cluster: &SimulatedCluster, name: &str) {
         match self {
-            Trouble::Restart => world.kill(name),
+            Trouble::Restart => cluster.kill(name),
             Trouble::Wipe => {
-                world.kill(name);
-                world.wipe(name);
+                cluster.kill(name);
+                cluster.wipe(name);
             }
-            Trouble::Freeze => world.freeze(name, true),
-            Trouble::Cut => world.cut_off(&[name], Some(Cut::Silent)),
-            Trouble::PowerLoss => world.power_off(name),
-            Trouble::FullDisk => world.disk(name).files.set_capacity(Some(0)),
+            Trouble::Freeze => cluster.freeze(name, true),
+            Trouble::Partition => cluster.partition(&[name], Some(Partition::PacketsLost)),
+            Trouble::PowerLoss => cluster.power_off(name),
+            Trouble::FullDisk => cluster.disk(name).files.set_capacity(Some(0)),
             Trouble::StalledDisk => {
                 let far = Instant::now() + Duration::from_secs(3_600);
-                world.disk(name).stalled.set(far);
+                cluster.disk(name).stalled.set(far);
             }
         }
     }
@@ -69,22 +69,22 @@
         matches!(self, Trouble::Restart | Trouble::Wipe | Trouble::PowerLoss)
     }
 
-    fn end(self, world: &World, name: &str) {
+    fn end(self, cluster: &SimulatedCluster, name: &str) {
         match self {
-            Trouble::Restart | Trouble::Wipe => world.start(name, false),
-            Trouble::Freeze => world.freeze(name, false),
-            Trouble::Cut => world.cut_off(&[name], None),
-            Trouble::PowerLoss => world.power_on(name),
-            Trouble::FullDisk => world.disk(name).files.set_capacity(None),
-            Trouble::StalledDisk => world.disk(name).stalled.set(Instant::now()),
+            Trouble::Restart | Trouble::Wipe => cluster.start(name, false),
+            Trouble::Freeze => cluster.freeze(name, false),
+            Trouble::Partition => cluster.partition(&[name], None),
+            Trouble::PowerLoss => cluster.power_on(name),
+            Trouble::FullDisk => cluster.disk(name).files.set_capacity(None),
+            Trouble::StalledDisk => cluster.disk(name).stalled.set(Instant::now()),
         }
     }
 }
 
-fn large_plan() -> Plan {
-    first_plan().next(1, |plan| {
+fn large_plan() -> Configuration {
+    initial_configuration().next(1, |configuration| {
         let key = |i: usize| format!("{i:0>KEY_LENGTH$}");
-        plan.tenants.push(Tenant {
+        configuration.tenants.push(Tenant {
             name: "filler".to_owned(),
             keys: (0..KEYS).map(key).collect(),
             isolated: false,
@@ -93,8 +93,8 @@
 }
 
 /// Number of the configuration that a machine has on its disk; 0 where there is none.
-fn version_on_disk(world: &World, name: &str) -> u64 {
-    let opened = Store::open(world.disk(name).files.clone());
+fn version_on_disk(cluster: &SimulatedCluster, name: &str) -> u64 {
+    let opened = Store::open(cluster.disk(name).files.clone());
     let Ok((_, Opened::Existing(records))) = opened else {
         return 0;
     };
@@ -107,10 +107,10 @@
 }
 
 /// Waits until a machine has a version on disk; how long that took.
-async fn until_on_disk(world: &World, name: &str, version: u64) -> Option<Duration> {
+async fn until_on_disk(cluster: &SimulatedCluster, name: &str, version: u64) -> Option<Duration> {
     let began = Instant::now();
     while began.elapsed() < CATCH_UP {
-        if version_on_disk(world, name) >= version {
+        if version_on_disk(cluster, name) >= version {
             return Some(began.elapsed());
         }
         sleep(Duration::from_millis(50)).await;
@@ -120,11 +120,11 @@
 
 /// Asks a machine, which has just started, what is in force until it answers; its answer must not be older than what
 /// was acknowledged before the question.
-async fn answers_with_nothing_older(world: &World, name: &str, acknowledged: u64) {
+async fn answers_with_nothing_older(cluster: &SimulatedCluster, name: &str, acknowledged: u64) {
     for _ in 0..20 {
         let reply = http_messages::call(
-            &world.outside_net(),
-            world.control_of(name),
+            &cluster.outside_net(),
+            cluster.control_of(name),
             "GET",
             "/api/config",
             &[],
@@ -150,80 +150,85 @@
 }
 
 /// What the core's machines wrote to each other.
-fn written_in_core(world: &World) -> u64 {
-    let core = world.core();
+fn written_in_core(cluster: &SimulatedCluster) -> u64 {
+    let core = cluster.core();
     let pairs = core.iter().flat_map(|a| core.iter().map(move |b| (a, b)));
     pairs
-        .map(|(a, b)| world.fabric.written(world.ip(a), world.ip(b)))
+        .map(|(a, b)| cluster.network.written(cluster.ip(a), cluster.ip(b)))
         .sum()
 }
 
-async fn day_of_many_changes(seed: u64, changes: u64) -> Rc<World> {
-    let world = World::serving(Terms {
+async fn day_of_many_changes(seed: u64, changes: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         others: 1,
         servers: 1,
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     })
     .await;
     let mut rng = Rng::with_seed(seed);
-    let mut troubles = TROUBLES.to_vec();
-    let mut plan = large_plan();
-    assert_eq!(world.operator.put(&plan, 1).await, 200);
-    let size = plan.json().len() as u64;
+    let mut fault_timeline = TROUBLES.to_vec();
+    let mut configuration = large_plan();
+    assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
+    let size = configuration.json().len() as u64;
     let inline = Settings::default().max_inline_body_bytes;
     assert!(size > inline as u64, "it is fetched in pieces");
-    let before = written_in_core(&world);
+    let before = written_in_core(&cluster);
     let began = Instant::now();
     let mut under_way: Option<(Trouble, String)> = None;
     for change in 0..changes {
         if change % (2 * SPELL) == SPELL {
-            if troubles.is_empty() {
-                troubles = TROUBLES.to_vec();
+            if fault_timeline.is_empty() {
+                fault_timeline = TROUBLES.to_vec();
             }
-            let trouble = troubles.swap_remove(rng.usize(..troubles.len()));
-            let core = world.core();
+            let trouble = fault_timeline.swap_remove(rng.usize(..fault_timeline.len()));
+            let core = cluster.core();
             let name = core[rng.usize(..core.len())].clone();
-            trouble.begin(&world, &name);
+            trouble.begin(&cluster, &name);
             under_way = Some((trouble, name));
         }
-        let next = plan.next(1, |p| {
+        let next = configuration.next(1, |p| {
             p.routes.retain(|r| !r.name.starts_with("new"));
             let name = format!("new{change}");
-            p.routes.push(Route::new(&name, Kind::Idempotent, "models"));
+            p.routes
+                .push(Route::new(&name, RouteKind::Idempotent, "models"));
         });
         assert_eq!(
-            world.operator.patch(&next, &plan).await,
+            cluster.operator.patch(&next, &configuration).await,
             200,
             "change {change}"
         );
-        plan = next;
+        configuration = next;
         if change % (2 * SPELL) == 2 * SPELL - 1
             && let Some((trouble, name)) = under_way.take()
         {
-            trouble.end(&world, &name);
+            trouble.end(&cluster, &name);
             // A question to any machine tells those that are behind: where nobody asks anew, nobody does before it has
             // caught up by itself.
             if trouble.starts_anew() {
-                answers_with_nothing_older(&world, &name, plan.version).await;
+                answers_with_nothing_older(&cluster, &name, configuration.version).await;
             }
-            let took = until_on_disk(&world, &name, plan.version).await;
+            let took = until_on_disk(&cluster, &name, configuration.version).await;
             assert!(
                 took.is_some(),
                 "seed {seed}: {name} has {} of {} on disk, {CATCH_UP:?} after {trouble:?}",
-                version_on_disk(&world, &name),
-                plan.version
+                version_on_disk(&cluster, &name),
+                configuration.version
             );
-            answers_with_nothing_older(&world, &name, plan.version).await;
+            answers_with_nothing_older(&cluster, &name, configuration.version).await;
             // A machine that is back counts as lost for a while.
             sleep(Duration::from_secs(4)).await;
         }
     }
     sleep(CATCH_UP).await;
-    for name in world.core() {
-        assert_eq!(version_on_disk(&world, &name), plan.version, "{name}");
+    for name in cluster.core() {
+        assert_eq!(
+            version_on_disk(&cluster, &name),
+            configuration.version,
+            "{name}"
+        );
     }
     let spent = began.elapsed().as_secs();
-    let bytes = written_in_core(&world) - before;
+    let bytes = written_in_core(&cluster) - before;
     println!(
         "{bytes} bytes in the core, {} a change, of {size}; {spent} s",
         bytes / changes
@@ -231,8 +236,8 @@
     // Two copies a change, one for each return, as much again for what is small, and polls by the second.
     let most = changes * size * 2 + changes / SPELL * size + changes * size + spent * 50_000;
     assert!(bytes <= most, "{bytes} bytes in the core, at most {most}");
-    world.operator.read_back().await;
-    world
+    cluster.operator.read_back().await;
+    cluster
 }
 
 macro_rules! days {
@@ -240,8 +245,8 @@
         #[test]
         fn $name() {
             play(async {
-                let world = day_of_many_changes($seed, CHANGES).await;
-                world.judge.assert_kept();
+                let cluster = day_of_many_changes($seed, CHANGES).await;
+                cluster.monitor.assert_no_violations();
             });
         }
     )*};
@@ -256,7 +261,7 @@
 #[test]
 fn given_members_that_do_not_compare_what_they_have_then_a_short_day_finds_it() {
     let day = || play(day_of_many_changes(497, 14 * SPELL));
-    day().judge.assert_kept();
+    day().monitor.assert_no_violations();
     inject(Some(Defect::AntiEntropyDisabled));
     let broken = catch_unwind(AssertUnwindSafe(day)).is_err();
     inject(None);
--- a/crates/sparrouter-simulation/tests/node_work.rs
+++ b/crates/sparrouter-simulation/tests/node_work.rs
@@ -1,10 +1,10 @@
 //! What one node does for an event, a request or a poll must not grow with the number of nodes. Counts, not times.
-use sparrouter_simulation::node_work::{NodeWork, SERVERS_A_NODE, measure};
+use sparrouter_simulation::node_work::{NodeCost, SERVERS_PER_NODE, measure};
 
 const SMALL: usize = 10;
 const LARGE: usize = 200;
 
-fn small_and_large() -> [NodeWork; 2] {
+fn small_and_large() -> [NodeCost; 2] {
     [measure(SMALL), measure(LARGE)]
 }
 
@@ -26,7 +26,7 @@
 #[test]
 fn given_any_number_of_nodes_when_a_request_comes_then_the_election_passes_over_the_servers_once() {
     for work in small_and_large() {
-        let servers = (work.nodes * SERVERS_A_NODE) as u64;
+        let servers = (work.nodes * SERVERS_PER_NODE) as u64;
         assert_eq!(work.request.rows, 0, "{work:?}");
         assert!(work.request.servers <= servers, "{work:?}");
     }
