--- a/crates/sparrouter-simulation/tests/older_state.rs
+++ b/crates/sparrouter-simulation/tests/older_state.rs
@@ -3,16 +3,16 @@
 use sparrouter_codec::Seq;
 use sparrouter_consensus::{Record, SharedVote, Vote};
 use sparrouter_fleet::control::configuration_state::{ConfigurationState, FORM, NamedVersion};
-use sparrouter_simulation::operator::{How, Order};
-use sparrouter_simulation::plan::{Kind, Plan, Route};
-use sparrouter_simulation::scenario::run_judged;
-use sparrouter_simulation::world::{Terms, World, first_plan};
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
+use sparrouter_simulation::operator::{Encoding, Order};
+use sparrouter_simulation::runtime::run_checked;
 use sparrouter_storage::{Opened, Store};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
 
-const MOST_RECORD: usize = 10 << 20;
+const MAX_RECORD_BYTES: usize = 10 << 20;
 /// The record of the configuration's shard.
 const RECORD: &str = "part-0";
 
@@ -52,13 +52,14 @@
 }
 
 /// Rewrites the shard's body on every disk of the core, all processes being down.
-fn rewrite(world: &World, rewritten: fn(ConfigurationState) -> Vec<u8>) {
-    for name in world.core() {
-        let (mut store, opened) = Store::open(world.disk(&name).files).expect("a disk that works");
+fn rewrite(cluster: &SimulatedCluster, rewritten: fn(ConfigurationState) -> Vec<u8>) {
+    for name in cluster.core() {
+        let (mut store, opened) =
+            Store::open(cluster.disk(&name).files).expect("a disk that works");
         let Opened::Existing(records) = opened else {
             panic!("{name} has kept nothing");
         };
-        let record = Record::decode(&records[RECORD], MOST_RECORD).expect("a record");
+        let record = Record::decode(&records[RECORD], MAX_RECORD_BYTES).expect("a record");
         let vote = record.accepted.expect("a vote");
         let state = ConfigurationState::read(&vote.state.body).expect("a state");
         let mut vote: Vote = (*vote.0).clone();
@@ -76,78 +77,95 @@
 /// A fleet that took a change, then was stopped, its disks rewritten, and started again.
 async fn restarted_with(
     seed: u64,
-    plan: &Plan,
+    configuration: &Configuration,
     rewritten: fn(ConfigurationState) -> Vec<u8>,
-) -> Rc<World> {
-    let world = World::serving(Terms {
+) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         others: 1,
         servers: 1,
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     })
     .await;
-    assert_eq!(world.operator.put(plan, 1).await, 200);
+    assert_eq!(cluster.operator.put(configuration, 1).await, 200);
     sleep(Duration::from_secs(3)).await;
-    for name in world.names() {
-        world.kill(&name);
+    for name in cluster.names() {
+        cluster.kill(&name);
     }
-    rewrite(&world, rewritten);
-    world.start_all(false).await;
+    rewrite(&cluster, rewritten);
+    cluster.start_all(false).await;
     sleep(Duration::from_secs(4)).await;
-    world
+    cluster
 }
 
-fn with_route(plan: &Plan, name: &str) -> Plan {
-    plan.next(2, |p| {
-        p.routes.push(Route::new(name, Kind::Idempotent, "models"))
+fn with_route(configuration: &Configuration, name: &str) -> Configuration {
+    configuration.next(2, |p| {
+        p.routes
+            .push(Route::new(name, RouteKind::Idempotent, "models"))
     })
 }
 
 #[test]
 fn given_the_first_form_on_all_disks_when_started_then_it_is_served_and_changed_and_old_orders_are_open()
  {
-    run_judged(|| async {
-        let plan = with_route(&first_plan(), "before");
-        let world = restarted_with(600, &plan, as_first_form).await;
-        let to = world.control_of("core-1");
-        let read = world.operator.get_from(to).await.expect("an answer");
-        assert_eq!((read.status, read.text()), (200, plan.json().as_str()));
-        let old = Order::new(&plan, 1, How::Whole, true);
-        assert_eq!(world.operator.send(to, &old).await, 504);
-        let next = with_route(&plan, "after");
-        assert_eq!(world.operator.put(&next, plan.version).await, 200);
-        let lost = Order::new(&with_route(&plan, "lost"), plan.version, How::Whole, true);
-        assert_eq!(world.operator.send(to, &lost).await, 412);
-        world.operator.read_back().await;
-        world
+    run_checked(|| async {
+        let configuration = with_route(&initial_configuration(), "before");
+        let cluster = restarted_with(600, &configuration, as_first_form).await;
+        let to = cluster.control_of("core-1");
+        let read = cluster.operator.get_from(to).await.expect("an answer");
+        assert_eq!(
+            (read.status, read.text()),
+            (200, configuration.json().as_str())
+        );
+        let old = Order::new(&configuration, 1, Encoding::Full, true);
+        assert_eq!(cluster.operator.send(to, &old).await, 504);
+        let next = with_route(&configuration, "after");
+        assert_eq!(
+            cluster.operator.put(&next, configuration.version).await,
+            200
+        );
+        let lost = Order::new(
+            &with_route(&configuration, "lost"),
+            configuration.version,
+            Encoding::Full,
+            true,
+        );
+        assert_eq!(cluster.operator.send(to, &lost).await, 412);
+        cluster.operator.read_back().await;
+        cluster
     });
 }
 
 #[test]
 fn given_a_newer_form_on_all_disks_when_started_then_it_is_refused_with_its_remedy_and_stays_as_it_was()
  {
-    run_judged(|| async {
-        let plan = with_route(&first_plan(), "before");
-        let world = restarted_with(601, &plan, as_newer_form).await;
-        let to = world.control_of("core-1");
-        let read = world.operator.get_from(to).await.expect("an answer");
+    run_checked(|| async {
+        let configuration = with_route(&initial_configuration(), "before");
+        let cluster = restarted_with(601, &configuration, as_newer_form).await;
+        let to = cluster.control_of("core-1");
+        let read = cluster.operator.get_from(to).await.expect("an answer");
         assert_eq!(read.status, 500);
         assert!(
             read.text().contains("bring all nodes to one release"),
             "{}",
             read.text()
         );
-        let next = Order::new(&with_route(&plan, "after"), plan.version, How::Whole, true);
-        assert_eq!(world.operator.send(to, &next).await, 500);
+        let next = Order::new(
+            &with_route(&configuration, "after"),
+            configuration.version,
+            Encoding::Full,
+            true,
+        );
+        assert_eq!(cluster.operator.send(to, &next).await, 500);
         sleep(Duration::from_secs(1)).await;
-        for name in world.core() {
-            let (_, opened) = Store::open(world.disk(&name).files).expect("a disk that works");
+        for name in cluster.core() {
+            let (_, opened) = Store::open(cluster.disk(&name).files).expect("a disk that works");
             let Opened::Existing(records) = opened else {
                 panic!("{name} has kept nothing");
             };
-            let record = Record::decode(&records[RECORD], MOST_RECORD).expect("a record");
+            let record = Record::decode(&records[RECORD], MAX_RECORD_BYTES).expect("a record");
             let body = &record.accepted.expect("a vote").state.body;
             assert_eq!(body[8..12], (FORM + 1).to_le_bytes(), "{name}");
         }
-        world
+        cluster
     });
 }
--- a/crates/sparrouter-simulation/tests/outliers.rs
+++ b/crates/sparrouter-simulation/tests/outliers.rs
@@ -1,15 +1,15 @@
 //! Servers that fail requests while their health check is good: others come first on all nodes, and no longer than the
 //! fault lasts.
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::load;
-use sparrouter_simulation::scenario::play;
-use sparrouter_simulation::server::Faults;
-use sparrouter_simulation::world::{Terms, World};
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
+use sparrouter_simulation::load::{ClientLoad, RecentCounts};
+use sparrouter_simulation::runtime::play;
+use sparrouter_simulation::server::ServerFaults;
 use std::time::Duration;
 use tokio::time::sleep;
 
 const PAUSE: Duration = Duration::from_millis(100);
-const RESETS_ALL: Faults = Faults {
+const RESETS_ALL: ServerFaults = ServerFaults {
     breaks: 0.0,
     resets: 1.0,
     surplus: 0.0,
@@ -17,39 +17,43 @@
     hangs: 0.0,
 };
 
-fn six_servers(seed: u64) -> Terms {
-    Terms {
+fn six_servers(seed: u64) -> ClusterSettings {
+    ClusterSettings {
         servers: 6,
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     }
 }
 
 /// Part of the requests that is served while so many of six servers reset all of theirs, and after that.
-async fn shares_served(seed: u64, faulty: usize) -> (f64, f64) {
-    let world = World::serving(six_servers(seed)).await;
-    let tally = load::begin(&world, 16, PAUSE);
+async fn shares_served(seed: u64, server_faulted: usize) -> (f64, f64) {
+    let cluster = SimulatedCluster::serving(six_servers(seed)).await;
+    let load = ClientLoad::start(&cluster, 16, PAUSE);
     sleep(Duration::from_secs(3)).await;
-    let ids: Vec<String> = world.server_ids().into_iter().take(faulty).collect();
-    let set_all = |faults: Faults| {
+    let ids: Vec<String> = cluster
+        .server_ids()
+        .into_iter()
+        .take(server_faulted)
+        .collect();
+    let set_all = |faults: ServerFaults| {
         ids.iter()
-            .for_each(|id| world.server(id).faults.set(faults));
+            .for_each(|id| cluster.server(id).faults.set(faults));
     };
     set_all(RESETS_ALL);
     let share = || {
-        let (sent, served) = tally.late.get();
-        tally.count_anew();
+        let RecentCounts { sent, served } = load.recent.get();
+        load.reset_recent();
         f64::from(served) / f64::from(sent.max(1))
     };
-    tally.count_anew();
+    load.reset_recent();
     sleep(Duration::from_secs(10)).await;
     let during = share();
-    set_all(Faults::default());
+    set_all(ServerFaults::default());
     sleep(Duration::from_secs(4)).await;
-    tally.count_anew();
+    load.reset_recent();
     sleep(Duration::from_secs(5)).await;
     let after = share();
-    tally.stop().await;
-    world.judge.assert_kept();
+    load.stop().await;
+    cluster.monitor.assert_no_violations();
     (during, after)
 }
 
--- a/crates/sparrouter-simulation/tests/index.rs
+++ b/crates/sparrouter-simulation/tests/prefix_index.rs
@@ -1,12 +1,14 @@
 //! The index of kept prompts over whole nodes: what one server keeps, another is pointed at.
 use bytes::BytesMut;
 use sparrouter_simulation::client::{ClientRequest, RequestOutcome};
-use sparrouter_simulation::http_messages::{next_call, whole};
-use sparrouter_simulation::net::MemoryNet;
-use sparrouter_simulation::plan::Kind;
-use sparrouter_simulation::scenario::run_judged;
+use sparrouter_simulation::cluster::{
+    ClusterSettings, SimulatedCluster, ZONES, kv_store_address, request,
+};
+use sparrouter_simulation::configuration::RouteKind;
+use sparrouter_simulation::http_messages::{next_call, response_text};
+use sparrouter_simulation::network::interface::NetworkInterface;
+use sparrouter_simulation::runtime::run_checked;
 use sparrouter_simulation::server::Server;
-use sparrouter_simulation::world::{Terms, World, ZONES, request, store};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -14,14 +16,14 @@
 use tokio::time::sleep;
 
 /// The store answers at its address from now on; without that it is told to be down, and not named.
-fn open_store(world: &Rc<World>) {
-    world.fabric.add(store().ip(), ZONES[0]);
-    let door = MemoryNet::new(world.fabric.clone(), store().ip())
-        .open(store())
+fn open_store(cluster: &Rc<SimulatedCluster>) {
+    cluster.network.add(kv_store_address().ip(), ZONES[0]);
+    let listener = NetworkInterface::new(cluster.network.clone(), kv_store_address().ip())
+        .open(kv_store_address())
         .expect("its address is free");
     spawn_local(async move {
         loop {
-            let (mut stream, _) = door.next().await;
+            let (mut stream, _) = listener.next().await;
             spawn_local(async move {
                 let mut buffer = BytesMut::new();
                 while next_call(&mut stream, &mut buffer).await.is_some() {
@@ -29,7 +31,7 @@
                     let nothing =
                         r#"{"epoch":1,"next_page_token":0,"lost_count":false,"events":[]}"#;
                     if stream
-                        .write_all(whole(200, "", nothing).as_bytes())
+                        .write_all(response_text(200, "", nothing).as_bytes())
                         .await
                         .is_err()
                     {
@@ -41,65 +43,76 @@
     });
 }
 
-fn about(topic: &str, shared: u64) -> ClientRequest {
+fn about(prompt_id: &str, shared_tokens: u64) -> ClientRequest {
     ClientRequest {
-        topic: topic.into(),
-        shared,
-        ..request(Kind::Idempotent, "b30")
+        prompt_id: prompt_id.into(),
+        shared_tokens,
+        ..request(RouteKind::Idempotent, "b30")
     }
 }
 
 /// Asks once more; gives back how many parts servers other than these took from elsewhere.
-async fn moved_to(world: &Rc<World>, request: &ClientRequest, before: &[Rc<Server>]) -> u32 {
+async fn moved_to(
+    cluster: &Rc<SimulatedCluster>,
+    request: &ClientRequest,
+    before: &[Rc<Server>],
+) -> u32 {
     assert_eq!(
-        world.client(false).get(request).await,
+        cluster.client(false).send(request).await,
         RequestOutcome::Served
     );
-    let others = world.server_ids().into_iter().map(|id| world.server(&id));
+    let others = cluster
+        .server_ids()
+        .into_iter()
+        .map(|id| cluster.server(&id));
     others
-        .filter(|s| before.iter().all(|b| b.terms.id != s.terms.id))
+        .filter(|s| before.iter().all(|b| b.settings.id != s.settings.id))
         .map(|s| s.moves.get())
         .sum()
 }
 
-fn home_drains(seed: u64, shared: u64, restart: bool) {
-    run_judged(move || async move {
-        let world = World::serving(Terms {
+fn home_drains(seed: u64, shared_tokens: u64, restart: bool) {
+    run_checked(move || async move {
+        let cluster = SimulatedCluster::serving(ClusterSettings {
             servers: 4,
-            ..Terms::seeded(seed)
+            ..ClusterSettings::seeded(seed)
         })
         .await;
-        let request = about("c0ffee", shared);
+        let request = about("c0ffee", shared_tokens);
         assert_eq!(
-            world.client(false).get(&request).await,
+            cluster.client(false).send(&request).await,
             RequestOutcome::Served
         );
         let keeps = |s: &Rc<Server>| s.keeps("c0ffee");
-        let home = world
+        let home = cluster
             .server_ids()
             .into_iter()
-            .map(|id| world.server(&id))
+            .map(|id| cluster.server(&id))
             .find(keeps)
             .expect("one read it");
         sleep(Duration::from_millis(400)).await;
         if restart {
             // Whoever owned the part, or followed its server, has forgotten all of it.
-            for name in world.names().into_iter().filter(|n| n.starts_with("edge")) {
-                world.kill(&name);
+            for name in cluster
+                .names()
+                .into_iter()
+                .filter(|n| n.starts_with("edge"))
+            {
+                cluster.kill(&name);
                 sleep(Duration::from_millis(300)).await;
-                world.start(&name, false);
+                cluster.start(&name, false);
                 sleep(Duration::from_millis(1_500)).await;
             }
-            world.until_ready().await;
+            cluster.wait_until_ready().await;
         }
         home.drain();
         sleep(Duration::from_millis(1_500)).await;
         assert_eq!(
-            moved_to(&world, &request, &[home]).await,
+            moved_to(&cluster, &request, &[home]).await,
             1,
             "it was taken from where it is kept"
         );
-        world
+        cluster
     });
 }
 
@@ -121,56 +134,56 @@
 #[test]
 fn given_all_other_nodes_frozen_when_parts_are_asked_for_then_the_store_is_named_for_what_their_owners_know()
  {
-    run_judged(|| async {
-        let world = World::serving(Terms {
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings {
             servers: 4,
-            ..Terms::seeded(99)
+            ..ClusterSettings::seeded(99)
         })
         .await;
-        open_store(&world);
+        open_store(&cluster);
         sleep(Duration::from_secs(2)).await;
         let wishes: Vec<ClientRequest> = (0..8)
             .map(|n| about(&format!("c0ffee{n}"), 2_000))
             .collect();
         for request in &wishes {
             assert_eq!(
-                world.client(false).get(request).await,
+                cluster.client(false).send(request).await,
                 RequestOutcome::Served
             );
         }
         sleep(Duration::from_millis(400)).await;
-        let before: Vec<Rc<Server>> = world
+        let before: Vec<Rc<Server>> = cluster
             .server_ids()
             .iter()
-            .map(|id| world.server(id))
+            .map(|id| cluster.server(id))
             .collect();
         // What was read is gone with its servers; those that come in their place keep nothing yet.
         for server in &before {
-            world.crash_server(&server.terms.id);
-            world.restart_server(server);
+            cluster.crash_server(&server.settings.id);
+            cluster.restart_server(server);
         }
         sleep(Duration::from_secs(4)).await;
-        let others: Vec<String> = world
+        let others: Vec<String> = cluster
             .names()
             .into_iter()
             .filter(|n| n != "edge-0")
             .collect();
-        others.iter().for_each(|name| world.freeze(name, true));
+        others.iter().for_each(|name| cluster.freeze(name, true));
         for request in &wishes {
-            let came = world
+            let came = cluster
                 .client(false)
-                .get_at(request, world.front_of("edge-0"), 0)
+                .send_to(request, cluster.front_of("edge-0"), 0)
                 .await;
             assert_eq!(came, RequestOutcome::Served);
         }
-        let moves: u32 = world
+        let moves: u32 = cluster
             .server_ids()
             .iter()
-            .map(|id| world.server(id).moves.get())
+            .map(|id| cluster.server(id).moves.get())
             .sum();
         assert!(moves >= 8, "{moves} of 8 shared parts came from the store");
-        others.iter().for_each(|name| world.freeze(name, false));
+        others.iter().for_each(|name| cluster.freeze(name, false));
         sleep(Duration::from_secs(4)).await;
-        world
+        cluster
     });
 }
--- a/crates/sparrouter-simulation/tests/quorum_contact.rs
+++ b/crates/sparrouter-simulation/tests/quorum_contact.rs
@@ -8,15 +8,15 @@
 use sparrouter_fleet::peer::messages::{self, Call};
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_membership::MembershipDelta;
+use sparrouter_simulation::cluster::partitions::PartitionScope;
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
 use sparrouter_simulation::contact_watch::{
-    CLOSELY, CONTACT_WINDOW, Caller, ContactWatch, internal_of,
+    CONTACT_WINDOW, Caller, ContactWatch, FAST_POLL, internal_of,
 };
-use sparrouter_simulation::fabric::Cut;
 use sparrouter_simulation::http_messages::{self, Reply};
-use sparrouter_simulation::plan::{Kind, Plan, Route};
-use sparrouter_simulation::scenario::{play, run_judged};
-use sparrouter_simulation::world::cuts::CutWay;
-use sparrouter_simulation::world::{Terms, World, first_plan};
+use sparrouter_simulation::network::Partition;
+use sparrouter_simulation::runtime::{play, run_checked};
 use std::future::Future;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
@@ -29,31 +29,34 @@
 const CLAIMS_END: Duration = CONTACT_WINDOW.saturating_add(Duration::from_millis(50));
 const VICTIM: &str = "core-0";
 
-fn with_route(plan: &Plan, name: &str) -> Plan {
-    plan.next(2, |p| {
+fn with_route(configuration: &Configuration, name: &str) -> Configuration {
+    configuration.next(2, |p| {
         p.routes.push(Route {
             public: true,
-            ..Route::new(name, Kind::Idempotent, "models")
+            ..Route::new(name, RouteKind::Idempotent, "models")
         })
     })
 }
 
-fn small(seed: u64) -> Terms {
-    Terms {
+fn small(seed: u64) -> ClusterSettings {
+    ClusterSettings {
         others: 1,
         servers: 1,
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     }
 }
 
 /// Whether a scenario shows the planted mistake, by a breach or by an assertion.
-fn is_found<F: Future<Output = Rc<World>>>(defect: Defect, scenario: impl FnOnce() -> F) -> bool {
+fn is_found<F: Future<Output = Rc<SimulatedCluster>>>(
+    defect: Defect,
+    scenario: impl FnOnce() -> F,
+) -> bool {
     inject(Some(defect));
     let played = catch_unwind(AssertUnwindSafe(|| {
-        play(async move { scenario().await.judge.breaches() })
+        play(async move { scenario().await.monitor.violations() })
     }));
     inject(None);
-    played.map_or(true, |breaches| !breaches.is_empty())
+    played.map_or(true, |violations| !violations.is_empty())
 }
 
 // The decision by itself, against a model that keeps all that ever happened.
@@ -76,7 +79,7 @@
         }
     }
 
-    fn answered(&mut self, began: u64, now: u64) {
+    fn response_received(&mut self, began: u64, now: u64) {
         if now < began + WINDOW && (self.contact || began >= self.lost_at) {
             self.contact = true;
             self.newest_read = Some(self.newest_read.unwrap_or(0).max(began));
@@ -99,7 +102,7 @@
             .map(|read| read.0)
             .collect();
         for began in arrived {
-            model.answered(began, now);
+            model.response_received(began, now);
             real.confirm(began, now);
         }
         // Not looked at in between: nobody may have to notice a loss for it to count.
@@ -142,30 +145,30 @@
 
 /// The victim is cut off while a change is made, and joined again after 20 s. No machine claims contact without what
 /// was acknowledged, and the victim does not claim any while it is cut off.
-async fn cut_and_heal(seed: u64, way: CutWay) -> Rc<World> {
-    let world = World::serving(small(seed)).await;
-    let watch = ContactWatch::begin(&world, &world.core(), CLOSELY);
+async fn cut_and_heal(seed: u64, way: PartitionScope) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(small(seed)).await;
+    let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
     sleep(Duration::from_millis(300)).await;
     let cut_at = Instant::now();
-    world.cut_core(VICTIM, way, Some(Cut::Silent));
+    cluster.partition_core(VICTIM, way, Some(Partition::PacketsLost));
     sleep(Duration::from_millis(100 * (seed % 20))).await;
-    let first = with_route(&first_plan(), "first");
-    assert_eq!(world.operator.put(&first, 1).await, 200);
+    let first = with_route(&initial_configuration(), "first");
+    assert_eq!(cluster.operator.put(&first, 1).await, 200);
     watch.acknowledged(first.version);
     sleep(CUT - cut_at.elapsed()).await;
     let heal_at = Instant::now();
-    let (sending, next) = (world.clone(), with_route(&first, "second"));
+    let (sending, next) = (cluster.clone(), with_route(&first, "second"));
     let put = next.clone();
     let put = spawn_local(async move { sending.operator.put(&put, first.version).await });
     sleep(Duration::from_millis(seed % 8)).await;
-    world.cut_core(VICTIM, way, None);
+    cluster.partition_core(VICTIM, way, None);
     assert_eq!(put.await.ok(), Some(200));
     watch.acknowledged(next.version);
     sleep(Duration::from_secs(4)).await;
     watch.stop();
-    let claims = |from, until| watch.claims(world.ip(VICTIM), from, until);
+    let claims = |from, until| watch.claims(cluster.ip(VICTIM), from, until);
     if claims(cut_at + CLAIMS_END, heal_at) > 0 {
-        world.judge.breach(
+        cluster.monitor.report_violation(
             "CONTACT",
             format!("{VICTIM} claims contact while cut off {way:?}"),
         );
@@ -174,18 +177,18 @@
         claims(heal_at + Duration::from_secs(3), Instant::now()) > 100,
         "{VICTIM} is back in contact"
     );
-    let healthy = watch.claims(world.ip("core-1"), cut_at, heal_at);
+    let healthy = watch.claims(cluster.ip("core-1"), cut_at, heal_at);
     assert!(healthy > 1_000, "core-1 stays in contact: {healthy}");
-    world.operator.read_back().await;
-    world
+    cluster.operator.read_back().await;
+    cluster
 }
 
 #[test]
 fn given_a_machine_cut_off_for_20_s_in_any_way_then_it_claims_no_contact_without_what_is_in_force()
 {
-    for (n, way) in CutWay::ALL.into_iter().enumerate() {
+    for (n, way) in PartitionScope::ALL.into_iter().enumerate() {
         for seed in 0..4 {
-            run_judged(|| cut_and_heal(700 + 10 * n as u64 + seed, way));
+            run_checked(|| cut_and_heal(700 + 10 * n as u64 + seed, way));
         }
     }
 }
@@ -194,7 +197,7 @@
 fn given_contact_that_is_never_lost_then_a_cut_shows_it() {
     assert!(is_found(Defect::ContactNeverLost, || cut_and_heal(
         700,
-        CutWay::All
+        PartitionScope::All
     )));
 }
 
@@ -202,27 +205,27 @@
 fn given_contact_by_frames_that_arrive_then_a_cut_of_one_direction_shows_it() {
     assert!(is_found(Defect::ContactFromAnyFrame, || cut_and_heal(
         741,
-        CutWay::Outward
+        PartitionScope::Outward
     )));
 }
 
 /// The victim is frozen for 20 s, during which a change is made.
-async fn freeze_and_thaw(seed: u64) -> Rc<World> {
-    let world = World::serving(small(seed)).await;
-    let watch = ContactWatch::begin(&world, &world.core(), CLOSELY);
+async fn freeze_and_thaw(seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(small(seed)).await;
+    let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
     sleep(Duration::from_millis(300 + 37 * (seed % 10))).await;
-    world.freeze(VICTIM, true);
-    let next = with_route(&first_plan(), "new");
-    assert_eq!(world.operator.put(&next, 1).await, 200);
+    cluster.freeze(VICTIM, true);
+    let next = with_route(&initial_configuration(), "new");
+    assert_eq!(cluster.operator.put(&next, 1).await, 200);
     watch.acknowledged(next.version);
     sleep(CUT).await;
-    world.freeze(VICTIM, false);
+    cluster.freeze(VICTIM, false);
     let thawed = Instant::now();
     while thawed.elapsed() < Duration::from_secs(1) {
-        if let Some(silent) = called_silent(&world, "core-1").await {
-            world
-                .judge
-                .breach("CONTACT", format!("{silent} is called silent after a thaw"));
+        if let Some(silent) = called_silent(&cluster, "core-1").await {
+            cluster
+                .monitor
+                .report_violation("CONTACT", format!("{silent} is called silent after a thaw"));
             break;
         }
         sleep(Duration::from_millis(10)).await;
@@ -230,17 +233,17 @@
     sleep(Duration::from_secs(3)).await;
     watch.stop();
     let back = watch.claims(
-        world.ip(VICTIM),
+        cluster.ip(VICTIM),
         thawed + Duration::from_secs(3),
         Instant::now(),
     );
     assert!(back > 100, "{VICTIM} is back in contact");
-    world
+    cluster
 }
 
 /// A node other than the victim that this machine has listed as silent.
-async fn called_silent(world: &Rc<World>, name: &str) -> Option<String> {
-    let status = get(world, name, "/api/status").await?;
+async fn called_silent(cluster: &Rc<SimulatedCluster>, name: &str) -> Option<String> {
+    let status = get(cluster, name, "/api/status").await?;
     let listed = status.split("{\"name\":\"").skip(1);
     let silent = listed.filter(|node| {
         let node = node.split('}').next().unwrap_or_default();
@@ -253,28 +256,28 @@
 
 /// One call to a machine's control endpoint.
 async fn call_control(
-    world: &World,
+    cluster: &SimulatedCluster,
     name: &str,
     request: (&str, &str),
     fields: &[(&str, &str)],
     body: &str,
 ) -> Option<Reply> {
     let (method, path) = request;
-    let (net, at) = (world.outside_net(), world.control_of(name));
-    let patience = Duration::from_secs(1);
-    let call = http_messages::call(&net, at, method, path, fields, body, patience);
+    let (net, at) = (cluster.outside_net(), cluster.control_of(name));
+    let timeout_after = Duration::from_secs(1);
+    let call = http_messages::call(&net, at, method, path, fields, body, timeout_after);
     call.await.ok()
 }
 
-async fn get(world: &World, name: &str, path: &str) -> Option<String> {
-    let reply = call_control(world, name, ("GET", path), &[], "").await?;
+async fn get(cluster: &SimulatedCluster, name: &str, path: &str) -> Option<String> {
+    let reply = call_control(cluster, name, ("GET", path), &[], "").await?;
     Some(reply.text().to_owned())
 }
 
 #[test]
 fn given_a_machine_frozen_for_20_s_when_it_wakes_then_it_claims_nothing_before_a_quorum_answered() {
     for seed in 0..8 {
-        run_judged(|| freeze_and_thaw(760 + seed));
+        run_checked(|| freeze_and_thaw(760 + seed));
     }
 }
 
@@ -298,30 +301,30 @@
 #[test]
 fn given_two_of_five_cut_off_together_then_neither_counts_as_in_contact_through_the_other() {
     for seed in 0..3 {
-        run_judged(|| async {
-            let terms = Terms {
+        run_checked(|| async {
+            let settings = ClusterSettings {
                 core: 5,
                 ..small(780 + seed)
             };
-            let world = World::serving(terms).await;
-            let watch = ContactWatch::begin(&world, &world.core(), CLOSELY);
+            let cluster = SimulatedCluster::serving(settings).await;
+            let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
             sleep(Duration::from_millis(200)).await;
             let cut_at = Instant::now();
-            world.cut_off(&["core-0", "core-1"], Some(Cut::Silent));
-            let next = with_route(&first_plan(), "new");
-            assert_eq!(world.operator.put(&next, 1).await, 200);
+            cluster.partition(&["core-0", "core-1"], Some(Partition::PacketsLost));
+            let next = with_route(&initial_configuration(), "new");
+            assert_eq!(cluster.operator.put(&next, 1).await, 200);
             watch.acknowledged(next.version);
             sleep(CUT).await;
             let heal_at = Instant::now();
             for name in ["core-0", "core-1"] {
-                let claims = watch.claims(world.ip(name), cut_at + CLAIMS_END, heal_at);
+                let claims = watch.claims(cluster.ip(name), cut_at + CLAIMS_END, heal_at);
                 assert_eq!(claims, 0, "{name}");
             }
-            world.cut_off(&["core-0", "core-1"], None);
+            cluster.partition(&["core-0", "core-1"], None);
             sleep(Duration::from_secs(4)).await;
             watch.stop();
-            world.operator.read_back().await;
-            world
+            cluster.operator.read_back().await;
+            cluster
         });
     }
 }
@@ -329,73 +332,80 @@
 #[test]
 fn given_answers_that_were_long_under_way_then_they_give_no_contact() {
     for seed in 0..6 {
-        run_judged(|| async {
-            let world = World::serving(small(790 + seed)).await;
-            let watch = ContactWatch::begin(&world, &world.core(), CLOSELY);
+        run_checked(|| async {
+            let cluster = SimulatedCluster::serving(small(790 + seed)).await;
+            let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
             sleep(Duration::from_millis(200 + 90 * seed)).await;
             // Questions still leave; their answers wait on the way, just not so long that the connections break.
             for _ in 0..6 {
-                world.cut_core(VICTIM, CutWay::Inward, Some(Cut::Silent));
+                cluster.partition_core(
+                    VICTIM,
+                    PartitionScope::Inward,
+                    Some(Partition::PacketsLost),
+                );
                 sleep(Duration::from_millis(1_400)).await;
-                world.cut_core(VICTIM, CutWay::Inward, None);
+                cluster.partition_core(VICTIM, PartitionScope::Inward, None);
                 sleep(Duration::from_millis(30)).await;
             }
-            let next = with_route(&first_plan(), "new");
-            world.cut_core(VICTIM, CutWay::Inward, Some(Cut::Silent));
-            assert_eq!(world.operator.put(&next, 1).await, 200);
+            let next = with_route(&initial_configuration(), "new");
+            cluster.partition_core(VICTIM, PartitionScope::Inward, Some(Partition::PacketsLost));
+            assert_eq!(cluster.operator.put(&next, 1).await, 200);
             watch.acknowledged(next.version);
             sleep(Duration::from_millis(1_400)).await;
-            world.cut_core(VICTIM, CutWay::Inward, None);
+            cluster.partition_core(VICTIM, PartitionScope::Inward, None);
             sleep(Duration::from_secs(4)).await;
             watch.stop();
-            world
+            cluster
         });
     }
 }
 
 #[test]
 fn given_a_disk_that_stalls_then_its_machine_stays_in_contact_by_the_others() {
-    run_judged(|| async {
-        let world = World::serving(small(796)).await;
-        let watch = ContactWatch::begin(&world, &world.core(), CLOSELY);
-        world.judge.trouble(Some(world.ip(VICTIM)));
-        world.judge.trouble(None);
-        let stalled = world.disk(VICTIM).stalled;
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(small(796)).await;
+        let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
+        cluster.monitor.fault_began(Some(cluster.ip(VICTIM)));
+        cluster.monitor.fault_began(None);
+        let stalled = cluster.disk(VICTIM).stalled;
         stalled.set(Instant::now() + CUT);
         let began = Instant::now();
-        let next = with_route(&first_plan(), "new");
-        assert_eq!(world.operator.put(&next, 1).await, 200);
+        let next = with_route(&initial_configuration(), "new");
+        assert_eq!(cluster.operator.put(&next, 1).await, 200);
         watch.acknowledged(next.version);
         sleep(CUT).await;
-        let claims = watch.claims(world.ip(VICTIM), began, Instant::now());
+        let claims = watch.claims(cluster.ip(VICTIM), began, Instant::now());
         assert!(claims > 1_000, "{claims}");
-        world.judge.calm(Some(world.ip(VICTIM)));
-        world.judge.calm(None);
+        cluster.monitor.fault_ended(Some(cluster.ip(VICTIM)));
+        cluster.monitor.fault_ended(None);
         sleep(Duration::from_secs(2)).await;
         watch.stop();
-        world
+        cluster
     });
 }
 
 #[test]
 fn given_a_machine_that_hardly_runs_then_it_claims_no_contact_without_what_is_in_force() {
     for pace in [40, 700, 3_000] {
-        run_judged(|| async {
-            let world = World::serving(small(797)).await;
-            let watch = ContactWatch::begin(&world, &world.core(), CLOSELY);
-            world.slow(VICTIM, Duration::from_millis(pace));
-            let mut plan = first_plan();
+        run_checked(|| async {
+            let cluster = SimulatedCluster::serving(small(797)).await;
+            let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
+            cluster.slow(VICTIM, Duration::from_millis(pace));
+            let mut configuration = initial_configuration();
             for round in 0..6 {
-                let next = with_route(&plan, &format!("new{round}"));
-                assert_eq!(world.operator.put(&next, plan.version).await, 200);
+                let next = with_route(&configuration, &format!("new{round}"));
+                assert_eq!(
+                    cluster.operator.put(&next, configuration.version).await,
+                    200
+                );
                 watch.acknowledged(next.version);
-                plan = next;
+                configuration = next;
                 sleep(Duration::from_millis(2_300)).await;
             }
-            world.slow(VICTIM, Duration::ZERO);
+            cluster.slow(VICTIM, Duration::ZERO);
             sleep(Duration::from_secs(3)).await;
             watch.stop();
-            world
+            cluster
         });
     }
 }
@@ -403,40 +413,42 @@
 // A process that starts.
 
 /// An edge node starts while it reaches only a core machine that is cut off from the others.
-async fn start_beside_a_cut_off_machine(seed: u64) -> Rc<World> {
-    let world = World::serving(small(seed)).await;
-    world.kill("edge-0");
-    world.cut_core(VICTIM, CutWay::Core, Some(Cut::Silent));
+async fn start_beside_a_cut_off_machine(seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(small(seed)).await;
+    cluster.kill("edge-0");
+    cluster.partition_core(VICTIM, PartitionScope::Core, Some(Partition::PacketsLost));
     for name in ["core-1", "core-2"] {
-        world
-            .fabric
-            .cut_both(world.ip("edge-0"), world.ip(name), Some(Cut::Silent));
+        cluster.network.partition_both(
+            cluster.ip("edge-0"),
+            cluster.ip(name),
+            Some(Partition::PacketsLost),
+        );
     }
-    let next = with_route(&first_plan(), "new");
-    assert_eq!(world.operator.put(&next, 1).await, 200);
+    let next = with_route(&initial_configuration(), "new");
+    assert_eq!(cluster.operator.put(&next, 1).await, 200);
     sleep(Duration::from_secs(4)).await;
-    world.start("edge-0", false);
+    cluster.start("edge-0", false);
     let started = Instant::now();
     while started.elapsed() < Duration::from_secs(12) {
-        let status = get(&world, "edge-0", "/api/status")
+        let status = get(&cluster, "edge-0", "/api/status")
             .await
             .unwrap_or_default();
         if status.contains("\"ready\":true") {
-            world
-                .judge
-                .breach("CONTACT", "edge-0 is ready with an old configuration");
-            return world;
+            cluster
+                .monitor
+                .report_violation("CONTACT", "edge-0 is ready with an old configuration");
+            return cluster;
         }
         sleep(Duration::from_millis(50)).await;
     }
-    world.cut_core(VICTIM, CutWay::Core, None);
+    cluster.partition_core(VICTIM, PartitionScope::Core, None);
     for name in ["core-1", "core-2"] {
-        world
-            .fabric
-            .cut_both(world.ip("edge-0"), world.ip(name), None);
+        cluster
+            .network
+            .partition_both(cluster.ip("edge-0"), cluster.ip(name), None);
     }
     sleep(Duration::from_secs(4)).await;
-    let status = get(&world, "edge-0", "/api/status")
+    let status = get(&cluster, "edge-0", "/api/status")
         .await
         .unwrap_or_default();
     let current = format!("\"config_version\":{},", next.version);
@@ -444,14 +456,14 @@
         status.contains("\"ready\":true") && status.contains(&current),
         "{status}"
     );
-    world
+    cluster
 }
 
 #[test]
 fn given_a_node_that_starts_beside_a_machine_cut_off_then_it_is_not_ready_before_a_quorum_confirms()
 {
     for seed in 0..3 {
-        run_judged(|| start_beside_a_cut_off_machine(800 + seed));
+        run_checked(|| start_beside_a_cut_off_machine(800 + seed));
     }
 }
 
@@ -463,53 +475,54 @@
 }
 
 /// An edge node freezes just after it has started, with polls under way, and wakes 20 s and a change later.
-async fn start_and_freeze(seed: u64, after_ms: u64) -> Rc<World> {
-    let world = World::serving(small(seed)).await;
-    world.kill("edge-0");
+async fn start_and_freeze(seed: u64, after_ms: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(small(seed)).await;
+    cluster.kill("edge-0");
     sleep(Duration::from_millis(500)).await;
-    world.start("edge-0", false);
+    cluster.start("edge-0", false);
     sleep(Duration::from_millis(after_ms)).await;
-    let before = get(&world, "edge-0", "/api/status")
+    let before = get(&cluster, "edge-0", "/api/status")
         .await
         .unwrap_or_default();
-    world.freeze("edge-0", true);
-    let next = with_route(&first_plan(), "new");
-    assert_eq!(world.operator.put(&next, 1).await, 200);
+    cluster.freeze("edge-0", true);
+    let next = with_route(&initial_configuration(), "new");
+    assert_eq!(cluster.operator.put(&next, 1).await, 200);
     sleep(CUT).await;
     let ready_before = before.contains("\"ready\":true");
-    world.freeze("edge-0", false);
+    cluster.freeze("edge-0", false);
     let woke = Instant::now();
     while !ready_before && woke.elapsed() < Duration::from_millis(500) {
-        let status = get(&world, "edge-0", "/api/status")
+        let status = get(&cluster, "edge-0", "/api/status")
             .await
             .unwrap_or_default();
         if status.contains("\"ready\":true") && status.contains("\"config_version\":1,") {
-            world
-                .judge
-                .breach("CONTACT", "edge-0 is ready by an answer that waited for it");
-            return world;
+            cluster
+                .monitor
+                .report_violation("CONTACT", "edge-0 is ready by an answer that waited for it");
+            return cluster;
         }
     }
     sleep(Duration::from_secs(4)).await;
-    let status = get(&world, "edge-0", "/api/status")
+    let status = get(&cluster, "edge-0", "/api/status")
         .await
         .unwrap_or_default();
     assert!(status.contains("\"ready\":true"), "{status}");
-    world
+    cluster
 }
 
 #[test]
 fn given_a_node_frozen_while_it_starts_then_answers_that_waited_do_not_make_it_ready() {
     for after_ms in 0..14 {
-        run_judged(|| start_and_freeze(810, after_ms));
+        run_checked(|| start_and_freeze(810, after_ms));
     }
 }
 
 #[test]
 fn given_an_answer_older_than_its_caller_would_wait_then_it_counts_for_nothing() {
-    let patience = Duration::from_millis(1_700);
+    let timeout_after = Duration::from_millis(1_700);
     let found = || {
-        let after = |ms: u64| is_timely(5_000_000_000, 5_000_000_000 + ms * 1_000_000, patience);
+        let after =
+            |ms: u64| is_timely(5_000_000_000, 5_000_000_000 + ms * 1_000_000, timeout_after);
         !after(0) || !after(1_700) || after(1_701) || after(20_000)
     };
     assert!(!found());
@@ -520,38 +533,40 @@
 }
 
 /// An edge node that has the newest configuration is left with a machine that is cut off and has an older one.
-async fn left_with_an_older_machine(seed: u64) -> Rc<World> {
-    let world = World::serving(small(seed)).await;
-    world.cut_core(VICTIM, CutWay::Core, Some(Cut::Silent));
+async fn left_with_an_older_machine(seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(small(seed)).await;
+    cluster.partition_core(VICTIM, PartitionScope::Core, Some(Partition::PacketsLost));
     sleep(CLAIMS_END).await;
-    let next = with_route(&first_plan(), "new");
-    assert_eq!(world.operator.put(&next, 1).await, 200);
+    let next = with_route(&initial_configuration(), "new");
+    assert_eq!(cluster.operator.put(&next, 1).await, 200);
     sleep(Duration::from_secs(2)).await;
     for name in ["core-1", "core-2"] {
-        let (edge, core) = (world.ip("edge-0"), world.ip(name));
-        world.fabric.cut_both(edge, core, Some(Cut::Silent));
+        let (edge, core) = (cluster.ip("edge-0"), cluster.ip(name));
+        cluster
+            .network
+            .partition_both(edge, core, Some(Partition::PacketsLost));
     }
     let current = format!("\"config_version\":{},", next.version);
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(8) {
-        let status = get(&world, "edge-0", "/api/status")
+        let status = get(&cluster, "edge-0", "/api/status")
             .await
             .unwrap_or_default();
         if !status.contains(&current) {
-            world
-                .judge
-                .breach("CONFIG", "edge-0 took an older configuration");
-            return world;
+            cluster
+                .monitor
+                .report_violation("CONFIG", "edge-0 took an older configuration");
+            return cluster;
         }
         sleep(Duration::from_millis(50)).await;
     }
-    world
+    cluster
 }
 
 #[test]
 fn given_a_node_left_with_an_older_machine_then_it_keeps_its_configuration() {
     for seed in 0..3 {
-        run_judged(|| left_with_an_older_machine(840 + seed));
+        run_checked(|| left_with_an_older_machine(840 + seed));
     }
 }
 
@@ -565,16 +580,22 @@
 // What is answered without contact: a row of the table in docs/design/control-state/quorum-contact.md each.
 
 /// A world whose victim has been without contact for 3 s.
-async fn without_contact(seed: u64, way: CutWay) -> Rc<World> {
-    let world = World::serving(small(seed)).await;
-    world.cut_core(VICTIM, way, Some(Cut::Silent));
+async fn without_contact(seed: u64, way: PartitionScope) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(small(seed)).await;
+    cluster.partition_core(VICTIM, way, Some(Partition::PacketsLost));
     sleep(Duration::from_secs(3)).await;
-    world
+    cluster
 }
 
 /// Calls the victim's control endpoint; 0 where it does not answer.
-async fn ask(world: &World, method: &str, path: &str, fields: &[(&str, &str)], body: &str) -> u16 {
-    let reply = call_control(world, VICTIM, (method, path), fields, body).await;
+async fn ask(
+    cluster: &SimulatedCluster,
+    method: &str,
+    path: &str,
+    fields: &[(&str, &str)],
+    body: &str,
+) -> u16 {
+    let reply = call_control(cluster, VICTIM, (method, path), fields, body).await;
     reply.map_or(0, |reply| reply.status)
 }
 
@@ -584,26 +605,26 @@
 }
 
 /// A row of the table in all ways of being cut off.
-fn in_every_way(seed: u64, row: impl AsyncFn(&Rc<World>)) {
-    for way in CutWay::ALL {
-        run_judged(|| async {
-            let world = without_contact(seed, way).await;
-            row(&world).await;
-            world.cut_core(VICTIM, way, None);
+fn in_every_way(seed: u64, row: impl AsyncFn(&Rc<SimulatedCluster>)) {
+    for way in PartitionScope::ALL {
+        run_checked(|| async {
+            let cluster = without_contact(seed, way).await;
+            row(&cluster).await;
+            cluster.partition_core(VICTIM, way, None);
             sleep(Duration::from_secs(4)).await;
-            world
+            cluster
         });
     }
 }
 
 #[test]
 fn given_no_contact_when_a_configuration_is_put_then_it_is_neither_taken_nor_refused() {
-    in_every_way(820, async |world| {
-        let next = with_route(&first_plan(), "new");
-        world.judge.config_sent(&next, 1, true);
+    in_every_way(820, async |cluster| {
+        let next = with_route(&initial_configuration(), "new");
+        cluster.monitor.configuration_submitted(&next, 1, true);
         for base in ["1", "7"] {
             let status = ask(
-                world,
+                cluster,
                 "PUT",
                 "/api/config",
                 &[("If-Match", base)],
@@ -615,19 +636,26 @@
         let broken = next
             .json()
             .replace("\"service\":\"models\"", "\"service\":\"none\"");
-        let status = ask(world, "PUT", "/api/config", &[("If-Match", "1")], &broken).await;
+        let status = ask(cluster, "PUT", "/api/config", &[("If-Match", "1")], &broken).await;
         assert!(says_nothing(status), "invalid: {status}");
     });
 }
 
 #[test]
 fn given_no_contact_when_a_configuration_is_patched_then_it_is_neither_taken_nor_refused() {
-    in_every_way(821, async |world| {
-        let next = with_route(&first_plan(), "new");
-        world.judge.config_sent(&next, 1, true);
-        let body = next.patch_json(&first_plan());
+    in_every_way(821, async |cluster| {
+        let next = with_route(&initial_configuration(), "new");
+        cluster.monitor.configuration_submitted(&next, 1, true);
+        let body = next.patch_json(&initial_configuration());
         for base in ["1", "7"] {
-            let status = ask(world, "PATCH", "/api/config", &[("If-Match", base)], &body).await;
+            let status = ask(
+                cluster,
+                "PATCH",
+                "/api/config",
+                &[("If-Match", base)],
+                &body,
+            )
+            .await;
             assert!(says_nothing(status), "on {base}: {status}");
         }
     });
@@ -635,17 +663,17 @@
 
 #[test]
 fn given_no_contact_when_the_configuration_is_read_then_none_is_handed_out() {
-    in_every_way(822, async |world| {
-        let status = ask(world, "GET", "/api/config", &[], "").await;
+    in_every_way(822, async |cluster| {
+        let status = ask(cluster, "GET", "/api/config", &[], "").await;
         assert!(says_nothing(status), "{status}");
     });
 }
 
 #[test]
 fn given_no_contact_when_weights_are_named_then_it_is_neither_taken_nor_refused() {
-    in_every_way(823, async |world| {
+    in_every_way(823, async |cluster| {
         let body = "{\"model\":\"other\",\"version\":3}";
-        let status = ask(world, "POST", "/api/version-put", &[], body).await;
+        let status = ask(cluster, "POST", "/api/version-put", &[], body).await;
         assert!(says_nothing(status), "{status}");
     });
 }
@@ -657,15 +685,15 @@
     )
 }
 
-async fn heartbeats_without_contact(world: &Rc<World>) {
+async fn heartbeats_without_contact(cluster: &Rc<SimulatedCluster>) {
     for (sequence, state) in (1..).zip(["ready", "ready", "draining", "draining"]) {
         let body = heartbeat(state, sequence);
-        let status = ask(world, "PUT", "/api/instances/i-new", &[], &body).await;
+        let status = ask(cluster, "PUT", "/api/instances/i-new", &[], &body).await;
         assert!(says_nothing(status), "{state} number {sequence}: {status}");
     }
-    let status = ask(world, "DELETE", "/api/instances/i-new", &[], "").await;
+    let status = ask(cluster, "DELETE", "/api/instances/i-new", &[], "").await;
     assert!(says_nothing(status), "DELETE: {status}");
-    let status = ask(world, "DELETE", "/api/instances/i-unknown", &[], "").await;
+    let status = ask(cluster, "DELETE", "/api/instances/i-unknown", &[], "").await;
     assert!(says_nothing(status), "DELETE of an unknown one: {status}");
 }
 
@@ -676,26 +704,29 @@
 
 #[test]
 fn given_contact_when_a_server_reports_drains_or_leaves_then_it_is_acknowledged() {
-    run_judged(|| async {
-        let world = World::serving(small(825)).await;
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(small(825)).await;
         for (sequence, state) in (1..).zip(["ready", "draining", "draining"]) {
             let body = heartbeat(state, sequence);
-            let status = ask(&world, "PUT", "/api/instances/i-new", &[], &body).await;
+            let status = ask(&cluster, "PUT", "/api/instances/i-new", &[], &body).await;
             assert_eq!(status, 200, "{state} number {sequence}");
         }
-        let status = ask(&world, "DELETE", "/api/instances/i-new", &[], "").await;
+        let status = ask(&cluster, "DELETE", "/api/instances/i-new", &[], "").await;
         assert_eq!(status, 200);
-        world
+        cluster
     });
 }
 
-async fn calls_of_nodes_without_contact(world: &Rc<World>) {
-    let (caller, to) = (Caller::new(world.outside_net()), internal_of(world, VICTIM));
+async fn calls_of_nodes_without_contact(cluster: &Rc<SimulatedCluster>) {
+    let (caller, to) = (
+        Caller::new(cluster.outside_net()),
+        internal_of(cluster, VICTIM),
+    );
     let update = caller.poll(to).await.expect("an answer");
     assert!(!update.has_quorum_contact(), "poll");
-    let patience = Duration::from_secs(1);
+    let timeout_after = Duration::from_secs(1);
     let notify = Call::Notify(MembershipDelta::default());
-    let reply = caller.call(to, &notify, patience).await;
+    let reply = caller.call(to, &notify, timeout_after).await;
     assert!(
         matches!(reply, Some(messages::Reply::Rejected(_))),
         "notify: {reply:?}"
@@ -705,7 +736,7 @@
         change: Blob(encode(&Change::Get)),
         timeout_ms: 500,
     };
-    let reply = caller.call(to, &change, patience).await;
+    let reply = caller.call(to, &change, timeout_after).await;
     assert!(
         matches!(reply, Some(messages::Reply::NotApplied(_))),
         "change: {reply:?}"
@@ -720,60 +751,62 @@
 #[test]
 fn given_heartbeats_or_rows_taken_without_contact_then_the_rows_of_the_table_show_it() {
     let heartbeats = || async {
-        let world = without_contact(827, CutWay::Core).await;
-        heartbeats_without_contact(&world).await;
-        world
+        let cluster = without_contact(827, PartitionScope::Core).await;
+        heartbeats_without_contact(&cluster).await;
+        cluster
     };
     assert!(is_found(Defect::HeartbeatWithoutContact, heartbeats));
     assert!(is_found(Defect::DrainRepeatAcked, heartbeats));
     let nodes = || async {
-        let world = without_contact(827, CutWay::Core).await;
-        calls_of_nodes_without_contact(&world).await;
-        world
+        let cluster = without_contact(827, PartitionScope::Core).await;
+        calls_of_nodes_without_contact(&cluster).await;
+        cluster
     };
     assert!(is_found(Defect::NotifyWithoutContact, nodes));
 }
 
 /// A server's draining at an edge node that reaches no core machine but one that is cut off.
-async fn draining_towards_a_cut_off_machine(seed: u64) -> Rc<World> {
-    let world = World::serving(small(seed)).await;
-    world.cut_core(VICTIM, CutWay::Core, Some(Cut::Silent));
+async fn draining_towards_a_cut_off_machine(seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(small(seed)).await;
+    cluster.partition_core(VICTIM, PartitionScope::Core, Some(Partition::PacketsLost));
     for name in ["core-1", "core-2"] {
-        world
-            .fabric
-            .cut_both(world.ip("edge-0"), world.ip(name), Some(Cut::Silent));
+        cluster.network.partition_both(
+            cluster.ip("edge-0"),
+            cluster.ip(name),
+            Some(Partition::PacketsLost),
+        );
     }
     sleep(CLAIMS_END).await;
     let body = heartbeat("draining", 1);
     let request = ("PUT", "/api/instances/i-new");
-    let reply = call_control(&world, "edge-0", request, &[], &body).await;
+    let reply = call_control(&cluster, "edge-0", request, &[], &body).await;
     let status = reply.map_or(0, |reply| reply.status);
     if !says_nothing(status) {
-        world
-            .judge
-            .breach("DRAIN", format!("edge-0 answers draining with {status}"));
+        cluster
+            .monitor
+            .report_violation("DRAIN", format!("edge-0 answers draining with {status}"));
     }
-    world
+    cluster
 }
 
 #[test]
 fn given_an_edge_that_reaches_only_a_machine_cut_off_then_draining_is_not_acknowledged() {
-    run_judged(|| draining_towards_a_cut_off_machine(828));
+    run_checked(|| draining_towards_a_cut_off_machine(828));
     assert!(is_found(Defect::NotifyWithoutContact, || {
         draining_towards_a_cut_off_machine(828)
     }));
 }
 
 /// A change is relayed to a machine that is frozen; it wakes long after its sender has given up.
-async fn relay_to_a_frozen_machine(seed: u64) -> Rc<World> {
-    let world = World::serving(small(seed)).await;
+async fn relay_to_a_frozen_machine(seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(small(seed)).await;
     let (caller, to) = (
-        Caller::new(world.outside_net()),
-        internal_of(&world, VICTIM),
+        Caller::new(cluster.outside_net()),
+        internal_of(&cluster, VICTIM),
     );
     assert!(caller.poll(to).await.is_some(), "the connection is up");
-    world.freeze(VICTIM, true);
-    let late = with_route(&first_plan(), "late");
+    cluster.freeze(VICTIM, true);
+    let late = with_route(&initial_configuration(), "late");
     let change = Change::Put {
         if_match: Some(1),
         body: Blob(late.json().into_bytes()),
@@ -786,22 +819,22 @@
     let reply = caller.call(to, &call, Duration::from_millis(500)).await;
     assert!(reply.is_none(), "{reply:?}");
     sleep(CUT).await;
-    world.freeze(VICTIM, false);
+    cluster.freeze(VICTIM, false);
     sleep(Duration::from_secs(4)).await;
-    let text = get(&world, "core-1", "/api/config")
+    let text = get(&cluster, "core-1", "/api/config")
         .await
         .unwrap_or_default();
     if !text.contains("\"version\":1,") {
-        world
-            .judge
-            .breach("ACKS", "a change was made 20 s after its sender gave it up");
+        cluster
+            .monitor
+            .report_violation("ACKS", "a change was made 20 s after its sender gave it up");
     }
-    world
+    cluster
 }
 
 #[test]
 fn given_a_change_relayed_to_a_frozen_machine_when_it_wakes_then_it_is_not_made() {
-    run_judged(|| relay_to_a_frozen_machine(830));
+    run_checked(|| relay_to_a_frozen_machine(830));
     assert!(is_found(Defect::RelayWithoutContact, || {
         relay_to_a_frozen_machine(830)
     }));
--- a/crates/sparrouter-simulation/tests/revocation.rs
+++ b/crates/sparrouter-simulation/tests/revocation.rs
@@ -1,12 +1,14 @@
 //! Strict revocation: on no machine, in touch or not, does anything run that was sent long after its key was removed.
 use sparrouter_fleet::platform::defects::{Defect, inject};
+use sparrouter_simulation::checkers::Bounds;
 use sparrouter_simulation::client::{ClientRequest, RequestOutcome};
-use sparrouter_simulation::fabric::Cut;
-use sparrouter_simulation::judge::Bounds;
-use sparrouter_simulation::plan::{Kind, Plan};
-use sparrouter_simulation::scenario::{play, run_judged};
-use sparrouter_simulation::server::Faults;
-use sparrouter_simulation::world::{KEY, Terms, World, first_plan, request};
+use sparrouter_simulation::cluster::{
+    ClusterSettings, KEY, SimulatedCluster, initial_configuration, request,
+};
+use sparrouter_simulation::configuration::{Configuration, RouteKind};
+use sparrouter_simulation::network::Partition;
+use sparrouter_simulation::runtime::{play, run_checked};
+use sparrouter_simulation::server::ServerFaults;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,26 +17,26 @@
 /// Between two requests that are sent to one node with a key that was removed.
 const PROBE_PAUSE: Duration = Duration::from_millis(100);
 
-fn strict(seed: u64) -> Terms {
-    Terms {
+fn strict(seed: u64) -> ClusterSettings {
+    ClusterSettings {
         bounds: Bounds {
             strict_revocation: true,
             ..Bounds::default()
         },
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     }
 }
 
 /// The first plan with another key for its first tenant.
-fn revoked() -> Plan {
-    first_plan().next(2, |plan| {
-        plan.tenants[0].keys = vec!["new-key-of-kaje".to_owned()];
+fn revoked() -> Configuration {
+    initial_configuration().next(2, |configuration| {
+        configuration.tenants[0].keys = vec!["new-key-of-kaje".to_owned()];
     })
 }
 
 /// Sends requests with the removed key to one node for so long, whatever the platform thinks of the node.
-async fn probe(world: &Rc<World>, name: &str, lasts: Duration) -> Vec<RequestOutcome> {
-    let client = world.client(false);
+async fn probe(cluster: &Rc<SimulatedCluster>, name: &str, lasts: Duration) -> Vec<RequestOutcome> {
+    let client = cluster.client(false);
     let until = Instant::now() + lasts;
     let mut outcomes = Vec::new();
     while Instant::now() < until {
@@ -42,131 +44,135 @@
             key: KEY.to_owned(),
             retries: 0,
             deadline: Duration::from_millis(800),
-            ..request(Kind::Idempotent, "b40")
+            ..request(RouteKind::Idempotent, "b40")
         };
-        let life = world.platform.life(world.ip(name));
-        outcomes.push(client.get_at(&asked, world.front_of(name), life).await);
+        let incarnation = cluster.load_balancer.incarnation(cluster.ip(name));
+        outcomes.push(
+            client
+                .send_to(&asked, cluster.front_of(name), incarnation)
+                .await,
+        );
         sleep(PROBE_PAUSE).await;
     }
     outcomes
 }
 
 /// One node is cut off from all others of the fleet, then a key is removed. Clients and servers reach the node.
-async fn revoked_behind_a_cut(name: &str, seed: u64) -> Rc<World> {
-    let world = World::serving(strict(seed)).await;
-    world.cut_off(&[name], Some(Cut::Silent));
-    assert_eq!(world.operator.put(&revoked(), 1).await, 200);
-    probe(&world, name, Duration::from_secs(12)).await;
+async fn revoked_behind_a_cut(name: &str, seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(strict(seed)).await;
+    cluster.partition(&[name], Some(Partition::PacketsLost));
+    assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
+    probe(&cluster, name, Duration::from_secs(12)).await;
     // What it tells of itself says so too.
     for figure in ["sparrouter_ready", "sparrouter_configuration_lease"] {
-        assert_eq!(world.figure(name, figure).await, Some(0.0), "{figure}");
+        assert_eq!(cluster.figure(name, figure).await, Some(0.0), "{figure}");
     }
-    world.cut_off(&[name], None);
-    probe(&world, name, Duration::from_secs(2)).await;
-    world
+    cluster.partition(&[name], None);
+    probe(&cluster, name, Duration::from_secs(2)).await;
+    cluster
 }
 
 /// A node is frozen while a key is removed, and wakes long after.
-async fn revoked_while_frozen(name: &str, seed: u64) -> Rc<World> {
-    let world = World::serving(strict(seed)).await;
-    world.freeze(name, true);
-    assert_eq!(world.operator.put(&revoked(), 1).await, 200);
+async fn revoked_while_frozen(name: &str, seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(strict(seed)).await;
+    cluster.freeze(name, true);
+    assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
     sleep(Duration::from_millis(6_000 + seed % 7 * 150)).await;
     // These wait at the node until it wakes.
-    let early = probe(&world, name, Duration::from_millis(500));
+    let early = probe(&cluster, name, Duration::from_millis(500));
     let wake = async {
         sleep(Duration::from_millis(300)).await;
-        world.freeze(name, false);
+        cluster.freeze(name, false);
     };
     tokio::join!(early, wake);
-    probe(&world, name, Duration::from_secs(2)).await;
-    world
+    probe(&cluster, name, Duration::from_secs(2)).await;
+    cluster
 }
 
 /// A core node is cut off, a key is removed, and the node's process starts anew behind the cut: its disk has the old
 /// configuration.
-async fn revoked_before_a_start_from_disk(seed: u64) -> Rc<World> {
-    let world = World::serving(strict(seed)).await;
+async fn revoked_before_a_start_from_disk(seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(strict(seed)).await;
     let name = format!("core-{}", seed % 3);
-    world.cut_off(&[&name], Some(Cut::Silent));
-    assert_eq!(world.operator.put(&revoked(), 1).await, 200);
+    cluster.partition(&[&name], Some(Partition::PacketsLost));
+    assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
     sleep(Duration::from_secs(6)).await;
-    world.kill(&name);
+    cluster.kill(&name);
     sleep(Duration::from_millis(300)).await;
-    world.start(&name, false);
-    probe(&world, &name, Duration::from_secs(4)).await;
-    world.cut_off(&[&name], None);
-    probe(&world, &name, Duration::from_secs(2)).await;
-    world
+    cluster.start(&name, false);
+    probe(&cluster, &name, Duration::from_secs(4)).await;
+    cluster.partition(&[&name], None);
+    probe(&cluster, &name, Duration::from_secs(2)).await;
+    cluster
 }
 
 /// The sources of a node are cut off from the rest of the core: the node hears them, and they hear nothing new.
-async fn revoked_with_sources_behind(seed: u64) -> Rc<World> {
-    let world = World::serving(strict(seed)).await;
+async fn revoked_with_sources_behind(seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(strict(seed)).await;
     // The far side of the cut holds one core node and one other; it has no quorum.
-    world.cut_off(&["core-0", "edge-0"], Some(Cut::Silent));
-    assert_eq!(world.operator.put(&revoked(), 1).await, 200);
+    cluster.partition(&["core-0", "edge-0"], Some(Partition::PacketsLost));
+    assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
     let lasts = Duration::from_secs(12);
     tokio::join!(
-        probe(&world, "edge-0", lasts),
-        probe(&world, "core-0", lasts)
+        probe(&cluster, "edge-0", lasts),
+        probe(&cluster, "core-0", lasts)
     );
-    world.cut_off(&["core-0", "edge-0"], None);
+    cluster.partition(&["core-0", "edge-0"], None);
     sleep(Duration::from_secs(1)).await;
-    world
+    cluster
 }
 
 /// The same, and the node starts anew behind the cut: its source tells it the old configuration.
-async fn revoked_before_a_start_behind_a_cut(seed: u64) -> Rc<World> {
-    let world = World::serving(strict(seed)).await;
-    world.cut_off(&["core-0", "edge-0"], Some(Cut::Silent));
-    assert_eq!(world.operator.put(&revoked(), 1).await, 200);
+async fn revoked_before_a_start_behind_a_cut(seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(strict(seed)).await;
+    cluster.partition(&["core-0", "edge-0"], Some(Partition::PacketsLost));
+    assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
     sleep(Duration::from_secs(6)).await;
-    world.kill("edge-0");
+    cluster.kill("edge-0");
     sleep(Duration::from_millis(300)).await;
-    world.start("edge-0", false);
-    probe(&world, "edge-0", Duration::from_secs(4)).await;
-    world.cut_off(&["core-0", "edge-0"], None);
+    cluster.start("edge-0", false);
+    probe(&cluster, "edge-0", Duration::from_secs(4)).await;
+    cluster.partition(&["core-0", "edge-0"], None);
     sleep(Duration::from_secs(1)).await;
-    world
+    cluster
 }
 
 #[test]
 fn given_a_key_removed_while_a_node_is_cut_off_then_nothing_runs_with_it_there() {
     for (seed, name) in [(700, "edge-0"), (701, "edge-2"), (702, "core-1")] {
-        run_judged(|| revoked_behind_a_cut(name, seed));
+        run_checked(|| revoked_behind_a_cut(name, seed));
     }
 }
 
 #[test]
 fn given_a_key_removed_while_a_node_is_frozen_then_nothing_runs_with_it_once_it_wakes() {
     for (seed, name) in [(710, "edge-0"), (711, "core-0"), (712, "edge-1")] {
-        run_judged(|| revoked_while_frozen(name, seed));
+        run_checked(|| revoked_while_frozen(name, seed));
     }
 }
 
 #[test]
 fn given_a_key_removed_before_a_node_starts_from_an_old_configuration_then_nothing_runs_with_it() {
     for seed in 720..723 {
-        run_judged(|| revoked_before_a_start_from_disk(seed));
-        run_judged(|| revoked_before_a_start_behind_a_cut(seed));
+        run_checked(|| revoked_before_a_start_from_disk(seed));
+        run_checked(|| revoked_before_a_start_behind_a_cut(seed));
     }
 }
 
 #[test]
 fn given_sources_without_a_quorum_when_a_key_is_removed_then_nothing_runs_with_it_behind_them() {
     for seed in 730..733 {
-        run_judged(|| revoked_with_sources_behind(seed));
+        run_checked(|| revoked_with_sources_behind(seed));
     }
 }
 
 /// What is broken with a mistake planted, in one story.
-fn breaches<F: Future<Output = Rc<World>>>(
+fn violations<F: Future<Output = Rc<SimulatedCluster>>>(
     defect: Defect,
     story: impl FnOnce() -> F,
 ) -> Vec<String> {
     inject(Some(defect));
-    let broken = play(async { story().await.judge.breaches() });
+    let broken = play(async { story().await.monitor.violations() });
     inject(None);
     broken
 }
@@ -179,96 +185,101 @@
 #[test]
 fn given_a_lease_that_nobody_asks_for_when_a_node_is_cut_off_then_it_is_found() {
     let defect = Defect::LeaseUnchecked;
-    let broken = breaches(defect, || revoked_behind_a_cut("edge-0", 700));
+    let broken = violations(defect, || revoked_behind_a_cut("edge-0", 700));
     assert_found(defect, &broken);
 }
 
 #[test]
 fn given_a_lease_from_the_start_of_a_process_when_its_source_is_behind_then_it_is_found() {
     let defect = Defect::LeaseFromStart;
-    let broken = breaches(defect, || revoked_before_a_start_behind_a_cut(720));
+    let broken = violations(defect, || revoked_before_a_start_behind_a_cut(720));
     assert_found(defect, &broken);
 }
 
 #[test]
 fn given_a_lease_from_any_source_when_sources_have_no_quorum_then_it_is_found() {
     let defect = Defect::LeaseFromAnySource;
-    let broken = breaches(defect, || revoked_with_sources_behind(730));
+    let broken = violations(defect, || revoked_with_sources_behind(730));
     assert_found(defect, &broken);
 }
 
 /// A node is frozen while answers of its sources are on their way to it, and wakes behind a cut after a key was removed:
 /// those answers tell what was so before.
-async fn woken_behind_a_cut(seed: u64) -> Rc<World> {
-    let world = World::serving(strict(seed)).await;
+async fn woken_behind_a_cut(seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(strict(seed)).await;
     // Polls are held for a second, so that some are answered within this time.
-    world.freeze("edge-0", true);
+    cluster.freeze("edge-0", true);
     sleep(Duration::from_millis(1_300)).await;
-    assert_eq!(world.operator.put(&revoked(), 1).await, 200);
+    assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
     sleep(Duration::from_millis(5_300)).await;
-    world.cut_off(&["edge-0"], Some(Cut::Silent));
-    world.freeze("edge-0", false);
-    probe(&world, "edge-0", Duration::from_secs(4)).await;
-    world.cut_off(&["edge-0"], None);
+    cluster.partition(&["edge-0"], Some(Partition::PacketsLost));
+    cluster.freeze("edge-0", false);
+    probe(&cluster, "edge-0", Duration::from_secs(4)).await;
+    cluster.partition(&["edge-0"], None);
     sleep(Duration::from_secs(1)).await;
-    world
+    cluster
 }
 
 #[test]
 fn given_a_frozen_node_with_old_answers_when_it_wakes_cut_off_then_nothing_runs_with_a_removed_key()
 {
     for seed in 740..746 {
-        run_judged(|| woken_behind_a_cut(seed));
+        run_checked(|| woken_behind_a_cut(seed));
     }
 }
 
 #[test]
 fn given_a_lease_from_the_answer_when_a_frozen_node_wakes_then_it_is_found() {
     let defect = Defect::LeaseFromAnswer;
-    let stories = (740..746).flat_map(|seed| breaches(defect, || woken_behind_a_cut(seed)));
+    let stories = (740..746).flat_map(|seed| violations(defect, || woken_behind_a_cut(seed)));
     assert_found(defect, &stories.collect::<Vec<String>>());
 }
 
 /// How often a repeatable request runs whose first server hangs until long after its key was removed, and then crashes.
 async fn runs_of_a_request_whose_key_is_removed(seed: u64) -> usize {
-    let world = World::serving(strict(seed)).await;
-    world.judge.verbose.set(true);
-    let hangs = Faults {
+    let cluster = SimulatedCluster::serving(strict(seed)).await;
+    cluster.monitor.verbose.set(true);
+    let hangs = ServerFaults {
         hangs: 1.0,
-        ..Faults::default()
+        ..ServerFaults::default()
     };
-    let set_all = |faults: Faults| {
-        let ids = world.server_ids();
+    let set_all = |faults: ServerFaults| {
+        let ids = cluster.server_ids();
         ids.iter()
-            .for_each(|id| world.server(id).faults.set(faults));
+            .for_each(|id| cluster.server(id).faults.set(faults));
     };
     set_all(hangs);
-    let client = world.client(false);
+    let client = cluster.client(false);
     let asked = ClientRequest {
         retries: 0,
         deadline: Duration::from_secs(8),
-        ..request(Kind::Idempotent, "b41")
+        ..request(RouteKind::Idempotent, "b41")
     };
     let later = async {
         sleep(Duration::from_millis(500)).await;
-        set_all(Faults::default());
-        assert_eq!(world.operator.put(&revoked(), 1).await, 200);
+        set_all(ServerFaults::default());
+        assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
         sleep(Duration::from_secs(6)).await;
-        let server = runs(&world).pop().expect("the request ran");
-        world.crash_server(&server);
+        let server = runs(&cluster).pop().expect("the request ran");
+        cluster.crash_server(&server);
     };
-    tokio::join!(client.get(&asked), later);
+    tokio::join!(client.send(&asked), later);
     sleep(Duration::from_secs(1)).await;
-    runs(&world).len()
+    runs(&cluster).len()
 }
 
 /// The servers at which requests ran, in order.
-fn runs(world: &World) -> Vec<String> {
+fn runs(cluster: &SimulatedCluster) -> Vec<String> {
     let server = |line: &String| {
         let server = line.split(" runs at ").nth(1)?;
         server.split_whitespace().next().map(str::to_owned)
     };
-    world.judge.event_log().iter().filter_map(server).collect()
+    cluster
+        .monitor
+        .event_trace()
+        .iter()
+        .filter_map(server)
+        .collect()
 }
 
 #[test]
--- a/crates/sparrouter-simulation/tests/scripted/mod.rs
+++ b/crates/sparrouter-simulation/tests/scripted/mod.rs
@@ -5,11 +5,11 @@
 use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
 use sparrouter_http::head::{self, RequestHead};
 use sparrouter_http::reading::{self, ReadError};
-use sparrouter_simulation::connection::End;
+use sparrouter_simulation::cluster::{ClusterSettings, HOST, KEY, SimulatedCluster, ZONES};
 use sparrouter_simulation::http_messages;
-use sparrouter_simulation::net::MemoryNet;
+use sparrouter_simulation::network::connection::End;
+use sparrouter_simulation::network::interface::NetworkInterface;
 use sparrouter_simulation::server::MODEL;
-use sparrouter_simulation::world::{HOST, KEY, Terms, World, ZONES};
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -19,14 +19,14 @@
 use tokio::time::{Instant, sleep, timeout};
 
 const BEAT: Duration = Duration::from_millis(800);
-const PATIENCE: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 const SERVER_PORT: u16 = 8080;
 
 /// What a scripted server does with one request. `{id}` in a text stands for the request's attempt id.
 #[derive(Clone, Debug)]
 pub enum Act {
     /// Answers once the request is in.
-    Answer(String),
+    ClientResponse(String),
     AnswerAfter(Duration, String),
     /// Answers when it has the head, and reads the body only so much later.
     AnswerEarly(String, Duration),
@@ -40,7 +40,7 @@
     /// Resets with the body unread.
     ResetAtHead,
     End,
-    Silent,
+    Unresponsive,
 }
 
 /// One request as a server saw it.
@@ -84,7 +84,7 @@
     pub status: u16,
     pub text: String,
     /// The answer came to the end that its framing has.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Bytes came where the protocol has none.
     pub spoilt: bool,
     pub retry_after: bool,
@@ -96,7 +96,7 @@
 impl Servers {
     /// `script`: what to do with a request, and the how many-th request of clients it is.
     pub async fn start(
-        world: &World,
+        cluster: &SimulatedCluster,
         count: usize,
         script: impl Fn(&RequestHead, usize) -> Act + 'static,
     ) -> Rc<Servers> {
@@ -108,32 +108,32 @@
             ended: RefCell::default(),
         });
         for n in 0..count {
-            servers.clone().host(world, n, &id_of(n));
+            servers.clone().host(cluster, n, &id_of(n));
         }
         // A process sends nothing again in its first window of the retry budget.
-        sleep(BEAT + world.terms.bounds.budget_window).await;
+        sleep(BEAT + cluster.settings.bounds.budget_window).await;
         servers
     }
 
     /// A server with this id at the place of the `n`-th.
-    pub fn host(self: Rc<Self>, world: &World, n: usize, id: &str) {
+    pub fn host(self: Rc<Self>, cluster: &SimulatedCluster, n: usize, id: &str) {
         let ip = IpAddr::from([10, 0, 1, n as u8]);
-        world.fabric.add(ip, ZONES[n % ZONES.len()]);
-        let net = MemoryNet::new(world.fabric.clone(), ip);
+        cluster.network.add(ip, ZONES[n % ZONES.len()]);
+        let net = NetworkInterface::new(cluster.network.clone(), ip);
         let address = SocketAddr::new(ip, SERVER_PORT);
-        let door = net.open(address).expect("a free address");
+        let listener = net.open(address).expect("a free address");
         spawn_local(beat(
             net,
-            world.control.borrow().clone(),
+            cluster.control.borrow().clone(),
             id.to_owned(),
             address,
         ));
         spawn_local(async move {
             loop {
-                let (stream, _) = door.next().await;
+                let (stream, _) = listener.next().await;
                 let connection = self.connections.get();
                 self.connections.set(connection + 1);
-                spawn_local(self.clone().attend(stream, n, connection));
+                spawn_local(self.clone().serve_connection(stream, n, connection));
             }
         });
     }
@@ -155,11 +155,11 @@
     async fn no_events(&self, stream: &mut End) -> bool {
         sleep(Duration::from_millis(900)).await;
         let body = "{\"epoch\":1,\"next_page_token\":0,\"lost_count\":false,\"events\":[]}";
-        let answer = http_messages::whole(200, "", body);
+        let answer = http_messages::response_text(200, "", body);
         stream.write_all(answer.as_bytes()).await.is_ok()
     }
 
-    async fn attend(self: Rc<Self>, mut stream: End, server: usize, connection: usize) {
+    async fn serve_connection(self: Rc<Self>, mut stream: End, server: usize, connection: usize) {
         let mut buffer = BytesMut::new();
         loop {
             let bytes = match reading::head(&mut stream, &mut buffer, b"", 64 << 10).await {
@@ -178,7 +178,7 @@
                 continue;
             }
             let act = (self.script)(&head, self.runs());
-            let place = self.heard.borrow().len();
+            let index = self.heard.borrow().len();
             self.heard.borrow_mut().push(Heard {
                 at: Instant::now(),
                 server,
@@ -202,11 +202,11 @@
                 sleep(*pause).await;
             }
             match http::read_body(&mut stream, &mut buffer, head.framing, 16 << 20).await {
-                Ok(body) => self.heard.borrow_mut()[place].body = body,
+                Ok(body) => self.heard.borrow_mut()[index].body = body,
                 Err(_) => return,
             }
             let written = match act {
-                Act::Answer(text) => stream.write_all(fill(&text).as_bytes()).await,
+                Act::ClientResponse(text) => stream.write_all(fill(&text).as_bytes()).await,
                 Act::AnswerAfter(wait, text) => {
                     sleep(wait).await;
                     stream.write_all(fill(&text).as_bytes()).await
@@ -222,7 +222,7 @@
                 }
                 Act::Reset => return stream.abort(),
                 Act::End => return,
-                Act::Silent | Act::AnswerAndStay(_) => {
+                Act::Unresponsive | Act::AnswerAndStay(_) => {
                     if let Act::AnswerAndStay(text) = act {
                         let _ = stream.write_all(fill(&text).as_bytes()).await;
                     }
@@ -243,7 +243,7 @@
     format!("i-scripted-{n}")
 }
 
-async fn beat(net: MemoryNet, control: Vec<SocketAddr>, id: String, address: SocketAddr) {
+async fn beat(net: NetworkInterface, control: Vec<SocketAddr>, id: String, address: SocketAddr) {
     for sequence in 1u64.. {
         let body = format!(
             "{{\"service\":\"models\",\"address\":\"{address}\",\"zone\":\"lalitpur\",\"version\":\"v1\",\
@@ -254,16 +254,16 @@
         let to = control[0];
         let path = format!("/api/instances/{id}");
         // A beat that gets lost is followed by the next one.
-        let _ = http_messages::call(&net, to, "PUT", &path, &[], &body, PATIENCE).await;
+        let _ = http_messages::call(&net, to, "PUT", &path, &[], &body, CALL_TIMEOUT).await;
         sleep(BEAT).await;
     }
 }
 
 /// A world without servers of its own.
-pub async fn world(seed: u64) -> Rc<World> {
-    World::serving(Terms {
+pub async fn cluster(seed: u64) -> Rc<SimulatedCluster> {
+    SimulatedCluster::serving(ClusterSettings {
         servers: 0,
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     })
     .await
 }
@@ -293,7 +293,7 @@
     pub fields: &'a str,
     pub body: Bytes,
     /// The client leaves after so long.
-    pub leaves: Option<Duration>,
+    pub disconnects_after: Option<Duration>,
     /// Pause in the middle of the body.
     pub pause: Duration,
 }
@@ -305,7 +305,7 @@
             id,
             fields: "Sparrouter-Deadline-Ms: 3000\r\n",
             body: Bytes::from_static(b"a body"),
-            leaves: None,
+            disconnects_after: None,
             pause: Duration::ZERO,
         }
     }
@@ -324,18 +324,18 @@
     }
 
     /// Sends it to a node on a connection of its own, and reads what comes for up to 20 s.
-    pub async fn at(&self, world: &World, node: &str) -> Got {
+    pub async fn at(&self, cluster: &SimulatedCluster, node: &str) -> Got {
         let began = Instant::now();
-        let net = world.outside_net();
+        let net = cluster.outside_net();
         let mut stream = net
-            .connect(world.front_of(node))
+            .connect(cluster.front_of(node))
             .await
             .expect("a connection");
         let (first, rest) = self.body.split_at(self.body.len() / 2);
         let mut got = Got {
             status: 0,
             text: String::new(),
-            whole: false,
+            is_complete: false,
             spoilt: false,
             retry_after: false,
             sealed: false,
@@ -349,7 +349,11 @@
             read(&mut stream, &mut got).await
         };
         // Whatever came until then is looked at.
-        let _ = timeout(self.leaves.unwrap_or(Duration::from_secs(20)), talk).await;
+        let _ = timeout(
+            self.disconnects_after.unwrap_or(Duration::from_secs(20)),
+            talk,
+        )
+        .await;
         got.took = began.elapsed();
         got
     }
@@ -370,7 +374,7 @@
             reading::more(stream, &mut buffer).await.ok()?;
         }
         got.text = String::from_utf8_lossy(&buffer[..length]).into_owned();
-        got.whole = true;
+        got.is_complete = true;
         return Some(());
     }
     loop {
@@ -378,7 +382,7 @@
             Ok(ChunkEvent::Data(piece)) => got.text.push_str(&String::from_utf8_lossy(&piece)),
             Ok(ChunkEvent::More) => reading::more(stream, &mut buffer).await.ok()?,
             Ok(ChunkEvent::End) => {
-                got.whole = true;
+                got.is_complete = true;
                 return Some(());
             }
             Err(_) => {
--- a/crates/sparrouter-simulation/tests/narrow_lines.rs
+++ b/crates/sparrouter-simulation/tests/slow_links.rs
@@ -1,9 +1,9 @@
 //! A configuration of 500 KB where each machine's line carries 10 Mbit/s: nodes that start anew, several at once, get it
 //! soon and not again and again.
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::plan::Tenant;
-use sparrouter_simulation::scenario::play;
-use sparrouter_simulation::world::{Terms, World, first_plan};
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use sparrouter_simulation::configuration::Tenant;
+use sparrouter_simulation::runtime::play;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
@@ -13,40 +13,44 @@
 
 /// How long nodes without a disk took to be ready that were started at once, and how many copies they were sent.
 async fn restart_of_all_others(seed: u64, others: usize) -> (Duration, f64) {
-    let world = World::serving(Terms {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         others,
         servers: 1,
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     })
     .await;
-    let plan = first_plan().next(1, |plan| {
+    let configuration = initial_configuration().next(1, |configuration| {
         let key = |i: usize| format!("{i:0>KEY_LENGTH$}");
-        plan.tenants.push(Tenant {
+        configuration.tenants.push(Tenant {
             name: "filler".to_owned(),
             keys: (0..KEYS).map(key).collect(),
             isolated: false,
         });
     });
-    let size = plan.json().len() as f64;
-    assert_eq!(world.operator.put(&plan, 1).await, 200);
+    let size = configuration.json().len() as f64;
+    assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
     sleep(Duration::from_secs(5)).await;
-    world.fabric.line_rate.set(Some(LINE));
-    let names = world.names();
+    cluster.network.line_rate.set(Some(LINE));
+    let names = cluster.names();
     let others: Vec<&String> = names.iter().filter(|n| !n.starts_with("core")).collect();
-    others.iter().for_each(|n| world.kill(n));
+    others.iter().for_each(|n| cluster.kill(n));
     sleep(Duration::from_secs(2)).await;
     let written = || -> u64 {
-        let core = world.core();
+        let core = cluster.core();
         let pairs = core.iter().flat_map(|a| others.iter().map(move |b| (a, b)));
         pairs
-            .map(|(a, b)| world.fabric.written(world.ip(a), world.ip(b)))
+            .map(|(a, b)| cluster.network.written(cluster.ip(a), cluster.ip(b)))
             .sum()
     };
     let before = written();
-    others.iter().for_each(|n| world.start(n, false));
+    others.iter().for_each(|n| cluster.start(n, false));
     let began = Instant::now();
     sleep(Duration::from_millis(200)).await;
-    let ready = || others.iter().all(|n| world.platform.is_in(n));
+    let ready = || {
+        others
+            .iter()
+            .all(|n| cluster.load_balancer.is_in_service(n))
+    };
     while !ready() && began.elapsed() < Duration::from_secs(60) {
         sleep(Duration::from_millis(50)).await;
     }
--- a/crates/sparrouter-simulation/tests/halves.rs
+++ b/crates/sparrouter-simulation/tests/split_core.rs
@@ -1,52 +1,53 @@
 //! The machines that count are cut into two halves for some seconds, whatever may be lost at once; everybody else reaches
 //! both. Nothing that was acknowledged is lost or shown in an older state, on either side, and service goes on.
-use sparrouter_simulation::fabric::Cut;
-use sparrouter_simulation::load;
-use sparrouter_simulation::plan::{Kind, Plan, Route};
-use sparrouter_simulation::scenario::run_judged;
-use sparrouter_simulation::world::{Terms, World, first_plan};
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
+use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
+use sparrouter_simulation::load::ClientLoad;
+use sparrouter_simulation::network::Partition;
+use sparrouter_simulation::runtime::run_checked;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
 const CUT: Duration = Duration::from_secs(9);
 
-fn with_route(plan: &Plan, name: &str) -> Plan {
-    plan.next(1, |p| {
-        p.routes.push(Route::new(name, Kind::Idempotent, "models"))
+fn with_route(configuration: &Configuration, name: &str) -> Configuration {
+    configuration.next(1, |p| {
+        p.routes
+            .push(Route::new(name, RouteKind::Idempotent, "models"))
     })
 }
 
 /// Cuts the links between the first half of the core and the second, or joins them.
-fn cut_in_halves(world: &World, cut: Option<Cut>) {
-    let core = world.core();
+fn cut_in_halves(cluster: &SimulatedCluster, cut: Option<Partition>) {
+    let core = cluster.core();
     let (first, second) = core.split_at(core.len() / 2);
     for one in first {
         for other in second {
-            let (one, other) = (world.ip(one), world.ip(other));
-            world.fabric.cut_both(one, other, cut);
+            let (one, other) = (cluster.ip(one), cluster.ip(other));
+            cluster.network.partition_both(one, other, cut);
         }
     }
-    world
-        .judge
-        .note(format!("the core is cut in halves: {cut:?}"));
+    cluster
+        .monitor
+        .trace(format!("the core is cut in halves: {cut:?}"));
     match cut {
-        Some(_) => world.judge.trouble(None),
+        Some(_) => cluster.monitor.fault_began(None),
         None => {
-            world.judge.calm(None);
-            world.judge.shaken(None);
+            cluster.monitor.fault_ended(None);
+            cluster.monitor.momentary_fault(None);
         }
     }
 }
 
 /// Reads the configuration at every node for a while; the greatest share of reads that were answered at one node.
-async fn read_everywhere(world: &Rc<World>, span: Duration) -> f64 {
+async fn read_everywhere(cluster: &Rc<SimulatedCluster>, span: Duration) -> f64 {
     let began = Instant::now();
     let (mut asked, mut answered) = (0, 0);
     while began.elapsed() < span {
-        for name in world.names() {
+        for name in cluster.names() {
             // Each answer goes into the history, which is checked for an older one after a newer.
-            let reply = world.operator.get_from(world.control_of(&name)).await;
+            let reply = cluster.operator.get_from(cluster.control_of(&name)).await;
             let status = reply.map_or(0, |reply| reply.status);
             assert!(matches!(status, 0 | 200 | 503), "{name}: {status}");
             asked += 1;
@@ -57,22 +58,22 @@
     f64::from(answered) / f64::from(asked.max(1))
 }
 
-async fn halved(seed: u64, core: usize) -> Rc<World> {
-    let world = World::serving(Terms {
+async fn halved(seed: u64, core: usize) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         core,
         others: 4,
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     })
     .await;
-    let tally = load::begin(&world, 8, Duration::from_millis(150));
-    let before = with_route(&first_plan(), "before");
-    assert_eq!(world.operator.put(&before, 1).await, 200);
-    cut_in_halves(&world, Some(Cut::Silent));
+    let load = ClientLoad::start(&cluster, 8, Duration::from_millis(150));
+    let before = with_route(&initial_configuration(), "before");
+    assert_eq!(cluster.operator.put(&before, 1).await, 200);
+    cut_in_halves(&cluster, Some(Partition::PacketsLost));
     let during = with_route(&before, "during");
-    let put = world.operator.put(&during, before.version);
-    let reads = read_everywhere(&world, CUT);
+    let put = cluster.operator.put(&during, before.version);
+    let reads = read_everywhere(&cluster, CUT);
     let (status, _) = tokio::join!(tokio::time::timeout(CUT, put), reads);
-    cut_in_halves(&world, None);
+    cut_in_halves(&cluster, None);
     sleep(Duration::from_secs(5)).await;
     // A half that is the larger one may have taken it; two equal ones may not.
     if core.is_multiple_of(2) {
@@ -82,38 +83,38 @@
             "half of {core} acknowledged a change"
         );
     }
-    let share = read_everywhere(&world, Duration::from_secs(1)).await;
+    let share = read_everywhere(&cluster, Duration::from_secs(1)).await;
     assert!(share > 0.9, "{share} of reads are answered after the cut");
-    world.operator.read_back().await;
-    tally.stop().await;
-    assert!(tally.share() > 0.97, "{}", tally.share());
-    world
+    cluster.operator.read_back().await;
+    load.stop().await;
+    assert!(load.served_fraction() > 0.97, "{}", load.served_fraction());
+    cluster
 }
 
 #[test]
 fn given_a_core_cut_in_halves_then_nothing_is_older_on_either_side_and_nothing_is_lost() {
     for (seed, core) in [(350, 3), (351, 4), (352, 5), (353, 6)] {
-        run_judged(|| halved(seed, core));
+        run_checked(|| halved(seed, core));
     }
 }
 
 #[test]
 fn given_no_quorum_when_the_configuration_is_read_then_503_says_when_to_come_back() {
-    run_judged(|| async {
-        let world = World::serving(Terms {
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings {
             others: 1,
-            ..Terms::seeded(355)
+            ..ClusterSettings::seeded(355)
         })
         .await;
         for name in ["core-1", "core-2"] {
-            world.freeze(name, true);
+            cluster.freeze(name, true);
         }
         for name in ["core-0", "edge-0"] {
-            let reply = world.operator.get_from(world.control_of(name)).await;
+            let reply = cluster.operator.get_from(cluster.control_of(name)).await;
             let reply = reply.expect("an answer");
             assert_eq!(reply.status, 503, "{name}: {}", reply.text());
             assert!(reply.head.fields.text("retry-after").is_some(), "{name}");
         }
-        world
+        cluster
     });
 }
--- a/crates/sparrouter-simulation/tests/versions.rs
+++ b/crates/sparrouter-simulation/tests/versions.rs
@@ -2,10 +2,10 @@
 //! nor a quiet core moves. Each guard is shown by a mistake that takes it out.
 use fastrand::Rng;
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::judge::Bounds;
-use sparrouter_simulation::load;
-use sparrouter_simulation::scenario::{play, run_judged};
-use sparrouter_simulation::world::{Terms, World};
+use sparrouter_simulation::checkers::Bounds;
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
+use sparrouter_simulation::load::ClientLoad;
+use sparrouter_simulation::runtime::{play, run_checked};
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,77 +14,77 @@
 const PAUSE: Duration = Duration::from_millis(150);
 
 /// Nine servers, of which each takes so long for new weights that a rollout takes longer than the time limit.
-fn slow_rollout(seed: u64) -> Terms {
-    Terms {
+fn slow_rollout(seed: u64) -> ClusterSettings {
+    ClusterSettings {
         servers: 9,
         load: Duration::from_millis(3_500),
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     }
 }
 
 /// Names the versions 2, 3, ... with so much time between two.
-async fn name_versions(world: &Rc<World>, newest: u64, gap: Duration) {
+async fn name_versions(cluster: &Rc<SimulatedCluster>, newest: u64, gap: Duration) {
     for version in 2..=newest {
-        assert!(world.operator.name_version(version).await);
-        world.newest_weights.set(version);
+        assert!(cluster.operator.name_version(version).await);
+        cluster.newest_weights.set(version);
         sleep(gap).await;
     }
 }
 
 /// Versions named one after another, each long before all servers run the one before it.
-async fn overlapping_versions(seed: u64) -> Rc<World> {
-    let world = World::serving(slow_rollout(seed)).await;
-    let tally = load::begin(&world, 12, PAUSE);
-    name_versions(&world, 5, Duration::from_millis(2_500)).await;
+async fn overlapping_versions(seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(slow_rollout(seed)).await;
+    let load = ClientLoad::start(&cluster, 12, PAUSE);
+    name_versions(&cluster, 5, Duration::from_millis(2_500)).await;
     sleep(Duration::from_secs(10)).await;
-    tally.stop().await;
-    world
+    load.stop().await;
+    cluster
 }
 
 /// Every node that takes clients alone starts anew between two versions and the first limit.
-async fn restarted_between(seed: u64) -> Rc<World> {
-    let world = World::serving(slow_rollout(seed)).await;
-    let tally = load::begin(&world, 12, PAUSE);
-    name_versions(&world, 3, Duration::from_millis(2_000)).await;
+async fn restarted_between(seed: u64) -> Rc<SimulatedCluster> {
+    let cluster = SimulatedCluster::serving(slow_rollout(seed)).await;
+    let load = ClientLoad::start(&cluster, 12, PAUSE);
+    name_versions(&cluster, 3, Duration::from_millis(2_000)).await;
     sleep(Duration::from_millis(500)).await;
     for edge in ["edge-0", "edge-1", "edge-2"] {
-        world.kill(edge);
+        cluster.kill(edge);
         sleep(Duration::from_millis(300)).await;
-        world.start(edge, false);
+        cluster.start(edge, false);
     }
     sleep(Duration::from_secs(10)).await;
-    tally.stop().await;
-    world
+    load.stop().await;
+    cluster
 }
 
 /// A core node starts anew each six seconds, so that no calm stretch is long, while servers take a new version slowly.
-async fn never_calm_for_long(seed: u64) -> Rc<World> {
+async fn never_calm_for_long(seed: u64) -> Rc<SimulatedCluster> {
     let bounds = Bounds {
         version_all: Duration::from_secs(5),
         ..Bounds::default()
     };
-    let world = World::serving(Terms {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         bounds,
         servers: 14,
         load: Duration::from_secs(9),
         ..slow_rollout(seed)
     })
     .await;
-    let tally = load::begin(&world, 12, PAUSE);
-    name_versions(&world, 2, Duration::from_millis(100)).await;
+    let load = ClientLoad::start(&cluster, 12, PAUSE);
+    name_versions(&cluster, 2, Duration::from_millis(100)).await;
     for round in 0..4 {
         let name = format!("core-{}", (seed + round) % 3);
-        world.kill(&name);
+        cluster.kill(&name);
         sleep(Duration::from_millis(300)).await;
-        world.start(&name, false);
+        cluster.start(&name, false);
         sleep(Duration::from_millis(5_700)).await;
     }
-    tally.stop().await;
-    world
+    load.stop().await;
+    cluster
 }
 
 /// What is broken with a mistake, over a few seeds.
-fn breaches<F: Future<Output = Rc<World>>>(
+fn violations<F: Future<Output = Rc<SimulatedCluster>>>(
     defect: Defect,
     scenario: impl Fn(u64) -> F,
     seeds: std::ops::Range<u64>,
@@ -92,7 +92,7 @@
     let mut all = Vec::new();
     for seed in seeds {
         inject(Some(defect));
-        let broken = play(async { scenario(seed).await.judge.breaches() });
+        let broken = play(async { scenario(seed).await.monitor.violations() });
         inject(None);
         all.extend(broken);
     }
@@ -102,9 +102,9 @@
 #[test]
 fn given_versions_named_one_after_another_when_the_rollout_is_slow_then_each_keeps_its_own_limit() {
     for seed in 310..313 {
-        run_judged(|| overlapping_versions(seed));
+        run_checked(|| overlapping_versions(seed));
     }
-    let broken = breaches(Defect::LimitReplaced, overlapping_versions, 310..311);
+    let broken = violations(Defect::LimitReplaced, overlapping_versions, 310..311);
     assert!(
         broken.iter().any(|b| b.starts_with("VERSION")),
         "{broken:?}"
@@ -114,10 +114,10 @@
 #[test]
 fn given_a_node_restarted_after_versions_were_named_when_in_touch_then_it_goes_by_their_age() {
     for seed in 320..323 {
-        run_judged(|| restarted_between(seed));
+        run_checked(|| restarted_between(seed));
     }
     for defect in [Defect::StartMovesLimits, Defect::VersionAgeUnreported] {
-        let broken = breaches(defect, restarted_between, 320..323);
+        let broken = violations(defect, restarted_between, 320..323);
         let is_found = broken.iter().any(|b| b.starts_with("VERSION"));
         assert!(is_found, "{defect:?}: {broken:?}");
     }
@@ -126,68 +126,68 @@
 #[test]
 fn given_calm_stretches_that_add_up_when_none_is_long_then_nothing_begins_on_an_older_version() {
     for seed in 350..353 {
-        run_judged(|| never_calm_for_long(seed));
+        run_checked(|| never_calm_for_long(seed));
     }
-    let broken = breaches(Defect::VersionSumIgnored, never_calm_for_long, 350..353);
+    let broken = violations(Defect::VersionSumIgnored, never_calm_for_long, 350..353);
     let is_found = broken.iter().any(|b| b.starts_with("VERSION"));
     assert!(is_found, "{broken:?}");
 }
 
 /// All core processes are killed in the middle of a slow rollout, which forgets when the version was named; the other
 /// nodes know.
-async fn core_forgets_the_age(seed: u64) -> Rc<World> {
+async fn core_forgets_the_age(seed: u64) -> Rc<SimulatedCluster> {
     let bounds = Bounds {
         version_all: Duration::from_secs(9),
         ..Bounds::default()
     };
-    let world = World::serving(Terms {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         bounds,
         servers: 14,
         load: Duration::from_secs(12),
         ..slow_rollout(seed)
     })
     .await;
-    let tally = load::begin(&world, 12, PAUSE);
-    name_versions(&world, 2, Duration::from_millis(5_500)).await;
+    let load = ClientLoad::start(&cluster, 12, PAUSE);
+    name_versions(&cluster, 2, Duration::from_millis(5_500)).await;
     for _ in 0..2 {
-        world.core().iter().for_each(|name| world.kill(name));
+        cluster.core().iter().for_each(|name| cluster.kill(name));
         sleep(Duration::from_millis(300)).await;
-        world
+        cluster
             .core()
             .iter()
-            .for_each(|name| world.start(name, false));
+            .for_each(|name| cluster.start(name, false));
         sleep(Duration::from_millis(6_500)).await;
     }
-    tally.stop().await;
-    world
+    load.stop().await;
+    cluster
 }
 
 #[test]
 fn given_a_core_killed_in_a_rollout_when_the_others_know_its_age_then_the_sum_goes_on() {
     for seed in 354..357 {
-        run_judged(|| core_forgets_the_age(seed));
+        run_checked(|| core_forgets_the_age(seed));
     }
-    let broken = breaches(Defect::VersionAgeUnreturned, core_forgets_the_age, 354..357);
+    let broken = violations(Defect::VersionAgeUnreturned, core_forgets_the_age, 354..357);
     let is_found = broken.iter().any(|b| b.starts_with("VERSION"));
     assert!(is_found, "{broken:?}");
 }
 
 /// Versions at drawn moments, servers of drawn slowness, and restarts of nodes in between, by one seed.
-async fn drawn_rollout(seed: u64) -> Rc<World> {
+async fn drawn_rollout(seed: u64) -> Rc<SimulatedCluster> {
     let mut rng = Rng::with_seed(seed);
-    let world = World::serving(Terms {
+    let cluster = SimulatedCluster::serving(ClusterSettings {
         servers: rng.usize(3..12),
         others: rng.usize(2..6),
         load: Duration::from_millis(rng.u64(300..5_000)),
-        ..Terms::seeded(seed)
+        ..ClusterSettings::seeded(seed)
     })
     .await;
-    let tally = load::begin(&world, 10, PAUSE);
+    let load = ClientLoad::start(&cluster, 10, PAUSE);
     let newest = rng.u64(2..6);
     let naming = async {
         for version in 2..=newest {
-            assert!(world.operator.name_version(version).await);
-            world.newest_weights.set(version);
+            assert!(cluster.operator.name_version(version).await);
+            cluster.newest_weights.set(version);
             let gap = [
                 rng.u64(50..500),
                 rng.u64(1_000..5_000),
@@ -198,25 +198,25 @@
         }
         sleep(Duration::from_secs(9)).await;
     };
-    let restarts = restart_some(&world, seed);
+    let restarts = restart_some(&cluster, seed);
     tokio::join!(naming, restarts);
-    tally.stop().await;
-    world
+    load.stop().await;
+    cluster
 }
 
 /// Restarts a few nodes one after another; each third of them is one of the core.
-async fn restart_some(world: &Rc<World>, seed: u64) {
+async fn restart_some(cluster: &Rc<SimulatedCluster>, seed: u64) {
     let mut rng = Rng::with_seed(seed ^ 1);
     for _ in 0..rng.usize(..4) {
         sleep(Duration::from_millis(rng.u64(500..5_000))).await;
-        let names = world.names();
+        let names = cluster.names();
         let wants_core = rng.u8(..3) == 0;
-        let fits = |name: &&String| world.core().contains(*name) == wants_core;
+        let fits = |name: &&String| cluster.core().contains(*name) == wants_core;
         let fit: Vec<&String> = names.iter().filter(fits).collect();
         let name = fit[rng.usize(..fit.len())];
-        world.kill(name);
+        cluster.kill(name);
         sleep(Duration::from_millis(rng.u64(100..1_500))).await;
-        world.start(name, false);
+        cluster.start(name, false);
     }
 }
 
@@ -236,84 +236,84 @@
 fn given_drawn_rollouts_with_restarts_between_then_no_rule_is_broken() {
     for seed in drawn_seeds() {
         println!("rollout {seed}");
-        run_judged(|| drawn_rollout(seed));
+        run_checked(|| drawn_rollout(seed));
     }
 }
 
 /// Servers that still run an older version.
-fn outdated(world: &World, newest: u64) -> usize {
-    let ids = world.server_ids();
-    let is_old = |id: &&String| world.server_runs(id) && world.server(id).version() < newest;
+fn outdated(cluster: &SimulatedCluster, newest: u64) -> usize {
+    let ids = cluster.server_ids();
+    let is_old = |id: &&String| cluster.server_runs(id) && cluster.server(id).version() < newest;
     ids.iter().filter(is_old).count()
 }
 
 #[test]
 fn given_versions_named_one_after_another_then_all_servers_run_the_newest_in_one_and_a_half_limits()
 {
-    run_judged(|| async {
-        let world = World::serving(Terms {
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings {
             load: Duration::from_millis(1_800),
             ..slow_rollout(340)
         })
         .await;
-        let tally = load::begin(&world, 12, PAUSE);
-        name_versions(&world, 4, Duration::from_millis(700)).await;
-        sleep(world.terms.bounds.version.mul_f64(1.5)).await;
-        assert_eq!(outdated(&world, 4), 0);
-        tally.stop().await;
-        world
+        let load = ClientLoad::start(&cluster, 12, PAUSE);
+        name_versions(&cluster, 4, Duration::from_millis(700)).await;
+        sleep(cluster.settings.bounds.version.mul_f64(1.5)).await;
+        assert_eq!(outdated(&cluster, 4), 0);
+        load.stop().await;
+        cluster
     });
 }
 
 #[test]
 fn given_a_holder_killed_while_servers_load_when_the_next_version_is_named_then_they_go_on_to_it() {
     for seed in 360..364 {
-        run_judged(|| async {
-            let world = World::serving(Terms {
+        run_checked(|| async {
+            let cluster = SimulatedCluster::serving(ClusterSettings {
                 servers: 6,
                 load: Duration::from_millis(2_500),
-                ..Terms::seeded(seed)
+                ..ClusterSettings::seeded(seed)
             })
             .await;
-            assert!(world.operator.name_version(2).await);
+            assert!(cluster.operator.name_version(2).await);
             let holder = loop {
-                if let Some(holder) = world.judge.last_holder() {
+                if let Some(holder) = cluster.monitor.last_lease_owner() {
                     break holder.split('@').next().unwrap_or_default().to_owned();
                 }
                 sleep(Duration::from_millis(5)).await;
             };
             // Servers are at work on orders that its successor has not given.
-            world.kill(&holder);
+            cluster.kill(&holder);
             sleep(Duration::from_millis(200)).await;
-            world.start(&holder, false);
-            assert!(world.operator.name_version(3).await);
-            world.newest_weights.set(3);
-            sleep(world.terms.bounds.version.mul_f64(1.5)).await;
-            assert_eq!(outdated(&world, 3), 0, "seed {seed}");
-            world
+            cluster.start(&holder, false);
+            assert!(cluster.operator.name_version(3).await);
+            cluster.newest_weights.set(3);
+            sleep(cluster.settings.bounds.version.mul_f64(1.5)).await;
+            assert_eq!(outdated(&cluster, 3), 0, "seed {seed}");
+            cluster
         });
     }
 }
 
 /// Restarts a node of the core; returns the largest number of changes of the core that any other node saw of it.
-async fn core_changes_by_restart(world: &Rc<World>, restarted: &str) -> f64 {
+async fn core_changes_by_restart(cluster: &Rc<SimulatedCluster>, restarted: &str) -> f64 {
     const FIGURE: &str = "sparrouter_core_changes_total";
-    let others: Vec<String> = world
+    let others: Vec<String> = cluster
         .names()
         .into_iter()
         .filter(|name| name != restarted)
         .collect();
     let mut before = Vec::new();
     for name in &others {
-        before.push(world.figure(name, FIGURE).await.expect("a figure"));
+        before.push(cluster.figure(name, FIGURE).await.expect("a figure"));
     }
-    world.kill(restarted);
+    cluster.kill(restarted);
     sleep(Duration::from_millis(500)).await;
-    world.start(restarted, false);
+    cluster.start(restarted, false);
     sleep(Duration::from_secs(12)).await;
     let mut most: f64 = 0.0;
     for (name, before) in others.iter().zip(before) {
-        let after = world.figure(name, FIGURE).await.expect("a figure");
+        let after = cluster.figure(name, FIGURE).await.expect("a figure");
         most = most.max(after - before);
     }
     most
@@ -322,16 +322,16 @@
 #[test]
 fn given_a_core_node_restarted_when_it_is_back_then_others_see_one_change_of_the_core() {
     for seed in 0..4 {
-        run_judged(|| async {
-            let terms = Terms {
+        run_checked(|| async {
+            let settings = ClusterSettings {
                 others: 9,
-                ..Terms::seeded(330 + seed)
+                ..ClusterSettings::seeded(330 + seed)
             };
-            let world = World::serving(terms).await;
+            let cluster = SimulatedCluster::serving(settings).await;
             let restarted = format!("core-{}", seed % 3);
-            let seen = core_changes_by_restart(&world, &restarted).await;
+            let seen = core_changes_by_restart(&cluster, &restarted).await;
             assert!(seen <= 1.0, "seed {seed}: {seen} changes were seen");
-            world
+            cluster
         });
     }
 }
--- a/crates/sparrouter-simulation/tests/weights.rs
+++ b/crates/sparrouter-simulation/tests/weights.rs
@@ -1,17 +1,17 @@
 //! New weights: each server ordered once by one holder, whoever of the holders ends or freezes.
-use sparrouter_simulation::load;
-use sparrouter_simulation::scenario::run_judged;
-use sparrouter_simulation::world::{Terms, World, ZONES};
+use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, ZONES};
+use sparrouter_simulation::load::ClientLoad;
+use sparrouter_simulation::runtime::run_checked;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
 const PAUSE: Duration = Duration::from_millis(150);
 
-async fn first_order(world: &Rc<World>) -> String {
+async fn first_order(cluster: &Rc<SimulatedCluster>) -> String {
     let began = Instant::now();
     loop {
-        if let Some(holder) = world.judge.last_holder() {
+        if let Some(holder) = cluster.monitor.last_lease_owner() {
             // A holder names its node and where that is.
             return holder.split('@').next().unwrap_or_default().to_owned();
         }
@@ -20,8 +20,8 @@
     }
 }
 
-fn ordered_once(world: &World, version: u64) {
-    for ((id, loaded), count) in world.judge.load_counts() {
+fn ordered_once(cluster: &SimulatedCluster, version: u64) {
+    for ((id, loaded), count) in cluster.monitor.load_counts() {
         assert!(
             loaded == version && count == 1,
             "{id} loaded {loaded} {count} times"
@@ -31,55 +31,55 @@
 
 #[test]
 fn given_new_weights_when_named_then_each_server_loads_once_and_all_in_time() {
-    run_judged(|| async {
-        let world = World::serving(Terms {
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings {
             servers: 9,
-            ..Terms::seeded(70)
+            ..ClusterSettings::seeded(70)
         })
         .await;
-        let tally = load::begin(&world, 12, PAUSE);
-        assert!(world.operator.name_version(2).await);
+        let load = ClientLoad::start(&cluster, 12, PAUSE);
+        assert!(cluster.operator.name_version(2).await);
         let named = Instant::now();
-        world.until_servers_have(2).await;
+        cluster.wait_for_weights(2).await;
         assert!(
-            named.elapsed() < world.terms.bounds.version,
+            named.elapsed() < cluster.settings.bounds.version,
             "{:?}",
             named.elapsed()
         );
         sleep(Duration::from_secs(4)).await;
-        tally.stop().await;
-        ordered_once(&world, 2);
+        load.stop().await;
+        ordered_once(&cluster, 2);
         assert_eq!(
-            tally.served.get(),
-            tally.sent.get(),
+            load.served.get(),
+            load.sent.get(),
             "{:?}",
-            tally.refused.borrow()
+            load.rejected.borrow()
         );
-        world
+        cluster
     });
 }
 
 #[test]
 fn given_a_holder_killed_midway_then_another_goes_on_and_nothing_is_loaded_twice() {
     for seed in 0..3 {
-        run_judged(|| async {
-            let world = World::serving(Terms {
+        run_checked(|| async {
+            let cluster = SimulatedCluster::serving(ClusterSettings {
                 servers: 6,
-                ..Terms::seeded(71 + seed)
+                ..ClusterSettings::seeded(71 + seed)
             })
             .await;
-            let tally = load::begin(&world, 6, PAUSE);
-            assert!(world.operator.name_version(2).await);
-            let holder = first_order(&world).await;
+            let load = ClientLoad::start(&cluster, 6, PAUSE);
+            assert!(cluster.operator.name_version(2).await);
+            let holder = first_order(&cluster).await;
             sleep(Duration::from_millis(300 * seed)).await;
-            world.kill(&holder);
+            cluster.kill(&holder);
             sleep(Duration::from_millis(400)).await;
-            world.start(&holder, false);
-            world.until_servers_have(2).await;
+            cluster.start(&holder, false);
+            cluster.wait_for_weights(2).await;
             sleep(Duration::from_secs(1)).await;
-            tally.stop().await;
-            ordered_once(&world, 2);
-            world
+            load.stop().await;
+            ordered_once(&cluster, 2);
+            cluster
         });
     }
 }
@@ -87,64 +87,64 @@
 #[test]
 fn given_a_holder_frozen_midway_when_it_wakes_then_it_orders_nothing_more() {
     for seed in 0..3 {
-        run_judged(|| async {
-            let world = World::serving(Terms {
+        run_checked(|| async {
+            let cluster = SimulatedCluster::serving(ClusterSettings {
                 servers: 6,
-                ..Terms::seeded(81 + seed)
+                ..ClusterSettings::seeded(81 + seed)
             })
             .await;
-            let tally = load::begin(&world, 6, PAUSE);
-            assert!(world.operator.name_version(2).await);
-            let holder = first_order(&world).await;
+            let load = ClientLoad::start(&cluster, 6, PAUSE);
+            assert!(cluster.operator.name_version(2).await);
+            let holder = first_order(&cluster).await;
             sleep(Duration::from_millis(150 * seed)).await;
-            world.freeze(&holder, true);
+            cluster.freeze(&holder, true);
             sleep(Duration::from_secs(7)).await;
-            world.freeze(&holder, false);
-            world.until_servers_have(2).await;
+            cluster.freeze(&holder, false);
+            cluster.wait_for_weights(2).await;
             sleep(Duration::from_secs(2)).await;
-            tally.stop().await;
-            ordered_once(&world, 2);
-            world
+            load.stop().await;
+            ordered_once(&cluster, 2);
+            cluster
         });
     }
 }
 
 #[test]
 fn given_servers_replaced_and_restarted_while_weights_change_then_all_end_on_the_newest() {
-    run_judged(|| async {
-        let world = World::serving(Terms {
+    run_checked(|| async {
+        let cluster = SimulatedCluster::serving(ClusterSettings {
             servers: 5,
-            ..Terms::seeded(91)
+            ..ClusterSettings::seeded(91)
         })
         .await;
-        let tally = load::begin(&world, 8, PAUSE);
-        assert!(world.operator.name_version(2).await);
-        world.newest_weights.set(2);
+        let load = ClientLoad::start(&cluster, 8, PAUSE);
+        assert!(cluster.operator.name_version(2).await);
+        cluster.newest_weights.set(2);
         sleep(Duration::from_millis(400)).await;
-        let ids = world.server_ids();
-        let old = world.server(&ids[4]);
-        world.crash_server(&ids[4]);
+        let ids = cluster.server_ids();
+        let old = cluster.server(&ids[4]);
+        cluster.crash_server(&ids[4]);
         sleep(Duration::from_millis(500)).await;
-        world.restart_server(&old);
-        world.server(&ids[3]).drain();
-        world.add_server("models", ZONES[2]);
-        world.until_servers_have(2).await;
-        assert!(world.operator.name_version(3).await);
-        world.newest_weights.set(3);
-        world.until_servers_have(3).await;
+        cluster.restart_server(&old);
+        cluster.server(&ids[3]).drain();
+        cluster.add_server("models", ZONES[2]);
+        cluster.wait_for_weights(2).await;
+        assert!(cluster.operator.name_version(3).await);
+        cluster.newest_weights.set(3);
+        cluster.wait_for_weights(3).await;
         sleep(Duration::from_secs(3)).await;
-        tally.stop().await;
+        load.stop().await;
         assert!(
-            world.judge.load_counts().values().all(|n| *n == 1),
+            cluster.monitor.load_counts().values().all(|n| *n == 1),
             "{:?}",
-            world.judge.load_counts()
+            cluster.monitor.load_counts()
         );
         assert!(
-            tally.share() > 0.97,
+            load.served_fraction() > 0.97,
             "{} {:?}",
-            tally.share(),
-            tally.refused.borrow()
+            load.served_fraction(),
+            load.rejected.borrow()
         );
-        world
+        cluster
     });
 }
