--- a/crates/sparrouter-simulation/examples/availability.rs
+++ b/crates/sparrouter-simulation/examples/availability.rs
@@ -42,7 +42,7 @@
     base: &str,
     body: &str,
 ) -> Option<Duration> {
-    let net = cluster.outside_net();
+    let net = cluster.outside_network();
     let to = cluster.control_of(machine);
     let began = Instant::now();
     let timeout_after = Duration::from_secs(2);
@@ -63,12 +63,9 @@
 
 /// From the trouble of the machine that orders new weights until another one orders under a higher token.
 async fn without_holder(seed: u64, trouble: Trouble) -> Option<Duration> {
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        others: 0,
-        servers: 4,
-        ..ClusterSettings::seeded(seed)
-    })
-    .await;
+    let cluster =
+        SimulatedCluster::serving(ClusterSettings::with_seed(seed).edge_machines(0).servers(4))
+            .await;
     let naming = {
         let cluster = cluster.clone();
         spawn_local(async move { cluster.operator.name_version(2).await })
@@ -113,12 +110,9 @@
 }
 
 async fn measured(seed: u64, trouble: Trouble) -> Measured {
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        others: 0,
-        servers: 1,
-        ..ClusterSettings::seeded(seed)
-    })
-    .await;
+    let cluster =
+        SimulatedCluster::serving(ClusterSettings::with_seed(seed).edge_machines(0).servers(1))
+            .await;
     let victim = format!("core-{}", seed % 3);
     let survivor = format!("core-{}", (seed + 1) % 3);
     let moment = cluster.rng.borrow_mut().u64(..1_500);
--- a/crates/sparrouter-simulation/examples/hunt.rs
+++ b/crates/sparrouter-simulation/examples/hunt.rs
@@ -3,178 +3,227 @@
 //!
 //! | option | meaning |
 //! | --- | --- |
-//! | `--days N`, `--seed S` | how many days (20), and the first seed (1) |
+//! | `--days N`, `--seed S` | number of days (20), and the first seed (1) |
 //! | `--all` | go on after a day with violations |
-//! | `--story` | print the log of each day, with each request |
+//! | `--story` | print the event trace of each day, with each request |
 //! | `--shrink` | print a smallest day that still has a violation |
-//! | `--defect NAME` | plant a mistake first (`sparrouter_fleet::platform::defects`) |
-//! | `--planted` | plant each mistake in turn, and print after how many days it was found |
+//! | `--defect NAME` | inject a defect first (`sparrouter_fleet::platform::defects`) |
+//! | `--planted` | inject each defect in turn, and print after how many days it was found |
+
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::faults::{self, Report, Scenario};
 use sparrouter_simulation::runtime;
+use sparrouter_simulation::scenario::{self, Report, Restriction, Scenario};
 use std::collections::BTreeSet;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// The number behind an option.
-fn number(arguments: &[String], name: &str) -> Option<u64> {
-    let at = arguments.iter().position(|a| a == name)?;
-    arguments.get(at + 1)?.parse().ok()
+/// Violations that are printed of a day.
+const PRINTED_VIOLATIONS: usize = 6;
+
+struct Options {
+    first_seed: u64,
+    days: u64,
+    defect: Option<Defect>,
+    all_defects: bool,
+    shrink: bool,
+    print_trace: bool,
+    go_on: bool,
 }
 
-/// The mistake that `--defect` names.
-fn named(arguments: &[String]) -> Option<Defect> {
-    let at = arguments.iter().position(|a| a == "--defect")?;
-    let name = arguments.get(at + 1)?;
-    let found = Defect::ALL
-        .iter()
-        .copied()
-        .find(|d| format!("{d:?}") == *name);
-    Some(found.unwrap_or_else(|| panic!("no defect is called {name}: one of {:?}", Defect::ALL)))
+impl Options {
+    fn parse(arguments: &[String]) -> Options {
+        let has = |name: &str| arguments.iter().any(|argument| argument == name);
+        let value = |name: &str| {
+            let index = arguments.iter().position(|argument| argument == name)?;
+            arguments.get(index + 1)
+        };
+        let number = |name: &str| value(name).and_then(|text| text.parse().ok());
+        Options {
+            first_seed: number("--seed").unwrap_or(1),
+            days: number("--days").unwrap_or(20),
+            defect: value("--defect").map(|name| defect_named(name)),
+            all_defects: has("--planted"),
+            shrink: has("--shrink"),
+            print_trace: has("--story"),
+            go_on: has("--all"),
+        }
+    }
+
+    fn seeds(&self) -> std::ops::Range<u64> {
+        self.first_seed..self.first_seed + self.days
+    }
+}
+
+fn defect_named(name: &str) -> Defect {
+    let defect = Defect::ALL.iter().find(|d| format!("{d:?}") == name);
+    *defect.unwrap_or_else(|| panic!("no defect is called {name}: one of {:?}", Defect::ALL))
 }
 
 /// Plays a day; `None` if the simulation itself ended by a panic, as when a node ended that it needs.
-fn played(day: &Scenario) -> Option<Report> {
-    catch_unwind(AssertUnwindSafe(|| runtime::play(faults::play(day)))).ok()
+fn play(scenario: &Scenario) -> Option<Report> {
+    let played = catch_unwind(AssertUnwindSafe(|| runtime::play(scenario::play(scenario))));
+    played.ok()
 }
 
-/// The first seed that finds a mistake, and the rules that were violated.
-fn first_found(defect: Defect, first: u64, days: u64) -> Option<(u64, String)> {
-    inject(Some(defect));
-    let found = (first..first + days).find_map(|seed| {
-        let Some(report) = played(&Scenario::from_seed(seed)) else {
-            return Some((seed, "the day could not be played to its end".to_owned()));
-        };
-        let rules: BTreeSet<&str> = report
-            .violations
-            .iter()
-            .filter_map(|b| b.split(':').next())
-            .collect();
-        (!rules.is_empty()).then(|| (seed, rules.into_iter().collect::<Vec<_>>().join(", ")))
-    });
-    inject(None);
-    // The day must have no violation without the mistake.
-    let (seed, rules) = found?;
-    if played(&Scenario::from_seed(seed)).is_some_and(|sound| sound.violations.is_empty()) {
-        return Some((seed, rules));
-    }
-    first_found(defect, seed + 1, (first + days).saturating_sub(seed + 1))
+/// A seed that finds a defect, and the rules that are violated then.
+struct Finding {
+    seed: u64,
+    rules: String,
 }
 
-/// A smallest day that still has a violation: the arguments of `Scenario::only`, and a description.
-fn smallest(day: &Scenario) -> String {
-    let still = |d: &Scenario| played(d).is_none_or(|r| !r.violations.is_empty());
-    let (indices, final_fault) = day.shrink(still);
-    format!(
-        "only {indices:?}, {final_fault}: {}",
-        day.clone()
-            .restricted_to(&indices, final_fault)
-            .description()
-    )
+/// The first seed whose day has a violation with the defect, and none without it.
+fn find_defect(defect: Defect, seeds: std::ops::Range<u64>) -> Option<Finding> {
+    seeds.into_iter().find_map(|seed| {
+        inject(Some(defect));
+        let finding = violated_rules(seed).map(|rules| Finding { seed, rules });
+        inject(None);
+        finding.filter(|_| {
+            let without = play(&Scenario::from_seed(seed));
+            without.is_some_and(|report| report.violations.is_empty())
+        })
+    })
 }
 
-/// Plants each mistake, or only one, and prints a row for each.
-fn table(first: u64, days: u64, one: Option<Defect>, shrink: bool) -> ExitCode {
+/// The rules that a day violates; `None` if it violates none.
+fn violated_rules(seed: u64) -> Option<String> {
+    let Some(report) = play(&Scenario::from_seed(seed)) else {
+        return Some("the day could not be played to its end".to_owned());
+    };
+    let names = report.violations.iter().filter_map(|v| v.split(':').next());
+    let rules: BTreeSet<&str> = names.collect();
+    (!rules.is_empty()).then(|| rules.into_iter().collect::<Vec<_>>().join(", "))
+}
+
+/// A smallest day that still has a violation: the arguments of `Scenario::restricted_to`, and a description.
+fn smallest(scenario: &Scenario) -> String {
+    let still_fails =
+        |smaller: &Scenario| play(smaller).is_none_or(|report| !report.violations.is_empty());
+    let Restriction {
+        faults,
+        final_fault,
+    } = scenario.shrink(still_fails);
+    let description = scenario
+        .clone()
+        .restricted_to(&faults, final_fault)
+        .description();
+    format!("only {faults:?}, {final_fault}: {description}")
+}
+
+/// Injects each defect, or only one, and prints a row for each. Returns whether all were found.
+fn find_defects(options: &Options) -> bool {
     println!(
-        "| defect | days until found | seconds | rules broken then |\n| --- | --- | --- | --- |"
+        "| defect | days until found | seconds | rules violated then |\n| --- | --- | --- | --- |"
     );
-    let mut missed = 0;
-    for defect in Defect::ALL
-        .iter()
-        .copied()
-        .filter(|d| one.is_none_or(|o| o == *d))
-    {
-        let began = Instant::now();
-        let found = first_found(defect, first, days);
-        let took = began.elapsed().as_secs_f64();
-        match found {
-            Some((seed, rules)) if shrink => {
+    let mut all_found = true;
+    let is_wanted = |defect: &&Defect| options.defect.is_none_or(|only| only == **defect);
+    for defect in Defect::ALL.iter().filter(is_wanted).copied() {
+        let started_at = Instant::now();
+        let finding = find_defect(defect, options.seeds());
+        let seconds = started_at.elapsed().as_secs_f64();
+        match finding {
+            Some(Finding { seed, rules }) if options.shrink => {
                 inject(Some(defect));
-                println!(
-                    "{defect:?} from {seed} {}; then {rules}",
-                    smallest(&Scenario::from_seed(seed))
-                );
+                let smallest = smallest(&Scenario::from_seed(seed));
+                println!("{defect:?} from {seed} {smallest}; then {rules}");
                 inject(None);
             }
-            Some((seed, rules)) => println!(
-                "| {defect:?} | {} | {took:.1} | {rules} |",
-                seed - first + 1
-            ),
+            Some(Finding { seed, rules }) => {
+                let days = seed - options.first_seed + 1;
+                println!("| {defect:?} | {days} | {seconds:.1} | {rules} |");
+            }
             None => {
-                missed += 1;
-                println!("| {defect:?} | not in {days} | {took:.1} | |");
+                all_found = false;
+                println!("| {defect:?} | not in {} | {seconds:.1} | |", options.days);
             }
         }
     }
-    if missed == 0 {
-        ExitCode::SUCCESS
-    } else {
-        ExitCode::FAILURE
-    }
+    all_found
 }
 
-fn main() -> ExitCode {
-    runtime::collect_panics();
-    let arguments: Vec<String> = std::env::args().collect();
-    let days = number(&arguments, "--days").unwrap_or(20);
-    let first = number(&arguments, "--seed").unwrap_or(1);
-    let shrink = arguments.iter().any(|a| a == "--shrink");
-    if arguments.iter().any(|a| a == "--planted") {
-        return table(first, days, named(&arguments), shrink);
+/// Prints what a day is about, its violations, and its trace if asked for.
+fn print_day(scenario: &Scenario, report: &Report, options: &Options) {
+    println!(
+        "seed {}: {:?}, final fault {:?}",
+        scenario.seed, scenario.faults, scenario.final_fault
+    );
+    if options.shrink && !report.violations.is_empty() {
+        println!("  {}", smallest(&Scenario::from_seed(scenario.seed)));
+    }
+    for violation in report.violations.iter().take(PRINTED_VIOLATIONS) {
+        println!("  {violation}");
     }
-    inject(named(&arguments));
-    let print_log = arguments.iter().any(|a| a == "--story");
-    let go_on = arguments.iter().any(|a| a == "--all");
-    let began = Instant::now();
-    let (mut broken, mut wasted, mut sent, mut served) = (0, 0, 0u64, 0u64);
-    for seed in first..first + days {
-        let day = Scenario {
-            verbose: print_log,
+    if options.print_trace || !options.go_on {
+        for line in &report.trace {
+            println!("  {line}");
+        }
+    }
+}
+
+#[derive(Default)]
+struct Totals {
+    days_with_violations: u64,
+    repeated_loads: usize,
+    sent: u64,
+    served: u64,
+}
+
+/// Plays the days, up to the first with a violation or a printed trace unless it is to go on.
+fn play_days(options: &Options) -> Totals {
+    let mut totals = Totals::default();
+    for seed in options.seeds() {
+        let scenario = Scenario {
+            verbose: options.print_trace,
             ..Scenario::from_seed(seed)
         };
-        let Some(report) = played(&day) else {
-            broken += 1;
-            println!(
-                "seed {seed}: the day could not be played to its end: {:?}",
-                runtime::panics()
-            );
+        let Some(report) = play(&scenario) else {
+            totals.days_with_violations += 1;
+            let panics = runtime::take_panics();
+            println!("seed {seed}: the day could not be played to its end: {panics:?}");
             continue;
         };
-        sent += u64::from(report.sent);
-        served += u64::from(report.served);
-        wasted += report.waste.len();
-        if !report.violations.is_empty() || print_log {
-            broken += u64::from(!report.violations.is_empty());
-            println!(
-                "seed {seed}: {:?}, final fault {:?}",
-                day.faults, day.final_fault
-            );
-            if shrink && !report.violations.is_empty() {
-                println!("  {}", smallest(&Scenario::from_seed(seed)));
-            }
-            report
-                .violations
-                .iter()
-                .take(6)
-                .for_each(|b| println!("  {b}"));
-            if print_log || !go_on {
-                report.log.iter().for_each(|line| println!("  {line}"));
-            }
-            if !go_on {
+        totals.sent += u64::from(report.sent);
+        totals.served += u64::from(report.served);
+        totals.repeated_loads += report.repeated_loads.len();
+        let is_violated = !report.violations.is_empty();
+        totals.days_with_violations += u64::from(is_violated);
+        if is_violated || options.print_trace {
+            print_day(&scenario, &report, options);
+            if !options.go_on {
                 break;
             }
         }
-        report
-            .waste
-            .iter()
-            .for_each(|w| println!("seed {seed}: {w}"));
+        for load in &report.repeated_loads {
+            println!("seed {seed}: {load}");
+        }
+    }
+    totals
+}
+
+fn main() -> ExitCode {
+    runtime::collect_panics();
+    let arguments: Vec<String> = std::env::args().collect();
+    let options = Options::parse(&arguments);
+    if options.all_defects {
+        return match find_defects(&options) {
+            true => ExitCode::SUCCESS,
+            false => ExitCode::FAILURE,
+        };
     }
+    inject(options.defect);
+    let started_at = Instant::now();
+    let totals = play_days(&options);
     println!(
-        "{days} days from seed {first}: {broken} broken, {wasted} loads too many, {served} of {sent} requests served, {:.1} s",
-        began.elapsed().as_secs_f64()
+        "{} days from seed {}: {} with violations, {} repeated loads, {} of {} requests served, {:.1} s",
+        options.days,
+        options.first_seed,
+        totals.days_with_violations,
+        totals.repeated_loads,
+        totals.served,
+        totals.sent,
+        started_at.elapsed().as_secs_f64()
     );
-    if broken == 0 {
+    if totals.days_with_violations == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/sparrouter-simulation/examples/order_load.rs
+++ b/crates/sparrouter-simulation/examples/order_load.rs
@@ -32,7 +32,7 @@
         let report = runtime::play(order_load::play(seed));
         calls += report.calls;
         acknowledged += report.acknowledged;
-        refused += report.refused;
+        refused += report.rejected;
         unclear += report.unclear;
         if !report.violations.is_empty() {
             broken += 1;
--- a/crates/sparrouter-simulation/examples/record_state_files.rs
+++ b/crates/sparrouter-simulation/examples/record_state_files.rs
@@ -14,7 +14,7 @@
     let folder = PathBuf::from(folder);
     std::fs::create_dir_all(&folder).expect("the folder can be made");
     play(async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(49)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(49)).await;
         let mut before = initial_configuration();
         for _ in 0..2 {
             let next = before.next(2, |_| ());
--- a/crates/sparrouter-simulation/examples/second_losses.rs
+++ b/crates/sparrouter-simulation/examples/second_losses.rs
@@ -7,7 +7,7 @@
 use fastrand::Rng;
 use losses::{CATCH_UP, LOSSES, change, lose, settings, watched};
 use sparrouter_simulation::cluster::initial_configuration;
-use sparrouter_simulation::runtime::{collect_panics, panics, play};
+use sparrouter_simulation::runtime::{collect_panics, play, take_panics};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -47,7 +47,7 @@
     collect_panics();
     for seed in first..first + seeds {
         let played = catch_unwind(AssertUnwindSafe(|| play(day(seed))));
-        let mut broken = panics();
+        let mut broken = take_panics();
         broken.extend(played.unwrap_or_default());
         if let Some(what) = broken.first() {
             println!("seed {seed}: {what}");
--- /dev/null
+++ b/crates/sparrouter-simulation/src/checkers/added_routes.rs
@@ -0,0 +1,91 @@
+//! CONFIG, counted over a whole run: routes that were added later are served about as well as those of the first
+//! configuration.
+
+use super::handling::{admits, is_certainly_admitted};
+use super::{Checker, Violation};
+use crate::monitor::{AttemptRecord, ClientResponse, Event, Observations};
+
+/// Added routes are checked from so many requests on.
+const MIN_REQUESTS: u32 = 20;
+/// Least success rate on added routes, relative to that on the first ones.
+const MIN_RELATIVE_RATE: f64 = 0.25;
+
+/// Requests in stable times, at machines in contact, that every configuration which may be in force admits.
+#[derive(Clone, Copy, Debug, Default)]
+struct Counts {
+    requests: u32,
+    served: u32,
+}
+
+impl Counts {
+    fn rate(self) -> f64 {
+        f64::from(self.served) / f64::from(self.requests.max(1))
+    }
+}
+
+/// See the module.
+#[derive(Default)]
+pub(super) struct AddedRoutes {
+    first: Counts,
+    added: Counts,
+}
+
+impl AddedRoutes {
+    fn count(
+        &mut self,
+        record: &AttemptRecord,
+        response: &ClientResponse,
+        observations: &Observations,
+    ) {
+        if response.is_abandoned
+            || !is_certainly_admitted(record, observations)
+            || !observations.no_unplanned_fault_since(record.sent_at)
+        {
+            return;
+        }
+        let first = observations.submissions.first();
+        let is_added = first.is_some_and(|s| !admits(&s.configuration, &record.attempt));
+        let counts = if is_added {
+            &mut self.added
+        } else {
+            &mut self.first
+        };
+        counts.requests += 1;
+        if response.is_complete && matches!(response.status, 200..=299) {
+            counts.served += 1;
+        }
+    }
+}
+
+impl Checker for AddedRoutes {
+    fn on_event(
+        &mut self,
+        event: Event,
+        observations: &Observations,
+        violations: &mut Vec<Violation>,
+    ) {
+        match event {
+            Event::ResponseReceived {
+                attempt_id,
+                response,
+            } => {
+                if let Some(record) = observations.attempts.get(attempt_id) {
+                    self.count(record, response, observations);
+                }
+            }
+            Event::ScenarioEnded
+                if self.added.requests >= MIN_REQUESTS
+                    && self.added.rate() < MIN_RELATIVE_RATE * self.first.rate() =>
+            {
+                violations.push(Violation::new(
+                    "CONFIG",
+                    format!(
+                        "on added routes {:?}, on the first {:?}",
+                        self.added, self.first
+                    ),
+                ));
+            }
+            _ => {}
+        }
+    }
+}
--- a/crates/sparrouter-simulation/src/checkers/retry_budget.rs
+++ b/crates/sparrouter-simulation/src/checkers/retry_budget.rs
@@ -1,97 +1,108 @@
-//! BUDGET: arrivals beyond the first of each request, in any window, against the requests for the service.
-use super::{Bounds, Monitor};
+//! BUDGET: retries that reach a service in any window, against the requests for that service.
+
+use super::{Checker, Violation};
+use crate::monitor::{Attempt, Bounds, Event, Observations};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Requests of the last so many windows are compared with the retries of the last one.
+const KEPT_WINDOWS: u32 = 3;
+
 #[derive(Default)]
 struct Service {
+    /// When requests for it were sent, over [`KEPT_WINDOWS`].
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    /// When attempts arrived that had arrived before, over one window.
+    retries: VecDeque<Instant>,
+    /// Ids of attempts that arrived.
     arrived: BTreeSet<String>,
 }
 
-pub(super) struct Budget {
-    bounds: Bounds,
+/// See the module.
+#[derive(Default)]
+pub(super) struct RetryBudget {
     services: BTreeMap<String, Service>,
 }
 
-impl Budget {
-    pub(super) fn new(bounds: Bounds) -> Budget {
-        Budget {
-            bounds,
-            services: BTreeMap::new(),
-        }
+fn drop_older(moments: &mut VecDeque<Instant>, age: Duration) {
+    let now = Instant::now();
+    while moments.front().is_some_and(|moment| now - *moment > age) {
+        moments.pop_front();
     }
+}
 
-    pub(super) fn requested(&mut self, service: &str) {
-        let now = Instant::now();
-        let window = self.bounds.budget_window;
-        let known = self.services.entry(service.to_owned()).or_default();
-        known.requests.push_back(now);
-        while known
-            .requests
-            .front()
-            .is_some_and(|at| now - *at > window * 3)
-        {
-            known.requests.pop_front();
+impl RetryBudget {
+    /// The request counts for each service that any submitted configuration names for it.
+    fn count_request(&mut self, attempt: &Attempt, observations: &Observations) {
+        let routes = observations
+            .submissions
+            .iter()
+            .filter_map(|s| s.configuration.route(&attempt.host, &attempt.path));
+        let services: BTreeSet<&str> = routes.map(|route| route.service.as_str()).collect();
+        for service in services {
+            let known = self.services.entry(service.to_owned()).or_default();
+            known.requests.push_back(Instant::now());
+            let window = observations.bounds.budget_window;
+            drop_older(&mut known.requests, window * KEPT_WINDOWS);
         }
     }
 
-    /// What broke it, if it is broken now.
-    pub(super) fn request_arrived(&mut self, service: &str, attempt: &str) -> Option<String> {
+    /// Counts an arrival. Returns the violation if the budget is exceeded now.
+    fn count_arrival(
+        &mut self,
+        service: &str,
+        attempt_id: &str,
+        bounds: &Bounds,
+    ) -> Option<Violation> {
         let now = Instant::now();
-        let Bounds {
-            budget_window: window,
-            budget_ratio,
-            budget_slack,
-            ..
-        } = self.bounds;
+        let window = bounds.budget_window;
         let known = self.services.entry(service.to_owned()).or_default();
-        if known.arrived.insert(attempt.to_owned()) {
+        if known.arrived.insert(attempt_id.to_owned()) {
             return None;
         }
-        known.repeats.push_back(now);
-        while known.repeats.front().is_some_and(|at| now - *at > window) {
-            known.repeats.pop_front();
-        }
-        let count = |ago: Duration| {
-            let inside = |at: &&Instant| now - **at >= ago && now - **at <= ago + window;
-            known.requests.iter().filter(inside).count()
+        known.retries.push_back(now);
+        drop_older(&mut known.retries, window);
+        let requests_in_window_before = |age: Duration| {
+            let is_inside = |sent_at: &&Instant| {
+                let sent_ago = now - **sent_at;
+                sent_ago >= age && sent_ago <= age + window
+            };
+            known.requests.iter().filter(is_inside).count()
         };
-        let most = [Duration::ZERO, window / 2, window]
-            .map(count)
+        let max_requests = [Duration::ZERO, window / 2, window]
+            .map(requests_in_window_before)
             .into_iter()
             .max()
             .unwrap_or(0);
-        let allowed = budget_ratio * most as f64 + budget_slack;
-        (known.repeats.len() as f64 > allowed).then(|| {
-            format!(
-                "{} repeats at {service} in a window, {allowed:.1} are allowed",
-                known.repeats.len()
+        let allowed = bounds.budget_ratio * max_requests as f64 + bounds.budget_slack;
+        let retries = known.retries.len();
+        (retries as f64 > allowed).then(|| {
+            Violation::new(
+                "BUDGET",
+                format!("{retries} retries at {service} in a window, {allowed:.1} are allowed"),
             )
         })
     }
 }
 
-impl Monitor {
-    /// A request reached a server, which may still decline it.
-    pub fn request_arrived(
-        &self,
-        service: &str,
-        attempt: &str,
-        instance: &str,
-        by: std::net::IpAddr,
+impl Checker for RetryBudget {
+    fn on_event(
+        &mut self,
+        event: Event,
+        observations: &Observations,
+        violations: &mut Vec<Violation>,
     ) {
-        self.trace_detail(|| format!("{attempt} reaches {instance} from {by}"));
-        let broken = self.budget.borrow_mut().request_arrived(service, attempt);
-        if let Some(what) = broken {
-            self.report_violation("BUDGET", what);
+        match event {
+            Event::AttemptSent(attempt) => self.count_request(attempt, observations),
+            Event::RequestArrived {
+                service,
+                attempt_id,
+                ..
+            } => {
+                violations.extend(self.count_arrival(service, attempt_id, &observations.bounds));
+            }
+            _ => {}
         }
-        self.check_drain(instance, attempt, by);
-    }
-
-    pub(super) fn requested(&self, service: &str) {
-        self.budget.borrow_mut().requested(service);
     }
 }
--- a/crates/sparrouter-simulation/src/cluster/mod.rs
+++ b/crates/sparrouter-simulation/src/cluster/mod.rs
@@ -1,391 +1,267 @@
-//! One deployment: machines of the fleet with their disks and processes, servers, clients' platform, the operator.
-//! `machines`: what becomes of machines; `hosts`: of servers.
+//! One deployment: the fleet's machines with their disks and processes, model servers, clients, the platform's load
+//! balancer, the operator.
+//!
+//! | file | its job |
+//! | --- | --- |
+//! | `settings` | size and speed of a deployment |
+//! | `defaults` | the first configuration, and requests on its routes |
+//! | `machines` | machines: added, replaced, removed; power and disks |
+//! | `processes` | processes on them: started, ended, frozen, slowed |
+//! | `process_settings` | the settings that a process starts with |
+//! | `partitions` | partitions between machines |
+//! | `servers` | model servers |
+
+mod defaults;
 mod machines;
 pub mod partitions;
+mod process_settings;
+mod processes;
 mod servers;
+mod settings;
 
+pub use defaults::{HOST, KEY, initial_configuration, kv_store_address, request};
 pub use machines::RetiredMachine;
+pub use settings::ClusterSettings;
 
-use crate::checkers::{Bounds, Monitor};
-use crate::client::{Client, ClientRequest};
-use crate::configuration::{Configuration, Route, RouteKind, Tenant};
+use crate::client::Client;
 use crate::disk::SimulatedDisk;
 use crate::http_messages::call;
 use crate::load_balancer::LoadBalancer;
+use crate::monitor::Monitor;
 use crate::network::SimulatedNetwork;
 use crate::network::interface::NetworkInterface;
 use crate::operator::Operator;
 use crate::process::SimulatedProcess;
 use crate::server::{BlockStore, BlockStores, Server};
 use fastrand::Rng;
-use sparrouter_fleet::process::log_buffer::LogBuffer;
-use sparrouter_fleet::process::run::ProcessSignal;
+use machines::Machine;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::io::{self, Write};
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
-use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use tokio::sync::mpsc::UnboundedSender;
-use tokio::time::{Instant, sleep};
+use tokio::time::sleep;
 
 /// Ports, alike on all machines.
-const FRONT: u16 = 8689;
-const READINESS: u16 = 8687;
-const CONTROL: u16 = 8683;
-const METRICS: u16 = 9464;
-const SERVER: u16 = 8080;
-
-/// How large a deployment is.
-#[derive(Clone, Copy, Debug)]
-pub struct ClusterSettings {
-    pub seed: u64,
-    /// Counted machines, one a zone in turn, and others.
-    pub core: usize,
-    pub others: usize,
-    pub servers: usize,
-    pub slots: u32,
-    pub heartbeat: Duration,
-    pub bounds: Bounds,
-    /// One way between zones; half of it within one, in whole ms.
-    pub across: Duration,
-    /// What a disk takes for a save.
-    pub sync: Duration,
-    /// What new weights take at a server.
-    pub load: Duration,
-}
-
-impl ClusterSettings {
-    pub fn seeded(seed: u64) -> ClusterSettings {
-        ClusterSettings {
-            seed,
-            core: 3,
-            others: 3,
-            servers: 4,
-            slots: 16,
-            heartbeat: Duration::from_millis(1_200),
-            bounds: Bounds::default(),
-            across: Duration::from_millis(2),
-            sync: Duration::from_millis(2),
-            load: Duration::from_millis(600),
-        }
-    }
-
-    /// Counted machines that may be lost at one time.
-    pub fn tolerated(&self) -> usize {
-        self.core.saturating_sub(1) / 2
-    }
-}
+const FRONT_PORT: u16 = 8689;
+const READINESS_PORT: u16 = 8687;
+const CONTROL_PORT: u16 = 8683;
+const METRICS_PORT: u16 = 9464;
+/// Port of model servers.
+const SERVER_PORT: u16 = 8080;
 
+/// Failure domains of the machines.
 pub const ZONES: [&str; 3] = ["lalitpur", "bhaktapur", "kirtipur"];
-pub const HOST: &str = "rota.example";
-pub const KEY: &str = "key-of-kaje";
 
-/// What would go to standard error.
-#[derive(Clone, Default)]
-struct Written(Arc<Mutex<Vec<u8>>>);
-
-impl Write for Written {
-    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.0
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .extend_from_slice(bytes);
-        Ok(bytes.len())
-    }
-    fn flush(&mut self) -> io::Result<()> {
-        Ok(())
-    }
-}
-
-struct Machine {
-    ip: IpAddr,
-    zone: &'static str,
-    counted: bool,
-    disk: Option<SimulatedDisk>,
-    process: Option<SimulatedProcess>,
-    orders: Option<UnboundedSender<ProcessSignal>>,
-    log_buffer: LogBuffer,
-    written: Written,
-    started: bool,
-    /// Since when its process runs.
-    up_since: Option<Instant>,
-}
+/// Seeds that a process is given.
+const SEEDS: usize = 3;
+/// Last byte of the address of the first machine.
+const FIRST_IP: u8 = 20;
+/// Last bytes of the addresses outside of the fleet.
+const LOAD_BALANCER_IP: u8 = 1;
+const OPERATOR_IP: u8 = 2;
+const CLIENTS_IP: u8 = 3;
 
 struct ServerProcess {
     server: Rc<Server>,
     process: SimulatedProcess,
 }
 
+/// A deployment. Machines and servers are named; functions that take a name panic if there is none of that name.
 pub struct SimulatedCluster {
+    /// Its size and speed.
     pub settings: ClusterSettings,
+    /// The network between all machines.
     pub network: Rc<SimulatedNetwork>,
+    /// What is observed, and the rules.
     pub monitor: Rc<Monitor>,
+    /// What clients connect through.
     pub load_balancer: Rc<LoadBalancer>,
+    /// Who changes the configuration.
     pub operator: Operator,
     machines: RefCell<BTreeMap<String, Machine>>,
     servers: RefCell<BTreeMap<String, ServerProcess>>,
     /// Addresses that serve control, as the operator's list has them now.
     pub control: Rc<RefCell<Vec<SocketAddr>>>,
+    /// Addresses that processes start with.
     seeds: RefCell<Vec<SocketAddr>>,
+    /// KV cache of all servers and stores.
     pub block_stores: BlockStores,
+    /// Source of all random draws.
     pub rng: RefCell<Rng>,
+    /// Last byte of the next machine's or server's address.
     next_ip: Cell<u8>,
+    /// Number of the next server.
     next_server: Cell<u32>,
-    /// Versions of weights that were named: a new server has the newest.
+    /// The newest version of the weights that was named: new servers start with it.
     pub newest_weights: Cell<u64>,
 }
 
-fn outside(last: u8) -> IpAddr {
+fn outside_ip(last: u8) -> IpAddr {
     IpAddr::from([172, 16, 0, last])
 }
 
-/// Where the store of kept prompts is.
-pub fn kv_store_address() -> SocketAddr {
-    SocketAddr::new(IpAddr::from([10, 0, 0, 9]), 8680)
-}
-
 impl SimulatedCluster {
-    /// Machines that are not started yet, clients, an operator.
+    /// Machines that are not started yet, a load balancer, an operator.
     pub fn new(settings: ClusterSettings) -> Rc<SimulatedCluster> {
         let mut rng = Rng::with_seed(settings.seed);
-        let network = SimulatedNetwork::new(
-            rng.fork(),
-            (settings.across / 2).max(Duration::from_millis(1)),
-            settings.across,
-        );
-        let monitor = Rc::new(Monitor::new(settings.bounds));
-        for last in 1..=3 {
-            network.add(outside(last), "outside");
+        // Nothing uses this draw. It stays, since a seed stands for all draws that follow it.
+        let _ = rng.fork();
+        let delay_in_zone = (settings.cross_zone_delay / 2).max(Duration::from_millis(1));
+        let network = SimulatedNetwork::new(delay_in_zone, settings.cross_zone_delay);
+        for last in [LOAD_BALANCER_IP, OPERATOR_IP, CLIENTS_IP] {
+            network.add(outside_ip(last), "outside");
         }
-        let load_balancer = LoadBalancer::new(NetworkInterface::new(network.clone(), outside(1)));
+        let interface = |last| NetworkInterface::new(network.clone(), outside_ip(last));
+        let monitor = Rc::new(Monitor::new(settings.bounds));
         let control: Rc<RefCell<Vec<SocketAddr>>> = Rc::default();
         let operator = Operator::new(
-            NetworkInterface::new(network.clone(), outside(2)),
+            interface(OPERATOR_IP),
             monitor.clone(),
             rng.fork(),
             control.clone(),
         );
+        let kv_store = BTreeMap::from([(kv_store_address(), BlockStore::default())]);
         let cluster = Rc::new(SimulatedCluster {
             settings,
+            load_balancer: LoadBalancer::new(interface(LOAD_BALANCER_IP)),
             network,
             monitor,
-            load_balancer,
             operator,
             machines: RefCell::default(),
             servers: RefCell::default(),
             control,
             seeds: RefCell::default(),
-            block_stores: BlockStores::default(),
+            block_stores: Rc::new(RefCell::new(kv_store)),
             rng: RefCell::new(rng),
-            next_ip: Cell::new(20),
+            next_ip: Cell::new(FIRST_IP),
             next_server: Cell::new(0),
             newest_weights: Cell::new(1),
         });
+        cluster.add_machines();
         cluster
-            .block_stores
-            .borrow_mut()
-            .insert(kv_store_address(), BlockStore::default());
-        for n in 0..settings.core {
-            cluster.add_machine(&format!("core-{n}"), ZONES[n % 3], true);
+    }
+
+    fn add_machines(&self) {
+        for n in 0..self.settings.core_machines {
+            self.add_machine(&format!("core-{n}"), ZONES[n % ZONES.len()], true);
         }
-        for n in 0..settings.others {
-            cluster.add_machine(&format!("edge-{n}"), ZONES[n % 3], false);
+        for n in 0..self.settings.edge_machines {
+            self.add_machine(&format!("edge-{n}"), ZONES[n % ZONES.len()], false);
         }
-        let seeds = cluster
-            .core()
-            .iter()
-            .take(3)
-            .map(|n| SocketAddr::new(cluster.ip(n), CONTROL))
-            .collect();
-        *cluster.seeds.borrow_mut() = seeds;
-        cluster
+        let core = self.core();
+        let seeds = core.iter().take(SEEDS).map(|name| self.control_of(name));
+        *self.seeds.borrow_mut() = seeds.collect();
     }
 
-    /// A fleet that has formed, has servers and a first configuration.
+    /// A fleet that has formed, has servers and the first configuration, and is in contact.
+    ///
+    /// # Panics
+    ///
+    /// If the fleet does not form.
     pub async fn serving(settings: ClusterSettings) -> Rc<SimulatedCluster> {
         let cluster = SimulatedCluster::new(settings);
         cluster.start_all(true).await;
         for n in 0..settings.servers {
-            cluster.add_server("models", ZONES[n % 3]);
+            cluster.add_server("models", ZONES[n % ZONES.len()]);
         }
-        assert_eq!(
-            cluster.operator.put(&initial_configuration(), 0).await,
-            200,
-            "the first configuration is taken"
-        );
+        let status = cluster.operator.put(&initial_configuration(), 0).await;
+        assert_eq!(status, 200, "the first configuration is accepted");
         cluster.wait_until_ready().await;
-        // Until then the machines were not in touch, as their start counts as trouble.
+        // The start of a machine counts as a fault, so that none was in contact until now.
         sleep(settings.bounds.contact + Duration::from_millis(500)).await;
         cluster
     }
 
-    fn add_machine(&self, name: &str, zone: &'static str, counted: bool) {
-        let last = self.next_ip.get();
-        self.next_ip.set(last + 1);
-        let ip = IpAddr::from([10, 0, 0, last]);
-        self.network.add(ip, zone);
-        let disk =
-            counted.then(|| SimulatedDisk::new(self.rng.borrow_mut().u64(..), self.settings.sync));
-        let written = Written::default();
-        let machine = Machine {
-            ip,
-            zone,
-            counted,
-            disk,
-            process: None,
-            orders: None,
-            log_buffer: LogBuffer::to(written.clone()),
-            written,
-            started: false,
-            up_since: None,
-        };
-        self.machines.borrow_mut().insert(name.to_owned(), machine);
-        self.control.borrow_mut().push(SocketAddr::new(ip, CONTROL));
-        self.load_balancer.add(
-            name,
-            zone,
-            SocketAddr::new(ip, FRONT),
-            SocketAddr::new(ip, READINESS),
-        );
-    }
-
+    /// Names of all machines.
     pub fn names(&self) -> Vec<String> {
         self.machines.borrow().keys().cloned().collect()
     }
+
+    /// Names of the core machines.
     pub fn core(&self) -> Vec<String> {
-        self.machines
-            .borrow()
-            .iter()
-            .filter(|m| m.1.counted)
-            .map(|m| m.0.clone())
-            .collect()
+        let machines = self.machines.borrow();
+        let core = machines.iter().filter(|(_, machine)| machine.is_core);
+        core.map(|(name, _)| name.clone()).collect()
     }
+
+    /// Address of a machine.
     pub fn ip(&self, name: &str) -> IpAddr {
         self.machines.borrow()[name].ip
     }
+
+    /// Where a machine serves control.
     pub fn control_of(&self, name: &str) -> SocketAddr {
-        SocketAddr::new(self.ip(name), CONTROL)
+        SocketAddr::new(self.ip(name), CONTROL_PORT)
     }
-    /// Where a machine tells its figures.
+
+    /// Where a machine serves its metrics.
     pub fn metrics_of(&self, name: &str) -> SocketAddr {
-        SocketAddr::new(self.ip(name), METRICS)
+        SocketAddr::new(self.ip(name), METRICS_PORT)
+    }
+
+    /// Where a machine serves clients.
+    pub fn front_of(&self, name: &str) -> SocketAddr {
+        SocketAddr::new(self.ip(name), FRONT_PORT)
     }
-    /// A figure as a machine tells it now, by the whole name with its labels; `None` where it has none or does not answer.
-    pub async fn figure(&self, name: &str, figure: &str) -> Option<f64> {
-        let (net, to) = (self.outside_net(), self.metrics_of(name));
-        let timeout_after = Duration::from_secs(1);
-        let reply = call(&net, to, "GET", "/metrics", &[], "", timeout_after);
+
+    /// The value of a metric, by its full name with labels; `None` where the machine has none or does not answer.
+    pub async fn metric(&self, machine: &str, metric: &str) -> Option<f64> {
+        let network = self.outside_network();
+        let timeout = Duration::from_secs(1);
+        let address = self.metrics_of(machine);
+        let reply = call(&network, address, "GET", "/metrics", &[], "", timeout);
         let reply = reply.await.ok()?;
-        let value = |line: &str| line.strip_prefix(figure)?.trim().parse().ok();
+        let value = |line: &str| line.strip_prefix(metric)?.trim().parse().ok();
         reply.text().lines().find_map(value)
     }
-    pub fn front_of(&self, name: &str) -> SocketAddr {
-        SocketAddr::new(self.ip(name), FRONT)
-    }
+
+    /// The machine with this address.
     pub fn name_of(&self, ip: IpAddr) -> Option<String> {
-        self.machines
-            .borrow()
-            .iter()
-            .find(|m| m.1.ip == ip)
-            .map(|m| m.0.clone())
-    }
-    pub fn disk(&self, name: &str) -> SimulatedDisk {
-        self.machines.borrow()[name]
-            .disk
-            .clone()
-            .expect("a machine with a disk")
+        let machines = self.machines.borrow();
+        let found = machines.iter().find(|(_, machine)| machine.ip == ip);
+        found.map(|(name, _)| name.clone())
     }
-    /// What a machine's process wrote out, as a person would find it.
-    pub fn written_by(&self, name: &str) -> String {
-        let written = self.machines.borrow()[name].written.0.clone();
-        String::from_utf8_lossy(&written.lock().unwrap_or_else(PoisonError::into_inner))
-            .into_owned()
-    }
-    pub fn runs(&self, name: &str) -> bool {
-        self.machines.borrow()[name]
-            .process
-            .as_ref()
-            .is_some_and(|p| !p.has_ended())
+
+    /// Zone of a machine.
+    pub fn zone_of(&self, name: &str) -> &'static str {
+        self.machines.borrow()[name].zone
     }
 
-    /// Since when the process of a machine runs; `None` if none does.
-    pub fn up_since(&self, name: &str) -> Option<Instant> {
-        let since = self.machines.borrow()[name].up_since;
-        since.filter(|_| self.runs(name))
+    /// Disk of a core machine.
+    ///
+    /// # Panics
+    ///
+    /// If the machine has no disk.
+    pub fn disk(&self, name: &str) -> SimulatedDisk {
+        let machines = self.machines.borrow();
+        machines[name].disk.clone().expect("a machine with a disk")
     }
 
-    pub fn zone_of(&self, name: &str) -> &'static str {
-        self.machines.borrow()[name].zone
+    /// What a machine's processes wrote to standard error.
+    pub fn stderr_of(&self, name: &str) -> String {
+        self.machines.borrow()[name].stderr.text()
     }
 
-    /// A client; `keeps`: whether it uses a connection for many requests.
-    pub fn client(&self, keeps: bool) -> Rc<Client> {
-        let net = NetworkInterface::new(self.network.clone(), outside(3));
+    /// A client; `keeps_alive`: it uses a connection for many requests.
+    pub fn client(&self, keeps_alive: bool) -> Rc<Client> {
         let rng = self.rng.borrow_mut().fork();
         Rc::new(Client::new(
-            net,
+            self.outside_network(),
             self.monitor.clone(),
             self.load_balancer.clone(),
             rng,
-            keeps,
+            keeps_alive,
         ))
     }
 
-    /// Where the operator calls from.
+    /// Address of the operator.
     pub fn operator_ip(&self) -> IpAddr {
-        outside(2)
+        outside_ip(OPERATOR_IP)
     }
 
-    pub fn outside_net(&self) -> NetworkInterface {
-        NetworkInterface::new(self.network.clone(), outside(3))
-    }
-}
-
-/// Four routes, one of each kind, over one service; two tenants, of which one is alone with its memory.
-pub fn initial_configuration() -> Configuration {
-    let routes = vec![
-        Route::new("idem", RouteKind::Idempotent, "models"),
-        Route::new("once", RouteKind::NonIdempotent, "models"),
-        Route::new("stream", RouteKind::Streaming, "models"),
-        Route::new("resume", RouteKind::Resumable, "models"),
-    ];
-    let tenant = |name: &str, key: &str, isolated| Tenant {
-        name: name.to_owned(),
-        keys: vec![key.to_owned()],
-        isolated,
-    };
-    Configuration {
-        version: 1,
-        routes,
-        services: vec!["models".to_owned(), "others".to_owned()],
-        kv_store: Some(kv_store_address()),
-        tenants: vec![
-            tenant("kaje", KEY, false),
-            tenant("mela", "key-of-mela", true),
-        ],
-    }
-}
-
-/// A request on one of the routes of `initial_configuration`: `word` says what the server answers.
-pub fn request(kind: RouteKind, word: &str) -> ClientRequest {
-    let route = match kind {
-        RouteKind::Idempotent => "idem",
-        RouteKind::NonIdempotent => "once",
-        RouteKind::Streaming => "stream",
-        RouteKind::Resumable => "resume",
-    };
-    ClientRequest {
-        host: HOST.to_owned(),
-        path: format!("/{route}/{word}"),
-        kind,
-        key: KEY.to_owned(),
-        zone: ZONES[0].to_owned(),
-        deadline: Duration::from_secs(6),
-        retries: 1,
-        prompt_id: "5c1e07a2".to_owned(),
-        shared_tokens: 800,
-        disconnects_after: None,
+    /// The network as clients see it.
+    pub fn outside_network(&self) -> NetworkInterface {
+        NetworkInterface::new(self.network.clone(), outside_ip(CLIENTS_IP))
     }
 }
--- a/crates/sparrouter-simulation/src/configuration.rs
+++ b/crates/sparrouter-simulation/src/configuration.rs
@@ -1,20 +1,19 @@
-//! Configurations from the operator's point of view: written as JSON for the fleet, and interpreted by the judge without
-//! the fleet's own code, so that a mistake there is noticed.
-#![deny(missing_docs)]
+//! Configurations from the operator's point of view: written as JSON for the fleet, and interpreted by the checkers
+//! without the fleet's own code, so that a defect there is found.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Whether a route's requests may be repeated, and whether they are answered by streams.
+/// Whether the requests of a route may be retried, and whether the responses are streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// They may run more than once.
     Idempotent,
     /// They may run once.
     NonIdempotent,
-    /// They may run once; the answer is a stream.
+    /// They may run once; the response is a stream.
     Streaming,
-    /// The answer is a stream that another server may continue.
+    /// The response is a stream that another server may continue.
     Resumable,
 }
 
@@ -23,8 +22,8 @@
     pub fn is_retryable(self) -> bool {
         matches!(self, RouteKind::Idempotent | RouteKind::Resumable)
     }
-    /// Whether the answer is a stream.
-    pub fn streams(self) -> bool {
+    /// Whether the response is a stream.
+    pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Streaming | RouteKind::Resumable)
     }
 }
@@ -38,13 +37,13 @@
     pub host: String,
     /// Its path prefix.
     pub prefix: String,
-    /// Whether its requests may be repeated.
+    /// Whether its requests may be retried.
     pub kind: RouteKind,
     /// Longest time that a request may take, in ms.
     pub timeout_ms: u64,
     /// Its service.
     pub service: String,
-    /// Most servers that a request is sent to.
+    /// Number of servers that a request is sent to at most.
     pub max_attempts: u32,
     /// Requests need no API key.
     pub public: bool,
@@ -98,7 +97,7 @@
     pub isolated: bool,
 }
 
-/// A whole configuration.
+/// A configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Configuration {
     /// Its version.
@@ -123,7 +122,7 @@
         fits.max_by_key(|r| r.prefix.len())
     }
 
-    /// The tenant that holds an API key.
+    /// The tenant that an API key belongs to.
     pub fn tenant_of(&self, key: &str) -> Option<&Tenant> {
         self.tenants
             .iter()
@@ -174,11 +173,11 @@
             .filter(|t| !before.tenants.contains(t))
             .map(tenant)
             .collect();
-        let gone = before
+        let removed = before
             .routes
             .iter()
             .filter(|r| self.routes.iter().all(|n| n.name != r.name));
-        let gone: Vec<String> = gone.map(|r| format!("\"{}\"", r.name)).collect();
+        let removed: Vec<String> = removed.map(|r| format!("\"{}\"", r.name)).collect();
         // Writing into a String does not fail.
         let _ = write!(
             out,
@@ -189,7 +188,7 @@
         let _ = write!(
             out,
             ",\"remove_names\":{{\"routes\":[{}]}}}}",
-            gone.join(",")
+            removed.join(",")
         );
         out
     }
--- a/crates/sparrouter-simulation/src/disk.rs
+++ b/crates/sparrouter-simulation/src/disk.rs
@@ -1,4 +1,5 @@
-//! A machine's simulated disk: it loses what was not synced, answers late in virtual time, stalls, fills up, or is lost.
+//! A machine's disk: files in memory that lose power as real ones do, with delays of their own.
+
 use fastrand::Rng;
 use sparrouter_fleet::control::disk::{
     DiskContents, DiskError, DiskWriter, WriteOutcome, WriteQueue, WriteRequest, open_with, write,
@@ -12,88 +13,103 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How often a stalled disk looks whether it still is.
-const STALL_LOOK: Duration = Duration::from_millis(20);
+/// How often a stalled disk checks whether it still is: a stall may be ended early.
+const STALL_POLL: Duration = Duration::from_millis(20);
 
+/// A disk, whose contents outlast the process and the machine's power. Clones are the same disk.
 #[derive(Clone)]
 pub struct SimulatedDisk {
+    /// Its files.
     pub files: SimulatedFiles,
-    /// How long a save takes.
+    /// How long a write takes.
     pub delay: Rc<Cell<Duration>>,
-    /// It does nothing before.
-    pub stalled: Rc<Cell<Instant>>,
-    /// The next process finds no rows, as with a disk of an older release.
-    rows_lost: Rc<Cell<bool>>,
+    /// The disk does nothing before this moment.
+    pub stalled_until: Rc<Cell<Instant>>,
+    /// The next process finds no membership records, as with a disk of an older release.
+    records_lost: Rc<Cell<bool>>,
 }
 
 impl SimulatedDisk {
+    /// An empty disk. `seed`: for what a loss of power leaves.
     pub fn new(seed: u64, delay: Duration) -> SimulatedDisk {
         SimulatedDisk {
             files: SimulatedFiles::new(seed),
             delay: Rc::new(Cell::new(delay)),
-            stalled: Rc::new(Cell::new(Instant::now())),
-            rows_lost: Rc::default(),
+            stalled_until: Rc::new(Cell::new(Instant::now())),
+            records_lost: Rc::default(),
         }
     }
 
-    /// The rows are lost, all else stays.
-    pub fn forget_rows(&self) {
-        self.rows_lost.set(true);
+    /// The membership records are lost, all else stays.
+    pub fn lose_membership_records(&self) {
+        self.records_lost.set(true);
     }
 
     /// What a process finds that starts with this disk.
     ///
-    /// Errors: as `open_with`.
-    pub fn stock(&self, log_buffer: &LogBuffer, rng: &mut Rng) -> Result<DiskContents, DiskError> {
+    /// # Errors
+    ///
+    /// As [`open_with`].
+    pub fn open(&self, log_buffer: &LogBuffer, rng: &mut Rng) -> Result<DiskContents, DiskError> {
         let files = || Ok(self.files.clone());
-        let stock = open_with(files, log_buffer, rng, |store| {
+        let contents = open_with(files, log_buffer, rng, |store| {
             let disk = self.clone();
             Box::new(DelayedWriter { store, disk })
         })?;
-        if self.rows_lost.take() {
-            Ok(DiskContents {
+        if self.records_lost.take() {
+            return Ok(DiskContents {
                 rows: None,
-                ..stock
-            })
-        } else {
-            Ok(stock)
+                ..contents
+            });
         }
+        Ok(contents)
     }
 }
 
+/// Writes with the delays of a disk.
 struct DelayedWriter {
     store: Store<SimulatedFiles>,
     disk: SimulatedDisk,
 }
 
 impl DiskWriter for DelayedWriter {
-    fn start(self: Box<Self>, done: UnboundedSender<WriteOutcome>) -> WriteQueue {
-        let (give, queue) = unbounded_channel();
-        spawn_local(carry_out(*self, queue, done));
-        Box::new(move |save| {
+    fn start(self: Box<Self>, outcomes: UnboundedSender<WriteOutcome>) -> WriteQueue {
+        let (sender, requests) = unbounded_channel();
+        spawn_local(self.write_all(requests, outcomes));
+        Box::new(move |request| {
             // The task ends with the process only.
-            let _ = give.send(save);
+            let _ = sender.send(request);
         })
     }
 }
 
-async fn carry_out(
-    late: DelayedWriter,
-    mut queue: UnboundedReceiver<WriteRequest>,
-    done: UnboundedSender<WriteOutcome>,
-) {
-    let DelayedWriter { mut store, disk } = late;
-    while let Some(save) = queue.recv().await {
-        // Half of its time before the bytes last and half after: a process may end on either side.
-        sleep(disk.delay.get() / 2).await;
-        while disk.stalled.get() > Instant::now() {
-            // A stall may be ended before its time.
-            sleep_until(disk.stalled.get().min(Instant::now() + STALL_LOOK)).await;
+impl DelayedWriter {
+    async fn write_all(
+        mut self: Box<Self>,
+        mut requests: UnboundedReceiver<WriteRequest>,
+        outcomes: UnboundedSender<WriteOutcome>,
+    ) {
+        while let Some(request) = requests.recv().await {
+            // The bytes are durable after half of the time: a process may end on either side.
+            sleep(self.disk.delay.get() / 2).await;
+            self.wait_for_stall().await;
+            let outcome = write(&mut self.store, request);
+            sleep(self.disk.delay.get() / 2).await;
+            if let Some(outcome) = outcome {
+                // Nobody waits for the outcome once the process has ended.
+                let _ = outcomes.send(outcome);
+            }
         }
-        let kept = write(&mut store, save);
-        sleep(disk.delay.get() / 2).await;
-        if let Some(kept) = kept {
-            let _ = done.send(kept);
+    }
+
+    async fn wait_for_stall(&self) {
+        loop {
+            let now = Instant::now();
+            let stalled_until = self.disk.stalled_until.get();
+            if stalled_until <= now {
+                return;
+            }
+            sleep_until(stalled_until.min(now + STALL_POLL)).await;
         }
     }
 }
--- a/crates/sparrouter-simulation/src/durability.rs
+++ b/crates/sparrouter-simulation/src/durability.rs
@@ -1,9 +1,11 @@
-//! Whether any further loss that the tolerance allows leaves the control state on the disks of groups that can act.
+//! Whether any further loss that the tolerance allows leaves the control state on the disks of groups that can commit
+//! (COPIES).
 //!
 //! A machine counts as lost while it is down and until it has been up for `catch_up` again, or its successor has. The
 //! disks are read as a loss of power would leave them.
+
 use crate::cluster::SimulatedCluster;
-use sparrouter_consensus::{Member, Record, SharedVote, VoteId};
+use sparrouter_consensus::{Member, Record, SharedVote};
 use sparrouter_storage::{Opened, Store};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,177 +13,189 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// Between two looks at the disks.
-const LOOK: Duration = Duration::from_millis(25);
+/// Time between two checks of the disks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// Largest record that is read.
 const MAX_RECORD_BYTES: usize = 16 << 20;
+/// Names of records on disk: the disk's id, and the prefix of the shards of the control state.
+const DISK_RECORD: &str = "disk";
+const SHARD_RECORD_PREFIX: &str = "part-";
 
-/// Votes on the disks that are there, by disk.
+/// Accepted votes of one shard, by the id of the disk.
 type Votes = BTreeMap<u64, SharedVote>;
 
-/// Looks at the disks of the counted machines again and again, and reports to the judge.
+/// Checks the disks of the core machines again and again, and reports violations to the monitor.
 pub struct DurabilityMonitor {
     cluster: Rc<SimulatedCluster>,
     catch_up: Duration,
-    began: Instant,
-    /// The newest vote of each part that was chosen, by the disks.
-    chosen: BTreeMap<String, SharedVote>,
+    started_at: Instant,
+    /// The newest committed vote of each shard.
+    committed: BTreeMap<String, SharedVote>,
 }
 
 impl DurabilityMonitor {
-    /// Watches for as long as the world is told of; machines that run now count as there.
+    /// Watches for as long as the runtime runs; machines that run now do not count as lost.
     pub fn start(cluster: &Rc<SimulatedCluster>, catch_up: Duration) {
         let mut monitor = DurabilityMonitor {
             cluster: cluster.clone(),
             catch_up,
-            began: Instant::now(),
-            chosen: BTreeMap::new(),
+            started_at: Instant::now(),
+            committed: BTreeMap::new(),
         };
         spawn_local(async move {
             loop {
-                monitor.look();
-                sleep(LOOK).await;
+                monitor.check();
+                sleep(CHECK_INTERVAL).await;
             }
         });
     }
 
-    fn look(&mut self) {
-        let running = running(&self.cluster);
-        let parts = votes_by_part(&self.cluster, &running);
-        let spare = self.spare(&running);
-        for (part, votes) in parts {
-            self.note_chosen(&part, &votes);
-            if let Some(chosen) = self.chosen.get(&part)
-                && let Some(what) = weakness(chosen, &votes, spare)
+    fn check(&mut self) {
+        let running = self.cluster.running_core();
+        let votes_by_shard = votes_by_shard(&self.cluster, &running);
+        let further_losses = self.further_losses(&running);
+        for (shard, votes) in votes_by_shard {
+            self.note_committed(&shard, &votes);
+            if let Some(committed) = self.committed.get(&shard)
+                && let Some(weakness) = weakness(committed, &votes, further_losses)
             {
                 self.cluster
                     .monitor
-                    .report_violation("COPIES", format!("{part}: {what}, {running:?} run"));
+                    .report_violation("COPIES", format!("{shard}: {weakness}, {running:?} run"));
             }
         }
     }
 
     /// How many more machines may be lost now.
-    fn spare(&self, running: &[String]) -> usize {
-        let settled = running.iter().filter(|name| {
-            self.cluster
-                .up_since(name)
-                .is_some_and(|at| at <= self.began || at.elapsed() >= self.catch_up)
-        });
+    fn further_losses(&self, running: &[String]) -> usize {
+        let has_caught_up = |name: &&String| {
+            self.cluster.up_since(name).is_some_and(|up_since| {
+                up_since <= self.started_at || up_since.elapsed() >= self.catch_up
+            })
+        };
         let settings = &self.cluster.settings;
-        let lost = settings.core.saturating_sub(settled.count());
-        settings.tolerated().saturating_sub(lost)
+        let available = running.iter().filter(has_caught_up).count();
+        let lost = settings.core_machines.saturating_sub(available);
+        settings.tolerated_losses().saturating_sub(lost)
     }
 
-    fn note_chosen(&mut self, part: &str, votes: &Votes) {
-        if let Some(newest) = newest_chosen(votes)
-            && self
-                .chosen
-                .get(part)
-                .is_none_or(|known| known.id() < newest.id())
-        {
-            self.chosen.insert(part.to_owned(), newest.clone());
+    fn note_committed(&mut self, shard: &str, votes: &Votes) {
+        let Some(newest) = newest_committed(votes) else {
+            return;
+        };
+        let known = self.committed.get(shard);
+        if known.is_none_or(|known| known.id() < newest.id()) {
+            self.committed.insert(shard.to_owned(), newest.clone());
         }
     }
 }
 
-/// Whether every part's group is made of machines of the core that run, each with the newest chosen state on its disk.
+/// Whether each shard's group is made of running core machines, each with the newest committed state on its disk.
 pub fn is_repaired(cluster: &SimulatedCluster) -> bool {
-    let parts = votes_by_part(cluster, &running(cluster));
-    let is_whole = |votes: &Votes| {
-        newest_chosen(votes).is_some_and(|chosen| {
-            let has_copy = |m: &Member| {
-                votes
-                    .get(&m.disk_id)
-                    .is_some_and(|vote| holds(vote, chosen))
-            };
-            chosen.state.members.iter().all(has_copy)
+    let shards = votes_by_shard(cluster, &cluster.running_core());
+    let is_complete = |votes: &Votes| {
+        newest_committed(votes).is_some_and(|committed| {
+            let members = &committed.state.members;
+            members_with_state(committed, votes) == members.len()
         })
     };
-    !parts.is_empty() && parts.values().all(is_whole)
-}
-
-fn running(cluster: &SimulatedCluster) -> Vec<String> {
-    let core = cluster.core();
-    core.into_iter().filter(|name| cluster.runs(name)).collect()
+    !shards.is_empty() && shards.values().all(is_complete)
 }
 
-fn votes_by_part(cluster: &SimulatedCluster, machines: &[String]) -> BTreeMap<String, Votes> {
-    let mut parts: BTreeMap<String, Votes> = BTreeMap::new();
+fn votes_by_shard(cluster: &SimulatedCluster, machines: &[String]) -> BTreeMap<String, Votes> {
+    let mut shards: BTreeMap<String, Votes> = BTreeMap::new();
     for name in machines {
-        for (part, disk, vote) in synced_votes(cluster, name) {
-            parts.entry(part).or_default().insert(disk, vote);
+        let disk = synced_disk(cluster, name);
+        for (shard, vote) in disk.votes {
+            shards.entry(shard).or_default().insert(disk.id, vote);
         }
     }
-    parts
+    shards
 }
 
-fn newest_chosen(votes: &Votes) -> Option<&SharedVote> {
+fn newest_committed(votes: &Votes) -> Option<&SharedVote> {
     votes
         .values()
-        .filter(|vote| is_chosen(vote, votes))
+        .filter(|vote| is_committed(vote, votes))
         .max_by_key(|vote| vote.id())
 }
 
-/// Why a part would not survive `spare` more losses; the worst ones take the members that hold the state.
-fn weakness(chosen: &SharedVote, votes: &Votes, spare: usize) -> Option<String> {
-    let members = &chosen.state.members;
-    let present = |m: &&Member| votes.contains_key(&m.disk_id);
-    let able = members.iter().filter(present).count();
-    let holders = members
-        .iter()
-        .filter(|m| {
-            votes
-                .get(&m.disk_id)
-                .is_some_and(|vote| holds(vote, chosen))
-        })
-        .count();
-    let majority = members.len() / 2 + 1;
-    if holders <= spare {
+/// Members of the group with the committed state on their disks.
+fn members_with_state(committed: &SharedVote, votes: &Votes) -> usize {
+    let has_state = |member: &&Member| {
+        let vote = votes.get(&member.disk_id);
+        vote.is_some_and(|vote| contains(vote, committed))
+    };
+    committed.state.members.iter().filter(has_state).count()
+}
+
+/// Why a shard would not survive so many further losses; the worst ones are those of members with the state.
+fn weakness(committed: &SharedVote, votes: &Votes, further_losses: usize) -> Option<String> {
+    let members = &committed.state.members;
+    let slot = committed.state.slot;
+    let with_state = members_with_state(committed, votes);
+    if with_state <= further_losses {
         return Some(format!(
-            "slot {} is on {holders} disks and {spare} more may be lost",
-            chosen.state.slot
+            "slot {slot} is on {with_state} disks and {further_losses} more may be lost"
         ));
     }
-    (able < majority + spare).then(|| {
+    let is_present = |member: &&Member| votes.contains_key(&member.disk_id);
+    let present = members.iter().filter(is_present).count();
+    let majority = members.len() / 2 + 1;
+    (present < majority + further_losses).then(|| {
         format!(
-            "{able} members of the group of slot {} are there, {majority} must vote, {spare} more may be lost",
-            chosen.state.slot
+            "{present} members of the group of slot {slot} are there, {majority} must vote, {further_losses} more may be lost"
         )
     })
 }
 
-/// Whether a vote is of this chosen state or of a later slot, which is only proposed on top of it.
-fn holds(vote: &SharedVote, chosen: &SharedVote) -> bool {
-    let is_same = vote.state.recent_proposals == chosen.state.recent_proposals;
-    vote.state.slot > chosen.state.slot || (vote.state.slot == chosen.state.slot && is_same)
+/// Whether a vote is for this committed state, or for a later slot, which is only proposed on top of it.
+fn contains(vote: &SharedVote, committed: &SharedVote) -> bool {
+    let is_same = vote.state.recent_proposals == committed.state.recent_proposals;
+    vote.state.slot > committed.state.slot || (vote.state.slot == committed.state.slot && is_same)
 }
 
-fn is_chosen(vote: &SharedVote, votes: &Votes) -> bool {
-    let at: VoteId = vote.id();
-    let has = |disk| votes.get(&disk).is_some_and(|v| v.id() == at);
-    let majority =
-        |members: &[Member]| members.iter().filter(|m| has(m.disk_id)).count() > members.len() / 2;
-    majority(vote.governing()) && majority(&vote.state.members)
+/// Whether majorities of the governing group and of the state's own group accepted the vote.
+fn is_committed(vote: &SharedVote, votes: &Votes) -> bool {
+    let accepted = |member: &&Member| {
+        let other = votes.get(&member.disk_id);
+        other.is_some_and(|other| other.id() == vote.id())
+    };
+    let has_majority =
+        |members: &[Member]| members.iter().filter(accepted).count() > members.len() / 2;
+    has_majority(vote.governing()) && has_majority(&vote.state.members)
 }
 
-/// The votes that a machine would find after a loss of power: part, disk, vote.
-fn synced_votes(cluster: &SimulatedCluster, name: &str) -> Vec<(String, u64, SharedVote)> {
+/// What a machine would find on its disk after a loss of power.
+#[derive(Default)]
+struct SyncedDisk {
+    id: u64,
+    /// The accepted vote of each shard.
+    votes: Vec<(String, SharedVote)>,
+}
+
+/// A disk that cannot be read, or that has no id yet, has no votes.
+fn synced_disk(cluster: &SimulatedCluster, name: &str) -> SyncedDisk {
     let files = cluster.disk(name).files.synced_snapshot();
     let Ok((_, Opened::Existing(records))) = Store::open(files) else {
-        return Vec::new();
+        return SyncedDisk::default();
     };
-    let disk = records
-        .get("disk")
-        .and_then(|bytes| Some(u64::from_le_bytes(bytes.as_slice().try_into().ok()?)));
-    let Some(disk) = disk else {
-        return Vec::new();
+    let id = records.get(DISK_RECORD).and_then(|bytes| {
+        let bytes = bytes.as_slice().try_into().ok()?;
+        Some(u64::from_le_bytes(bytes))
+    });
+    let Some(id) = id else {
+        return SyncedDisk::default();
     };
-    let parts = records.iter().filter(|(name, _)| name.starts_with("part-"));
-    parts
-        .filter_map(|(name, bytes)| {
-            let record = Record::decode(bytes, MAX_RECORD_BYTES).ok()?;
-            Some((name.clone(), disk, record.accepted?))
-        })
-        .collect()
+    let shards = records
+        .iter()
+        .filter(|(record, _)| record.starts_with(SHARD_RECORD_PREFIX));
+    let votes = shards.filter_map(|(shard, bytes)| {
+        let record = Record::decode(bytes, MAX_RECORD_BYTES).ok()?;
+        Some((shard.clone(), record.accepted?))
+    });
+    SyncedDisk {
+        id,
+        votes: votes.collect(),
+    }
 }
--- a/crates/sparrouter-simulation/src/faults/combined.rs
+++ b/crates/sparrouter-simulation/src/faults/combined.rs
@@ -1,261 +1,250 @@
-//! Sequences of several faults, for mistakes that no single fault shows.
-use super::Fault::*;
-use super::{CATCH_UP, Fault, ScenarioRun};
+//! Sequences of several faults, for defects that no single fault shows.
+
+use super::configuration;
 use crate::configuration::Configuration;
+use crate::monitor::FaultScope;
 use crate::network::Partition;
-use crate::operator::Encoding;
+use crate::operator::{Encoding, Order};
+use crate::scenario::{CATCH_UP, ScenarioRun};
 use crate::server::ServerFaults;
+use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-impl ScenarioRun {
-    pub(super) async fn inject_combined(&self, fault: Fault) {
-        match fault {
-            RacePartition => self.race_cut().await,
-            WipeBehindPartition => self.wipe_behind_cut().await,
-            CoreTurnover => self.core_turnover().await,
-            CoreSplit => self.core_split().await,
-            LeaseOwnerFreeze => self.holder_freeze().await,
-            _ => self.budget_press().await,
-        }
-    }
+/// How long a rollout command is waited for.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(4);
+/// Core machines that a race is run at, one after the other.
+const RACES: usize = 3;
+/// How long servers go on resetting connections after the second restart.
+const PRESSURE: Duration = Duration::from_secs(4);
 
-    /// Runs a race at each core machine in turn: one of them usually proposes, and may have a change on disk that no other
-    /// machine accepted.
-    async fn race_cut(&self) {
-        let _lost = self.core.lock().await;
-        for name in self.core_running().into_iter().take(3) {
-            self.race_at(&name).await;
-            sleep(CATCH_UP).await;
-        }
+/// Runs a race at each core machine in turn: one of them usually proposes, and may have a change on disk that no other
+/// machine accepted.
+pub(super) async fn race_in_partition(run: &ScenarioRun) {
+    let _lost = run.core_lock.lock().await;
+    for name in run.cluster.running_core().into_iter().take(RACES) {
+        race_at(run, &name).await;
+        sleep(CATCH_UP).await;
     }
+}
 
-    /// Two operators change the same version, one of them at `name`, which is cut off and killed meanwhile.
-    async fn race_at(&self, name: &str) {
-        let cluster = &self.cluster;
-        let mut configuration = self.configuration.lock().await;
-        let left = self.another(&configuration);
-        let right = Configuration {
-            version: left.version + 1,
-            ..self.another(&configuration)
-        };
-        let base = configuration.version;
-        let others: Vec<String> = self
-            .core_running()
-            .into_iter()
-            .filter(|n| n != name)
-            .collect();
-        let other = self.any(&others).map(|n| cluster.control_of(&n));
-        let (cut_behind, sent_behind) = (self.span(0..24), self.span(0..60));
-        let cutting = async {
-            sleep(cut_behind).await;
-            cluster.partition(&[name], Some(Partition::PacketsLost));
-            sleep(self.span(300..2_500)).await;
-            cluster.kill(name);
-            sleep(self.span(100..800)).await;
-            cluster.start(name, false);
-            sleep(self.span(300..2_500)).await;
-            cluster.partition(&[name], None);
-        };
-        let first = async {
-            sleep(sent_behind.saturating_sub(Duration::from_millis(30))).await;
-            cluster
-                .operator
-                .change_at(
-                    Some(cluster.control_of(name)),
-                    &left,
-                    base,
-                    Encoding::Full,
-                    true,
-                )
-                .await
-                .0
-        };
-        let second = async {
-            sleep(sent_behind).await;
-            cluster
-                .operator
-                .change_at(other, &right, base, Encoding::Full, true)
-                .await
-                .0
-        };
-        let (left_status, right_status, ()) = tokio::join!(first, second, cutting);
-        match (left_status, right_status) {
-            (200, _) => *configuration = left,
-            (_, 200) => *configuration = right,
-            _ => self.reread(&mut configuration, &[left, right]).await,
-        }
-    }
+/// Two operators change the same version, one of them at `name`, which is partitioned and killed meanwhile.
+async fn race_at(run: &ScenarioRun, name: &str) {
+    let cluster = &run.cluster;
+    let mut configuration = run.configuration.lock().await;
+    let first = run.draw_change(&configuration);
+    let second = Configuration {
+        version: first.version + 1,
+        ..run.draw_change(&configuration)
+    };
+    let base = configuration.version;
+    let mut others = cluster.running_core();
+    others.retain(|other| other != name);
+    let other = run.any(&others).map(|other| cluster.control_of(&other));
+    let partition_after = run.duration(0..24);
+    let submit_after = run.duration(0..60);
+    let partitioning = partition_and_restart(run, name, partition_after);
+    let first_after = submit_after.saturating_sub(Duration::from_millis(30));
+    let at_name = Some(cluster.control_of(name));
+    let (first_status, second_status, ()) = tokio::join!(
+        submit_later(run, first_after, at_name, &first, base),
+        submit_later(run, submit_after, other, &second, base),
+        partitioning
+    );
+    let statuses = [first_status, second_status];
+    run.adopt_winner(&mut configuration, [first, second], statuses)
+        .await;
+}
 
-    /// See [`Fault::WipeBehindPartition`].
-    async fn wipe_behind_cut(&self) {
-        let _lost = self.core.lock().await;
-        let cluster = &self.cluster;
-        let mut configuration = self.configuration.lock().await;
-        let mut core = self.core_running();
-        if core.len() < 3 || core.len() != cluster.core().len() {
-            return;
-        }
-        self.rng.borrow_mut().shuffle(&mut core);
-        let (away, rest) = core.split_at((core.len() - 1) / 2);
-        let away: Vec<&str> = away.iter().map(String::as_str).collect();
-        cluster.partition(&away, Some(Partition::PacketsLost));
-        cluster.monitor.fault_began(None);
-        let before = configuration.clone();
-        let next = self.another(&configuration);
-        if cluster.operator.put(&next, configuration.version).await == 200 {
-            *configuration = next;
-        }
-        rest.iter().for_each(|n| cluster.power_off(n));
-        cluster.wipe(&rest[0]);
-        sleep(self.span(100..900)).await;
-        cluster.partition(&away, None);
-        cluster.power_on(&rest[0]);
-        // Builds on a version that is not in force any more, so it must be refused.
-        let next = Configuration {
-            version: configuration.version + 2,
-            ..self.another(&before)
-        };
-        let behind = cluster.control_of(away[0]);
-        let changing =
-            cluster
-                .operator
-                .change_at(Some(behind), &next, before.version, Encoding::Full, true);
-        let waking = async {
-            sleep(self.span(1_500..5_000)).await;
-            rest[1..].iter().for_each(|n| cluster.power_on(n));
-        };
-        let ((status, _), ()) = tokio::join!(changing, waking);
-        if status == 200 {
-            *configuration = next;
+async fn partition_and_restart(run: &ScenarioRun, name: &str, after: Duration) {
+    sleep(after).await;
+    run.cluster.partition(&[name], Some(Partition::PacketsLost));
+    run.pause(300..2_500).await;
+    run.cluster.kill(name);
+    run.pause(100..800).await;
+    run.cluster.start(name, false);
+    run.pause(300..2_500).await;
+    run.cluster.partition(&[name], None);
+}
+
+async fn submit_later(
+    run: &ScenarioRun,
+    after: Duration,
+    node: Option<SocketAddr>,
+    configuration: &Configuration,
+    base: u64,
+) -> u16 {
+    sleep(after).await;
+    let order = Order::new(configuration, base, Encoding::Full, true);
+    let operator = &run.cluster.operator;
+    operator.submit_first_to(node, &order).await.status
+}
+
+/// See [`super::Fault::WipeBehindPartition`].
+pub(super) async fn wipe_behind_partition(run: &ScenarioRun) {
+    let _lost = run.core_lock.lock().await;
+    let cluster = &run.cluster;
+    let mut configuration = run.configuration.lock().await;
+    let mut core = cluster.running_core();
+    if core.len() < 3 || core.len() != cluster.core().len() {
+        return;
+    }
+    run.rng.borrow_mut().shuffle(&mut core);
+    let (minority, majority) = core.split_at((core.len() - 1) / 2);
+    let minority: Vec<&str> = minority.iter().map(String::as_str).collect();
+    cluster.partition(&minority, Some(Partition::PacketsLost));
+    cluster.monitor.fault_began(FaultScope::Core);
+    let before = configuration.clone();
+    let next = run.draw_change(&configuration);
+    if cluster.operator.put(&next, configuration.version).await == 200 {
+        *configuration = next;
+    }
+    for name in majority {
+        cluster.power_off(name);
+    }
+    cluster.wipe(&majority[0]);
+    run.pause(100..900).await;
+    cluster.partition(&minority, None);
+    cluster.power_on(&majority[0]);
+    // Replaces a version that is not in force any more, so it must be rejected.
+    let outdated = Configuration {
+        version: configuration.version + 2,
+        ..run.draw_change(&before)
+    };
+    let order = Order::new(&outdated, before.version, Encoding::Full, true);
+    let behind = Some(cluster.control_of(minority[0]));
+    let restoring = async {
+        run.pause(1_500..5_000).await;
+        for name in &majority[1..] {
+            cluster.power_on(name);
         }
-        cluster.monitor.fault_ended(None);
-        drop(configuration);
-        sleep(CATCH_UP).await;
+    };
+    let (outcome, ()) = tokio::join!(cluster.operator.submit_first_to(behind, &order), restoring);
+    if outcome.status == 200 {
+        *configuration = outdated;
     }
+    cluster.monitor.fault_ended(FaultScope::Core);
+    drop(configuration);
+    sleep(CATCH_UP).await;
+}
 
-    /// See [`Fault::CoreTurnover`].
-    async fn core_turnover(&self) {
-        let _lost = self.core.lock().await;
-        let cluster = &self.cluster;
-        let Some(edge) = self.any(&self.edges()) else {
-            return;
-        };
-        let old = cluster.core();
-        if old.len() > 3 {
-            return;
-        }
-        cluster.partition(&[&edge], Some(Partition::PacketsLost));
-        for name in &old {
-            cluster.replace(name);
-            // New machines are cut off from it too.
-            cluster
-                .names()
-                .iter()
-                .filter(|n| **n != edge)
-                .for_each(|n| {
-                    cluster.network.partition_both(
-                        cluster.ip(&edge),
-                        cluster.ip(n),
-                        Some(Partition::PacketsLost),
-                    )
-                });
-            sleep(CATCH_UP * 2).await;
-        }
-        let mut configuration = self.configuration.lock().await;
-        let next = self.another(&configuration);
-        match cluster.operator.put(&next, configuration.version).await {
-            200 => *configuration = next,
-            _ => self.reread(&mut configuration, &[next]).await,
+/// See [`super::Fault::CoreTurnover`].
+pub(super) async fn replace_core(run: &ScenarioRun) {
+    let _lost = run.core_lock.lock().await;
+    let cluster = &run.cluster;
+    let Some(edge) = run.any(&run.running_edge()) else {
+        return;
+    };
+    let old_core = cluster.core();
+    if old_core.len() > 3 {
+        return;
+    }
+    cluster.partition(&[&edge], Some(Partition::PacketsLost));
+    for name in &old_core {
+        cluster.replace(name);
+        // New machines are partitioned from it too.
+        for other in cluster.names().iter().filter(|other| **other != edge) {
+            let (edge_ip, other_ip) = (cluster.ip(&edge), cluster.ip(other));
+            let partition = Some(Partition::PacketsLost);
+            cluster.network.partition_both(edge_ip, other_ip, partition);
         }
-        drop(configuration);
-        cluster.partition(&[&edge], None);
         sleep(CATCH_UP * 2).await;
     }
+    let mut configuration = run.configuration.lock().await;
+    let next = run.draw_change(&configuration);
+    let status = cluster.operator.put(&next, configuration.version).await;
+    run.adopt(&mut configuration, next, status).await;
+    drop(configuration);
+    cluster.partition(&[&edge], None);
+    sleep(CATCH_UP * 2).await;
+}
 
-    /// See [`Fault::CoreSplit`].
-    async fn core_split(&self) {
-        let _lost = self.core.lock().await;
-        let cluster = &self.cluster;
-        let Some(name) = self.any(&self.core_running()) else {
-            return;
-        };
-        cluster
-            .monitor
-            .trace(format!("{name} is cut off from the rest of the core alone"));
-        cluster.monitor.fault_began(Some(cluster.ip(&name)));
-        cluster.monitor.momentary_fault(None);
-        let others: Vec<String> = cluster.core().into_iter().filter(|n| *n != name).collect();
-        let cut = |cut| {
-            others.iter().for_each(|o| {
-                cluster
-                    .network
-                    .partition_both(cluster.ip(&name), cluster.ip(o), cut)
-            })
-        };
-        cut(Some(Partition::PacketsLost));
-        for _ in 0..2 {
-            self.configure(ConfigurationChange).await;
-            sleep(self.span(500..3_000)).await;
+/// See [`super::Fault::CoreSplit`].
+pub(super) async fn split_core(run: &ScenarioRun) {
+    let _lost = run.core_lock.lock().await;
+    let cluster = &run.cluster;
+    let Some(name) = run.any(&cluster.running_core()) else {
+        return;
+    };
+    let ip = cluster.ip(&name);
+    cluster.monitor.trace(format!(
+        "{name} is partitioned from the rest of the core only"
+    ));
+    cluster.monitor.fault_began(FaultScope::Machine(ip));
+    cluster.monitor.momentary_fault(FaultScope::Core);
+    let mut others = cluster.core();
+    others.retain(|other| *other != name);
+    let set_partition = |partition| {
+        for other in &others {
+            let other_ip = cluster.ip(other);
+            cluster.network.partition_both(ip, other_ip, partition);
         }
-        cut(None);
-        cluster.monitor.fault_ended(Some(cluster.ip(&name)));
-        cluster.monitor.resumed(cluster.ip(&name));
-        cluster.monitor.momentary_fault(None);
-        sleep(CATCH_UP).await;
+    };
+    set_partition(Some(Partition::PacketsLost));
+    for _ in 0..2 {
+        configuration::change(run).await;
+        run.pause(500..3_000).await;
     }
+    set_partition(None);
+    cluster.monitor.fault_ended(FaultScope::Machine(ip));
+    cluster.monitor.resumed(ip);
+    cluster.monitor.momentary_fault(FaultScope::Core);
+    sleep(CATCH_UP).await;
+}
 
-    /// See [`Fault::LeaseOwnerFreeze`].
-    async fn holder_freeze(&self) {
-        let _lost = self.core.lock().await;
-        let cluster = &self.cluster;
-        let began = Instant::now();
-        self.name_next_version().await;
-        let ordered = || cluster.monitor.last_order().filter(|(_, at)| *at >= began);
-        while ordered().is_none() && began.elapsed() < Duration::from_secs(4) {
-            sleep(Duration::from_millis(2)).await;
-        }
-        let name = ordered().map(|(h, _)| h.split('@').next().unwrap_or_default().to_owned());
-        let Some(name) = name.filter(|n| cluster.core().contains(n) && cluster.runs(n)) else {
-            return;
-        };
-        let lease = cluster.settings.bounds.lease.as_millis() as u64;
-        cluster.freeze(&name, true);
-        sleep(self.span(lease * 3 / 2..lease * 9 / 4)).await;
-        cluster.freeze(&name, false);
-        sleep(CATCH_UP).await;
+/// See [`super::Fault::LeaseOwnerFreeze`].
+pub(super) async fn freeze_lease_owner(run: &ScenarioRun) {
+    let _lost = run.core_lock.lock().await;
+    let cluster = &run.cluster;
+    let started_at = Instant::now();
+    run.name_next_version().await;
+    let new_owner = || {
+        let command = cluster.monitor.last_command()?;
+        (command.received_at >= started_at).then_some(command.lease_owner)
+    };
+    while new_owner().is_none() && started_at.elapsed() < COMMAND_TIMEOUT {
+        sleep(Duration::from_millis(2)).await;
     }
+    // An owner is named by its node and its address.
+    let node = new_owner().and_then(|owner| Some(owner.split('@').next()?.to_owned()));
+    let Some(node) = node.filter(|node| cluster.running_core().contains(node)) else {
+        return;
+    };
+    let lease_ms = cluster.settings.bounds.lease.as_millis() as u64;
+    cluster.freeze(&node, true);
+    run.pause(lease_ms * 3 / 2..lease_ms * 9 / 4).await;
+    cluster.freeze(&node, false);
+    sleep(CATCH_UP).await;
+}
 
-    /// Kills all processes twice within a budget window. Retries before and after a restart count toward the same budget.
-    async fn budget_press(&self) {
-        let _lost = self.core.lock().await;
-        let cluster = &self.cluster;
-        let servers = self.servers();
-        let faults = ServerFaults {
-            resets: 0.9,
-            ..ServerFaults::default()
-        };
-        cluster.monitor.trace("servers hardly answer");
-        servers
-            .iter()
-            .for_each(|id| cluster.server(id).faults.set(faults));
-        for lasting in [500..900, 3_000..4_000] {
-            sleep(self.span(lasting)).await;
-            let running: Vec<String> = cluster
-                .names()
-                .into_iter()
-                .filter(|n| cluster.runs(n))
-                .collect();
-            running.iter().for_each(|n| cluster.kill(n));
-            sleep(self.span(100..400)).await;
-            running
-                .iter()
-                .filter(|n| !cluster.runs(n))
-                .for_each(|n| cluster.start(n, false));
+/// Kills all processes twice within a window of the retry budget. Retries before and after a restart count toward the same
+/// budget.
+pub(super) async fn press_retry_budget(run: &ScenarioRun) {
+    let _lost = run.core_lock.lock().await;
+    let cluster = &run.cluster;
+    let servers = run.ready_servers();
+    let faults = ServerFaults {
+        resets: 0.9,
+        ..ServerFaults::default()
+    };
+    cluster.monitor.trace("servers hardly respond");
+    for id in &servers {
+        cluster.server(id).faults.set(faults);
+    }
+    for pause_ms in [500..900, 3_000..4_000] {
+        run.pause(pause_ms).await;
+        let running = cluster.running();
+        for name in &running {
+            cluster.kill(name);
+        }
+        run.pause(100..400).await;
+        for name in running.iter().filter(|name| !cluster.runs(name)) {
+            cluster.start(name, false);
         }
-        sleep(Duration::from_secs(4)).await;
-        let there = servers.iter().filter(|id| cluster.server_runs(id));
-        there.for_each(|id| cluster.server(id).faults.set(ServerFaults::default()));
-        sleep(cluster.settings.bounds.budget_window).await;
     }
+    sleep(PRESSURE).await;
+    for id in servers.iter().filter(|id| cluster.server_runs(id)) {
+        cluster.server(id).faults.set(ServerFaults::default());
+    }
+    sleep(cluster.settings.bounds.budget_window).await;
 }
--- a/crates/sparrouter-simulation/src/faults/configuration.rs
+++ b/crates/sparrouter-simulation/src/faults/configuration.rs
@@ -1,138 +1,85 @@
 //! Changes by the operator: configurations, single or many, in a race or invalid; API keys; new weights.
-use super::Fault::*;
-use super::{Fault, ScenarioRun};
+
 use crate::configuration::{Configuration, Route, RouteKind};
-use crate::operator::Encoding;
+use crate::operator::{Encoding, Order};
+use crate::scenario::ScenarioRun;
 
-/// Changes in a row in a configuration storm.
-const STORM: usize = 8;
+/// Changes in a burst.
+const BURST: usize = 8;
+/// Routes of the initial configuration. Only those behind them are removed or moved.
+const INITIAL_ROUTES: usize = 4;
 
 impl ScenarioRun {
-    /// A next configuration: a route is added, removed or moved to another service, or has another timeout.
-    pub(super) fn another(&self, configuration: &Configuration) -> Configuration {
+    /// A random next configuration: a route is added, removed or moved to another service, or has another time-out.
+    pub(crate) fn draw_change(&self, configuration: &Configuration) -> Configuration {
         let mut rng = self.rng.borrow_mut();
+        let step = rng.u64(1..4);
         // Two changes of the same version differ by the name of their route too.
-        let (step, name) = (
-            rng.u64(1..4),
-            format!("r{}x{:x}", configuration.version, rng.u16(..)),
-        );
-        let what = rng.u8(..5);
-        configuration.next(step, |p| match what {
-            0 => p.routes[0].timeout_ms = rng.u64(5_000..9_000),
-            1 if p.routes.len() > 4 => drop(p.routes.remove(4)),
-            2 if p.routes.len() > 4 => p.routes[4].service = "others".to_owned(),
-            _ => p
+        let name = format!("r{}x{:x}", configuration.version, rng.u16(..));
+        let kind = rng.u8(..5);
+        configuration.next(step, |next| match kind {
+            0 => next.routes[0].timeout_ms = rng.u64(5_000..9_000),
+            1 if next.routes.len() > INITIAL_ROUTES => drop(next.routes.remove(INITIAL_ROUTES)),
+            2 if next.routes.len() > INITIAL_ROUTES => {
+                next.routes[INITIAL_ROUTES].service = "others".to_owned();
+            }
+            _ => next
                 .routes
                 .push(Route::new(&name, RouteKind::Idempotent, "models")),
         })
     }
 
-    pub(super) async fn configure(&self, fault: Fault) {
-        let mut configuration = self.configuration.lock().await;
-        match fault {
-            ConfigurationRace => self.race(&mut configuration).await,
-            InvalidConfiguration => self.send_invalid(&configuration).await,
-            ConfigurationRepeated => self.repeat_change(&mut configuration).await,
-            KeyReplaced => self.replace_key(&mut configuration).await,
-            ConfigurationBurst => {
-                for _ in 0..STORM {
-                    self.change_once(&mut configuration).await;
-                }
-            }
-            _ => self.change_once(&mut configuration).await,
-        }
-    }
-
-    /// Sends two changes of the same version at once.
-    async fn race(&self, configuration: &mut Configuration) {
+    /// Submits one random change, by PUT or PATCH.
+    async fn change_once(&self, configuration: &mut Configuration) {
         let operator = &self.cluster.operator;
-        let (left, right) = (self.another(configuration), self.another(configuration));
-        let right = Configuration {
-            // Two operators may pick the same number for different changes.
-            version: left.version + left.version % 2,
-            ..right
+        let next = self.draw_change(configuration);
+        let is_put = self.rng.borrow_mut().bool();
+        let status = if is_put {
+            operator.put(&next, configuration.version).await
+        } else {
+            operator.patch(&next, configuration).await
         };
-        let statuses = tokio::join!(
-            operator.put(&left, configuration.version),
-            operator.put(&right, configuration.version)
-        );
-        match statuses {
-            (200, _) => *configuration = left,
-            (_, 200) => *configuration = right,
-            // Either may be in force.
-            _ => self.reread(configuration, &[left, right]).await,
-        }
+        self.adopt(configuration, next, status).await;
     }
 
-    /// Sends a configuration whose routes name a service that does not exist.
-    async fn send_invalid(&self, configuration: &Configuration) {
-        let next = self.another(configuration);
-        let body = next
-            .json()
-            .replace("\"service\":\"models\"", "\"service\":\"nobody\"");
-        let how = Encoding::Body(body);
-        self.cluster
-            .operator
-            .change(&next, configuration.version, how, false)
-            .await;
-    }
-
-    /// Sends two changes, then the first one again.
-    async fn repeat_change(&self, configuration: &mut Configuration) {
-        let operator = &self.cluster.operator;
-        let step = self.rng.borrow_mut().u64(1..4);
-        let next = configuration.next(step, |_| ());
-        if operator.put(&next, configuration.version).await != 200 {
-            return self.reread(configuration, &[next]).await;
-        }
-        let later = self.another(&next);
-        match operator.put(&later, next.version).await {
-            200 => *configuration = later,
-            _ => self.reread(configuration, &[next.clone(), later]).await,
-        }
-        operator.put(&next, next.version - step).await;
-    }
-
-    /// Replaces the API key of a tenant.
-    async fn replace_key(&self, configuration: &mut Configuration) {
-        let key = format!("key-{}", self.rng.borrow_mut().u32(..));
-        let next = configuration.next(2, |p| p.tenants[1].keys = vec![key]);
-        if self.cluster.operator.patch(&next, configuration).await == 200 {
-            *configuration = next;
+    /// Makes a submitted configuration the current one if it was accepted. Without a clear outcome it may be in force.
+    pub(super) async fn adopt(
+        &self,
+        configuration: &mut Configuration,
+        submitted: Configuration,
+        status: u16,
+    ) {
+        if status == 200 {
+            *configuration = submitted;
+        } else {
+            self.read_current(configuration, &[submitted]).await;
         }
     }
 
-    /// Sends one change, by PUT or PATCH.
-    async fn change_once(&self, configuration: &mut Configuration) {
-        let operator = &self.cluster.operator;
-        let next = self.another(configuration);
-        let is_whole = self.rng.borrow_mut().bool();
-        let status = if is_whole {
-            operator.put(&next, configuration.version).await
-        } else {
-            operator.patch(&next, configuration).await
-        };
-        match status {
-            200 => *configuration = next,
-            // It may be in force or not.
-            _ => self.reread(configuration, &[next]).await,
+    /// Makes the accepted one of two rivals the current configuration. Without a clear outcome either may be in force.
+    pub(super) async fn adopt_winner(
+        &self,
+        configuration: &mut Configuration,
+        rivals: [Configuration; 2],
+        statuses: [u16; 2],
+    ) {
+        let accepted = statuses.iter().position(|status| *status == 200);
+        match accepted {
+            Some(index) => configuration.clone_from(&rivals[index]),
+            None => self.read_current(configuration, &rivals).await,
         }
     }
 
-    /// Finds out from the nodes which of the configurations sent is in force.
-    pub(super) async fn reread(&self, configuration: &mut Configuration, sent: &[Configuration]) {
+    /// Asks the nodes which of the submitted configurations is in force.
+    async fn read_current(&self, configuration: &mut Configuration, submitted: &[Configuration]) {
         for name in self.cluster.names() {
-            let Some(reply) = self
-                .cluster
-                .operator
-                .get_from(self.cluster.control_of(&name))
-                .await
-            else {
+            let address = self.cluster.control_of(&name);
+            let Some(reply) = self.cluster.operator.get_from(address).await else {
                 continue;
             };
-            let is = |p: &&Configuration| reply.text() == p.json();
-            if let Some(found) = sent.iter().find(is) {
-                return *configuration = found.clone();
+            if let Some(current) = submitted.iter().find(|s| reply.text() == s.json()) {
+                configuration.clone_from(current);
+                return;
             }
         }
     }
@@ -150,3 +97,78 @@
         }
     }
 }
+
+pub(super) async fn change(run: &ScenarioRun) {
+    let mut configuration = run.configuration.lock().await;
+    run.change_once(&mut configuration).await;
+}
+
+pub(super) async fn change_in_burst(run: &ScenarioRun) {
+    let mut configuration = run.configuration.lock().await;
+    for _ in 0..BURST {
+        run.change_once(&mut configuration).await;
+    }
+}
+
+/// Submits two changes on the same version at once.
+pub(super) async fn race(run: &ScenarioRun) {
+    let mut configuration = run.configuration.lock().await;
+    let operator = &run.cluster.operator;
+    let first = run.draw_change(&configuration);
+    let second = Configuration {
+        // Two operators may pick the same number for different changes.
+        version: first.version + first.version % 2,
+        ..run.draw_change(&configuration)
+    };
+    let base = configuration.version;
+    let (first_status, second_status) =
+        tokio::join!(operator.put(&first, base), operator.put(&second, base));
+    let statuses = [first_status, second_status];
+    run.adopt_winner(&mut configuration, [first, second], statuses)
+        .await;
+}
+
+/// Submits a configuration whose routes name a service that does not exist.
+pub(super) async fn submit_invalid(run: &ScenarioRun) {
+    let configuration = run.configuration.lock().await;
+    let next = run.draw_change(&configuration);
+    let body = next
+        .json()
+        .replace("\"service\":\"models\"", "\"service\":\"nobody\"");
+    let order = Order::new(&next, configuration.version, Encoding::Body(body), false);
+    run.cluster.operator.submit(&order).await;
+}
+
+/// Submits two changes, then the first one again.
+pub(super) async fn repeat_change(run: &ScenarioRun) {
+    let mut configuration = run.configuration.lock().await;
+    let operator = &run.cluster.operator;
+    let step = run.rng.borrow_mut().u64(1..4);
+    let first = configuration.next(step, |_| ());
+    if operator.put(&first, configuration.version).await != 200 {
+        return run.read_current(&mut configuration, &[first]).await;
+    }
+    let second = run.draw_change(&first);
+    match operator.put(&second, first.version).await {
+        200 => *configuration = second,
+        _ => {
+            let submitted = [first.clone(), second];
+            run.read_current(&mut configuration, &submitted).await;
+        }
+    }
+    operator.put(&first, first.version - step).await;
+}
+
+/// Replaces the API key of a tenant.
+pub(super) async fn replace_key(run: &ScenarioRun) {
+    let mut configuration = run.configuration.lock().await;
+    let key = format!("key-{}", run.rng.borrow_mut().u32(..));
+    let next = configuration.next(2, |next| next.tenants[1].keys = vec![key]);
+    if run.cluster.operator.patch(&next, &configuration).await == 200 {
+        *configuration = next;
+    }
+}
+
+pub(super) async fn name_weights(run: &ScenarioRun) {
+    run.name_next_version().await;
+}
--- a/crates/sparrouter-simulation/src/faults/mod.rs
+++ b/crates/sparrouter-simulation/src/faults/mod.rs
@@ -1,371 +1,228 @@
-//! A simulated day by seed: a deployment, faults and planned work at random moments, a final fault, and what must hold after
-//! it.
+//! Faults and planned work that happen during a scenario. A new one is a function and a line in the table below.
 //!
-//! The faults stay within what the fleet must tolerate: at most one core machine is lost at a time, and counts as lost for
-//! a while after its return. Any number of other machines may be lost, and all processes may end at once, since their disks
-//! are kept.
-//!
-//! | module | its one job |
+//! | file | its job |
 //! | --- | --- |
-//! | `kinds` | the kinds of faults |
-//! | `core`, `nodes`, `servers` | faults of core machines, of other nodes, of servers and stores |
-//! | `changes` | configurations and new weights |
+//! | `core` | faults of core machines |
+//! | `nodes` | faults of other nodes, and of all nodes at once |
+//! | `servers` | faults of servers and stores |
+//! | `configuration` | changes by the operator |
 //! | `combined` | sequences of several faults |
-//! | `probes` | requests that show which configuration a node goes by |
-//! | `closing` | the final fault, and the checks after it |
+//! | `schedule` | which of them happen in a scenario, and when |
+
 mod combined;
 mod configuration;
 mod core;
-mod kinds;
 mod nodes;
-mod probes;
-mod recovery;
+mod schedule;
 mod servers;
 
-pub use kinds::Fault;
-
-use crate::checkers::Bounds;
-use crate::cluster::{ClusterSettings, SimulatedCluster, ZONES, initial_configuration};
-use crate::configuration::Configuration;
-use crate::load::{ClientLoad, Traffic};
-use crate::runtime;
-use fastrand::Rng;
-use kinds::{ALL, Fault::*, THEMES};
-use std::cell::{Cell, RefCell};
-use std::rc::Rc;
-use std::time::Duration;
-use tokio::sync::Mutex;
-use tokio::task::{JoinHandle, spawn_local};
-use tokio::time::{Instant, sleep};
+pub use schedule::{FaultSchedule, ScheduledFault};
 
-/// How long a core machine that is back still counts as lost.
-const CATCH_UP: Duration = Duration::from_secs(4);
-/// Faults begin within so many ms; then comes the final fault, or a calm time.
-const LENGTH_MS: u64 = 16_000;
-/// Separates the random numbers that draw a day from those of the world with the same seed.
-const DRAW_SEED: u64 = 0xda75;
-/// Clients that send requests throughout the day, and the pause of each between two.
-const CLIENTS: usize = 14;
-const CLIENT_PAUSE: Duration = Duration::from_millis(250);
-
-/// What happens to the whole fleet at the end of the faults.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinalFault {
-    /// Nothing.
-    None,
-    /// All machines lose power.
-    PowerOffAll,
-    /// All processes are killed.
-    KillAll,
-    /// A core machine loses its disk, and all machines lose power.
-    WipeOneOthersLosePower,
-}
+use crate::scenario::ScenarioRun;
 
-/// The plan of a simulated day.
-#[derive(Clone, Debug)]
-pub struct Scenario {
-    /// The seed that it was drawn from.
-    pub seed: u64,
-    /// The deployment.
-    pub settings: ClusterSettings,
-    /// When each fault begins, in ms of the day, and its kind.
-    pub faults: Vec<(u64, Fault)>,
-    /// The final fault.
-    pub final_fault: FinalFault,
-    /// Its log contains each request.
-    pub verbose: bool,
-}
-
-impl Scenario {
-    /// Draws a day. The same seed gives the same day.
-    pub fn from_seed(seed: u64) -> Scenario {
-        let mut rng = Rng::with_seed(seed ^ DRAW_SEED);
-        let settings = draw_terms(seed, &mut rng);
-        let faults = draw_faults(&mut rng);
-        let final_fault = match rng.u8(..6) {
-            0 => FinalFault::PowerOffAll,
-            1 => FinalFault::KillAll,
-            2 => FinalFault::WipeOneOthersLosePower,
-            _ => FinalFault::None,
-        };
-        Scenario {
-            seed,
-            settings,
-            faults,
-            final_fault,
-            verbose: false,
+/// Defines [`Fault`], the list of all faults, and how each is injected, from one table. Scenarios are drawn from it by
+/// index, so the order decides what a seed means: new faults go to the end.
+macro_rules! define_faults {
+    ($($(#[$attribute:meta])* $name:ident => $inject:path,)*) => {
+        /// A fault, or planned work, that happens during a scenario.
+        #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+        pub enum Fault {
+            $($(#[$attribute])* $name,)*
         }
-    }
 
-    /// The same day with only those faults whose places are given, and the final fault only if asked for.
-    pub fn restricted_to(mut self, indices: &[usize], final_fault: bool) -> Scenario {
-        self.faults = indices
-            .iter()
-            .filter_map(|index| self.faults.get(*index).copied())
-            .collect();
-        if !final_fault {
-            self.final_fault = FinalFault::None;
-        }
-        self
-    }
+        /// All faults.
+        const ALL: &[Fault] = &[$(Fault::$name),*];
 
-    /// A smaller day for which `still_holds` is true, as the arguments of [`Scenario::only`]. Every fault is left out that can be,
-    /// one after the other, the last first.
-    pub fn shrink(&self, still_holds: impl Fn(&Scenario) -> bool) -> (Vec<usize>, bool) {
-        let mut kept: Vec<usize> = (0..self.faults.len()).collect();
-        let final_fault = !still_holds(&self.clone().restricted_to(&kept, false));
-        for index in (0..self.faults.len()).rev() {
-            let fewer: Vec<usize> = kept.iter().copied().filter(|p| *p != index).collect();
-            if still_holds(&self.clone().restricted_to(&fewer, final_fault)) {
-                kept = fewer;
+        impl Fault {
+            /// Makes the fault happen, to its end.
+            pub(crate) async fn inject(self, run: &ScenarioRun) {
+                match self {
+                    $(Fault::$name => $inject(run).await,)*
+                }
             }
         }
-        (kept, final_fault)
-    }
-
-    /// The deployment and the faults in one sentence.
-    pub fn description(&self) -> String {
-        let faults: Vec<String> = self
-            .faults
-            .iter()
-            .map(|(at, fault)| format!("{fault:?} after {:.1} s", *at as f64 / 1e3))
-            .collect();
-        let ClusterSettings {
-            core,
-            others,
-            servers,
-            ..
-        } = self.settings;
-        let final_fault = if self.final_fault == FinalFault::None {
-            String::new()
-        } else {
-            format!(" and {:?}", self.final_fault)
-        };
-        format!(
-            "given {core} core machines, {others} others, {servers} servers, when {}{final_fault}",
-            faults.join(", ")
-        )
-    }
-}
-
-fn draw_terms(seed: u64, rng: &mut Rng) -> ClusterSettings {
-    let settings = ClusterSettings {
-        core: if rng.u8(..5) == 0 { 5 } else { 3 },
-        others: rng.usize(1..6),
-        servers: rng.usize(3..7),
-        slots: rng.u32(3..17),
-        sync: Duration::from_millis([1, 2, 6, 30][rng.usize(..4)]),
-        across: Duration::from_millis(rng.u64(2..5)),
-        load: Duration::from_millis([600, 1_500][rng.usize(..2)]),
-        ..ClusterSettings::seeded(seed)
-    };
-    let bounds = Bounds {
-        fencing: rng.bool(),
-        budget_slack: if rng.bool() { 8.0 } else { 64.0 },
-        ..settings.bounds
-    };
-    ClusterSettings { bounds, ..settings }
-}
-
-/// Half of the days draw from all kinds, the others from one theme. A third of the faults follow closely on another one.
-fn draw_faults(rng: &mut Rng) -> Vec<(u64, Fault)> {
-    let kinds = if rng.bool() {
-        ALL
-    } else {
-        THEMES[rng.usize(..THEMES.len())]
     };
-    let mut faults: Vec<(u64, Fault)> = Vec::new();
-    let mut at = 0;
-    for _ in 0..rng.usize(3..9) {
-        at = if rng.u8(..3) == 0 {
-            at + rng.u64(..400)
-        } else {
-            rng.u64(..LENGTH_MS)
-        };
-        faults.push((at, kinds[rng.usize(..kinds.len())]));
-    }
-    faults.sort_by_key(|fault| fault.0);
-    faults
-}
-
-/// The result of a day.
-pub struct Report {
-    /// Violations of rules, each beginning with the rule's name.
-    pub violations: Vec<String>,
-    /// What costs more than it must, but violates no rule.
-    pub waste: Vec<String>,
-    /// What happened, in order, with the time in seconds.
-    pub log: Vec<String>,
-    /// Requests that the clients sent.
-    pub sent: u32,
-    /// Requests that were served.
-    pub served: u32,
 }
 
-/// A day that is being played.
-struct ScenarioRun {
-    cluster: Rc<SimulatedCluster>,
-    /// Held while a core machine is lost.
-    core: Mutex<()>,
-    /// The configuration; held while it is changed.
-    configuration: Mutex<Configuration>,
-    /// The newest version of the weights; held while it is named.
-    weights: Mutex<u64>,
-    rng: RefCell<Rng>,
-    load: Rc<ClientLoad>,
-    /// No more probes are sent.
-    probing_ended: Cell<bool>,
-    /// Probes under way.
-    open_probes: Cell<u32>,
+define_faults! {
+    /// A server crashes and restarts.
+    ServerCrash => servers::crash_and_restart,
+    /// A server crashes for good.
+    ServerLost => servers::lose,
+    /// All servers crash and restart.
+    AllServersCrash => servers::crash_all,
+    /// All servers are replaced, one after the other.
+    ServerRollout => servers::replace_all,
+    /// A node outside of the core is killed and restarts.
+    NodeKill => nodes::kill,
+    /// A machine outside of the core loses power for a while.
+    NodePower => nodes::power_off,
+    /// A node of the core is killed and restarts.
+    CoreKill => core::kill,
+    /// A machine of the core loses power for a while.
+    CorePower => core::power_off,
+    /// A node of the core freezes for a while.
+    CoreFreeze => core::freeze,
+    /// A node outside of the core freezes for a while.
+    NodeFreeze => nodes::freeze,
+    /// All nodes are killed and restart.
+    KillAllNodes => nodes::restart_all,
+    /// Nodes are ended by SIGTERM and restarted, one after the other.
+    RollingRestart => nodes::restart_one_by_one,
+    /// A machine of the core is replaced by a new one.
+    ReplaceCore => core::replace,
+    /// The list of seeds changes.
+    SeedChange => nodes::exchange_seeds,
+    /// The core machine that acknowledged a configuration loses its disk.
+    WipeAcknowledgingMachine => core::wipe_acknowledging,
+    /// The disk of a core machine is slow for a while.
+    DiskSlow => core::slow_disk,
+    /// The disk of a core machine is full for a while.
+    DiskFull => core::fill_disk,
+    /// The disk of a core machine does nothing for a while.
+    DiskStall => core::stall_disk,
+    /// A core machine is partitioned; packets to it are lost.
+    CorePartition => core::partition,
+    /// A core machine is partitioned; connections to it are refused.
+    CoreConnectionsRefused => core::refuse_connections,
+    /// Packets of a core machine to the rest of the core are lost.
+    OneWayPartition => core::partition_one_way,
+    /// A machine outside of the core is partitioned.
+    NodePartition => nodes::partition,
+    /// All connections of a node outside of the core are reset.
+    ConnectionResets => nodes::reset_connections,
+    /// The configuration changes.
+    ConfigurationChange => configuration::change,
+    /// The configuration changes many times in a row.
+    ConfigurationBurst => configuration::change_in_burst,
+    /// Two operators change the same version of the configuration.
+    ConfigurationRace => configuration::race,
+    /// A change that was acknowledged before a later one is sent once more, unchanged.
+    ConfigurationRepeated => configuration::repeat_change,
+    /// An invalid configuration is sent.
+    InvalidConfiguration => configuration::submit_invalid,
+    /// The API key of a tenant is replaced.
+    KeyReplaced => configuration::replace_key,
+    /// New weights are named.
+    NewWeights => configuration::name_weights,
+    /// The KV store restarts empty.
+    StoreLost => servers::empty_store,
+    /// A server resets connections.
+    ServerResets => servers::reset,
+    /// A server sends malformed and surplus responses.
+    MalformedAnswers => servers::garble,
+    /// A server breaks off its streams.
+    BrokenStreams => servers::break_off,
+    /// A server crashes and another one gets its address.
+    AddressReused => servers::reuse_address,
+    /// A server does not respond to some requests.
+    UnresponsiveServer => servers::hang,
+    /// A zone with a core machine is partitioned.
+    ZonePartition => core::partition_zone,
+    /// The process of a core machine is slow.
+    CoreSlow => core::slow,
+    /// The process of a node outside of the core is slow.
+    NodeSlow => nodes::slow,
+    /// Clients send far more requests.
+    Overload => nodes::overload,
+    /// A node outside of the core loses power just after it acknowledged that a server drains.
+    DrainRace => servers::lose_acknowledging_node,
+    /// Two operators change the same version, one of them at a node that is partitioned at that moment and restarts later.
+    RacePartition => combined::race_in_partition,
+    /// A change is acknowledged while less than half of the core is partitioned. Then a machine that accepted it loses its disk
+    /// and the others power, and those that were partitioned return first.
+    WipeBehindPartition => combined::wipe_behind_partition,
+    /// Every machine of the core is replaced while another node is partitioned.
+    CoreTurnover => combined::replace_core,
+    /// A core machine is partitioned from the rest of the core only.
+    CoreSplit => combined::split_core,
+    /// The owner of a rollout lease freezes for longer than its lease.
+    LeaseOwnerFreeze => combined::freeze_lease_owner,
+    /// Servers reset most connections, and all processes are killed twice meanwhile.
+    RetryBudgetPressure => combined::press_retry_budget,
 }
 
-/// Plays a day to its end.
-pub async fn play(day: &Scenario) -> Report {
-    let cluster = SimulatedCluster::serving(day.settings).await;
-    cluster.monitor.verbose.set(day.verbose);
-    cluster.add_server("others", ZONES[0]);
-    let load = ClientLoad::start_with(Traffic::Mixed, &cluster, CLIENTS, CLIENT_PAUSE);
-    let run = Rc::new(ScenarioRun {
-        cluster: cluster.clone(),
-        core: Mutex::new(()),
-        configuration: Mutex::new(initial_configuration()),
-        weights: Mutex::new(1),
-        rng: RefCell::new(cluster.rng.borrow_mut().fork()),
-        load,
-        probing_ended: Cell::new(false),
-        open_probes: Cell::new(0),
-    });
-    spawn_local(run.clone().probe());
-    for fault in run.begin_faults(day).await {
-        if fault.await.is_err() {
-            cluster
-                .monitor
-                .report_violation("FAULT", "a trouble of the day did not come to its end");
-        }
-    }
-    run.close(day.final_fault).await;
-    for panic in runtime::panics() {
-        cluster
-            .monitor
-            .report_violation("FAULT", format!("a task ended by a panic: {panic}"));
-    }
-    cluster.monitor.check_history();
-    Report {
-        violations: cluster.monitor.violations(),
-        waste: repeated_loads(&cluster),
-        log: cluster.monitor.event_trace(),
-        sent: run.load.sent.get(),
-        served: run.load.served.get(),
-    }
-}
-
-/// Servers that loaded a version more than once.
-fn repeated_loads(cluster: &SimulatedCluster) -> Vec<String> {
-    let load_counts = cluster.monitor.load_counts();
-    let repeated = load_counts.iter().filter(|(_, count)| **count > 1);
-    repeated
-        .map(|((id, version), count)| format!("{id} loaded {version} {count} times"))
-        .collect()
-}
-
-impl ScenarioRun {
-    /// Begins each fault at its time; gives their tasks.
-    async fn begin_faults(self: &Rc<Self>, day: &Scenario) -> Vec<JoinHandle<()>> {
-        let began = Instant::now();
-        let mut tasks = Vec::new();
-        for (at, fault) in &day.faults {
-            tokio::time::sleep_until(began + Duration::from_millis(*at)).await;
-            self.cluster.monitor.trace(format!("-- {fault:?}"));
-            tasks.push(spawn_local(self.clone().inject(*fault)));
-        }
-        tasks
-    }
-
-    /// A random element.
-    fn any<T: Clone>(&self, of: &[T]) -> Option<T> {
-        (!of.is_empty()).then(|| of[self.rng.borrow_mut().usize(..of.len())].clone())
-    }
-
-    /// A random duration.
-    fn span(&self, ms: std::ops::Range<u64>) -> Duration {
-        Duration::from_millis(self.rng.borrow_mut().u64(ms))
-    }
-
-    /// Names of the running nodes outside of the core.
-    fn edges(&self) -> Vec<String> {
-        let core = self.cluster.core();
-        self.cluster
-            .names()
-            .into_iter()
-            .filter(|n| !core.contains(n) && self.cluster.runs(n))
-            .collect()
-    }
-
-    /// Names of the running nodes of the core.
-    fn core_running(&self) -> Vec<String> {
-        self.cluster
-            .core()
-            .into_iter()
-            .filter(|n| self.cluster.runs(n))
-            .collect()
-    }
-
-    /// Ids of the servers that run and do not drain.
-    fn servers(&self) -> Vec<String> {
-        let cluster = &self.cluster;
-        cluster
-            .server_ids()
-            .into_iter()
-            .filter(|id| cluster.server_runs(id) && !cluster.server(id).is_draining())
-            .collect()
-    }
-
-    /// Makes a fault happen, to its end.
-    async fn inject(self: Rc<Self>, fault: Fault) {
-        match fault {
-            RacePartition | WipeBehindPartition | CoreTurnover | CoreSplit | LeaseOwnerFreeze
-            | RetryBudgetPressure => self.inject_combined(fault).await,
-            CoreKill
-            | CorePower
-            | CoreFreeze
-            | ReplaceCore
-            | WipeAcknowledgingMachine
-            | DiskSlow
-            | DiskFull
-            | DiskStall
-            | CorePartition
-            | CoreConnectionsRefused
-            | OneWayPartition
-            | ZonePartition
-            | CoreSlow => self.inject_core(fault).await,
-            NodeKill | NodePower | NodeFreeze | NodePartition | ConnectionResets | NodeSlow => {
-                self.inject_node(fault).await
-            }
-            KillAllNodes => self.restart_all().await,
-            RollingRestart => self.roll().await,
-            SeedChange => self.exchange_seeds(),
-            ConfigurationChange
-            | ConfigurationBurst
-            | ConfigurationRace
-            | ConfigurationRepeated
-            | InvalidConfiguration
-            | KeyReplaced => self.configure(fault).await,
-            NewWeights => self.name_next_version().await,
-            Overload => {
-                let crowd = ClientLoad::start(&self.cluster, 60, Duration::from_millis(60));
-                sleep(self.span(500..3_000)).await;
-                crowd.stop().await;
-            }
-            _ => self.inject_servers(fault).await,
-        }
-    }
-
-    fn exchange_seeds(&self) {
-        let names = self.cluster.names();
-        let seeds: Vec<_> = (0..3)
-            .filter_map(|_| self.any(&names))
-            .map(|n| self.cluster.control_of(&n))
-            .collect();
-        self.cluster.exchange_seeds(&seeds);
-    }
-}
+use Fault::*;
+
+/// Faults that are likely to bring out defects together: races, disks, updates of nodes, replaced machines, weights,
+/// responses, the retry budget, draining servers.
+const THEMES: [&[Fault]; 8] = [
+    &[
+        ConfigurationRace,
+        RacePartition,
+        RacePartition,
+        CoreKill,
+        CorePower,
+        CorePartition,
+        CoreFreeze,
+        DiskSlow,
+        ConfigurationRepeated,
+        KeyReplaced,
+    ],
+    &[
+        WipeAcknowledgingMachine,
+        WipeBehindPartition,
+        WipeBehindPartition,
+        CorePower,
+        DiskStall,
+        DiskSlow,
+        ConfigurationBurst,
+        ReplaceCore,
+    ],
+    &[
+        ConfigurationBurst,
+        KeyReplaced,
+        CoreSplit,
+        NodePartition,
+        NodeFreeze,
+        OneWayPartition,
+        ConfigurationChange,
+        CorePartition,
+        NodeSlow,
+    ],
+    &[
+        ReplaceCore,
+        CoreTurnover,
+        SeedChange,
+        ConfigurationChange,
+        NodeKill,
+        WipeBehindPartition,
+    ],
+    &[
+        NewWeights,
+        LeaseOwnerFreeze,
+        LeaseOwnerFreeze,
+        ServerRollout,
+        StoreLost,
+        CorePartition,
+        ServerCrash,
+        AddressReused,
+    ],
+    &[
+        ServerResets,
+        MalformedAnswers,
+        BrokenStreams,
+        UnresponsiveServer,
+        NodeKill,
+        ConnectionResets,
+        AllServersCrash,
+        Overload,
+    ],
+    &[
+        RetryBudgetPressure,
+        RetryBudgetPressure,
+        ConfigurationChange,
+        NodeSlow,
+        NewWeights,
+    ],
+    &[
+        ServerRollout,
+        DrainRace,
+        DrainRace,
+        DrainRace,
+        AddressReused,
+        RollingRestart,
+        ServerLost,
+        NewWeights,
+    ],
+];
--- a/crates/sparrouter-simulation/src/faults/servers.rs
+++ b/crates/sparrouter-simulation/src/faults/servers.rs
@@ -1,135 +1,178 @@
-//! Faults of servers and stores: crashes, releases, reused addresses, bad answers.
-use super::Fault::*;
-use super::{Fault, ScenarioRun};
+//! Faults of servers and stores: crashes, rollouts, reused addresses, bad responses.
+
 use crate::cluster::{ZONES, kv_store_address};
+use crate::scenario::ScenarioRun;
 use crate::server::ServerFaults;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
 /// How long the acknowledgement of a drain is waited for.
-const DRAIN_PATIENCE: Duration = Duration::from_secs(3);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time until the address of a crashed server is used again.
 const ADDRESS_REUSE: Duration = Duration::from_secs(2);
+/// A service keeps so many servers.
+const MIN_SERVERS: usize = 2;
 
-impl ScenarioRun {
-    pub(super) async fn inject_servers(&self, fault: Fault) {
-        let cluster = &self.cluster;
-        let Some(id) = self.any(&self.servers()) else {
-            return;
-        };
-        let duration = self.span(500..4_000);
-        match fault {
-            ServerCrash => {
-                let server = cluster.server(&id);
-                cluster.crash_server(&id);
-                sleep(duration).await;
-                cluster.restart_server(&server);
-            }
-            ServerLost => self.lose_server(&id),
-            AllServersCrash => self.restart_all_servers().await,
-            AddressReused => self.reuse_address(&id).await,
-            ServerRollout => self.replace_all_servers().await,
-            DrainRace => self.lose_node_that_drained(&id, duration).await,
-            StoreLost => {
-                if let Some(memory) = cluster.block_stores.borrow().get(&kv_store_address()) {
-                    memory.borrow_mut().clear();
-                }
-            }
-            _ => self.answer_badly(fault, &id, duration).await,
-        }
+/// Injects a fault at a random server that runs and does not drain.
+async fn at_server(run: &ScenarioRun, inject: impl AsyncFnOnce(&str, Duration)) {
+    if let Some(id) = run.any(&run.ready_servers()) {
+        let duration = run.duration(500..4_000);
+        inject(&id, duration).await;
     }
+}
+
+pub(super) async fn crash_and_restart(run: &ScenarioRun) {
+    at_server(run, async |id, duration| {
+        let server = run.cluster.server(id);
+        run.cluster.crash_server(id);
+        sleep(duration).await;
+        run.cluster.restart_server(&server);
+    })
+    .await;
+}
 
-    /// Crashes a server for good if its service has more than two.
-    fn lose_server(&self, id: &str) {
-        let cluster = &self.cluster;
+/// Crashes a server for good if its service has more than two.
+pub(super) async fn lose(run: &ScenarioRun) {
+    at_server(run, async |id, _| {
+        let cluster = &run.cluster;
         let service = cluster.server(id).settings.service.clone();
-        let servers = self.servers();
-        let same = servers
+        let servers = run.ready_servers();
+        let of_service = servers
             .iter()
-            .filter(|s| cluster.server(s).settings.service == service);
-        if same.count() > 2 {
+            .filter(|other| cluster.server(other).settings.service == service);
+        if of_service.count() > MIN_SERVERS {
             cluster.crash_server(id);
         }
-    }
+    })
+    .await;
+}
 
-    async fn restart_all_servers(&self) {
-        let cluster = &self.cluster;
-        let all: Vec<_> = self.servers().iter().map(|id| cluster.server(id)).collect();
+pub(super) async fn crash_all(run: &ScenarioRun) {
+    at_server(run, async |_, _| {
+        let cluster = &run.cluster;
+        let ids = run.ready_servers();
+        let all: Vec<_> = ids.iter().map(|id| cluster.server(id)).collect();
         for server in &all {
             cluster.crash_server(&server.settings.id);
         }
-        sleep(self.span(300..1_500)).await;
+        run.pause(300..1_500).await;
         for server in &all {
             cluster.restart_server(server);
         }
-    }
+    })
+    .await;
+}
 
-    /// Crashes a server, and gives its address to one of another service.
-    async fn reuse_address(&self, id: &str) {
-        let cluster = &self.cluster;
+/// Crashes a server, and gives its address to one of another service.
+pub(super) async fn reuse_address(run: &ScenarioRun) {
+    at_server(run, async |id, _| {
+        let cluster = &run.cluster;
         let server = cluster.server(id);
         let address = cluster.crash_server(id);
         sleep(ADDRESS_REUSE).await;
-        cluster.host("others", ZONES[0], address, cluster.newest_weights.get());
+        let version = cluster.newest_weights.get();
+        cluster.start_server("others", ZONES[0], address, version);
         cluster.add_server(&server.settings.service, ZONES[1]);
-    }
+    })
+    .await;
+}
 
-    async fn replace_all_servers(&self) {
-        let cluster = &self.cluster;
-        for id in self.servers() {
+/// Replaces all servers, one after the other.
+pub(super) async fn replace_all(run: &ScenarioRun) {
+    at_server(run, async |_, _| {
+        let cluster = &run.cluster;
+        for id in run.ready_servers() {
             if cluster.server_runs(&id) {
-                cluster.add_server(&cluster.server(&id).settings.service, ZONES[2]);
+                let service = &cluster.server(&id).settings.service;
+                cluster.add_server(service, ZONES[2]);
             }
-            sleep(self.span(300..1_200)).await;
+            run.pause(300..1_200).await;
             if cluster.server_runs(&id) {
-                cluster.server(&id).duplicate_first_heartbeat.set(true);
-                cluster.server(&id).drain();
+                let server = cluster.server(&id);
+                server.duplicate_first_heartbeat.set(true);
+                server.drain();
             }
-            sleep(self.span(300..1_200)).await;
+            run.pause(300..1_200).await;
         }
-    }
+    })
+    .await;
+}
 
-    /// Drains a server through a node outside of the core, which loses power right after its acknowledgement.
-    async fn lose_node_that_drained(&self, id: &str, duration: Duration) {
-        let cluster = &self.cluster;
+/// Drains a server through a node outside of the core, which loses power right after its acknowledgement.
+pub(super) async fn lose_acknowledging_node(run: &ScenarioRun) {
+    at_server(run, async |id, duration| {
+        let cluster = &run.cluster;
         let server = cluster.server(id);
         cluster.add_server(&server.settings.service, ZONES[0]);
         // No other node polls this one.
-        let edge = self.any(&self.edges());
-        server.call_next(edge.map(|n| cluster.control_of(&n)));
+        let edge = run.any(&run.running_edge());
+        server.set_heartbeat_target(edge.map(|name| cluster.control_of(&name)));
         server.drain();
-        let began = Instant::now();
-        while server.drained_by.get().is_none() && began.elapsed() < DRAIN_PATIENCE {
+        let started_at = Instant::now();
+        while server.drain_acknowledged_by.get().is_none() && started_at.elapsed() < DRAIN_TIMEOUT {
             sleep(Duration::from_millis(1)).await;
         }
-        let acknowledged_by = server.drained_by.get();
-        let name = acknowledged_by.and_then(|address| cluster.name_of(address.ip()));
-        if let Some(name) = name.filter(|n| self.edges().contains(n)) {
-            self.power_off_for(&name, duration).await;
+        let node = server.drain_acknowledged_by.get();
+        let name = node.and_then(|address| cluster.name_of(address.ip()));
+        if let Some(name) = name.filter(|name| run.running_edge().contains(name)) {
+            run.power_off_for(&name, duration).await;
         }
-    }
+    })
+    .await;
+}
 
-    async fn answer_badly(&self, fault: Fault, id: &str, duration: Duration) {
-        let server = self.cluster.server(id);
-        self.cluster.monitor.trace(format!("{id} answers badly"));
-        let none = ServerFaults::default();
-        server.faults.set(match fault {
-            ServerResets => ServerFaults {
-                resets: 0.2,
-                ..none
-            },
-            MalformedAnswers => ServerFaults {
-                garbles: 0.05,
-                surplus: 0.3,
-                ..none
-            },
-            UnresponsiveServer => ServerFaults { hangs: 0.1, ..none },
-            _ => ServerFaults {
-                breaks: 0.3,
-                ..none
-            },
-        });
+/// Empties the KV store.
+pub(super) async fn empty_store(run: &ScenarioRun) {
+    at_server(run, async |_, _| {
+        let stores = run.cluster.block_stores.borrow();
+        if let Some(store) = stores.get(&kv_store_address()) {
+            store.borrow_mut().clear();
+        }
+    })
+    .await;
+}
+
+/// Lets a server respond badly for a while.
+async fn respond_badly(run: &ScenarioRun, faults: ServerFaults) {
+    at_server(run, async |id, duration| {
+        let server = run.cluster.server(id);
+        run.cluster.monitor.trace(format!("{id} responds badly"));
+        server.faults.set(faults);
         sleep(duration).await;
         server.faults.set(ServerFaults::default());
-    }
+    })
+    .await;
+}
+
+pub(super) async fn reset(run: &ScenarioRun) {
+    let faults = ServerFaults {
+        resets: 0.2,
+        ..ServerFaults::default()
+    };
+    respond_badly(run, faults).await;
+}
+
+pub(super) async fn garble(run: &ScenarioRun) {
+    let faults = ServerFaults {
+        garbles: 0.05,
+        surplus: 0.3,
+        ..ServerFaults::default()
+    };
+    respond_badly(run, faults).await;
+}
+
+pub(super) async fn hang(run: &ScenarioRun) {
+    let faults = ServerFaults {
+        hangs: 0.1,
+        ..ServerFaults::default()
+    };
+    respond_badly(run, faults).await;
+}
+
+pub(super) async fn break_off(run: &ScenarioRun) {
+    let faults = ServerFaults {
+        breaks: 0.3,
+        ..ServerFaults::default()
+    };
+    respond_badly(run, faults).await;
 }
--- a/crates/sparrouter-simulation/src/http_messages.rs
+++ b/crates/sparrouter-simulation/src/http_messages.rs
@@ -1,8 +1,7 @@
 //! HTTP for stand-ins: calls with their answers, and requests that stand-ins receive.
-#![deny(missing_docs)]
 
-use crate::network::connection::End;
 use crate::network::interface::NetworkInterface;
+use crate::network::socket::Socket;
 use bytes::{Bytes, BytesMut};
 use sparrouter_fleet::platform::http;
 use sparrouter_http::head::{self, RequestHead, ResponseHead};
@@ -94,7 +93,7 @@
 }
 
 /// Reads the next request on a connection that a stand-in accepted; `None` once it ends.
-pub async fn next_call(stream: &mut End, buffer: &mut BytesMut) -> Option<(RequestHead, Bytes)> {
+pub async fn next_call(stream: &mut Socket, buffer: &mut BytesMut) -> Option<(RequestHead, Bytes)> {
     let bytes = reading::head(stream, buffer, b"", MAX_HEAD_BYTES)
         .await
         .ok()?;
--- a/crates/sparrouter-simulation/src/linearizability.rs
+++ b/crates/sparrouter-simulation/src/linearizability.rs
@@ -4,20 +4,25 @@
 //! A call without a known outcome may take effect at any moment after its invocation, or never.
 //!
 //! Sources: Herlihy and Wing, "Linearizability: a correctness condition for concurrent objects", TOPLAS 1990; Wing and
-//! Gong, "Testing and verifying concurrent objects", JPDC 1993; the memoisation of configurations (calls done, state) is
-//! Lowe's, "Testing for linearizability", CCPE 2017.
+//! Gong, "Testing and verifying concurrent objects", JPDC 1993; the memoisation of configurations (calls placed, state)
+//! is Lowe's, "Testing for linearizability", CCPE 2017.
+
 use std::collections::HashSet;
 use std::hash::Hash;
 
 /// What the calls mean when they come one after the other.
 pub trait SequentialModel {
+    /// State between two calls.
     type State: Clone + Eq + Hash;
+    /// What is called.
     type Call;
+    /// What a caller learns from the response.
     type Outcome;
 
+    /// The state before the first call.
     fn initial(&self) -> Self::State;
 
-    /// The state after a call with this outcome, or None where the model does not allow it.
+    /// The state after a call with this outcome, or `None` where the model does not allow it.
     fn apply(
         &self,
         state: &Self::State,
@@ -25,7 +30,7 @@
         outcome: &Self::Outcome,
     ) -> Option<Self::State>;
 
-    /// The state after a call whose outcome nobody heard of, or None where it changes nothing: then it need not have
+    /// The state after a call whose outcome is unknown, or `None` where it changes nothing: then it need not have
     /// happened.
     fn apply_unanswered(&self, state: &Self::State, call: &Self::Call) -> Option<Self::State>;
 }
@@ -34,38 +39,49 @@
 /// number once.
 #[derive(Clone, Debug)]
 pub struct RecordedCall<Call, Outcome> {
+    /// What was called.
     pub call: Call,
-    pub invoked: usize,
-    /// None where nobody heard how it ended.
+    /// Number of the invocation.
+    pub invoked_at: usize,
+    /// `None` where the outcome is unknown.
     pub response: Option<Response<Outcome>>,
 }
 
+/// The response to a call.
 #[derive(Clone, Debug)]
 pub struct Response<Outcome> {
-    pub at: usize,
+    /// Number of the response.
+    pub received_at: usize,
+    /// What the caller learnt.
     pub outcome: Outcome,
 }
 
+/// Result of a check. Calls are given by their indices in the history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Places of the calls in an order that the model allows.
+    /// An order that the model allows.
     Linearizable(Vec<usize>),
-    /// The longest order that was found, and the call that must come next in none of its continuations.
-    NotLinearizable { longest: Vec<usize>, stuck: usize },
-    /// More configurations than allowed were looked at.
+    /// There is none.
+    NotLinearizable {
+        /// The longest order that was found.
+        longest: Vec<usize>,
+        /// The call that must come next, and cannot in any continuation of `longest`.
+        stuck: usize,
+    },
+    /// The search would visit more configurations than allowed.
     Undecided,
 }
 
-/// Looks for an order of the calls; `most_configurations` bounds the work.
+/// Searches an order of the calls; `max_configurations` bounds the work.
 pub fn check<M: SequentialModel>(
     model: &M,
     history: &[RecordedCall<M::Call, M::Outcome>],
-    most_configurations: usize,
+    max_configurations: usize,
 ) -> Verdict {
-    Search::new(model, history).run(most_configurations)
+    Search::new(model, history).run(max_configurations)
 }
 
-/// Places of calls that are already part of the order.
+/// Calls that have their place in the order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct CallSet(Vec<u64>);
 
@@ -73,8 +89,9 @@
     fn with_capacity(calls: usize) -> CallSet {
         CallSet(vec![0; calls.div_ceil(64)])
     }
-    fn flip(&mut self, index: usize) {
-        self.0[index / 64] ^= 1 << (index % 64);
+
+    fn flip(&mut self, call: usize) {
+        self.0[call / 64] ^= 1 << (call % 64);
     }
 }
 
@@ -84,7 +101,7 @@
     Response(usize),
 }
 
-/// The events that are not part of the order yet, as a doubly linked list over fixed places; place 0 is its head.
+/// The events whose calls have no place in the order yet, as a doubly linked list over fixed slots. Slot 0 is its head.
 struct EventList {
     events: Vec<Option<Event>>,
     next: Vec<usize>,
@@ -94,157 +111,176 @@
 const HEAD: usize = 0;
 
 impl EventList {
-    fn new(in_order: Vec<Event>) -> EventList {
-        let indices = in_order.len() + 1;
+    fn new(events_in_order: Vec<Event>) -> EventList {
+        let slots = events_in_order.len() + 1;
         let mut events = vec![None];
-        events.extend(in_order.into_iter().map(Some));
+        events.extend(events_in_order.into_iter().map(Some));
         EventList {
             events,
-            next: (0..indices).map(|p| (p + 1) % indices).collect(),
-            previous: (0..indices).map(|p| (p + indices - 1) % indices).collect(),
+            next: (0..slots).map(|slot| (slot + 1) % slots).collect(),
+            previous: (0..slots).map(|slot| (slot + slots - 1) % slots).collect(),
         }
     }
 
-    fn unlink(&mut self, index: usize) {
-        let (before, after) = (self.previous[index], self.next[index]);
+    fn first(&self) -> usize {
+        self.next[HEAD]
+    }
+
+    fn unlink(&mut self, slot: usize) {
+        let (before, after) = (self.previous[slot], self.next[slot]);
         self.next[before] = after;
         self.previous[after] = before;
     }
 
     /// Undoes the last `unlink` that is not undone yet.
-    fn relink(&mut self, index: usize) {
-        let (before, after) = (self.previous[index], self.next[index]);
-        self.next[before] = index;
-        self.previous[after] = index;
+    fn relink(&mut self, slot: usize) {
+        let (before, after) = (self.previous[slot], self.next[slot]);
+        self.next[before] = slot;
+        self.previous[after] = slot;
     }
 }
 
-/// Where the two events of a call stand in the list.
-struct ListIndices {
+/// Slots of the two events of a call.
+struct CallSlots {
     invocation: usize,
     response: Option<usize>,
 }
 
-/// A call that was put into the order, and the state before it.
+/// A call that was placed, and the state before it.
 struct Step<State> {
     call: usize,
     before: State,
 }
 
+/// The longest order that was found, and the call that it got stuck at.
+#[derive(Default)]
+struct Longest {
+    order: Vec<usize>,
+    stuck: Option<usize>,
+}
+
 struct Search<'a, M: SequentialModel> {
     model: &'a M,
     history: &'a [RecordedCall<M::Call, M::Outcome>],
     list: EventList,
-    indices: Vec<ListIndices>,
-    done: CallSet,
-    /// Calls with a response that are not part of the order yet.
+    slots: Vec<CallSlots>,
+    placed: CallSet,
+    /// Calls with a response that have no place yet.
     unplaced_responses: usize,
     steps: Vec<Step<M::State>>,
-    seen: HashSet<(CallSet, M::State)>,
+    visited: HashSet<(CallSet, M::State)>,
+}
+
+/// Invocations and responses of a history, in the order in which they happened.
+fn events_in_order<Call, Outcome>(history: &[RecordedCall<Call, Outcome>]) -> Vec<Event> {
+    let mut numbered: Vec<(usize, Event)> = Vec::new();
+    for (call, recorded) in history.iter().enumerate() {
+        numbered.push((recorded.invoked_at, Event::Invocation(call)));
+        if let Some(response) = &recorded.response {
+            numbered.push((response.received_at, Event::Response(call)));
+        }
+    }
+    numbered.sort_by_key(|(number, _)| *number);
+    numbered.into_iter().map(|(_, event)| event).collect()
 }
 
 impl<'a, M: SequentialModel> Search<'a, M> {
     fn new(model: &'a M, history: &'a [RecordedCall<M::Call, M::Outcome>]) -> Search<'a, M> {
-        let mut events: Vec<(usize, Event)> = Vec::new();
-        for (call, recorded) in history.iter().enumerate() {
-            events.push((recorded.invoked, Event::Invocation(call)));
-            events.extend(
-                recorded
-                    .response
-                    .as_ref()
-                    .map(|r| (r.at, Event::Response(call))),
-            );
-        }
-        events.sort_by_key(|(at, _)| *at);
-        let in_order: Vec<Event> = events.into_iter().map(|(_, event)| event).collect();
-        let place_of = |event: Event| in_order.iter().position(|e| *e == event).map(|p| p + 1);
-        let indices = (0..history.len())
-            .map(|call| ListIndices {
-                invocation: place_of(Event::Invocation(call)).unwrap_or(HEAD),
-                response: place_of(Event::Response(call)),
+        let events = events_in_order(history);
+        let slot_of = |event: Event| events.iter().position(|e| *e == event).map(|p| p + 1);
+        let slots = (0..history.len())
+            .map(|call| CallSlots {
+                invocation: slot_of(Event::Invocation(call)).unwrap_or(HEAD),
+                response: slot_of(Event::Response(call)),
             })
             .collect();
         Search {
             model,
             history,
-            indices,
-            list: EventList::new(in_order),
-            done: CallSet::with_capacity(history.len()),
+            slots,
+            list: EventList::new(events),
+            placed: CallSet::with_capacity(history.len()),
             unplaced_responses: history.iter().filter(|c| c.response.is_some()).count(),
             steps: Vec::new(),
-            seen: HashSet::new(),
+            visited: HashSet::new(),
         }
     }
 
-    fn run(mut self, most_configurations: usize) -> Verdict {
+    fn run(mut self, max_configurations: usize) -> Verdict {
         let mut state = self.model.initial();
-        let mut longest: Vec<usize> = Vec::new();
-        let mut stuck = None;
-        let mut at = self.list.next[HEAD];
+        let mut longest = Longest::default();
+        let mut slot = self.list.first();
         while self.unplaced_responses > 0 {
-            if self.seen.len() > most_configurations {
+            if self.visited.len() > max_configurations {
                 return Verdict::Undecided;
             }
-            if let Some(Event::Invocation(call)) = self.list.events[at] {
-                match self.new_state(call, &state) {
-                    Some(after) => {
-                        self.put(call, std::mem::replace(&mut state, after));
-                        at = self.list.next[HEAD];
-                    }
-                    None => at = self.list.next[at],
+            if let Some(Event::Invocation(call)) = self.list.events[slot] {
+                if let Some(after) = self.new_state(call, &state) {
+                    self.place(call, std::mem::replace(&mut state, after));
+                    slot = self.list.first();
+                } else {
+                    slot = self.list.next[slot];
                 }
                 continue;
             }
-            // A response that comes before any call that may be next, or the end of the list: no continuation.
-            if let Some(Event::Response(call)) = self.list.events[at]
-                && (stuck.is_none() || self.steps.len() > longest.len())
-            {
-                longest = self.order();
-                stuck = Some(call);
+            // A response before any call that may come next, or the end of the list: there is no continuation.
+            if let Some(Event::Response(call)) = self.list.events[slot] {
+                self.note_stuck(call, &mut longest);
             }
             let Some(step) = self.steps.pop() else {
-                let stuck = stuck.unwrap_or_default();
-                return Verdict::NotLinearizable { longest, stuck };
+                return Verdict::NotLinearizable {
+                    longest: longest.order,
+                    stuck: longest.stuck.unwrap_or_default(),
+                };
             };
             self.undo(step.call);
             state = step.before;
-            at = self.list.next[self.indices[step.call].invocation];
+            slot = self.list.next[self.slots[step.call].invocation];
         }
         Verdict::Linearizable(self.order())
     }
 
+    fn note_stuck(&self, call: usize, longest: &mut Longest) {
+        if longest.stuck.is_none() || self.steps.len() > longest.order.len() {
+            longest.order = self.order();
+            longest.stuck = Some(call);
+        }
+    }
+
     fn order(&self) -> Vec<usize> {
         self.steps.iter().map(|step| step.call).collect()
     }
 
-    /// The state with this call next, if the model allows it and that configuration was not looked at before.
+    /// The state with this call next, if the model allows it and that configuration was not visited before.
     fn new_state(&mut self, call: usize, state: &M::State) -> Option<M::State> {
         let recorded = &self.history[call];
         let after = match &recorded.response {
             Some(response) => self.model.apply(state, &recorded.call, &response.outcome),
             None => self.model.apply_unanswered(state, &recorded.call),
         }?;
-        let mut done = self.done.clone();
-        done.flip(call);
-        self.seen.insert((done, after.clone())).then_some(after)
+        let mut placed = self.placed.clone();
+        placed.flip(call);
+        self.visited
+            .insert((placed, after.clone()))
+            .then_some(after)
     }
 
-    fn put(&mut self, call: usize, before: M::State) {
-        self.list.unlink(self.indices[call].invocation);
-        if let Some(response) = self.indices[call].response {
+    fn place(&mut self, call: usize, before: M::State) {
+        self.list.unlink(self.slots[call].invocation);
+        if let Some(response) = self.slots[call].response {
             self.list.unlink(response);
             self.unplaced_responses -= 1;
         }
-        self.done.flip(call);
+        self.placed.flip(call);
         self.steps.push(Step { call, before });
     }
 
     fn undo(&mut self, call: usize) {
-        if let Some(response) = self.indices[call].response {
+        if let Some(response) = self.slots[call].response {
             self.list.relink(response);
             self.unplaced_responses += 1;
         }
-        self.list.relink(self.indices[call].invocation);
-        self.done.flip(call);
+        self.list.relink(self.slots[call].invocation);
+        self.placed.flip(call);
     }
 }
--- a/crates/sparrouter-simulation/src/load_balancer.rs
+++ b/crates/sparrouter-simulation/src/load_balancer.rs
@@ -1,6 +1,5 @@
-//! The platform in front of the fleet: checks each second whether each node is ready, and passes new connections to ready
-//! nodes, those in the client's zone first.
-#![deny(missing_docs)]
+//! The platform's load balancer in front of the fleet: checks each second whether each node is ready, and sends new
+//! connections to ready nodes, those in the client's zone first.
 
 use crate::http_messages;
 use crate::network::interface::NetworkInterface;
@@ -12,38 +11,54 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Time between two checks of a node.
+/// Time between two checks of a node, and how long one may take.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Failed checks after which a node gets no new connections.
-const FAILED_CHECKS: u32 = 2;
+const MAX_FAILED_CHECKS: u32 = 2;
 
-/// A node that serves clients.
+/// A node that clients connect to.
 #[derive(Clone, Debug)]
-struct Front {
+struct Backend {
     name: String,
     zone: String,
     address: SocketAddr,
+    /// Where its readiness is checked.
     readiness: SocketAddr,
-    /// Counts the processes that ran there.
+    /// Counts the processes that ran on the node before the current one.
     incarnation: u64,
     /// Failed checks in a row.
-    misses: u32,
+    failed_checks: u32,
     /// It was ready at least once.
-    known: bool,
+    was_ready: bool,
 }
 
-/// The platform.
+impl Backend {
+    fn is_in_service(&self) -> bool {
+        self.was_ready && self.failed_checks < MAX_FAILED_CHECKS
+    }
+}
+
+/// A node that a client is sent to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Target {
+    /// Where it accepts requests.
+    pub address: SocketAddr,
+    /// See [`LoadBalancer::incarnation`].
+    pub incarnation: u64,
+}
+
+/// The load balancer.
 pub struct LoadBalancer {
-    net: NetworkInterface,
-    fronts: RefCell<Vec<Front>>,
+    network: NetworkInterface,
+    backends: RefCell<Vec<Backend>>,
 }
 
 impl LoadBalancer {
-    /// A platform without nodes; begins its checks.
-    pub fn new(net: NetworkInterface) -> Rc<LoadBalancer> {
+    /// A load balancer without nodes; begins its checks.
+    pub fn new(network: NetworkInterface) -> Rc<LoadBalancer> {
         let load_balancer = Rc::new(LoadBalancer {
-            net,
-            fronts: RefCell::default(),
+            network,
+            backends: RefCell::default(),
         });
         spawn_local(load_balancer.clone().check_nodes());
         load_balancer
@@ -51,104 +66,113 @@
 
     /// Adds a node, with its addresses for clients and for checks.
     pub fn add(&self, name: &str, zone: &str, address: SocketAddr, readiness: SocketAddr) {
-        let front = Front {
+        let backend = Backend {
             name: name.to_owned(),
             zone: zone.to_owned(),
             address,
             readiness,
             incarnation: 0,
-            misses: FAILED_CHECKS,
-            known: false,
+            failed_checks: MAX_FAILED_CHECKS,
+            was_ready: false,
         };
-        self.fronts.borrow_mut().push(front);
+        self.backends.borrow_mut().push(backend);
     }
 
     /// Removes a node.
     pub fn remove(&self, name: &str) {
-        self.fronts.borrow_mut().retain(|f| f.name != name);
+        self.backends.borrow_mut().retain(|b| b.name != name);
     }
 
     /// A new process runs on the node.
     pub fn restarted(&self, name: &str) {
-        self.fronts
-            .borrow_mut()
-            .iter_mut()
-            .filter(|f| f.name == name)
-            .for_each(|f| f.incarnation += 1);
+        for backend in self.backends.borrow_mut().iter_mut() {
+            if backend.name == name {
+                backend.incarnation += 1;
+            }
+        }
     }
 
     /// How many processes ran on the node with this address before the current one.
     pub fn incarnation(&self, ip: IpAddr) -> u64 {
-        self.fronts
-            .borrow()
-            .iter()
-            .find(|f| f.address.ip() == ip)
-            .map_or(0, |f| f.incarnation)
+        let backends = self.backends.borrow();
+        let backend = backends.iter().find(|b| b.address.ip() == ip);
+        backend.map_or(0, |b| b.incarnation)
     }
 
     /// Whether the node gets new connections.
     pub fn is_in_service(&self, name: &str) -> bool {
-        self.fronts
-            .borrow()
-            .iter()
-            .any(|f| f.name == name && f.known && f.misses < FAILED_CHECKS)
+        let backends = self.backends.borrow();
+        backends.iter().any(|b| b.name == name && b.is_in_service())
     }
 
     /// Checks all nodes for ever.
     async fn check_nodes(self: Rc<Self>) {
         loop {
             let all: Vec<(String, SocketAddr)> = self
-                .fronts
+                .backends
                 .borrow()
                 .iter()
-                .map(|f| (f.name.clone(), f.readiness))
+                .map(|b| (b.name.clone(), b.readiness))
                 .collect();
-            for (name, at) in all {
-                let load_balancer = self.clone();
-                spawn_local(async move {
-                    let call = http_messages::call(
-                        &load_balancer.net,
-                        at,
-                        "GET",
-                        "/api/readiness",
-                        &[],
-                        "",
-                        CHECK_INTERVAL,
-                    );
-                    let ready = call.await.is_ok_and(|r| r.status == 200);
-                    let mut fronts = load_balancer.fronts.borrow_mut();
-                    if let Some(front) = fronts.iter_mut().find(|f| f.name == name) {
-                        front.misses = if ready { 0 } else { front.misses + 1 };
-                        front.known |= ready;
-                    }
-                });
+            for (name, readiness) in all {
+                spawn_local(self.clone().check_node(name, readiness));
             }
             sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// The address for a new connection of a client in a zone, and the node's [`LoadBalancer::incarnation`]. `None` without nodes.
-    pub fn pick(&self, zone: &str, rng: &mut Rng) -> Option<(SocketAddr, u64)> {
-        let fronts = self.fronts.borrow();
-        let is_in_service = |f: &&Front| f.known && f.misses < FAILED_CHECKS;
-        let own: Vec<&Front> = fronts.iter().filter(|f| f.zone == zone).collect();
-        let own_in: Vec<&Front> = own.iter().copied().filter(|f| is_in_service(f)).collect();
-        let others: Vec<&Front> = fronts.iter().filter(is_in_service).collect();
-        let from = if own_in.is_empty() && !others.is_empty() {
-            others
-        } else if own_in.len() * 2 < own.len() {
-            own
+    async fn check_node(self: Rc<Self>, name: String, readiness: SocketAddr) {
+        let call = http_messages::call(
+            &self.network,
+            readiness,
+            "GET",
+            "/api/readiness",
+            &[],
+            "",
+            CHECK_INTERVAL,
+        );
+        let is_ready = call.await.is_ok_and(|reply| reply.status == 200);
+        let mut backends = self.backends.borrow_mut();
+        if let Some(backend) = backends.iter_mut().find(|b| b.name == name) {
+            backend.failed_checks = if is_ready {
+                0
+            } else {
+                backend.failed_checks + 1
+            };
+            backend.was_ready |= is_ready;
+        }
+    }
+
+    /// The node for a new connection of a client in a zone; `None` without nodes. Nodes of the zone are preferred, all of
+    /// them where less than half is in service, others where none is; any node where none at all is in service.
+    pub fn pick(&self, zone: &str, rng: &mut Rng) -> Option<Target> {
+        let backends = self.backends.borrow();
+        let in_zone: Vec<&Backend> = backends.iter().filter(|b| b.zone == zone).collect();
+        let serving_in_zone: Vec<&Backend> = in_zone
+            .iter()
+            .copied()
+            .filter(|b| b.is_in_service())
+            .collect();
+        let serving: Vec<&Backend> = backends.iter().filter(|b| b.is_in_service()).collect();
+        let preferred = if serving_in_zone.is_empty() && !serving.is_empty() {
+            serving
+        } else if serving_in_zone.len() * 2 < in_zone.len() {
+            in_zone
         } else {
-            own_in
+            serving_in_zone
         };
-        let from = if from.is_empty() {
-            fronts.iter().collect()
+        let candidates = if preferred.is_empty() {
+            backends.iter().collect()
         } else {
-            from
+            preferred
         };
-        (!from.is_empty()).then(|| {
-            let front = from[rng.usize(..from.len())];
-            (front.address, front.incarnation)
+        if candidates.is_empty() {
+            return None;
+        }
+        let backend = candidates[rng.usize(..candidates.len())];
+        Some(Target {
+            address: backend.address,
+            incarnation: backend.incarnation,
         })
     }
 }
--- a/crates/sparrouter-simulation/src/network/connection.rs
+++ b/crates/sparrouter-simulation/src/network/connection.rs
@@ -1,382 +1,385 @@
-//! One connection: what is on its way in each direction, and the two ends that processes hold.
-use crate::network::{SimulatedNetwork, UNACKNOWLEDGED};
+//! The state of one connection: what is in flight in each direction, and what the systems of its two machines know of it.
+
+use super::{SimulatedNetwork, USER_TIMEOUT};
 use bytes::{Buf, Bytes, BytesMut};
-use sparrouter_fleet::platform::net::Connection;
 use std::cell::RefCell;
 use std::collections::VecDeque;
-use std::future::Future;
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, SocketAddr};
-use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
-use tokio::time::{Instant, Sleep, sleep_until};
+use tokio::time::Instant;
 
-/// Bytes that may be on their way or unread in one direction: a peer that does not read holds the writer up.
+/// Bytes that may be in flight or unread in one direction: a peer that does not read stops the writer.
 const WINDOW: usize = 256 << 10;
 
-enum What {
+#[derive(Debug)]
+pub(super) enum Payload {
     Bytes(Bytes),
-    /// Nothing more comes.
-    Over,
+    /// The sender writes nothing more.
+    Fin,
     Reset,
 }
 
+#[derive(Debug)]
 struct Segment {
-    due: Instant,
-    what: What,
+    arrives_at: Instant,
+    payload: Payload,
+}
+
+/// Which end of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Side {
+    Dialed,
+    Accepted,
+}
+
+impl Side {
+    const BOTH: [Side; 2] = [Side::Dialed, Side::Accepted];
+
+    fn peer(self) -> Side {
+        match self {
+            Side::Dialed => Side::Accepted,
+            Side::Accepted => Side::Dialed,
+        }
+    }
 }
 
-/// One end as its machine's system knows it.
-struct Side {
+/// One end, as its machine's system knows it.
+#[derive(Debug)]
+struct Endpoint {
     address: SocketAddr,
-    /// Of the machine's power when the connection came up.
-    generation: u64,
-    /// A process holds it.
-    held: bool,
-    /// It went without a word.
-    vanished: bool,
-    said_over: bool,
-    hasty: bool,
-    coming: VecDeque<Segment>,
+    /// Power cycles of the machine when the connection was established.
+    power_cycles: u64,
+    /// A process has the socket open.
+    is_open: bool,
+    /// It disappeared without a message to the peer.
+    is_gone: bool,
+    fin_sent: bool,
+    fin_received: bool,
+    /// It gives up on bytes that are not acknowledged within [`USER_TIMEOUT`].
+    has_user_timeout: bool,
+    /// Segments to this end, in the order of their arrival.
+    in_flight: VecDeque<Segment>,
+    /// Bytes that arrived.
     unread: BytesMut,
-    over: bool,
-    broken: Option<ErrorKind>,
+    error: Option<ErrorKind>,
     /// Since when bytes that were written wait for their acknowledgement.
-    unacknowledged: Option<Instant>,
+    unacknowledged_since: Option<Instant>,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
-impl Side {
+impl Endpoint {
+    fn new(address: SocketAddr, power_cycles: u64) -> Endpoint {
+        Endpoint {
+            address,
+            power_cycles,
+            is_open: true,
+            is_gone: false,
+            fin_sent: false,
+            fin_received: false,
+            has_user_timeout: false,
+            in_flight: VecDeque::new(),
+            unread: BytesMut::new(),
+            error: None,
+            unacknowledged_since: None,
+            reader: None,
+            writer: None,
+        }
+    }
+
+    fn ip(&self) -> IpAddr {
+        self.address.ip()
+    }
+
+    fn wake_reader(&mut self) {
+        if let Some(reader) = self.reader.take() {
+            reader.wake();
+        }
+    }
+
+    fn wake_writer(&mut self) {
+        if let Some(writer) = self.writer.take() {
+            writer.wake();
+        }
+    }
+
     fn wake(&mut self) {
-        self.reader
-            .take()
-            .into_iter()
-            .chain(self.writer.take())
-            .for_each(Waker::wake);
+        self.wake_reader();
+        self.wake_writer();
     }
 
-    fn pending(&self) -> usize {
-        let coming = self.coming.iter().map(|p| {
-            if let What::Bytes(b) = &p.what {
-                b.len()
-            } else {
-                0
-            }
+    /// Bytes that occupy the window toward this end.
+    fn pending_bytes(&self) -> usize {
+        let in_flight = self.in_flight.iter().map(|segment| match &segment.payload {
+            Payload::Bytes(bytes) => bytes.len(),
+            Payload::Fin | Payload::Reset => 0,
         });
-        self.unread.len() + coming.sum::<usize>()
+        self.unread.len() + in_flight.sum::<usize>()
     }
 
-    fn break_off(&mut self, kind: ErrorKind) {
-        self.broken.get_or_insert(kind);
+    fn fail(&mut self, kind: ErrorKind) {
+        self.error.get_or_insert(kind);
         self.wake();
     }
+
+    fn reset_is_in_flight(&self) -> bool {
+        self.in_flight
+            .iter()
+            .any(|segment| matches!(segment.payload, Payload::Reset))
+    }
+}
+
+/// A write that the window admits.
+pub(super) struct AdmittedWrite {
+    /// Bytes that are written.
+    pub length: usize,
+    /// No process has the other end open: its machine answers with a reset.
+    pub is_answered_by_reset: bool,
+    pub from: IpAddr,
+    pub to: IpAddr,
 }
 
-pub struct ConnectionState(RefCell<[Side; 2]>);
+/// A connection between two machines.
+#[derive(Debug)]
+pub(crate) struct ConnectionState([RefCell<Endpoint>; 2]);
 
 impl ConnectionState {
-    pub(crate) fn new(
-        addresses: [SocketAddr; 2],
-        network: &SimulatedNetwork,
-    ) -> Rc<ConnectionState> {
-        let side = |address: SocketAddr| Side {
-            address,
-            generation: network.generation(address.ip()),
-            held: true,
-            vanished: false,
-            said_over: false,
-            hasty: false,
-            coming: VecDeque::new(),
-            unread: BytesMut::new(),
-            over: false,
-            broken: None,
-            unacknowledged: None,
-            reader: None,
-            writer: None,
+    pub(super) fn new(addresses: [SocketAddr; 2], network: &SimulatedNetwork) -> Rc<Self> {
+        let endpoint = |address: SocketAddr| {
+            RefCell::new(Endpoint::new(address, network.power_cycles(address.ip())))
         };
-        Rc::new(ConnectionState(RefCell::new(addresses.map(side))))
+        Rc::new(ConnectionState(addresses.map(endpoint)))
     }
 
-    pub(crate) fn touches(&self, ip: IpAddr) -> bool {
-        self.0.borrow().iter().any(|s| s.address.ip() == ip)
+    fn end(&self, side: Side) -> &RefCell<Endpoint> {
+        &self.0[side as usize]
     }
 
-    pub(crate) fn wake(&self) {
-        self.0.borrow_mut().iter_mut().for_each(Side::wake);
+    pub(super) fn ip(&self, side: Side) -> IpAddr {
+        self.end(side).borrow().ip()
     }
 
-    pub(crate) fn reset(&self) {
-        self.0
-            .borrow_mut()
-            .iter_mut()
-            .for_each(|s| s.break_off(ErrorKind::ConnectionReset));
+    pub(super) fn set_user_timeout(&self, side: Side, has_user_timeout: bool) {
+        self.end(side).borrow_mut().has_user_timeout = has_user_timeout;
     }
 
-    /// The machine loses power: its end is gone without a word, and what a cut holds up of its bytes is lost.
-    pub(crate) fn vanish(&self, ip: IpAddr, network: &SimulatedNetwork) {
-        let sides = &mut *self.0.borrow_mut();
-        for from in 0..2 {
-            if sides[from].address.ip() == ip {
-                sides[from].vanished = true;
-                let to = sides[1 - from].address.ip();
-                if !network.reaches(ip, to) {
-                    sides[1 - from].coming.clear();
-                }
+    pub(super) fn involves(&self, ip: IpAddr) -> bool {
+        Side::BOTH.iter().any(|side| self.ip(*side) == ip)
+    }
+
+    pub(super) fn wake(&self) {
+        for side in Side::BOTH {
+            self.end(side).borrow_mut().wake();
+        }
+    }
+
+    /// Resets both ends.
+    pub(super) fn reset(&self) {
+        for side in Side::BOTH {
+            self.end(side).borrow_mut().fail(ErrorKind::ConnectionReset);
+        }
+    }
+
+    /// Spoils what the process of this end has not read, so that closing the socket sends a reset.
+    pub(super) fn leave_unread(&self, side: Side) {
+        self.end(side).borrow_mut().unread.extend_from_slice(b"!");
+    }
+
+    /// The machine loses power: its end disappears without a message, and what a partition delays of its bytes is lost.
+    pub(super) fn lose_power(&self, ip: IpAddr, network: &SimulatedNetwork) {
+        for side in Side::BOTH {
+            if self.ip(side) != ip {
+                continue;
+            }
+            self.end(side).borrow_mut().is_gone = true;
+            if !network.reaches(ip, self.ip(side.peer())) {
+                self.end(side.peer()).borrow_mut().in_flight.clear();
             }
         }
     }
 
-    /// Acknowledges what has arrived; a hasty end whose bytes wait too long gives up.
-    pub(crate) fn look(&self, network: &SimulatedNetwork, now: Instant) {
-        let sides = &mut *self.0.borrow_mut();
-        for from in 0..2 {
-            let (own, other) = (sides[from].address.ip(), sides[1 - from].address.ip());
-            let there = network.reaches(own, other) && network.reaches(other, own);
-            if there && !sides[1 - from].vanished {
-                sides[from].unacknowledged = None;
-            } else if sides[from].hasty
-                && sides[from]
-                    .unacknowledged
-                    .is_some_and(|since| now - since >= UNACKNOWLEDGED)
-            {
-                sides[from].vanished = true;
-                sides[from].break_off(ErrorKind::TimedOut);
-                // Nobody sends again what a cut held up, so it never arrives.
-                if network.is_cut(own, other) {
-                    sides[1 - from].coming.clear();
+    /// Acknowledges what has arrived; an end whose bytes wait for longer than its time-out gives up.
+    pub(super) fn acknowledge(&self, network: &SimulatedNetwork, now: Instant) {
+        for side in Side::BOTH {
+            let mut own = self.end(side).borrow_mut();
+            let mut peer = self.end(side.peer()).borrow_mut();
+            let is_linked =
+                network.reaches(own.ip(), peer.ip()) && network.reaches(peer.ip(), own.ip());
+            let waits_too_long = own
+                .unacknowledged_since
+                .is_some_and(|since| now - since >= USER_TIMEOUT);
+            if is_linked && !peer.is_gone {
+                own.unacknowledged_since = None;
+            } else if own.has_user_timeout && waits_too_long {
+                own.is_gone = true;
+                own.fail(ErrorKind::TimedOut);
+                // Nobody sends again what a partition delayed, so it never arrives.
+                if network.is_partitioned(own.ip(), peer.ip()) {
+                    peer.in_flight.clear();
                 }
             }
         }
     }
 
-    fn send(&self, from: usize, what: What, network: &SimulatedNetwork) {
-        let sides = &mut *self.0.borrow_mut();
-        let (own, other) = (sides[from].address.ip(), sides[1 - from].address.ip());
-        let to = &mut sides[1 - from];
-        let left = match &what {
-            What::Bytes(bytes) => network.leave_at(own, bytes.len()),
-            What::Over | What::Reset => Instant::now(),
+    /// Puts a segment in flight to the peer of `from`, behind those that are in flight.
+    pub(super) fn send(&self, from: Side, payload: Payload, network: &SimulatedNetwork) {
+        let own_ip = self.ip(from);
+        let mut peer = self.end(from.peer()).borrow_mut();
+        let sent_at = match &payload {
+            Payload::Bytes(bytes) => network.transmitted_at(own_ip, bytes.len()),
+            Payload::Fin | Payload::Reset => Instant::now(),
         };
-        let due = left + network.delay(own, other);
-        let due = to.coming.back().map_or(due, |last| due.max(last.due));
-        to.coming.push_back(Segment { due, what });
-        to.reader.take().into_iter().for_each(Waker::wake);
+        let arrives_at = sent_at + network.delay(own_ip, peer.ip());
+        let last = peer.in_flight.back().map(|segment| segment.arrives_at);
+        let arrives_at = last.map_or(arrives_at, |last| arrives_at.max(last));
+        peer.in_flight.push_back(Segment {
+            arrives_at,
+            payload,
+        });
+        peer.wake_reader();
     }
 
-    /// Moves what has come into the end's hands.
-    fn arrive(&self, at: usize, network: &SimulatedNetwork) {
-        let sides = &mut *self.0.borrow_mut();
-        let (own, other) = (sides[at].address.ip(), sides[1 - at].address.ip());
-        // What was on its way when the sender went is not held up by that.
-        let open = network.reaches(other, own) || (sides[1 - at].vanished && network.powered(own));
+    /// Delivers the segments whose time has come, if the link lets them through.
+    pub(super) fn deliver(&self, side: Side, network: &SimulatedNetwork) {
+        let mut own = self.end(side).borrow_mut();
+        let peer = self.end(side.peer()).borrow();
+        // What was in flight when the sender disappeared is not delayed by that.
+        let is_linked =
+            network.reaches(peer.ip(), own.ip()) || (peer.is_gone && network.has_power(own.ip()));
         let now = Instant::now();
-        let side = &mut sides[at];
-        while open && side.coming.front().is_some_and(|p| p.due <= now) {
-            match side.coming.pop_front().map(|p| p.what) {
-                Some(What::Bytes(bytes)) => side.unread.extend_from_slice(&bytes),
-                Some(What::Over) => side.over = true,
-                Some(What::Reset) => side.broken = Some(ErrorKind::ConnectionReset),
-                None => {}
+        while is_linked && let Some(segment) = own.in_flight.pop_front_if(|s| s.arrives_at <= now) {
+            match segment.payload {
+                Payload::Bytes(bytes) => own.unread.extend_from_slice(&bytes),
+                Payload::Fin => own.fin_received = true,
+                Payload::Reset => own.error = Some(ErrorKind::ConnectionReset),
             }
         }
     }
 
-    /// Bytes, an end (0) or an error that the end may have now.
-    fn take(
+    /// Bytes, the end of the stream (0) or an error, if the end has any of these now.
+    pub(super) fn read(
         &self,
-        at: usize,
+        side: Side,
         buffer: &mut [u8],
         network: &SimulatedNetwork,
     ) -> Option<io::Result<usize>> {
-        self.arrive(at, network);
-        let sides = &mut *self.0.borrow_mut();
-        let side = &mut sides[at];
-        if !side.unread.is_empty() {
-            let length = side.unread.len().min(buffer.len());
-            buffer[..length].copy_from_slice(&side.unread[..length]);
-            side.unread.advance(length);
-            sides[1 - at]
-                .writer
-                .take()
-                .into_iter()
-                .for_each(Waker::wake);
+        self.deliver(side, network);
+        let mut own = self.end(side).borrow_mut();
+        if !own.unread.is_empty() {
+            let length = own.unread.len().min(buffer.len());
+            buffer[..length].copy_from_slice(&own.unread[..length]);
+            own.unread.advance(length);
+            self.end(side.peer()).borrow_mut().wake_writer();
             return Some(Ok(length));
         }
-        if let Some(kind) = side.broken {
+        if let Some(kind) = own.error {
             return Some(Err(kind.into()));
         }
-        side.over.then_some(Ok(0))
-    }
-}
-
-/// What a process holds of a connection.
-pub struct End {
-    line: Rc<ConnectionState>,
-    at: usize,
-    network: Rc<SimulatedNetwork>,
-    timer: Option<Pin<Box<Sleep>>>,
-}
-
-impl End {
-    pub(crate) fn new(
-        line: Rc<ConnectionState>,
-        at: usize,
-        network: Rc<SimulatedNetwork>,
-        hasty: bool,
-    ) -> End {
-        line.0.borrow_mut()[at].hasty = hasty;
-        End {
-            line,
-            at,
-            network,
-            timer: None,
-        }
+        own.fin_received.then_some(Ok(0))
     }
 
-    /// Ends it with a reset, whatever was read.
-    pub fn abort(self) {
-        self.line.0.borrow_mut()[self.at]
-            .unread
-            .extend_from_slice(b"!");
+    /// Registers a reader. Returns when the next segment arrives, if that is in the future. A segment whose time is over
+    /// waits for the link, and whoever repairs that wakes all connections.
+    pub(super) fn wait_for_segment(&self, side: Side, context: &Context) -> Option<Instant> {
+        let mut own = self.end(side).borrow_mut();
+        own.reader = Some(context.waker().clone());
+        let next = own.in_flight.front()?.arrives_at;
+        (next > Instant::now()).then_some(next)
     }
-}
 
-impl Connection for End {
-    fn read_available(&self, buffer: &mut [u8]) -> Option<io::Result<usize>> {
-        self.line.take(self.at, buffer, &self.network)
-    }
-}
-
-impl AsyncRead for End {
-    fn poll_read(
-        mut self: Pin<&mut Self>,
-        context: &mut Context<'_>,
-        buffer: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        loop {
-            let room = buffer.initialize_unfilled();
-            if let Some(read) = self.line.take(self.at, room, &self.network) {
-                return Poll::Ready(read.map(|length| buffer.advance(length)));
-            }
-            let due = {
-                let side = &mut self.line.0.borrow_mut()[self.at];
-                side.reader = Some(context.waker().clone());
-                // Past its time a parcel waits for the way, and whoever opens that wakes everybody.
-                side.coming
-                    .front()
-                    .map(|p| p.due)
-                    .filter(|due| *due > Instant::now())
-            };
-            let Some(due) = due else { return Poll::Pending };
-            let mut timer = Box::pin(sleep_until(due));
-            if timer.as_mut().poll(context).is_pending() {
-                self.timer = Some(timer);
-                return Poll::Pending;
-            }
+    /// Admits a write of up to `wanted` bytes, or registers the writer until the window opens.
+    pub(super) fn admit_write(
+        &self,
+        side: Side,
+        wanted: usize,
+        network: &SimulatedNetwork,
+        context: &Context,
+    ) -> Poll<io::Result<AdmittedWrite>> {
+        let mut own = self.end(side).borrow_mut();
+        let peer = self.end(side.peer()).borrow();
+        if let Some(kind) = own.error {
+            return Poll::Ready(Err(kind.into()));
+        }
+        if own.fin_sent {
+            return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
+        }
+        let window = WINDOW.saturating_sub(peer.pending_bytes());
+        // The window does not open once its reader has gone: a writer of more waits for the reset that is in flight.
+        let waits_for_reset = own.reset_is_in_flight() && window < wanted;
+        if (window == 0 && peer.is_open) || waits_for_reset {
+            own.writer = Some(context.waker().clone());
+            return Poll::Pending;
         }
+        own.unacknowledged_since.get_or_insert_with(Instant::now);
+        let is_closed = !peer.is_open && !peer.is_gone;
+        // A machine that lost power since does not know the connection.
+        let is_unknown = peer.is_gone
+            && network.power_cycles(peer.ip()) != peer.power_cycles
+            && network.has_power(peer.ip());
+        Poll::Ready(Ok(AdmittedWrite {
+            length: if window == 0 {
+                wanted
+            } else {
+                wanted.min(window)
+            },
+            is_answered_by_reset: is_closed || is_unknown,
+            from: own.ip(),
+            to: peer.ip(),
+        }))
     }
-}
 
-impl AsyncWrite for End {
-    fn poll_write(
-        self: Pin<&mut Self>,
-        context: &mut Context<'_>,
+    /// Puts bytes in flight, or the reset that answers them.
+    pub(super) fn write(
+        &self,
+        side: Side,
+        admitted: &AdmittedWrite,
         bytes: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        let (length, answered, from, to) = {
-            let sides = &mut *self.line.0.borrow_mut();
-            if let Some(kind) = sides[self.at].broken {
-                return Poll::Ready(Err(kind.into()));
-            }
-            if sides[self.at].said_over {
-                return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
-            }
-            let other = &sides[1 - self.at];
-            let room = WINDOW.saturating_sub(other.pending());
-            // The window opens no more once its reader has gone: a writer of more waits for the reset that is under way.
-            let reset_comes = sides[self.at]
-                .coming
-                .iter()
-                .any(|parcel| matches!(parcel.what, What::Reset));
-            if (room == 0 && other.held) || (reset_comes && room < bytes.len()) {
-                sides[self.at].writer = Some(context.waker().clone());
-                return Poll::Pending;
-            }
-            let ip = other.address.ip();
-            // Nobody holds the other end: its machine answers with a reset, if it is there.
-            let unknown = other.vanished && self.network.generation(ip) != other.generation;
-            let answered =
-                (!other.held && !other.vanished) || (unknown && self.network.powered(ip));
-            sides[self.at]
-                .unacknowledged
-                .get_or_insert_with(Instant::now);
-            (
-                if room == 0 {
-                    bytes.len()
-                } else {
-                    bytes.len().min(room)
-                },
-                answered,
-                sides[self.at].address.ip(),
-                ip,
-            )
-        };
-        self.network.count_written(from, to, length);
-        if answered {
-            self.line.send(1 - self.at, What::Reset, &self.network);
-        } else {
-            self.line.send(
-                self.at,
-                What::Bytes(Bytes::copy_from_slice(&bytes[..length])),
-                &self.network,
-            );
+        network: &SimulatedNetwork,
+    ) {
+        if admitted.is_answered_by_reset {
+            self.send(side.peer(), Payload::Reset, network);
+            return;
         }
-        Poll::Ready(Ok(length))
+        let bytes = Bytes::copy_from_slice(&bytes[..admitted.length]);
+        self.send(side, Payload::Bytes(bytes), network);
     }
 
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
+    /// Tells the peer that nothing more is written, once.
+    pub(super) fn shut_down(&self, side: Side, network: &SimulatedNetwork) {
+        let was_sent = std::mem::replace(&mut self.end(side).borrow_mut().fin_sent, true);
+        if !was_sent {
+            self.send(side, Payload::Fin, network);
+        }
     }
 
-    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let said = std::mem::replace(&mut self.line.0.borrow_mut()[self.at].said_over, true);
-        if !said {
-            self.line.send(self.at, What::Over, &self.network);
+    /// The process closes its socket: with a reset if there are unread bytes.
+    pub(super) fn close(&self, side: Side, network: &SimulatedNetwork) {
+        if network.has_power(self.ip(side)) {
+            self.deliver(side, network);
+        }
+        if let Some(last) = self.last_segment(side) {
+            let is_linked = network.reaches(self.ip(side), self.ip(side.peer()));
+            if !is_linked && matches!(last, Payload::Reset) {
+                // What the partition delays is lost with the reset of its sender.
+                self.end(side.peer()).borrow_mut().in_flight.clear();
+            }
+            self.send(side, last, network);
         }
-        Poll::Ready(Ok(()))
+        self.wake();
     }
-}
 
-impl Drop for End {
-    fn drop(&mut self) {
-        let ip = self.line.0.borrow()[self.at].address.ip();
-        if self.network.powered(ip) {
-            self.line.arrive(self.at, &self.network);
+    /// Marks an end as closed. Returns what its system sends to the peer.
+    fn last_segment(&self, side: Side) -> Option<Payload> {
+        let mut own = self.end(side).borrow_mut();
+        own.is_open = false;
+        if own.is_gone {
+            return None;
         }
-        let (last, cut) = {
-            let sides = &mut *self.line.0.borrow_mut();
-            let other = sides[1 - self.at].address.ip();
-            let side = &mut sides[self.at];
-            side.held = false;
-            let unread = !side.unread.is_empty();
-            let last = match (side.vanished, unread, side.said_over) {
-                (true, ..) => None,
-                (_, true, _) => Some(What::Reset),
-                (_, _, false) => Some(What::Over),
-                _ => None,
-            };
-            (last, !self.network.reaches(ip, other))
-        };
-        if let Some(last) = last {
-            if cut && matches!(last, What::Reset) {
-                // What the cut holds up is lost with the reset of its sender.
-                self.line.0.borrow_mut()[1 - self.at].coming.clear();
-            }
-            self.line.send(self.at, last, &self.network);
+        if !own.unread.is_empty() {
+            return Some(Payload::Reset);
         }
-        self.line.wake();
+        (!own.fin_sent).then_some(Payload::Fin)
     }
 }
--- a/crates/sparrouter-simulation/src/network/interface.rs
+++ b/crates/sparrouter-simulation/src/network/interface.rs
@@ -1,8 +1,7 @@
-//! The in-memory network as one machine sees it: the implementation of the fleet's network traits.
-#![deny(missing_docs)]
+//! The network as one machine sees it: the implementation of the fleet's network traits.
 
-use crate::network::SimulatedNetwork;
-use crate::network::connection::End;
+use super::SimulatedNetwork;
+use super::socket::Socket;
 use sparrouter_fleet::platform::net::{BoxFuture, Listener, Net, Stream};
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -25,8 +24,12 @@
         NetworkInterface { network, ip }
     }
 
-    /// Connects a stand-in. Unlike connections of nodes this one has no timeout for unacknowledged bytes.
-    pub async fn connect(&self, to: SocketAddr) -> io::Result<End> {
+    /// Connects a stand-in. Unlike connections of nodes this one has no time-out for unacknowledged bytes.
+    ///
+    /// # Errors
+    ///
+    /// If the connection is refused, or the address does not answer in 30 s.
+    pub async fn connect(&self, to: SocketAddr) -> io::Result<Socket> {
         self.network.dial(self.ip, to, false).await
     }
 
@@ -35,37 +38,41 @@
     /// # Errors
     ///
     /// If the address is in use.
-    pub fn open(&self, at: SocketAddr) -> io::Result<SimulatedListener> {
+    pub fn open(&self, address: SocketAddr) -> io::Result<SimulatedListener> {
         Ok(SimulatedListener {
             network: self.network.clone(),
-            at,
-            queue: RefCell::new(self.network.open(at)?),
+            address,
+            accepted: RefCell::new(self.network.open(address)?),
         })
     }
 }
 
 impl Net for NetworkInterface {
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Stream>> {
-        Box::pin(async move { Ok(Box::new(self.network.dial(self.ip, to, true).await?) as Stream) })
+        Box::pin(async move {
+            let socket = self.network.dial(self.ip, to, true).await?;
+            Ok(Box::new(socket) as Stream)
+        })
     }
-    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
-        Ok(Box::new(self.open(at)?))
+
+    fn listen(&self, address: SocketAddr) -> io::Result<Box<dyn Listener>> {
+        Ok(Box::new(self.open(address)?))
     }
 }
 
 /// An address that connections are accepted on, until this is dropped.
 pub struct SimulatedListener {
     network: Rc<SimulatedNetwork>,
-    at: SocketAddr,
-    queue: RefCell<mpsc::UnboundedReceiver<(End, SocketAddr)>>,
+    address: SocketAddr,
+    accepted: RefCell<mpsc::UnboundedReceiver<(Socket, SocketAddr)>>,
 }
 
 impl SimulatedListener {
-    /// Waits for the next connection; gives it with the peer's address.
-    pub async fn next(&self) -> (End, SocketAddr) {
-        match poll_fn(|context| self.queue.borrow_mut().poll_recv(context)).await {
+    /// Waits for the next connection; returns it with the peer's address.
+    pub async fn next(&self) -> (Socket, SocketAddr) {
+        match poll_fn(|context| self.accepted.borrow_mut().poll_recv(context)).await {
             Some(connection) => connection,
-            // The fabric drops the sender only when the listener is closed.
+            // The network drops the sender only when the listener is closed.
             None => std::future::pending().await,
         }
     }
@@ -74,14 +81,14 @@
 impl Listener for SimulatedListener {
     fn accept(&self) -> BoxFuture<'_, io::Result<(Stream, SocketAddr)>> {
         Box::pin(async move {
-            let (end, from) = self.next().await;
-            Ok((Box::new(end) as Stream, from))
+            let (socket, from) = self.next().await;
+            Ok((Box::new(socket) as Stream, from))
         })
     }
 }
 
 impl Drop for SimulatedListener {
     fn drop(&mut self) {
-        self.network.close(self.at);
+        self.network.close(self.address);
     }
 }
