--- a/crates/sparrouter-simulation/src/network/mod.rs
+++ b/crates/sparrouter-simulation/src/network/mod.rs
@@ -1,17 +1,19 @@
-//! The network in memory: which machines are there, what lies between them, connections as bytes with their times.
+//! The network in memory: the machines on it, the state of the links between them, listeners, connections.
 //!
-//! | trouble | what connections see |
+//! | fault | what connections see |
 //! | --- | --- |
-//! | cut, frozen, no power | silence: bytes wait until it is over; a hasty end gives up after `UNACKNOWLEDGED`, and what a cut held up then is lost |
-//! | refusing cut | new connections are refused, bytes on old ones wait |
-//! | no door | refused |
-//! | process ended | an end of stream, or a reset where bytes were unread or come later |
-//! | power lost | nothing; a reset once the machine is there again and hears of the old connection |
-pub mod connection;
+//! | partition, freeze, no power | nothing arrives, and bytes wait until it is over; an end with a user time-out gives up after [`USER_TIMEOUT`], and what a partition delayed then is lost |
+//! | refusing partition | new connections are refused, bytes on established ones wait |
+//! | no listener | new connections are refused |
+//! | end of a process | the end of the stream, or a reset where bytes were unread or arrive later |
+//! | loss of power | nothing; a reset once the machine has power again and receives bytes of an old connection |
+
+mod connection;
 pub mod interface;
+pub mod socket;
 
-use crate::network::connection::{ConnectionState, End};
-use fastrand::Rng;
+use connection::{ConnectionState, Side};
+use socket::Socket;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -22,240 +24,258 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// A hasty end gives up on bytes that are not acknowledged for so long, as TCP_USER_TIMEOUT has it.
-pub const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
-/// How often that is looked at.
-const LOOK: Duration = Duration::from_millis(100);
-/// A connection that nobody answers is tried again after so long, and given up after so many tries.
-const SYN_AGAIN: Duration = Duration::from_secs(1);
-const SYN_TRIES: u32 = 30;
+/// An end with a user time-out gives up on bytes that are not acknowledged for so long, as with TCP_USER_TIMEOUT.
+pub const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How often acknowledgements are checked.
+const ACKNOWLEDGE_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay between two SYN packets, and how many are sent before a connection attempt times out.
+const SYN_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_SYNS: u32 = 30;
+/// Ports of dialing ends begin after this one.
+const FIRST_PORT: u16 = 20_000;
 
-/// What lies between two machines, in one direction.
+/// A partition of the link between two machines, in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Partition {
+    /// Packets are lost.
     PacketsLost,
+    /// Packets are lost, and connection attempts are refused.
     Refusing,
 }
 
 #[derive(Clone, Debug)]
-struct Place {
+struct Machine {
     zone: String,
-    power: bool,
-    frozen: bool,
-    /// Counts losses of power: connections of an earlier one are unknown to the machine.
-    generation: u64,
+    has_power: bool,
+    is_frozen: bool,
+    /// Counts losses of power: the machine does not know connections of an earlier cycle.
+    power_cycles: u64,
 }
 
-type Listeners = BTreeMap<SocketAddr, mpsc::UnboundedSender<(End, SocketAddr)>>;
+/// A connection that was established, and the address that it comes from.
+type Accepted = (Socket, SocketAddr);
 
-struct Inner {
-    indices: BTreeMap<IpAddr, Place>,
-    cuts: BTreeMap<(IpAddr, IpAddr), Partition>,
-    listeners: Listeners,
-    lines: Vec<Weak<ConnectionState>>,
-    next_port: u16,
+#[derive(Default)]
+struct State {
+    machines: BTreeMap<IpAddr, Machine>,
+    partitions: BTreeMap<(IpAddr, IpAddr), Partition>,
+    listeners: BTreeMap<SocketAddr, mpsc::UnboundedSender<Accepted>>,
+    connections: Vec<Weak<ConnectionState>>,
+    last_port: u16,
 }
 
+/// The network between all machines of a simulation.
 pub struct SimulatedNetwork {
-    inner: RefCell<Inner>,
-    pub rng: RefCell<Rng>,
-    in_zone: Duration,
-    across: Duration,
+    state: RefCell<State>,
+    delay_in_zone: Duration,
+    delay_across_zones: Duration,
     /// Bytes written, by machine and the machine that they are for.
     written: RefCell<BTreeMap<(IpAddr, IpAddr), u64>>,
-    /// Bytes a second of each machine's line out; `None`: as many as there are.
-    pub line_rate: Cell<Option<u64>>,
-    /// When each machine's line out has sent what was written so far.
-    line_free: RefCell<BTreeMap<IpAddr, Instant>>,
+    /// Bytes a second that each machine can send; `None`: without limit.
+    pub send_rate: Cell<Option<u64>>,
+    /// When each machine has sent what was written so far; only with a `send_rate`.
+    busy_until: RefCell<BTreeMap<IpAddr, Instant>>,
 }
 
 impl SimulatedNetwork {
-    /// `in_zone`, `across`: one way, in whole ms, as the clock of the runtime knows nothing finer.
-    pub fn new(rng: Rng, in_zone: Duration, across: Duration) -> Rc<SimulatedNetwork> {
-        let inner = Inner {
-            indices: BTreeMap::new(),
-            cuts: BTreeMap::new(),
-            listeners: BTreeMap::new(),
-            lines: Vec::new(),
-            next_port: 20_000,
-        };
+    /// A network without machines. Delays are one way, in whole ms, the resolution of the runtime's clock.
+    pub fn new(delay_in_zone: Duration, delay_across_zones: Duration) -> Rc<SimulatedNetwork> {
         let network = Rc::new(SimulatedNetwork {
-            inner: RefCell::new(inner),
-            rng: RefCell::new(rng),
-            in_zone,
-            across,
+            state: RefCell::new(State {
+                last_port: FIRST_PORT,
+                ..State::default()
+            }),
+            delay_in_zone,
+            delay_across_zones,
             written: RefCell::default(),
-            line_rate: Cell::new(None),
-            line_free: RefCell::default(),
+            send_rate: Cell::new(None),
+            busy_until: RefCell::default(),
         });
-        spawn_local(look(Rc::downgrade(&network)));
+        spawn_local(acknowledge_all(Rc::downgrade(&network)));
         network
     }
 
+    /// Adds a machine with power.
     pub fn add(&self, ip: IpAddr, zone: &str) {
-        let index = Place {
+        let machine = Machine {
             zone: zone.to_owned(),
-            power: true,
-            frozen: false,
-            generation: 0,
+            has_power: true,
+            is_frozen: false,
+            power_cycles: 0,
         };
-        self.inner.borrow_mut().indices.insert(ip, index);
+        self.state.borrow_mut().machines.insert(ip, machine);
     }
 
-    fn change(&self, ip: IpAddr, change: impl FnOnce(&mut Place)) {
-        if let Some(index) = self.inner.borrow_mut().indices.get_mut(&ip) {
-            change(index);
+    fn change_machine(&self, ip: IpAddr, change: impl FnOnce(&mut Machine)) {
+        if let Some(machine) = self.state.borrow_mut().machines.get_mut(&ip) {
+            change(machine);
         }
         self.wake_all();
     }
 
-    /// Without power a machine says nothing more; its connections are forgotten.
+    /// Switches a machine's power. Without power it sends nothing, and its connections are forgotten.
     pub fn power(&self, ip: IpAddr, on: bool) {
         if !on {
-            self.lines().iter().for_each(|l| l.vanish(ip, self));
+            for connection in self.connections() {
+                connection.lose_power(ip, self);
+            }
         }
-        self.change(ip, |index| {
-            index.power = on;
-            index.generation += u64::from(!on);
+        self.change_machine(ip, |machine| {
+            machine.has_power = on;
+            machine.power_cycles += u64::from(!on);
         });
     }
 
-    pub fn freeze(&self, ip: IpAddr, frozen: bool) {
-        self.change(ip, |index| index.frozen = frozen);
+    /// Freezes a machine or lets it continue.
+    pub fn freeze(&self, ip: IpAddr, is_frozen: bool) {
+        self.change_machine(ip, |machine| machine.is_frozen = is_frozen);
     }
 
-    /// One direction; `None` joins them again.
-    pub fn cut(&self, from: IpAddr, to: IpAddr, cut: Option<Partition>) {
+    /// Partitions one direction of a link; `None` repairs it.
+    pub fn partition(&self, from: IpAddr, to: IpAddr, partition: Option<Partition>) {
         {
-            let mut inner = self.inner.borrow_mut();
-            match cut {
-                Some(cut) => drop(inner.cuts.insert((from, to), cut)),
-                None => drop(inner.cuts.remove(&(from, to))),
-            }
+            let partitions = &mut self.state.borrow_mut().partitions;
+            match partition {
+                Some(partition) => partitions.insert((from, to), partition),
+                None => partitions.remove(&(from, to)),
+            };
         }
         self.wake_all();
     }
 
-    pub fn partition_both(&self, a: IpAddr, b: IpAddr, cut: Option<Partition>) {
-        self.cut(a, b, cut);
-        self.cut(b, a, cut);
+    /// Partitions both directions of a link; `None` repairs them.
+    pub fn partition_both(&self, a: IpAddr, b: IpAddr, partition: Option<Partition>) {
+        self.partition(a, b, partition);
+        self.partition(b, a, partition);
     }
 
-    /// All connections of a machine are reset at both ends.
+    /// Resets all connections of a machine, at both ends.
     pub fn reset(&self, ip: IpAddr) {
-        self.lines()
-            .iter()
-            .filter(|l| l.touches(ip))
-            .for_each(|l| l.reset());
+        for connection in self.connections() {
+            if connection.involves(ip) {
+                connection.reset();
+            }
+        }
     }
 
-    fn lines(&self) -> Vec<Rc<ConnectionState>> {
-        self.inner
-            .borrow()
-            .lines
-            .iter()
-            .filter_map(Weak::upgrade)
-            .collect()
+    fn connections(&self) -> Vec<Rc<ConnectionState>> {
+        let state = self.state.borrow();
+        state.connections.iter().filter_map(Weak::upgrade).collect()
     }
 
     fn wake_all(&self) {
-        self.lines().iter().for_each(|l| l.wake());
+        for connection in self.connections() {
+            connection.wake();
+        }
     }
 
+    /// One-way delay between two machines.
     pub fn delay(&self, a: IpAddr, b: IpAddr) -> Duration {
-        let inner = self.inner.borrow();
-        let zone = |ip| inner.indices.get(ip).map(|p| p.zone.as_str());
+        let state = self.state.borrow();
+        let zone = |ip| state.machines.get(ip).map(|machine| machine.zone.as_str());
         if zone(&a) == zone(&b) {
-            self.in_zone
+            self.delay_in_zone
         } else {
-            self.across
+            self.delay_across_zones
         }
     }
 
-    /// Whether a word gets from one to the other now.
+    /// Whether a packet gets from one machine to the other now.
     pub fn reaches(&self, from: IpAddr, to: IpAddr) -> bool {
-        let inner = self.inner.borrow();
-        let up = |ip| inner.indices.get(ip).is_some_and(|p| p.power && !p.frozen);
-        up(&from) && up(&to) && !inner.cuts.contains_key(&(from, to))
+        let state = self.state.borrow();
+        let runs = |ip| {
+            let machine = state.machines.get(ip);
+            machine.is_some_and(|machine| machine.has_power && !machine.is_frozen)
+        };
+        runs(&from) && runs(&to) && !state.partitions.contains_key(&(from, to))
     }
 
-    pub fn generation(&self, ip: IpAddr) -> u64 {
-        self.inner
-            .borrow()
-            .indices
-            .get(&ip)
-            .map_or(0, |p| p.generation)
+    /// How often a machine has lost power.
+    pub fn power_cycles(&self, ip: IpAddr) -> u64 {
+        let state = self.state.borrow();
+        state.machines.get(&ip).map_or(0, |m| m.power_cycles)
     }
 
-    pub fn powered(&self, ip: IpAddr) -> bool {
-        self.inner
-            .borrow()
-            .indices
-            .get(&ip)
-            .is_some_and(|p| p.power)
+    /// Whether a machine has power.
+    pub fn has_power(&self, ip: IpAddr) -> bool {
+        let state = self.state.borrow();
+        state.machines.get(&ip).is_some_and(|m| m.has_power)
     }
 
-    /// Whether the way from one to the other is cut.
-    pub fn is_cut(&self, from: IpAddr, to: IpAddr) -> bool {
-        self.inner.borrow().cuts.contains_key(&(from, to))
+    /// Whether the link from one machine to the other is partitioned.
+    pub fn is_partitioned(&self, from: IpAddr, to: IpAddr) -> bool {
+        self.state.borrow().partitions.contains_key(&(from, to))
     }
 
     fn refuses(&self, from: IpAddr, to: IpAddr) -> bool {
-        self.inner.borrow().cuts.get(&(from, to)) == Some(&Partition::Refusing)
+        self.state.borrow().partitions.get(&(from, to)) == Some(&Partition::Refusing)
     }
 
+    /// Establishes a connection, however long that takes, up to [`MAX_SYNS`] attempts.
     pub(crate) async fn dial(
         self: &Rc<Self>,
         from: IpAddr,
         to: SocketAddr,
-        hasty: bool,
-    ) -> io::Result<End> {
-        let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
-        for _ in 0..SYN_TRIES {
+        has_user_timeout: bool,
+    ) -> io::Result<Socket> {
+        for _ in 0..MAX_SYNS {
             if self.refuses(from, to.ip()) {
                 sleep(self.delay(from, to.ip())).await;
-                return Err(refused());
+                return Err(io::ErrorKind::ConnectionRefused.into());
             }
             if self.reaches(from, to.ip()) && self.reaches(to.ip(), from) {
-                sleep(self.delay(from, to.ip())).await;
-                let listener = self.inner.borrow().listeners.get(&to).cloned();
-                let Some(listener) = listener else {
-                    return Err(refused());
-                };
-                let port = {
-                    let mut inner = self.inner.borrow_mut();
-                    inner.next_port = inner.next_port.checked_add(1).unwrap_or(20_000);
-                    inner.next_port
-                };
-                let own = SocketAddr::new(from, port);
-                let line = ConnectionState::new([own, to], self);
-                self.inner.borrow_mut().lines.push(Rc::downgrade(&line));
-                let far = End::new(line.clone(), 1, self.clone(), true);
-                let near = End::new(line, 0, self.clone(), hasty);
-                if listener.send((far, own)).is_err() {
-                    return Err(refused());
-                }
-                sleep(self.delay(from, to.ip())).await;
-                return Ok(near);
+                return self.establish(from, to, has_user_timeout).await;
             }
-            sleep(SYN_AGAIN).await;
+            sleep(SYN_INTERVAL).await;
         }
         Err(io::ErrorKind::TimedOut.into())
     }
 
-    /// When so many bytes that are written now have left a machine: its line sends what was written first, first.
-    pub(crate) fn leave_at(&self, from: IpAddr, bytes: usize) -> Instant {
+    async fn establish(
+        self: &Rc<Self>,
+        from: IpAddr,
+        to: SocketAddr,
+        has_user_timeout: bool,
+    ) -> io::Result<Socket> {
+        let delay = self.delay(from, to.ip());
+        sleep(delay).await;
+        let listener = self.state.borrow().listeners.get(&to).cloned();
+        let listener = listener.ok_or(io::ErrorKind::ConnectionRefused)?;
+        let own = SocketAddr::new(from, self.next_port());
+        let connection = ConnectionState::new([own, to], self);
+        self.state
+            .borrow_mut()
+            .connections
+            .push(Rc::downgrade(&connection));
+        let accepted = Socket::new(connection.clone(), Side::Accepted, self.clone(), true);
+        let dialed = Socket::new(connection, Side::Dialed, self.clone(), has_user_timeout);
+        if listener.send((accepted, own)).is_err() {
+            return Err(io::ErrorKind::ConnectionRefused.into());
+        }
+        sleep(delay).await;
+        Ok(dialed)
+    }
+
+    fn next_port(&self) -> u16 {
+        let last_port = &mut self.state.borrow_mut().last_port;
+        *last_port = last_port.checked_add(1).unwrap_or(FIRST_PORT);
+        *last_port
+    }
+
+    /// When so many bytes that are written now have left a machine, which sends in the order of writing.
+    fn transmitted_at(&self, from: IpAddr, bytes: usize) -> Instant {
         let now = Instant::now();
-        let Some(rate) = self.line_rate.get() else {
+        let Some(rate) = self.send_rate.get() else {
             return now;
         };
-        let mut lines = self.line_free.borrow_mut();
-        let free = lines.entry(from).or_insert(now);
-        *free = (*free).max(now) + Duration::from_secs_f64(bytes as f64 / rate as f64);
-        *free
+        let mut busy_until = self.busy_until.borrow_mut();
+        let busy_until = busy_until.entry(from).or_insert(now);
+        let duration = Duration::from_secs_f64(bytes as f64 / rate as f64);
+        *busy_until = (*busy_until).max(now) + duration;
+        *busy_until
     }
 
-    pub(crate) fn count_written(&self, from: IpAddr, to: IpAddr, bytes: usize) {
+    fn count_written(&self, from: IpAddr, to: IpAddr, bytes: usize) {
         *self.written.borrow_mut().entry((from, to)).or_default() += bytes as u64;
     }
 
@@ -264,39 +284,39 @@
         self.written.borrow().get(&(from, to)).copied().unwrap_or(0)
     }
 
-    pub(crate) fn open(
-        &self,
-        at: SocketAddr,
-    ) -> io::Result<mpsc::UnboundedReceiver<(End, SocketAddr)>> {
-        let mut inner = self.inner.borrow_mut();
-        if inner.listeners.contains_key(&at) {
+    fn open(&self, address: SocketAddr) -> io::Result<mpsc::UnboundedReceiver<Accepted>> {
+        let listeners = &mut self.state.borrow_mut().listeners;
+        if listeners.contains_key(&address) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
-        let (give, take) = mpsc::unbounded_channel();
-        inner.listeners.insert(at, give);
-        Ok(take)
+        let (sender, accepted) = mpsc::unbounded_channel();
+        listeners.insert(address, sender);
+        Ok(accepted)
     }
 
-    pub(crate) fn close(&self, at: SocketAddr) {
-        let listener = self.inner.borrow_mut().listeners.remove(&at);
+    fn close(&self, address: SocketAddr) {
+        let listener = self.state.borrow_mut().listeners.remove(&address);
+        // Connections that nobody accepted are closed with it, which borrows the state.
         drop(listener);
     }
 }
 
-/// Ends that wait in vain give up; lines that both ends have left are forgotten.
-async fn look(network: Weak<SimulatedNetwork>) {
+/// Acknowledges what arrived on all connections, for as long as the network exists, and forgets closed connections.
+async fn acknowledge_all(network: Weak<SimulatedNetwork>) {
     loop {
-        sleep(LOOK).await;
+        sleep(ACKNOWLEDGE_INTERVAL).await;
         let Some(network) = network.upgrade() else {
             return;
         };
-        let lines = network.lines();
+        let connections = network.connections();
         let now = Instant::now();
-        lines.iter().for_each(|l| l.look(&network, now));
+        for connection in &connections {
+            connection.acknowledge(&network, now);
+        }
         network
-            .inner
+            .state
             .borrow_mut()
-            .lines
-            .retain(|l| l.strong_count() > 0);
+            .connections
+            .retain(|connection| connection.strong_count() > 0);
     }
 }
--- a/crates/sparrouter-simulation/src/order_load.rs
+++ b/crates/sparrouter-simulation/src/order_load.rs
@@ -1,12 +1,14 @@
-//! Several operators at once over a core in trouble, drawn by seed, for the check of their history.
+//! Several operators at once over a core with faults, drawn by seed, for the check of their history.
 //!
-//! Each operator reads, builds orders on what it last knew, sends them to any node, sends them again or gives up, takes
-//! up orders that others sent long ago, and puts other bodies under their numbers. One machine of the core at a time is
-//! killed, frozen, cut off or without power, answers to the operators are lost, and at times every process ends.
+//! Each operator reads, builds orders on the configuration that it knows, sends them to any node, sends them again or gives
+//! up, repeats orders that others sent long ago, and sends other bodies under their numbers. One core machine at a time is
+//! killed, frozen, partitioned or without power, answers to the operators are lost, and at times all processes end.
+
 use crate::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
 use crate::configuration::{Configuration, Route, RouteKind};
 use crate::network::Partition;
 use crate::operator::{Encoding, Order};
+use crate::scenario::CATCH_UP;
 use fastrand::Rng;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,42 +18,51 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+/// Separates the random numbers of a load from those of its cluster with the same seed.
+const DRAW_SEED: u64 = 0x0dde_4557;
+/// Operators at once.
 const OPERATORS: usize = 4;
-/// Troubles one after the other.
-const TROUBLES: usize = 8;
-/// A machine that is back counts as lost for so long.
-const CATCH_UP: Duration = Duration::from_secs(4);
+/// Faults, one after the other.
+const FAULTS: usize = 8;
+/// Routes of a configuration that another one is added to, at most.
+const MAX_ROUTES: usize = 8;
 
-/// What a storm came to.
+/// The result of a load.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
+    /// Violations of rules, each beginning with the rule's name.
     pub violations: Vec<String>,
-    pub story: Vec<String>,
+    /// What happened, in order, with the time in seconds.
+    pub trace: Vec<String>,
+    /// Calls in the history.
     pub calls: usize,
+    /// Orders that a node acknowledged.
     pub acknowledged: u32,
-    pub refused: u32,
+    /// Orders that a node rejected.
+    pub rejected: u32,
+    /// Orders without a clear answer.
     pub unclear: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum CoreFault {
     Killed,
     PowerLost,
     Frozen,
-    CutOff(Partition),
+    Partitioned(Partition),
     /// Its answers to operators are lost.
-    ServerResets,
+    AnswersLost,
     AllKilled,
 }
 
-const ALL_TROUBLES: [Trouble; 7] = [
-    Trouble::Killed,
-    Trouble::PowerLost,
-    Trouble::Frozen,
-    Trouble::CutOff(Partition::PacketsLost),
-    Trouble::CutOff(Partition::Refusing),
-    Trouble::ServerResets,
-    Trouble::AllKilled,
+const CORE_FAULTS: [CoreFault; 7] = [
+    CoreFault::Killed,
+    CoreFault::PowerLost,
+    CoreFault::Frozen,
+    CoreFault::Partitioned(Partition::PacketsLost),
+    CoreFault::Partitioned(Partition::Refusing),
+    CoreFault::AnswersLost,
+    CoreFault::AllKilled,
 ];
 
 struct OrderLoad {
@@ -59,65 +70,65 @@
     rng: RefCell<Rng>,
     /// Orders that were sent, whatever became of them.
     sent: RefCell<Vec<Order>>,
-    /// Configurations by their text, to build on what was read.
-    plans: RefCell<BTreeMap<String, Configuration>>,
-    over: Cell<bool>,
+    /// Configurations by their JSON, to build on what was read.
+    configurations: RefCell<BTreeMap<String, Configuration>>,
+    is_over: Cell<bool>,
     report: RefCell<Report>,
 }
 
-/// Plays a storm to its end and checks its history.
+/// Plays a load to its end and checks its history.
 pub async fn play(seed: u64) -> Report {
-    let mut rng = Rng::with_seed(seed ^ 0x0dde_4557);
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        core: if rng.u8(..4) == 0 { 5 } else { 3 },
-        others: rng.usize(1..3),
+    let mut rng = Rng::with_seed(seed ^ DRAW_SEED);
+    let settings = ClusterSettings {
+        core_machines: if rng.u8(..4) == 0 { 5 } else { 3 },
+        edge_machines: rng.usize(1..3),
         servers: 1,
-        sync: Duration::from_millis([1, 2, 6, 30][rng.usize(..4)]),
-        across: Duration::from_millis(rng.u64(2..12)),
-        ..ClusterSettings::seeded(seed)
-    })
-    .await;
-    let storm = Rc::new(OrderLoad {
+        write_delay: Duration::from_millis([1, 2, 6, 30][rng.usize(..4)]),
+        cross_zone_delay: Duration::from_millis(rng.u64(2..12)),
+        ..ClusterSettings::with_seed(seed)
+    };
+    let cluster = SimulatedCluster::serving(settings).await;
+    let load = Rc::new(OrderLoad {
         cluster: cluster.clone(),
         rng: RefCell::new(rng),
         sent: RefCell::default(),
-        plans: RefCell::default(),
-        over: Cell::new(false),
+        configurations: RefCell::default(),
+        is_over: Cell::new(false),
         report: RefCell::default(),
     });
-    storm.remember(&initial_configuration());
+    load.remember(&initial_configuration());
     let operators: Vec<_> = (0..OPERATORS)
-        .map(|n| spawn_local(storm.clone().operate(n)))
+        .map(|n| spawn_local(load.clone().operate(n)))
         .collect();
-    for _ in 0..TROUBLES {
-        storm.pause(100..1_500).await;
-        storm.strike().await;
+    for _ in 0..FAULTS {
+        load.pause(100..1_500).await;
+        load.inject_fault().await;
     }
-    storm.over.set(true);
+    load.is_over.set(true);
+    let monitor = &cluster.monitor;
     for operator in operators {
         if operator.await.is_err() {
-            cluster
-                .monitor
-                .report_violation("FAULT", "an operator did not come to its end");
+            monitor.report_violation("FAULT", "an operator did not come to its end");
         }
     }
-    storm.settle().await;
-    cluster.monitor.check_history();
-    let mut report = storm.report.borrow().clone();
-    report.calls = cluster.monitor.history.borrow().len();
-    report.violations = cluster.monitor.violations();
-    report.story = cluster.monitor.event_trace();
+    load.repeat_all().await;
+    monitor.check_history();
+    let mut report = load.report.borrow().clone();
+    report.calls = monitor.history.borrow().len();
+    report.violations = monitor.violations();
+    report.trace = monitor.event_trace();
     report
 }
 
 impl OrderLoad {
-    async fn pause(&self, ms: std::ops::Range<u64>) {
-        let pause = Duration::from_millis(self.rng.borrow_mut().u64(ms));
-        sleep(pause).await;
+    async fn pause(&self, range_ms: std::ops::Range<u64>) {
+        let pause_ms = self.rng.borrow_mut().u64(range_ms);
+        sleep(Duration::from_millis(pause_ms)).await;
     }
 
-    fn one_in(&self, many: u32) -> bool {
-        self.rng.borrow_mut().u32(..many) == 0
+    /// True once in `n` draws on average.
+    fn one_in(&self, n: u32) -> bool {
+        self.rng.borrow_mut().u32(..n) == 0
     }
 
     fn any_node(&self) -> SocketAddr {
@@ -127,52 +138,54 @@
     }
 
     fn remember(&self, configuration: &Configuration) {
-        self.plans
+        self.configurations
             .borrow_mut()
             .insert(configuration.json(), configuration.clone());
     }
 
-    /// One operator until the troubles are over.
-    async fn operate(self: Rc<Self>, own: usize) {
+    /// One operator until the faults are over.
+    async fn operate(self: Rc<Self>, number: usize) {
         let mut known = initial_configuration();
-        let mut round = 0;
-        while !self.over.get() {
+        let mut orders = 0;
+        while !self.is_over.get() {
             self.pause(0..400).await;
-            round += 1;
+            orders += 1;
             if let Some(read) = self.read().await {
                 known = read;
             }
             let order = match self.old_order() {
                 Some(old) => old,
-                None => self.new_order(&known, &format!("o{own}n{round}")),
+                None => self.new_order(&known, &format!("o{number}n{orders}")),
             };
-            if self.submit(&order).await == 200 && order.configuration.version > known.version {
+            let status = self.submit(&order).await;
+            if status == 200 && order.configuration.version > known.version {
                 known = order.configuration.clone();
             }
         }
     }
 
-    /// The configuration that a node reads, if it answers with one; half of the time nobody is asked.
+    /// The configuration that a node has, if it answers with one; half of the time no node is asked.
     async fn read(&self) -> Option<Configuration> {
         if self.one_in(2) {
             return None;
         }
-        let to = self.any_node();
-        let reply = self.cluster.operator.get_from(to).await?;
-        self.plans.borrow().get(reply.text()).cloned()
+        let node = self.any_node();
+        let reply = self.cluster.operator.get_from(node).await?;
+        self.configurations.borrow().get(reply.text()).cloned()
     }
 
-    /// At times an order of anybody's is sent once more, as it was or with another body under its number.
+    /// At times an order of any operator, as it was or with another body under its number.
     fn old_order(&self) -> Option<Order> {
         if !self.one_in(3) {
             return None;
         }
-        let sent = self.sent.borrow();
-        if sent.is_empty() {
-            return None;
-        }
-        let old = sent[self.rng.borrow_mut().usize(..sent.len())].clone();
-        drop(sent);
+        let old = {
+            let sent = self.sent.borrow();
+            if sent.is_empty() {
+                return None;
+            }
+            sent[self.rng.borrow_mut().usize(..sent.len())].clone()
+        };
         if self.one_in(2) {
             return Some(old);
         }
@@ -182,28 +195,29 @@
         Some(Order::new(&configuration, old.base, Encoding::Full, true))
     }
 
-    fn new_order(&self, base: &Configuration, name: &str) -> Order {
+    fn new_order(&self, base: &Configuration, route: &str) -> Order {
         let step = self.rng.borrow_mut().u64(1..4);
-        let configuration = base.next(step, |p| {
-            p.routes.truncate(8);
-            p.routes
-                .push(Route::new(name, RouteKind::Idempotent, "models"));
+        let configuration = base.next(step, |next| {
+            next.routes.truncate(MAX_ROUTES);
+            next.routes
+                .push(Route::new(route, RouteKind::Idempotent, "models"));
         });
         self.remember(&configuration);
-        let how = match self.one_in(2) {
-            true => Encoding::Full,
-            false => Encoding::Patch(base.clone()),
+        let encoding = if self.one_in(2) {
+            Encoding::Full
+        } else {
+            Encoding::Patch(base.clone())
         };
-        Order::new(&configuration, base.version, how, true)
+        Order::new(&configuration, base.version, encoding, true)
     }
 
-    /// Sends an order until there is a clear answer, or the operator gives up.
+    /// Sends an order until there is a clear answer, or the operator gives up. Returns the status, 0 without one.
     async fn submit(&self, order: &Order) -> u16 {
         self.sent.borrow_mut().push(order.clone());
-        let tries = self.rng.borrow_mut().u32(1..8);
-        for _ in 0..tries {
-            let to = self.any_node();
-            let status = self.cluster.operator.send(to, order).await;
+        let attempts = self.rng.borrow_mut().u32(1..8);
+        for _ in 0..attempts {
+            let node = self.any_node();
+            let status = self.cluster.operator.send(node, order).await;
             self.count(status);
             if matches!(status, 200 | 400..=499) {
                 return status;
@@ -217,71 +231,86 @@
         let mut report = self.report.borrow_mut();
         match status {
             200 => report.acknowledged += 1,
-            400..=499 => report.refused += 1,
+            400..=499 => report.rejected += 1,
             _ => report.unclear += 1,
         }
     }
 
-    async fn strike(&self) {
-        let trouble = ALL_TROUBLES[self.rng.borrow_mut().usize(..ALL_TROUBLES.len())];
-        let names = match self.one_in(4) {
-            true => self.cluster.names(),
-            false => self.cluster.core(),
+    /// Injects a random fault at a random machine, and waits until that does not count as lost.
+    async fn inject_fault(&self) {
+        let fault = CORE_FAULTS[self.rng.borrow_mut().usize(..CORE_FAULTS.len())];
+        let names = if self.one_in(4) {
+            self.cluster.names()
+        } else {
+            self.cluster.core()
         };
         let name = names[self.rng.borrow_mut().usize(..names.len())].clone();
-        self.cluster.monitor.trace(format!("-- {trouble:?} {name}"));
-        let w = &self.cluster;
-        match trouble {
-            Trouble::Killed => {
-                w.kill(&name);
-                self.pause(50..3_000).await;
-                w.start(&name, false);
-            }
-            Trouble::PowerLost => {
-                w.power_off(&name);
-                self.pause(200..3_000).await;
-                w.power_on(&name);
-            }
-            Trouble::Frozen => {
-                w.freeze(&name, true);
-                self.pause(200..6_000).await;
-                w.freeze(&name, false);
-            }
-            Trouble::CutOff(cut) => {
-                w.partition(&[&name], Some(cut));
-                self.pause(200..6_000).await;
-                w.partition(&[&name], None);
-            }
-            Trouble::ServerResets => {
-                let (from, to) = (w.ip(&name), w.operator_ip());
-                w.network.cut(from, to, Some(Partition::PacketsLost));
-                self.pause(200..4_000).await;
-                w.network.cut(from, to, None);
-                return;
-            }
-            Trouble::AllKilled => {
-                w.names().iter().for_each(|n| w.kill(n));
-                self.pause(50..800).await;
-                w.start_all(false).await;
-            }
+        self.cluster.monitor.trace(format!("-- {fault:?} {name}"));
+        match fault {
+            CoreFault::Killed => self.kill(&name).await,
+            CoreFault::PowerLost => self.power_off(&name).await,
+            CoreFault::Frozen => self.freeze(&name).await,
+            CoreFault::Partitioned(partition) => self.partition(&name, partition).await,
+            CoreFault::AllKilled => self.kill_all().await,
+            // The machine itself is not lost.
+            CoreFault::AnswersLost => return self.lose_answers(&name).await,
         }
         sleep(CATCH_UP).await;
     }
 
-    /// In calm, every order is sent once more to a node that answers, and each node reads.
-    async fn settle(&self) {
+    async fn kill(&self, name: &str) {
+        self.cluster.kill(name);
+        self.pause(50..3_000).await;
+        self.cluster.start(name, false);
+    }
+
+    async fn power_off(&self, name: &str) {
+        self.cluster.power_off(name);
+        self.pause(200..3_000).await;
+        self.cluster.power_on(name);
+    }
+
+    async fn freeze(&self, name: &str) {
+        self.cluster.freeze(name, true);
+        self.pause(200..6_000).await;
+        self.cluster.freeze(name, false);
+    }
+
+    async fn partition(&self, name: &str, partition: Partition) {
+        self.cluster.partition(&[name], Some(partition));
+        self.pause(200..6_000).await;
+        self.cluster.partition(&[name], None);
+    }
+
+    async fn kill_all(&self) {
+        for name in self.cluster.names() {
+            self.cluster.kill(&name);
+        }
+        self.pause(50..800).await;
+        self.cluster.start_all(false).await;
+    }
+
+    async fn lose_answers(&self, name: &str) {
+        let network = &self.cluster.network;
+        let (from, to) = (self.cluster.ip(name), self.cluster.operator_ip());
+        network.partition(from, to, Some(Partition::PacketsLost));
+        self.pause(200..4_000).await;
+        network.partition(from, to, None);
+    }
+
+    /// Without faults, every order is sent once more to a node that answers, and each node is read.
+    async fn repeat_all(&self) {
         let sent = self.sent.borrow().clone();
         for order in sent {
-            let to = self.any_node();
-            self.cluster.operator.send(to, &order).await;
+            let node = self.any_node();
+            self.cluster.operator.send(node, &order).await;
         }
         for name in self.cluster.names() {
-            let to = self.cluster.control_of(&name);
-            let read = self.cluster.operator.get_from(to).await;
-            if read.is_none_or(|r| r.status != 200) {
-                self.cluster
-                    .monitor
-                    .report_violation("LOST", format!("{name} reads nothing in calm"));
+            let node = self.cluster.control_of(&name);
+            let reply = self.cluster.operator.get_from(node).await;
+            if reply.is_none_or(|reply| reply.status != 200) {
+                let description = format!("{name} reads nothing without a fault");
+                self.cluster.monitor.report_violation("LOST", description);
             }
         }
     }
--- a/crates/sparrouter-simulation/src/process.rs
+++ b/crates/sparrouter-simulation/src/process.rs
@@ -1,22 +1,22 @@
-//! A simulated process: all its tasks together, so that it can be frozen, or killed between any two steps.
-#![deny(missing_docs)]
+//! A simulated process: all its tasks together, so that it can be frozen, slowed, or killed between any two steps.
 
 use std::cell::{Cell, RefCell};
 use std::future::{Future, poll_fn};
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Poll, Waker};
+use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Sleep, sleep};
 
 #[derive(Default)]
 struct ProcessState {
+    /// All its tasks; `None` while they are polled, and once the process has ended.
     tasks: RefCell<Option<LocalSet>>,
-    frozen: Cell<bool>,
-    /// Pause between two turns.
+    is_frozen: Cell<bool>,
+    /// Pause between two polls of its tasks.
     pace: Cell<Duration>,
-    ended: Cell<bool>,
+    has_ended: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
@@ -26,76 +26,85 @@
 impl SimulatedProcess {
     /// Starts a process. It ends when `main` does, whatever other tasks it has.
     pub fn start(main: impl Future<Output = ()> + 'static) -> SimulatedProcess {
-        let inside = Rc::new(ProcessState::default());
+        let state = Rc::new(ProcessState::default());
         let tasks = LocalSet::new();
-        let held = Rc::downgrade(&inside);
+        let main_state = Rc::downgrade(&state);
         tasks.spawn_local(async move {
             main.await;
-            if let Some(inside) = held.upgrade() {
-                inside.ended.set(true);
+            if let Some(state) = main_state.upgrade() {
+                state.has_ended.set(true);
             }
         });
-        *inside.tasks.borrow_mut() = Some(tasks);
-        let driven = inside.clone();
-        let mut rest: Option<Pin<Box<Sleep>>> = None;
+        *state.tasks.borrow_mut() = Some(tasks);
+        let polled_state = state.clone();
+        let mut pause = None;
         spawn_local(poll_fn(move |context| {
-            *driven.waker.borrow_mut() = Some(context.waker().clone());
-            if driven.frozen.get() {
-                return Poll::Pending;
-            }
-            if rest
-                .as_mut()
-                .is_some_and(|r| r.as_mut().poll(context).is_pending())
-            {
-                return Poll::Pending;
-            }
-            let pace = driven.pace.get();
-            rest = (!pace.is_zero()).then(|| Box::pin(sleep(pace)));
-            // Taken out while it is polled, so that the process can be inspected by its own tasks.
-            let Some(mut tasks) = driven.tasks.borrow_mut().take() else {
-                return Poll::Ready(());
-            };
-            let polled = Pin::new(&mut tasks).poll(context);
-            if driven.ended.get() || polled.is_ready() {
-                driven.ended.set(true);
-                return Poll::Ready(());
-            }
-            *driven.tasks.borrow_mut() = Some(tasks);
-            // Registers the waker for the end of the pause, if there is one.
-            let _ = rest.as_mut().map(|r| r.as_mut().poll(context));
-            Poll::Pending
+            polled_state.poll(&mut pause, context)
         }));
-        SimulatedProcess(inside)
+        SimulatedProcess(state)
     }
 
     /// Whether the process has ended by itself.
     pub fn has_ended(&self) -> bool {
-        self.0.ended.get()
+        self.0.has_ended.get()
     }
 
     /// Freezes the process or lets it continue. Its clock advances meanwhile.
-    pub fn freeze(&self, frozen: bool) {
-        self.0.frozen.set(frozen);
-        self.wake();
+    pub fn freeze(&self, is_frozen: bool) {
+        self.0.is_frozen.set(is_frozen);
+        self.0.wake();
     }
 
-    /// Slows the process by a pause between its turns; zero: full speed.
+    /// Slows the process by a pause between two polls of its tasks; zero: full speed.
     pub fn slow(&self, pace: Duration) {
         self.0.pace.set(pace);
-        self.wake();
+        self.0.wake();
     }
+}
 
+impl ProcessState {
     fn wake(&self) {
-        if let Some(waker) = self.0.waker.borrow_mut().take() {
+        if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
         }
     }
+
+    /// Polls the tasks once, unless the process is frozen or pauses.
+    fn poll(&self, pause: &mut Option<Pin<Box<Sleep>>>, context: &mut Context) -> Poll<()> {
+        *self.waker.borrow_mut() = Some(context.waker().clone());
+        if self.is_frozen.get() {
+            return Poll::Pending;
+        }
+        if let Some(pause) = pause
+            && pause.as_mut().poll(context).is_pending()
+        {
+            return Poll::Pending;
+        }
+        let pace = self.pace.get();
+        *pause = (!pace.is_zero()).then(|| Box::pin(sleep(pace)));
+        // Taken out while it is polled, so that the process can be inspected by its own tasks.
+        let Some(mut tasks) = self.tasks.borrow_mut().take() else {
+            return Poll::Ready(());
+        };
+        let is_idle = Pin::new(&mut tasks).poll(context).is_ready();
+        if self.has_ended.get() || is_idle {
+            self.has_ended.set(true);
+            return Poll::Ready(());
+        }
+        *self.tasks.borrow_mut() = Some(tasks);
+        if let Some(pause) = pause {
+            // Registers the waker for the end of the pause.
+            let _ = pause.as_mut().poll(context);
+        }
+        Poll::Pending
+    }
 }
 
 impl Drop for SimulatedProcess {
     fn drop(&mut self) {
         let tasks = self.0.tasks.borrow_mut().take();
+        // The tasks are dropped without a borrow of the state, which they may inspect.
         drop(tasks);
-        self.wake();
+        self.0.wake();
     }
 }
--- a/crates/sparrouter-simulation/src/runtime.rs
+++ b/crates/sparrouter-simulation/src/runtime.rs
@@ -1,4 +1,5 @@
-//! Tells a story: a runtime whose clock runs only where nothing else does, and the rules at the end.
+//! Virtual time: a runtime whose clock advances only when no task can run, and the panics of its tasks.
+
 use crate::cluster::SimulatedCluster;
 use std::cell::RefCell;
 use std::future::Future;
@@ -7,20 +8,28 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-/// Runs to its end in virtual time; nothing sleeps for real.
-pub fn play<T>(story: impl Future<Output = T>) -> T {
+/// Runs a future to its end in virtual time; nothing sleeps for real.
+///
+/// # Panics
+///
+/// If the future does.
+pub fn play<T>(future: impl Future<Output = T>) -> T {
     let runtime = Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
     let runtime = runtime.expect("a runtime without I/O needs nothing that may be missing");
-    LocalSet::new().block_on(&runtime, story)
+    LocalSet::new().block_on(&runtime, future)
 }
 
-/// A story whose world is judged at the end.
-pub fn run_checked<F: Future<Output = Rc<SimulatedCluster>>>(story: impl FnOnce() -> F) {
+/// Runs a test, and checks the rules that need the whole history at its end.
+///
+/// # Panics
+///
+/// If the test does, or if a rule was violated.
+pub fn run_checked<F: Future<Output = Rc<SimulatedCluster>>>(test: impl FnOnce() -> F) {
     play(async move {
-        let cluster = story().await;
+        let cluster = test().await;
         cluster.monitor.check_history();
         cluster.monitor.assert_no_violations();
     });
@@ -30,18 +39,19 @@
     static PANICS: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-/// From now on panics are kept for `panics` of their thread: the runtime ends the task alone and says nothing of it.
+/// Collects panics for [`take_panics`] from now on, instead of printing them: the runtime ends only the task that panics,
+/// and reports nothing.
 pub fn collect_panics() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
         std::panic::set_hook(Box::new(|panic| {
-            // A thread that ends keeps nothing any more.
-            let _ = PANICS.try_with(|kept| kept.borrow_mut().push(panic.to_string()));
+            // A thread that ends has no list any more.
+            let _ = PANICS.try_with(|panics| panics.borrow_mut().push(panic.to_string()));
         }));
     });
 }
 
-/// Those of this thread since the last call.
-pub fn panics() -> Vec<String> {
+/// Panics of this thread since the last call.
+pub fn take_panics() -> Vec<String> {
     PANICS.with(RefCell::take)
 }
--- a/crates/sparrouter-simulation/src/faults/recovery.rs
+++ b/crates/sparrouter-simulation/src/scenario/recovery.rs
@@ -1,4 +1,5 @@
 //! The final fault, and what must hold once it is over.
+
 use super::{FinalFault, ScenarioRun};
 use crate::load::RecentCounts;
 use std::time::Duration;
@@ -6,18 +7,18 @@
 
 /// How long machines are off in the final fault.
 const OUTAGE: Duration = Duration::from_millis(1_300);
-/// How long requests are counted once all is calm, and the least part of them that must be served: more than RULES.md asks
-/// for, since nothing is wrong any more.
-const CALM_TIME: Duration = Duration::from_secs(3);
+/// How long requests are counted once nothing is wrong any more, and the least fraction of them that must be served, which
+/// is more than RULES.md asks for.
+const STABLE_TIME: Duration = Duration::from_secs(3);
 const MIN_SERVED: f64 = 0.9;
 
 impl ScenarioRun {
     /// Makes the final fault happen, waits until the fleet must have recovered, and checks that it has.
-    pub(super) async fn close(&self, final_fault: FinalFault) {
+    pub(super) async fn recover(&self, final_fault: FinalFault) {
         let cluster = &self.cluster;
         cluster
             .monitor
-            .trace(format!("-- closing: {final_fault:?}"));
+            .trace(format!("-- final fault: {final_fault:?}"));
         if final_fault == FinalFault::None {
             sleep(cluster.settings.bounds.contact * 2).await;
         } else {
@@ -25,9 +26,9 @@
             sleep(cluster.settings.bounds.recovery).await;
         }
         self.load.reset_recent();
-        sleep(CALM_TIME).await;
+        sleep(STABLE_TIME).await;
         self.load.stop().await;
-        self.end_probes().await;
+        self.stop_probes().await;
         cluster.monitor.scenario_ended();
         self.check_served();
         self.check_ready();
@@ -39,27 +40,30 @@
     async fn inject_final(&self, final_fault: FinalFault) {
         let cluster = &self.cluster;
         let configuration = self.configuration.lock().await.clone();
-        let next = self.another(&configuration);
+        let next = self.draw_change(&configuration);
         cluster.operator.put(&next, configuration.version).await;
         let names = cluster.names();
-        let wiped = (final_fault == FinalFault::WipeOneOthersLosePower)
-            .then(|| self.any(&cluster.core()))
-            .flatten();
+        let wiped = match final_fault {
+            FinalFault::WipeOneOthersLosePower => self.any(&cluster.core()),
+            _ => None,
+        };
         let is_kill = final_fault == FinalFault::KillAll;
         for name in &names {
             if is_kill {
-                cluster.kill(name)
+                cluster.kill(name);
             } else {
-                cluster.power_off(name)
+                cluster.power_off(name);
             }
         }
-        wiped.iter().for_each(|name| cluster.wipe(name));
+        if let Some(name) = wiped {
+            cluster.wipe(&name);
+        }
         sleep(OUTAGE).await;
         for name in &names {
             if is_kill {
-                cluster.start(name, false)
+                cluster.start(name, false);
             } else {
-                cluster.power_on(name)
+                cluster.power_on(name);
             }
         }
     }
@@ -69,22 +73,18 @@
         if f64::from(served) < MIN_SERVED * f64::from(sent) {
             self.cluster.monitor.report_violation(
                 "RECOVER",
-                format!("{served} of {sent} are served once all is calm"),
+                format!("{served} of {sent} are served once nothing is wrong"),
             );
         }
     }
 
     fn check_ready(&self) {
-        let cluster = &self.cluster;
-        let names = cluster.names();
-        let not_ready: Vec<String> = names
-            .into_iter()
-            .filter(|n| !cluster.load_balancer.is_in_service(n))
-            .collect();
+        let mut not_ready = self.cluster.names();
+        not_ready.retain(|name| !self.cluster.load_balancer.is_in_service(name));
         if !not_ready.is_empty() {
-            cluster.monitor.report_violation(
+            self.cluster.monitor.report_violation(
                 "DUTY",
-                format!("{not_ready:?} are not ready once all is calm"),
+                format!("{not_ready:?} are not ready once nothing is wrong"),
             );
         }
     }
@@ -94,20 +94,17 @@
         let cluster = &self.cluster;
         let newest = *self.weights.lock().await;
         let is_old = |id: &String| cluster.server(id).version() < newest;
-        let old: Vec<String> = self.servers().into_iter().filter(is_old).collect();
+        let mut old = self.ready_servers();
+        old.retain(is_old);
         if old.is_empty() {
             return;
         }
         sleep(cluster.settings.bounds.version).await;
-        let still_old: Vec<&String> = old
-            .iter()
-            .filter(|id| cluster.server_runs(id) && is_old(id))
-            .collect();
-        if !still_old.is_empty() {
-            cluster.monitor.report_violation(
-                "VERSION",
-                format!("{still_old:?} never come to weights {newest}"),
-            );
+        old.retain(|id| cluster.server_runs(id) && is_old(id));
+        if !old.is_empty() {
+            cluster
+                .monitor
+                .report_violation("VERSION", format!("{old:?} never load weights {newest}"));
         }
     }
 }
--- a/crates/sparrouter-simulation/src/server/mod.rs
+++ b/crates/sparrouter-simulation/src/server/mod.rs
@@ -1,17 +1,33 @@
-//! A model server by its page: beats, slots and a queue, streams and bodies, resumption, weights by order, faults.
+//! A model server as PROTOCOL.md describes it: heartbeats, slots and a queue, streams and bodies, resumed streams, rollout
+//! commands, and faults that tests inject.
 //!
-//! What it answers is told by the path's last word: `sN` a stream of N events, `bN` a body of N bytes. Every event and
-//! body names the run it comes from, so that the judge can tell pieces of two runs apart.
+//! The last segment of a request's path says what the server responds; see [`ResponseSpec`]. Every event and body names
+//! the run that it comes from, so that the checkers can tell two runs apart.
+//!
+//! | file | its job |
+//! | --- | --- |
+//! | `heartbeats` | the server's lifecycle: heartbeats, drain, removal |
+//! | `requests` | admission of a request: declined, queued, run |
+//! | `runs` | what a run uses and leaves in the KV cache |
+//! | `responses` | what a run responds, with the faults that are injected |
+//! | `rollout` | commands to load new weights |
+//! | `cache_events` | the log of changes of the KV cache |
+
+mod cache_events;
 mod heartbeats;
 mod requests;
+mod responses;
+mod rollout;
+mod runs;
 
-pub use requests::{body_of, event_of};
+pub use responses::{ResponseSpec, body_of, event_of};
 
-use crate::checkers::{CachedBlock, Monitor};
 use crate::http_messages::{next_call, response_text};
-use crate::network::connection::End;
+use crate::monitor::{CachedBlock, Monitor};
 use crate::network::interface::NetworkInterface;
-use bytes::{Bytes, BytesMut};
+use crate::network::socket::Socket;
+use bytes::BytesMut;
+use cache_events::CacheEvents;
 use fastrand::Rng;
 use sparrouter_http::head::RequestHead;
 use std::cell::{Cell, RefCell};
@@ -21,49 +37,69 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::Semaphore;
-use tokio::task::spawn_local;
-use tokio::time::{Instant, sleep};
 
-/// The one model of these stories.
+/// The one model of all servers.
 pub const MODEL: &str = "daka510000";
-/// Parts that a server or store keeps: under which salt and id, made by whom.
-pub type BlockStore = Rc<RefCell<BTreeMap<(String, String), CachedBlock>>>;
-/// All of them by address, as `Kv-Fetch` and `Kv-Save` name them.
+
+/// A block of KV cache: the salt that separates tenants, and the block's id.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct BlockKey {
+    /// `Cache-Salt` of the request.
+    pub salt: String,
+    /// Id of the block, as in `Sparrouter-Prompt-Prefix`.
+    pub id: String,
+}
+
+/// Blocks that a server or a KV store has, and their origin.
+pub type BlockStore = Rc<RefCell<BTreeMap<BlockKey, CachedBlock>>>;
+/// All block stores by address, as `Kv-Fetch` and `Kv-Save` name them.
 pub type BlockStores = Rc<RefCell<BTreeMap<SocketAddr, BlockStore>>>;
 
-/// What a server does wrong, as chances.
+/// What a server does wrong, each as a probability from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerFaults {
     /// Breaks a stream off midway.
     pub breaks: f64,
-    /// Runs a request and resets the connection without a word.
+    /// Runs a request and resets the connection without a response.
     pub resets: f64,
-    /// Sends another whole answer behind one, at once or in the place of the next.
+    /// Sends another complete response behind one, at once or ahead of the next one.
     pub surplus: f64,
-    /// Sends bytes that are no answer, and closes.
+    /// Sends bytes that are no response, and closes.
     pub garbles: f64,
-    /// Says nothing more.
+    /// Never responds.
     pub hangs: f64,
 }
 
+/// Identity and speed of a server.
 #[derive(Clone, Debug)]
-pub struct ClusterSettings {
+pub struct ServerSettings {
+    /// Its id.
     pub id: String,
+    /// Its service.
     pub service: String,
+    /// Its zone.
     pub zone: String,
+    /// Where it accepts requests.
     pub address: SocketAddr,
+    /// Requests that it runs at a time.
     pub slots: u32,
+    /// Version of the weights that it starts with.
     pub version: u64,
+    /// Mean time between two heartbeats.
     pub heartbeat: Duration,
-    /// After it takes requests.
+    /// Time from its start to its first heartbeat.
     pub first_heartbeat_after: Duration,
+    /// How long requests may still arrive after it announced its drain.
     pub drain_timeout: Duration,
-    /// Until its first token, between two, and how long new weights take.
-    pub work: Duration,
-    pub gap: Duration,
-    pub load: Duration,
+    /// Time to the first token.
+    pub prefill_time: Duration,
+    /// Time between two tokens.
+    pub token_interval: Duration,
+    /// How long it takes to load new weights.
+    pub load_time: Duration,
     /// Addresses that serve control, as the operator's list has them.
     pub control: Rc<RefCell<Vec<SocketAddr>>>,
+    /// Blocks of all servers and stores.
     pub block_stores: BlockStores,
 }
 
@@ -73,234 +109,189 @@
     Draining,
 }
 
+/// A model server.
 pub struct Server {
-    pub settings: ClusterSettings,
-    net: NetworkInterface,
+    /// Identity and speed.
+    pub settings: ServerSettings,
+    network: NetworkInterface,
     monitor: Rc<Monitor>,
     rng: RefCell<Rng>,
+    /// What it does wrong now.
     pub faults: Cell<ServerFaults>,
     state: Cell<State>,
     version: Cell<u64>,
-    loading: Cell<bool>,
-    orders: Cell<u64>,
+    is_loading: Cell<bool>,
+    /// Rollout commands that it accepted.
+    commands: Cell<u64>,
+    /// Highest fencing token of an accepted command.
     fencing_token: Cell<u64>,
+    /// Number of its last heartbeat.
     call_sequence: Cell<u64>,
-    target: Cell<Option<SocketAddr>>,
+    /// Node that its next heartbeat goes to; `None`: any node of the operator's list.
+    heartbeat_target: Cell<Option<SocketAddr>>,
     slots: Semaphore,
+    /// Requests that wait for a slot.
     queued: Cell<u32>,
+    /// Requests that have a slot.
     running: Cell<u32>,
-    kept: BlockStore,
-    /// What it kept and let go, as it tells it; and how often it took a part from another.
-    told: RefCell<Vec<String>>,
-    pub moves: Cell<u32>,
-    /// Who acknowledged that it drains.
-    pub drained_by: Cell<Option<SocketAddr>>,
-    /// A delayed copy of its first beat, sent once more after it drains.
+    /// Its KV cache.
+    cache: BlockStore,
+    cache_events: CacheEvents,
+    /// Blocks that it fetched from another server or from a store.
+    pub fetched_blocks: Cell<u32>,
+    /// The node that acknowledged its drain.
+    pub drain_acknowledged_by: Cell<Option<SocketAddr>>,
+    /// A delayed duplicate of its first heartbeat is sent once more after its drain was acknowledged.
     pub duplicate_first_heartbeat: Cell<bool>,
 }
 
+/// What becomes of a connection after a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectionFate {
+    KeepOpen,
+    Close,
+    Reset,
+}
+
+/// What a connection keeps between two requests.
+#[derive(Default)]
+struct ConnectionBuffers {
+    /// Bytes that were read ahead.
+    unread: BytesMut,
+    /// A surplus response that goes out ahead of the next one.
+    surplus: String,
+}
+
 impl Server {
+    /// A server that does nothing before [`Server::run`].
     pub fn new(
-        settings: ClusterSettings,
-        net: NetworkInterface,
+        settings: ServerSettings,
+        network: NetworkInterface,
         monitor: Rc<Monitor>,
         rng: Rng,
     ) -> Rc<Server> {
-        let kept = BlockStore::default();
+        let cache = BlockStore::default();
         settings
             .block_stores
             .borrow_mut()
-            .insert(settings.address, kept.clone());
+            .insert(settings.address, cache.clone());
         Rc::new(Server {
             version: Cell::new(settings.version),
             slots: Semaphore::new(settings.slots as usize),
             settings,
-            net,
+            network,
             monitor,
             rng: RefCell::new(rng),
             faults: Cell::default(),
             state: Cell::new(State::Ready),
-            loading: Cell::new(false),
-            orders: Cell::new(0),
+            is_loading: Cell::new(false),
+            commands: Cell::new(0),
             fencing_token: Cell::new(0),
             call_sequence: Cell::new(0),
-            target: Cell::new(None),
+            heartbeat_target: Cell::new(None),
             queued: Cell::new(0),
             running: Cell::new(0),
-            kept,
-            told: RefCell::default(),
-            moves: Cell::new(0),
-            drained_by: Cell::new(None),
+            cache,
+            cache_events: CacheEvents::default(),
+            fetched_blocks: Cell::new(0),
+            drain_acknowledged_by: Cell::new(None),
             duplicate_first_heartbeat: Cell::new(false),
         })
     }
 
+    /// Version of the weights that it runs on.
     pub fn version(&self) -> u64 {
         self.version.get()
     }
-    /// Whether it keeps this part of a prompt, under any salt.
-    pub fn keeps(&self, part: &str) -> bool {
-        self.kept.borrow().keys().any(|key| key.1 == part)
+
+    /// Whether it has this block of a prompt in its KV cache, under any salt.
+    pub fn has_cached(&self, block_id: &str) -> bool {
+        self.cache.borrow().keys().any(|key| key.id == block_id)
+    }
+
+    /// Rollout commands that it accepted so far.
+    pub fn commands(&self) -> u64 {
+        self.commands.get()
     }
-    pub fn orders(&self) -> u64 {
-        self.orders.get()
+
+    /// Whether it has announced its drain.
+    pub fn is_draining(&self) -> bool {
+        self.state.get() == State::Draining
     }
 
-    async fn serve_connection(self: Rc<Self>, mut stream: End, from: SocketAddr) {
-        let mut talk = ServerConnection::default();
-        while let Some((head, body)) = next_call(&mut stream, &mut talk.buffer).await {
-            let late = std::mem::take(&mut talk.late);
-            if !late.is_empty() && stream.write_all(late.as_bytes()).await.is_err() {
+    async fn serve_connection(self: Rc<Self>, mut socket: Socket, from: SocketAddr) {
+        let mut buffers = ConnectionBuffers::default();
+        while let Some((head, body)) = next_call(&mut socket, &mut buffers.unread).await {
+            let surplus = std::mem::take(&mut buffers.surplus);
+            if !surplus.is_empty() && socket.write_all(surplus.as_bytes()).await.is_err() {
                 return;
             }
             let path = String::from_utf8_lossy(&head.target).into_owned();
-            let answer = match (&head.method[..], path.as_str()) {
-                (b"GET", "/health") => response_text(
-                    if self.state.get() == State::Ready {
-                        200
-                    } else {
-                        503
-                    },
-                    &format!("Sparrouter-Instance-Id: {}\r\n", self.settings.id),
-                    "",
-                ),
-                (b"GET", "/api/report") => response_text(200, "", &self.report()),
-                (b"POST", "/api/order") => self.clone().order(&head, &body, from),
-                (b"GET", path) if path.starts_with("/api/kv-events") => {
-                    self.events(path, &head).await
+            if let Some(response) = self.respond_to_api(&head, &body, &path, from).await {
+                let is_written = socket.write_all(response.as_bytes()).await.is_ok();
+                if !is_written || !head.keep_alive {
+                    return;
                 }
-                (b"GET", "/api/kv-list") => response_text(
-                    200,
-                    "",
-                    "{\"epoch\":1,\"next_page_token\":0,\"held_count\":[]}",
-                ),
-                _ => match self
-                    .serve(&mut stream, &mut talk, &head, &body, &path, from)
-                    .await
-                {
-                    Some(true) => continue,
-                    Some(false) => return,
-                    None => return stream.abort(),
-                },
+                continue;
+            }
+            let request = requests::Request {
+                head: &head,
+                body: &body,
+                path: &path,
+                from,
             };
-            if stream.write_all(answer.as_bytes()).await.is_err() || !head.keep_alive {
-                return;
+            match self.serve(&mut socket, &mut buffers, &request).await {
+                ConnectionFate::KeepOpen => {}
+                ConnectionFate::Close => return,
+                ConnectionFate::Reset => return socket.abort(),
             }
         }
     }
 
+    /// The response to a call that is no request of a client.
+    async fn respond_to_api(
+        self: &Rc<Self>,
+        head: &RequestHead,
+        body: &[u8],
+        path: &str,
+        from: SocketAddr,
+    ) -> Option<String> {
+        let response = match (&head.method[..], path) {
+            (b"GET", "/health") => self.health(),
+            (b"GET", "/api/report") => response_text(200, "", &self.report()),
+            (b"POST", "/api/order") => self.clone().accept_command(head, body, from),
+            (b"GET", "/api/kv-list") => response_text(
+                200,
+                "",
+                "{\"epoch\":1,\"next_page_token\":0,\"held_count\":[]}",
+            ),
+            (b"GET", path) if path.starts_with("/api/kv-events") => {
+                self.cache_events.respond(path, head).await
+            }
+            _ => return None,
+        };
+        Some(response)
+    }
+
+    fn health(&self) -> String {
+        let status = match self.state.get() {
+            State::Ready => 200,
+            State::Draining => 503,
+        };
+        let id = format!("Sparrouter-Instance-Id: {}\r\n", self.settings.id);
+        response_text(status, &id, "")
+    }
+
     fn report(&self) -> String {
         format!(
             "{{\"serving_stage\":\"both\",\"models\":[{{\"name\":\"{MODEL}\",\"version\":{},\"adapters\":[]}}],\
              \"is_busy\":{},\"call_sequence\":{},\"queued\":{},\"running\":{},\"kv_used_tokens\":0,\
              \"kv_capacity\":100000,\"handle_count\":0}}",
             self.version.get(),
-            self.loading.get(),
-            self.orders.get(),
+            self.is_loading.get(),
+            self.commands.get(),
             self.queued.get(),
             self.running.get()
         )
     }
-
-    fn tell(&self, salt: &str, id: &str, tokens: u32) {
-        let mut told = self.told.borrow_mut();
-        let (number, sign) = (told.len() + 1, if tokens > 0 { "+" } else { "-" });
-        told.push(format!(
-            "[{number},\"{sign}\",\"{salt}\",\"{id}\",{tokens},\"{MODEL}\"]"
-        ));
-    }
-
-    /// Held until there are some, or for as long as was asked.
-    async fn events(&self, path: &str, head: &RequestHead) -> String {
-        let since = path
-            .split("since_time=")
-            .nth(1)
-            .and_then(|n| n.parse::<usize>().ok())
-            .unwrap_or(0);
-        let wait = head
-            .fields
-            .text("wait-ms")
-            .and_then(|w| w.parse().ok())
-            .unwrap_or(0);
-        let until = Instant::now() + Duration::from_millis(u64::min(wait, 1_000));
-        while self.told.borrow().len() <= since && Instant::now() < until {
-            sleep(Duration::from_millis(20)).await;
-        }
-        let told = self.told.borrow();
-        let news = told.get(since..).unwrap_or_default().join(",");
-        let next = told.len();
-        response_text(
-            200,
-            "",
-            &format!(
-                "{{\"epoch\":1,\"next_page_token\":{next},\"lost_count\":false,\"events\":[{news}]}}"
-            ),
-        )
-    }
-
-    fn order(self: Rc<Self>, head: &RequestHead, body: &Bytes, from: SocketAddr) -> String {
-        let expected = head.fields.text("sparrouter-expected-instance");
-        if expected.is_some_and(|id| id != self.settings.id) {
-            let own = format!("Sparrouter-Instance-Id: {}\r\n", self.settings.id);
-            return response_text(421, &own, "");
-        }
-        #[derive(miniserde::Deserialize)]
-        struct Order {
-            operation: String,
-            model: String,
-            version: u64,
-            method: String,
-            holder_id: String,
-            fence_token: u64,
-            expected_count: Option<u64>,
-        }
-        let text = std::str::from_utf8(body).unwrap_or_default();
-        let Ok(order) = miniserde::json::from_str::<Order>(text) else {
-            return response_text(400, "", "");
-        };
-        self.monitor.command_received(
-            &self.settings.id,
-            &order.holder_id,
-            order.fence_token,
-            from.ip(),
-        );
-        if order.operation != "version" || order.model != MODEL || order.method != "queue" {
-            return response_text(400, "", "");
-        }
-        if order.fence_token < self.fencing_token.get() && self.monitor.bounds.fencing {
-            return response_text(412, "", "");
-        }
-        self.fencing_token.set(order.fence_token);
-        if order.version <= self.version.get() {
-            return response_text(200, "", "");
-        }
-        if self.loading.get() || order.expected_count.is_some_and(|n| n != self.orders.get()) {
-            return response_text(409, "", "");
-        }
-        self.orders.set(self.orders.get() + 1);
-        self.monitor.load_started(&self.settings.id, order.version);
-        self.loading.set(true);
-        let server = self.clone();
-        spawn_local(async move {
-            // Runs finish first.
-            while server.running.get() > 0 {
-                sleep(Duration::from_millis(5)).await;
-            }
-            sleep(server.settings.load).await;
-            let dropped = std::mem::take(&mut *server.kept.borrow_mut());
-            dropped
-                .keys()
-                .for_each(|(salt, id)| server.tell(salt, id, 0));
-            server.version.set(order.version);
-            server.loading.set(false);
-        });
-        response_text(202, "", "")
-    }
-}
-
-/// A connection between two calls: what came ahead, and an answer too many that is still to come.
-#[derive(Default)]
-struct ServerConnection {
-    buffer: BytesMut,
-    late: String,
 }
--- a/crates/sparrouter-simulation/tests/bootstrap.rs
+++ b/crates/sparrouter-simulation/tests/bootstrap.rs
@@ -11,7 +11,7 @@
 #[test]
 fn given_three_seeds_when_all_machines_start_then_the_fleet_serves_every_kind() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(1)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(1)).await;
         let client = cluster.client(false);
         for (kind, word) in [
             (RouteKind::Idempotent, "b300"),
@@ -32,7 +32,7 @@
 #[test]
 fn given_a_calm_fleet_when_clients_ask_on_then_all_are_served() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(2)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(2)).await;
         let load = ClientLoad::start(&cluster, 12, Duration::from_millis(150));
         sleep(Duration::from_secs(10)).await;
         load.stop().await;
@@ -50,14 +50,14 @@
 #[test]
 fn given_nodes_that_go_on_asking_when_the_core_forgets_them_all_then_each_tells_its_row_anew() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(3)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(3)).await;
         let core = cluster.core();
         for name in &core {
             cluster.kill(name);
         }
         // Rows are advice: what a disk keeps of them may be lost, the control state may not.
         for name in &core {
-            cluster.disk(name).forget_rows();
+            cluster.disk(name).lose_membership_records();
         }
         for name in &core {
             cluster.start(name, false);
@@ -65,7 +65,7 @@
         sleep(Duration::from_secs(4)).await;
         for name in &core {
             let at = cluster.control_of(name);
-            let net = cluster.outside_net();
+            let net = cluster.outside_network();
             let asked = http_messages::call(
                 &net,
                 at,
@@ -98,7 +98,7 @@
 fn given_a_node_that_starts_anew_when_a_request_comes_before_its_configuration_then_it_waits_for_it()
  {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(7)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(7)).await;
         cluster.kill("edge-0");
         sleep(Duration::from_millis(500)).await;
         cluster.start("edge-0", false);
--- a/crates/sparrouter-simulation/tests/budget.rs
+++ b/crates/sparrouter-simulation/tests/budget.rs
@@ -1,7 +1,7 @@
 //! The budget of what is sent again, over all nodes and over their lives.
-use sparrouter_simulation::checkers::Bounds;
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
 use sparrouter_simulation::load::ClientLoad;
+use sparrouter_simulation::monitor::Bounds;
 use sparrouter_simulation::runtime::run_checked;
 use sparrouter_simulation::server::ServerFaults;
 use std::time::Duration;
@@ -16,11 +16,9 @@
                 budget_slack: 8.0,
                 ..Bounds::default()
             };
-            let cluster = SimulatedCluster::serving(ClusterSettings {
-                bounds,
-                ..ClusterSettings::seeded(120 + seed)
-            })
-            .await;
+            let cluster =
+                SimulatedCluster::serving(ClusterSettings::with_seed(120 + seed).bounds(bounds))
+                    .await;
             let load = ClientLoad::start(&cluster, 16, Duration::from_millis(150));
             sleep(bounds.budget_window).await;
             for id in cluster.server_ids() {
--- a/crates/sparrouter-simulation/tests/checkers.rs
+++ b/crates/sparrouter-simulation/tests/checkers.rs
@@ -1,8 +1,10 @@
 //! The judge itself: each rule is broken on purpose, and must be found broken by its name.
 use bytes::Bytes;
-use sparrouter_simulation::checkers::{Attempt, Bounds, CachedBlock, ClientResponse, Monitor, Run};
 use sparrouter_simulation::cluster::{HOST, KEY, initial_configuration};
 use sparrouter_simulation::configuration::{Route, RouteKind};
+use sparrouter_simulation::monitor::{
+    Attempt, Bounds, CachedBlock, ClientResponse, FaultScope, Monitor, Run,
+};
 use sparrouter_simulation::runtime::play;
 use sparrouter_simulation::server::{body_of, event_of};
 use std::net::{IpAddr, SocketAddr};
@@ -21,17 +23,17 @@
         kind,
         node: NODE,
         incarnation: 0,
-        until: Instant::now() + Duration::from_secs(6),
-        kept: true,
+        deadline: Instant::now() + Duration::from_secs(6),
+        reused_connection: true,
     }
 }
 
 fn run(attempt: &str, path: &str) -> Run {
     Run {
-        attempt: attempt.into(),
+        attempt_id: attempt.into(),
         service: "models".into(),
-        instance: "i-1".into(),
-        by: NODE,
+        server: "i-1".into(),
+        node: NODE,
         method: "POST".into(),
         path: path.into(),
         body: Bytes::from("body"),
@@ -42,16 +44,16 @@
             version: 1,
             tenant: Some("kaje".into()),
         }],
-        resumed: 0,
+        resumed_after: 0,
     }
 }
 
-fn success(run: u64, body: Vec<u8>, streams: bool) -> ClientResponse {
+fn success(run: u64, body: Vec<u8>, is_stream: bool) -> ClientResponse {
     ClientResponse {
         status: 200,
         seal: Some(format!("seal-{run}")),
-        attempt: Some("a".into()),
-        streams,
+        attempt_id: Some("a".into()),
+        is_stream,
         body,
         is_complete: true,
         ..ClientResponse::default()
@@ -101,16 +103,16 @@
 fn given_proper_answers_then_no_rule_is_broken() {
     play(async {
         let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
-        let run_of = monitor.run_started(run("a", "/idem/b9"));
+        let run_of = monitor.run_started(&run("a", "/idem/b9"));
         monitor.response_received(
             "a",
             &success(run_of, body_of(run_of, 9).into_bytes(), false),
         );
         kept(&monitor);
         let monitor = once(RouteKind::Resumable, "/resume/s3").await;
-        let first = monitor.run_started(run("a", "/resume/s3"));
-        let second = monitor.run_started(Run {
-            resumed: 1,
+        let first = monitor.run_started(&run("a", "/resume/s3"));
+        let second = monitor.run_started(&Run {
+            resumed_after: 1,
             ..run("a", "/resume/s3")
         });
         let body = events(&[(first, 1), (second, 2), (second, 3)]);
@@ -124,7 +126,7 @@
     play(async {
         for bad in 0..5 {
             let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
-            let run_of = monitor.run_started(run("a", "/idem/b9"));
+            let run_of = monitor.run_started(&run("a", "/idem/b9"));
             let good = success(run_of, body_of(run_of, 9).into_bytes(), false);
             let answer = match bad {
                 0 => ClientResponse { seal: None, ..good },
@@ -133,7 +135,7 @@
                     ..good
                 },
                 2 => ClientResponse {
-                    attempt: Some("b".into()),
+                    attempt_id: Some("b".into()),
                     ..good
                 },
                 3 => ClientResponse {
@@ -141,7 +143,7 @@
                     ..good
                 },
                 _ => ClientResponse {
-                    bad: Some("no HTTP"),
+                    malformed: Some("no HTTP"),
                     ..good
                 },
             };
@@ -161,8 +163,8 @@
             vec![(0, 1)],
         ] {
             let monitor = once(RouteKind::Resumable, "/resume/s3").await;
-            monitor.run_started(run("a", "/resume/s3"));
-            monitor.run_started(run("a", "/resume/s3"));
+            monitor.run_started(&run("a", "/resume/s3"));
+            monitor.run_started(&run("a", "/resume/s3"));
             monitor.response_received("a", &success(0, events(&pieces), true));
             broken(&monitor, "ORDER");
         }
@@ -173,12 +175,12 @@
 fn given_runs_that_nobody_asked_for_then_unasked_or_route_is_broken() {
     play(async {
         let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
-        monitor.run_started(run("b", "/idem/b9"));
+        monitor.run_started(&run("b", "/idem/b9"));
         broken(&monitor, "UNASKED");
         for bad in 0..4 {
             let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
             let good = run("a", "/idem/b9");
-            monitor.run_started(match bad {
+            monitor.run_started(&match bad {
                 0 => Run {
                     path: "/idem/b8".into(),
                     ..good
@@ -199,7 +201,7 @@
             broken(&monitor, "UNASKED");
         }
         let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
-        monitor.run_started(Run {
+        monitor.run_started(&Run {
             service: "others".into(),
             ..run("a", "/idem/b9")
         });
@@ -211,14 +213,14 @@
 fn given_requests_that_may_not_repeat_then_twice_and_refused_are_found() {
     play(async {
         let monitor = once(RouteKind::Streaming, "/stream/s3").await;
-        monitor.run_started(run("a", "/stream/s3"));
+        monitor.run_started(&run("a", "/stream/s3"));
         kept(&monitor);
-        monitor.run_started(run("a", "/stream/s3"));
+        monitor.run_started(&run("a", "/stream/s3"));
         broken(&monitor, "TWICE");
         for before in [true, false] {
             let monitor = once(RouteKind::NonIdempotent, "/once/b3").await;
             if before {
-                monitor.run_started(run("a", "/once/b3"));
+                monitor.run_started(&run("a", "/once/b3"));
             }
             monitor.response_received(
                 "a",
@@ -228,7 +230,7 @@
                     ..ClientResponse::default()
                 },
             );
-            monitor.run_started(run("a", "/once/b3"));
+            monitor.run_started(&run("a", "/once/b3"));
             broken(&monitor, "REFUSED");
         }
     });
@@ -238,14 +240,14 @@
 fn given_memory_or_weights_of_another_version_then_stale_and_version_are_broken() {
     play(async {
         let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
-        monitor.run_started(Run {
+        monitor.run_started(&Run {
             version: 2,
             ..run("a", "/idem/b9")
         });
         broken(&monitor, "STALE");
         let monitor = judge_named().await;
         monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
-        monitor.run_started(run("a", "/idem/b9"));
+        monitor.run_started(&run("a", "/idem/b9"));
         broken(&monitor, "VERSION");
     });
 }
@@ -267,7 +269,7 @@
         monitor.configuration_acknowledged(index);
         sleep(Duration::from_secs(3)).await;
         monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
-        monitor.run_started(run("a", "/idem/b9"));
+        monitor.run_started(&run("a", "/idem/b9"));
         broken(&monitor, "CONFIG");
         // Its effect was seen, then not any more.
         let monitor = self::monitor().await;
@@ -284,7 +286,7 @@
         kept(&monitor);
         sleep(Duration::from_millis(300)).await;
         monitor.attempt_sent("b", asked(RouteKind::Idempotent, "/idem/b9"));
-        monitor.run_started(run("b", "/idem/b9"));
+        monitor.run_started(&run("b", "/idem/b9"));
         broken(&monitor, "CONFIG");
         // What was refused is in force.
         let monitor = self::monitor().await;
@@ -312,7 +314,7 @@
         }
         broken(&monitor, "CONFIG");
         let monitor = self::monitor().await;
-        monitor.read_back(200, "{\"version\":0}");
+        monitor.configuration_read(200, "{\"version\":0}");
         broken(&monitor, "LOST");
     });
 }
@@ -344,13 +346,13 @@
         broken(&monitor, "ONE");
         let monitor = once(RouteKind::Streaming, "/stream/s3").await;
         monitor.shutdown_requested(NODE);
-        monitor.run_started(run("a", "/stream/s3"));
+        monitor.run_started(&run("a", "/stream/s3"));
         monitor.response_received(
             "a",
             &ClientResponse {
                 status: 200,
                 seal: Some("seal-0".into()),
-                streams: true,
+                is_stream: true,
                 ..ClientResponse::default()
             },
         );
@@ -370,7 +372,7 @@
         // Mela is isolated, kaje is not, and who has no tenant is nobody's.
         for (maker, is_broken) in [(Some("kaje"), false), (None, false), (Some("mela"), true)] {
             let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
-            monitor.run_started(Run {
+            monitor.run_started(&Run {
                 cached_blocks: made(maker),
                 ..run("a", "/idem/b9")
             });
@@ -390,7 +392,7 @@
                 },
             );
             let tenant = Some("mela".to_owned());
-            monitor.run_started(Run {
+            monitor.run_started(&Run {
                 cached_blocks: made(maker),
                 tenant,
                 ..run("a", "/idem/b9")
@@ -412,7 +414,7 @@
         monitor.response_received(
             &id,
             &ClientResponse {
-                attempt: None,
+                attempt_id: None,
                 is_complete: true,
                 ..answer.clone()
             },
@@ -449,7 +451,7 @@
         for (count, asked, answer, is_broken) in cases {
             let monitor = monitor().await;
             let asked = Attempt {
-                until: Instant::now() + Duration::from_secs(6),
+                deadline: Instant::now() + Duration::from_secs(6),
                 ..asked.clone()
             };
             answered_all(&monitor, count, &asked, &answer);
@@ -467,7 +469,7 @@
         kept(&monitor);
         // A machine in trouble, and a configuration that may not be in force yet.
         let monitor = self::monitor().await;
-        monitor.fault_began(Some(NODE));
+        monitor.fault_began(FaultScope::Machine(NODE));
         answered_all(&monitor, 50, &proper, &of(400));
         monitor.scenario_ended();
         kept(&monitor);
@@ -501,13 +503,13 @@
             monitor.configuration_acknowledged(index);
             sleep(Duration::from_secs(3)).await;
             if !calm {
-                monitor.momentary_fault(None);
+                monitor.momentary_fault(FaultScope::Core);
             }
             for (path, count, served) in [("/idem/b9", 20, 20), ("/new/b9", count, served)] {
                 for n in 0..count {
                     let id = format!("{path}{n}");
                     monitor.attempt_sent(&id, asked(RouteKind::Idempotent, path));
-                    let run = monitor.run_started(run(&id, path));
+                    let run = monitor.run_started(&run(&id, path));
                     let good = success(run, body_of(run, 9).into_bytes(), false);
                     let refused = ClientResponse {
                         status: 503,
@@ -517,7 +519,7 @@
                     monitor.response_received(
                         &id,
                         &ClientResponse {
-                            attempt: None,
+                            attempt_id: None,
                             ..if n < served { good } else { refused }
                         },
                     );
@@ -553,12 +555,12 @@
             }
         }
         let monitor = monitor().await;
-        monitor.read_back(200, &initial_configuration().json());
+        monitor.configuration_read(200, &initial_configuration().json());
         kept(&monitor);
-        monitor.read_back(200, &initial_configuration().json().replace("8000", "9000"));
+        monitor.configuration_read(200, &initial_configuration().json().replace("8000", "9000"));
         broken(&monitor, "CONFIG");
         let monitor = self::monitor().await;
-        monitor.read_back(503, "");
+        monitor.configuration_read(503, "");
         broken(&monitor, "LOST");
     });
 }
@@ -587,13 +589,13 @@
     play(async {
         let monitor = monitor().await;
         monitor.process_stopped(NODE);
-        monitor.fault_began(Some(NODE));
-        monitor.fault_began(Some(NODE));
+        monitor.fault_began(FaultScope::Machine(NODE));
+        monitor.fault_began(FaultScope::Machine(NODE));
         for end in 0..3 {
             if end == 0 {
                 monitor.process_started(NODE)
             } else {
-                monitor.fault_ended(Some(NODE))
+                monitor.fault_ended(FaultScope::Machine(NODE))
             }
             sleep(Duration::from_secs(4)).await;
             let now = Instant::now();
@@ -605,7 +607,7 @@
 #[test]
 fn given_kept_connections_closed_without_an_answer_then_lost_is_broken_beyond_three() {
     play(async {
-        for (count, kept_open, server_faulted, is_broken) in [
+        for (count, reused_connection, server_faulted, is_broken) in [
             (3, true, false, false),
             (4, true, false, true),
             (50, false, false, false),
@@ -615,11 +617,11 @@
             for n in 0..count {
                 let id = format!("a{n}");
                 let asked = Attempt {
-                    kept: kept_open,
+                    reused_connection,
                     ..asked(RouteKind::Idempotent, "/idem/b9")
                 };
                 monitor.attempt_sent(&id, asked);
-                let number = monitor.run_started(run(&id, "/idem/b9"));
+                let number = monitor.run_started(&run(&id, "/idem/b9"));
                 if server_faulted {
                     monitor.server_faulted(number);
                 }
@@ -640,7 +642,7 @@
     play(async {
         let monitor = monitor().await;
         let other = SocketAddr::new(IpAddr::from([10, 0, 0, 21]), 80);
-        monitor.fault_began(Some(other.ip()));
+        monitor.fault_began(FaultScope::Machine(other.ip()));
         monitor.drain_acknowledged("i-1", other);
         sleep(Duration::from_millis(2_500)).await;
         monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
--- a/crates/sparrouter-simulation/tests/config.rs
+++ b/crates/sparrouter-simulation/tests/config.rs
@@ -5,7 +5,7 @@
 };
 use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
 use sparrouter_simulation::load::ClientLoad;
-use sparrouter_simulation::operator::Encoding;
+use sparrouter_simulation::operator::{Encoding, Order};
 use sparrouter_simulation::runtime::run_checked;
 use std::rc::Rc;
 use std::time::Duration;
@@ -43,7 +43,7 @@
 #[test]
 fn given_a_route_that_is_added_when_acknowledged_then_every_node_has_it_in_time() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(11)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(11)).await;
         let configuration = with_route(&initial_configuration(), "new");
         assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
         sleep(cluster.settings.bounds.config_apply).await;
@@ -60,7 +60,7 @@
 #[test]
 fn given_two_operators_on_one_version_when_both_send_then_one_wins_and_is_in_force() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(12)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(12)).await;
         let mut base = initial_configuration();
         for round in 0..6 {
             let left = with_route(&base, &format!("left{round}"));
@@ -83,7 +83,7 @@
 #[test]
 fn given_a_taken_configuration_when_it_is_sent_again_unchanged_then_any_node_says_200() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(13)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(13)).await;
         let configuration = with_route(&initial_configuration(), "new");
         assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
         let after = with_route(&configuration, "newer");
@@ -92,11 +92,9 @@
             200
         );
         for _ in 0..8 {
-            let (status, _) = cluster
-                .operator
-                .change(&configuration, 1, Encoding::Full, true)
-                .await;
-            assert_eq!(status, 200, "that very configuration was taken");
+            let order = Order::new(&configuration, 1, Encoding::Full, true);
+            let outcome = cluster.operator.submit(&order).await;
+            assert_eq!(outcome.status, 200, "that very configuration was accepted");
         }
         cluster.operator.read_back().await;
         cluster
@@ -106,7 +104,7 @@
 #[test]
 fn given_invalid_configurations_when_sent_then_each_is_refused_for_good_and_nothing_changes() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(14)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(14)).await;
         let base = initial_configuration();
         let next = with_route(&base, "bad");
         let bodies = [
@@ -120,10 +118,8 @@
             next.json()[..200].to_owned(),
         ];
         for body in bodies {
-            let (status, _) = cluster
-                .operator
-                .change(&next, 1, Encoding::Body(body.clone()), false)
-                .await;
+            let order = Order::new(&next, 1, Encoding::Body(body.clone()), false);
+            let status = cluster.operator.submit(&order).await.status;
             assert!((400..500).contains(&status), "{status} for {body}");
         }
         sleep(cluster.settings.bounds.config_apply).await;
@@ -136,7 +132,7 @@
 #[test]
 fn given_a_key_that_is_taken_away_when_acknowledged_then_nobody_lets_it_in() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(15)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(15)).await;
         let load = ClientLoad::start(&cluster, 6, Duration::from_millis(200));
         let configuration =
             initial_configuration().next(3, |p| p.tenants[1].keys = vec!["key-anew".to_owned()]);
--- a/crates/sparrouter-simulation/tests/configuration_changes.rs
+++ b/crates/sparrouter-simulation/tests/configuration_changes.rs
@@ -205,7 +205,7 @@
 fn given_patches_and_core_nodes_killed_when_all_is_calm_again_then_every_node_has_the_text_of_the_register()
  {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(77)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(77)).await;
         let load = ClientLoad::start(&cluster, 4, Duration::from_millis(200));
         let mut before = initial_configuration();
         for round in 0..8 {
@@ -229,7 +229,7 @@
         sleep(cluster.settings.bounds.contact).await;
         load.stop().await;
         cluster.operator.read_back().await;
-        let net = cluster.outside_net();
+        let net = cluster.outside_network();
         let mut digests = Vec::new();
         for name in cluster.names() {
             let at = cluster.control_of(&name);
--- a/crates/sparrouter-simulation/tests/core.rs
+++ b/crates/sparrouter-simulation/tests/core.rs
@@ -29,11 +29,11 @@
 fn given_a_core_node_killed_at_any_moment_of_a_change_then_what_was_acknowledged_stays() {
     for moment in 0..12 {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings {
-                others: 1,
-                servers: 1,
-                ..ClusterSettings::seeded(20 + moment)
-            })
+            let cluster = SimulatedCluster::serving(
+                ClusterSettings::with_seed(20 + moment)
+                    .edge_machines(1)
+                    .servers(1),
+            )
             .await;
             let configuration = with_route(&initial_configuration(), "new");
             let sending = operator_sends(&cluster, &configuration, 1);
@@ -54,11 +54,11 @@
  {
     for seed in 0..6 {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings {
-                others: 1,
-                servers: 1,
-                ..ClusterSettings::seeded(40 + seed)
-            })
+            let cluster = SimulatedCluster::serving(
+                ClusterSettings::with_seed(40 + seed)
+                    .edge_machines(1)
+                    .servers(1),
+            )
             .await;
             let configuration = with_route(&initial_configuration(), "new");
             assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
@@ -87,10 +87,10 @@
 #[test]
 fn given_a_core_cut_in_two_then_the_minority_acknowledges_nothing_and_all_follow_the_majority() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(50)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(50)).await;
         cluster.partition(&["core-0"], Some(Partition::PacketsLost));
         let configuration = with_route(&initial_configuration(), "new");
-        let net = cluster.outside_net();
+        let net = cluster.outside_network();
         let fields = [("If-Match", "1")];
         let call = |name: &str| {
             let to = cluster.control_of(name);
@@ -147,7 +147,7 @@
 #[test]
 fn given_a_core_machine_replaced_by_an_empty_one_then_the_core_bears_another_loss() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(51)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(51)).await;
         let mut configuration = initial_configuration();
         for lost in ["core-0", "core-1", "core-2"] {
             let new = cluster.replace(lost);
@@ -175,7 +175,7 @@
 #[test]
 fn given_all_processes_killed_at_once_when_back_then_they_serve_within_the_time_for_it() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(52)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(52)).await;
         let configuration = with_route(&initial_configuration(), "new");
         assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
         let load = ClientLoad::start(&cluster, 10, Duration::from_millis(200));
@@ -201,7 +201,7 @@
 #[test]
 fn given_seeds_exchanged_for_other_machines_when_a_node_starts_then_it_finds_the_fleet() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(53)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(53)).await;
         let seeds: Vec<_> = ["edge-0", "edge-1", "edge-2"]
             .iter()
             .map(|n| cluster.control_of(n))
@@ -225,11 +225,11 @@
 fn given_all_without_power_when_a_majority_is_back_one_after_the_other_then_it_agrees_at_once() {
     for seed in 0..6 {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings {
-                others: 1,
-                servers: 1,
-                ..ClusterSettings::seeded(70 + seed)
-            })
+            let cluster = SimulatedCluster::serving(
+                ClusterSettings::with_seed(70 + seed)
+                    .edge_machines(1)
+                    .servers(1),
+            )
             .await;
             let core = cluster.core();
             core.iter().for_each(|name| cluster.power_off(name));
@@ -262,7 +262,7 @@
  {
     for seed in 0..4 {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings::seeded(54 + seed)).await;
+            let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(54 + seed)).await;
             let mut configuration = initial_configuration();
             // Twice: the more machines it remembers that are gone, the longer it has somebody left to ask in vain.
             for round in 0..2 {
--- a/crates/sparrouter-simulation/tests/determinism.rs
+++ b/crates/sparrouter-simulation/tests/determinism.rs
@@ -7,8 +7,8 @@
 
 fn story(seed: u64) -> Vec<String> {
     play(async move {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(seed)).await;
-        cluster.monitor.verbose.set(true);
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(seed)).await;
+        cluster.monitor.trace.verbose.set(true);
         let load = ClientLoad::start(&cluster, 8, Duration::from_millis(150));
         sleep(Duration::from_secs(1)).await;
         cluster.kill("core-1");
--- a/crates/sparrouter-simulation/tests/disks.rs
+++ b/crates/sparrouter-simulation/tests/disks.rs
@@ -22,7 +22,7 @@
     let base = base.to_string();
     let fields = [("If-Match", base.as_str())];
     let timeout_after = Duration::from_millis(1_500);
-    let (net, at) = (cluster.outside_net(), cluster.control_of(to));
+    let (net, at) = (cluster.outside_network(), cluster.control_of(to));
     http_messages::call(
         &net,
         at,
@@ -39,7 +39,7 @@
 #[test]
 fn given_one_full_disk_then_the_others_take_changes_and_it_catches_up() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(101)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(101)).await;
         cluster.disk("core-0").files.set_capacity(Some(0));
         let configuration = with_route(&initial_configuration(), "new");
         assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
@@ -61,7 +61,7 @@
 fn given_full_disks_at_a_majority_when_a_change_comes_then_it_is_refused_with_the_remedy_and_later_taken()
  {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(102)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(102)).await;
         for name in cluster.core() {
             cluster.disk(&name).files.set_capacity(Some(0));
         }
@@ -93,11 +93,11 @@
 #[test]
 fn given_slow_and_stalled_disks_then_changes_wait_no_longer_than_a_majority_needs() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(103)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(103)).await;
         cluster.disk("core-0").delay.set(Duration::from_millis(400));
         cluster
             .disk("core-1")
-            .stalled
+            .stalled_until
             .set(Instant::now() + Duration::from_millis(700));
         let configuration = with_route(&initial_configuration(), "new");
         let began = Instant::now();
@@ -109,7 +109,7 @@
         );
         cluster
             .disk("core-1")
-            .stalled
+            .stalled_until
             .set(Instant::now() + Duration::from_secs(20));
         let next = with_route(&configuration, "newer");
         assert_eq!(
--- a/crates/sparrouter-simulation/tests/edge.rs
+++ b/crates/sparrouter-simulation/tests/edge.rs
@@ -19,7 +19,7 @@
 #[test]
 fn given_a_node_without_a_configuration_when_asked_then_it_answers_503_and_when_to_come_back() {
     play(async {
-        let cluster = SimulatedCluster::new(ClusterSettings::seeded(260));
+        let cluster = SimulatedCluster::new(ClusterSettings::with_seed(260));
         cluster.start_all(true).await;
         sleep(Duration::from_secs(4)).await;
         for node in cluster.names() {
@@ -83,7 +83,7 @@
 }
 
 async fn is_ready(cluster: &SimulatedCluster, node: &str) -> bool {
-    let net = cluster.outside_net();
+    let net = cluster.outside_network();
     let readiness = SocketAddr::new(cluster.ip(node), READINESS_PORT);
     let timeout_after = Duration::from_millis(500);
     let reply = http_messages::call(
@@ -101,7 +101,7 @@
 /// All machines are told to end at once; whether none was ready at any look from 100 ms to 10 s later.
 fn none_is_ready_while_leaving() -> bool {
     play(async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(262)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(262)).await;
         for node in cluster.names() {
             assert!(is_ready(&cluster, &node).await, "{node}");
         }
@@ -154,7 +154,7 @@
         let path = format!("/api/instances/{}", scripted::id_of(leaves));
         let to = cluster.control_of("core-0");
         let timeout_after = Duration::from_secs(1);
-        let net = cluster.outside_net();
+        let net = cluster.outside_network();
         let told = http_messages::call(&net, to, "DELETE", &path, &[], "", timeout_after).await;
         assert!(told.is_ok_and(|r| r.status < 300));
         sleep(Duration::from_millis(300)).await;
--- a/crates/sparrouter-simulation/tests/graceful_shutdown.rs
+++ b/crates/sparrouter-simulation/tests/graceful_shutdown.rs
@@ -67,7 +67,7 @@
 fn given_long_requests_all_through_a_departure_then_none_is_taken_that_cannot_end() {
     for seed in 0..3 {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings::seeded(300 + seed)).await;
+            let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(300 + seed)).await;
             let outcomes = long_requests_through_a_departure(&cluster, "edge-0").await;
             for (sent, came) in outcomes {
                 if sent < ms(2_200) {
@@ -83,7 +83,7 @@
 fn given_a_process_that_takes_whatever_comes_while_it_leaves_then_the_loss_is_found() {
     inject(Some(Defect::RequestsAdmittedWhileLeaving));
     let violations = play(async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(300)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(300)).await;
         long_requests_through_a_departure(&cluster, "edge-0").await;
         cluster.monitor.violations()
     });
@@ -124,11 +124,8 @@
         0, 1, 1_000, 2_290, 2_297, 2_298, 2_299, 2_300, 2_301, 2_302, 2_305, 2_599, 2_600, 2_601,
     ] {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings {
-                servers: 2,
-                ..ClusterSettings::seeded(310)
-            })
-            .await;
+            let cluster =
+                SimulatedCluster::serving(ClusterSettings::with_seed(310).servers(2)).await;
             let client = cluster.client(true);
             let came = kept_connection(&cluster, &client, "edge-0", ms(moment)).await;
             if moment < 2_290 {
@@ -142,7 +139,7 @@
 #[test]
 fn given_load_when_all_machines_of_a_zone_leave_at_once_then_nothing_is_lost_and_others_serve() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(320)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(320)).await;
         let load = ClientLoad::start(&cluster, 12, ms(200));
         let zone = cluster.zone_of("edge-0");
         let names = cluster.names();
@@ -167,7 +164,7 @@
 #[test]
 fn given_the_last_machine_that_runs_when_it_leaves_then_what_it_took_is_answered() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(321)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(321)).await;
         for name in cluster.names().iter().filter(|name| *name != "edge-0") {
             cluster.kill(name);
         }
@@ -184,7 +181,7 @@
 fn given_sigterm_right_after_the_start_then_the_process_ends_in_time() {
     for moment in [0, 1, 5, 50, 400] {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings::seeded(322)).await;
+            let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(322)).await;
             cluster.kill("edge-0");
             sleep(ms(300)).await;
             cluster.start("edge-0", false);
@@ -200,7 +197,7 @@
 fn given_a_core_without_quorum_and_a_stalled_disk_when_a_member_leaves_then_it_ends_in_time_without_a_loss()
  {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(323)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(323)).await;
         let load = ClientLoad::start(&cluster, 8, ms(200));
         for name in ["core-1", "core-2"] {
             cluster.kill(name);
@@ -217,7 +214,7 @@
 #[test]
 fn given_a_departure_beside_a_new_configuration_and_exchanged_seeds_then_nothing_is_lost() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(324)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(324)).await;
         let load = ClientLoad::start(&cluster, 12, ms(150));
         let ending = leaves(&cluster, "core-1");
         sleep(ms(100)).await;
@@ -240,7 +237,7 @@
 fn given_machines_that_leave_in_turn_under_load_then_nothing_is_lost() {
     for seed in 0..2 {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings::seeded(330 + seed)).await;
+            let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(330 + seed)).await;
             let load = ClientLoad::start(&cluster, 16, ms(150));
             let mut ending = Vec::new();
             for name in ["edge-0", "core-0", "edge-1"] {
@@ -259,7 +256,7 @@
 
 /// The status that a client gets whose request of a long stream is whole only at `moment` after SIGTERM.
 async fn slow_body(cluster: &Rc<SimulatedCluster>, name: &str, moment: Duration) -> (u16, bool) {
-    let net = cluster.outside_net();
+    let net = cluster.outside_network();
     let mut stream = net
         .connect(cluster.front_of(name))
         .await
@@ -287,7 +284,7 @@
 #[test]
 fn given_a_body_that_is_whole_late_in_a_departure_then_its_client_is_told_to_come_back() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(340)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(340)).await;
         let (status, retry_after) = slow_body(&cluster, "edge-0", ms(2_900)).await;
         assert_eq!((status, retry_after), (503, true));
         cluster
--- a/crates/sparrouter-simulation/tests/injected_defects.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects.rs
@@ -1,8 +1,8 @@
 //! Each planted mistake is found by a fixed day, of which only what it takes is played; the long hunt is the example
 //! `hunt`, and its `--planted --shrink` gives these days.
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::faults::{self, Scenario};
 use sparrouter_simulation::runtime::play;
+use sparrouter_simulation::scenario::{self, Scenario};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// Should a day still differ a little from run to run.
@@ -13,7 +13,7 @@
     let day = Scenario::from_seed(seed).restricted_to(indices, closing);
     let found = (0..TRIES).any(|_| {
         // A core may notice it itself, by an assertion without which the story cannot go on.
-        let played = catch_unwind(AssertUnwindSafe(|| play(faults::play(&day))));
+        let played = catch_unwind(AssertUnwindSafe(|| play(scenario::play(&day))));
         played.map_or(true, |report| !report.violations.is_empty())
     });
     inject(None);
--- a/crates/sparrouter-simulation/tests/injected_defects_directed.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects_directed.rs
@@ -8,7 +8,7 @@
 use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
 use sparrouter_simulation::http_messages::call;
 use sparrouter_simulation::network::Partition;
-use sparrouter_simulation::operator::Encoding;
+use sparrouter_simulation::operator::{Encoding, Order};
 use sparrouter_simulation::runtime::play;
 use std::future::Future;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -21,11 +21,7 @@
 
 /// A core of three, one other node, a server.
 fn settings(seed: u64) -> ClusterSettings {
-    ClusterSettings {
-        others: 1,
-        servers: 1,
-        ..ClusterSettings::seeded(seed)
-    }
+    ClusterSettings::with_seed(seed).edge_machines(1).servers(1)
 }
 
 fn with_route(configuration: &Configuration, name: &str) -> Configuration {
@@ -52,7 +48,7 @@
         .monitor
         .configuration_submitted(configuration, base, true);
     let base = base.to_string();
-    let (net, body) = (cluster.outside_net(), configuration.json());
+    let (net, body) = (cluster.outside_network(), configuration.json());
     for _ in 0..5 {
         let fields = [("If-Match", base.as_str())];
         let to = cluster.control_of(machine);
@@ -118,7 +114,7 @@
         .monitor
         .configuration_submitted(&lost, taken.version, true);
     let base = taken.version.to_string();
-    let (net, body) = (cluster.outside_net(), lost.json());
+    let (net, body) = (cluster.outside_network(), lost.json());
     let fields = [("If-Match", base.as_str())];
     let alone = call(
         &net,
@@ -135,11 +131,9 @@
     let won = with_route(&taken, "won");
     let [first, _] = others_than(member);
     let first = cluster.control_of(first);
-    let (status, _) = cluster
-        .operator
-        .change_at(Some(first), &won, taken.version, Encoding::Full, true)
-        .await;
-    assert_eq!(status, 200);
+    let order = Order::new(&won, taken.version, Encoding::Full, true);
+    let outcome = cluster.operator.submit_first_to(Some(first), &order).await;
+    assert_eq!(outcome.status, 200);
     cluster.partition(&[member], None);
     cluster.start(member, false);
     sleep(Duration::from_secs(6)).await;
--- a/crates/sparrouter-simulation/tests/injected_defects_orders.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects_orders.rs
@@ -47,12 +47,7 @@
 }
 
 async fn cluster() -> Rc<SimulatedCluster> {
-    SimulatedCluster::serving(ClusterSettings {
-        others: 1,
-        servers: 1,
-        ..ClusterSettings::seeded(500)
-    })
-    .await
+    SimulatedCluster::serving(ClusterSettings::with_seed(500).edge_machines(1).servers(1)).await
 }
 
 /// Sends an order to a member of the core, whose answer counts.
--- a/crates/sparrouter-simulation/tests/lease_restart.rs
+++ b/crates/sparrouter-simulation/tests/lease_restart.rs
@@ -1,7 +1,7 @@
 //! A lease holder that starts anew over an old disk: it orders nothing under a fencing token that was replaced.
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::checkers::Bounds;
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
+use sparrouter_simulation::monitor::Bounds;
 use sparrouter_simulation::runtime::play;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -23,17 +23,12 @@
 /// What broke where the holder is killed, another takes over, and the first one is back with its old disk while there
 /// are more servers to order. Servers don't refuse old tokens here, so that the orders themselves show.
 async fn violations(seed: u64) -> Vec<String> {
-    let settings = ClusterSettings::seeded(seed);
+    let settings = ClusterSettings::with_seed(seed);
     let bounds = Bounds {
         fencing: false,
         ..settings.bounds
     };
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        servers: 9,
-        bounds,
-        ..settings
-    })
-    .await;
+    let cluster = SimulatedCluster::serving(settings.servers(9).bounds(bounds)).await;
     assert!(cluster.operator.name_version(2).await);
     let first = next_holder(&cluster, None).await.expect("a first holder");
     cluster.kill(&first);
@@ -68,17 +63,12 @@
 /// What broke where the holder freezes between two orders, another takes over, and the first one wakes while there are
 /// servers to order.
 async fn breaches_after_a_freeze(seed: u64) -> Vec<String> {
-    let settings = ClusterSettings::seeded(seed);
+    let settings = ClusterSettings::with_seed(seed);
     let bounds = Bounds {
         fencing: false,
         ..settings.bounds
     };
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        servers: 24,
-        bounds,
-        ..settings
-    })
-    .await;
+    let cluster = SimulatedCluster::serving(settings.servers(24).bounds(bounds)).await;
     assert!(cluster.operator.name_version(2).await);
     let first = next_holder(&cluster, None).await.expect("a first holder");
     cluster.freeze(&first, true);
--- a/crates/sparrouter-simulation/tests/linearizability.rs
+++ b/crates/sparrouter-simulation/tests/linearizability.rs
@@ -19,23 +19,23 @@
 use Operation::{CompareAndSet, Read, Write};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ClientResponse {
+enum Reply {
     Value(u8),
     Done,
     Failed,
 }
-use ClientResponse::{Done, Failed, Value};
+use Reply::{Done, Failed, Value};
 
 impl SequentialModel for Register {
     type State = u8;
     type Call = Operation;
-    type Outcome = ClientResponse;
+    type Outcome = Reply;
 
     fn initial(&self) -> u8 {
         0
     }
 
-    fn apply(&self, state: &u8, call: &Operation, outcome: &ClientResponse) -> Option<u8> {
+    fn apply(&self, state: &u8, call: &Operation, outcome: &Reply) -> Option<u8> {
         match (call, outcome) {
             (Read, Value(value)) => (value == state).then_some(*state),
             (Write(value), Done) => Some(*value),
@@ -54,21 +54,24 @@
     }
 }
 
-type Recorded = RecordedCall<Operation, ClientResponse>;
+type Recorded = RecordedCall<Operation, Reply>;
 
 /// A call by the moments of its invocation and response.
-fn call(invoked: usize, call: Operation, at: usize, outcome: ClientResponse) -> Recorded {
+fn call(invoked_at: usize, call: Operation, received_at: usize, outcome: Reply) -> Recorded {
     RecordedCall {
         call,
-        invoked,
-        response: Some(Response { at, outcome }),
+        invoked_at,
+        response: Some(Response {
+            received_at,
+            outcome,
+        }),
     }
 }
 
-fn unheard(invoked: usize, call: Operation) -> Recorded {
+fn unheard(invoked_at: usize, call: Operation) -> Recorded {
     RecordedCall {
         call,
-        invoked,
+        invoked_at,
         response: None,
     }
 }
@@ -94,10 +97,10 @@
     let mut latest_invocation = 0;
     for index in order {
         let recorded = &history[*index];
-        latest_invocation = latest_invocation.max(recorded.invoked);
+        latest_invocation = latest_invocation.max(recorded.invoked_at);
         let after = match &recorded.response {
             Some(response) => {
-                assert!(response.at > latest_invocation, "{order:?}");
+                assert!(response.received_at > latest_invocation, "{order:?}");
                 Register.apply(&state, &recorded.call, &response.outcome)
             }
             None => Register.apply_unanswered(&state, &recorded.call),
@@ -257,11 +260,11 @@
     }
     let first_response = left
         .iter()
-        .filter_map(|c| history[*c].response.as_ref().map(|r| r.at))
+        .filter_map(|c| history[*c].response.as_ref().map(|r| r.received_at))
         .min();
     for next in &left {
         let recorded = &history[*next];
-        if first_response.is_some_and(|at| recorded.invoked > at) {
+        if first_response.is_some_and(|at| recorded.invoked_at > at) {
             continue;
         }
         let after = match &recorded.response {
@@ -286,7 +289,7 @@
         number,
         request: format!("PUT {document}"),
         document,
-        valid: true,
+        is_valid: true,
     }
 }
 
@@ -296,7 +299,7 @@
     for (order, outcome) in calls {
         let call = history.order_invoked(order.clone());
         if let Some(outcome) = outcome {
-            history.response_received(call, outcome.clone());
+            history.answered(call, outcome.clone());
         }
     }
     history
@@ -304,11 +307,11 @@
 
 fn read(history: &mut History, order: &OrderCall) {
     let call = history.read_invoked();
-    history.response_received(call, Outcome::Document(order.document.clone()));
+    history.answered(call, Outcome::Document(order.document.clone()));
 }
 
 const ACKNOWLEDGED: Option<Outcome> = Some(Outcome::Acknowledged);
-const REFUSED: Option<Outcome> = Some(Outcome::Refused);
+const REFUSED: Option<Outcome> = Some(Outcome::Rejected);
 
 #[test]
 fn given_orders_as_they_should_be_answered_when_checked_then_nothing_speaks_against_it() {
@@ -385,7 +388,7 @@
 #[test]
 fn given_an_invalid_order_when_it_is_acknowledged_then_it_is_found() {
     let invalid = OrderCall {
-        valid: false,
+        is_valid: false,
         ..order(0, 3, "a")
     };
     assert!(
--- a/crates/sparrouter-simulation/tests/long_partitions.rs
+++ b/crates/sparrouter-simulation/tests/long_partitions.rs
@@ -53,17 +53,16 @@
 
 impl LongCut {
     fn settings(&self) -> ClusterSettings {
-        ClusterSettings {
-            // With three machines a replacement beside a cut would lose two at once.
-            core: if self.under_way == UnderWay::Replacement {
-                5
-            } else {
-                3
-            },
-            others: 2,
-            servers: 3,
-            ..ClusterSettings::seeded(self.seed)
-        }
+        // With three machines a replacement beside a partition would lose two at once.
+        let core_machines = if self.under_way == UnderWay::Replacement {
+            5
+        } else {
+            3
+        };
+        ClusterSettings::with_seed(self.seed)
+            .core_machines(core_machines)
+            .edge_machines(2)
+            .servers(3)
     }
 
     /// The machine that ordered or acknowledged last, or one by the seed.
@@ -130,7 +129,7 @@
     async fn play(self) -> Rc<SimulatedCluster> {
         let cluster = SimulatedCluster::serving(self.settings()).await;
         cluster.monitor.trace(format!("{self:?}"));
-        let watch = ContactWatch::begin(&cluster, &cluster.core(), SLOW_POLL);
+        let watch = ContactWatch::start(&cluster, &cluster.core(), SLOW_POLL);
         let load = ClientLoad::start(&cluster, 4, Duration::from_millis(300));
         cluster.newest_weights.set(1);
         let victim = self.victim(&cluster);
@@ -208,8 +207,8 @@
 fn given_core_machines_cut_off_for_20_s_in_turn_then_no_rule_is_broken() {
     for seed in 0..4 {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings::seeded(1_200 + seed)).await;
-            let watch = ContactWatch::begin(&cluster, &cluster.core(), SLOW_POLL);
+            let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(1_200 + seed)).await;
+            let watch = ContactWatch::start(&cluster, &cluster.core(), SLOW_POLL);
             let mut configuration = initial_configuration();
             for (n, victim) in cluster.core().into_iter().enumerate() {
                 let way = PartitionScope::ALL[(n + seed as usize) % PartitionScope::ALL.len()];
--- a/crates/sparrouter-simulation/tests/losses/mod.rs
+++ b/crates/sparrouter-simulation/tests/losses/mod.rs
@@ -26,12 +26,10 @@
 ];
 
 pub fn settings(seed: u64, core: usize) -> ClusterSettings {
-    ClusterSettings {
-        core,
-        others: 1,
-        servers: 1,
-        ..ClusterSettings::seeded(seed)
-    }
+    ClusterSettings::with_seed(seed)
+        .core_machines(core)
+        .edge_machines(1)
+        .servers(1)
 }
 
 pub async fn watched(settings: ClusterSettings) -> Rc<SimulatedCluster> {
--- a/crates/sparrouter-simulation/tests/lost_race.rs
+++ b/crates/sparrouter-simulation/tests/lost_race.rs
@@ -5,6 +5,7 @@
 use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
 use sparrouter_simulation::http_messages;
 use sparrouter_simulation::network::Partition;
+use sparrouter_simulation::operator::{Encoding, Order};
 use sparrouter_simulation::runtime::play;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -20,7 +21,7 @@
 async fn try_once(cluster: &SimulatedCluster, to: &str, configuration: &Configuration, base: u64) {
     let base = base.to_string();
     let _ = http_messages::call(
-        &cluster.outside_net(),
+        &cluster.outside_network(),
         cluster.control_of(to),
         "PUT",
         "/api/config",
@@ -33,7 +34,7 @@
 
 /// The digest of the configuration that a machine has in force, as its status says.
 async fn digest_at(cluster: &SimulatedCluster, name: &str) -> Option<String> {
-    let net = cluster.outside_net();
+    let net = cluster.outside_network();
     let reply = http_messages::call(
         &net,
         cluster.control_of(name),
@@ -50,7 +51,7 @@
 
 /// What the machines have in force after one of them accepted alone a change that lost.
 async fn digests_after_a_lost_race(seed: u64, alone: &str) -> Vec<Option<String>> {
-    let cluster = SimulatedCluster::serving(ClusterSettings::seeded(seed)).await;
+    let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(seed)).await;
     // Whoever made a change last proposes the next one without asking first.
     let configuration = with_route(&initial_configuration(), "before");
     assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
@@ -68,12 +69,9 @@
     let other = other.expect("three machines of the core");
     let won = with_route(&configuration, "won");
     let at = Some(cluster.control_of(&other));
-    let how = sparrouter_simulation::operator::Encoding::Full;
-    let (status, _) = cluster
-        .operator
-        .change_at(at, &won, configuration.version, how, true)
-        .await;
-    assert_eq!(status, 200);
+    let order = Order::new(&won, configuration.version, Encoding::Full, true);
+    let outcome = cluster.operator.submit_first_to(at, &order).await;
+    assert_eq!(outcome.status, 200);
     cluster.partition(&[alone], None);
     cluster.start(alone, false);
     sleep(Duration::from_secs(6)).await;
--- a/crates/sparrouter-simulation/tests/many_changes.rs
+++ b/crates/sparrouter-simulation/tests/many_changes.rs
@@ -59,7 +59,7 @@
             Trouble::FullDisk => cluster.disk(name).files.set_capacity(Some(0)),
             Trouble::StalledDisk => {
                 let far = Instant::now() + Duration::from_secs(3_600);
-                cluster.disk(name).stalled.set(far);
+                cluster.disk(name).stalled_until.set(far);
             }
         }
     }
@@ -76,7 +76,7 @@
             Trouble::Partition => cluster.partition(&[name], None),
             Trouble::PowerLoss => cluster.power_on(name),
             Trouble::FullDisk => cluster.disk(name).files.set_capacity(None),
-            Trouble::StalledDisk => cluster.disk(name).stalled.set(Instant::now()),
+            Trouble::StalledDisk => cluster.disk(name).stalled_until.set(Instant::now()),
         }
     }
 }
@@ -123,7 +123,7 @@
 async fn answers_with_nothing_older(cluster: &SimulatedCluster, name: &str, acknowledged: u64) {
     for _ in 0..20 {
         let reply = http_messages::call(
-            &cluster.outside_net(),
+            &cluster.outside_network(),
             cluster.control_of(name),
             "GET",
             "/api/config",
@@ -159,12 +159,9 @@
 }
 
 async fn day_of_many_changes(seed: u64, changes: u64) -> Rc<SimulatedCluster> {
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        others: 1,
-        servers: 1,
-        ..ClusterSettings::seeded(seed)
-    })
-    .await;
+    let cluster =
+        SimulatedCluster::serving(ClusterSettings::with_seed(seed).edge_machines(1).servers(1))
+            .await;
     let mut rng = Rng::with_seed(seed);
     let mut fault_timeline = TROUBLES.to_vec();
     let mut configuration = large_plan();
--- a/crates/sparrouter-simulation/tests/older_state.rs
+++ b/crates/sparrouter-simulation/tests/older_state.rs
@@ -80,12 +80,9 @@
     configuration: &Configuration,
     rewritten: fn(ConfigurationState) -> Vec<u8>,
 ) -> Rc<SimulatedCluster> {
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        others: 1,
-        servers: 1,
-        ..ClusterSettings::seeded(seed)
-    })
-    .await;
+    let cluster =
+        SimulatedCluster::serving(ClusterSettings::with_seed(seed).edge_machines(1).servers(1))
+            .await;
     assert_eq!(cluster.operator.put(configuration, 1).await, 200);
     sleep(Duration::from_secs(3)).await;
     for name in cluster.names() {
--- a/crates/sparrouter-simulation/tests/operator_orders.rs
+++ b/crates/sparrouter-simulation/tests/operator_orders.rs
@@ -20,11 +20,7 @@
 
 /// A small fleet: three machines that keep control state and two that relay to them.
 fn settings(seed: u64) -> ClusterSettings {
-    ClusterSettings {
-        others: 2,
-        servers: 1,
-        ..ClusterSettings::seeded(seed)
-    }
+    ClusterSettings::with_seed(seed).edge_machines(2).servers(1)
 }
 
 fn with_route(configuration: &Configuration, step: u64, name: &str) -> Configuration {
@@ -206,7 +202,7 @@
             sleep(Duration::from_millis(5)).await;
             cluster
                 .network
-                .cut(answers.0, answers.1, Some(Partition::PacketsLost));
+                .partition(answers.0, answers.1, Some(Partition::PacketsLost));
             assert_eq!(first.await.ok(), Some(0), "the answer is lost");
             let others = control_of(&cluster, &["edge-1", "core-2"]);
             let mut newest = configuration;
@@ -217,7 +213,7 @@
                 newest = next;
             }
             assert_eq!(until_clear(&cluster, &others, &order).await, 200);
-            cluster.network.cut(answers.0, answers.1, None);
+            cluster.network.partition(answers.0, answers.1, None);
             assert_eq!(
                 cluster
                     .operator
@@ -511,7 +507,7 @@
             );
             let stale = with_route(&first, 2, "stale");
             let next = with_route(&newest, 2, "next");
-            let outside = cluster.outside_net();
+            let outside = cluster.outside_network();
             for name in alone {
                 let to = cluster.control_of(name);
                 let orders = [
@@ -595,7 +591,7 @@
             report.violations
         );
         assert!(
-            report.acknowledged > 40 && report.refused > 40,
+            report.acknowledged > 40 && report.rejected > 40,
             "seed {seed}"
         );
     }
--- a/crates/sparrouter-simulation/tests/outliers.rs
+++ b/crates/sparrouter-simulation/tests/outliers.rs
@@ -18,10 +18,7 @@
 };
 
 fn six_servers(seed: u64) -> ClusterSettings {
-    ClusterSettings {
-        servers: 6,
-        ..ClusterSettings::seeded(seed)
-    }
+    ClusterSettings::with_seed(seed).servers(6)
 }
 
 /// Part of the requests that is served while so many of six servers reset all of theirs, and after that.
--- a/crates/sparrouter-simulation/tests/prefix_index.rs
+++ b/crates/sparrouter-simulation/tests/prefix_index.rs
@@ -67,23 +67,19 @@
         .map(|id| cluster.server(&id));
     others
         .filter(|s| before.iter().all(|b| b.settings.id != s.settings.id))
-        .map(|s| s.moves.get())
+        .map(|s| s.fetched_blocks.get())
         .sum()
 }
 
 fn home_drains(seed: u64, shared_tokens: u64, restart: bool) {
     run_checked(move || async move {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            servers: 4,
-            ..ClusterSettings::seeded(seed)
-        })
-        .await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(seed).servers(4)).await;
         let request = about("c0ffee", shared_tokens);
         assert_eq!(
             cluster.client(false).send(&request).await,
             RequestOutcome::Served
         );
-        let keeps = |s: &Rc<Server>| s.keeps("c0ffee");
+        let keeps = |s: &Rc<Server>| s.has_cached("c0ffee");
         let home = cluster
             .server_ids()
             .into_iter()
@@ -135,11 +131,7 @@
 fn given_all_other_nodes_frozen_when_parts_are_asked_for_then_the_store_is_named_for_what_their_owners_know()
  {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            servers: 4,
-            ..ClusterSettings::seeded(99)
-        })
-        .await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(99).servers(4)).await;
         open_store(&cluster);
         sleep(Duration::from_secs(2)).await;
         let wishes: Vec<ClientRequest> = (0..8)
@@ -176,12 +168,15 @@
                 .await;
             assert_eq!(came, RequestOutcome::Served);
         }
-        let moves: u32 = cluster
+        let fetched_blocks: u32 = cluster
             .server_ids()
             .iter()
-            .map(|id| cluster.server(id).moves.get())
+            .map(|id| cluster.server(id).fetched_blocks.get())
             .sum();
-        assert!(moves >= 8, "{moves} of 8 shared parts came from the store");
+        assert!(
+            fetched_blocks >= 8,
+            "{fetched_blocks} of 8 shared parts came from the store"
+        );
         others.iter().for_each(|name| cluster.freeze(name, false));
         sleep(Duration::from_secs(4)).await;
         cluster
--- a/crates/sparrouter-simulation/tests/quorum_contact.rs
+++ b/crates/sparrouter-simulation/tests/quorum_contact.rs
@@ -12,9 +12,10 @@
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
 use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
 use sparrouter_simulation::contact_watch::{
-    CONTACT_WINDOW, Caller, ContactWatch, FAST_POLL, internal_of,
+    CONTACT_WINDOW, ContactWatch, FAST_POLL, PeerClient, internal_address_of,
 };
 use sparrouter_simulation::http_messages::{self, Reply};
+use sparrouter_simulation::monitor::FaultScope;
 use sparrouter_simulation::network::Partition;
 use sparrouter_simulation::runtime::{play, run_checked};
 use std::future::Future;
@@ -39,11 +40,7 @@
 }
 
 fn small(seed: u64) -> ClusterSettings {
-    ClusterSettings {
-        others: 1,
-        servers: 1,
-        ..ClusterSettings::seeded(seed)
-    }
+    ClusterSettings::with_seed(seed).edge_machines(1).servers(1)
 }
 
 /// Whether a scenario shows the planted mistake, by a breach or by an assertion.
@@ -147,7 +144,7 @@
 /// was acknowledged, and the victim does not claim any while it is cut off.
 async fn cut_and_heal(seed: u64, way: PartitionScope) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
-    let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
+    let watch = ContactWatch::start(&cluster, &cluster.core(), FAST_POLL);
     sleep(Duration::from_millis(300)).await;
     let cut_at = Instant::now();
     cluster.partition_core(VICTIM, way, Some(Partition::PacketsLost));
@@ -205,14 +202,14 @@
 fn given_contact_by_frames_that_arrive_then_a_cut_of_one_direction_shows_it() {
     assert!(is_found(Defect::ContactFromAnyFrame, || cut_and_heal(
         741,
-        PartitionScope::Outward
+        PartitionScope::Outbound
     )));
 }
 
 /// The victim is frozen for 20 s, during which a change is made.
 async fn freeze_and_thaw(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
-    let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
+    let watch = ContactWatch::start(&cluster, &cluster.core(), FAST_POLL);
     sleep(Duration::from_millis(300 + 37 * (seed % 10))).await;
     cluster.freeze(VICTIM, true);
     let next = with_route(&initial_configuration(), "new");
@@ -263,7 +260,7 @@
     body: &str,
 ) -> Option<Reply> {
     let (method, path) = request;
-    let (net, at) = (cluster.outside_net(), cluster.control_of(name));
+    let (net, at) = (cluster.outside_network(), cluster.control_of(name));
     let timeout_after = Duration::from_secs(1);
     let call = http_messages::call(&net, at, method, path, fields, body, timeout_after);
     call.await.ok()
@@ -302,12 +299,9 @@
 fn given_two_of_five_cut_off_together_then_neither_counts_as_in_contact_through_the_other() {
     for seed in 0..3 {
         run_checked(|| async {
-            let settings = ClusterSettings {
-                core: 5,
-                ..small(780 + seed)
-            };
+            let settings = small(780 + seed).core_machines(5);
             let cluster = SimulatedCluster::serving(settings).await;
-            let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
+            let watch = ContactWatch::start(&cluster, &cluster.core(), FAST_POLL);
             sleep(Duration::from_millis(200)).await;
             let cut_at = Instant::now();
             cluster.partition(&["core-0", "core-1"], Some(Partition::PacketsLost));
@@ -334,25 +328,29 @@
     for seed in 0..6 {
         run_checked(|| async {
             let cluster = SimulatedCluster::serving(small(790 + seed)).await;
-            let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
+            let watch = ContactWatch::start(&cluster, &cluster.core(), FAST_POLL);
             sleep(Duration::from_millis(200 + 90 * seed)).await;
             // Questions still leave; their answers wait on the way, just not so long that the connections break.
             for _ in 0..6 {
                 cluster.partition_core(
                     VICTIM,
-                    PartitionScope::Inward,
+                    PartitionScope::Inbound,
                     Some(Partition::PacketsLost),
                 );
                 sleep(Duration::from_millis(1_400)).await;
-                cluster.partition_core(VICTIM, PartitionScope::Inward, None);
+                cluster.partition_core(VICTIM, PartitionScope::Inbound, None);
                 sleep(Duration::from_millis(30)).await;
             }
             let next = with_route(&initial_configuration(), "new");
-            cluster.partition_core(VICTIM, PartitionScope::Inward, Some(Partition::PacketsLost));
+            cluster.partition_core(
+                VICTIM,
+                PartitionScope::Inbound,
+                Some(Partition::PacketsLost),
+            );
             assert_eq!(cluster.operator.put(&next, 1).await, 200);
             watch.acknowledged(next.version);
             sleep(Duration::from_millis(1_400)).await;
-            cluster.partition_core(VICTIM, PartitionScope::Inward, None);
+            cluster.partition_core(VICTIM, PartitionScope::Inbound, None);
             sleep(Duration::from_secs(4)).await;
             watch.stop();
             cluster
@@ -364,10 +362,12 @@
 fn given_a_disk_that_stalls_then_its_machine_stays_in_contact_by_the_others() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(small(796)).await;
-        let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
-        cluster.monitor.fault_began(Some(cluster.ip(VICTIM)));
-        cluster.monitor.fault_began(None);
-        let stalled = cluster.disk(VICTIM).stalled;
+        let watch = ContactWatch::start(&cluster, &cluster.core(), FAST_POLL);
+        cluster
+            .monitor
+            .fault_began(FaultScope::Machine(cluster.ip(VICTIM)));
+        cluster.monitor.fault_began(FaultScope::Core);
+        let stalled = cluster.disk(VICTIM).stalled_until;
         stalled.set(Instant::now() + CUT);
         let began = Instant::now();
         let next = with_route(&initial_configuration(), "new");
@@ -376,8 +376,10 @@
         sleep(CUT).await;
         let claims = watch.claims(cluster.ip(VICTIM), began, Instant::now());
         assert!(claims > 1_000, "{claims}");
-        cluster.monitor.fault_ended(Some(cluster.ip(VICTIM)));
-        cluster.monitor.fault_ended(None);
+        cluster
+            .monitor
+            .fault_ended(FaultScope::Machine(cluster.ip(VICTIM)));
+        cluster.monitor.fault_ended(FaultScope::Core);
         sleep(Duration::from_secs(2)).await;
         watch.stop();
         cluster
@@ -389,7 +391,7 @@
     for pace in [40, 700, 3_000] {
         run_checked(|| async {
             let cluster = SimulatedCluster::serving(small(797)).await;
-            let watch = ContactWatch::begin(&cluster, &cluster.core(), FAST_POLL);
+            let watch = ContactWatch::start(&cluster, &cluster.core(), FAST_POLL);
             cluster.slow(VICTIM, Duration::from_millis(pace));
             let mut configuration = initial_configuration();
             for round in 0..6 {
@@ -719,8 +721,8 @@
 
 async fn calls_of_nodes_without_contact(cluster: &Rc<SimulatedCluster>) {
     let (caller, to) = (
-        Caller::new(cluster.outside_net()),
-        internal_of(cluster, VICTIM),
+        PeerClient::new(cluster.outside_network()),
+        internal_address_of(cluster, VICTIM),
     );
     let update = caller.poll(to).await.expect("an answer");
     assert!(!update.has_quorum_contact(), "poll");
@@ -801,8 +803,8 @@
 async fn relay_to_a_frozen_machine(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
     let (caller, to) = (
-        Caller::new(cluster.outside_net()),
-        internal_of(&cluster, VICTIM),
+        PeerClient::new(cluster.outside_network()),
+        internal_address_of(&cluster, VICTIM),
     );
     assert!(caller.poll(to).await.is_some(), "the connection is up");
     cluster.freeze(VICTIM, true);
--- a/crates/sparrouter-simulation/tests/reconfiguration.rs
+++ b/crates/sparrouter-simulation/tests/reconfiguration.rs
@@ -6,11 +6,9 @@
 use sparrouter_consensus::owner::ranked;
 use sparrouter_fleet::control::CONFIG;
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::cluster::{
-    ClusterSettings, SimulatedCluster, ZONES, initial_configuration,
-};
+use sparrouter_simulation::cluster::{SimulatedCluster, ZONES, initial_configuration};
 use sparrouter_simulation::network::Partition;
-use sparrouter_simulation::runtime::{collect_panics, panics, play, run_checked};
+use sparrouter_simulation::runtime::{collect_panics, play, run_checked, take_panics};
 use std::future::Future;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
@@ -43,10 +41,10 @@
     for (seed, core) in [(330, 5), (331, 7)] {
         run_checked(|| async {
             let cluster = watched(settings(seed, core)).await;
-            let tolerated = cluster.settings.tolerated();
+            let tolerated_losses = cluster.settings.tolerated_losses();
             let mut configuration = initial_configuration();
             let old = cluster.core();
-            for lost in old.chunks(tolerated) {
+            for lost in old.chunks(tolerated_losses) {
                 for name in lost {
                     cluster.retire(name);
                 }
@@ -124,7 +122,7 @@
     let cluster = watched(settings(350, 3)).await;
     let new = cluster.add_core(ZONES[0]);
     let stall = Duration::from_secs(9);
-    cluster.disk(&new).stalled.set(Instant::now() + stall);
+    cluster.disk(&new).stalled_until.set(Instant::now() + stall);
     sleep(stall + CATCH_UP).await;
     let mut configuration = initial_configuration();
     change(&cluster, &mut configuration, "after-the-stall").await;
@@ -139,7 +137,7 @@
     let [leaving, wiped, stalled] = ["core-0", "core-1", "core-2"];
     let mut configuration = initial_configuration();
     let stall_ends = Instant::now() + Duration::from_millis(3_800);
-    cluster.disk(stalled).stalled.set(stall_ends);
+    cluster.disk(stalled).stalled_until.set(stall_ends);
     change(&cluster, &mut configuration, "held-by-two").await;
     cluster.power_off(wiped);
     cluster.wipe(wiped);
@@ -196,7 +194,7 @@
         play(async { day().await.monitor.violations() })
     }));
     inject(None);
-    let mut found = panics();
+    let mut found = take_panics();
     found.extend(played.unwrap_or_default());
     found
 }
@@ -249,7 +247,7 @@
         cluster.terminate("core-0").await;
         let (took, grace) = (began.elapsed(), cluster.settings.bounds.grace);
         assert!(took > Duration::from_secs(7) && took < grace, "{took:?}");
-        let written = cluster.written_by("core-0");
+        let written = cluster.stderr_of("core-0");
         assert!(written.contains("not handed over"), "{written}");
         for name in ["core-0", "core-1", "core-2"] {
             cluster.start(name, false);
@@ -280,11 +278,7 @@
 {
     for (seed, loss) in (360..).zip(LOSSES) {
         run_checked(|| async {
-            let cluster = watched(ClusterSettings {
-                servers: 6,
-                ..settings(seed, 3)
-            })
-            .await;
+            let cluster = watched(settings(seed, 3).servers(6)).await;
             let mut configuration = initial_configuration();
             for version in 2..5 {
                 assert!(cluster.operator.name_version(version).await);
--- a/crates/sparrouter-simulation/tests/revocation.rs
+++ b/crates/sparrouter-simulation/tests/revocation.rs
@@ -1,11 +1,11 @@
 //! Strict revocation: on no machine, in touch or not, does anything run that was sent long after its key was removed.
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::checkers::Bounds;
 use sparrouter_simulation::client::{ClientRequest, RequestOutcome};
 use sparrouter_simulation::cluster::{
     ClusterSettings, KEY, SimulatedCluster, initial_configuration, request,
 };
 use sparrouter_simulation::configuration::{Configuration, RouteKind};
+use sparrouter_simulation::monitor::Bounds;
 use sparrouter_simulation::network::Partition;
 use sparrouter_simulation::runtime::{play, run_checked};
 use sparrouter_simulation::server::ServerFaults;
@@ -18,13 +18,10 @@
 const PROBE_PAUSE: Duration = Duration::from_millis(100);
 
 fn strict(seed: u64) -> ClusterSettings {
-    ClusterSettings {
-        bounds: Bounds {
-            strict_revocation: true,
-            ..Bounds::default()
-        },
-        ..ClusterSettings::seeded(seed)
-    }
+    ClusterSettings::with_seed(seed).bounds(Bounds {
+        strict_revocation: true,
+        ..Bounds::default()
+    })
 }
 
 /// The first plan with another key for its first tenant.
@@ -64,8 +61,8 @@
     assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
     probe(&cluster, name, Duration::from_secs(12)).await;
     // What it tells of itself says so too.
-    for figure in ["sparrouter_ready", "sparrouter_configuration_lease"] {
-        assert_eq!(cluster.figure(name, figure).await, Some(0.0), "{figure}");
+    for metric in ["sparrouter_ready", "sparrouter_configuration_lease"] {
+        assert_eq!(cluster.metric(name, metric).await, Some(0.0), "{metric}");
     }
     cluster.partition(&[name], None);
     probe(&cluster, name, Duration::from_secs(2)).await;
@@ -238,7 +235,7 @@
 /// How often a repeatable request runs whose first server hangs until long after its key was removed, and then crashes.
 async fn runs_of_a_request_whose_key_is_removed(seed: u64) -> usize {
     let cluster = SimulatedCluster::serving(strict(seed)).await;
-    cluster.monitor.verbose.set(true);
+    cluster.monitor.trace.verbose.set(true);
     let hangs = ServerFaults {
         hangs: 1.0,
         ..ServerFaults::default()
--- a/crates/sparrouter-simulation/tests/scripted/mod.rs
+++ b/crates/sparrouter-simulation/tests/scripted/mod.rs
@@ -7,8 +7,8 @@
 use sparrouter_http::reading::{self, ReadError};
 use sparrouter_simulation::cluster::{ClusterSettings, HOST, KEY, SimulatedCluster, ZONES};
 use sparrouter_simulation::http_messages;
-use sparrouter_simulation::network::connection::End;
 use sparrouter_simulation::network::interface::NetworkInterface;
+use sparrouter_simulation::network::socket::Socket;
 use sparrouter_simulation::server::MODEL;
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
@@ -152,14 +152,19 @@
     }
 
     /// Answers a question for events as one who keeps nothing.
-    async fn no_events(&self, stream: &mut End) -> bool {
+    async fn no_events(&self, stream: &mut Socket) -> bool {
         sleep(Duration::from_millis(900)).await;
         let body = "{\"epoch\":1,\"next_page_token\":0,\"lost_count\":false,\"events\":[]}";
         let answer = http_messages::response_text(200, "", body);
         stream.write_all(answer.as_bytes()).await.is_ok()
     }
 
-    async fn serve_connection(self: Rc<Self>, mut stream: End, server: usize, connection: usize) {
+    async fn serve_connection(
+        self: Rc<Self>,
+        mut stream: Socket,
+        server: usize,
+        connection: usize,
+    ) {
         let mut buffer = BytesMut::new();
         loop {
             let bytes = match reading::head(&mut stream, &mut buffer, b"", 64 << 10).await {
@@ -261,11 +266,7 @@
 
 /// A world without servers of its own.
 pub async fn cluster(seed: u64) -> Rc<SimulatedCluster> {
-    SimulatedCluster::serving(ClusterSettings {
-        servers: 0,
-        ..ClusterSettings::seeded(seed)
-    })
-    .await
+    SimulatedCluster::serving(ClusterSettings::with_seed(seed).servers(0)).await
 }
 
 /// A success with a length, as a server sends it.
@@ -326,7 +327,7 @@
     /// Sends it to a node on a connection of its own, and reads what comes for up to 20 s.
     pub async fn at(&self, cluster: &SimulatedCluster, node: &str) -> Got {
         let began = Instant::now();
-        let net = cluster.outside_net();
+        let net = cluster.outside_network();
         let mut stream = net
             .connect(cluster.front_of(node))
             .await
@@ -359,7 +360,7 @@
     }
 }
 
-async fn read(stream: &mut End, got: &mut Got) -> Option<()> {
+async fn read(stream: &mut Socket, got: &mut Got) -> Option<()> {
     let mut buffer = BytesMut::new();
     let bytes = reading::head(stream, &mut buffer, head::REPLY, 64 << 10)
         .await
--- a/crates/sparrouter-simulation/tests/servers.rs
+++ b/crates/sparrouter-simulation/tests/servers.rs
@@ -14,7 +14,7 @@
 #[test]
 fn given_a_drain_that_one_node_acknowledges_then_it_binds_all_in_time() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(60)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(60)).await;
         let load = ClientLoad::start(&cluster, 12, PAUSE);
         sleep(Duration::from_secs(1)).await;
         for id in cluster.server_ids() {
@@ -38,11 +38,7 @@
 #[test]
 fn given_a_late_beat_with_a_lower_number_when_a_server_drains_then_it_undoes_nothing() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            servers: 2,
-            ..ClusterSettings::seeded(61)
-        })
-        .await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(61).servers(2)).await;
         let load = ClientLoad::start(&cluster, 10, PAUSE);
         let id = cluster.server_ids().remove(0);
         cluster.server(&id).duplicate_first_heartbeat.set(true);
@@ -63,17 +59,13 @@
 #[test]
 fn given_an_address_that_another_service_has_now_then_nothing_runs_there() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            servers: 3,
-            ..ClusterSettings::seeded(62)
-        })
-        .await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(62).servers(3)).await;
         let load = ClientLoad::start(&cluster, 10, PAUSE);
         sleep(Duration::from_secs(1)).await;
         let id = cluster.server_ids().remove(0);
         let address = cluster.crash_server(&id);
         sleep(Duration::from_millis(200)).await;
-        cluster.host("others", ZONES[0], address, 1);
+        cluster.start_server("others", ZONES[0], address, 1);
         sleep(Duration::from_secs(5)).await;
         load.stop().await;
         assert!(load.served_fraction() > 0.97, "{}", load.served_fraction());
@@ -84,11 +76,7 @@
 #[test]
 fn given_a_server_that_resets_after_it_ran_when_not_repeatable_then_it_never_runs_twice() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            servers: 2,
-            ..ClusterSettings::seeded(63)
-        })
-        .await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(63).servers(2)).await;
         for id in cluster.server_ids() {
             cluster.server(&id).faults.set(ServerFaults {
                 resets: 0.5,
@@ -123,11 +111,7 @@
 #[test]
 fn given_servers_that_break_off_resumable_streams_then_they_are_taken_up_whole_and_once() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            servers: 4,
-            ..ClusterSettings::seeded(64)
-        })
-        .await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(64).servers(4)).await;
         for id in cluster.server_ids() {
             cluster.server(&id).faults.set(ServerFaults {
                 breaks: 0.3,
@@ -153,7 +137,7 @@
 #[test]
 fn given_garbled_and_surplus_answers_then_no_client_sees_them() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(65)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(65)).await;
         for id in cluster.server_ids() {
             cluster.server(&id).faults.set(ServerFaults {
                 garbles: 0.05,
@@ -172,11 +156,7 @@
 #[test]
 fn given_a_server_that_hangs_then_streams_that_may_not_repeat_are_not_repeated() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            servers: 3,
-            ..ClusterSettings::seeded(66)
-        })
-        .await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(66).servers(3)).await;
         let id = cluster.server_ids().remove(0);
         cluster.server(&id).faults.set(ServerFaults {
             hangs: 1.0,
@@ -193,12 +173,8 @@
 #[test]
 fn given_servers_that_are_full_then_what_is_refused_never_ran() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            servers: 2,
-            slots: 1,
-            ..ClusterSettings::seeded(67)
-        })
-        .await;
+        let cluster =
+            SimulatedCluster::serving(ClusterSettings::with_seed(67).servers(2).slots(1)).await;
         let load = ClientLoad::start(&cluster, 40, Duration::from_millis(60));
         sleep(Duration::from_secs(4)).await;
         load.stop().await;
@@ -214,7 +190,7 @@
 #[test]
 fn given_open_streams_when_nodes_are_told_to_end_one_by_one_then_none_is_lost() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings::seeded(68)).await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(68)).await;
         let load = ClientLoad::start(&cluster, 16, PAUSE);
         sleep(Duration::from_secs(1)).await;
         for name in cluster.names() {
--- a/crates/sparrouter-simulation/tests/slow_links.rs
+++ b/crates/sparrouter-simulation/tests/slow_links.rs
@@ -13,11 +13,11 @@
 
 /// How long nodes without a disk took to be ready that were started at once, and how many copies they were sent.
 async fn restart_of_all_others(seed: u64, others: usize) -> (Duration, f64) {
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        others,
-        servers: 1,
-        ..ClusterSettings::seeded(seed)
-    })
+    let cluster = SimulatedCluster::serving(
+        ClusterSettings::with_seed(seed)
+            .edge_machines(others)
+            .servers(1),
+    )
     .await;
     let configuration = initial_configuration().next(1, |configuration| {
         let key = |i: usize| format!("{i:0>KEY_LENGTH$}");
@@ -30,7 +30,7 @@
     let size = configuration.json().len() as f64;
     assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
     sleep(Duration::from_secs(5)).await;
-    cluster.network.line_rate.set(Some(LINE));
+    cluster.network.send_rate.set(Some(LINE));
     let names = cluster.names();
     let others: Vec<&String> = names.iter().filter(|n| !n.starts_with("core")).collect();
     others.iter().for_each(|n| cluster.kill(n));
--- a/crates/sparrouter-simulation/tests/split_core.rs
+++ b/crates/sparrouter-simulation/tests/split_core.rs
@@ -3,6 +3,7 @@
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
 use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
 use sparrouter_simulation::load::ClientLoad;
+use sparrouter_simulation::monitor::FaultScope;
 use sparrouter_simulation::network::Partition;
 use sparrouter_simulation::runtime::run_checked;
 use std::rc::Rc;
@@ -32,10 +33,10 @@
         .monitor
         .trace(format!("the core is cut in halves: {cut:?}"));
     match cut {
-        Some(_) => cluster.monitor.fault_began(None),
+        Some(_) => cluster.monitor.fault_began(FaultScope::Core),
         None => {
-            cluster.monitor.fault_ended(None);
-            cluster.monitor.momentary_fault(None);
+            cluster.monitor.fault_ended(FaultScope::Core);
+            cluster.monitor.momentary_fault(FaultScope::Core);
         }
     }
 }
@@ -59,11 +60,11 @@
 }
 
 async fn halved(seed: u64, core: usize) -> Rc<SimulatedCluster> {
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        core,
-        others: 4,
-        ..ClusterSettings::seeded(seed)
-    })
+    let cluster = SimulatedCluster::serving(
+        ClusterSettings::with_seed(seed)
+            .core_machines(core)
+            .edge_machines(4),
+    )
     .await;
     let load = ClientLoad::start(&cluster, 8, Duration::from_millis(150));
     let before = with_route(&initial_configuration(), "before");
@@ -101,11 +102,8 @@
 #[test]
 fn given_no_quorum_when_the_configuration_is_read_then_503_says_when_to_come_back() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            others: 1,
-            ..ClusterSettings::seeded(355)
-        })
-        .await;
+        let cluster =
+            SimulatedCluster::serving(ClusterSettings::with_seed(355).edge_machines(1)).await;
         for name in ["core-1", "core-2"] {
             cluster.freeze(name, true);
         }
--- a/crates/sparrouter-simulation/tests/versions.rs
+++ b/crates/sparrouter-simulation/tests/versions.rs
@@ -2,9 +2,9 @@
 //! nor a quiet core moves. Each guard is shown by a mistake that takes it out.
 use fastrand::Rng;
 use sparrouter_fleet::platform::defects::{Defect, inject};
-use sparrouter_simulation::checkers::Bounds;
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
 use sparrouter_simulation::load::ClientLoad;
+use sparrouter_simulation::monitor::Bounds;
 use sparrouter_simulation::runtime::{play, run_checked};
 use std::future::Future;
 use std::rc::Rc;
@@ -15,11 +15,9 @@
 
 /// Nine servers, of which each takes so long for new weights that a rollout takes longer than the time limit.
 fn slow_rollout(seed: u64) -> ClusterSettings {
-    ClusterSettings {
-        servers: 9,
-        load: Duration::from_millis(3_500),
-        ..ClusterSettings::seeded(seed)
-    }
+    ClusterSettings::with_seed(seed)
+        .servers(9)
+        .load_time(Duration::from_millis(3_500))
 }
 
 /// Names the versions 2, 3, ... with so much time between two.
@@ -63,12 +61,12 @@
         version_all: Duration::from_secs(5),
         ..Bounds::default()
     };
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        bounds,
-        servers: 14,
-        load: Duration::from_secs(9),
-        ..slow_rollout(seed)
-    })
+    let cluster = SimulatedCluster::serving(
+        slow_rollout(seed)
+            .bounds(bounds)
+            .servers(14)
+            .load_time(Duration::from_secs(9)),
+    )
     .await;
     let load = ClientLoad::start(&cluster, 12, PAUSE);
     name_versions(&cluster, 2, Duration::from_millis(100)).await;
@@ -140,12 +138,12 @@
         version_all: Duration::from_secs(9),
         ..Bounds::default()
     };
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        bounds,
-        servers: 14,
-        load: Duration::from_secs(12),
-        ..slow_rollout(seed)
-    })
+    let cluster = SimulatedCluster::serving(
+        slow_rollout(seed)
+            .bounds(bounds)
+            .servers(14)
+            .load_time(Duration::from_secs(12)),
+    )
     .await;
     let load = ClientLoad::start(&cluster, 12, PAUSE);
     name_versions(&cluster, 2, Duration::from_millis(5_500)).await;
@@ -175,12 +173,12 @@
 /// Versions at drawn moments, servers of drawn slowness, and restarts of nodes in between, by one seed.
 async fn drawn_rollout(seed: u64) -> Rc<SimulatedCluster> {
     let mut rng = Rng::with_seed(seed);
-    let cluster = SimulatedCluster::serving(ClusterSettings {
-        servers: rng.usize(3..12),
-        others: rng.usize(2..6),
-        load: Duration::from_millis(rng.u64(300..5_000)),
-        ..ClusterSettings::seeded(seed)
-    })
+    let cluster = SimulatedCluster::serving(
+        ClusterSettings::with_seed(seed)
+            .servers(rng.usize(3..12))
+            .edge_machines(rng.usize(2..6))
+            .load_time(Duration::from_millis(rng.u64(300..5_000))),
+    )
     .await;
     let load = ClientLoad::start(&cluster, 10, PAUSE);
     let newest = rng.u64(2..6);
@@ -251,11 +249,9 @@
 fn given_versions_named_one_after_another_then_all_servers_run_the_newest_in_one_and_a_half_limits()
 {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            load: Duration::from_millis(1_800),
-            ..slow_rollout(340)
-        })
-        .await;
+        let cluster =
+            SimulatedCluster::serving(slow_rollout(340).load_time(Duration::from_millis(1_800)))
+                .await;
         let load = ClientLoad::start(&cluster, 12, PAUSE);
         name_versions(&cluster, 4, Duration::from_millis(700)).await;
         sleep(cluster.settings.bounds.version.mul_f64(1.5)).await;
@@ -269,11 +265,11 @@
 fn given_a_holder_killed_while_servers_load_when_the_next_version_is_named_then_they_go_on_to_it() {
     for seed in 360..364 {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings {
-                servers: 6,
-                load: Duration::from_millis(2_500),
-                ..ClusterSettings::seeded(seed)
-            })
+            let cluster = SimulatedCluster::serving(
+                ClusterSettings::with_seed(seed)
+                    .servers(6)
+                    .load_time(Duration::from_millis(2_500)),
+            )
             .await;
             assert!(cluster.operator.name_version(2).await);
             let holder = loop {
@@ -305,7 +301,7 @@
         .collect();
     let mut before = Vec::new();
     for name in &others {
-        before.push(cluster.figure(name, FIGURE).await.expect("a figure"));
+        before.push(cluster.metric(name, FIGURE).await.expect("a figure"));
     }
     cluster.kill(restarted);
     sleep(Duration::from_millis(500)).await;
@@ -313,7 +309,7 @@
     sleep(Duration::from_secs(12)).await;
     let mut most: f64 = 0.0;
     for (name, before) in others.iter().zip(before) {
-        let after = cluster.figure(name, FIGURE).await.expect("a figure");
+        let after = cluster.metric(name, FIGURE).await.expect("a figure");
         most = most.max(after - before);
     }
     most
@@ -323,10 +319,7 @@
 fn given_a_core_node_restarted_when_it_is_back_then_others_see_one_change_of_the_core() {
     for seed in 0..4 {
         run_checked(|| async {
-            let settings = ClusterSettings {
-                others: 9,
-                ..ClusterSettings::seeded(330 + seed)
-            };
+            let settings = ClusterSettings::with_seed(330 + seed).edge_machines(9);
             let cluster = SimulatedCluster::serving(settings).await;
             let restarted = format!("core-{}", seed % 3);
             let seen = core_changes_by_restart(&cluster, &restarted).await;
--- a/crates/sparrouter-simulation/tests/weights.rs
+++ b/crates/sparrouter-simulation/tests/weights.rs
@@ -32,11 +32,7 @@
 #[test]
 fn given_new_weights_when_named_then_each_server_loads_once_and_all_in_time() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            servers: 9,
-            ..ClusterSettings::seeded(70)
-        })
-        .await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(70).servers(9)).await;
         let load = ClientLoad::start(&cluster, 12, PAUSE);
         assert!(cluster.operator.name_version(2).await);
         let named = Instant::now();
@@ -63,11 +59,8 @@
 fn given_a_holder_killed_midway_then_another_goes_on_and_nothing_is_loaded_twice() {
     for seed in 0..3 {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings {
-                servers: 6,
-                ..ClusterSettings::seeded(71 + seed)
-            })
-            .await;
+            let cluster =
+                SimulatedCluster::serving(ClusterSettings::with_seed(71 + seed).servers(6)).await;
             let load = ClientLoad::start(&cluster, 6, PAUSE);
             assert!(cluster.operator.name_version(2).await);
             let holder = first_order(&cluster).await;
@@ -88,11 +81,8 @@
 fn given_a_holder_frozen_midway_when_it_wakes_then_it_orders_nothing_more() {
     for seed in 0..3 {
         run_checked(|| async {
-            let cluster = SimulatedCluster::serving(ClusterSettings {
-                servers: 6,
-                ..ClusterSettings::seeded(81 + seed)
-            })
-            .await;
+            let cluster =
+                SimulatedCluster::serving(ClusterSettings::with_seed(81 + seed).servers(6)).await;
             let load = ClientLoad::start(&cluster, 6, PAUSE);
             assert!(cluster.operator.name_version(2).await);
             let holder = first_order(&cluster).await;
@@ -112,11 +102,7 @@
 #[test]
 fn given_servers_replaced_and_restarted_while_weights_change_then_all_end_on_the_newest() {
     run_checked(|| async {
-        let cluster = SimulatedCluster::serving(ClusterSettings {
-            servers: 5,
-            ..ClusterSettings::seeded(91)
-        })
-        .await;
+        let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(91).servers(5)).await;
         let load = ClientLoad::start(&cluster, 8, PAUSE);
         assert!(cluster.operator.name_version(2).await);
         cluster.newest_weights.set(2);
