--- a/crates/sparrouter-simulation/examples/node_work.rs
+++ b/crates/sparrouter-simulation/examples/node_work.rs
@@ -17,7 +17,7 @@
 fn main() {
     let all: Vec<NodeCost> = SIZES.into_iter().map(measure).collect();
     println!(
-        "rows records_visited / servers records_visited / microseconds, and the slope of time from 30 % to 100 % of the last size"
+        "membership records / server records visited / microseconds, and the slope of time from 30 % to 100 % of the last size"
     );
     for (name, cost) in STEPS {
         print!("{name:24}");
@@ -25,7 +25,7 @@
             let cost = cost(work);
             print!(
                 " | {:4}: {:7} {:7} {:9.1}",
-                work.nodes, cost.rows, cost.servers, cost.microseconds
+                work.nodes, cost.membership_records, cost.server_records, cost.microseconds
             );
         }
         let time = |index: usize| cost(&all[index]).microseconds;
--- a/crates/sparrouter-simulation/src/checkers/rejected_run.rs
+++ b/crates/sparrouter-simulation/src/checkers/rejected_run.rs
@@ -19,8 +19,8 @@
         observations: &Observations,
     ) -> Option<Violation> {
         let record = observations.attempts.get(attempt_id)?;
-        let promises_no_run = matches!(response.status, 408 | 421 | 429 | 503);
-        if !promises_no_run || record.attempt.kind.is_retryable() {
+        let denies_run = matches!(response.status, 408 | 421 | 429 | 503);
+        if !denies_run || record.attempt.kind.is_retryable() {
             return None;
         }
         self.rejected.insert(attempt_id.to_owned(), response.status);
--- a/crates/sparrouter-simulation/src/checkers/retry_budget.rs
+++ b/crates/sparrouter-simulation/src/checkers/retry_budget.rs
@@ -7,11 +7,11 @@
 use tokio::time::Instant;
 
 /// Requests of the last so many windows are compared with the retries of the last one.
-const KEPT_WINDOWS: u32 = 3;
+const COUNTED_WINDOWS: u32 = 3;
 
 #[derive(Default)]
 struct Service {
-    /// When requests for it were sent, over [`KEPT_WINDOWS`].
+    /// When requests for it were sent, over [`COUNTED_WINDOWS`].
     requests: VecDeque<Instant>,
     /// When attempts arrived that had arrived before, over one window.
     retries: VecDeque<Instant>,
@@ -44,7 +44,7 @@
             let known = self.services.entry(service.to_owned()).or_default();
             known.requests.push_back(Instant::now());
             let window = observations.bounds.budget_window;
-            drop_older(&mut known.requests, window * KEPT_WINDOWS);
+            drop_older(&mut known.requests, window * COUNTED_WINDOWS);
         }
     }
 
--- a/crates/sparrouter-simulation/src/client/mod.rs
+++ b/crates/sparrouter-simulation/src/client/mod.rs
@@ -146,8 +146,8 @@
                 status => RequestOutcome::Rejected(status),
             };
             let is_final = matches!(status, 200..=299 | 400 | 401 | 404 | 413 | 431);
-            let promises_no_run = matches!(status, 408 | 421 | 429 | 503);
-            let may_retry = request.kind.is_retryable() || promises_no_run || attempt.is_unread;
+            let denies_run = matches!(status, 408 | 421 | 429 | 503);
+            let may_retry = request.kind.is_retryable() || denies_run || attempt.is_unread;
             if is_final || !may_retry {
                 break;
             }
@@ -185,7 +185,7 @@
             deadline,
             reused_connection: connection.is_reused,
         };
-        self.monitor.attempt_sent(&id, attempt);
+        self.monitor.attempt_sent(&id, &attempt);
         let head = request_head(request, &id, deadline, body.len());
         let message = [head.as_bytes(), &body].concat();
         let mut response = ClientResponse::default();
--- a/crates/sparrouter-simulation/src/cluster/mod.rs
+++ b/crates/sparrouter-simulation/src/cluster/mod.rs
@@ -219,8 +219,8 @@
     /// The machine with this address.
     pub fn name_of(&self, ip: IpAddr) -> Option<String> {
         let machines = self.machines.borrow();
-        let found = machines.iter().find(|(_, machine)| machine.ip == ip);
-        found.map(|(name, _)| name.clone())
+        let machine = machines.iter().find(|(_, machine)| machine.ip == ip);
+        machine.map(|(name, _)| name.clone())
     }
 
     /// Zone of a machine.
--- a/crates/sparrouter-simulation/src/durability.rs
+++ b/crates/sparrouter-simulation/src/durability.rs
@@ -55,7 +55,7 @@
         let votes_by_shard = votes_by_shard(&self.cluster, &running);
         let further_losses = self.further_losses(&running);
         for (shard, votes) in votes_by_shard {
-            self.note_committed(&shard, &votes);
+            self.update_committed(&shard, &votes);
             if let Some(committed) = self.committed.get(&shard)
                 && let Some(weakness) = weakness(committed, &votes, further_losses)
             {
@@ -79,7 +79,7 @@
         settings.tolerated_losses().saturating_sub(lost)
     }
 
-    fn note_committed(&mut self, shard: &str, votes: &Votes) {
+    fn update_committed(&mut self, shard: &str, votes: &Votes) {
         let Some(newest) = newest_committed(votes) else {
             return;
         };
--- a/crates/sparrouter-simulation/src/linearizability.rs
+++ b/crates/sparrouter-simulation/src/linearizability.rs
@@ -10,31 +10,6 @@
 use std::collections::HashSet;
 use std::hash::Hash;
 
-/// What the calls mean when they come one after the other.
-pub trait SequentialModel {
-    /// State between two calls.
-    type State: Clone + Eq + Hash;
-    /// What is called.
-    type Call;
-    /// What a caller learns from the response.
-    type Outcome;
-
-    /// The state before the first call.
-    fn initial(&self) -> Self::State;
-
-    /// The state after a call with this outcome, or `None` where the model does not allow it.
-    fn apply(
-        &self,
-        state: &Self::State,
-        call: &Self::Call,
-        outcome: &Self::Outcome,
-    ) -> Option<Self::State>;
-
-    /// The state after a call whose outcome is unknown, or `None` where it changes nothing: then it need not have
-    /// happened.
-    fn apply_unanswered(&self, state: &Self::State, call: &Self::Call) -> Option<Self::State>;
-}
-
 /// One call. Invocations and responses of a history are numbered in the order in which they happened, from 0, each
 /// number once.
 #[derive(Clone, Debug)]
@@ -72,6 +47,31 @@
     Undecided,
 }
 
+/// What the calls mean when they come one after the other.
+pub trait SequentialModel {
+    /// State between two calls.
+    type State: Clone + Eq + Hash;
+    /// What is called.
+    type Call;
+    /// What a caller learns from the response.
+    type Outcome;
+
+    /// The state before the first call.
+    fn initial(&self) -> Self::State;
+
+    /// The state after a call with this outcome, or `None` where the model does not allow it.
+    fn apply(
+        &self,
+        state: &Self::State,
+        call: &Self::Call,
+        outcome: &Self::Outcome,
+    ) -> Option<Self::State>;
+
+    /// The state after a call whose outcome is unknown, or `None` where it changes nothing: then it need not have
+    /// happened.
+    fn apply_unanswered(&self, state: &Self::State, call: &Self::Call) -> Option<Self::State>;
+}
+
 /// Searches an order of the calls; `max_configurations` bounds the work.
 pub fn check<M: SequentialModel>(
     model: &M,
@@ -225,7 +225,7 @@
             }
             // A response before any call that may come next, or the end of the list: there is no continuation.
             if let Some(Event::Response(call)) = self.list.events[slot] {
-                self.note_stuck(call, &mut longest);
+                self.update_longest(call, &mut longest);
             }
             let Some(step) = self.steps.pop() else {
                 return Verdict::NotLinearizable {
@@ -240,7 +240,7 @@
         Verdict::Linearizable(self.order())
     }
 
-    fn note_stuck(&self, call: usize, longest: &mut Longest) {
+    fn update_longest(&self, call: usize, longest: &mut Longest) {
         if longest.stuck.is_none() || self.steps.len() > longest.order.len() {
             longest.order = self.order();
             longest.stuck = Some(call);
--- a/crates/sparrouter-simulation/src/monitor/fault_timeline.rs
+++ b/crates/sparrouter-simulation/src/monitor/fault_timeline.rs
@@ -32,13 +32,13 @@
     kind: FaultKind,
     from: Instant,
     /// `None` as long as it lasts. Equal to `from` for a fault of a moment.
-    until: Option<Instant>,
+    end: Option<Instant>,
 }
 
 impl FaultInterval {
     /// Whether time does not count for VERSION meanwhile: the core is not stable, or a link has a fault.
     fn suspends_version_rule(&self) -> bool {
-        let is_momentary = self.until == Some(self.from);
+        let is_momentary = self.end == Some(self.from);
         self.scope == FaultScope::Core || (self.kind == FaultKind::Fault && !is_momentary)
     }
 }
@@ -53,7 +53,7 @@
             scope,
             kind,
             from: Instant::now(),
-            until: None,
+            end: None,
         });
     }
 
@@ -66,11 +66,11 @@
     pub(super) fn fault_ended(&mut self, scope: FaultScope) {
         let is_open = |interval: &&mut FaultInterval| {
             interval.scope == scope
-                && interval.until.is_none()
+                && interval.end.is_none()
                 && interval.kind != FaultKind::ProcessDown
         };
         if let Some(interval) = self.0.iter_mut().find(is_open) {
-            interval.until = Some(Instant::now());
+            interval.end = Some(Instant::now());
         }
     }
 
@@ -81,7 +81,7 @@
             scope,
             kind: FaultKind::Fault,
             from: now,
-            until: Some(now),
+            end: Some(now),
         });
     }
 
@@ -97,9 +97,9 @@
         for interval in &mut self.0 {
             if interval.scope == scope
                 && interval.kind == FaultKind::ProcessDown
-                && interval.until.is_none()
+                && interval.end.is_none()
             {
-                interval.until = Some(now);
+                interval.end = Some(now);
             }
         }
     }
@@ -111,48 +111,46 @@
             scope: FaultScope::Machine(ip),
             kind: FaultKind::PlannedShutdown,
             from: now,
-            until: Some(now + duration),
+            end: Some(now + duration),
         });
     }
 
     fn any_overlaps(
         &self,
         from: Instant,
-        until: Instant,
+        end: Instant,
         matches: impl Fn(&FaultInterval) -> bool,
     ) -> bool {
         self.0.iter().any(|interval| {
-            matches(interval)
-                && interval.from <= until
-                && interval.until.is_none_or(|end| end >= from)
+            matches(interval) && interval.from <= end && interval.end.is_none_or(|end| end >= from)
         })
     }
 
     /// Whether a planned shutdown of the machine overlaps the period.
-    pub fn is_shutting_down(&self, ip: IpAddr, from: Instant, until: Instant) -> bool {
+    pub fn is_shutting_down(&self, ip: IpAddr, from: Instant, end: Instant) -> bool {
         let scope = FaultScope::Machine(ip);
-        self.any_overlaps(from, until, |interval| {
+        self.any_overlaps(from, end, |interval| {
             interval.kind == FaultKind::PlannedShutdown && interval.scope == scope
         })
     }
 
     /// Whether anything but a planned shutdown overlaps the period.
-    pub fn any_unplanned(&self, from: Instant, until: Instant) -> bool {
-        self.any_overlaps(from, until, |interval| {
+    pub fn any_unplanned(&self, from: Instant, end: Instant) -> bool {
+        self.any_overlaps(from, end, |interval| {
             interval.kind != FaultKind::PlannedShutdown
         })
     }
 
     /// Whether the machine or the core has any fault in the period.
-    pub fn affects(&self, ip: IpAddr, from: Instant, until: Instant) -> bool {
-        self.any_overlaps(from, until, |interval| {
+    pub fn affects(&self, ip: IpAddr, from: Instant, end: Instant) -> bool {
+        self.any_overlaps(from, end, |interval| {
             interval.scope == FaultScope::Machine(ip) || interval.scope == FaultScope::Core
         })
     }
 
     /// Whether the core has any fault in the period.
-    pub fn affects_core(&self, from: Instant, until: Instant) -> bool {
-        self.any_overlaps(from, until, |interval| interval.scope == FaultScope::Core)
+    pub fn affects_core(&self, from: Instant, end: Instant) -> bool {
+        self.any_overlaps(from, end, |interval| interval.scope == FaultScope::Core)
     }
 
     /// Since when the core has been stable and no link has had a fault, `contact` after its end included, as far as that
@@ -161,7 +159,7 @@
     pub fn stable_since(&self, from: Instant, now: Instant, contact: Duration) -> Option<Instant> {
         let mut stable_since = from;
         for interval in self.0.iter().filter(|i| i.suspends_version_rule()) {
-            stable_since = stable_since.max(interval.until? + contact);
+            stable_since = stable_since.max(interval.end? + contact);
         }
         (stable_since <= now).then_some(stable_since)
     }
@@ -170,7 +168,7 @@
     pub fn stable_total(&self, from: Instant, now: Instant, contact: Duration) -> Duration {
         let suspending = self.0.iter().filter(|i| i.suspends_version_rule());
         let mut unstable: Vec<(Instant, Instant)> = suspending
-            .map(|interval| (interval.from, interval.until.unwrap_or(now) + contact))
+            .map(|interval| (interval.from, interval.end.unwrap_or(now) + contact))
             .collect();
         unstable.sort_unstable();
         unstable.push((now, now));
--- a/crates/sparrouter-simulation/src/monitor/mod.rs
+++ b/crates/sparrouter-simulation/src/monitor/mod.rs
@@ -52,14 +52,14 @@
 
     /// Notifies all checkers of an event that the observations contain already.
     fn notify(&self, event: Event) {
-        let mut found: Vec<Violation> = Vec::new();
+        let mut violations: Vec<Violation> = Vec::new();
         {
             let observations = self.observations.borrow();
             for checker in self.checkers.borrow_mut().iter_mut() {
-                checker.on_event(event, &observations, &mut found);
+                checker.on_event(event, &observations, &mut violations);
             }
         }
-        for violation in found {
+        for violation in violations {
             self.report_violation(violation.rule, violation.description);
         }
     }
--- a/crates/sparrouter-simulation/src/monitor/reports.rs
+++ b/crates/sparrouter-simulation/src/monitor/reports.rs
@@ -17,7 +17,7 @@
 /// Reports of clients and servers.
 impl Monitor {
     /// A client sent a request.
-    pub fn attempt_sent(&self, attempt_id: &str, attempt: Attempt) {
+    pub fn attempt_sent(&self, attempt_id: &str, attempt: &Attempt) {
         self.trace_detail(|| format!("{attempt_id} goes to {} for {}", attempt.node, attempt.path));
         let record = AttemptRecord {
             attempt: attempt.clone(),
@@ -28,7 +28,7 @@
             .borrow_mut()
             .attempts
             .insert(attempt_id.to_owned(), record);
-        self.notify(Event::AttemptSent(&attempt));
+        self.notify(Event::AttemptSent(attempt));
     }
 
     /// A request reached a server, which may still decline it.
--- a/crates/sparrouter-simulation/src/network/connection.rs
+++ b/crates/sparrouter-simulation/src/network/connection.rs
@@ -346,7 +346,7 @@
         self.send(side, Payload::Bytes(bytes), network);
     }
 
-    /// Tells the peer that nothing more is written, once.
+    /// Signals to the peer that nothing more is written; a second call does nothing.
     pub(super) fn shut_down(&self, side: Side, network: &SimulatedNetwork) {
         let was_sent = std::mem::replace(&mut self.end(side).borrow_mut().fin_sent, true);
         if !was_sent {
--- a/crates/sparrouter-simulation/src/server/responses.rs
+++ b/crates/sparrouter-simulation/src/server/responses.rs
@@ -174,10 +174,10 @@
         &self,
         socket: &mut Socket,
         response: String,
-        kept: &mut String,
+        surplus: &mut String,
     ) -> io::Result<()> {
         if self.rng.borrow_mut().bool() {
-            *kept = response;
+            *surplus = response;
             return Ok(());
         }
         socket.write_all(response.as_bytes()).await
--- a/crates/sparrouter-simulation/tests/checkers.rs
+++ b/crates/sparrouter-simulation/tests/checkers.rs
@@ -79,7 +79,7 @@
 
 async fn once(kind: RouteKind, path: &str) -> Monitor {
     let monitor = monitor().await;
-    monitor.attempt_sent("a", asked(kind, path));
+    monitor.attempt_sent("a", &asked(kind, path));
     monitor
 }
 
@@ -246,7 +246,7 @@
         });
         broken(&monitor, "STALE");
         let monitor = judge_named().await;
-        monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.attempt_sent("a", &asked(RouteKind::Idempotent, "/idem/b9"));
         monitor.run_started(&run("a", "/idem/b9"));
         broken(&monitor, "VERSION");
     });
@@ -268,13 +268,13 @@
         let index = monitor.configuration_submitted(&gone(), 1, true);
         monitor.configuration_acknowledged(index);
         sleep(Duration::from_secs(3)).await;
-        monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.attempt_sent("a", &asked(RouteKind::Idempotent, "/idem/b9"));
         monitor.run_started(&run("a", "/idem/b9"));
         broken(&monitor, "CONFIG");
         // Its effect was seen, then not any more.
         let monitor = self::monitor().await;
         monitor.configuration_submitted(&gone(), 1, true);
-        monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.attempt_sent("a", &asked(RouteKind::Idempotent, "/idem/b9"));
         monitor.response_received(
             "a",
             &ClientResponse {
@@ -285,14 +285,14 @@
         );
         kept(&monitor);
         sleep(Duration::from_millis(300)).await;
-        monitor.attempt_sent("b", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.attempt_sent("b", &asked(RouteKind::Idempotent, "/idem/b9"));
         monitor.run_started(&run("b", "/idem/b9"));
         broken(&monitor, "CONFIG");
         // What was refused is in force.
         let monitor = self::monitor().await;
         let index = monitor.configuration_submitted(&gone(), 1, true);
         monitor.configuration_rejected(index, 412);
-        monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.attempt_sent("a", &asked(RouteKind::Idempotent, "/idem/b9"));
         monitor.response_received(
             "a",
             &ClientResponse {
@@ -386,7 +386,7 @@
             let monitor = monitor().await;
             monitor.attempt_sent(
                 "a",
-                Attempt {
+                &Attempt {
                     key: "key-of-mela".into(),
                     ..asked(RouteKind::Idempotent, "/idem/b9")
                 },
@@ -410,7 +410,7 @@
 fn answered_all(monitor: &Monitor, count: u32, asked: &Attempt, answer: &ClientResponse) {
     for n in 0..count {
         let id = format!("{}-{}-{n}", asked.path, answer.status);
-        monitor.attempt_sent(&id, asked.clone());
+        monitor.attempt_sent(&id, &asked.clone());
         monitor.response_received(
             &id,
             &ClientResponse {
@@ -508,7 +508,7 @@
             for (path, count, served) in [("/idem/b9", 20, 20), ("/new/b9", count, served)] {
                 for n in 0..count {
                     let id = format!("{path}{n}");
-                    monitor.attempt_sent(&id, asked(RouteKind::Idempotent, path));
+                    monitor.attempt_sent(&id, &asked(RouteKind::Idempotent, path));
                     let run = monitor.run_started(&run(&id, path));
                     let good = success(run, body_of(run, 9).into_bytes(), false);
                     let refused = ClientResponse {
@@ -620,7 +620,7 @@
                     reused_connection,
                     ..asked(RouteKind::Idempotent, "/idem/b9")
                 };
-                monitor.attempt_sent(&id, asked);
+                monitor.attempt_sent(&id, &asked);
                 let number = monitor.run_started(&run(&id, "/idem/b9"));
                 if server_faulted {
                     monitor.server_faulted(number);
@@ -645,7 +645,7 @@
         monitor.fault_began(FaultScope::Machine(other.ip()));
         monitor.drain_acknowledged("i-1", other);
         sleep(Duration::from_millis(2_500)).await;
-        monitor.attempt_sent("a", asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.attempt_sent("a", &asked(RouteKind::Idempotent, "/idem/b9"));
         monitor.request_arrived("models", "a", "i-1", NODE);
         broken(&monitor, "DRAIN");
     });
