--- a/crates/sparrouter-simulation/examples/availability.rs
+++ b/crates/sparrouter-simulation/examples/availability.rs
@@ -16,26 +16,26 @@
 
 const USAGE: &str = "availability SEEDS THREADS; whole numbers";
 /// The trouble lasts so long after the change.
-const TROUBLE: Duration = Duration::from_secs(5);
+const FAULT_TIME: Duration = Duration::from_secs(5);
 /// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(10);
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// Longest that is waited for anything.
-const LONGEST: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     Kill,
     Freeze,
     Partition,
 }
 
-/// None where it took longer than `LONGEST`.
+/// None where it took longer than `MAX_WAIT`.
 struct Measured {
     change: Option<Duration>,
     back: Option<Duration>,
 }
 
-async fn until_200(
+async fn time_until_ok(
     cluster: &Rc<SimulatedCluster>,
     machine: &str,
     method: &str,
@@ -46,7 +46,7 @@
     let to = cluster.control_of(machine);
     let began = Instant::now();
     let timeout_after = Duration::from_secs(2);
-    while began.elapsed() < LONGEST {
+    while began.elapsed() < MAX_WAIT {
         let conditional = [("If-Match", base)];
         let fields = match method {
             "PUT" => &conditional[..],
@@ -56,13 +56,13 @@
         if sent.await.is_ok_and(|reply| reply.status == 200) {
             return Some(began.elapsed());
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
     None
 }
 
 /// From the trouble of the machine that orders new weights until another one orders under a higher token.
-async fn without_holder(seed: u64, trouble: Trouble) -> Option<Duration> {
+async fn time_without_lease_owner(seed: u64, fault: Fault) -> Option<Duration> {
     let cluster =
         SimulatedCluster::serving(ClusterSettings::with_seed(seed).edge_machines(0).servers(4))
             .await;
@@ -73,7 +73,7 @@
     let first = ordering(&cluster, None).await?;
     let machine = first.split('@').next().unwrap_or_default();
     let victim = cluster.names().into_iter().find(|name| name == machine)?;
-    begin(&cluster, trouble, &victim);
+    begin(&cluster, fault, &victim);
     let began = Instant::now();
     let second = ordering(&cluster, Some(&first)).await;
     naming.abort();
@@ -83,21 +83,21 @@
 /// Waits until a holder orders, another one than `before`.
 async fn ordering(cluster: &Rc<SimulatedCluster>, before: Option<&str>) -> Option<String> {
     let began = Instant::now();
-    while began.elapsed() < LONGEST {
-        let holder = cluster.monitor.last_lease_owner();
-        if holder.is_some() && holder.as_deref() != before {
-            return holder;
+    while began.elapsed() < MAX_WAIT {
+        let lease_owner = cluster.monitor.last_lease_owner();
+        if lease_owner.is_some() && lease_owner.as_deref() != before {
+            return lease_owner;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
     None
 }
 
-fn begin(cluster: &Rc<SimulatedCluster>, trouble: Trouble, victim: &str) {
-    match trouble {
-        Trouble::Kill => cluster.kill(victim),
-        Trouble::Freeze => cluster.freeze(victim, true),
-        Trouble::Partition => cluster.partition(&[victim], Some(Partition::PacketsLost)),
+fn begin(cluster: &Rc<SimulatedCluster>, fault: Fault, victim: &str) {
+    match fault {
+        Fault::Kill => cluster.kill(victim),
+        Fault::Freeze => cluster.freeze(victim, true),
+        Fault::Partition => cluster.partition(&[victim], Some(Partition::PacketsLost)),
     }
 }
 
@@ -109,7 +109,7 @@
     })
 }
 
-async fn measured(seed: u64, trouble: Trouble) -> Measured {
+async fn measured(seed: u64, fault: Fault) -> Measured {
     let cluster =
         SimulatedCluster::serving(ClusterSettings::with_seed(seed).edge_machines(0).servers(1))
             .await;
@@ -117,15 +117,15 @@
     let survivor = format!("core-{}", (seed + 1) % 3);
     let moment = cluster.rng.borrow_mut().u64(..1_500);
     sleep(Duration::from_millis(moment)).await;
-    begin(&cluster, trouble, &victim);
-    let change = until_200(&cluster, &survivor, "PUT", "1", &next_plan().json()).await;
-    sleep(TROUBLE).await;
-    match trouble {
-        Trouble::Kill => cluster.start(&victim, false),
-        Trouble::Freeze => cluster.freeze(&victim, false),
-        Trouble::Partition => cluster.partition(&[&victim], None),
+    begin(&cluster, fault, &victim);
+    let change = time_until_ok(&cluster, &survivor, "PUT", "1", &next_plan().json()).await;
+    sleep(FAULT_TIME).await;
+    match fault {
+        Fault::Kill => cluster.start(&victim, false),
+        Fault::Freeze => cluster.freeze(&victim, false),
+        Fault::Partition => cluster.partition(&[&victim], None),
     }
-    let back = until_200(&cluster, &victim, "GET", "", "").await;
+    let back = time_until_ok(&cluster, &victim, "GET", "", "").await;
     Measured { change, back }
 }
 
@@ -135,12 +135,12 @@
     threads: u64,
     one: impl Fn(u64) -> T + Copy + Send + 'static,
 ) -> Vec<T> {
-    let part = move |thread| {
+    let seeds_of = move |thread| {
         let mine = (0..seeds).filter(move |seed| seed % threads == thread);
         mine.map(one).collect::<Vec<T>>()
     };
     let workers: Vec<_> = (0..threads)
-        .map(|thread| thread::spawn(move || part(thread)))
+        .map(|thread| thread::spawn(move || seeds_of(thread)))
         .collect();
     let results = workers.into_iter().map(|w| w.join().expect("a whole run"));
     results.flatten().collect()
@@ -150,12 +150,12 @@
     let missing = spans.iter().filter(|s| s.is_none()).count();
     let mut known: Vec<Duration> = spans.into_iter().flatten().collect();
     known.sort_unstable();
-    let at = |share: f64| {
-        let index = (known.len() as f64 * share) as usize;
+    let quantile = |fraction: f64| {
+        let index = (known.len() as f64 * fraction) as usize;
         known.get(index.min(known.len().saturating_sub(1)))
     };
     let ms = |span: Option<&Duration>| span.map_or(0, Duration::as_millis);
-    let (middle, high, most) = (ms(at(0.5)), ms(at(0.99)), ms(known.last()));
+    let (middle, high, most) = (ms(quantile(0.5)), ms(quantile(0.99)), ms(known.last()));
     format!("{middle} | {high} | {most} | {missing}")
 }
 
@@ -169,25 +169,25 @@
     };
     println!("| trouble | what | seeds | p50 ms | p99 ms | most ms | not in 30 s |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for trouble in [Trouble::Kill, Trouble::Freeze, Trouble::Partition] {
+    for fault in [Fault::Kill, Fault::Freeze, Fault::Partition] {
         let (changes, backs): (Vec<_>, Vec<_>) =
-            run(seeds, threads, move |seed| play(measured(seed, trouble)))
+            run(seeds, threads, move |seed| play(measured(seed, fault)))
                 .into_iter()
                 .map(|m| (m.change, m.back))
                 .unzip();
         println!(
-            "| {trouble:?} | no change taken at another machine | {seeds} | {} |",
+            "| {fault:?} | no change taken at another machine | {seeds} | {} |",
             row(changes)
         );
         println!(
-            "| {trouble:?} | from its end to serving again | {seeds} | {} |",
+            "| {fault:?} | from its end to serving again | {seeds} | {} |",
             row(backs)
         );
         let holders = run(seeds, threads, move |seed| {
-            play(without_holder(seed, trouble))
+            play(time_without_lease_owner(seed, fault))
         });
         println!(
-            "| {trouble:?} | no holder orders new weights | {seeds} | {} |",
+            "| {fault:?} | no holder orders new weights | {seeds} | {} |",
             row(holders)
         );
     }
--- a/crates/sparrouter-simulation/examples/contact_times.rs
+++ b/crates/sparrouter-simulation/examples/contact_times.rs
@@ -11,25 +11,28 @@
 const VICTIM: &str = "core-0";
 
 /// Contact after the cut began, and from its end until there is contact again.
-async fn times(seed: u64, way: PartitionScope) -> (Duration, Duration) {
+async fn times(seed: u64, scope: PartitionScope) -> (Duration, Duration) {
     let cluster = SimulatedCluster::serving(ClusterSettings::small(seed)).await;
     let watch = ContactWatch::start(&cluster, &[VICTIM.to_owned()], FAST_POLL);
     sleep(Duration::from_millis(500 + seed % 500)).await;
-    let cut_at = Instant::now();
-    cluster.partition_core(VICTIM, way, Some(Partition::PacketsLost));
+    let partitioned_at = Instant::now();
+    cluster.partition_core(VICTIM, scope, Some(Partition::PacketsLost));
     sleep(Duration::from_secs(20)).await;
-    let heal_at = Instant::now();
-    cluster.partition_core(VICTIM, way, None);
+    let repaired_at = Instant::now();
+    cluster.partition_core(VICTIM, scope, None);
     sleep(Duration::from_secs(5)).await;
     watch.stop();
     let ip = cluster.ip(VICTIM);
-    let last = watch.claim_times(ip, cut_at, heal_at).into_iter().max();
+    let last = watch
+        .claim_times(ip, partitioned_at, repaired_at)
+        .into_iter()
+        .max();
     let first = watch
-        .claim_times(ip, heal_at, Instant::now())
+        .claim_times(ip, repaired_at, Instant::now())
         .into_iter()
         .min();
-    let lost = last.map_or(Duration::ZERO, |at| at - cut_at);
-    (lost, first.map_or(Duration::MAX, |at| at - heal_at))
+    let lost = last.map_or(Duration::ZERO, |at| at - partitioned_at);
+    (lost, first.map_or(Duration::MAX, |at| at - repaired_at))
 }
 
 fn quantile(sorted: &[Duration], of: f64) -> u128 {
@@ -43,15 +46,15 @@
         .unwrap_or(100);
     println!("| cut | lost after, p50 | p99 | most | back after, p50 | p99 | most |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for way in PartitionScope::ALL {
+    for scope in PartitionScope::ALL {
         let (mut lost, mut back): (Vec<_>, Vec<_>) =
-            (0..seeds).map(|seed| play(times(seed, way))).unzip();
+            (0..seeds).map(|seed| play(times(seed, scope))).unzip();
         lost.sort_unstable();
         back.sort_unstable();
         let cells = [&lost, &back].map(|of| {
             let [half, most, all] = [0.5, 0.99, 1.0].map(|q| quantile(of, q));
             format!("{half} ms | {most} ms | {all} ms")
         });
-        println!("| {way:?} | {} | {} |", cells[0], cells[1]);
+        println!("| {scope:?} | {} | {} |", cells[0], cells[1]);
     }
 }
--- a/crates/sparrouter-simulation/examples/reconfiguration_times.rs
+++ b/crates/sparrouter-simulation/examples/reconfiguration_times.rs
@@ -66,27 +66,27 @@
         for seed in 0..seeds {
             let settings = ClusterSettings::small(seed);
             let lost = format!("core-{}", seed % 3);
-            let took = play(async {
+            let elapsed = play(async {
                 repair(&SimulatedCluster::serving(settings).await, &lost, loss).await
             });
-            match took {
-                Some(took) => times.push(took.as_secs_f64()),
+            match elapsed {
+                Some(elapsed) => times.push(elapsed.as_secs_f64()),
                 None => late += 1,
             }
         }
         times.sort_by(f64::total_cmp);
-        let at = |share: f64| {
+        let quantile = |fraction: f64| {
             let last = times.len().saturating_sub(1) as f64;
             times
-                .get((last * share) as usize)
+                .get((last * fraction) as usize)
                 .copied()
                 .unwrap_or(f64::NAN)
         };
         println!(
             "{loss:?}: {:.2} {:.2} {:.2}; {late}",
-            at(0.5),
-            at(0.99),
-            at(1.0)
+            quantile(0.5),
+            quantile(0.99),
+            quantile(1.0)
         );
     }
 }
--- a/crates/sparrouter-simulation/tests/bootstrap.rs
+++ b/crates/sparrouter-simulation/tests/bootstrap.rs
@@ -13,14 +13,14 @@
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(1)).await;
         let client = cluster.client(false);
-        for (kind, word) in [
+        for (kind, response_spec) in [
             (RouteKind::Idempotent, "b300"),
             (RouteKind::NonIdempotent, "b30"),
             (RouteKind::Streaming, "s8"),
             (RouteKind::Resumable, "s8"),
         ] {
             assert_eq!(
-                client.send(&request(kind, word)).await,
+                client.send(&request(kind, response_spec)).await,
                 RequestOutcome::Served,
                 "{kind:?}"
             );
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn given_a_calm_fleet_when_clients_ask_on_then_all_are_served() {
+fn given_a_healthy_fleet_when_clients_go_on_then_all_are_served() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(2)).await;
         let load = ClientLoad::start(&cluster, 12, Duration::from_millis(150));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn given_nodes_that_go_on_asking_when_the_core_forgets_them_all_then_each_tells_its_row_anew() {
+fn given_nodes_that_go_on_polling_when_the_core_forgets_them_all_then_each_registers_again() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(3)).await;
         let core = cluster.core();
@@ -102,8 +102,8 @@
             retries: 0,
             ..request(RouteKind::Idempotent, "b5")
         };
-        let came = cluster.send_to_node(&asked, "edge-0").await;
-        assert_eq!(came, RequestOutcome::Served);
+        let outcome = cluster.send_to_node(&asked, "edge-0").await;
+        assert_eq!(outcome, RequestOutcome::Served);
         cluster
     });
 }
--- a/crates/sparrouter-simulation/tests/checkers.rs
+++ b/crates/sparrouter-simulation/tests/checkers.rs
@@ -13,7 +13,7 @@
 
 const NODE: IpAddr = IpAddr::V4(std::net::Ipv4Addr::new(10, 0, 0, 20));
 
-fn asked(kind: RouteKind, path: &str) -> Attempt {
+fn attempt(kind: RouteKind, path: &str) -> Attempt {
     Attempt {
         method: "POST".into(),
         host: HOST.into(),
@@ -60,8 +60,8 @@
     }
 }
 
-fn events(parts: &[(u64, u64)]) -> Vec<u8> {
-    parts
+fn events(numbered: &[(u64, u64)]) -> Vec<u8> {
+    numbered
         .iter()
         .map(|(run, event)| event_of(*run, *event))
         .collect::<String>()
@@ -71,19 +71,19 @@
 /// A judge who knows the first plan as acknowledged, and the time to settle over.
 async fn monitor() -> Monitor {
     let monitor = Monitor::new(Bounds::default());
-    let index = monitor.configuration_submitted(&initial_configuration(), 0, true);
-    monitor.configuration_acknowledged(index);
+    let submission = monitor.configuration_submitted(&initial_configuration(), 0, true);
+    monitor.configuration_acknowledged(submission);
     sleep(Duration::from_secs(10)).await;
     monitor
 }
 
-async fn once(kind: RouteKind, path: &str) -> Monitor {
+async fn monitor_with_attempt(kind: RouteKind, path: &str) -> Monitor {
     let monitor = monitor().await;
-    monitor.attempt_sent("a", &asked(kind, path));
+    monitor.attempt_sent("a", &attempt(kind, path));
     monitor
 }
 
-fn broken(monitor: &Monitor, rule: &str) {
+fn assert_violated(monitor: &Monitor, rule: &str) {
     let violations = monitor.violations();
     assert!(
         violations.iter().any(|b| b.starts_with(rule)),
@@ -91,7 +91,7 @@
     );
 }
 
-fn kept(monitor: &Monitor) {
+fn assert_none(monitor: &Monitor) {
     assert!(
         monitor.violations().is_empty(),
         "{:?}",
@@ -100,16 +100,16 @@
 }
 
 #[test]
-fn given_proper_answers_then_no_rule_is_broken() {
+fn given_proper_answers_then_no_rule_is_violated() {
     play(async {
-        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
-        let run_of = monitor.run_started(&run("a", "/idem/b9"));
+        let monitor = monitor_with_attempt(RouteKind::Idempotent, "/idem/b9").await;
+        let run_number = monitor.run_started(&run("a", "/idem/b9"));
         monitor.response_received(
             "a",
-            &success(run_of, body_of(run_of, 9).into_bytes(), false),
+            &success(run_number, body_of(run_number, 9).into_bytes(), false),
         );
-        kept(&monitor);
-        let monitor = once(RouteKind::Resumable, "/resume/s3").await;
+        assert_none(&monitor);
+        let monitor = monitor_with_attempt(RouteKind::Resumable, "/resume/s3").await;
         let first = monitor.run_started(&run("a", "/resume/s3"));
         let second = monitor.run_started(&Run {
             resumed_after: 1,
@@ -117,17 +117,17 @@
         });
         let body = events(&[(first, 1), (second, 2), (second, 3)]);
         monitor.response_received("a", &success(first, body, true));
-        kept(&monitor);
+        assert_none(&monitor);
     });
 }
 
 #[test]
-fn given_answers_that_are_not_the_servers_then_mixed_is_broken() {
+fn given_answers_that_are_not_the_servers_then_mixed_is_violated() {
     play(async {
         for bad in 0..5 {
-            let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
-            let run_of = monitor.run_started(&run("a", "/idem/b9"));
-            let good = success(run_of, body_of(run_of, 9).into_bytes(), false);
+            let monitor = monitor_with_attempt(RouteKind::Idempotent, "/idem/b9").await;
+            let run_number = monitor.run_started(&run("a", "/idem/b9"));
+            let good = success(run_number, body_of(run_number, 9).into_bytes(), false);
             let answer = match bad {
                 0 => ClientResponse { seal: None, ..good },
                 1 => ClientResponse {
@@ -148,13 +148,13 @@
                 },
             };
             monitor.response_received("a", &answer);
-            broken(&monitor, "MIXED");
+            assert_violated(&monitor, "MIXED");
         }
     });
 }
 
 #[test]
-fn given_streams_with_gaps_doubles_or_joined_runs_then_order_is_broken() {
+fn given_streams_with_gaps_doubles_or_joined_runs_then_order_is_violated() {
     play(async {
         for pieces in [
             vec![(0, 1), (0, 3)],
@@ -162,23 +162,23 @@
             vec![(0, 1), (1, 2), (1, 3)],
             vec![(0, 1)],
         ] {
-            let monitor = once(RouteKind::Resumable, "/resume/s3").await;
+            let monitor = monitor_with_attempt(RouteKind::Resumable, "/resume/s3").await;
             monitor.run_started(&run("a", "/resume/s3"));
             monitor.run_started(&run("a", "/resume/s3"));
             monitor.response_received("a", &success(0, events(&pieces), true));
-            broken(&monitor, "ORDER");
+            assert_violated(&monitor, "ORDER");
         }
     });
 }
 
 #[test]
-fn given_runs_that_nobody_asked_for_then_unasked_or_route_is_broken() {
+fn given_runs_that_nobody_asked_for_then_unasked_or_route_is_violated() {
     play(async {
-        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        let monitor = monitor_with_attempt(RouteKind::Idempotent, "/idem/b9").await;
         monitor.run_started(&run("b", "/idem/b9"));
-        broken(&monitor, "UNASKED");
+        assert_violated(&monitor, "UNASKED");
         for bad in 0..4 {
-            let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+            let monitor = monitor_with_attempt(RouteKind::Idempotent, "/idem/b9").await;
             let good = run("a", "/idem/b9");
             monitor.run_started(&match bad {
                 0 => Run {
@@ -198,27 +198,27 @@
                     ..good
                 },
             });
-            broken(&monitor, "UNASKED");
+            assert_violated(&monitor, "UNASKED");
         }
-        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        let monitor = monitor_with_attempt(RouteKind::Idempotent, "/idem/b9").await;
         monitor.run_started(&Run {
             service: "others".into(),
             ..run("a", "/idem/b9")
         });
-        broken(&monitor, "ROUTE");
+        assert_violated(&monitor, "ROUTE");
     });
 }
 
 #[test]
-fn given_requests_that_may_not_repeat_then_twice_and_refused_are_found() {
+fn given_requests_that_may_not_repeat_then_twice_and_rejected_are_found() {
     play(async {
-        let monitor = once(RouteKind::Streaming, "/stream/s3").await;
+        let monitor = monitor_with_attempt(RouteKind::Streaming, "/stream/s3").await;
         monitor.run_started(&run("a", "/stream/s3"));
-        kept(&monitor);
+        assert_none(&monitor);
         monitor.run_started(&run("a", "/stream/s3"));
-        broken(&monitor, "TWICE");
+        assert_violated(&monitor, "TWICE");
         for before in [true, false] {
-            let monitor = once(RouteKind::NonIdempotent, "/once/b3").await;
+            let monitor = monitor_with_attempt(RouteKind::NonIdempotent, "/once/b3").await;
             if before {
                 monitor.run_started(&run("a", "/once/b3"));
             }
@@ -231,28 +231,28 @@
                 },
             );
             monitor.run_started(&run("a", "/once/b3"));
-            broken(&monitor, "REFUSED");
+            assert_violated(&monitor, "REFUSED");
         }
     });
 }
 
 #[test]
-fn given_memory_or_weights_of_another_version_then_stale_and_version_are_broken() {
+fn given_memory_or_weights_of_another_version_then_stale_and_version_are_violated() {
     play(async {
-        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        let monitor = monitor_with_attempt(RouteKind::Idempotent, "/idem/b9").await;
         monitor.run_started(&Run {
             version: 2,
             ..run("a", "/idem/b9")
         });
-        broken(&monitor, "STALE");
-        let monitor = judge_named().await;
-        monitor.attempt_sent("a", &asked(RouteKind::Idempotent, "/idem/b9"));
+        assert_violated(&monitor, "STALE");
+        let monitor = monitor_with_weights().await;
+        monitor.attempt_sent("a", &attempt(RouteKind::Idempotent, "/idem/b9"));
         monitor.run_started(&run("a", "/idem/b9"));
-        broken(&monitor, "VERSION");
+        assert_violated(&monitor, "VERSION");
     });
 }
 
-async fn judge_named() -> Monitor {
+async fn monitor_with_weights() -> Monitor {
     let monitor = monitor().await;
     monitor.weights_acknowledged(2);
     sleep(Duration::from_secs(9)).await;
@@ -260,21 +260,22 @@
 }
 
 #[test]
-fn given_changes_that_are_late_or_go_back_then_config_is_broken() {
+fn given_changes_that_are_late_or_go_back_then_config_is_violated() {
     play(async {
-        let gone = || initial_configuration().next(1, |p| p.routes.retain(|r| r.name != "idem"));
+        let without_idem =
+            || initial_configuration().next(1, |p| p.routes.retain(|r| r.name != "idem"));
         // Long after the route is gone it still runs.
         let monitor = monitor().await;
-        let index = monitor.configuration_submitted(&gone(), 1, true);
-        monitor.configuration_acknowledged(index);
+        let submission = monitor.configuration_submitted(&without_idem(), 1, true);
+        monitor.configuration_acknowledged(submission);
         sleep(Duration::from_secs(3)).await;
-        monitor.attempt_sent("a", &asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.attempt_sent("a", &attempt(RouteKind::Idempotent, "/idem/b9"));
         monitor.run_started(&run("a", "/idem/b9"));
-        broken(&monitor, "CONFIG");
+        assert_violated(&monitor, "CONFIG");
         // Its effect was seen, then not any more.
         let monitor = self::monitor().await;
-        monitor.configuration_submitted(&gone(), 1, true);
-        monitor.attempt_sent("a", &asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.configuration_submitted(&without_idem(), 1, true);
+        monitor.attempt_sent("a", &attempt(RouteKind::Idempotent, "/idem/b9"));
         monitor.response_received(
             "a",
             &ClientResponse {
@@ -283,16 +284,16 @@
                 ..ClientResponse::default()
             },
         );
-        kept(&monitor);
+        assert_none(&monitor);
         sleep(Duration::from_millis(300)).await;
-        monitor.attempt_sent("b", &asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.attempt_sent("b", &attempt(RouteKind::Idempotent, "/idem/b9"));
         monitor.run_started(&run("b", "/idem/b9"));
-        broken(&monitor, "CONFIG");
+        assert_violated(&monitor, "CONFIG");
         // What was refused is in force.
         let monitor = self::monitor().await;
-        let index = monitor.configuration_submitted(&gone(), 1, true);
-        monitor.configuration_rejected(index, 412);
-        monitor.attempt_sent("a", &asked(RouteKind::Idempotent, "/idem/b9"));
+        let submission = monitor.configuration_submitted(&without_idem(), 1, true);
+        monitor.configuration_rejected(submission, 412);
+        monitor.attempt_sent("a", &attempt(RouteKind::Idempotent, "/idem/b9"));
         monitor.response_received(
             "a",
             &ClientResponse {
@@ -301,50 +302,50 @@
                 ..ClientResponse::default()
             },
         );
-        broken(&monitor, "CONFIG");
+        assert_violated(&monitor, "CONFIG");
         // Both of a race.
         let monitor = self::monitor().await;
         for step in [1, 2] {
-            let index = monitor.configuration_submitted(
+            let submission = monitor.configuration_submitted(
                 &initial_configuration().next(step, |_| ()),
                 1,
                 true,
             );
-            monitor.configuration_acknowledged(index);
+            monitor.configuration_acknowledged(submission);
         }
-        broken(&monitor, "CONFIG");
+        assert_violated(&monitor, "CONFIG");
         let monitor = self::monitor().await;
         monitor.configuration_read(200, "{\"version\":0}");
-        broken(&monitor, "LOST");
+        assert_violated(&monitor, "LOST");
     });
 }
 
 #[test]
-fn given_draining_repeats_orders_and_ends_then_their_rules_are_found_broken() {
+fn given_draining_repeats_orders_and_ends_then_their_rules_are_found_violated() {
     play(async {
-        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        let monitor = monitor_with_attempt(RouteKind::Idempotent, "/idem/b9").await;
         monitor.drain_acknowledged("i-1", SocketAddr::new(NODE, 1));
         sleep(Duration::from_millis(1_900)).await;
         monitor.request_arrived("models", "a", "i-1", NODE);
-        kept(&monitor);
+        assert_none(&monitor);
         sleep(Duration::from_millis(200)).await;
         monitor.request_arrived("models", "a", "i-1", NODE);
-        broken(&monitor, "DRAIN");
-        let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        assert_violated(&monitor, "DRAIN");
+        let monitor = monitor_with_attempt(RouteKind::Idempotent, "/idem/b9").await;
         for _ in 0..66 {
             monitor.request_arrived("models", "a", "i-1", NODE);
         }
-        broken(&monitor, "BUDGET");
+        assert_violated(&monitor, "BUDGET");
         let monitor = self::monitor().await;
         monitor.command_received("i-1", "x", 4, NODE);
         monitor.command_received("i-1", "y", 4, NODE);
-        broken(&monitor, "ONE");
+        assert_violated(&monitor, "ONE");
         let monitor = self::monitor().await;
-        for (holder, fencing_token) in [("x", 4), ("y", 5), ("x", 6)] {
-            monitor.command_received("i-1", holder, fencing_token, NODE);
+        for (lease_owner, fencing_token) in [("x", 4), ("y", 5), ("x", 6)] {
+            monitor.command_received("i-1", lease_owner, fencing_token, NODE);
         }
-        broken(&monitor, "ONE");
-        let monitor = once(RouteKind::Streaming, "/stream/s3").await;
+        assert_violated(&monitor, "ONE");
+        let monitor = monitor_with_attempt(RouteKind::Streaming, "/stream/s3").await;
         monitor.shutdown_requested(NODE);
         monitor.run_started(&run("a", "/stream/s3"));
         monitor.response_received(
@@ -356,61 +357,61 @@
                 ..ClientResponse::default()
             },
         );
-        broken(&monitor, "LOST");
+        assert_violated(&monitor, "LOST");
     });
 }
 
 #[test]
-fn given_memory_of_another_tenant_then_wall_is_broken_only_where_one_of_the_two_is_isolated() {
+fn given_cache_of_another_tenant_then_wall_is_violated_only_where_one_of_the_two_is_isolated() {
     play(async {
-        let made = |tenant: Option<&str>| {
+        let blocks_of = |tenant: Option<&str>| {
             vec![CachedBlock {
                 version: 1,
                 tenant: tenant.map(str::to_owned),
             }]
         };
         // Mela is isolated, kaje is not, and who has no tenant is nobody's.
-        for (maker, is_broken) in [(Some("kaje"), false), (None, false), (Some("mela"), true)] {
-            let monitor = once(RouteKind::Idempotent, "/idem/b9").await;
+        for (maker, is_violated) in [(Some("kaje"), false), (None, false), (Some("mela"), true)] {
+            let monitor = monitor_with_attempt(RouteKind::Idempotent, "/idem/b9").await;
             monitor.run_started(&Run {
-                cached_blocks: made(maker),
+                cached_blocks: blocks_of(maker),
                 ..run("a", "/idem/b9")
             });
-            if is_broken {
-                broken(&monitor, "WALL")
+            if is_violated {
+                assert_violated(&monitor, "WALL")
             } else {
-                kept(&monitor)
+                assert_none(&monitor)
             }
         }
-        for (maker, is_broken) in [(Some("mela"), false), (Some("kaje"), true), (None, true)] {
+        for (maker, is_violated) in [(Some("mela"), false), (Some("kaje"), true), (None, true)] {
             let monitor = monitor().await;
             monitor.attempt_sent(
                 "a",
                 &Attempt {
                     key: "key-of-mela".into(),
-                    ..asked(RouteKind::Idempotent, "/idem/b9")
+                    ..attempt(RouteKind::Idempotent, "/idem/b9")
                 },
             );
             let tenant = Some("mela".to_owned());
             monitor.run_started(&Run {
-                cached_blocks: made(maker),
+                cached_blocks: blocks_of(maker),
                 tenant,
                 ..run("a", "/idem/b9")
             });
-            if is_broken {
-                broken(&monitor, "WALL")
+            if is_violated {
+                assert_violated(&monitor, "WALL")
             } else {
-                kept(&monitor)
+                assert_none(&monitor)
             }
         }
     });
 }
 
 /// So many requests, each answered so.
-fn answered_all(monitor: &Monitor, count: u32, asked: &Attempt, answer: &ClientResponse) {
+fn complete_all(monitor: &Monitor, count: u32, attempt: &Attempt, answer: &ClientResponse) {
     for n in 0..count {
-        let id = format!("{}-{}-{n}", asked.path, answer.status);
-        monitor.attempt_sent(&id, &asked.clone());
+        let id = format!("{}-{}-{n}", attempt.path, answer.status);
+        monitor.attempt_sent(&id, &attempt.clone());
         monitor.response_received(
             &id,
             &ClientResponse {
@@ -423,10 +424,10 @@
 }
 
 #[test]
-fn given_proper_requests_that_are_refused_then_denied_is_broken_beyond_five_and_one_in_five_hundred()
+fn given_proper_requests_that_are_rejected_then_denied_is_violated_beyond_five_and_one_in_five_hundred()
  {
     play(async {
-        let proper = asked(RouteKind::Idempotent, "/idem/b9");
+        let proper = attempt(RouteKind::Idempotent, "/idem/b9");
         let of = |status| ClientResponse {
             status,
             ..ClientResponse::default()
@@ -448,47 +449,48 @@
             (50, &proper, sealed, false),
             (50, &unknown, of(401), false),
         ];
-        for (count, asked, answer, is_broken) in cases {
+        for (count, attempt, answer, is_violated) in cases {
             let monitor = monitor().await;
-            let asked = Attempt {
+            let attempt = Attempt {
                 deadline: Instant::now() + Duration::from_secs(6),
-                ..asked.clone()
+                ..attempt.clone()
             };
-            answered_all(&monitor, count, &asked, &answer);
+            complete_all(&monitor, count, &attempt, &answer);
             monitor.scenario_ended();
-            if is_broken {
-                broken(&monitor, "DENIED")
+            if is_violated {
+                assert_violated(&monitor, "DENIED")
             } else {
-                kept(&monitor)
+                assert_none(&monitor)
             }
         }
         let monitor = monitor().await;
-        answered_all(&monitor, 494, &proper, &of(503));
-        answered_all(&monitor, 6, &proper, &of(400));
+        complete_all(&monitor, 494, &proper, &of(503));
+        complete_all(&monitor, 6, &proper, &of(400));
         monitor.scenario_ended();
-        kept(&monitor);
+        assert_none(&monitor);
         // A machine in trouble, and a configuration that may not be in force yet.
         let monitor = self::monitor().await;
         monitor.fault_began(FaultScope::Machine(NODE));
-        answered_all(&monitor, 50, &proper, &of(400));
+        complete_all(&monitor, 50, &proper, &of(400));
         monitor.scenario_ended();
-        kept(&monitor);
+        assert_none(&monitor);
         let monitor = self::monitor().await;
         monitor.configuration_submitted(
             &initial_configuration().next(1, |p| p.routes.retain(|r| r.name != "idem")),
             1,
             true,
         );
-        answered_all(&monitor, 50, &proper, &of(400));
+        complete_all(&monitor, 50, &proper, &of(400));
         monitor.scenario_ended();
-        kept(&monitor);
+        assert_none(&monitor);
     });
 }
 
 #[test]
-fn given_routes_that_were_added_when_they_are_hardly_served_in_calm_times_then_config_is_broken() {
+fn given_routes_that_were_added_when_they_are_hardly_served_in_healthy_times_then_config_is_violated()
+ {
     play(async {
-        for (count, served, calm, is_broken) in [
+        for (count, served, calm, is_violated) in [
             (20, 0, true, true),
             (20, 10, true, false),
             (19, 0, true, false),
@@ -499,8 +501,8 @@
                 p.routes
                     .push(Route::new("new", RouteKind::Idempotent, "models"))
             });
-            let index = monitor.configuration_submitted(&added, 1, true);
-            monitor.configuration_acknowledged(index);
+            let submission = monitor.configuration_submitted(&added, 1, true);
+            monitor.configuration_acknowledged(submission);
             sleep(Duration::from_secs(3)).await;
             if !calm {
                 monitor.momentary_fault(FaultScope::Core);
@@ -508,7 +510,7 @@
             for (path, count, served) in [("/idem/b9", 20, 20), ("/new/b9", count, served)] {
                 for n in 0..count {
                     let id = format!("{path}{n}");
-                    monitor.attempt_sent(&id, &asked(RouteKind::Idempotent, path));
+                    monitor.attempt_sent(&id, &attempt(RouteKind::Idempotent, path));
                     let run = monitor.run_started(&run(&id, path));
                     let good = success(run, body_of(run, 9).into_bytes(), false);
                     let refused = ClientResponse {
@@ -526,47 +528,47 @@
                 }
             }
             monitor.scenario_ended();
-            if is_broken {
-                broken(&monitor, "CONFIG")
+            if is_violated {
+                assert_violated(&monitor, "CONFIG")
             } else {
-                kept(&monitor)
+                assert_none(&monitor)
             }
         }
     });
 }
 
 #[test]
-fn given_what_was_taken_when_it_is_refused_or_read_back_otherwise_then_config_is_broken() {
+fn given_what_was_accepted_when_it_is_rejected_or_read_back_otherwise_then_config_is_violated() {
     play(async {
         let next = initial_configuration().next(2, |_| ());
-        for (second, is_broken) in [
+        for (second, is_violated) in [
             (next.clone(), true),
             (initial_configuration().next(3, |_| ()), false),
         ] {
             let monitor = monitor().await;
-            let index = monitor.configuration_submitted(&next, 1, true);
-            monitor.configuration_acknowledged(index);
-            let index = monitor.configuration_submitted(&second, 1, true);
-            monitor.configuration_rejected(index, 412);
-            if is_broken {
-                broken(&monitor, "CONFIG")
+            let submission = monitor.configuration_submitted(&next, 1, true);
+            monitor.configuration_acknowledged(submission);
+            let submission = monitor.configuration_submitted(&second, 1, true);
+            monitor.configuration_rejected(submission, 412);
+            if is_violated {
+                assert_violated(&monitor, "CONFIG")
             } else {
-                kept(&monitor)
+                assert_none(&monitor)
             }
         }
         let monitor = monitor().await;
         monitor.configuration_read(200, &initial_configuration().json());
-        kept(&monitor);
+        assert_none(&monitor);
         monitor.configuration_read(200, &initial_configuration().json().replace("8000", "9000"));
-        broken(&monitor, "CONFIG");
+        assert_violated(&monitor, "CONFIG");
         let monitor = self::monitor().await;
         monitor.configuration_read(503, "");
-        broken(&monitor, "LOST");
+        assert_violated(&monitor, "LOST");
     });
 }
 
 #[test]
-fn given_a_lower_token_after_a_higher_then_one_is_broken_where_servers_do_not_check_it() {
+fn given_a_lower_token_after_a_higher_then_one_is_violated_where_servers_do_not_check_it() {
     play(async {
         for fencing in [true, false] {
             let monitor = Monitor::new(Bounds {
@@ -576,16 +578,16 @@
             monitor.command_received("i-1", "x", 5, NODE);
             monitor.command_received("i-1", "y", 4, NODE);
             if fencing {
-                kept(&monitor)
+                assert_none(&monitor)
             } else {
-                broken(&monitor, "ONE")
+                assert_violated(&monitor, "ONE")
             }
         }
     });
 }
 
 #[test]
-fn given_two_troubles_of_a_machine_when_one_ends_then_it_is_not_in_touch() {
+fn given_two_faults_of_a_machine_when_one_ends_then_it_is_not_in_contact() {
     play(async {
         let monitor = monitor().await;
         monitor.process_stopped(NODE);
@@ -605,9 +607,9 @@
 }
 
 #[test]
-fn given_kept_connections_closed_without_an_answer_then_lost_is_broken_beyond_three() {
+fn given_kept_connections_closed_without_an_answer_then_lost_is_violated_beyond_three() {
     play(async {
-        for (count, reused_connection, server_faulted, is_broken) in [
+        for (count, reused_connection, server_faulted, is_violated) in [
             (3, true, false, false),
             (4, true, false, true),
             (50, false, false, false),
@@ -616,11 +618,11 @@
             let monitor = monitor().await;
             for n in 0..count {
                 let id = format!("a{n}");
-                let asked = Attempt {
+                let attempt = Attempt {
                     reused_connection,
-                    ..asked(RouteKind::Idempotent, "/idem/b9")
+                    ..attempt(RouteKind::Idempotent, "/idem/b9")
                 };
-                monitor.attempt_sent(&id, &asked);
+                monitor.attempt_sent(&id, &attempt);
                 let number = monitor.run_started(&run(&id, "/idem/b9"));
                 if server_faulted {
                     monitor.server_faulted(number);
@@ -628,25 +630,25 @@
                 monitor.response_received(&id, &ClientResponse::default());
             }
             monitor.scenario_ended();
-            if is_broken {
-                broken(&monitor, "LOST")
+            if is_violated {
+                assert_violated(&monitor, "LOST")
             } else {
-                kept(&monitor)
+                assert_none(&monitor)
             }
         }
     });
 }
 
 #[test]
-fn given_draining_acknowledged_by_a_machine_out_of_touch_then_it_binds_all_the_same() {
+fn given_draining_acknowledged_by_a_machine_out_of_contact_then_it_binds_all_the_same() {
     play(async {
         let monitor = monitor().await;
         let other = SocketAddr::new(IpAddr::from([10, 0, 0, 21]), 80);
         monitor.fault_began(FaultScope::Machine(other.ip()));
         monitor.drain_acknowledged("i-1", other);
         sleep(Duration::from_millis(2_500)).await;
-        monitor.attempt_sent("a", &asked(RouteKind::Idempotent, "/idem/b9"));
+        monitor.attempt_sent("a", &attempt(RouteKind::Idempotent, "/idem/b9"));
         monitor.request_arrived("models", "a", "i-1", NODE);
-        broken(&monitor, "DRAIN");
+        assert_violated(&monitor, "DRAIN");
     });
 }
--- a/crates/sparrouter-simulation/tests/config.rs
+++ b/crates/sparrouter-simulation/tests/config.rs
@@ -23,7 +23,7 @@
     served
 }
 
-fn added(name: &str) -> ClientRequest {
+fn request_to(name: &str) -> ClientRequest {
     request(RouteKind::Idempotent, "b10").to_route(&format!("{name}"), "b10")
 }
 
@@ -34,11 +34,11 @@
         let configuration = initial_configuration().with_public_route(2, "new");
         assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
         sleep(cluster.settings.bounds.config_apply).await;
-        assert_eq!(served_by(&cluster, &added("new")).await.len(), 6);
+        assert_eq!(served_by(&cluster, &request_to("new")).await.len(), 6);
         let without = configuration.next(1, |p| p.routes.retain(|r| r.name != "new"));
         assert_eq!(cluster.operator.patch(&without, &configuration).await, 200);
         sleep(cluster.settings.bounds.config_apply + Duration::from_millis(1)).await;
-        assert!(served_by(&cluster, &added("new")).await.is_empty());
+        assert!(served_by(&cluster, &request_to("new")).await.is_empty());
         cluster.operator.read_back().await;
         cluster
     });
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn given_a_taken_configuration_when_it_is_sent_again_unchanged_then_any_node_says_200() {
+fn given_a_accepted_configuration_when_it_is_sent_again_unchanged_then_any_node_says_200() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(13)).await;
         let configuration = initial_configuration().with_public_route(2, "new");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn given_invalid_configurations_when_sent_then_each_is_refused_for_good_and_nothing_changes() {
+fn given_invalid_configurations_when_sent_then_each_is_rejected_for_good_and_nothing_changes() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(14)).await;
         let base = initial_configuration();
@@ -110,14 +110,14 @@
             assert!((400..500).contains(&status), "{status} for {body}");
         }
         sleep(cluster.settings.bounds.config_apply).await;
-        assert!(served_by(&cluster, &added("bad")).await.is_empty());
+        assert!(served_by(&cluster, &request_to("bad")).await.is_empty());
         cluster.operator.read_back().await;
         cluster
     });
 }
 
 #[test]
-fn given_a_key_that_is_taken_away_when_acknowledged_then_nobody_lets_it_in() {
+fn given_a_key_that_is_removed_when_acknowledged_then_nobody_lets_it_in() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(15)).await;
         let load = ClientLoad::start(&cluster, 6, Duration::from_millis(200));
--- a/crates/sparrouter-simulation/tests/configuration_changes.rs
+++ b/crates/sparrouter-simulation/tests/configuration_changes.rs
@@ -50,14 +50,14 @@
     }
 }
 
-fn is_whole(told: &ConfigUpdate) -> bool {
-    matches!(told.text, TextUpdate::Complete(_))
+fn is_complete(update: &ConfigUpdate) -> bool {
+    matches!(update.text, TextUpdate::Complete(_))
 }
 
 /// What a poll of the one brings from the other; true where it was of use.
 fn polls(poller: &Node, source: &Node) -> (bool, bool) {
-    let told = source.config_update(poller.active_configuration().digest);
-    (is_whole(&told), poller.apply_configuration(told))
+    let update = source.config_update(poller.active_configuration().digest);
+    (is_complete(&update), poller.apply_configuration(update))
 }
 
 #[test]
@@ -72,10 +72,13 @@
         );
         source.apply_configuration(chosen(2));
         assert_eq!(polls(&poller, &source), (false, true));
-        let (held, known) = (poller.active_configuration(), source.active_configuration());
-        assert_eq!((held.slot, held.version, &held.text), (2, 2, &known.text));
-        assert_eq!(*held.text, *configuration(2).json());
-        assert!(held.table.as_ref().is_some_and(|t| t.version == 2));
+        let (active, known) = (poller.active_configuration(), source.active_configuration());
+        assert_eq!(
+            (active.slot, active.version, &active.text),
+            (2, 2, &known.text)
+        );
+        assert_eq!(*active.text, *configuration(2).json());
+        assert!(active.table.as_ref().is_some_and(|t| t.version == 2));
     });
 }
 
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn given_a_source_that_restarted_when_it_is_asked_then_it_tells_the_whole() {
+fn given_a_source_that_restarted_when_it_is_asked_then_it_sends_the_complete_text() {
     play(async {
         let (source, poller) = (node(1), node(2));
         source.apply_configuration(chosen(1));
@@ -144,16 +147,16 @@
             if source.active_configuration().slot > poller.active_configuration().slot {
                 assert!(polls(&poller, source).1);
             }
-            let held = poller.active_configuration();
-            assert!(held.slot >= last && *held.text == *configuration(held.slot).json());
-            last = held.slot;
+            let active = poller.active_configuration();
+            assert!(active.slot >= last && *active.text == *configuration(active.slot).json());
+            last = active.slot;
         }
     });
 }
 
 #[test]
-fn given_a_text_that_differs_when_a_change_comes_then_nothing_changes_until_the_whole_is_asked_for()
-{
+fn given_a_text_that_differs_when_a_change_comes_then_nothing_changes_until_the_complete_text_is_asked_for()
+ {
     play(async {
         let (source, poller) = (node(1), node(2));
         source.apply_configuration(chosen(1));
@@ -166,7 +169,7 @@
         // As though it had the text that the source made its change from.
         let change =
             source.config_update(sparrouter_config::digest_of_text(&configuration(1).json()));
-        assert!(!is_whole(&change) && !poller.apply_configuration(change));
+        assert!(!is_complete(&change) && !poller.apply_configuration(change));
         assert_eq!(
             (
                 poller.active_configuration().slot,
@@ -186,7 +189,7 @@
 }
 
 #[test]
-fn given_only_weights_named_when_told_then_no_text_goes_with_it() {
+fn given_only_weights_named_when_updated_then_no_text_goes_with_it() {
     play(async {
         let (source, poller) = (node(1), node(2));
         source.apply_configuration(chosen(1));
@@ -195,14 +198,14 @@
             slot: 2,
             ..chosen(1)
         });
-        let told = source.config_update(poller.active_configuration().digest);
-        assert!(matches!(&told.text, TextUpdate::Edits(edits) if edits.is_empty()));
-        assert!(poller.apply_configuration(told) && poller.active_configuration().slot == 2);
+        let update = source.config_update(poller.active_configuration().digest);
+        assert!(matches!(&update.text, TextUpdate::Edits(edits) if edits.is_empty()));
+        assert!(poller.apply_configuration(update) && poller.active_configuration().slot == 2);
     });
 }
 
 #[test]
-fn given_patches_and_core_nodes_killed_when_all_is_calm_again_then_every_node_has_the_text_of_the_register()
+fn given_patches_and_core_nodes_killed_when_all_is_healthy_again_then_every_node_has_the_text_of_the_register()
  {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(77)).await;
@@ -232,17 +235,17 @@
         let net = cluster.outside_network();
         let mut digests = Vec::new();
         for name in cluster.names() {
-            let at = cluster.control_of(&name);
-            let asked = http_messages::call(
+            let address = cluster.control_of(&name);
+            let call = http_messages::call(
                 &net,
-                at,
+                address,
                 "GET",
                 "/api/status",
                 &[],
                 "",
                 Duration::from_secs(1),
             );
-            let reply = asked.await.expect("the node answers");
+            let reply = call.await.expect("the node answers");
             let digest = reply
                 .text()
                 .split("\"config_digest\":")
--- a/crates/sparrouter-simulation/tests/core.rs
+++ b/crates/sparrouter-simulation/tests/core.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn given_a_core_cut_in_two_then_the_minority_acknowledges_nothing_and_all_follow_the_majority() {
+fn given_a_core_split_then_the_minority_acknowledges_nothing_and_all_follow_the_majority() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(50)).await;
         cluster.partition(&["core-0"], Some(Partition::PacketsLost));
@@ -97,17 +97,19 @@
         };
         let alone = call("core-0").await;
         assert!(!(200..300).contains(&alone), "{alone}");
-        let index = cluster
+        let submission = cluster
             .monitor
             .configuration_submitted(&configuration, 1, true);
         assert_eq!(call("core-1").await, 200);
-        cluster.monitor.configuration_acknowledged(index);
+        cluster.monitor.configuration_acknowledged(submission);
         sleep(Duration::from_secs(2)).await;
         for name in ["edge-0", "edge-1", "edge-2"] {
             let client = cluster.client(false);
-            let asked = request(RouteKind::Idempotent, "b5").to_route("new", "b5");
-            let came = client.send_to(&asked, cluster.front_of(name), 0).await;
-            assert_eq!(came, RequestOutcome::Served, "{name}");
+            let client_request = request(RouteKind::Idempotent, "b5").to_route("new", "b5");
+            let outcome = client
+                .send_to(&client_request, cluster.front_of(name), 0)
+                .await;
+            assert_eq!(outcome, RequestOutcome::Served, "{name}");
         }
         cluster.partition(&["core-0"], None);
         sleep(Duration::from_secs(6)).await;
@@ -231,7 +233,7 @@
 }
 
 #[test]
-fn given_a_node_cut_off_while_every_core_machine_is_replaced_when_joined_then_its_seeds_lead_it_to_the_new_ones()
+fn given_a_node_partitioned_while_every_core_machine_is_replaced_when_joined_then_its_seeds_lead_it_to_the_new_ones()
  {
     for seed in 0..4 {
         run_checked(|| async {
@@ -259,10 +261,10 @@
                     .await
                     .expect("an answer");
                 assert_eq!(reply.status, 200);
-                let asked =
+                let client_request =
                     request(RouteKind::Idempotent, "b5").to_route(&format!("new{round}"), "b5");
-                let came = cluster.send_to_node(&asked, "edge-0").await;
-                assert_eq!(came, RequestOutcome::Served, "round {round}");
+                let outcome = cluster.send_to_node(&client_request, "edge-0").await;
+                assert_eq!(outcome, RequestOutcome::Served, "round {round}");
             }
             cluster.operator.read_back().await;
             cluster
--- a/crates/sparrouter-simulation/tests/determinism.rs
+++ b/crates/sparrouter-simulation/tests/determinism.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-fn story(seed: u64) -> Vec<String> {
+fn trace_of(seed: u64) -> Vec<String> {
     play(async move {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(seed)).await;
         cluster.monitor.trace.verbose.set(true);
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn given_one_seed_when_told_twice_then_every_line_is_the_same() {
-    let (first, second) = (story(7), story(7));
+fn given_one_seed_when_run_twice_then_every_line_is_the_same() {
+    let (first, second) = (trace_of(7), trace_of(7));
     let differs = first.iter().zip(&second).position(|(a, b)| a != b);
     if let Some(at) = differs {
         panic!("line {at}:\n{}\n{}", first[at], second[at]);
     }
     assert_eq!(first.len(), second.len());
-    assert_ne!(first, story(8));
+    assert_ne!(first, trace_of(8));
 }
--- a/crates/sparrouter-simulation/tests/disks.rs
+++ b/crates/sparrouter-simulation/tests/disks.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn given_full_disks_at_a_majority_when_a_change_comes_then_it_is_refused_with_the_remedy_and_later_taken()
+fn given_full_disks_at_a_majority_when_a_change_comes_then_it_is_rejected_with_the_remedy_and_later_accepted()
  {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(102)).await;
--- a/crates/sparrouter-simulation/tests/edge.rs
+++ b/crates/sparrouter-simulation/tests/edge.rs
@@ -2,7 +2,7 @@
 //! requests of unlike urgency.
 mod scripted;
 
-use scripted::{Act, Ask, Servers};
+use scripted::{Reaction, ScriptedRequest, Servers};
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
 use sparrouter_simulation::http_messages;
@@ -24,8 +24,14 @@
         sleep(Duration::from_secs(4)).await;
         for node in cluster.names() {
             for path in ["/idem/a", "/once/a", "/stream/a", "/unknown"] {
-                let got = Ask::new(path, "a1").at(&cluster, &node).await;
-                assert_eq!((got.status, got.retry_after), (503, true), "{node} {path}");
+                let response = ScriptedRequest::new(path, "a1")
+                    .send_to(&cluster, &node)
+                    .await;
+                assert_eq!(
+                    (response.status, response.retry_after),
+                    (503, true),
+                    "{node} {path}"
+                );
             }
         }
     });
@@ -38,21 +44,23 @@
             let cluster = scripted::cluster(261).await;
             let head = "HTTP/1.1 200 OK\r\nSparrouter-Attempt-Id: {id}\r\nSparrouter-Response-Seal: seal\r\n\
                         Transfer-Encoding: chunked\r\n\r\n17\r\nid: 1\ndata: an event\n\n\r\n";
-            let act = Act::AnswerAndStay(head.to_owned());
-            let servers = Servers::start(&cluster, 3, move |_, _| act.clone()).await;
-            let got = Ask::new(path, "a1").at(&cluster, NODE).await;
+            let reaction = Reaction::RespondAndStall(head.to_owned());
+            let servers = Servers::start(&cluster, 3, move |_, _| reaction.clone()).await;
+            let response = ScriptedRequest::new(path, "a1")
+                .send_to(&cluster, NODE)
+                .await;
             assert!(
-                !got.is_complete && !got.spoilt && got.status == 200,
-                "{path} {got:?}"
+                !response.is_complete && !response.unexpected_bytes && response.status == 200,
+                "{path} {response:?}"
             );
             let deadline = Duration::from_secs(3);
             assert!(
-                got.took >= deadline && got.took < deadline + SLACK,
-                "{path} {got:?}"
+                response.elapsed >= deadline && response.elapsed < deadline + SLACK,
+                "{path} {response:?}"
             );
             sleep(SLACK).await;
             assert_eq!(
-                (servers.runs(), servers.ended.borrow().len()),
+                (servers.runs(), servers.disconnects.borrow().len()),
                 (1, 1),
                 "{path}"
             );
@@ -67,16 +75,21 @@
             let cluster = scripted::cluster(264).await;
             let head = "HTTP/1.1 200 OK\r\nSparrouter-Attempt-Id: {id}\r\nSparrouter-Response-Seal: seal\r\n\
                         Content-Length: 100\r\n\r\n";
-            let act = Act::AnswerAndStay(head.to_owned());
-            let servers = Servers::start(&cluster, 3, move |_, _| act.clone()).await;
-            let got = Ask::new(path, "a1").at(&cluster, NODE).await;
+            let reaction = Reaction::RespondAndStall(head.to_owned());
+            let servers = Servers::start(&cluster, 3, move |_, _| reaction.clone()).await;
+            let response = ScriptedRequest::new(path, "a1")
+                .send_to(&cluster, NODE)
+                .await;
             // What may not be repeated is passed on as it comes, and can only be broken off.
             assert_eq!(
-                (got.status, got.is_complete),
+                (response.status, response.is_complete),
                 (status, status == 504),
-                "{path} {got:?}"
+                "{path} {response:?}"
+            );
+            assert!(
+                response.elapsed < Duration::from_secs(3) + SLACK,
+                "{path} {response:?}"
             );
-            assert!(got.took < Duration::from_secs(3) + SLACK, "{path} {got:?}");
             assert_eq!(servers.runs(), 1, "{path}");
         });
     }
@@ -105,13 +118,13 @@
         for node in cluster.names() {
             assert!(is_ready(&cluster, &node).await, "{node}");
         }
-        let told = Instant::now();
+        let signalled_at = Instant::now();
         for node in cluster.names() {
             let cluster = cluster.clone();
             tokio::task::spawn_local(async move { cluster.terminate(&node).await });
         }
         sleep(Duration::from_millis(100)).await;
-        while told.elapsed() < Duration::from_secs(10) {
+        while signalled_at.elapsed() < Duration::from_secs(10) {
             for node in cluster.names() {
                 if is_ready(&cluster, &node).await {
                     return false;
@@ -124,51 +137,61 @@
 }
 
 #[test]
-fn given_all_machines_told_to_end_when_four_seconds_have_gone_then_none_is_ready() {
+fn given_all_machines_shut_down_when_four_seconds_have_gone_then_none_is_ready() {
     assert!(none_is_ready_while_leaving());
     inject(Some(Defect::ReadyWhileLeaving));
-    let kept = none_is_ready_while_leaving();
+    let none_was_ready = none_is_ready_while_leaving();
     inject(None);
-    assert!(!kept);
+    assert!(!none_was_ready);
 }
 
 #[test]
-fn given_a_server_that_leaves_without_draining_then_its_streams_end_whole_and_nothing_new_comes() {
+fn given_a_server_that_leaves_without_draining_then_its_streams_end_complete_and_nothing_new_comes()
+{
     play(async {
         let cluster = scripted::cluster(263).await;
         let ok = scripted::success("ok");
-        let slow = Act::AnswerAfter(Duration::from_millis(1_500), ok.clone());
+        let slow = Reaction::RespondAfter(Duration::from_millis(1_500), ok.clone());
         let servers = Servers::start(&cluster, 2, move |_, n| match n {
             0 => slow.clone(),
-            _ => Act::ClientResponse(ok.clone()),
+            _ => Reaction::Respond(ok.clone()),
         })
         .await;
-        let (asking, answer) = tokio::sync::oneshot::channel();
-        let asked = cluster.clone();
+        let (sender, answer) = tokio::sync::oneshot::channel();
+        let client_cluster = cluster.clone();
         tokio::task::spawn_local(async move {
-            let got = Ask::new("/stream/a", "a1").at(&asked, NODE).await;
-            asking.send(got).expect("somebody waits");
+            let response = ScriptedRequest::new("/stream/a", "a1")
+                .send_to(&client_cluster, NODE)
+                .await;
+            sender.send(response).expect("somebody waits");
         });
         sleep(Duration::from_millis(200)).await;
-        let leaves = servers.last().server;
-        let path = format!("/api/instances/{}", scripted::id_of(leaves));
+        let removed_server = servers.last().server;
+        let path = format!("/api/instances/{}", scripted::id_of(removed_server));
         let to = cluster.control_of("core-0");
         let timeout_after = Duration::from_secs(1);
         let net = cluster.outside_network();
-        let told = http_messages::call(&net, to, "DELETE", &path, &[], "", timeout_after).await;
-        assert!(told.is_ok_and(|r| r.status < 300));
+        let signalled_at =
+            http_messages::call(&net, to, "DELETE", &path, &[], "", timeout_after).await;
+        assert!(signalled_at.is_ok_and(|r| r.status < 300));
         sleep(Duration::from_millis(300)).await;
         for (n, node) in cluster.names().iter().enumerate() {
             let id = format!("b{n}");
             assert_eq!(
-                Ask::new("/once/a", &id).at(&cluster, node).await.status,
+                ScriptedRequest::new("/once/a", &id)
+                    .send_to(&cluster, node)
+                    .await
+                    .status,
                 200
             );
         }
-        let got = answer.await.expect("an answer");
-        assert!(got.is_complete && got.status == 200, "{got:?}");
-        let heard = servers.heard.borrow();
-        let there = heard.iter().filter(|h| h.server == leaves);
+        let response = answer.await.expect("an answer");
+        assert!(
+            response.is_complete && response.status == 200,
+            "{response:?}"
+        );
+        let received = servers.received.borrow();
+        let there = received.iter().filter(|h| h.server == removed_server);
         assert_eq!(there.filter(|h| !h.path().starts_with("/api/")).count(), 1);
     });
 }
--- a/crates/sparrouter-simulation/tests/forwarding.rs
+++ b/crates/sparrouter-simulation/tests/forwarding.rs
@@ -3,7 +3,7 @@
 mod scripted;
 
 use bytes::Bytes;
-use scripted::{Act, Ask, Got, Servers, answer, declined, success};
+use scripted::{Reaction, Received, ScriptedRequest, Servers, answer, declined, success};
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::runtime::play;
 use std::rc::Rc;
@@ -50,68 +50,72 @@
 }
 
 /// Whether a story's check fails under a planted mistake.
-fn fails(defect: Defect, story: impl FnOnce() -> bool) -> bool {
+fn fails(defect: Defect, check: impl FnOnce() -> bool) -> bool {
     inject(Some(defect));
-    let kept = story();
+    let holds = check();
     inject(None);
-    !kept
+    !holds
 }
 
 /// Three servers with one script, and one request at one node.
 async fn one(
     seed: u64,
-    script: impl Fn(usize) -> Act + 'static,
-    ask: Ask<'_>,
-) -> (Rc<Servers>, Got) {
+    script: impl Fn(usize) -> Reaction + 'static,
+    request: ScriptedRequest<'_>,
+) -> (Rc<Servers>, Received) {
     let cluster = scripted::cluster(seed).await;
     let servers = Servers::start(&cluster, 3, move |_, n| script(n)).await;
-    let got = ask.at(&cluster, NODE).await;
-    (servers, got)
+    let response = request.send_to(&cluster, NODE).await;
+    (servers, response)
 }
 
-fn promises(got: &Got) -> bool {
-    matches!(got.status, 408 | 421 | 429 | 503)
+fn denies_run(response: &Received) -> bool {
+    matches!(response.status, 408 | 421 | 429 | 503)
 }
 
 #[test]
-fn given_a_failure_after_a_byte_was_sent_then_only_repeatable_requests_are_sent_again() {
+fn given_a_failure_after_a_byte_was_sent_then_only_retryable_requests_are_sent_again() {
     let failures = [
-        Act::Reset,
-        Act::ResetAtHead,
-        Act::End,
-        Act::AnswerAndEnd("no answer at all\r\n\r\n".to_owned()),
+        Reaction::Reset,
+        Reaction::ResetBeforeBody,
+        Reaction::End,
+        Reaction::RespondAndEnd("no answer at all\r\n\r\n".to_owned()),
         // Servers' own words of these kinds promise nothing without the field that says so.
-        Act::ClientResponse(answer(503, "", "")),
-        Act::ClientResponse(answer(429, "", "")),
+        Reaction::Respond(answer(503, "", "")),
+        Reaction::Respond(answer(429, "", "")),
     ];
     for (index, failure) in failures.into_iter().enumerate() {
         for (path, is_retryable) in ROUTES {
             for body in [Bytes::new(), Bytes::from_static(b"a body"), long_body()] {
                 let (failure, size) = (failure.clone(), body.len());
-                let (servers, got) = play(one(
+                let (servers, response) = play(one(
                     200 + index as u64,
                     move |_| failure.clone(),
-                    Ask {
+                    ScriptedRequest {
                         body,
-                        ..Ask::new(path, "a1")
+                        ..ScriptedRequest::new(path, "a1")
                     },
                 ));
                 let runs = servers.runs();
-                let shown = format!("{path}, {size} bytes, failure {index}: {runs} runs, {got:?}");
-                assert!(!promises(&got) && !got.sealed, "{shown}");
-                assert_eq!(runs, if is_retryable { 3 } else { 1 }, "{shown}");
+                let description =
+                    format!("{path}, {size} bytes, failure {index}: {runs} runs, {response:?}");
+                assert!(
+                    !denies_run(&response) && !response.is_sealed,
+                    "{description}"
+                );
+                assert_eq!(runs, if is_retryable { 3 } else { 1 }, "{description}");
             }
         }
     }
 }
 
 fn sent_once_when_reset_in_a_long_body() -> bool {
-    let ask = Ask {
+    let request = ScriptedRequest {
         body: long_body(),
-        ..Ask::new("/once/a", "a1")
+        ..ScriptedRequest::new("/once/a", "a1")
     };
-    let (servers, got) = play(one(210, |_| Act::ResetAtHead, ask));
-    servers.runs() == 1 && !promises(&got)
+    let (servers, response) = play(one(210, |_| Reaction::ResetBeforeBody, request));
+    servers.runs() == 1 && !denies_run(&response)
 }
 
 #[test]
@@ -124,31 +128,39 @@
 }
 
 #[test]
-fn given_a_silent_server_then_every_request_ends_at_its_deadline_and_nothing_is_sent_again() {
+fn given_a_unresponsive_server_then_every_request_ends_at_its_deadline_and_nothing_is_sent_again() {
     for (path, _) in ROUTES {
-        let (servers, got) = play(one(211, |_| Act::Unresponsive, Ask::new(path, "a1")));
-        assert_eq!((servers.runs(), got.status), (1, 504), "{path}");
-        let late = got.took.saturating_sub(Duration::from_secs(3));
+        let (servers, response) = play(one(
+            211,
+            |_| Reaction::NoResponse,
+            ScriptedRequest::new(path, "a1"),
+        ));
+        assert_eq!((servers.runs(), response.status), (1, 504), "{path}");
+        let late = response.elapsed.saturating_sub(Duration::from_secs(3));
         assert!(late < Duration::from_millis(500), "{path}: {late:?}");
     }
 }
 
 #[test]
-fn given_no_deadline_of_the_client_when_a_server_is_silent_then_the_route_s_timeout_ends_it() {
-    let ask = Ask {
+fn given_no_deadline_of_the_client_when_a_server_is_unresponsive_then_the_route_s_timeout_ends_it()
+{
+    let request = ScriptedRequest {
         fields: "",
-        ..Ask::new("/once/a", "a1")
+        ..ScriptedRequest::new("/once/a", "a1")
     };
-    let (servers, got) = play(one(212, |_| Act::Unresponsive, ask));
-    assert_eq!(got.status, 504);
+    let (servers, response) = play(one(212, |_| Reaction::NoResponse, request));
+    assert_eq!(response.status, 504);
     // `timeout_ms` of the first plan's routes is 8,000.
-    assert!(got.took >= Duration::from_secs(8) && got.took < Duration::from_millis(8_500));
-    let told = servers
+    assert!(
+        response.elapsed >= Duration::from_secs(8)
+            && response.elapsed < Duration::from_millis(8_500)
+    );
+    let deadline_ms = servers
         .last()
         .text("sparrouter-deadline-ms")
         .map(str::to_owned);
-    let told: u64 = told.expect("a deadline").parse().expect("a number");
-    assert!((7_900..=8_000).contains(&told), "{told}");
+    let deadline_ms: u64 = deadline_ms.expect("a deadline").parse().expect("a number");
+    assert!((7_900..=8_000).contains(&deadline_ms), "{deadline_ms}");
 }
 
 #[test]
@@ -156,25 +168,29 @@
     for status in [503, 429, 421] {
         for (path, _) in ROUTES {
             let script = move |n| match n {
-                0 => Act::ClientResponse(declined(status)),
-                _ => Act::ClientResponse(success("ok")),
+                0 => Reaction::Respond(declined(status)),
+                _ => Reaction::Respond(success("ok")),
             };
-            let (servers, got) = play(one(213, script, Ask::new(path, "a1")));
-            assert_eq!((servers.runs(), got.status), (2, 200), "{path} {status}");
+            let (servers, response) = play(one(213, script, ScriptedRequest::new(path, "a1")));
+            assert_eq!(
+                (servers.runs(), response.status),
+                (2, 200),
+                "{path} {status}"
+            );
         }
     }
 }
 
 #[test]
-fn given_servers_that_all_decline_then_the_client_is_told_to_come_back() {
+fn given_servers_that_all_decline_then_the_client_is_asked_to_retry() {
     for (path, _) in ROUTES {
-        let (servers, got) = play(one(
+        let (servers, response) = play(one(
             214,
-            |_| Act::ClientResponse(declined(503)),
-            Ask::new(path, "a1"),
+            |_| Reaction::Respond(declined(503)),
+            ScriptedRequest::new(path, "a1"),
         ));
         assert_eq!(
-            (servers.runs(), got.status, got.retry_after),
+            (servers.runs(), response.status, response.retry_after),
             (3, 503, true),
             "{path}"
         );
@@ -186,9 +202,11 @@
     ["/once/a", "/idem/a"].iter().all(|path| {
         play(async {
             let cluster = scripted::cluster(228).await;
-            let act = Act::ClientResponse(declined(503));
-            let servers = Servers::start(&cluster, 5, move |_, _| act.clone()).await;
-            Ask::new(path, "a1").at(&cluster, NODE).await;
+            let reaction = Reaction::Respond(declined(503));
+            let servers = Servers::start(&cluster, 5, move |_, _| reaction.clone()).await;
+            ScriptedRequest::new(path, "a1")
+                .send_to(&cluster, NODE)
+                .await;
             servers.runs() <= 3
         })
     })
@@ -201,77 +219,89 @@
 }
 
 /// Two requests at a server that answers the first before its long body is in, and reads on a second later.
-fn bodies_kept_apart() -> bool {
+fn bodies_stay_separate() -> bool {
     play(async {
         let cluster = scripted::cluster(215).await;
         let servers = Servers::start(&cluster, 1, |_, n| match n {
-            0 => Act::AnswerEarly(success("early"), Duration::from_secs(1)),
-            _ => Act::ClientResponse(success("next")),
+            0 => Reaction::RespondEarly(success("early"), Duration::from_secs(1)),
+            _ => Reaction::Respond(success("next")),
         })
         .await;
-        let first = Ask {
+        let first = ScriptedRequest {
             body: long_body(),
-            ..Ask::new("/once/a", "a1")
+            ..ScriptedRequest::new("/once/a", "a1")
         };
-        let first = first.at(&cluster, NODE).await;
-        let second = Ask::new("/once/b", "a2").at(&cluster, NODE).await;
+        let first = first.send_to(&cluster, NODE).await;
+        let second = ScriptedRequest::new("/once/b", "a2")
+            .send_to(&cluster, NODE)
+            .await;
         sleep(Duration::from_secs(2)).await;
         assert_eq!((first.status, first.text.as_str()), (200, "early"));
-        assert!(first.took < Duration::from_millis(500), "{:?}", first.took);
+        assert!(
+            first.elapsed < Duration::from_millis(500),
+            "{:?}",
+            first.elapsed
+        );
         let own = |body: &Bytes| body.iter().all(|b| *b == b'x') || &body[..] == b"a body";
-        let whole = servers
-            .heard
+        let all_own = servers
+            .received
             .borrow()
             .iter()
             .all(|h| h.body.as_ref().is_none_or(own));
-        whole && servers.spoilt.borrow().is_empty() && second.text == "next"
+        all_own && servers.unexpected_bytes.borrow().is_empty() && second.text == "next"
     })
 }
 
 #[test]
 fn given_an_early_answer_then_nothing_else_comes_where_the_rest_of_the_body_is_due() {
-    assert!(bodies_kept_apart());
-    assert!(fails(Defect::UnfinishedConnectionPooled, bodies_kept_apart));
+    assert!(bodies_stay_separate());
+    assert!(fails(
+        Defect::UnfinishedConnectionPooled,
+        bodies_stay_separate
+    ));
 }
 
 #[test]
-fn given_a_long_request_that_is_turned_away_before_it_is_in_then_another_server_runs_it() {
+fn given_a_long_request_that_is_rejected_before_it_is_in_then_another_server_runs_it() {
     for (path, _) in ROUTES {
         let script = |n| match n {
-            0 => Act::AnswerEarly(declined(503), Duration::from_secs(1)),
-            _ => Act::ClientResponse(success("ok")),
+            0 => Reaction::RespondEarly(declined(503), Duration::from_secs(1)),
+            _ => Reaction::Respond(success("ok")),
         };
-        let ask = Ask {
+        let request = ScriptedRequest {
             body: long_body(),
-            ..Ask::new(path, "a1")
+            ..ScriptedRequest::new(path, "a1")
         };
-        let (servers, got) = play(one(216, script, ask));
-        assert_eq!((servers.runs(), got.status), (2, 200), "{path}");
+        let (servers, response) = play(one(216, script, request));
+        assert_eq!((servers.runs(), response.status), (2, 200), "{path}");
         assert!(
-            got.took < Duration::from_millis(500),
+            response.elapsed < Duration::from_millis(500),
             "{path} {:?}",
-            got.took
+            response.elapsed
         );
     }
 }
 
 #[test]
-fn given_an_answer_without_a_length_when_its_connection_ends_then_it_is_whole() {
+fn given_an_answer_without_a_length_when_its_connection_ends_then_it_is_complete() {
     for (path, _) in ROUTES {
         let body = event(1);
-        let script = move |_| Act::AnswerAndEnd(without_length(&body));
-        let (_, got) = play(one(217, script, Ask::new(path, "a1")));
-        assert!(got.is_complete && got.text == event(1), "{path} {got:?}");
+        let script = move |_| Reaction::RespondAndEnd(without_length(&body));
+        let (_, response) = play(one(217, script, ScriptedRequest::new(path, "a1")));
+        assert!(
+            response.is_complete && response.text == event(1),
+            "{path} {response:?}"
+        );
     }
 }
 
 fn reset_is_no_end() -> bool {
-    let script = |_| Act::AnswerAndReset(without_length(&event(1)));
+    let script = |_| Reaction::RespondAndReset(without_length(&event(1)));
     ["/once/a", "/stream/a", "/resume/a", "/idem/a"]
         .iter()
         .all(|path| {
-            let (_, got) = play(one(218, script, Ask::new(path, "a1")));
-            !got.is_complete || got.status >= 500
+            let (_, response) = play(one(218, script, ScriptedRequest::new(path, "a1")));
+            !response.is_complete || response.status >= 500
         })
 }
 
@@ -292,30 +322,30 @@
     failures.iter().all(|failure| {
         let failure = failure.clone();
         let script = move |n| match n {
-            0 => Act::AnswerAndReset(chunked(&[event(1), "id: 2\nda".to_owned()], false)),
-            _ => Act::ClientResponse(failure.clone()),
+            0 => Reaction::RespondAndReset(chunked(&[event(1), "id: 2\nda".to_owned()], false)),
+            _ => Reaction::Respond(failure.clone()),
         };
-        let (_, got) = play(one(219, script, Ask::new("/resume/a", "a1")));
-        got.text == event(1) && !got.is_complete && !got.spoilt
+        let (_, response) = play(one(219, script, ScriptedRequest::new("/resume/a", "a1")));
+        response.text == event(1) && !response.is_complete && !response.unexpected_bytes
     })
 }
 
 #[test]
-fn given_a_resumed_stream_when_the_next_server_fails_then_the_failure_is_not_passed_on() {
+fn given_a_resumed_stream_when_the_next_server_fails_then_the_failure_is_not_forwarded() {
     assert!(failures_stay_out_of_streams());
     assert!(fails(Defect::ErrorInStream, failures_stay_out_of_streams));
 }
 
 #[test]
-fn given_a_server_that_breaks_off_in_an_event_then_another_takes_the_stream_up_behind_the_last_whole_one()
+fn given_a_server_that_breaks_off_in_an_event_then_another_resumes_the_stream_behind_the_last_complete_one()
  {
     let script = |n| match n {
-        0 => Act::AnswerAndReset(chunked(&[event(1), "id: 2\nda".to_owned()], false)),
-        _ => Act::ClientResponse(chunked(&[event(2), event(3)], true)),
+        0 => Reaction::RespondAndReset(chunked(&[event(1), "id: 2\nda".to_owned()], false)),
+        _ => Reaction::Respond(chunked(&[event(2), event(3)], true)),
     };
-    let (servers, got) = play(one(220, script, Ask::new("/resume/a", "a1")));
-    assert!(got.is_complete);
-    assert_eq!(got.text, [event(1), event(2), event(3)].concat());
+    let (servers, response) = play(one(220, script, ScriptedRequest::new("/resume/a", "a1")));
+    assert!(response.is_complete);
+    assert_eq!(response.text, [event(1), event(2), event(3)].concat());
     assert_eq!(servers.last().text("last-event-id"), Some("1"));
 }
 
@@ -327,9 +357,9 @@
             "" => success("own").replace("Sparrouter-Attempt-Id: {id}\r\n", ""),
             _ => success("own"),
         };
-        let script = move |_| Act::ClientResponse(format!("{foreign}{own}"));
-        let (_, got) = play(one(221, script, Ask::new("/once/a", id)));
-        got.text == "own"
+        let script = move |_| Reaction::Respond(format!("{foreign}{own}"));
+        let (_, response) = play(one(221, script, ScriptedRequest::new("/once/a", id)));
+        response.text == "own"
     })
 }
 
@@ -340,32 +370,32 @@
 }
 
 #[test]
-fn given_a_second_answer_behind_a_whole_one_then_the_next_request_does_not_get_it() {
+fn given_a_second_answer_behind_a_complete_one_then_the_next_request_does_not_get_it() {
     play(async {
         let cluster = scripted::cluster(222).await;
         let twice = |n| format!("{}{}", success(&format!("answer {n}")), success("twice"));
-        let servers = Servers::start(&cluster, 1, move |_, n| Act::ClientResponse(twice(n))).await;
+        let servers = Servers::start(&cluster, 1, move |_, n| Reaction::Respond(twice(n))).await;
         for n in 0..5 {
-            let got = Ask::new("/once/a", &format!("a{n}"))
-                .at(&cluster, NODE)
+            let response = ScriptedRequest::new("/once/a", &format!("a{n}"))
+                .send_to(&cluster, NODE)
                 .await;
-            assert_eq!(got.text, format!("answer {n}"));
+            assert_eq!(response.text, format!("answer {n}"));
         }
         assert_eq!(servers.runs(), 5);
     });
 }
 
-fn within_half_a_second_of_leaving(path: &str, act: Act) -> bool {
+fn within_half_a_second_of_leaving(path: &str, reaction: Reaction) -> bool {
     play(async {
         let cluster = scripted::cluster(223).await;
-        let servers = Servers::start(&cluster, 3, move |_, _| act.clone()).await;
-        let ask = Ask {
+        let servers = Servers::start(&cluster, 3, move |_, _| reaction.clone()).await;
+        let request = ScriptedRequest {
             disconnects_after: Some(Duration::from_millis(400)),
-            ..Ask::new(path, "a1")
+            ..ScriptedRequest::new(path, "a1")
         };
-        ask.at(&cluster, NODE).await;
+        request.send_to(&cluster, NODE).await;
         sleep(Duration::from_millis(500)).await;
-        let ended = servers.ended.borrow().len();
+        let ended = servers.disconnects.borrow().len();
         sleep(Duration::from_secs(4)).await;
         ended == 1 && servers.runs() == 1
     })
@@ -375,14 +405,14 @@
 fn given_a_client_that_leaves_then_its_server_is_left_within_half_a_second_and_no_other_is_asked() {
     for (path, _) in ROUTES {
         assert!(
-            within_half_a_second_of_leaving(path, Act::Unresponsive),
+            within_half_a_second_of_leaving(path, Reaction::NoResponse),
             "{path}"
         );
-        let stream = Act::AnswerAndStay(chunked(&[event(1)], false));
+        let stream = Reaction::RespondAndStall(chunked(&[event(1)], false));
         assert!(within_half_a_second_of_leaving(path, stream), "{path}");
     }
     let unwatched = || {
-        let stream = Act::AnswerAndStay(chunked(&[event(1)], false));
+        let stream = Reaction::RespondAndStall(chunked(&[event(1)], false));
         within_half_a_second_of_leaving("/stream/a", stream)
     };
     assert!(fails(Defect::ClientUnwatched, unwatched));
@@ -392,16 +422,16 @@
 fn nothing_is_sent_for_a_client_that_left() -> bool {
     play(async {
         let cluster = scripted::cluster(224).await;
-        let servers = Servers::start(&cluster, 3, |_, _| Act::ClientResponse(success("ok"))).await;
+        let servers = Servers::start(&cluster, 3, |_, _| Reaction::Respond(success("ok"))).await;
         let fields = "Sparrouter-Deadline-Ms: 3000\r\nSparrouter-Model: daka510000\r\n\
                       Sparrouter-Token-Usage: 900,5\r\n";
         for n in 0..9 {
             let id = format!("a{n}");
-            let ask = Ask {
+            let request = ScriptedRequest {
                 fields,
-                ..Ask::new("/once/a", &id)
+                ..ScriptedRequest::new("/once/a", &id)
             };
-            assert_eq!(ask.at(&cluster, NODE).await.status, 200);
+            assert_eq!(request.send_to(&cluster, NODE).await.status, 200);
         }
         // Admission asks the node that counts what waits at the server, which does not answer any more.
         for name in cluster.names().iter().filter(|n| *n != NODE) {
@@ -410,12 +440,12 @@
         let before = servers.runs();
         for n in 0..9 {
             let id = format!("b{n}");
-            let ask = Ask {
+            let request = ScriptedRequest {
                 fields,
                 disconnects_after: Some(Duration::from_millis(10)),
-                ..Ask::new("/once/a", &id)
+                ..ScriptedRequest::new("/once/a", &id)
             };
-            ask.at(&cluster, NODE).await;
+            request.send_to(&cluster, NODE).await;
             sleep(Duration::from_millis(100)).await;
         }
         let sent = servers.runs() - before;
@@ -437,17 +467,18 @@
 
 /// A client whose body takes a while: what the server is told is what is left.
 fn a_slow_body_counts() -> bool {
-    let ask = Ask {
-        pause: Duration::from_millis(1_200),
-        ..Ask::new("/once/a", "a1")
+    let request = ScriptedRequest {
+        body_pause: Duration::from_millis(1_200),
+        ..ScriptedRequest::new("/once/a", "a1")
     };
-    let (servers, _) = play(one(225, |_| Act::ClientResponse(success("ok")), ask));
-    let told = servers
+    let (servers, _) = play(one(225, |_| Reaction::Respond(success("ok")), request));
+    let deadline_ms = servers
         .last()
         .text("sparrouter-deadline-ms")
         .map(str::to_owned);
-    told.and_then(|t| t.parse::<u64>().ok())
-        .is_some_and(|told| told <= 1_850)
+    deadline_ms
+        .and_then(|t| t.parse::<u64>().ok())
+        .is_some_and(|deadline_ms| deadline_ms <= 1_850)
 }
 
 #[test]
@@ -460,18 +491,28 @@
 fn given_a_later_send_then_its_deadline_ends_with_the_first_one() {
     for (path, _) in ROUTES {
         let script = |n| match n {
-            0 => Act::AnswerAfter(Duration::from_millis(1_000), declined(503)),
-            _ => Act::ClientResponse(success("ok")),
+            0 => Reaction::RespondAfter(Duration::from_millis(1_000), declined(503)),
+            _ => Reaction::Respond(success("ok")),
         };
-        let (servers, got) = play(one(226, script, Ask::new(path, "a1")));
-        assert_eq!(got.status, 200, "{path}");
-        let heard = servers.heard.borrow();
-        let told = |n: usize| -> u64 {
-            let told = heard[n].text("sparrouter-deadline-ms").expect("a deadline");
-            told.parse().expect("a number")
+        let (servers, response) = play(one(226, script, ScriptedRequest::new(path, "a1")));
+        assert_eq!(response.status, 200, "{path}");
+        let received = servers.received.borrow();
+        let deadline_ms = |n: usize| -> u64 {
+            let deadline_ms = received[n]
+                .text("sparrouter-deadline-ms")
+                .expect("a deadline");
+            deadline_ms.parse().expect("a number")
         };
-        assert!(told(0) <= 3_000 && told(0) > 2_900, "{path} {}", told(0));
-        assert!(told(1) <= 2_000 && told(1) > 1_800, "{path} {}", told(1));
+        assert!(
+            deadline_ms(0) <= 3_000 && deadline_ms(0) > 2_900,
+            "{path} {}",
+            deadline_ms(0)
+        );
+        assert!(
+            deadline_ms(1) <= 2_000 && deadline_ms(1) > 1_800,
+            "{path} {}",
+            deadline_ms(1)
+        );
     }
 }
 
@@ -487,21 +528,21 @@
                   Sparrouter-Prompt-Prefix: 5c1e07a2:800\r\nCache-Salt: theirs\r\nPriority: 0\r\n\
                   Connection: sparrouter-model, sparrouter-token-usage, sparrouter-prompt-prefix, \
                   sparrouter-attempt-id, host, x-hop\r\nX-Hop: 1\r\n";
-    let ask = Ask {
+    let request = ScriptedRequest {
         fields,
-        ..Ask::new("/once/a?x=1", "a1")
+        ..ScriptedRequest::new("/once/a?x=1", "a1")
     };
-    let (servers, _) = play(one(227, |_| Act::ClientResponse(success("ok")), ask));
-    let heard = servers.last();
-    assert_eq!(heard.path(), "/once/a?x=1");
-    assert_eq!(heard.body.as_deref(), Some(&b"a body"[..]));
+    let (servers, _) = play(one(227, |_| Reaction::Respond(success("ok")), request));
+    let received = servers.last();
+    assert_eq!(received.path(), "/once/a?x=1");
+    assert_eq!(received.body.as_deref(), Some(&b"a body"[..]));
     assert_eq!(
-        (heard.text("x-hop"), heard.text("sparrouter-key")),
+        (received.text("x-hop"), received.text("sparrouter-key")),
         (None, None)
     );
-    assert_ne!(heard.text("cache-salt"), Some("theirs"));
+    assert_ne!(received.text("cache-salt"), Some("theirs"));
     let same = |(name, value): &(&str, &str)| {
-        let all = heard.head.fields.iter();
+        let all = received.head.fields.iter();
         let all = all.filter(|f| f.0.eq_ignore_ascii_case(name.as_bytes()));
         let all: Vec<&[u8]> = all.map(|f| &f.1[..]).collect();
         all == [value.as_bytes()]
--- a/crates/sparrouter-simulation/tests/graceful_shutdown.rs
+++ b/crates/sparrouter-simulation/tests/graceful_shutdown.rs
@@ -21,7 +21,7 @@
 }
 
 /// SIGTERM to a machine; gives back how long its process took to end.
-fn leaves(cluster: &Rc<SimulatedCluster>, name: &str) -> JoinHandle<Duration> {
+fn shut_down(cluster: &Rc<SimulatedCluster>, name: &str) -> JoinHandle<Duration> {
     let (cluster, name) = (cluster.clone(), name.to_owned());
     spawn_local(async move {
         let began = Instant::now();
@@ -44,12 +44,12 @@
     name: &str,
 ) -> Vec<(Duration, RequestOutcome)> {
     let (front, began) = (cluster.front_of(name), Instant::now());
-    let ending = leaves(cluster, name);
-    let mut asking = Vec::new();
+    let ending = shut_down(cluster, name);
+    let mut requests = Vec::new();
     for moment in 0..30 {
         let kind = [RouteKind::Streaming, RouteKind::Resumable][moment % 2];
         let client = cluster.client(false);
-        asking.push(spawn_local(async move {
+        requests.push(spawn_local(async move {
             let sent = began.elapsed();
             (sent, client.send_to(&long_stream(kind), front, 0).await)
         }));
@@ -57,21 +57,25 @@
     }
     ending.await.expect("the process ends");
     let mut outcomes = Vec::new();
-    for asked in asking {
-        outcomes.push(asked.await.expect("the client goes on"));
+    for request in requests {
+        outcomes.push(request.await.expect("the client goes on"));
     }
     outcomes
 }
 
 #[test]
-fn given_long_requests_all_through_a_departure_then_none_is_taken_that_cannot_end() {
+fn given_long_requests_all_through_a_departure_then_none_is_accepted_that_cannot_end() {
     for seed in 0..3 {
         run_checked(|| async {
             let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(300 + seed)).await;
             let outcomes = long_requests_through_a_departure(&cluster, "edge-0").await;
-            for (sent, came) in outcomes {
+            for (sent, outcome) in outcomes {
                 if sent < ms(2_200) {
-                    assert_eq!(came, RequestOutcome::Served, "sent {sent:?} after SIGTERM");
+                    assert_eq!(
+                        outcome,
+                        RequestOutcome::Served,
+                        "sent {sent:?} after SIGTERM"
+                    );
                 }
             }
             cluster
@@ -95,7 +99,7 @@
 }
 
 /// Sends one short request on a connection that is kept, and another at `moment` after SIGTERM.
-async fn kept_connection(
+async fn outcome_on_reused_connection(
     cluster: &Rc<SimulatedCluster>,
     client: &Rc<Client>,
     name: &str,
@@ -110,16 +114,16 @@
         client.send_to(&short, front, 0).await,
         RequestOutcome::Served
     );
-    let ending = leaves(cluster, name);
+    let ending = shut_down(cluster, name);
     sleep(moment).await;
-    let came = client.send_to(&short, front, 0).await;
+    let outcome = client.send_to(&short, front, 0).await;
     ending.await.expect("the process ends");
-    came
+    outcome
 }
 
 #[test]
-fn given_a_kept_connection_when_a_request_crosses_each_step_of_the_departure_then_nothing_is_lost()
-{
+fn given_a_reused_connection_when_a_request_crosses_each_step_of_the_departure_then_nothing_is_lost()
+ {
     for moment in [
         0, 1, 1_000, 2_290, 2_297, 2_298, 2_299, 2_300, 2_301, 2_302, 2_305, 2_599, 2_600, 2_601,
     ] {
@@ -127,9 +131,10 @@
             let cluster =
                 SimulatedCluster::serving(ClusterSettings::with_seed(310).servers(2)).await;
             let client = cluster.client(true);
-            let came = kept_connection(&cluster, &client, "edge-0", ms(moment)).await;
+            let outcome =
+                outcome_on_reused_connection(&cluster, &client, "edge-0", ms(moment)).await;
             if moment < 2_290 {
-                assert_eq!(came, RequestOutcome::Served, "at {moment} ms");
+                assert_eq!(outcome, RequestOutcome::Served, "at {moment} ms");
             }
             cluster
         });
@@ -146,13 +151,13 @@
         let ending: Vec<_> = names
             .iter()
             .filter(|name| cluster.zone_of(name) == zone)
-            .map(|name| leaves(&cluster, name))
+            .map(|name| shut_down(&cluster, name))
             .collect();
-        for ended in ending {
-            let took = ended.await.expect("the process ends");
+        for elapsed in ending {
+            let elapsed = elapsed.await.expect("the process ends");
             assert!(
-                took < cluster.settings.bounds.grace,
-                "it ends by itself: {took:?}"
+                elapsed < cluster.settings.bounds.grace,
+                "it ends by itself: {elapsed:?}"
             );
         }
         load.stop().await;
@@ -170,8 +175,10 @@
         }
         sleep(ms(4_000)).await;
         let load = ClientLoad::start(&cluster, 6, ms(200));
-        let ended = leaves(&cluster, "edge-0").await.expect("the process ends");
-        assert!(ended < cluster.settings.bounds.grace, "{ended:?}");
+        let elapsed = shut_down(&cluster, "edge-0")
+            .await
+            .expect("the process ends");
+        assert!(elapsed < cluster.settings.bounds.grace, "{elapsed:?}");
         load.stop().await;
         cluster
     });
@@ -186,8 +193,10 @@
             sleep(ms(300)).await;
             cluster.start("edge-0", false);
             sleep(ms(moment)).await;
-            let ended = leaves(&cluster, "edge-0").await.expect("the process ends");
-            assert!(ended < ms(3_500), "at {moment} ms: {ended:?}");
+            let elapsed = shut_down(&cluster, "edge-0")
+                .await
+                .expect("the process ends");
+            assert!(elapsed < ms(3_500), "at {moment} ms: {elapsed:?}");
             cluster
         });
     }
@@ -204,8 +213,10 @@
         }
         cluster.disk("core-0").files.set_capacity(Some(0));
         sleep(ms(1_000)).await;
-        let ended = leaves(&cluster, "core-0").await.expect("the process ends");
-        assert!(ended <= cluster.settings.bounds.grace, "{ended:?}");
+        let elapsed = shut_down(&cluster, "core-0")
+            .await
+            .expect("the process ends");
+        assert!(elapsed <= cluster.settings.bounds.grace, "{elapsed:?}");
         load.stop().await;
         cluster
     });
@@ -216,7 +227,7 @@
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(324)).await;
         let load = ClientLoad::start(&cluster, 12, ms(150));
-        let ending = leaves(&cluster, "core-1");
+        let ending = shut_down(&cluster, "core-1");
         sleep(ms(100)).await;
         cluster.refresh_seeds();
         let configuration = initial_configuration().next(2, |p| {
@@ -224,8 +235,8 @@
                 .push(Route::new("new", RouteKind::Idempotent, "models"));
         });
         assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
-        let took = ending.await.expect("the process ends");
-        assert!(took < cluster.settings.bounds.grace, "{took:?}");
+        let elapsed = ending.await.expect("the process ends");
+        assert!(elapsed < cluster.settings.bounds.grace, "{elapsed:?}");
         load.stop().await;
         assert!(load.served_fraction() > 0.95, "{}", load.served_fraction());
         cluster.operator.read_back().await;
@@ -241,11 +252,11 @@
             let load = ClientLoad::start(&cluster, 16, ms(150));
             let mut ending = Vec::new();
             for name in ["edge-0", "core-0", "edge-1"] {
-                ending.push(leaves(&cluster, name));
+                ending.push(shut_down(&cluster, name));
                 sleep(ms(1_000)).await;
             }
-            for ended in ending {
-                ended.await.expect("the process ends");
+            for elapsed in ending {
+                elapsed.await.expect("the process ends");
             }
             load.stop().await;
             assert!(load.served_fraction() > 0.95, "{}", load.served_fraction());
@@ -265,7 +276,7 @@
         "POST /stream/s450 HTTP/1.1\r\nHost: {HOST}\r\nSparrouter-Key: {KEY}\r\n\
          Sparrouter-Attempt-Id: 00000000000000aa\r\nSparrouter-Deadline-Ms: 9000\r\nContent-Length: 2\r\n\r\na"
     );
-    let ending = leaves(cluster, name);
+    let ending = shut_down(cluster, name);
     stream
         .write_all(head.as_bytes())
         .await
@@ -282,7 +293,7 @@
 }
 
 #[test]
-fn given_a_body_that_is_whole_late_in_a_departure_then_its_client_is_told_to_come_back() {
+fn given_a_body_that_is_complete_late_in_a_departure_then_its_client_is_asked_to_retry() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(340)).await;
         let (status, retry_after) = slow_body(&cluster, "edge-0", ms(2_900)).await;
--- a/crates/sparrouter-simulation/tests/injected_defects.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects.rs
@@ -6,26 +6,26 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// Should a day still differ a little from run to run.
-const TRIES: usize = 3;
+const ATTEMPTS: usize = 3;
 
-fn is_found(defect: Defect, seed: u64, indices: &[usize], closing: bool) -> bool {
+fn is_detected(defect: Defect, seed: u64, indices: &[usize], final_fault: bool) -> bool {
     inject(Some(defect));
-    let day = Scenario::from_seed(seed).restricted_to(indices, closing);
-    let found = (0..TRIES).any(|_| {
+    let scenario = Scenario::from_seed(seed).restricted_to(indices, final_fault);
+    let detected = (0..ATTEMPTS).any(|_| {
         // A core may notice it itself, by an assertion without which the story cannot go on.
-        let played = catch_unwind(AssertUnwindSafe(|| play(scenario::play(&day))));
+        let played = catch_unwind(AssertUnwindSafe(|| play(scenario::play(&scenario))));
         played.map_or(true, |report| !report.violations.is_empty())
     });
     inject(None);
-    found
+    detected
 }
 
-macro_rules! found {
-    ($($name:ident: $defect:ident in $seed:literal $indices:expr, $closing:literal;)*) => {$(
+macro_rules! detected {
+    ($($name:ident: $defect:ident in $seed:literal $indices:expr, $final_fault:literal;)*) => {$(
         #[test]
         fn $name() {
-            let found = is_found(Defect::$defect, $seed, &$indices, $closing);
-            assert!(found, "{:?} is not found any more: hunt for a day that does", Defect::$defect);
+            let detected = is_detected(Defect::$defect, $seed, &$indices, $final_fault);
+            assert!(detected, "{:?} is not found any more: hunt for a day that does", Defect::$defect);
         }
     )*};
 }
@@ -34,7 +34,7 @@
 // Mistakes that no drawn day finds have tests of their own: those in quorum contact and OlderConfigurationApplied in `quorum_contact`,
 // LeaseUnrenewed and FenceFromDisk in `lease_restart`, LosingProposalInForce in `lost_race`, OldGroupNotAsked, OldGroupCounts and
 // LosingProposalInForce in `planted_directed`, UnconfirmedJoins and LeavesWithoutHandover in `reconfiguration`.
-found! {
+detected! {
     acknowledged_before_it_is_on_disk: AckBeforeSync in 25 [], true;
     a_wiped_machine_votes: WipedDiskVotes in 15 [3], false;
     answered_before_it_is_chosen: AnsweredBeforeChosen in 15 [0, 3, 4], true;
--- a/crates/sparrouter-simulation/tests/injected_defects_directed.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects_directed.rs
@@ -31,7 +31,7 @@
 }
 
 /// Sends a configuration to one machine alone, again and again; whether it was taken.
-async fn taken_at(
+async fn is_accepted_at(
     cluster: &Rc<SimulatedCluster>,
     machine: &str,
     configuration: &Configuration,
@@ -82,31 +82,31 @@
     defect: Defect,
     scenario: impl Fn(&'static str) -> F,
 ) {
-    let mut found = Vec::new();
+    let mut detections = Vec::new();
     for member in MEMBERS {
         let sound = violations(None, || scenario(member));
         assert!(
             sound.is_empty(),
             "without a mistake, at {member}: {sound:?}"
         );
-        let planted = violations(Some(defect), || scenario(member));
-        println!("{defect:?} at {member}: {planted:?}");
-        found.extend(planted);
+        let with_defect = violations(Some(defect), || scenario(member));
+        println!("{defect:?} at {member}: {with_defect:?}");
+        detections.extend(with_defect);
     }
-    assert!(!found.is_empty(), "{defect:?} is not found any more");
+    assert!(!detections.is_empty(), "{defect:?} is not found any more");
 }
 
 /// A change that one member alone accepts and that loses its slot to another; then that member starts anew.
 async fn lost_race(member: &'static str) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(settings(71)).await;
-    let taken = initial_configuration().with_route(1, "taken");
-    assert_eq!(cluster.operator.put(&taken, 1).await, 200);
+    let accepted = initial_configuration().with_route(1, "taken");
+    assert_eq!(cluster.operator.put(&accepted, 1).await, 200);
     cluster.partition(&[member], Some(Partition::PacketsLost));
-    let lost = taken.with_route(1, "lost");
+    let lost = accepted.with_route(1, "lost");
     cluster
         .monitor
-        .configuration_submitted(&lost, taken.version, true);
-    let base = taken.version.to_string();
+        .configuration_submitted(&lost, accepted.version, true);
+    let base = accepted.version.to_string();
     let (net, body) = (cluster.outside_network(), lost.json());
     let fields = [("If-Match", base.as_str())];
     let alone = call(
@@ -121,19 +121,21 @@
     let status = alone.await.map_or(0, |reply| reply.status);
     assert!(!(200..300).contains(&status), "nobody else voted: {status}");
     cluster.kill(member);
-    let won = taken.with_route(1, "won");
+    let won = accepted.with_route(1, "won");
     let [first, _] = others_than(member);
     let first = cluster.control_of(first);
-    let order = Order::new(&won, taken.version, Encoding::Full, true);
+    let order = Order::new(&won, accepted.version, Encoding::Full, true);
     let outcome = cluster.operator.submit_first_to(Some(first), &order).await;
     assert_eq!(outcome.status, 200);
     cluster.partition(&[member], None);
     cluster.start(member, false);
     sleep(Duration::from_secs(6)).await;
-    let asked = request(RouteKind::Idempotent, "b5").to_route("lost", "b5");
+    let client_request = request(RouteKind::Idempotent, "b5").to_route("lost", "b5");
     let client = cluster.client(false);
-    let came = client.send_to(&asked, cluster.front_of(member), 0).await;
-    if came == RequestOutcome::Served {
+    let outcome = client
+        .send_to(&client_request, cluster.front_of(member), 0)
+        .await;
+    if outcome == RequestOutcome::Served {
         cluster.monitor.report_violation(
             "CONFIG",
             format!("{member} serves a route of a change that lost"),
@@ -146,20 +148,20 @@
 /// A member misses a change, and then sees nobody but an empty machine that stands in for another member.
 async fn swap_without_the_old_group(member: &'static str) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(settings(72)).await;
-    let taken = initial_configuration().with_route(1, "taken");
-    assert_eq!(cluster.operator.put(&taken, 1).await, 200);
-    let [kept, gone] = others_than(member);
+    let accepted = initial_configuration().with_route(1, "taken");
+    assert_eq!(cluster.operator.put(&accepted, 1).await, 200);
+    let [remaining, lost_machine] = others_than(member);
     cluster.partition(&[member], Some(Partition::PacketsLost));
-    let missed = taken.with_route(1, "missed");
-    assert!(taken_at(&cluster, kept, &missed, taken.version).await);
-    let stand_in = cluster.replace(gone);
-    cluster.partition(&[kept], Some(Partition::PacketsLost));
-    for joined in ["edge-0", stand_in.as_str()] {
+    let missed = accepted.with_route(1, "missed");
+    assert!(is_accepted_at(&cluster, remaining, &missed, accepted.version).await);
+    let replacement = cluster.replace(lost_machine);
+    cluster.partition(&[remaining], Some(Partition::PacketsLost));
+    for joined in ["edge-0", replacement.as_str()] {
         let (member, joined) = (cluster.ip(member), cluster.ip(joined));
         cluster.network.partition_both(member, joined, None);
     }
     sleep(Duration::from_secs(8)).await;
-    cluster.partition(&[kept], None);
+    cluster.partition(&[remaining], None);
     cluster.partition(&[member], None);
     sleep(Duration::from_secs(8)).await;
     cluster.operator.read_back().await;
--- a/crates/sparrouter-simulation/tests/injected_defects_orders.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects_orders.rs
@@ -20,22 +20,28 @@
 }
 
 /// What the check of the history says of a story.
-fn violation<F: Future<Output = Rc<SimulatedCluster>>>(story: impl FnOnce() -> F) -> Vec<String> {
+fn violation<F: Future<Output = Rc<SimulatedCluster>>>(
+    scenario: impl FnOnce() -> F,
+) -> Vec<String> {
     play(async move {
-        let cluster = story().await;
+        let cluster = scenario().await;
         cluster.monitor.check_history();
         cluster.monitor.violations()
     })
 }
 
-fn assert_found<F: Future<Output = Rc<SimulatedCluster>>>(defect: Defect, story: fn() -> F) {
-    assert_eq!(violation(story), Vec::<String>::new(), "without a defect");
+fn assert_detected<F: Future<Output = Rc<SimulatedCluster>>>(defect: Defect, scenario: fn() -> F) {
+    assert_eq!(
+        violation(scenario),
+        Vec::<String>::new(),
+        "without a defect"
+    );
     inject(Some(defect));
-    let found = violation(story);
+    let detected = violation(scenario);
     inject(None);
     assert!(
-        found.iter().any(|b| b.starts_with("LINEAR")),
-        "{defect:?} is not found: {found:?}"
+        detected.iter().any(|b| b.starts_with("LINEAR")),
+        "{defect:?} is not found: {detected:?}"
     );
 }
 
@@ -95,25 +101,25 @@
 
 /// The order waits at the frozen member that a relay asks first, and the next one refuses it, as its base is not in
 /// force. Then the base is, and the frozen member thaws.
-async fn a_copy_that_waits() -> Rc<SimulatedCluster> {
+async fn delayed_duplicate() -> Rc<SimulatedCluster> {
     let cluster = cluster().await;
     let base = initial_configuration().with_route(2, "base");
     let ahead = put(&base.with_route(2, "ahead"), base.version);
     let core = cluster.core();
-    let asked_first = core
+    let first_node = core
         .iter()
         .min_by_key(|name| sparrouter_rendezvous::hash(name.as_bytes()))
         .expect("a core");
     let other = core
         .iter()
-        .find(|name| *name != asked_first)
+        .find(|name| *name != first_node)
         .map(|name| cluster.control_of(name))
         .expect("another member");
-    cluster.freeze(asked_first, true);
+    cluster.freeze(first_node, true);
     let relay = cluster.control_of("edge-0");
     cluster.operator.send(relay, &ahead).await;
     cluster.operator.send(other, &put(&base, 1)).await;
-    cluster.freeze(asked_first, false);
+    cluster.freeze(first_node, false);
     sleep(Duration::from_secs(4)).await;
     cluster.operator.get_from(other).await;
     cluster
@@ -121,35 +127,35 @@
 
 #[test]
 fn given_digests_ignored_when_two_orders_have_one_number_then_it_is_found() {
-    assert_found(Defect::OrderDigestIgnored, two_under_one_number);
+    assert_detected(Defect::OrderDigestIgnored, two_under_one_number);
 }
 
 #[test]
 fn given_bases_ignored_when_an_order_builds_on_an_older_version_then_it_is_found() {
-    assert_found(Defect::BaseIgnored, one_on_an_older_version);
+    assert_detected(Defect::BaseIgnored, one_on_an_older_version);
 }
 
 #[test]
 fn given_repeats_judged_anew_when_an_order_comes_twice_then_it_is_found() {
-    assert_found(Defect::SameBodyRefused, a_repeat);
+    assert_detected(Defect::SameBodyRefused, a_repeat);
 }
 
 #[test]
-fn given_taken_orders_forgotten_when_an_overtaken_one_comes_again_then_it_is_found() {
-    assert_found(
+fn given_accepted_orders_forgotten_when_an_overtaken_one_comes_again_then_it_is_found() {
+    assert_detected(
         Defect::AppliedOrdersForgotten,
         a_repeat_after_another_change,
     );
 }
 
 #[test]
-fn given_a_refusal_passed_on_while_a_copy_waits_when_the_copy_is_judged_then_it_is_found() {
-    assert_found(Defect::EarlyReplicaRejected, a_copy_that_waits);
+fn given_a_rejection_forwarded_while_a_copy_waits_when_the_copy_is_judged_then_it_is_found() {
+    assert_detected(Defect::EarlyReplicaRejected, delayed_duplicate);
 }
 
 /// Too many changes for a whole fleet: the machine alone.
 #[test]
-fn given_old_orders_refused_when_one_of_a_thousand_changes_ago_comes_again_then_it_is_found() {
+fn given_old_orders_rejected_when_one_of_a_thousand_changes_ago_comes_again_then_it_is_found() {
     let order = |number: u64| Change::Put {
         if_match: Some(number - 1),
         body: Blob(format!("{{\"version\":{number},\"routes\":[],\"services\":[]}}").into_bytes()),
--- a/crates/sparrouter-simulation/tests/lease_restart.rs
+++ b/crates/sparrouter-simulation/tests/lease_restart.rs
@@ -7,11 +7,11 @@
 use tokio::time::{Instant, sleep};
 
 /// Until somebody else than `not` ordered a server, or the time is up.
-async fn next_holder(cluster: &SimulatedCluster, not: Option<&str>) -> Option<String> {
+async fn next_lease_owner(cluster: &SimulatedCluster, not: Option<&str>) -> Option<String> {
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(15) {
-        let holder = cluster.monitor.last_lease_owner();
-        let name = holder.and_then(|h| Some(h.split('@').next()?.to_owned()));
+        let lease_owner = cluster.monitor.last_lease_owner();
+        let name = lease_owner.and_then(|h| Some(h.split('@').next()?.to_owned()));
         if name.is_some() && name.as_deref() != not {
             return name;
         }
@@ -30,9 +30,11 @@
     };
     let cluster = SimulatedCluster::serving(settings.servers(9).bounds(bounds)).await;
     assert!(cluster.operator.name_version(2).await);
-    let first = next_holder(&cluster, None).await.expect("a first holder");
+    let first = next_lease_owner(&cluster, None)
+        .await
+        .expect("a first holder");
     cluster.kill(&first);
-    let second = next_holder(&cluster, Some(&first)).await;
+    let second = next_lease_owner(&cluster, Some(&first)).await;
     assert!(second.is_some(), "nobody took over from {first}");
     cluster.start(&first, false);
     assert!(cluster.operator.name_version(3).await);
@@ -43,21 +45,21 @@
 const SEEDS: std::ops::Range<u64> = 4_900..4_906;
 
 #[test]
-fn given_a_holder_restarted_over_its_old_disk_when_another_took_over_then_its_old_token_is_not_used()
+fn given_a_lease_owner_restarted_over_its_old_disk_when_another_took_over_then_its_old_token_is_not_used()
  {
     for seed in SEEDS {
-        let broken = play(violations(seed));
-        assert!(broken.is_empty(), "seed {seed}: {broken:?}");
+        let violated = play(violations(seed));
+        assert!(violated.is_empty(), "seed {seed}: {violated:?}");
     }
 }
 
 #[test]
-fn given_a_token_taken_from_the_disk_then_an_order_under_a_lower_one_is_found() {
+fn given_a_token_accepted_from_the_disk_then_an_order_under_a_lower_one_is_found() {
     inject(Some(Defect::FenceFromDisk));
-    let broken: Vec<String> = SEEDS.flat_map(|seed| play(violations(seed))).collect();
+    let violated: Vec<String> = SEEDS.flat_map(|seed| play(violations(seed))).collect();
     inject(None);
-    let found = broken.iter().any(|b| b.contains("lower than before"));
-    assert!(found, "{broken:?}");
+    let is_detected = violated.iter().any(|b| b.contains("lower than before"));
+    assert!(is_detected, "{violated:?}");
 }
 
 /// What broke where the holder freezes between two orders, another takes over, and the first one wakes while there are
@@ -70,9 +72,11 @@
     };
     let cluster = SimulatedCluster::serving(settings.servers(24).bounds(bounds)).await;
     assert!(cluster.operator.name_version(2).await);
-    let first = next_holder(&cluster, None).await.expect("a first holder");
+    let first = next_lease_owner(&cluster, None)
+        .await
+        .expect("a first holder");
     cluster.freeze(&first, true);
-    let second = next_holder(&cluster, Some(&first)).await;
+    let second = next_lease_owner(&cluster, Some(&first)).await;
     assert!(second.is_some(), "nobody took over from {first}");
     cluster.freeze(&first, false);
     sleep(Duration::from_secs(8)).await;
@@ -80,19 +84,19 @@
 }
 
 #[test]
-fn given_a_holder_that_wakes_when_another_took_over_then_it_orders_nothing() {
+fn given_a_lease_owner_that_wakes_when_another_took_over_then_it_orders_nothing() {
     for seed in SEEDS {
-        let broken = play(breaches_after_a_freeze(seed));
-        assert!(broken.is_empty(), "seed {seed}: {broken:?}");
+        let violated = play(breaches_after_a_freeze(seed));
+        assert!(violated.is_empty(), "seed {seed}: {violated:?}");
     }
 }
 
 #[test]
 fn given_a_lease_that_is_believed_without_renewal_then_an_order_after_a_freeze_is_found() {
     inject(Some(Defect::LeaseUnrenewed));
-    let broken: Vec<String> = SEEDS
+    let violated: Vec<String> = SEEDS
         .flat_map(|seed| play(breaches_after_a_freeze(seed)))
         .collect();
     inject(None);
-    assert!(broken.iter().any(|b| b.contains("ONE")), "{broken:?}");
+    assert!(violated.iter().any(|b| b.contains("ONE")), "{violated:?}");
 }
--- a/crates/sparrouter-simulation/tests/linearizability.rs
+++ b/crates/sparrouter-simulation/tests/linearizability.rs
@@ -5,7 +5,7 @@
 };
 use std::collections::BTreeSet;
 
-const MOST: usize = 1_000_000;
+const MAX_CONFIGURATIONS: usize = 1_000_000;
 
 /// A register of one number with compare-and-set, as it stands in the literature.
 struct Register;
@@ -68,7 +68,7 @@
     }
 }
 
-fn unheard(invoked_at: usize, call: Operation) -> Recorded {
+fn unanswered(invoked_at: usize, call: Operation) -> Recorded {
     RecordedCall {
         call,
         invoked_at,
@@ -77,7 +77,7 @@
 }
 
 fn is_linearizable(history: &[Recorded]) -> bool {
-    match check(&Register, history, MOST) {
+    match check(&Register, history, MAX_CONFIGURATIONS) {
         Verdict::Linearizable(order) => {
             assert_order(history, &order);
             true
@@ -110,9 +110,12 @@
 }
 
 #[test]
-fn given_no_calls_or_only_unheard_ones_when_checked_then_it_is_linearizable() {
+fn given_no_calls_or_only_unanswered_ones_when_checked_then_it_is_linearizable() {
     assert!(is_linearizable(&[]));
-    assert!(is_linearizable(&[unheard(0, Write(1)), unheard(1, Read)]));
+    assert!(is_linearizable(&[
+        unanswered(0, Write(1)),
+        unanswered(1, Read)
+    ]));
 }
 
 #[test]
@@ -163,11 +166,11 @@
 }
 
 #[test]
-fn given_an_unheard_write_when_it_is_seen_late_or_never_then_it_is_linearizable_but_not_both_ways()
-{
+fn given_an_unanswered_write_when_it_is_seen_late_or_never_then_it_is_linearizable_but_not_both_ways()
+ {
     let history = |values: [u8; 3]| {
         let read = |n: usize| call(1 + 2 * n, Read, 2 + 2 * n, Value(values[n]));
-        [unheard(0, Write(1)), read(0), read(1), read(2)]
+        [unanswered(0, Write(1)), read(0), read(1), read(2)]
     };
     assert!(is_linearizable(&history([0, 0, 0])));
     assert!(is_linearizable(&history([0, 0, 1])));
@@ -176,8 +179,9 @@
 }
 
 #[test]
-fn given_an_unheard_call_when_its_effect_is_seen_before_it_was_made_then_it_is_not_linearizable() {
-    let history = [call(0, Read, 1, Value(1)), unheard(2, Write(1))];
+fn given_an_unanswered_call_when_its_effect_is_seen_before_it_was_made_then_it_is_not_linearizable()
+{
+    let history = [call(0, Read, 1, Value(1)), unanswered(2, Write(1))];
     assert!(!is_linearizable(&history));
 }
 
@@ -193,7 +197,7 @@
 
 /// Lowe's trap for a search without memory: many writes at once, and a read that none of them explains.
 #[test]
-fn given_many_calls_at_once_when_none_explains_a_read_then_it_is_told_within_bounds() {
+fn given_many_calls_at_once_when_none_explains_a_read_then_it_is_detected_within_bounds() {
     let writes = 14;
     let mut history: Vec<Recorded> = (0..writes)
         .map(|n| call(n, Write(1), 2 * writes + n, Done))
@@ -246,7 +250,7 @@
             ),
         };
         match rng.u8(..5) {
-            0 => unheard(invoked, operation),
+            0 => unanswered(invoked, operation),
             _ => call(invoked, operation, at, outcome),
         }
     });
@@ -294,7 +298,7 @@
 }
 
 /// Orders one after the other, and how each was answered.
-fn told(calls: &[(OrderCall, Option<Outcome>)]) -> History {
+fn history_of(calls: &[(OrderCall, Option<Outcome>)]) -> History {
     let mut history = History::default();
     for (order, outcome) in calls {
         let call = history.order_invoked(order.clone());
@@ -311,15 +315,15 @@
 }
 
 const ACKNOWLEDGED: Option<Outcome> = Some(Outcome::Acknowledged);
-const REFUSED: Option<Outcome> = Some(Outcome::Rejected);
+const REJECTED: Option<Outcome> = Some(Outcome::Rejected);
 
 #[test]
 fn given_orders_as_they_should_be_answered_when_checked_then_nothing_speaks_against_it() {
-    let mut history = told(&[
+    let mut history = history_of(&[
         (order(0, 3, "a"), ACKNOWLEDGED),
         (order(3, 5, "b"), None),
         (order(3, 5, "b"), ACKNOWLEDGED),
-        (order(3, 5, "c"), REFUSED),
+        (order(3, 5, "c"), REJECTED),
         (order(0, 3, "a"), ACKNOWLEDGED),
         (order(5, 6, "d"), None),
     ]);
@@ -345,39 +349,39 @@
         // Refused though it was taken.
         vec![
             (order(3, 5, "b"), ACKNOWLEDGED),
-            (order(3, 5, "b"), REFUSED),
+            (order(3, 5, "b"), REJECTED),
         ],
         vec![
             (order(3, 5, "b"), ACKNOWLEDGED),
             (order(5, 7, "c"), ACKNOWLEDGED),
-            (order(3, 5, "b"), REFUSED),
+            (order(3, 5, "b"), REJECTED),
         ],
         // Refused though nothing stood in its way.
-        vec![(order(3, 5, "b"), REFUSED)],
+        vec![(order(3, 5, "b"), REJECTED)],
         // Taken on a base that was not in force.
         vec![(order(4, 5, "b"), ACKNOWLEDGED)],
         // Refused, and what builds on it is taken.
         vec![
             (order(3, 5, "b"), ACKNOWLEDGED),
-            (order(3, 6, "c"), REFUSED),
+            (order(3, 6, "c"), REJECTED),
             (order(6, 7, "d"), ACKNOWLEDGED),
         ],
     ];
     for orders in wrong {
         let mut all = vec![first.clone()];
         all.extend(orders);
-        let history = told(&all);
+        let history = history_of(&all);
         assert!(history.violation().is_some(), "{all:?}");
     }
 }
 
 #[test]
-fn given_a_read_of_a_configuration_that_was_overtaken_or_refused_when_checked_then_it_is_found() {
+fn given_a_read_of_a_configuration_that_was_overtaken_or_rejected_when_checked_then_it_is_found() {
     for seen in [order(0, 3, "a"), order(3, 5, "c")] {
-        let mut history = told(&[
+        let mut history = history_of(&[
             (order(0, 3, "a"), ACKNOWLEDGED),
             (order(3, 5, "b"), ACKNOWLEDGED),
-            (order(3, 5, "c"), REFUSED),
+            (order(3, 5, "c"), REJECTED),
         ]);
         read(&mut history, &seen);
         let violation = history.violation().unwrap_or_default();
@@ -392,11 +396,11 @@
         ..order(0, 3, "a")
     };
     assert!(
-        told(&[(invalid.clone(), ACKNOWLEDGED)])
+        history_of(&[(invalid.clone(), ACKNOWLEDGED)])
             .violation()
             .is_some()
     );
-    assert_eq!(told(&[(invalid, REFUSED)]).violation(), None);
+    assert_eq!(history_of(&[(invalid, REJECTED)]).violation(), None);
 }
 
 #[test]
@@ -405,7 +409,7 @@
         request: "PUT {\"version\": 3,\n \"note\":\"a\"}".to_owned(),
         ..order(0, 3, "a")
     };
-    let history = told(&[(order(0, 3, "a"), ACKNOWLEDGED), (spaced, ACKNOWLEDGED)]);
+    let history = history_of(&[(order(0, 3, "a"), ACKNOWLEDGED), (spaced, ACKNOWLEDGED)]);
     assert_eq!(history.violation(), None);
     assert_eq!(
         without_space("{ \"a b\" : \"c\\\" d\" }"),
--- a/crates/sparrouter-simulation/tests/links.rs
+++ b/crates/sparrouter-simulation/tests/links.rs
@@ -36,7 +36,7 @@
 }
 
 /// A node's connections, and the peer that the test plays.
-struct Story {
+struct TestPeer {
     links: Rc<Links>,
     dialled: UnboundedReceiver<DuplexStream>,
 }
@@ -45,18 +45,18 @@
     "10.0.0.2:7360".parse().expect("an address")
 }
 
-fn tell<T: std::future::Future>(story: impl FnOnce(Story) -> T) {
+fn run<T: std::future::Future>(test: impl FnOnce(TestPeer) -> T) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
     let (give, dialled) = unbounded_channel();
     let links = Links::new(Rc::new(Dialled(give)));
-    let story = story(Story { links, dialled });
-    LocalSet::new().block_on(&runtime.expect("a runtime"), story);
+    let test = test(TestPeer { links, dialled });
+    LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-impl Story {
+impl TestPeer {
     /// Begins a call that can be told by its number.
     fn call(&self, number: u64) -> JoinHandle<Result<Reply, LinkError>> {
         let links = self.links.clone();
@@ -111,9 +111,9 @@
 
 #[test]
 fn given_answers_in_another_order_when_they_come_then_each_caller_has_its_own() {
-    tell(|mut story| async move {
-        let calls = [story.call(1), story.call(2), story.call(3)];
-        let mut peer = story.connection().await;
+    run(|mut test| async move {
+        let calls = [test.call(1), test.call(2), test.call(3)];
+        let mut peer = test.connection().await;
         let mut ids = Vec::new();
         for _ in 0..3 {
             ids.push(peer.next().await);
@@ -129,12 +129,12 @@
 
 #[test]
 fn given_a_late_answer_when_its_caller_has_given_up_then_no_later_call_gets_it() {
-    tell(|mut story| async move {
-        let first = story.call(1);
-        let mut peer = story.connection().await;
+    run(|mut test| async move {
+        let first = test.call(1);
+        let mut peer = test.connection().await;
         let (old, _) = peer.next().await;
         assert_eq!(number(first).await, Err(LinkError::TimedOut));
-        let second = story.call(2);
+        let second = test.call(2);
         let (new, _) = peer.next().await;
         assert_ne!(old, new);
         peer.answer(old, 1).await;
@@ -145,13 +145,13 @@
 
 #[test]
 fn given_call_ids_that_are_used_again_when_an_answer_is_late_then_a_later_call_gets_it() {
-    tell(|mut story| async move {
+    run(|mut test| async move {
         inject(Some(Defect::CallIdReused));
-        let first = story.call(1);
-        let mut peer = story.connection().await;
+        let first = test.call(1);
+        let mut peer = test.connection().await;
         let (old, _) = peer.next().await;
         assert_eq!(number(first).await, Err(LinkError::TimedOut));
-        let second = story.call(2);
+        let second = test.call(2);
         peer.next().await;
         peer.answer(old, 1).await;
         assert_eq!(number(second).await, Ok(1));
@@ -161,13 +161,13 @@
 
 #[test]
 fn given_an_answer_that_comes_twice_or_for_nobody_when_others_wait_then_they_do_not_get_it() {
-    tell(|mut story| async move {
-        let first = story.call(1);
-        let mut peer = story.connection().await;
+    run(|mut test| async move {
+        let first = test.call(1);
+        let mut peer = test.connection().await;
         let (id, _) = peer.next().await;
         peer.answer(id, 1).await;
         assert_eq!(number(first).await, Ok(1));
-        let second = story.call(2);
+        let second = test.call(2);
         let (next, _) = peer.next().await;
         peer.answer(id, 1).await;
         peer.answer(next + 1_000, 9).await;
@@ -178,9 +178,9 @@
 
 #[test]
 fn given_a_connection_that_breaks_when_calls_wait_then_they_may_have_run_and_are_not_sent_again() {
-    tell(|mut story| async move {
-        let calls = [story.call(1), story.call(2)];
-        let mut peer = story.connection().await;
+    run(|mut test| async move {
+        let calls = [test.call(1), test.call(2)];
+        let mut peer = test.connection().await;
         let (first, _) = peer.next().await;
         peer.next().await;
         drop(peer);
@@ -188,8 +188,8 @@
             assert_eq!(number(call).await, Err(LinkError::Broken));
         }
         // The next life at the address is asked by another id, and sees the new call alone.
-        let third = story.call(3);
-        let mut peer = story.connection().await;
+        let third = test.call(3);
+        let mut peer = test.connection().await;
         let (id, asked) = peer.next().await;
         assert_eq!(asked, 3);
         assert!(id > first + 1);
@@ -201,8 +201,8 @@
 
 #[test]
 fn given_nobody_at_the_address_when_called_then_it_is_certain_that_nothing_was_sent() {
-    tell(|story| async move {
-        let Story { links, dialled } = story;
+    run(|test| async move {
+        let TestPeer { links, dialled } = test;
         drop(dialled);
         let call = Call::QueryPrefix {
             key: 1,
@@ -216,9 +216,9 @@
 
 #[test]
 fn given_bytes_that_are_no_frame_when_a_call_waits_then_it_ends_as_broken() {
-    tell(|mut story| async move {
-        let call = story.call(1);
-        let mut peer = story.connection().await;
+    run(|mut test| async move {
+        let call = test.call(1);
+        let mut peer = test.connection().await;
         peer.next().await;
         let length = (MAX_FRAME as u32 + 1).to_le_bytes();
         peer.0.write_all(&length).await.expect("a reader");
--- a/crates/sparrouter-simulation/tests/long_partitions.rs
+++ b/crates/sparrouter-simulation/tests/long_partitions.rs
@@ -12,11 +12,11 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-const CUT: Duration = Duration::from_secs(20);
+const PARTITION_TIME: Duration = Duration::from_secs(20);
 /// A machine that is back counts as lost for so long.
 const CATCH_UP: Duration = Duration::from_secs(4);
 /// Whatever is under way when the cut ends began at most this long before, in ms.
-const BEFORE_HEAL_MS: u64 = 24;
+const BEFORE_REPAIR_MS: u64 = 24;
 
 /// What is done to other machines while one is cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,28 +30,24 @@
 
 /// What is under way when the cut ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum UnderWay {
+enum Work {
     Change,
     Replacement,
     Weights,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct LongCut {
+struct LongPartition {
     seed: u64,
-    way: PartitionScope,
+    scope: PartitionScope,
     beside: Beside,
-    under_way: UnderWay,
+    work: Work,
 }
 
-impl LongCut {
+impl LongPartition {
     fn settings(&self) -> ClusterSettings {
         // With three machines a replacement beside a partition would lose two at once.
-        let core_machines = if self.under_way == UnderWay::Replacement {
-            5
-        } else {
-            3
-        };
+        let core_machines = if self.work == Work::Replacement { 5 } else { 3 };
         ClusterSettings::with_seed(self.seed)
             .core_machines(core_machines)
             .edge_machines(2)
@@ -61,8 +57,9 @@
     /// The machine that ordered or acknowledged last, or one by the seed.
     fn victim(&self, cluster: &SimulatedCluster) -> String {
         let core = cluster.core();
-        let holder = cluster.monitor.last_lease_owner();
-        let leader = holder.and_then(|h| core.iter().find(|c| h.starts_with(c.as_str())).cloned());
+        let lease_owner = cluster.monitor.last_lease_owner();
+        let leader =
+            lease_owner.and_then(|h| core.iter().find(|c| h.starts_with(c.as_str())).cloned());
         let by_seed = core[self.seed as usize % core.len()].clone();
         leader.filter(|_| self.seed % 2 == 1).unwrap_or(by_seed)
     }
@@ -98,15 +95,14 @@
         configuration: &Configuration,
         victim: &str,
     ) -> JoinHandle<Configuration> {
-        let (cluster, configuration, under_way) =
-            (cluster.clone(), configuration.clone(), self.under_way);
+        let (cluster, configuration, work) = (cluster.clone(), configuration.clone(), self.work);
         let other = cluster.core().into_iter().find(|n| n != victim);
         spawn_local(async move {
             let next = configuration.with_route(2, "healed");
-            match under_way {
-                UnderWay::Change => {}
-                UnderWay::Replacement => drop(other.map(|o| cluster.replace(&o))),
-                UnderWay::Weights => {
+            match work {
+                Work::Change => {}
+                Work::Replacement => drop(other.map(|o| cluster.replace(&o))),
+                Work::Weights => {
                     cluster.newest_weights.set(2);
                     assert!(cluster.operator.name_version(2).await, "weights are named");
                 }
@@ -126,23 +122,23 @@
         let load = ClientLoad::start(&cluster, 4, Duration::from_millis(300));
         cluster.newest_weights.set(1);
         let victim = self.victim(&cluster);
-        let heal_at = Instant::now() + CUT;
-        cluster.partition_core(&victim, self.way, Some(Partition::PacketsLost));
+        let repaired_at = Instant::now() + PARTITION_TIME;
+        cluster.partition_core(&victim, self.scope, Some(Partition::PacketsLost));
         sleep(Duration::from_millis(200 * (self.seed % 10))).await;
         let first = initial_configuration().with_route(2, "cut");
         assert_eq!(cluster.operator.put(&first, 1).await, 200);
         watch.acknowledged(first.version);
         self.disturb_others(&cluster, &victim).await;
-        sleep_until(heal_at - Duration::from_millis(self.seed * 7 % BEFORE_HEAL_MS)).await;
-        let work = self.begin_work(&cluster, &first, &victim);
-        sleep_until(heal_at).await;
-        cluster.partition_core(&victim, self.way, None);
-        let last = work.await.expect("what was under way ends");
+        sleep_until(repaired_at - Duration::from_millis(self.seed * 7 % BEFORE_REPAIR_MS)).await;
+        let running_work = self.begin_work(&cluster, &first, &victim);
+        sleep_until(repaired_at).await;
+        cluster.partition_core(&victim, self.scope, None);
+        let last = running_work.await.expect("what was under way ends");
         watch.acknowledged(last.version);
         sleep(CATCH_UP + cluster.settings.bounds.contact).await;
         load.stop().await;
         watch.stop();
-        if self.under_way == UnderWay::Weights {
+        if self.work == Work::Weights {
             cluster.wait_for_weights(2).await;
         }
         for name in cluster.names() {
@@ -163,18 +159,18 @@
 }
 
 /// Two seeds of each way and each disturbance beside it.
-fn in_every_way(first_seed: u64, under_way: UnderWay) {
+fn in_every_scope(first_seed: u64, work: Work) {
     let mut seed = first_seed;
-    for way in PartitionScope::ALL {
+    for scope in PartitionScope::ALL {
         for beside in [Beside::Nothing, Beside::Seeds, Beside::Both] {
             for _ in 0..2 {
-                let cut = LongCut {
+                let long_partition = LongPartition {
                     seed,
-                    way,
+                    scope,
                     beside,
-                    under_way,
+                    work,
                 };
-                run_checked(|| cut.play());
+                run_checked(|| long_partition.play());
                 seed += 1;
             }
         }
@@ -182,30 +178,30 @@
 }
 
 #[test]
-fn given_a_cut_of_20_s_healed_in_the_middle_of_a_change_then_no_rule_is_broken() {
-    in_every_way(900, UnderWay::Change);
+fn given_a_partition_of_20_s_healed_in_the_middle_of_a_change_then_no_rule_is_violated() {
+    in_every_scope(900, Work::Change);
 }
 
 #[test]
-fn given_a_cut_of_20_s_healed_in_the_middle_of_a_replacement_then_no_rule_is_broken() {
-    in_every_way(1_000, UnderWay::Replacement);
+fn given_a_partition_of_20_s_healed_in_the_middle_of_a_replacement_then_no_rule_is_violated() {
+    in_every_scope(1_000, Work::Replacement);
 }
 
 #[test]
-fn given_a_cut_of_20_s_healed_in_the_middle_of_new_weights_then_no_rule_is_broken() {
-    in_every_way(1_100, UnderWay::Weights);
+fn given_a_partition_of_20_s_healed_in_the_middle_of_new_weights_then_no_rule_is_violated() {
+    in_every_scope(1_100, Work::Weights);
 }
 
 #[test]
-fn given_core_machines_cut_off_for_20_s_in_turn_then_no_rule_is_broken() {
+fn given_core_machines_partitioned_for_20_s_in_turn_then_no_rule_is_violated() {
     for seed in 0..4 {
         run_checked(|| async {
             let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(1_200 + seed)).await;
             let watch = ContactWatch::start(&cluster, &cluster.core(), SLOW_POLL);
             let mut configuration = initial_configuration();
             for (n, victim) in cluster.core().into_iter().enumerate() {
-                let way = PartitionScope::ALL[(n + seed as usize) % PartitionScope::ALL.len()];
-                cluster.partition_core(&victim, way, Some(Partition::PacketsLost));
+                let scope = PartitionScope::ALL[(n + seed as usize) % PartitionScope::ALL.len()];
+                cluster.partition_core(&victim, scope, Some(Partition::PacketsLost));
                 let next = configuration.with_route(2, &format!("without-{victim}"));
                 assert_eq!(
                     cluster.operator.put(&next, configuration.version).await,
@@ -213,8 +209,8 @@
                 );
                 watch.acknowledged(next.version);
                 configuration = next;
-                sleep(CUT).await;
-                cluster.partition_core(&victim, way, None);
+                sleep(PARTITION_TIME).await;
+                cluster.partition_core(&victim, scope, None);
                 sleep(CATCH_UP).await;
             }
             sleep(cluster.settings.bounds.contact).await;
--- a/crates/sparrouter-simulation/tests/lost_race.rs
+++ b/crates/sparrouter-simulation/tests/lost_race.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 /// One try at one machine; it may take what it wants and answer or not.
-async fn try_once(cluster: &SimulatedCluster, to: &str, configuration: &Configuration, base: u64) {
+async fn send_once(cluster: &SimulatedCluster, to: &str, configuration: &Configuration, base: u64) {
     let base = base.to_string();
     let _ = http_messages::call(
         &cluster.outside_network(),
@@ -26,7 +26,7 @@
 }
 
 /// The digest of the configuration that a machine has in force, as its status says.
-async fn digest_at(cluster: &SimulatedCluster, name: &str) -> Option<String> {
+async fn digest_of(cluster: &SimulatedCluster, name: &str) -> Option<String> {
     let net = cluster.outside_network();
     let reply = http_messages::call(
         &net,
@@ -56,21 +56,24 @@
         true,
         format!("PUT {}", lost.json()),
     );
-    try_once(&cluster, alone, &lost, configuration.version).await;
+    send_once(&cluster, alone, &lost, configuration.version).await;
     cluster.kill(alone);
     let other = cluster.core().into_iter().find(|n| n != alone);
     let other = other.expect("three machines of the core");
     let won = configuration.with_route(2, "won");
-    let at = Some(cluster.control_of(&other));
+    let other_address = Some(cluster.control_of(&other));
     let order = Order::new(&won, configuration.version, Encoding::Full, true);
-    let outcome = cluster.operator.submit_first_to(at, &order).await;
+    let outcome = cluster
+        .operator
+        .submit_first_to(other_address, &order)
+        .await;
     assert_eq!(outcome.status, 200);
     cluster.partition(&[alone], None);
     cluster.start(alone, false);
     sleep(Duration::from_secs(6)).await;
     let mut digests = Vec::new();
     for name in cluster.core() {
-        digests.push(digest_at(&cluster, &name).await);
+        digests.push(digest_of(&cluster, &name).await);
     }
     digests
 }
@@ -93,9 +96,9 @@
 #[test]
 fn given_what_the_disk_has_accepted_put_in_force_at_the_start_then_the_difference_is_found() {
     inject(Some(Defect::LosingProposalInForce));
-    let found = (4_950..)
+    let is_detected = (4_950..)
         .zip(CORE)
         .any(|(seed, alone)| !play(all_have_the_same(seed, alone)));
     inject(None);
-    assert!(found);
+    assert!(is_detected);
 }
--- a/crates/sparrouter-simulation/tests/many_changes.rs
+++ b/crates/sparrouter-simulation/tests/many_changes.rs
@@ -17,7 +17,7 @@
 
 const CHANGES: u64 = 500;
 /// A trouble lasts so many changes; then come as many without.
-const SPELL: u64 = 10;
+const CHANGES_PER_FAULT: u64 = 10;
 /// Keys of a tenant and their length, so that the configuration is larger than what goes with a message.
 const KEYS: usize = 80;
 const KEY_LENGTH: usize = 250;
@@ -25,7 +25,7 @@
 const CATCH_UP: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     Restart,
     Wipe,
     Freeze,
@@ -35,29 +35,29 @@
     StalledDisk,
 }
 
-const TROUBLES: [Trouble; 7] = [
-    Trouble::Restart,
-    Trouble::Wipe,
-    Trouble::Freeze,
-    Trouble::Partition,
-    Trouble::PowerLoss,
-    Trouble::FullDisk,
-    Trouble::StalledDisk,
+const FAULTS: [Fault; 7] = [
+    Fault::Restart,
+    Fault::Wipe,
+    Fault::Freeze,
+    Fault::Partition,
+    Fault::PowerLoss,
+    Fault::FullDisk,
+    Fault::StalledDisk,
 ];
 
-impl Trouble {
+impl Fault {
     fn begin(self, cluster: &SimulatedCluster, name: &str) {
         match self {
-            Trouble::Restart => cluster.kill(name),
-            Trouble::Wipe => {
+            Fault::Restart => cluster.kill(name),
+            Fault::Wipe => {
                 cluster.kill(name);
                 cluster.wipe(name);
             }
-            Trouble::Freeze => cluster.freeze(name, true),
-            Trouble::Partition => cluster.partition(&[name], Some(Partition::PacketsLost)),
-            Trouble::PowerLoss => cluster.power_off(name),
-            Trouble::FullDisk => cluster.disk(name).files.set_capacity(Some(0)),
-            Trouble::StalledDisk => {
+            Fault::Freeze => cluster.freeze(name, true),
+            Fault::Partition => cluster.partition(&[name], Some(Partition::PacketsLost)),
+            Fault::PowerLoss => cluster.power_off(name),
+            Fault::FullDisk => cluster.disk(name).files.set_capacity(Some(0)),
+            Fault::StalledDisk => {
                 let far = Instant::now() + Duration::from_secs(3_600);
                 cluster.disk(name).stalled_until.set(far);
             }
@@ -65,23 +65,23 @@
     }
 
     /// Whether a process starts anew, which asks a quorum what is in force.
-    fn starts_anew(self) -> bool {
-        matches!(self, Trouble::Restart | Trouble::Wipe | Trouble::PowerLoss)
+    fn restarts(self) -> bool {
+        matches!(self, Fault::Restart | Fault::Wipe | Fault::PowerLoss)
     }
 
     fn end(self, cluster: &SimulatedCluster, name: &str) {
         match self {
-            Trouble::Restart | Trouble::Wipe => cluster.start(name, false),
-            Trouble::Freeze => cluster.freeze(name, false),
-            Trouble::Partition => cluster.partition(&[name], None),
-            Trouble::PowerLoss => cluster.power_on(name),
-            Trouble::FullDisk => cluster.disk(name).files.set_capacity(None),
-            Trouble::StalledDisk => cluster.disk(name).stalled_until.set(Instant::now()),
+            Fault::Restart | Fault::Wipe => cluster.start(name, false),
+            Fault::Freeze => cluster.freeze(name, false),
+            Fault::Partition => cluster.partition(&[name], None),
+            Fault::PowerLoss => cluster.power_on(name),
+            Fault::FullDisk => cluster.disk(name).files.set_capacity(None),
+            Fault::StalledDisk => cluster.disk(name).stalled_until.set(Instant::now()),
         }
     }
 }
 
-fn large_plan() -> Configuration {
+fn large_configuration() -> Configuration {
     initial_configuration().next(1, |configuration| {
         let key = |i: usize| format!("{i:0>KEY_LENGTH$}");
         configuration.tenants.push(Tenant {
@@ -107,7 +107,11 @@
 }
 
 /// Waits until a machine has a version on disk; how long that took.
-async fn until_on_disk(cluster: &SimulatedCluster, name: &str, version: u64) -> Option<Duration> {
+async fn wait_until_on_disk(
+    cluster: &SimulatedCluster,
+    name: &str,
+    version: u64,
+) -> Option<Duration> {
     let began = Instant::now();
     while began.elapsed() < CATCH_UP {
         if version_on_disk(cluster, name) >= version {
@@ -161,25 +165,25 @@
 async fn day_of_many_changes(seed: u64, changes: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(ClusterSettings::small(seed)).await;
     let mut rng = Rng::with_seed(seed);
-    let mut fault_timeline = TROUBLES.to_vec();
-    let mut configuration = large_plan();
+    let mut remaining_faults = FAULTS.to_vec();
+    let mut configuration = large_configuration();
     assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
     let size = configuration.json().len() as u64;
     let inline = Settings::default().max_inline_body_bytes;
     assert!(size > inline as u64, "it is fetched in pieces");
     let before = written_in_core(&cluster);
     let began = Instant::now();
-    let mut under_way: Option<(Trouble, String)> = None;
+    let mut ongoing: Option<(Fault, String)> = None;
     for change in 0..changes {
-        if change % (2 * SPELL) == SPELL {
-            if fault_timeline.is_empty() {
-                fault_timeline = TROUBLES.to_vec();
+        if change % (2 * CHANGES_PER_FAULT) == CHANGES_PER_FAULT {
+            if remaining_faults.is_empty() {
+                remaining_faults = FAULTS.to_vec();
             }
-            let trouble = fault_timeline.swap_remove(rng.usize(..fault_timeline.len()));
+            let fault = remaining_faults.swap_remove(rng.usize(..remaining_faults.len()));
             let core = cluster.core();
             let name = core[rng.usize(..core.len())].clone();
-            trouble.begin(&cluster, &name);
-            under_way = Some((trouble, name));
+            fault.begin(&cluster, &name);
+            ongoing = Some((fault, name));
         }
         let next = configuration.next(1, |p| {
             p.routes.retain(|r| !r.name.starts_with("new"));
@@ -193,19 +197,19 @@
             "change {change}"
         );
         configuration = next;
-        if change % (2 * SPELL) == 2 * SPELL - 1
-            && let Some((trouble, name)) = under_way.take()
+        if change % (2 * CHANGES_PER_FAULT) == 2 * CHANGES_PER_FAULT - 1
+            && let Some((fault, name)) = ongoing.take()
         {
-            trouble.end(&cluster, &name);
+            fault.end(&cluster, &name);
             // A question to any machine tells those that are behind: where nobody asks anew, nobody does before it has
             // caught up by itself.
-            if trouble.starts_anew() {
+            if fault.restarts() {
                 answers_with_nothing_older(&cluster, &name, configuration.version).await;
             }
-            let took = until_on_disk(&cluster, &name, configuration.version).await;
+            let elapsed = wait_until_on_disk(&cluster, &name, configuration.version).await;
             assert!(
-                took.is_some(),
-                "seed {seed}: {name} has {} of {} on disk, {CATCH_UP:?} after {trouble:?}",
+                elapsed.is_some(),
+                "seed {seed}: {name} has {} of {} on disk, {CATCH_UP:?} after {fault:?}",
                 version_on_disk(&cluster, &name),
                 configuration.version
             );
@@ -229,8 +233,12 @@
         bytes / changes
     );
     // Two copies a change, one for each return, as much again for what is small, and polls by the second.
-    let most = changes * size * 2 + changes / SPELL * size + changes * size + spent * 50_000;
-    assert!(bytes <= most, "{bytes} bytes in the core, at most {most}");
+    let max_bytes =
+        changes * size * 2 + changes / CHANGES_PER_FAULT * size + changes * size + spent * 50_000;
+    assert!(
+        bytes <= max_bytes,
+        "{bytes} bytes in the core, at most {max_bytes}"
+    );
     cluster.operator.read_back().await;
     cluster
 }
@@ -255,10 +263,10 @@
 
 #[test]
 fn given_members_that_do_not_compare_what_they_have_then_a_short_day_finds_it() {
-    let day = || play(day_of_many_changes(497, 14 * SPELL));
+    let day = || play(day_of_many_changes(497, 14 * CHANGES_PER_FAULT));
     day().monitor.assert_no_violations();
     inject(Some(Defect::AntiEntropyDisabled));
-    let broken = catch_unwind(AssertUnwindSafe(day)).is_err();
+    let is_detected = catch_unwind(AssertUnwindSafe(day)).is_err();
     inject(None);
-    assert!(broken);
+    assert!(is_detected);
 }
--- a/crates/sparrouter-simulation/tests/older_state.rs
+++ b/crates/sparrouter-simulation/tests/older_state.rs
@@ -21,7 +21,7 @@
 struct FirstForm {
     version: u64,
     text: String,
-    taken: Seq<FirstFormTaken>,
+    accepted: Seq<FirstFormTaken>,
     models: Seq<NamedVersion>,
 }
 
@@ -32,14 +32,14 @@
 }
 
 fn as_first_form(state: ConfigurationState) -> Vec<u8> {
-    let taken = FirstFormTaken {
+    let accepted = FirstFormTaken {
         digest: 0x1234_5678_9abc_def0,
         version: state.version,
     };
     let first = FirstForm {
         version: state.version,
         text: state.text,
-        taken: vec![taken].into(),
+        accepted: vec![accepted].into(),
         models: state.models,
     };
     first.serialize_bin()
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn given_a_newer_form_on_all_disks_when_started_then_it_is_refused_with_its_remedy_and_stays_as_it_was()
+fn given_a_newer_form_on_all_disks_when_started_then_it_is_rejected_with_its_remedy_and_stays_as_it_was()
  {
     run_checked(|| async {
         let configuration = initial_configuration().with_route(2, "before");
--- a/crates/sparrouter-simulation/tests/operator_orders.rs
+++ b/crates/sparrouter-simulation/tests/operator_orders.rs
@@ -55,7 +55,7 @@
 }
 
 /// Sends an order to these nodes in turn until one gives a clear answer; 0 where none does.
-async fn until_clear(cluster: &SimulatedCluster, to: &[SocketAddr], order: &Order) -> u16 {
+async fn send_until_clear(cluster: &SimulatedCluster, to: &[SocketAddr], order: &Order) -> u16 {
     let began = Instant::now();
     for address in to.iter().cycle() {
         let status = cluster.operator.send(*address, order).await;
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn given_one_order_at_two_nodes_at_once_then_both_acknowledge_and_it_is_taken_once() {
+fn given_one_order_at_two_nodes_at_once_then_both_acknowledge_and_it_is_accepted_once() {
     for seed in 0..6 {
         for way in 0..2 {
             run_checked(|| async move {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn given_another_body_under_the_same_number_at_once_then_one_wins_and_the_other_is_refused_for_ever()
+fn given_another_body_under_the_same_number_at_once_then_one_wins_and_the_other_is_rejected_for_ever()
  {
     for seed in 0..12 {
         run_checked(|| async move {
@@ -137,12 +137,12 @@
             );
             let left = sends(&cluster, nodes[one], &orders[0]);
             let right = sends(&cluster, nodes[other], &orders[1]);
-            let mut told = [left.await.unwrap_or(0), right.await.unwrap_or(0)];
-            for (status, order) in told.iter_mut().zip(&orders) {
-                *status = until_clear(&cluster, &nodes, order).await;
+            let mut statuses = [left.await.unwrap_or(0), right.await.unwrap_or(0)];
+            for (status, order) in statuses.iter_mut().zip(&orders) {
+                *status = send_until_clear(&cluster, &nodes, order).await;
             }
-            let winner = usize::from(told[1] == 200);
-            assert_eq!((told[winner], told[1 - winner]), (200, 412));
+            let winner = usize::from(statuses[1] == 200);
+            assert_eq!((statuses[winner], statuses[1 - winner]), (200, 412));
             for address in &nodes {
                 assert_eq!(
                     cluster.operator.send(*address, &orders[1 - winner]).await,
@@ -168,7 +168,7 @@
             sleep(Duration::from_millis(moment)).await;
             cluster.kill(relay);
             let others = control_of(&cluster, &["core-1", "core-2"]);
-            assert_eq!(until_clear(&cluster, &others, &order).await, 200);
+            assert_eq!(send_until_clear(&cluster, &others, &order).await, 200);
             assert!(!matches!(first.await, Ok(400..=499)));
             cluster.start(relay, false);
             sleep(Duration::from_secs(4)).await;
@@ -198,11 +198,11 @@
             let mut newest = configuration;
             for round in 0..seed {
                 let next = newest.with_route(3, &format!("later{round}"));
-                let status = until_clear(&cluster, &others, &put(&next, newest.version)).await;
+                let status = send_until_clear(&cluster, &others, &put(&next, newest.version)).await;
                 assert_eq!(status, 200);
                 newest = next;
             }
-            assert_eq!(until_clear(&cluster, &others, &order).await, 200);
+            assert_eq!(send_until_clear(&cluster, &others, &order).await, 200);
             cluster.network.partition(answers.0, answers.1, None);
             assert_eq!(
                 cluster
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn given_a_relay_cut_off_in_the_middle_then_it_refuses_nothing_and_the_order_is_acknowledged_elsewhere()
+fn given_a_relay_partitioned_in_the_middle_then_it_rejects_nothing_and_the_order_is_acknowledged_elsewhere()
  {
     for moment in 0..16 {
         run_checked(|| async move {
@@ -226,24 +226,24 @@
             let (configuration, order) =
                 by_both_methods(&initial_configuration(), "new")[moment as usize % 2].clone();
             let relay = ["edge-0", "core-0", "core-1", "core-2"][moment as usize % 4];
-            let cut = if moment % 3 == 0 {
+            let partition = if moment % 3 == 0 {
                 Partition::Refusing
             } else {
                 Partition::PacketsLost
             };
             let first = sends(&cluster, cluster.control_of(relay), &order);
             sleep(Duration::from_millis(moment / 2)).await;
-            cluster.partition(&[relay], Some(cut));
+            cluster.partition(&[relay], Some(partition));
             let first = first.await.unwrap_or(0);
             assert!(!is_clear(first) || first == 200, "{first}");
             let others: Vec<SocketAddr> = all_nodes(&cluster)
                 .into_iter()
                 .filter(|a| *a != cluster.control_of(relay))
                 .collect();
-            assert_eq!(until_clear(&cluster, &others, &order).await, 200);
+            assert_eq!(send_until_clear(&cluster, &others, &order).await, 200);
             let newest = configuration.with_route(3, "later");
             assert_eq!(
-                until_clear(&cluster, &others, &put(&newest, configuration.version)).await,
+                send_until_clear(&cluster, &others, &put(&newest, configuration.version)).await,
                 200
             );
             for _ in 0..3 {
@@ -255,7 +255,7 @@
             }
             cluster.partition(&[relay], None);
             let back = [cluster.control_of(relay)];
-            assert_eq!(until_clear(&cluster, &back, &order).await, 200);
+            assert_eq!(send_until_clear(&cluster, &back, &order).await, 200);
             all_read(&cluster, &newest).await;
             cluster
         });
@@ -278,16 +278,17 @@
                 .into_iter()
                 .filter(|a| *a != cluster.control_of(late))
                 .collect();
-            assert_eq!(until_clear(&cluster, &others, &order).await, 200);
+            assert_eq!(send_until_clear(&cluster, &others, &order).await, 200);
             let newest = configuration.with_route(3, "later");
-            let status = until_clear(&cluster, &others, &put(&newest, configuration.version)).await;
+            let status =
+                send_until_clear(&cluster, &others, &put(&newest, configuration.version)).await;
             assert_eq!(status, 200);
             assert!(!matches!(first.await, Ok(400..=499)));
             cluster.freeze(late, false);
             sleep(Duration::from_secs(4)).await;
             all_read(&cluster, &newest).await;
             assert_eq!(
-                until_clear(&cluster, &all_nodes(&cluster), &order).await,
+                send_until_clear(&cluster, &all_nodes(&cluster), &order).await,
                 200
             );
             cluster
@@ -315,9 +316,9 @@
                     _ => cluster.power_off(&name),
                 }
             }
-            let mut told = Vec::new();
+            let mut statuses = Vec::new();
             for call in sent {
-                told.push(call.await.unwrap_or(0));
+                statuses.push(call.await.unwrap_or(0));
             }
             sleep(Duration::from_millis(700)).await;
             for name in cluster.names() {
@@ -328,12 +329,15 @@
             }
             let mut again = Vec::new();
             for order in &orders {
-                again.push(until_clear(&cluster, &nodes, order).await);
+                again.push(send_until_clear(&cluster, &nodes, order).await);
             }
             let winner = usize::from(again[1] == 200);
             assert_eq!((again[winner], again[1 - winner]), (200, 412));
-            for (before, after) in told.iter().zip(&again) {
-                assert!(!is_clear(*before) || before == after, "{told:?} {again:?}");
+            for (before, after) in statuses.iter().zip(&again) {
+                assert!(
+                    !is_clear(*before) || before == after,
+                    "{statuses:?} {again:?}"
+                );
             }
             sleep(Duration::from_secs(4)).await;
             all_read(&cluster, &plans[winner]).await;
@@ -343,7 +347,7 @@
 }
 
 #[test]
-fn given_eight_orders_under_way_on_one_version_then_one_wins_and_seven_are_refused() {
+fn given_eight_orders_under_way_on_one_version_then_one_wins_and_seven_are_rejected() {
     for seed in 0..6 {
         run_checked(|| async move {
             let cluster = SimulatedCluster::serving(settings(440 + seed)).await;
@@ -369,13 +373,16 @@
                 for call in calls {
                     call.await.expect("a call comes to its end");
                 }
-                let mut told = Vec::new();
+                let mut statuses = Vec::new();
                 for order in &orders {
-                    told.push(until_clear(&cluster, &nodes, order).await);
+                    statuses.push(send_until_clear(&cluster, &nodes, order).await);
                 }
-                let won: Vec<usize> = (0..8).filter(|n| told[*n] == 200).collect();
-                assert_eq!(won.len(), 1, "{told:?}");
-                assert!(told.iter().all(|s| matches!(s, 200 | 412)), "{told:?}");
+                let won: Vec<usize> = (0..8).filter(|n| statuses[*n] == 200).collect();
+                assert_eq!(won.len(), 1, "{statuses:?}");
+                assert!(
+                    statuses.iter().all(|s| matches!(s, 200 | 412)),
+                    "{statuses:?}"
+                );
                 base = plans[won[0]].clone();
             }
             all_read(&cluster, &base).await;
@@ -385,8 +392,8 @@
 }
 
 #[test]
-fn given_eight_orders_that_build_on_each_other_sent_at_once_then_each_is_taken_in_turn_or_refused()
-{
+fn given_eight_orders_that_build_on_each_other_sent_at_once_then_each_is_accepted_in_turn_or_rejected()
+ {
     for seed in 0..4 {
         run_checked(|| async move {
             let cluster = SimulatedCluster::serving(settings(450 + seed)).await;
@@ -405,7 +412,7 @@
                 call.await.expect("a call comes to its end");
             }
             for order in &orders {
-                assert_eq!(until_clear(&cluster, &nodes, order).await, 200);
+                assert_eq!(send_until_clear(&cluster, &nodes, order).await, 200);
             }
             all_read(&cluster, &plans[8]).await;
             cluster
@@ -441,13 +448,13 @@
 }
 
 #[test]
-fn given_six_hundred_changes_when_the_first_is_sent_again_then_it_is_acknowledged_and_the_losers_refused()
+fn given_six_hundred_changes_when_the_first_is_sent_again_then_it_is_acknowledged_and_the_losers_rejected()
  {
     run_checked(|| async move {
         let cluster = SimulatedCluster::serving(settings(470)).await;
         let nodes = all_nodes(&cluster);
         let mut configuration = initial_configuration();
-        let mut taken: Vec<Order> = Vec::new();
+        let mut accepted: Vec<Order> = Vec::new();
         let mut lost: Vec<Order> = Vec::new();
         for n in 0..600_usize {
             let next = configuration.next(1 + n as u64 % 3, |p| {
@@ -458,8 +465,11 @@
                 0 => put(&next, configuration.version),
                 _ => patch(&next, &configuration),
             };
-            assert_eq!(until_clear(&cluster, &nodes[n % 5..], &order).await, 200);
-            taken.push(order);
+            assert_eq!(
+                send_until_clear(&cluster, &nodes[n % 5..], &order).await,
+                200
+            );
+            accepted.push(order);
             lost.push(put(&rival, configuration.version));
             configuration = next;
             if n == 300 {
@@ -470,8 +480,16 @@
             }
         }
         for n in [0, 1, 2, 299, 300, 598, 599] {
-            assert_eq!(until_clear(&cluster, &nodes, &taken[n]).await, 200, "{n}");
-            assert_eq!(until_clear(&cluster, &nodes, &lost[n]).await, 412, "{n}");
+            assert_eq!(
+                send_until_clear(&cluster, &nodes, &accepted[n]).await,
+                200,
+                "{n}"
+            );
+            assert_eq!(
+                send_until_clear(&cluster, &nodes, &lost[n]).await,
+                412,
+                "{n}"
+            );
         }
         all_read(&cluster, &configuration).await;
         cluster
@@ -479,7 +497,7 @@
 }
 
 #[test]
-fn given_nodes_without_a_quorum_when_called_then_no_call_is_confirmed_or_refused() {
+fn given_nodes_without_a_quorum_when_called_then_no_call_is_confirmed_or_rejected() {
     for (seed, how) in [(480, Partition::PacketsLost), (481, Partition::Refusing)] {
         run_checked(|| async move {
             let cluster = SimulatedCluster::serving(settings(seed)).await;
@@ -489,7 +507,7 @@
             let newest = first.with_route(2, "new");
             let majority = control_of(&cluster, &["core-1", "core-2"]);
             assert_eq!(
-                until_clear(&cluster, &majority, &put(&newest, 1)).await,
+                send_until_clear(&cluster, &majority, &put(&newest, 1)).await,
                 200
             );
             let stale = first.with_route(2, "stale");
@@ -526,8 +544,14 @@
             cluster.partition(&alone, None);
             sleep(Duration::from_secs(4)).await;
             let nodes = all_nodes(&cluster);
-            assert_eq!(until_clear(&cluster, &nodes, &put(&stale, 1)).await, 412);
-            assert_eq!(until_clear(&cluster, &nodes, &put(&newest, 1)).await, 200);
+            assert_eq!(
+                send_until_clear(&cluster, &nodes, &put(&stale, 1)).await,
+                412
+            );
+            assert_eq!(
+                send_until_clear(&cluster, &nodes, &put(&newest, 1)).await,
+                200
+            );
             assert!(cluster.operator.name_version(2).await);
             cluster
         });
@@ -535,7 +559,7 @@
 }
 
 #[test]
-fn given_an_order_ahead_of_its_base_when_a_copy_waits_at_a_frozen_member_then_its_refusal_is_not_passed_on()
+fn given_an_order_ahead_of_its_base_when_a_copy_waits_at_a_frozen_member_then_its_rejection_is_not_forwarded()
  {
     for frozen in ["core-0", "core-1", "core-2"] {
         run_checked(|| async move {
@@ -544,7 +568,7 @@
             let ahead = base.with_route(2, "ahead");
             let order = put(&ahead, base.version);
             cluster.freeze(frozen, true);
-            let told = cluster
+            let statuses = cluster
                 .operator
                 .send(cluster.control_of("edge-0"), &order)
                 .await;
@@ -552,7 +576,10 @@
                 .into_iter()
                 .filter(|a| *a != cluster.control_of(frozen))
                 .collect();
-            assert_eq!(until_clear(&cluster, &others, &put(&base, 1)).await, 200);
+            assert_eq!(
+                send_until_clear(&cluster, &others, &put(&base, 1)).await,
+                200
+            );
             cluster.freeze(frozen, false);
             sleep(Duration::from_secs(4)).await;
             let read = cluster
@@ -561,14 +588,17 @@
                 .await
                 .expect("an answer");
             let in_force = read.text() == ahead.json();
-            assert!(!(told == 412 && in_force), "refused, and in force later");
+            assert!(
+                !(statuses == 412 && in_force),
+                "refused, and in force later"
+            );
             cluster
         });
     }
 }
 
 #[test]
-fn given_operators_at_once_over_a_core_in_trouble_when_checked_then_their_history_is_linearizable()
+fn given_operators_at_once_over_a_core_with_faults_when_checked_then_their_history_is_linearizable()
 {
     for seed in 1..4 {
         let report = play(order_load::play(seed));
--- a/crates/sparrouter-simulation/tests/outliers.rs
+++ b/crates/sparrouter-simulation/tests/outliers.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const PAUSE: Duration = Duration::from_millis(100);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 const RESETS_ALL: ServerFaults = ServerFaults {
     breaks: 0.0,
     resets: 1.0,
@@ -22,9 +22,9 @@
 }
 
 /// Part of the requests that is served while so many of six servers reset all of theirs, and after that.
-async fn shares_served(seed: u64, server_faulted: usize) -> (f64, f64) {
+async fn served_fractions(seed: u64, server_faulted: usize) -> (f64, f64) {
     let cluster = SimulatedCluster::serving(six_servers(seed)).await;
-    let load = ClientLoad::start(&cluster, 16, PAUSE);
+    let load = ClientLoad::start(&cluster, 16, REQUEST_INTERVAL);
     sleep(Duration::from_secs(3)).await;
     let ids: Vec<String> = cluster
         .server_ids()
@@ -36,19 +36,19 @@
             .for_each(|id| cluster.server(id).faults.set(faults));
     };
     set_all(RESETS_ALL);
-    let share = || {
+    let fraction = || {
         let RecentCounts { sent, served } = load.recent.get();
         load.reset_recent();
         f64::from(served) / f64::from(sent.max(1))
     };
     load.reset_recent();
     sleep(Duration::from_secs(10)).await;
-    let during = share();
+    let during = fraction();
     set_all(ServerFaults::default());
     sleep(Duration::from_secs(4)).await;
     load.reset_recent();
     sleep(Duration::from_secs(5)).await;
-    let after = share();
+    let after = fraction();
     load.stop().await;
     cluster.monitor.assert_no_violations();
     (during, after)
@@ -57,19 +57,19 @@
 #[test]
 fn given_a_server_that_resets_all_its_requests_then_others_come_first_until_it_is_sound() {
     for seed in 800..803 {
-        let (during, after) = play(shares_served(seed, 1));
+        let (during, after) = play(served_fractions(seed, 1));
         assert!(during > 0.96, "seed {seed}: {during:.3}");
         assert!(after > 0.99, "seed {seed}: {after:.3}");
     }
     inject(Some(Defect::OutlierUnreported));
-    let (during, _) = play(shares_served(800, 1));
+    let (during, _) = play(served_fractions(800, 1));
     inject(None);
     assert!(during < 0.93, "the mistake is not found: {during:.3}");
 }
 
 #[test]
-fn given_most_servers_resetting_their_requests_then_no_request_is_kept_from_them() {
+fn given_most_servers_resetting_their_requests_then_no_request_is_withheld_from_them() {
     // The fault is hardly theirs then: they are chosen as before, and all is well once it ends.
-    let (_, after) = play(shares_served(810, 5));
+    let (_, after) = play(served_fractions(810, 5));
     assert!(after > 0.99, "{after:.3}");
 }
--- a/crates/sparrouter-simulation/tests/prefix_index.rs
+++ b/crates/sparrouter-simulation/tests/prefix_index.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn given_nodes_that_start_anew_when_a_part_is_asked_for_then_the_events_have_told_of_it_again() {
+fn given_nodes_that_start_anew_when_a_part_is_asked_for_then_the_events_have_reported_it_again() {
     (96..98).for_each(|seed| home_drains(seed, 2_000, true));
 }
 
@@ -162,8 +162,8 @@
             .collect();
         others.iter().for_each(|name| cluster.freeze(name, true));
         for request in &wishes {
-            let came = cluster.send_to_node(request, "edge-0").await;
-            assert_eq!(came, RequestOutcome::Served);
+            let outcome = cluster.send_to_node(request, "edge-0").await;
+            assert_eq!(outcome, RequestOutcome::Served);
         }
         let fetched_blocks: u32 = cluster
             .server_ids()
--- a/crates/sparrouter-simulation/tests/quorum_contact.rs
+++ b/crates/sparrouter-simulation/tests/quorum_contact.rs
@@ -24,7 +24,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-const CUT: Duration = Duration::from_secs(20);
+const PARTITION_TIME: Duration = Duration::from_secs(20);
 /// From a cut on a machine may claim contact this long: the window, and the time of an answer.
 const CLAIMS_END: Duration = CONTACT_WINDOW.saturating_add(Duration::from_millis(50));
 const VICTIM: &str = "core-0";
@@ -34,7 +34,7 @@
 }
 
 /// Whether a scenario shows the planted mistake, by a breach or by an assertion.
-fn is_found<F: Future<Output = Rc<SimulatedCluster>>>(
+fn is_detected<F: Future<Output = Rc<SimulatedCluster>>>(
     defect: Defect,
     scenario: impl FnOnce() -> F,
 ) -> bool {
@@ -78,13 +78,13 @@
 fn agrees_with_model(seed: u64) -> bool {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (mut model, mut real) = (Model::default(), QuorumContact::new(WINDOW));
-    let mut under_way: Vec<(u64, u64)> = Vec::new();
+    let mut in_flight: Vec<(u64, u64)> = Vec::new();
     for now in 0..200 {
         model.tick(now);
         if rng.u8(..4) == 0 {
-            under_way.push((now, now + rng.u64(..2 * WINDOW)));
+            in_flight.push((now, now + rng.u64(..2 * WINDOW)));
         }
-        let arrived: Vec<u64> = under_way
+        let arrived: Vec<u64> = in_flight
             .extract_if(.., |read| read.1 == now)
             .map(|read| read.0)
             .collect();
@@ -111,9 +111,9 @@
 fn given_mistakes_planted_in_the_decision_then_the_model_finds_them() {
     for defect in [Defect::ContactNeverLost, Defect::LateAnswerConfirms] {
         inject(Some(defect));
-        let found = (0..5_000).any(|seed| !agrees_with_model(seed));
+        let detected = (0..5_000).any(|seed| !agrees_with_model(seed));
         inject(None);
-        assert!(found, "{defect:?}");
+        assert!(detected, "{defect:?}");
     }
 }
 
@@ -132,68 +132,66 @@
 
 /// The victim is cut off while a change is made, and joined again after 20 s. No machine claims contact without what
 /// was acknowledged, and the victim does not claim any while it is cut off.
-async fn cut_and_heal(seed: u64, way: PartitionScope) -> Rc<SimulatedCluster> {
+async fn partition_and_repair(seed: u64, scope: PartitionScope) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
     let watch = ContactWatch::start(&cluster, &cluster.core(), FAST_POLL);
     sleep(Duration::from_millis(300)).await;
-    let cut_at = Instant::now();
-    cluster.partition_core(VICTIM, way, Some(Partition::PacketsLost));
+    let partitioned_at = Instant::now();
+    cluster.partition_core(VICTIM, scope, Some(Partition::PacketsLost));
     sleep(Duration::from_millis(100 * (seed % 20))).await;
     let first = initial_configuration().with_public_route(2, "first");
     assert_eq!(cluster.operator.put(&first, 1).await, 200);
     watch.acknowledged(first.version);
-    sleep(CUT - cut_at.elapsed()).await;
-    let heal_at = Instant::now();
+    sleep(PARTITION_TIME - partitioned_at.elapsed()).await;
+    let repaired_at = Instant::now();
     let (sending, next) = (cluster.clone(), first.with_public_route(2, "second"));
     let put = next.clone();
     let put = spawn_local(async move { sending.operator.put(&put, first.version).await });
     sleep(Duration::from_millis(seed % 8)).await;
-    cluster.partition_core(VICTIM, way, None);
+    cluster.partition_core(VICTIM, scope, None);
     assert_eq!(put.await.ok(), Some(200));
     watch.acknowledged(next.version);
     sleep(Duration::from_secs(4)).await;
     watch.stop();
     let claims = |from, until| watch.claims(cluster.ip(VICTIM), from, until);
-    if claims(cut_at + CLAIMS_END, heal_at) > 0 {
+    if claims(partitioned_at + CLAIMS_END, repaired_at) > 0 {
         cluster.monitor.report_violation(
             "CONTACT",
-            format!("{VICTIM} claims contact while cut off {way:?}"),
+            format!("{VICTIM} claims contact while cut off {scope:?}"),
         );
     }
     assert!(
-        claims(heal_at + Duration::from_secs(3), Instant::now()) > 100,
+        claims(repaired_at + Duration::from_secs(3), Instant::now()) > 100,
         "{VICTIM} is back in contact"
     );
-    let healthy = watch.claims(cluster.ip("core-1"), cut_at, heal_at);
+    let healthy = watch.claims(cluster.ip("core-1"), partitioned_at, repaired_at);
     assert!(healthy > 1_000, "core-1 stays in contact: {healthy}");
     cluster.operator.read_back().await;
     cluster
 }
 
 #[test]
-fn given_a_machine_cut_off_for_20_s_in_any_way_then_it_claims_no_contact_without_what_is_in_force()
-{
-    for (n, way) in PartitionScope::ALL.into_iter().enumerate() {
+fn given_a_machine_partitioned_for_20_s_in_any_way_then_it_claims_no_contact_without_what_is_in_force()
+ {
+    for (n, scope) in PartitionScope::ALL.into_iter().enumerate() {
         for seed in 0..4 {
-            run_checked(|| cut_and_heal(700 + 10 * n as u64 + seed, way));
+            run_checked(|| partition_and_repair(700 + 10 * n as u64 + seed, scope));
         }
     }
 }
 
 #[test]
-fn given_contact_that_is_never_lost_then_a_cut_shows_it() {
-    assert!(is_found(Defect::ContactNeverLost, || cut_and_heal(
-        700,
-        PartitionScope::All
-    )));
+fn given_contact_that_is_never_lost_then_a_partition_shows_it() {
+    assert!(is_detected(Defect::ContactNeverLost, || {
+        partition_and_repair(700, PartitionScope::All)
+    }));
 }
 
 #[test]
-fn given_contact_by_frames_that_arrive_then_a_cut_of_one_direction_shows_it() {
-    assert!(is_found(Defect::ContactFromAnyFrame, || cut_and_heal(
-        741,
-        PartitionScope::Outbound
-    )));
+fn given_contact_by_frames_that_arrive_then_a_partition_of_one_direction_shows_it() {
+    assert!(is_detected(Defect::ContactFromAnyFrame, || {
+        partition_and_repair(741, PartitionScope::Outbound)
+    }));
 }
 
 /// The victim is frozen for 20 s, during which a change is made.
@@ -205,14 +203,15 @@
     let next = initial_configuration().with_public_route(2, "new");
     assert_eq!(cluster.operator.put(&next, 1).await, 200);
     watch.acknowledged(next.version);
-    sleep(CUT).await;
+    sleep(PARTITION_TIME).await;
     cluster.freeze(VICTIM, false);
     let thawed = Instant::now();
     while thawed.elapsed() < Duration::from_secs(1) {
-        if let Some(silent) = called_silent(&cluster, "core-1").await {
-            cluster
-                .monitor
-                .report_violation("CONTACT", format!("{silent} is called silent after a thaw"));
+        if let Some(unresponsive) = listed_unresponsive(&cluster, "core-1").await {
+            cluster.monitor.report_violation(
+                "CONTACT",
+                format!("{unresponsive} is called silent after a thaw"),
+            );
             break;
         }
         sleep(Duration::from_millis(10)).await;
@@ -229,14 +228,14 @@
 }
 
 /// A node other than the victim that this machine has listed as silent.
-async fn called_silent(cluster: &Rc<SimulatedCluster>, name: &str) -> Option<String> {
+async fn listed_unresponsive(cluster: &Rc<SimulatedCluster>, name: &str) -> Option<String> {
     let status = get(cluster, name, "/api/status").await?;
     let listed = status.split("{\"name\":\"").skip(1);
-    let silent = listed.filter(|node| {
+    let unresponsive = listed.filter(|node| {
         let node = node.split('}').next().unwrap_or_default();
         node.contains("\"internal\":") && node.contains("\"silent\":true")
     });
-    silent
+    unresponsive
         .filter_map(|node| node.split('"').next().map(str::to_owned))
         .find(|node| node != VICTIM)
 }
@@ -269,39 +268,40 @@
 }
 
 #[test]
-fn given_silence_called_without_contact_then_a_thaw_shows_it() {
-    let found = (0..8).any(|seed| {
-        is_found(Defect::MarksUnresponsiveWithoutContact, || {
+fn given_unresponsiveness_reported_without_contact_then_a_thaw_shows_it() {
+    let detected = (0..8).any(|seed| {
+        is_detected(Defect::MarksUnresponsiveWithoutContact, || {
             freeze_and_thaw(760 + seed)
         })
     });
-    assert!(found);
+    assert!(detected);
 }
 
 #[test]
 fn given_contact_that_is_never_lost_then_a_thaw_shows_it() {
-    let found =
-        (0..8).any(|seed| is_found(Defect::ContactNeverLost, || freeze_and_thaw(760 + seed)));
-    assert!(found);
+    let detected =
+        (0..8).any(|seed| is_detected(Defect::ContactNeverLost, || freeze_and_thaw(760 + seed)));
+    assert!(detected);
 }
 
 #[test]
-fn given_two_of_five_cut_off_together_then_neither_counts_as_in_contact_through_the_other() {
+fn given_two_of_five_partitioned_together_then_neither_counts_as_in_contact_through_the_other() {
     for seed in 0..3 {
         run_checked(|| async {
             let settings = small(780 + seed).core_machines(5);
             let cluster = SimulatedCluster::serving(settings).await;
             let watch = ContactWatch::start(&cluster, &cluster.core(), FAST_POLL);
             sleep(Duration::from_millis(200)).await;
-            let cut_at = Instant::now();
+            let partitioned_at = Instant::now();
             cluster.partition(&["core-0", "core-1"], Some(Partition::PacketsLost));
             let next = initial_configuration().with_public_route(2, "new");
             assert_eq!(cluster.operator.put(&next, 1).await, 200);
             watch.acknowledged(next.version);
-            sleep(CUT).await;
-            let heal_at = Instant::now();
+            sleep(PARTITION_TIME).await;
+            let repaired_at = Instant::now();
             for name in ["core-0", "core-1"] {
-                let claims = watch.claims(cluster.ip(name), cut_at + CLAIMS_END, heal_at);
+                let claims =
+                    watch.claims(cluster.ip(name), partitioned_at + CLAIMS_END, repaired_at);
                 assert_eq!(claims, 0, "{name}");
             }
             cluster.partition(&["core-0", "core-1"], None);
@@ -358,12 +358,12 @@
             .fault_began(FaultScope::Machine(cluster.ip(VICTIM)));
         cluster.monitor.fault_began(FaultScope::Core);
         let stalled = cluster.disk(VICTIM).stalled_until;
-        stalled.set(Instant::now() + CUT);
+        stalled.set(Instant::now() + PARTITION_TIME);
         let began = Instant::now();
         let next = initial_configuration().with_public_route(2, "new");
         assert_eq!(cluster.operator.put(&next, 1).await, 200);
         watch.acknowledged(next.version);
-        sleep(CUT).await;
+        sleep(PARTITION_TIME).await;
         let claims = watch.claims(cluster.ip(VICTIM), began, Instant::now());
         assert!(claims > 1_000, "{claims}");
         cluster
@@ -405,7 +405,7 @@
 // A process that starts.
 
 /// An edge node starts while it reaches only a core machine that is cut off from the others.
-async fn start_beside_a_cut_off_machine(seed: u64) -> Rc<SimulatedCluster> {
+async fn start_beside_a_partitioned_machine(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
     cluster.kill("edge-0");
     cluster.partition_core(VICTIM, PartitionScope::Core, Some(Partition::PacketsLost));
@@ -452,17 +452,17 @@
 }
 
 #[test]
-fn given_a_node_that_starts_beside_a_machine_cut_off_then_it_is_not_ready_before_a_quorum_confirms()
-{
+fn given_a_node_that_starts_beside_a_machine_partitioned_then_it_is_not_ready_before_a_quorum_confirms()
+ {
     for seed in 0..3 {
-        run_checked(|| start_beside_a_cut_off_machine(800 + seed));
+        run_checked(|| start_beside_a_partitioned_machine(800 + seed));
     }
 }
 
 #[test]
-fn given_readiness_without_confirmation_then_a_start_beside_a_cut_off_machine_shows_it() {
-    assert!(is_found(Defect::UnconfirmedReady, || {
-        start_beside_a_cut_off_machine(800)
+fn given_readiness_without_confirmation_then_a_start_beside_a_partitioned_machine_shows_it() {
+    assert!(is_detected(Defect::UnconfirmedReady, || {
+        start_beside_a_partitioned_machine(800)
     }));
 }
 
@@ -479,7 +479,7 @@
     cluster.freeze("edge-0", true);
     let next = initial_configuration().with_public_route(2, "new");
     assert_eq!(cluster.operator.put(&next, 1).await, 200);
-    sleep(CUT).await;
+    sleep(PARTITION_TIME).await;
     let ready_before = before.contains("\"ready\":true");
     cluster.freeze("edge-0", false);
     let woke = Instant::now();
@@ -512,16 +512,16 @@
 #[test]
 fn given_an_answer_older_than_its_caller_would_wait_then_it_counts_for_nothing() {
     let timeout_after = Duration::from_millis(1_700);
-    let found = || {
+    let detected = || {
         let after =
             |ms: u64| is_timely(5_000_000_000, 5_000_000_000 + ms * 1_000_000, timeout_after);
         !after(0) || !after(1_700) || after(1_701) || after(20_000)
     };
-    assert!(!found());
+    assert!(!detected());
     inject(Some(Defect::StaleAnswerInforms));
-    let planted = found();
+    let with_defect = detected();
     inject(None);
-    assert!(planted);
+    assert!(with_defect);
 }
 
 /// An edge node that has the newest configuration is left with a machine that is cut off and has an older one.
@@ -563,8 +563,8 @@
 }
 
 #[test]
-fn given_older_configurations_taken_then_a_node_left_with_an_older_machine_shows_it() {
-    assert!(is_found(Defect::OlderConfigurationApplied, || {
+fn given_older_configurations_accepted_then_a_node_left_with_an_older_machine_shows_it() {
+    assert!(is_detected(Defect::OlderConfigurationApplied, || {
         left_with_an_older_machine(840)
     }));
 }
@@ -572,15 +572,15 @@
 // What is answered without contact: a row of the table in docs/design/control-state/quorum-contact.md each.
 
 /// A world whose victim has been without contact for 3 s.
-async fn without_contact(seed: u64, way: PartitionScope) -> Rc<SimulatedCluster> {
+async fn without_contact(seed: u64, scope: PartitionScope) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
-    cluster.partition_core(VICTIM, way, Some(Partition::PacketsLost));
+    cluster.partition_core(VICTIM, scope, Some(Partition::PacketsLost));
     sleep(Duration::from_secs(3)).await;
     cluster
 }
 
 /// Calls the victim's control endpoint; 0 where it does not answer.
-async fn ask(
+async fn call_victim(
     cluster: &SimulatedCluster,
     method: &str,
     path: &str,
@@ -592,17 +592,17 @@
 }
 
 /// Neither a confirmation nor a refusal: 503 (nothing was proposed), 504 (nobody knows) or no answer in time.
-fn says_nothing(status: u16) -> bool {
+fn is_unclear(status: u16) -> bool {
     matches!(status, 0 | 503 | 504)
 }
 
 /// A row of the table in all ways of being cut off.
-fn in_every_way(seed: u64, row: impl AsyncFn(&Rc<SimulatedCluster>)) {
-    for way in PartitionScope::ALL {
+fn in_every_scope(seed: u64, row: impl AsyncFn(&Rc<SimulatedCluster>)) {
+    for scope in PartitionScope::ALL {
         run_checked(|| async {
-            let cluster = without_contact(seed, way).await;
+            let cluster = without_contact(seed, scope).await;
             row(&cluster).await;
-            cluster.partition_core(VICTIM, way, None);
+            cluster.partition_core(VICTIM, scope, None);
             sleep(Duration::from_secs(4)).await;
             cluster
         });
@@ -610,12 +610,12 @@
 }
 
 #[test]
-fn given_no_contact_when_a_configuration_is_put_then_it_is_neither_taken_nor_refused() {
-    in_every_way(820, async |cluster| {
+fn given_no_contact_when_a_configuration_is_put_then_it_is_neither_accepted_nor_rejected() {
+    in_every_scope(820, async |cluster| {
         let next = initial_configuration().with_public_route(2, "new");
         cluster.monitor.configuration_submitted(&next, 1, true);
         for base in ["1", "7"] {
-            let status = ask(
+            let status = call_victim(
                 cluster,
                 "PUT",
                 "/api/config",
@@ -623,24 +623,25 @@
                 &next.json(),
             )
             .await;
-            assert!(says_nothing(status), "on {base}: {status}");
+            assert!(is_unclear(status), "on {base}: {status}");
         }
         let broken = next
             .json()
             .replace("\"service\":\"models\"", "\"service\":\"none\"");
-        let status = ask(cluster, "PUT", "/api/config", &[("If-Match", "1")], &broken).await;
-        assert!(says_nothing(status), "invalid: {status}");
+        let status =
+            call_victim(cluster, "PUT", "/api/config", &[("If-Match", "1")], &broken).await;
+        assert!(is_unclear(status), "invalid: {status}");
     });
 }
 
 #[test]
-fn given_no_contact_when_a_configuration_is_patched_then_it_is_neither_taken_nor_refused() {
-    in_every_way(821, async |cluster| {
+fn given_no_contact_when_a_configuration_is_patched_then_it_is_neither_accepted_nor_rejected() {
+    in_every_scope(821, async |cluster| {
         let next = initial_configuration().with_public_route(2, "new");
         cluster.monitor.configuration_submitted(&next, 1, true);
         let body = next.patch_json(&initial_configuration());
         for base in ["1", "7"] {
-            let status = ask(
+            let status = call_victim(
                 cluster,
                 "PATCH",
                 "/api/config",
@@ -648,25 +649,25 @@
                 &body,
             )
             .await;
-            assert!(says_nothing(status), "on {base}: {status}");
+            assert!(is_unclear(status), "on {base}: {status}");
         }
     });
 }
 
 #[test]
 fn given_no_contact_when_the_configuration_is_read_then_none_is_handed_out() {
-    in_every_way(822, async |cluster| {
-        let status = ask(cluster, "GET", "/api/config", &[], "").await;
-        assert!(says_nothing(status), "{status}");
+    in_every_scope(822, async |cluster| {
+        let status = call_victim(cluster, "GET", "/api/config", &[], "").await;
+        assert!(is_unclear(status), "{status}");
     });
 }
 
 #[test]
-fn given_no_contact_when_weights_are_named_then_it_is_neither_taken_nor_refused() {
-    in_every_way(823, async |cluster| {
+fn given_no_contact_when_weights_are_named_then_it_is_neither_accepted_nor_rejected() {
+    in_every_scope(823, async |cluster| {
         let body = "{\"model\":\"other\",\"version\":3}";
-        let status = ask(cluster, "POST", "/api/version-put", &[], body).await;
-        assert!(says_nothing(status), "{status}");
+        let status = call_victim(cluster, "POST", "/api/version-put", &[], body).await;
+        assert!(is_unclear(status), "{status}");
     });
 }
 
@@ -680,18 +681,18 @@
 async fn heartbeats_without_contact(cluster: &Rc<SimulatedCluster>) {
     for (sequence, state) in (1..).zip(["ready", "ready", "draining", "draining"]) {
         let body = heartbeat(state, sequence);
-        let status = ask(cluster, "PUT", "/api/instances/i-new", &[], &body).await;
-        assert!(says_nothing(status), "{state} number {sequence}: {status}");
+        let status = call_victim(cluster, "PUT", "/api/instances/i-new", &[], &body).await;
+        assert!(is_unclear(status), "{state} number {sequence}: {status}");
     }
-    let status = ask(cluster, "DELETE", "/api/instances/i-new", &[], "").await;
-    assert!(says_nothing(status), "DELETE: {status}");
-    let status = ask(cluster, "DELETE", "/api/instances/i-unknown", &[], "").await;
-    assert!(says_nothing(status), "DELETE of an unknown one: {status}");
+    let status = call_victim(cluster, "DELETE", "/api/instances/i-new", &[], "").await;
+    assert!(is_unclear(status), "DELETE: {status}");
+    let status = call_victim(cluster, "DELETE", "/api/instances/i-unknown", &[], "").await;
+    assert!(is_unclear(status), "DELETE of an unknown one: {status}");
 }
 
 #[test]
 fn given_no_contact_when_a_server_reports_drains_or_leaves_then_it_is_sent_to_another_node() {
-    in_every_way(824, heartbeats_without_contact);
+    in_every_scope(824, heartbeats_without_contact);
 }
 
 #[test]
@@ -700,10 +701,10 @@
         let cluster = SimulatedCluster::serving(small(825)).await;
         for (sequence, state) in (1..).zip(["ready", "draining", "draining"]) {
             let body = heartbeat(state, sequence);
-            let status = ask(&cluster, "PUT", "/api/instances/i-new", &[], &body).await;
+            let status = call_victim(&cluster, "PUT", "/api/instances/i-new", &[], &body).await;
             assert_eq!(status, 200, "{state} number {sequence}");
         }
-        let status = ask(&cluster, "DELETE", "/api/instances/i-new", &[], "").await;
+        let status = call_victim(&cluster, "DELETE", "/api/instances/i-new", &[], "").await;
         assert_eq!(status, 200);
         cluster
     });
@@ -736,29 +737,29 @@
 }
 
 #[test]
-fn given_no_contact_when_another_node_polls_notifies_or_relays_then_it_is_told_so() {
-    in_every_way(826, calls_of_nodes_without_contact);
+fn given_no_contact_when_another_node_polls_notifies_or_relays_then_it_is_notified() {
+    in_every_scope(826, calls_of_nodes_without_contact);
 }
 
 #[test]
-fn given_heartbeats_or_rows_taken_without_contact_then_the_rows_of_the_table_show_it() {
+fn given_heartbeats_or_rows_accepted_without_contact_then_the_rows_of_the_table_show_it() {
     let heartbeats = || async {
         let cluster = without_contact(827, PartitionScope::Core).await;
         heartbeats_without_contact(&cluster).await;
         cluster
     };
-    assert!(is_found(Defect::HeartbeatWithoutContact, heartbeats));
-    assert!(is_found(Defect::DrainRepeatAcked, heartbeats));
+    assert!(is_detected(Defect::HeartbeatWithoutContact, heartbeats));
+    assert!(is_detected(Defect::DrainRepeatAcked, heartbeats));
     let nodes = || async {
         let cluster = without_contact(827, PartitionScope::Core).await;
         calls_of_nodes_without_contact(&cluster).await;
         cluster
     };
-    assert!(is_found(Defect::NotifyWithoutContact, nodes));
+    assert!(is_detected(Defect::NotifyWithoutContact, nodes));
 }
 
 /// A server's draining at an edge node that reaches no core machine but one that is cut off.
-async fn draining_towards_a_cut_off_machine(seed: u64) -> Rc<SimulatedCluster> {
+async fn draining_toward_a_partitioned_machine(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
     cluster.partition_core(VICTIM, PartitionScope::Core, Some(Partition::PacketsLost));
     for name in ["core-1", "core-2"] {
@@ -773,7 +774,7 @@
     let request = ("PUT", "/api/instances/i-new");
     let reply = call_control(&cluster, "edge-0", request, &[], &body).await;
     let status = reply.map_or(0, |reply| reply.status);
-    if !says_nothing(status) {
+    if !is_unclear(status) {
         cluster
             .monitor
             .report_violation("DRAIN", format!("edge-0 answers draining with {status}"));
@@ -782,10 +783,10 @@
 }
 
 #[test]
-fn given_an_edge_that_reaches_only_a_machine_cut_off_then_draining_is_not_acknowledged() {
-    run_checked(|| draining_towards_a_cut_off_machine(828));
-    assert!(is_found(Defect::NotifyWithoutContact, || {
-        draining_towards_a_cut_off_machine(828)
+fn given_an_edge_that_reaches_only_a_machine_partitioned_then_draining_is_not_acknowledged() {
+    run_checked(|| draining_toward_a_partitioned_machine(828));
+    assert!(is_detected(Defect::NotifyWithoutContact, || {
+        draining_toward_a_partitioned_machine(828)
     }));
 }
 
@@ -810,7 +811,7 @@
     };
     let reply = caller.call(to, &call, Duration::from_millis(500)).await;
     assert!(reply.is_none(), "{reply:?}");
-    sleep(CUT).await;
+    sleep(PARTITION_TIME).await;
     cluster.freeze(VICTIM, false);
     sleep(Duration::from_secs(4)).await;
     let text = get(&cluster, "core-1", "/api/config")
@@ -827,7 +828,7 @@
 #[test]
 fn given_a_change_relayed_to_a_frozen_machine_when_it_wakes_then_it_is_not_made() {
     run_checked(|| relay_to_a_frozen_machine(830));
-    assert!(is_found(Defect::RelayWithoutContact, || {
+    assert!(is_detected(Defect::RelayWithoutContact, || {
         relay_to_a_frozen_machine(830)
     }));
 }
@@ -908,7 +909,8 @@
 }
 
 #[test]
-fn given_a_calm_group_when_a_member_confirms_then_it_costs_a_small_frame_each_way_and_no_write() {
+fn given_a_healthy_group_when_a_member_confirms_then_it_costs_a_small_frame_each_way_and_no_write()
+{
     for members in [1, 3, 5, 9] {
         let (frames, bytes, stores) = cost_of_a_read(members, 500_000);
         println!("{members} members: {frames} frames, {bytes} bytes, {stores} stores");
--- a/crates/sparrouter-simulation/tests/reconfiguration.rs
+++ b/crates/sparrouter-simulation/tests/reconfiguration.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep};
 
 #[test]
-fn given_two_losses_in_every_order_until_none_of_the_first_group_is_left_then_all_is_kept() {
+fn given_two_losses_in_every_order_until_none_of_the_first_group_is_left_then_all_remains() {
     for (seed, first) in (300..).zip(LOSSES) {
         for (index, second) in (0..).zip(LOSSES) {
             run_checked(|| async {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn given_five_and_seven_members_when_as_many_as_tolerated_are_lost_at_once_again_and_again_then_all_is_kept()
+fn given_five_and_seven_members_when_as_many_as_tolerated_are_lost_at_once_again_and_again_then_all_remains()
  {
     for (seed, core) in [(330, 5), (331, 7)] {
         run_checked(|| async {
@@ -132,7 +132,7 @@
 
 /// The disk of one member stalls, another one is wiped right after an acknowledgement, and the third, which then has
 /// the only copy, is told to end for good.
-async fn leaving_with_the_only_copy() -> Rc<SimulatedCluster> {
+async fn shutdown_with_the_only_copy() -> Rc<SimulatedCluster> {
     let cluster = watched(settings(351, 3)).await;
     let [leaving, wiped, stalled] = ["core-0", "core-1", "core-2"];
     let mut configuration = initial_configuration();
@@ -166,7 +166,7 @@
 }
 
 /// A new machine joins, and is cut off with the leader from the two others before it is a member.
-async fn cut_in_two_beside_a_new_machine() -> Rc<SimulatedCluster> {
+async fn split_beside_a_new_machine() -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(settings(352, 3)).await;
     let leader = leader(&cluster);
     let new = cluster.add_core(ZONES[0]);
@@ -194,35 +194,38 @@
         play(async { day().await.monitor.violations() })
     }));
     inject(None);
-    let mut found = take_panics();
-    found.extend(played.unwrap_or_default());
-    found
+    let mut detected = take_panics();
+    detected.extend(played.unwrap_or_default());
+    detected
 }
 
 #[test]
 fn given_a_new_disk_that_stalls_when_it_would_join_then_the_group_stands_until_it_holds_everything()
 {
     run_checked(joined_by_a_stalled_disk);
-    let found = violations(Defect::UnconfirmedJoins, joined_by_a_stalled_disk);
-    assert!(!found.is_empty(), "a join without a copy is found");
+    let detected = violations(Defect::UnconfirmedJoins, joined_by_a_stalled_disk);
+    assert!(!detected.is_empty(), "a join without a copy is found");
 }
 
 #[test]
-fn given_the_only_copy_at_a_member_when_told_to_end_then_it_hands_over_first() {
-    run_checked(leaving_with_the_only_copy);
-    let found = violations(Defect::LeavesWithoutHandover, leaving_with_the_only_copy);
-    assert!(!found.is_empty(), "an end without a handover is found");
+fn given_the_only_copy_at_a_member_when_shut_down_then_it_hands_over_first() {
+    run_checked(shutdown_with_the_only_copy);
+    let detected = violations(Defect::LeavesWithoutHandover, shutdown_with_the_only_copy);
+    assert!(!detected.is_empty(), "an end without a handover is found");
 }
 
 #[test]
-fn given_a_swap_on_one_side_of_a_cut_then_the_old_group_is_asked() {
-    run_checked(cut_in_two_beside_a_new_machine);
-    let found = violations(Defect::OldGroupNotAsked, cut_in_two_beside_a_new_machine);
-    assert!(!found.is_empty(), "a swap without the old group is found");
+fn given_a_swap_on_one_side_of_a_partition_then_the_old_group_is_asked() {
+    run_checked(split_beside_a_new_machine);
+    let detected = violations(Defect::OldGroupNotAsked, split_beside_a_new_machine);
+    assert!(
+        !detected.is_empty(),
+        "a swap without the old group is found"
+    );
 }
 
 #[test]
-fn given_a_whole_group_when_a_member_is_told_to_end_then_the_handover_costs_no_time() {
+fn given_a_complete_group_when_a_member_is_shut_down_then_the_handover_costs_no_time() {
     run_checked(|| async {
         let cluster = watched(settings(353, 3)).await;
         let began = Instant::now();
@@ -238,7 +241,7 @@
 }
 
 #[test]
-fn given_no_quorum_when_a_member_is_told_to_end_then_it_ends_with_its_grace_period_and_says_so() {
+fn given_no_quorum_when_a_member_is_shut_down_then_it_ends_with_its_grace_period_and_says_so() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(settings(354, 3)).await;
         cluster.kill("core-1");
@@ -259,7 +262,7 @@
 }
 
 /// The machine that orders these weights, once the first server has loaded them.
-async fn holder_of(cluster: &SimulatedCluster, version: u64) -> String {
+async fn lease_owner_of(cluster: &SimulatedCluster, version: u64) -> String {
     let began = Instant::now();
     let is_ordered = || {
         let loads = cluster.monitor.load_counts();
@@ -269,24 +272,24 @@
         assert!(began.elapsed() < Duration::from_secs(12), "nobody orders");
         sleep(Duration::from_millis(1)).await;
     }
-    let holder = cluster.monitor.last_lease_owner().expect("who ordered");
-    holder.split('@').next().unwrap_or_default().to_owned()
+    let lease_owner = cluster.monitor.last_lease_owner().expect("who ordered");
+    lease_owner.split('@').next().unwrap_or_default().to_owned()
 }
 
 #[test]
-fn given_the_holder_of_a_lease_lost_as_it_orders_again_and_again_then_another_one_goes_on_in_time()
-{
+fn given_the_lease_owner_of_a_lease_lost_as_it_orders_again_and_again_then_another_one_goes_on_in_time()
+ {
     for (seed, loss) in (360..).zip(LOSSES) {
         run_checked(|| async {
             let cluster = watched(settings(seed, 3).servers(6)).await;
             let mut configuration = initial_configuration();
             for version in 2..5 {
                 assert!(cluster.operator.name_version(version).await);
-                let holder = holder_of(&cluster, version).await;
+                let lease_owner = lease_owner_of(&cluster, version).await;
                 match loss {
                     // New weights are a change of their own, acknowledged a moment ago.
-                    Loss::WipedAfterAcknowledgement => wipe(&cluster, &holder).await,
-                    _ => lose(&cluster, &mut configuration, &holder, loss).await,
+                    Loss::WipedAfterAcknowledgement => wipe(&cluster, &lease_owner).await,
+                    _ => lose(&cluster, &mut configuration, &lease_owner, loss).await,
                 }
                 sleep(CATCH_UP).await;
                 cluster.wait_for_weights(version).await;
