--- a/crates/sparrouter-simulation/tests/revocation.rs
+++ b/crates/sparrouter-simulation/tests/revocation.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Between two requests that are sent to one node with a key that was removed.
-const PROBE_PAUSE: Duration = Duration::from_millis(100);
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
 fn strict(seed: u64) -> ClusterSettings {
     ClusterSettings::with_seed(seed).bounds(Bounds {
@@ -34,10 +34,10 @@
 /// Sends requests with the removed key to one node for so long, whatever the platform thinks of the node.
 async fn probe(cluster: &Rc<SimulatedCluster>, name: &str, lasts: Duration) -> Vec<RequestOutcome> {
     let client = cluster.client(false);
-    let until = Instant::now() + lasts;
+    let deadline = Instant::now() + lasts;
     let mut outcomes = Vec::new();
-    while Instant::now() < until {
-        let asked = ClientRequest {
+    while Instant::now() < deadline {
+        let client_request = ClientRequest {
             key: KEY.to_owned(),
             retries: 0,
             deadline: Duration::from_millis(800),
@@ -46,16 +46,16 @@
         let incarnation = cluster.load_balancer.incarnation(cluster.ip(name));
         outcomes.push(
             client
-                .send_to(&asked, cluster.front_of(name), incarnation)
+                .send_to(&client_request, cluster.front_of(name), incarnation)
                 .await,
         );
-        sleep(PROBE_PAUSE).await;
+        sleep(PROBE_INTERVAL).await;
     }
     outcomes
 }
 
 /// One node is cut off from all others of the fleet, then a key is removed. Clients and servers reach the node.
-async fn revoked_behind_a_cut(name: &str, seed: u64) -> Rc<SimulatedCluster> {
+async fn revoked_behind_a_partition(name: &str, seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(strict(seed)).await;
     cluster.partition(&[name], Some(Partition::PacketsLost));
     assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
@@ -120,7 +120,7 @@
 }
 
 /// The same, and the node starts anew behind the cut: its source tells it the old configuration.
-async fn revoked_before_a_start_behind_a_cut(seed: u64) -> Rc<SimulatedCluster> {
+async fn revoked_before_a_start_behind_a_partition(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(strict(seed)).await;
     cluster.partition(&["core-0", "edge-0"], Some(Partition::PacketsLost));
     assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
@@ -135,9 +135,9 @@
 }
 
 #[test]
-fn given_a_key_removed_while_a_node_is_cut_off_then_nothing_runs_with_it_there() {
+fn given_a_key_removed_while_a_node_is_partitioned_then_nothing_runs_with_it_there() {
     for (seed, name) in [(700, "edge-0"), (701, "edge-2"), (702, "core-1")] {
-        run_checked(|| revoked_behind_a_cut(name, seed));
+        run_checked(|| revoked_behind_a_partition(name, seed));
     }
 }
 
@@ -152,7 +152,7 @@
 fn given_a_key_removed_before_a_node_starts_from_an_old_configuration_then_nothing_runs_with_it() {
     for seed in 720..723 {
         run_checked(|| revoked_before_a_start_from_disk(seed));
-        run_checked(|| revoked_before_a_start_behind_a_cut(seed));
+        run_checked(|| revoked_before_a_start_behind_a_partition(seed));
     }
 }
 
@@ -169,40 +169,40 @@
     story: impl FnOnce() -> F,
 ) -> Vec<String> {
     inject(Some(defect));
-    let broken = play(async { story().await.monitor.violations() });
+    let violated = play(async { story().await.monitor.violations() });
     inject(None);
-    broken
+    violated
 }
 
-fn assert_found(defect: Defect, broken: &[String]) {
-    let is_found = broken.iter().any(|b| b.contains("its key was removed"));
-    assert!(is_found, "{defect:?} is not found: {broken:?}");
+fn assert_detected(defect: Defect, violated: &[String]) {
+    let is_detected = violated.iter().any(|b| b.contains("its key was removed"));
+    assert!(is_detected, "{defect:?} is not found: {violated:?}");
 }
 
 #[test]
-fn given_a_lease_that_nobody_asks_for_when_a_node_is_cut_off_then_it_is_found() {
+fn given_a_lease_that_nobody_asks_for_when_a_node_is_partitioned_then_it_is_found() {
     let defect = Defect::LeaseUnchecked;
-    let broken = violations(defect, || revoked_behind_a_cut("edge-0", 700));
-    assert_found(defect, &broken);
+    let violated = violations(defect, || revoked_behind_a_partition("edge-0", 700));
+    assert_detected(defect, &violated);
 }
 
 #[test]
 fn given_a_lease_from_the_start_of_a_process_when_its_source_is_behind_then_it_is_found() {
     let defect = Defect::LeaseFromStart;
-    let broken = violations(defect, || revoked_before_a_start_behind_a_cut(720));
-    assert_found(defect, &broken);
+    let violated = violations(defect, || revoked_before_a_start_behind_a_partition(720));
+    assert_detected(defect, &violated);
 }
 
 #[test]
 fn given_a_lease_from_any_source_when_sources_have_no_quorum_then_it_is_found() {
     let defect = Defect::LeaseFromAnySource;
-    let broken = violations(defect, || revoked_with_sources_behind(730));
-    assert_found(defect, &broken);
+    let violated = violations(defect, || revoked_with_sources_behind(730));
+    assert_detected(defect, &violated);
 }
 
 /// A node is frozen while answers of its sources are on their way to it, and wakes behind a cut after a key was removed:
 /// those answers tell what was so before.
-async fn woken_behind_a_cut(seed: u64) -> Rc<SimulatedCluster> {
+async fn resumed_behind_a_partition(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(strict(seed)).await;
     // Polls are held for a second, so that some are answered within this time.
     cluster.freeze("edge-0", true);
@@ -218,18 +218,19 @@
 }
 
 #[test]
-fn given_a_frozen_node_with_old_answers_when_it_wakes_cut_off_then_nothing_runs_with_a_removed_key()
-{
+fn given_a_frozen_node_with_old_answers_when_it_wakes_partitioned_then_nothing_runs_with_a_removed_key()
+ {
     for seed in 740..746 {
-        run_checked(|| woken_behind_a_cut(seed));
+        run_checked(|| resumed_behind_a_partition(seed));
     }
 }
 
 #[test]
 fn given_a_lease_from_the_answer_when_a_frozen_node_wakes_then_it_is_found() {
     let defect = Defect::LeaseFromAnswer;
-    let stories = (740..746).flat_map(|seed| violations(defect, || woken_behind_a_cut(seed)));
-    assert_found(defect, &stories.collect::<Vec<String>>());
+    let violated =
+        (740..746).flat_map(|seed| violations(defect, || resumed_behind_a_partition(seed)));
+    assert_detected(defect, &violated.collect::<Vec<String>>());
 }
 
 /// How often a repeatable request runs whose first server hangs until long after its key was removed, and then crashes.
@@ -247,7 +248,7 @@
     };
     set_all(hangs);
     let client = cluster.client(false);
-    let asked = ClientRequest {
+    let client_request = ClientRequest {
         retries: 0,
         deadline: Duration::from_secs(8),
         ..request(RouteKind::Idempotent, "b41")
@@ -260,7 +261,7 @@
         let server = runs(&cluster).pop().expect("the request ran");
         cluster.crash_server(&server);
     };
-    tokio::join!(client.send(&asked), later);
+    tokio::join!(client.send(&client_request), later);
     sleep(Duration::from_secs(1)).await;
     runs(&cluster).len()
 }
--- a/crates/sparrouter-simulation/tests/scripted/mod.rs
+++ b/crates/sparrouter-simulation/tests/scripted/mod.rs
@@ -18,35 +18,35 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-const BEAT: Duration = Duration::from_millis(800);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(800);
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 const SERVER_PORT: u16 = 8080;
 
 /// What a scripted server does with one request. `{id}` in a text stands for the request's attempt id.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Reaction {
     /// Answers once the request is in.
-    ClientResponse(String),
-    AnswerAfter(Duration, String),
+    Respond(String),
+    RespondAfter(Duration, String),
     /// Answers when it has the head, and reads the body only so much later.
-    AnswerEarly(String, Duration),
+    RespondEarly(String, Duration),
     /// Answers and ends the connection.
-    AnswerAndEnd(String),
+    RespondAndEnd(String),
     /// Answers and resets the connection.
-    AnswerAndReset(String),
+    RespondAndReset(String),
     /// Answers with the beginning of a stream, and goes on with nothing until the caller leaves.
-    AnswerAndStay(String),
+    RespondAndStall(String),
     Reset,
     /// Resets with the body unread.
-    ResetAtHead,
+    ResetBeforeBody,
     End,
-    Unresponsive,
+    NoResponse,
 }
 
 /// One request as a server saw it.
 #[derive(Clone, Debug)]
-pub struct Heard {
-    pub at: Instant,
+pub struct ReceivedRequest {
+    pub received_at: Instant,
     pub server: usize,
     pub connection: usize,
     pub head: RequestHead,
@@ -54,7 +54,7 @@
     pub body: Option<Bytes>,
 }
 
-impl Heard {
+impl ReceivedRequest {
     pub fn text(&self, name: &str) -> Option<&str> {
         self.head.fields.text(name)
     }
@@ -64,33 +64,33 @@
     }
 }
 
-type Script = Rc<dyn Fn(&RequestHead, usize) -> Act>;
+type Script = Rc<dyn Fn(&RequestHead, usize) -> Reaction>;
 
 /// Servers that follow one script, and what they saw.
 pub struct Servers {
     script: Script,
     connections: Cell<usize>,
-    pub heard: RefCell<Vec<Heard>>,
+    pub received: RefCell<Vec<ReceivedRequest>>,
     /// Bytes that came where the rest of a body was due, or that are no request.
-    pub spoilt: RefCell<Vec<String>>,
-    /// When connections on which a request was silent ended.
-    pub ended: RefCell<Vec<Instant>>,
+    pub unexpected_bytes: RefCell<Vec<String>>,
+    /// When connections on which a request was silent disconnects.
+    pub disconnects: RefCell<Vec<Instant>>,
 }
 
-/// How a request on a route ended for the client.
+/// How a request on a route disconnects for the client.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct Received {
     /// 0: no head of an answer came.
     pub status: u16,
     pub text: String,
     /// The answer came to the end that its framing has.
     pub is_complete: bool,
     /// Bytes came where the protocol has none.
-    pub spoilt: bool,
+    pub unexpected_bytes: bool,
     pub retry_after: bool,
     /// It bears a server's seal.
-    pub sealed: bool,
-    pub took: Duration,
+    pub is_sealed: bool,
+    pub elapsed: Duration,
 }
 
 impl Servers {
@@ -98,20 +98,20 @@
     pub async fn start(
         cluster: &SimulatedCluster,
         count: usize,
-        script: impl Fn(&RequestHead, usize) -> Act + 'static,
+        script: impl Fn(&RequestHead, usize) -> Reaction + 'static,
     ) -> Rc<Servers> {
         let servers = Rc::new(Servers {
             script: Rc::new(script),
             connections: Cell::new(0),
-            heard: RefCell::default(),
-            spoilt: RefCell::default(),
-            ended: RefCell::default(),
+            received: RefCell::default(),
+            unexpected_bytes: RefCell::default(),
+            disconnects: RefCell::default(),
         });
         for n in 0..count {
             servers.clone().host(cluster, n, &id_of(n));
         }
         // A process sends nothing again in its first window of the retry budget.
-        sleep(BEAT + cluster.settings.bounds.budget_window).await;
+        sleep(HEARTBEAT_INTERVAL + cluster.settings.bounds.budget_window).await;
         servers
     }
 
@@ -122,7 +122,7 @@
         let net = NetworkInterface::new(cluster.network.clone(), ip);
         let address = SocketAddr::new(ip, SERVER_PORT);
         let listener = net.open(address).expect("a free address");
-        spawn_local(beat(
+        spawn_local(send_heartbeats(
             net,
             cluster.control.borrow().clone(),
             id.to_owned(),
@@ -140,15 +140,15 @@
 
     /// Requests of clients that reached a server.
     pub fn runs(&self) -> usize {
-        let heard = self.heard.borrow();
-        heard
+        let received = self.received.borrow();
+        received
             .iter()
             .filter(|h| !h.path().starts_with("/api/"))
             .count()
     }
 
-    pub fn last(&self) -> Heard {
-        self.heard.borrow().last().expect("a request").clone()
+    pub fn last(&self) -> ReceivedRequest {
+        self.received.borrow().last().expect("a request").clone()
     }
 
     /// Answers a question for events as one who keeps nothing.
@@ -169,12 +169,14 @@
         loop {
             let bytes = match reading::head(&mut stream, &mut buffer, b"", 64 << 10).await {
                 Ok(bytes) => bytes,
-                Err(ReadError::Bad(bad)) => return self.spoilt.borrow_mut().push(bad.0.to_owned()),
+                Err(ReadError::Bad(bad)) => {
+                    return self.unexpected_bytes.borrow_mut().push(bad.0.to_owned());
+                }
                 Err(_) => return,
             };
             let head = match head::parse_request(&bytes) {
                 Ok(head) => head,
-                Err(bad) => return self.spoilt.borrow_mut().push(bad.0.to_owned()),
+                Err(bad) => return self.unexpected_bytes.borrow_mut().push(bad.0.to_owned()),
             };
             if head.target.starts_with(b"/api/kv-") {
                 if !self.no_events(&mut stream).await {
@@ -182,10 +184,10 @@
                 }
                 continue;
             }
-            let act = (self.script)(&head, self.runs());
-            let index = self.heard.borrow().len();
-            self.heard.borrow_mut().push(Heard {
-                at: Instant::now(),
+            let reaction = (self.script)(&head, self.runs());
+            let index = self.received.borrow().len();
+            self.received.borrow_mut().push(ReceivedRequest {
+                received_at: Instant::now(),
                 server,
                 connection,
                 head: head.clone(),
@@ -197,45 +199,45 @@
                 .unwrap_or_default()
                 .to_owned();
             let fill = |text: &str| text.replace("{id}", &id);
-            if matches!(act, Act::ResetAtHead) {
+            if matches!(reaction, Reaction::ResetBeforeBody) {
                 return stream.abort();
             }
-            if let Act::AnswerEarly(text, pause) = &act {
+            if let Reaction::RespondEarly(text, pause) = &reaction {
                 if stream.write_all(fill(text).as_bytes()).await.is_err() {
                     return;
                 }
                 sleep(*pause).await;
             }
             match http::read_body(&mut stream, &mut buffer, head.framing, 16 << 20).await {
-                Ok(body) => self.heard.borrow_mut()[index].body = body,
+                Ok(body) => self.received.borrow_mut()[index].body = body,
                 Err(_) => return,
             }
-            let written = match act {
-                Act::ClientResponse(text) => stream.write_all(fill(&text).as_bytes()).await,
-                Act::AnswerAfter(wait, text) => {
+            let written = match reaction {
+                Reaction::Respond(text) => stream.write_all(fill(&text).as_bytes()).await,
+                Reaction::RespondAfter(wait, text) => {
                     sleep(wait).await;
                     stream.write_all(fill(&text).as_bytes()).await
                 }
-                Act::AnswerAndEnd(text) => {
+                Reaction::RespondAndEnd(text) => {
                     let _ = stream.write_all(fill(&text).as_bytes()).await;
                     return;
                 }
-                Act::AnswerAndReset(text) => {
+                Reaction::RespondAndReset(text) => {
                     let _ = stream.write_all(fill(&text).as_bytes()).await;
                     sleep(Duration::from_millis(20)).await;
                     return stream.abort();
                 }
-                Act::Reset => return stream.abort(),
-                Act::End => return,
-                Act::Unresponsive | Act::AnswerAndStay(_) => {
-                    if let Act::AnswerAndStay(text) = act {
+                Reaction::Reset => return stream.abort(),
+                Reaction::End => return,
+                Reaction::NoResponse | Reaction::RespondAndStall(_) => {
+                    if let Reaction::RespondAndStall(text) = reaction {
                         let _ = stream.write_all(fill(&text).as_bytes()).await;
                     }
                     // Until the caller leaves.
                     while reading::more(&mut stream, &mut buffer).await.is_ok() {}
-                    return self.ended.borrow_mut().push(Instant::now());
+                    return self.disconnects.borrow_mut().push(Instant::now());
                 }
-                Act::AnswerEarly(..) | Act::ResetAtHead => Ok(()),
+                Reaction::RespondEarly(..) | Reaction::ResetBeforeBody => Ok(()),
             };
             if written.is_err() {
                 return;
@@ -248,7 +250,12 @@
     format!("i-scripted-{n}")
 }
 
-async fn beat(net: NetworkInterface, control: Vec<SocketAddr>, id: String, address: SocketAddr) {
+async fn send_heartbeats(
+    net: NetworkInterface,
+    control: Vec<SocketAddr>,
+    id: String,
+    address: SocketAddr,
+) {
     for sequence in 1u64.. {
         let body = format!(
             "{{\"service\":\"models\",\"address\":\"{address}\",\"zone\":\"lalitpur\",\"version\":\"v1\",\
@@ -260,7 +267,7 @@
         let path = format!("/api/instances/{id}");
         // A beat that gets lost is followed by the next one.
         let _ = http_messages::call(&net, to, "PUT", &path, &[], &body, CALL_TIMEOUT).await;
-        sleep(BEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
@@ -288,7 +295,7 @@
 }
 
 /// One request of a client: fields in addition to the usual ones, and a body.
-pub struct Ask<'a> {
+pub struct ScriptedRequest<'a> {
     pub path: &'a str,
     pub id: &'a str,
     pub fields: &'a str,
@@ -296,18 +303,18 @@
     /// The client leaves after so long.
     pub disconnects_after: Option<Duration>,
     /// Pause in the middle of the body.
-    pub pause: Duration,
+    pub body_pause: Duration,
 }
 
-impl<'a> Ask<'a> {
-    pub fn new(path: &'a str, id: &'a str) -> Ask<'a> {
-        Ask {
+impl<'a> ScriptedRequest<'a> {
+    pub fn new(path: &'a str, id: &'a str) -> ScriptedRequest<'a> {
+        ScriptedRequest {
             path,
             id,
             fields: "Sparrouter-Deadline-Ms: 3000\r\n",
             body: Bytes::from_static(b"a body"),
             disconnects_after: None,
-            pause: Duration::ZERO,
+            body_pause: Duration::ZERO,
         }
     }
 
@@ -325,7 +332,7 @@
     }
 
     /// Sends it to a node on a connection of its own, and reads what comes for up to 20 s.
-    pub async fn at(&self, cluster: &SimulatedCluster, node: &str) -> Got {
+    pub async fn send_to(&self, cluster: &SimulatedCluster, node: &str) -> Received {
         let began = Instant::now();
         let net = cluster.outside_network();
         let mut stream = net
@@ -333,61 +340,61 @@
             .await
             .expect("a connection");
         let (first, rest) = self.body.split_at(self.body.len() / 2);
-        let mut got = Got {
+        let mut response = Received {
             status: 0,
             text: String::new(),
             is_complete: false,
-            spoilt: false,
+            unexpected_bytes: false,
             retry_after: false,
-            sealed: false,
-            took: Duration::ZERO,
+            is_sealed: false,
+            elapsed: Duration::ZERO,
         };
-        let talk = async {
+        let exchange = async {
             stream.write_all(self.head().as_bytes()).await.ok()?;
             stream.write_all(first).await.ok()?;
-            sleep(self.pause).await;
+            sleep(self.body_pause).await;
             stream.write_all(rest).await.ok()?;
-            read(&mut stream, &mut got).await
+            read(&mut stream, &mut response).await
         };
         // Whatever came until then is looked at.
         let _ = timeout(
             self.disconnects_after.unwrap_or(Duration::from_secs(20)),
-            talk,
+            exchange,
         )
         .await;
-        got.took = began.elapsed();
-        got
+        response.elapsed = began.elapsed();
+        response
     }
 }
 
-async fn read(stream: &mut Socket, got: &mut Got) -> Option<()> {
+async fn read(stream: &mut Socket, response: &mut Received) -> Option<()> {
     let mut buffer = BytesMut::new();
     let bytes = reading::head(stream, &mut buffer, head::REPLY, 64 << 10)
         .await
         .ok()?;
     let head = head::parse_response(&bytes).ok()?;
-    got.status = head.status;
-    got.sealed = head.fields.get("sparrouter-response-seal").is_some();
-    got.retry_after = head.fields.get("retry-after").is_some();
+    response.status = head.status;
+    response.is_sealed = head.fields.get("sparrouter-response-seal").is_some();
+    response.retry_after = head.fields.get("retry-after").is_some();
     let mut chunks = ChunkDecoder::default();
     if let head::Framing::Length(length) = head.framing {
         while buffer.len() < length {
             reading::more(stream, &mut buffer).await.ok()?;
         }
-        got.text = String::from_utf8_lossy(&buffer[..length]).into_owned();
-        got.is_complete = true;
+        response.text = String::from_utf8_lossy(&buffer[..length]).into_owned();
+        response.is_complete = true;
         return Some(());
     }
     loop {
         match chunks.next(&mut buffer) {
-            Ok(ChunkEvent::Data(piece)) => got.text.push_str(&String::from_utf8_lossy(&piece)),
+            Ok(ChunkEvent::Data(piece)) => response.text.push_str(&String::from_utf8_lossy(&piece)),
             Ok(ChunkEvent::More) => reading::more(stream, &mut buffer).await.ok()?,
             Ok(ChunkEvent::End) => {
-                got.is_complete = true;
+                response.is_complete = true;
                 return Some(());
             }
             Err(_) => {
-                got.spoilt = true;
+                response.unexpected_bytes = true;
                 return None;
             }
         }
--- a/crates/sparrouter-simulation/tests/server_orders.rs
+++ b/crates/sparrouter-simulation/tests/server_orders.rs
@@ -1,7 +1,7 @@
 //! Orders to servers: whom they are for, and what happens where their answers are lost.
 mod scripted;
 
-use scripted::{Act, Heard, Servers, answer, id_of};
+use scripted::{Reaction, ReceivedRequest, Servers, answer, id_of};
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_http::head::RequestHead;
 use sparrouter_simulation::runtime::play;
@@ -11,13 +11,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-fn report(version: u64, is_busy: bool, call_sequence: u64) -> Act {
+fn report(version: u64, is_busy: bool, call_sequence: u64) -> Reaction {
     let body = format!(
         "{{\"serving_stage\":\"both\",\"models\":[{{\"name\":\"{MODEL}\",\"version\":{version},\"adapters\":[]}}],\
          \"is_busy\":{is_busy},\"call_sequence\":{call_sequence},\"queued\":0,\"running\":0,\"kv_used_tokens\":0,\
          \"kv_capacity\":1000,\"handle_count\":0}}"
     );
-    Act::ClientResponse(answer(200, "", &body))
+    Reaction::Respond(answer(200, "", &body))
 }
 
 fn is_order(head: &RequestHead) -> bool {
@@ -28,28 +28,28 @@
 async fn orders(
     seed: u64,
     count: usize,
-    script: impl Fn(&RequestHead) -> Act + 'static,
-) -> Vec<Heard> {
+    script: impl Fn(&RequestHead) -> Reaction + 'static,
+) -> Vec<ReceivedRequest> {
     let cluster = scripted::cluster(seed).await;
     let servers = Servers::start(&cluster, count, move |head, _| script(head)).await;
     assert!(cluster.operator.name_version(2).await);
     sleep(Duration::from_secs(6)).await;
-    let heard = servers.heard.borrow();
-    heard
+    let received = servers.received.borrow();
+    received
         .iter()
         .filter(|h| is_order(&h.head))
         .cloned()
         .collect()
 }
 
-fn body(order: &Heard) -> String {
+fn body(order: &ReceivedRequest) -> String {
     let body = order.body.as_deref().expect("a whole order");
     String::from_utf8_lossy(body).into_owned()
 }
 
 fn orders_name_their_server() -> bool {
     let orders = play(orders(240, 2, |head| match is_order(head) {
-        true => Act::ClientResponse(answer(202, "", "")),
+        true => Reaction::Respond(answer(202, "", "")),
         false => report(2, false, 1),
     }));
     assert!(!orders.is_empty());
@@ -73,7 +73,7 @@
     let orders = play(orders(241, 1, move |head| {
         if is_order(head) {
             ordered.set(ordered.get() + 1);
-            return Act::Unresponsive;
+            return Reaction::NoResponse;
         }
         report(1, ordered.get() > 0, ordered.get())
     }));
@@ -89,8 +89,8 @@
         }
         ordered.set(ordered.get() + 1);
         match ordered.get() {
-            1 => Act::Unresponsive,
-            _ => Act::ClientResponse(answer(202, "", "")),
+            1 => Reaction::NoResponse,
+            _ => Reaction::Respond(answer(202, "", "")),
         }
     }));
     assert_eq!(orders.len(), 2);
@@ -101,7 +101,7 @@
 #[test]
 fn given_another_server_at_the_address_when_it_says_so_then_the_order_is_not_sent_again() {
     let orders = play(orders(243, 1, |head| match is_order(head) {
-        true => Act::ClientResponse(answer(421, "Sparrouter-Instance-Id: another\r\n", "")),
+        true => Reaction::Respond(answer(421, "Sparrouter-Instance-Id: another\r\n", "")),
         false => report(1, false, 0),
     }));
     // The old id still sends heartbeats here, with each of which it counts as there again: every 0.8 s for 6 s.
--- a/crates/sparrouter-simulation/tests/servers.rs
+++ b/crates/sparrouter-simulation/tests/servers.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const PAUSE: Duration = Duration::from_millis(120);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(120);
 
 #[test]
 fn given_a_drain_that_one_node_acknowledges_then_it_binds_all_in_time() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(60)).await;
-        let load = ClientLoad::start(&cluster, 12, PAUSE);
+        let load = ClientLoad::start(&cluster, 12, REQUEST_INTERVAL);
         sleep(Duration::from_secs(1)).await;
         for id in cluster.server_ids() {
             cluster.add_server("models", ZONES[1]);
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn given_a_late_beat_with_a_lower_number_when_a_server_drains_then_it_undoes_nothing() {
+fn given_a_late_heartbeat_with_a_lower_number_when_a_server_drains_then_it_undoes_nothing() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(61).servers(2)).await;
-        let load = ClientLoad::start(&cluster, 10, PAUSE);
+        let load = ClientLoad::start(&cluster, 10, REQUEST_INTERVAL);
         let id = cluster.server_ids().remove(0);
         cluster.server(&id).duplicate_first_heartbeat.set(true);
         cluster.server(&id).drain();
@@ -50,7 +50,7 @@
 fn given_an_address_that_another_service_has_now_then_nothing_runs_there() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(62).servers(3)).await;
-        let load = ClientLoad::start(&cluster, 10, PAUSE);
+        let load = ClientLoad::start(&cluster, 10, REQUEST_INTERVAL);
         sleep(Duration::from_secs(1)).await;
         let id = cluster.server_ids().remove(0);
         let address = cluster.crash_server(&id);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn given_a_server_that_resets_after_it_ran_when_not_repeatable_then_it_never_runs_twice() {
+fn given_a_server_that_resets_after_it_ran_when_not_retryable_then_it_never_runs_twice() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(63).servers(2)).await;
         cluster.set_server_faults(ServerFaults {
@@ -79,11 +79,11 @@
             } else {
                 RouteKind::Streaming
             };
-            let word = if n % 2 == 0 { "b20" } else { "s4" };
+            let response_spec = if n % 2 == 0 { "b20" } else { "s4" };
             match client
                 .send(&ClientRequest {
                     prompt_id: format!("{n:08x}"),
-                    ..request(kind, word)
+                    ..request(kind, response_spec)
                 })
                 .await
             {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn given_servers_that_break_off_resumable_streams_then_they_are_taken_up_whole_and_once() {
+fn given_servers_that_break_off_resumable_streams_then_they_are_resumed_complete_and_once() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(64).servers(4)).await;
         cluster.set_server_faults(ServerFaults {
@@ -129,7 +129,7 @@
             surplus: 0.3,
             ..ServerFaults::default()
         });
-        let load = ClientLoad::start(&cluster, 12, PAUSE);
+        let load = ClientLoad::start(&cluster, 12, REQUEST_INTERVAL);
         sleep(Duration::from_secs(8)).await;
         load.stop().await;
         assert!(load.served_fraction() > 0.9, "{}", load.served_fraction());
@@ -146,7 +146,7 @@
             hangs: 1.0,
             ..ServerFaults::default()
         });
-        let load = ClientLoad::start(&cluster, 24, PAUSE);
+        let load = ClientLoad::start(&cluster, 24, REQUEST_INTERVAL);
         sleep(Duration::from_secs(6)).await;
         load.stop().await;
         assert!(load.served.get() > 20, "{}", load.served.get());
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn given_servers_that_are_full_then_what_is_refused_never_ran() {
+fn given_servers_that_are_full_then_what_is_rejected_never_ran() {
     run_checked(|| async {
         let cluster =
             SimulatedCluster::serving(ClusterSettings::with_seed(67).servers(2).slots(1)).await;
@@ -172,10 +172,10 @@
 }
 
 #[test]
-fn given_open_streams_when_nodes_are_told_to_end_one_by_one_then_none_is_lost() {
+fn given_open_streams_when_nodes_are_shut_down_one_by_one_then_none_is_lost() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(68)).await;
-        let load = ClientLoad::start(&cluster, 16, PAUSE);
+        let load = ClientLoad::start(&cluster, 16, REQUEST_INTERVAL);
         sleep(Duration::from_secs(1)).await;
         for name in cluster.names() {
             let cluster: Rc<SimulatedCluster> = cluster.clone();
--- a/crates/sparrouter-simulation/tests/slow_links.rs
+++ b/crates/sparrouter-simulation/tests/slow_links.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-const LINE: u64 = 10_000_000 / 8;
+const LINK_BYTES_PER_SECOND: u64 = 10_000_000 / 8;
 const KEYS: usize = 1_900;
 const KEY_LENGTH: usize = 250;
 
@@ -30,7 +30,7 @@
     let size = configuration.json().len() as f64;
     assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
     sleep(Duration::from_secs(5)).await;
-    cluster.network.send_rate.set(Some(LINE));
+    cluster.network.send_rate.set(Some(LINK_BYTES_PER_SECOND));
     let names = cluster.names();
     let others: Vec<&String> = names.iter().filter(|n| !n.starts_with("core")).collect();
     others.iter().for_each(|n| cluster.kill(n));
@@ -54,9 +54,9 @@
     while !ready() && began.elapsed() < Duration::from_secs(60) {
         sleep(Duration::from_millis(50)).await;
     }
-    let took = began.elapsed();
+    let elapsed = began.elapsed();
     sleep(Duration::from_secs(5)).await;
-    (took, (written() - before) as f64 / size)
+    (elapsed, (written() - before) as f64 / size)
 }
 
 fn play_restart(others: usize) -> (Duration, f64) {
@@ -65,22 +65,22 @@
 
 #[test]
 fn given_all_nodes_without_a_disk_restarted_at_once_then_each_is_soon_ready_with_few_copies() {
-    let (took, copies) = play_restart(12);
-    assert!(took < Duration::from_secs(5), "{took:?}");
+    let (elapsed, copies) = play_restart(12);
+    assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
     assert!(copies <= 2.5 * 12.0, "{copies:.1} copies");
 }
 
 #[test]
 fn given_more_nodes_than_the_lines_serve_within_a_poll_then_it_ends_all_the_same() {
-    let (took, copies) = play_restart(24);
-    assert!(took < Duration::from_secs(20), "{took:?}");
+    let (elapsed, copies) = play_restart(24);
+    assert!(elapsed < Duration::from_secs(20), "{elapsed:?}");
     assert!(copies <= 6.0 * 24.0, "{copies:.1} copies");
 }
 
 #[test]
 fn given_answers_given_up_while_they_come_in_then_nodes_that_ask_again_and_again_are_found() {
     inject(Some(Defect::VersionLimitNotRestarted));
-    let (took, copies) = play_restart(12);
+    let (elapsed, copies) = play_restart(12);
     inject(None);
-    assert!(took > Duration::from_secs(5) || copies > 2.5 * 12.0);
+    assert!(elapsed > Duration::from_secs(5) || copies > 2.5 * 12.0);
 }
--- a/crates/sparrouter-simulation/tests/split_core.rs
+++ b/crates/sparrouter-simulation/tests/split_core.rs
@@ -9,22 +9,22 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-const CUT: Duration = Duration::from_secs(9);
+const PARTITION_TIME: Duration = Duration::from_secs(9);
 
 /// Cuts the links between the first half of the core and the second, or joins them.
-fn cut_in_halves(cluster: &SimulatedCluster, cut: Option<Partition>) {
+fn split_in_halves(cluster: &SimulatedCluster, partition: Option<Partition>) {
     let core = cluster.core();
     let (first, second) = core.split_at(core.len() / 2);
     for one in first {
         for other in second {
             let (one, other) = (cluster.ip(one), cluster.ip(other));
-            cluster.network.partition_both(one, other, cut);
+            cluster.network.partition_both(one, other, partition);
         }
     }
     cluster
         .monitor
-        .trace(format!("the core is cut in halves: {cut:?}"));
-    match cut {
+        .trace(format!("the core is cut in halves: {partition:?}"));
+    match partition {
         Some(_) => cluster.monitor.fault_began(FaultScope::Core),
         None => {
             cluster.monitor.fault_ended(FaultScope::Core);
@@ -61,12 +61,12 @@
     let load = ClientLoad::start(&cluster, 8, Duration::from_millis(150));
     let before = initial_configuration().with_route(1, "before");
     assert_eq!(cluster.operator.put(&before, 1).await, 200);
-    cut_in_halves(&cluster, Some(Partition::PacketsLost));
+    split_in_halves(&cluster, Some(Partition::PacketsLost));
     let during = before.with_route(1, "during");
     let put = cluster.operator.put(&during, before.version);
-    let reads = read_everywhere(&cluster, CUT);
-    let (status, _) = tokio::join!(tokio::time::timeout(CUT, put), reads);
-    cut_in_halves(&cluster, None);
+    let reads = read_everywhere(&cluster, PARTITION_TIME);
+    let (status, _) = tokio::join!(tokio::time::timeout(PARTITION_TIME, put), reads);
+    split_in_halves(&cluster, None);
     sleep(Duration::from_secs(5)).await;
     // A half that is the larger one may have taken it; two equal ones may not.
     if core.is_multiple_of(2) {
@@ -76,8 +76,11 @@
             "half of {core} acknowledged a change"
         );
     }
-    let share = read_everywhere(&cluster, Duration::from_secs(1)).await;
-    assert!(share > 0.9, "{share} of reads are answered after the cut");
+    let fraction = read_everywhere(&cluster, Duration::from_secs(1)).await;
+    assert!(
+        fraction > 0.9,
+        "{fraction} of reads are answered after the cut"
+    );
     cluster.operator.read_back().await;
     load.stop().await;
     assert!(load.served_fraction() > 0.97, "{}", load.served_fraction());
--- a/crates/sparrouter-simulation/tests/state_files.rs
+++ b/crates/sparrouter-simulation/tests/state_files.rs
@@ -39,9 +39,9 @@
 /// Version of the configuration that was recorded.
 const VERSION: u64 = 5;
 
-struct NoKeeper;
+struct NoWriter;
 
-impl DiskWriter for NoKeeper {
+impl DiskWriter for NoWriter {
     fn start(
         self: Box<Self>,
         _: tokio::sync::mpsc::UnboundedSender<sparrouter_fleet::control::disk::WriteOutcome>,
@@ -77,7 +77,7 @@
     let mut rng = Rng::with_seed(7);
     let files = || Ok(disk.clone());
     open_with(files, &LogBuffer::gathering(), &mut rng, |_| {
-        Box::new(NoKeeper)
+        Box::new(NoWriter)
     })
 }
 
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn given_a_file_of_a_newer_format_when_opened_then_it_is_refused_and_nothing_is_touched() {
+fn given_a_file_of_a_newer_format_when_opened_then_it_is_rejected_and_nothing_is_touched() {
     for (name, _) in RECORDED {
         let mut files = recorded();
         let format = (frame::FORMAT + 1).to_le_bytes();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn given_a_record_of_a_newer_format_when_opened_then_it_is_refused_and_nothing_is_touched() {
+fn given_a_record_of_a_newer_format_when_opened_then_it_is_rejected_and_nothing_is_touched() {
     for (name, _) in RECORDED.iter().filter(|(n, _)| n.starts_with("part-")) {
         let files = with_record(name, |r| r[0] = sparrouter_consensus::codec::FORMAT + 1);
         assert!(is_refused(&files), "{name}");
@@ -180,8 +180,8 @@
 #[test]
 fn given_a_damaged_file_when_opened_then_the_machine_joins_as_a_new_one() {
     for (name, bytes) in RECORDED {
-        let cut = [0, 1, frame::HEAD, bytes.len() / 2, bytes.len() - 1];
-        let damaged = cut.iter().map(|&at| bytes[..at].to_vec());
+        let truncated = [0, 1, frame::HEAD, bytes.len() / 2, bytes.len() - 1];
+        let damaged = truncated.iter().map(|&at| bytes[..at].to_vec());
         let flipped = (0..bytes.len()).step_by(7).map(|at| {
             let mut bytes = bytes.to_vec();
             bytes[at] ^= 0x40;
@@ -202,10 +202,11 @@
 }
 
 #[test]
-fn given_a_record_that_is_none_in_a_whole_file_when_opened_then_the_machine_joins_as_a_new_one() {
+fn given_a_record_that_is_none_in_a_complete_file_when_opened_then_the_machine_joins_as_a_new_one()
+{
     for (name, _) in RECORDED.iter().filter(|(n, _)| n.starts_with("part-")) {
-        let cut = with_record(name, |r| r.truncate(r.len() - 1));
-        assert!(joins_as_new(&cut), "{name} cut");
+        let truncated = with_record(name, |r| r.truncate(r.len() - 1));
+        assert!(joins_as_new(&truncated), "{name} cut");
         let older = with_record(name, |r| r[0] = 0);
         assert!(joins_as_new(&older), "{name} of an older format");
     }
@@ -214,14 +215,14 @@
 #[test]
 fn given_a_record_that_counts_as_none_under_the_old_disk_then_these_tests_find_it() {
     inject(Some(Defect::RecordForgotten));
-    let cut = with_record(CONFIGURATION, |r| r.truncate(r.len() - 1));
-    let joins = joins_as_new(&cut);
+    let truncated = with_record(CONFIGURATION, |r| r.truncate(r.len() - 1));
+    let joins = joins_as_new(&truncated);
     inject(None);
     assert!(!joins);
 }
 
 #[test]
-fn given_a_body_that_is_none_when_read_then_it_is_refused_and_never_half_read() {
+fn given_a_body_that_is_none_when_read_then_it_is_rejected_and_never_half_read() {
     let contents = open(&disk_of(&recorded())).expect("this release reads it");
     let record = record(contents.records[0].as_ref().expect("the configuration's"));
     let body = &record.accepted.expect("a vote").state.body;
--- a/crates/sparrouter-simulation/tests/versions.rs
+++ b/crates/sparrouter-simulation/tests/versions.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const PAUSE: Duration = Duration::from_millis(150);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Nine servers, of which each takes so long for new weights that a rollout takes longer than the time limit.
 fn slow_rollout(seed: u64) -> ClusterSettings {
@@ -32,7 +32,7 @@
 /// Versions named one after another, each long before all servers run the one before it.
 async fn overlapping_versions(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(slow_rollout(seed)).await;
-    let load = ClientLoad::start(&cluster, 12, PAUSE);
+    let load = ClientLoad::start(&cluster, 12, REQUEST_INTERVAL);
     name_versions(&cluster, 5, Duration::from_millis(2_500)).await;
     sleep(Duration::from_secs(10)).await;
     load.stop().await;
@@ -42,7 +42,7 @@
 /// Every node that takes clients alone starts anew between two versions and the first limit.
 async fn restarted_between(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(slow_rollout(seed)).await;
-    let load = ClientLoad::start(&cluster, 12, PAUSE);
+    let load = ClientLoad::start(&cluster, 12, REQUEST_INTERVAL);
     name_versions(&cluster, 3, Duration::from_millis(2_000)).await;
     sleep(Duration::from_millis(500)).await;
     for edge in ["edge-0", "edge-1", "edge-2"] {
@@ -68,7 +68,7 @@
             .load_time(Duration::from_secs(9)),
     )
     .await;
-    let load = ClientLoad::start(&cluster, 12, PAUSE);
+    let load = ClientLoad::start(&cluster, 12, REQUEST_INTERVAL);
     name_versions(&cluster, 2, Duration::from_millis(100)).await;
     for round in 0..4 {
         let name = format!("core-{}", (seed + round) % 3);
@@ -110,25 +110,25 @@
 }
 
 #[test]
-fn given_a_node_restarted_after_versions_were_named_when_in_touch_then_it_goes_by_their_age() {
+fn given_a_node_restarted_after_versions_were_named_when_in_contact_then_it_goes_by_their_age() {
     for seed in 320..323 {
         run_checked(|| restarted_between(seed));
     }
     for defect in [Defect::StartMovesLimits, Defect::VersionAgeUnreported] {
         let broken = violations(defect, restarted_between, 320..323);
-        let is_found = broken.iter().any(|b| b.starts_with("VERSION"));
-        assert!(is_found, "{defect:?}: {broken:?}");
+        let is_detected = broken.iter().any(|b| b.starts_with("VERSION"));
+        assert!(is_detected, "{defect:?}: {broken:?}");
     }
 }
 
 #[test]
-fn given_calm_stretches_that_add_up_when_none_is_long_then_nothing_begins_on_an_older_version() {
+fn given_healthy_stretches_that_add_up_when_none_is_long_then_nothing_begins_on_an_older_version() {
     for seed in 350..353 {
         run_checked(|| never_calm_for_long(seed));
     }
     let broken = violations(Defect::VersionSumIgnored, never_calm_for_long, 350..353);
-    let is_found = broken.iter().any(|b| b.starts_with("VERSION"));
-    assert!(is_found, "{broken:?}");
+    let is_detected = broken.iter().any(|b| b.starts_with("VERSION"));
+    assert!(is_detected, "{broken:?}");
 }
 
 /// All core processes are killed in the middle of a slow rollout, which forgets when the version was named; the other
@@ -145,7 +145,7 @@
             .load_time(Duration::from_secs(12)),
     )
     .await;
-    let load = ClientLoad::start(&cluster, 12, PAUSE);
+    let load = ClientLoad::start(&cluster, 12, REQUEST_INTERVAL);
     name_versions(&cluster, 2, Duration::from_millis(5_500)).await;
     for _ in 0..2 {
         cluster.core().iter().for_each(|name| cluster.kill(name));
@@ -166,8 +166,8 @@
         run_checked(|| core_forgets_the_age(seed));
     }
     let broken = violations(Defect::VersionAgeUnreturned, core_forgets_the_age, 354..357);
-    let is_found = broken.iter().any(|b| b.starts_with("VERSION"));
-    assert!(is_found, "{broken:?}");
+    let is_detected = broken.iter().any(|b| b.starts_with("VERSION"));
+    assert!(is_detected, "{broken:?}");
 }
 
 /// Versions at drawn moments, servers of drawn slowness, and restarts of nodes in between, by one seed.
@@ -180,7 +180,7 @@
             .load_time(Duration::from_millis(rng.u64(300..5_000))),
     )
     .await;
-    let load = ClientLoad::start(&cluster, 10, PAUSE);
+    let load = ClientLoad::start(&cluster, 10, REQUEST_INTERVAL);
     let newest = rng.u64(2..6);
     let naming = async {
         for version in 2..=newest {
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn given_drawn_rollouts_with_restarts_between_then_no_rule_is_broken() {
+fn given_drawn_rollouts_with_restarts_between_then_no_rule_is_violated() {
     for seed in drawn_seeds() {
         println!("rollout {seed}");
         run_checked(|| drawn_rollout(seed));
@@ -252,7 +252,7 @@
         let cluster =
             SimulatedCluster::serving(slow_rollout(340).load_time(Duration::from_millis(1_800)))
                 .await;
-        let load = ClientLoad::start(&cluster, 12, PAUSE);
+        let load = ClientLoad::start(&cluster, 12, REQUEST_INTERVAL);
         name_versions(&cluster, 4, Duration::from_millis(700)).await;
         sleep(cluster.settings.bounds.version.mul_f64(1.5)).await;
         assert_eq!(outdated(&cluster, 4), 0);
@@ -262,7 +262,8 @@
 }
 
 #[test]
-fn given_a_holder_killed_while_servers_load_when_the_next_version_is_named_then_they_go_on_to_it() {
+fn given_a_lease_owner_killed_while_servers_load_when_the_next_version_is_named_then_they_go_on_to_it()
+ {
     for seed in 360..364 {
         run_checked(|| async {
             let cluster = SimulatedCluster::serving(
@@ -272,16 +273,16 @@
             )
             .await;
             assert!(cluster.operator.name_version(2).await);
-            let holder = loop {
-                if let Some(holder) = cluster.monitor.last_lease_owner() {
-                    break holder.split('@').next().unwrap_or_default().to_owned();
+            let lease_owner = loop {
+                if let Some(lease_owner) = cluster.monitor.last_lease_owner() {
+                    break lease_owner.split('@').next().unwrap_or_default().to_owned();
                 }
                 sleep(Duration::from_millis(5)).await;
             };
             // Servers are at work on orders that its successor has not given.
-            cluster.kill(&holder);
+            cluster.kill(&lease_owner);
             sleep(Duration::from_millis(200)).await;
-            cluster.start(&holder, false);
+            cluster.start(&lease_owner, false);
             assert!(cluster.operator.name_version(3).await);
             cluster.newest_weights.set(3);
             sleep(cluster.settings.bounds.version.mul_f64(1.5)).await;
@@ -307,12 +308,12 @@
     sleep(Duration::from_millis(500)).await;
     cluster.start(restarted, false);
     sleep(Duration::from_secs(12)).await;
-    let mut most: f64 = 0.0;
+    let mut largest: f64 = 0.0;
     for (name, before) in others.iter().zip(before) {
         let after = cluster.metric(name, FIGURE).await.expect("a figure");
-        most = most.max(after - before);
+        largest = largest.max(after - before);
     }
-    most
+    largest
 }
 
 #[test]
@@ -322,8 +323,8 @@
             let settings = ClusterSettings::with_seed(330 + seed).edge_machines(9);
             let cluster = SimulatedCluster::serving(settings).await;
             let restarted = format!("core-{}", seed % 3);
-            let seen = core_changes_by_restart(&cluster, &restarted).await;
-            assert!(seen <= 1.0, "seed {seed}: {seen} changes were seen");
+            let observed = core_changes_by_restart(&cluster, &restarted).await;
+            assert!(observed <= 1.0, "seed {seed}: {observed} changes were seen");
             cluster
         });
     }
--- a/crates/sparrouter-simulation/tests/weights.rs
+++ b/crates/sparrouter-simulation/tests/weights.rs
@@ -6,21 +6,21 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-const PAUSE: Duration = Duration::from_millis(150);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 
-async fn first_order(cluster: &Rc<SimulatedCluster>) -> String {
+async fn first_commanding_node(cluster: &Rc<SimulatedCluster>) -> String {
     let began = Instant::now();
     loop {
-        if let Some(holder) = cluster.monitor.last_lease_owner() {
+        if let Some(lease_owner) = cluster.monitor.last_lease_owner() {
             // A holder names its node and where that is.
-            return holder.split('@').next().unwrap_or_default().to_owned();
+            return lease_owner.split('@').next().unwrap_or_default().to_owned();
         }
         assert!(began.elapsed() < Duration::from_secs(10), "nobody orders");
         sleep(Duration::from_millis(1)).await;
     }
 }
 
-fn ordered_once(cluster: &SimulatedCluster, version: u64) {
+fn assert_loaded_once(cluster: &SimulatedCluster, version: u64) {
     for ((id, loaded), count) in cluster.monitor.load_counts() {
         assert!(
             loaded == version && count == 1,
@@ -33,7 +33,7 @@
 fn given_new_weights_when_named_then_each_server_loads_once_and_all_in_time() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(70).servers(9)).await;
-        let load = ClientLoad::start(&cluster, 12, PAUSE);
+        let load = ClientLoad::start(&cluster, 12, REQUEST_INTERVAL);
         assert!(cluster.operator.name_version(2).await);
         let named = Instant::now();
         cluster.wait_for_weights(2).await;
@@ -44,51 +44,51 @@
         );
         sleep(Duration::from_secs(4)).await;
         load.stop().await;
-        ordered_once(&cluster, 2);
+        assert_loaded_once(&cluster, 2);
         load.assert_all_served();
         cluster
     });
 }
 
 #[test]
-fn given_a_holder_killed_midway_then_another_goes_on_and_nothing_is_loaded_twice() {
+fn given_a_lease_owner_killed_midway_then_another_goes_on_and_nothing_is_loaded_twice() {
     for seed in 0..3 {
         run_checked(|| async {
             let cluster =
                 SimulatedCluster::serving(ClusterSettings::with_seed(71 + seed).servers(6)).await;
-            let load = ClientLoad::start(&cluster, 6, PAUSE);
+            let load = ClientLoad::start(&cluster, 6, REQUEST_INTERVAL);
             assert!(cluster.operator.name_version(2).await);
-            let holder = first_order(&cluster).await;
+            let lease_owner = first_commanding_node(&cluster).await;
             sleep(Duration::from_millis(300 * seed)).await;
-            cluster.kill(&holder);
+            cluster.kill(&lease_owner);
             sleep(Duration::from_millis(400)).await;
-            cluster.start(&holder, false);
+            cluster.start(&lease_owner, false);
             cluster.wait_for_weights(2).await;
             sleep(Duration::from_secs(1)).await;
             load.stop().await;
-            ordered_once(&cluster, 2);
+            assert_loaded_once(&cluster, 2);
             cluster
         });
     }
 }
 
 #[test]
-fn given_a_holder_frozen_midway_when_it_wakes_then_it_orders_nothing_more() {
+fn given_a_lease_owner_frozen_midway_when_it_wakes_then_it_orders_nothing_more() {
     for seed in 0..3 {
         run_checked(|| async {
             let cluster =
                 SimulatedCluster::serving(ClusterSettings::with_seed(81 + seed).servers(6)).await;
-            let load = ClientLoad::start(&cluster, 6, PAUSE);
+            let load = ClientLoad::start(&cluster, 6, REQUEST_INTERVAL);
             assert!(cluster.operator.name_version(2).await);
-            let holder = first_order(&cluster).await;
+            let lease_owner = first_commanding_node(&cluster).await;
             sleep(Duration::from_millis(150 * seed)).await;
-            cluster.freeze(&holder, true);
+            cluster.freeze(&lease_owner, true);
             sleep(Duration::from_secs(7)).await;
-            cluster.freeze(&holder, false);
+            cluster.freeze(&lease_owner, false);
             cluster.wait_for_weights(2).await;
             sleep(Duration::from_secs(2)).await;
             load.stop().await;
-            ordered_once(&cluster, 2);
+            assert_loaded_once(&cluster, 2);
             cluster
         });
     }
@@ -98,7 +98,7 @@
 fn given_servers_replaced_and_restarted_while_weights_change_then_all_end_on_the_newest() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(91).servers(5)).await;
-        let load = ClientLoad::start(&cluster, 8, PAUSE);
+        let load = ClientLoad::start(&cluster, 8, REQUEST_INTERVAL);
         assert!(cluster.operator.name_version(2).await);
         cluster.newest_weights.set(2);
         sleep(Duration::from_millis(400)).await;
