--- a/crates/sparrouter-simulation/examples/availability.rs
+++ b/crates/sparrouter-simulation/examples/availability.rs
@@ -1,6 +1,6 @@
-//! How long no change is taken after a core machine is killed, freezes or is cut off, how long that machine takes to
-//! serve the configuration again once the trouble is over, and how long no lease holder orders new weights when the
-//! trouble is the holder's: whole nodes in virtual time, by seed.
+//! How long no change is accepted after a core machine is killed, freezes or is partitioned, how long that machine takes to
+//! serve the configuration again once the fault is over, and how long no owner of the rollout lease commands new weights
+//! when the fault is the owner's: complete nodes in virtual time, by seed.
 //!
 //! `cargo run --release -p sparrouter-simulation --example availability -- SEEDS THREADS`
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
@@ -15,9 +15,9 @@
 use tokio::time::{Instant, sleep};
 
 const USAGE: &str = "availability SEEDS THREADS; whole numbers";
-/// The trouble lasts so long after the change.
+/// The fault lasts so long after the change.
 const FAULT_TIME: Duration = Duration::from_secs(5);
-/// Pause between two tries.
+/// Time between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// Longest that is waited for anything.
 const MAX_WAIT: Duration = Duration::from_secs(30);
@@ -61,7 +61,7 @@
     None
 }
 
-/// From the trouble of the machine that orders new weights until another one orders under a higher token.
+/// From the fault of the machine that commands new weights until another one commands under a higher token.
 async fn time_without_lease_owner(seed: u64, fault: Fault) -> Option<Duration> {
     let cluster =
         SimulatedCluster::serving(ClusterSettings::with_seed(seed).edge_machines(0).servers(4))
@@ -167,7 +167,7 @@
     let [seeds, threads] = numbers[..] else {
         panic!("{USAGE}");
     };
-    println!("| trouble | what | seeds | p50 ms | p99 ms | most ms | not in 30 s |");
+    println!("| fault | time | seeds | p50 ms | p99 ms | max ms | not in 30 s |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for fault in [Fault::Kill, Fault::Freeze, Fault::Partition] {
         let (changes, backs): (Vec<_>, Vec<_>) =
@@ -176,7 +176,7 @@
                 .map(|m| (m.change, m.back))
                 .unzip();
         println!(
-            "| {fault:?} | no change taken at another machine | {seeds} | {} |",
+            "| {fault:?} | no change accepted at another machine | {seeds} | {} |",
             row(changes)
         );
         println!(
@@ -187,7 +187,7 @@
             play(time_without_lease_owner(seed, fault))
         });
         println!(
-            "| {fault:?} | no holder orders new weights | {seeds} | {} |",
+            "| {fault:?} | no lease owner commands new weights | {seeds} | {} |",
             row(holders)
         );
     }
--- a/crates/sparrouter-simulation/examples/order_load.rs
+++ b/crates/sparrouter-simulation/examples/order_load.rs
@@ -1,4 +1,4 @@
-//! Operators at once over a core in trouble, seed after seed, each history checked for linearizability:
+//! Operators at once over a core with faults, seed after seed, each history checked for linearizability:
 //! `cargo run --release -p sparrouter-simulation --example order_load -- FIRST COUNT [DEFECT]`.
 //!
 //! With DEFECT that mistake is planted, to see which seeds find it.
--- a/crates/sparrouter-simulation/examples/reconfiguration_times.rs
+++ b/crates/sparrouter-simulation/examples/reconfiguration_times.rs
@@ -18,7 +18,7 @@
     Replaced,
     /// Its disk is lost; it starts again half a second later.
     Wiped,
-    /// Its successor starts two seconds before it is told to end.
+    /// Its successor starts two seconds before it gets SIGTERM.
     Planned,
 }
 
--- a/crates/sparrouter-simulation/src/monitor/event.rs
+++ b/crates/sparrouter-simulation/src/monitor/event.rs
@@ -27,7 +27,7 @@
     pub incarnation: u64,
     /// When the client gives up.
     pub deadline: Instant,
-    /// It was sent on a connection that had carried another request.
+    /// It was sent on a connection that carried an earlier request.
     pub reused_connection: bool,
 }
 
--- a/crates/sparrouter-simulation/tests/bootstrap.rs
+++ b/crates/sparrouter-simulation/tests/bootstrap.rs
@@ -50,7 +50,7 @@
         for name in &core {
             cluster.kill(name);
         }
-        // Rows are advice: what a disk keeps of them may be lost, the control state may not.
+        // Membership records on disk are hints: they may be lost, the control state may not.
         for name in &core {
             cluster.disk(name).lose_membership_records();
         }
@@ -59,18 +59,18 @@
         }
         sleep(Duration::from_secs(4)).await;
         for name in &core {
-            let at = cluster.control_of(name);
+            let address = cluster.control_of(name);
             let net = cluster.outside_network();
-            let asked = http_messages::call(
+            let call = http_messages::call(
                 &net,
-                at,
+                address,
                 "GET",
                 "/api/status",
                 &[],
                 "",
                 Duration::from_secs(1),
             );
-            let reply = asked.await.expect("a node of the core answers");
+            let reply = call.await.expect("a node of the core answers");
             for other in cluster.names() {
                 let row = format!("{{\"name\":\"{other}\",");
                 assert!(
@@ -98,11 +98,11 @@
         sleep(Duration::from_millis(500)).await;
         cluster.start("edge-0", false);
         sleep(Duration::from_millis(2)).await;
-        let asked = ClientRequest {
+        let client_request = ClientRequest {
             retries: 0,
             ..request(RouteKind::Idempotent, "b5")
         };
-        let outcome = cluster.send_to_node(&asked, "edge-0").await;
+        let outcome = cluster.send_to_node(&client_request, "edge-0").await;
         assert_eq!(outcome, RequestOutcome::Served);
         cluster
     });
--- a/crates/sparrouter-simulation/tests/checkers.rs
+++ b/crates/sparrouter-simulation/tests/checkers.rs
@@ -1,7 +1,7 @@
-//! The judge itself: each rule is broken on purpose, and must be found broken by its name.
+//! The checkers themselves: each rule is violated on purpose, and must be found violated by its name.
 use bytes::Bytes;
 use sparrouter_simulation::cluster::{HOST, KEY, initial_configuration};
-use sparrouter_simulation::configuration::{Route, RouteKind};
+use sparrouter_simulation::configuration::{Configuration, RouteKind};
 use sparrouter_simulation::monitor::{
     Attempt, Bounds, CachedBlock, ClientResponse, FaultScope, Monitor, Run,
 };
@@ -68,11 +68,29 @@
         .into_bytes()
 }
 
-/// A judge who knows the first plan as acknowledged, and the time to settle over.
+fn rejection(status: u16) -> ClientResponse {
+    ClientResponse {
+        status,
+        is_complete: true,
+        ..ClientResponse::default()
+    }
+}
+
+/// The operator submits a configuration on top of `base`, and a node acknowledges it.
+fn acknowledge(monitor: &Monitor, configuration: &Configuration, base: u64) {
+    let submission = monitor.configuration_submitted(configuration, base, true);
+    monitor.configuration_acknowledged(submission);
+}
+
+/// The initial configuration without the route `/idem/`, as its next version.
+fn without_idem() -> Configuration {
+    initial_configuration().next(1, |next| next.routes.retain(|route| route.name != "idem"))
+}
+
+/// A monitor that knows the initial configuration as acknowledged for longer than any bound.
 async fn monitor() -> Monitor {
     let monitor = Monitor::new(Bounds::default());
-    let submission = monitor.configuration_submitted(&initial_configuration(), 0, true);
-    monitor.configuration_acknowledged(submission);
+    acknowledge(&monitor, &initial_configuration(), 0);
     sleep(Duration::from_secs(10)).await;
     monitor
 }
@@ -87,10 +105,18 @@
     let violations = monitor.violations();
     assert!(
         violations.iter().any(|b| b.starts_with(rule)),
-        "{rule} was not found broken: {violations:?}"
+        "{rule} was not found violated: {violations:?}"
     );
 }
 
+fn assert_rule(monitor: &Monitor, rule: &str, is_violated: bool) {
+    if is_violated {
+        assert_violated(monitor, rule);
+    } else {
+        assert_none(monitor);
+    }
+}
+
 fn assert_none(monitor: &Monitor) {
     assert!(
         monitor.violations().is_empty(),
@@ -222,14 +248,7 @@
             if before {
                 monitor.run_started(&run("a", "/once/b3"));
             }
-            monitor.response_received(
-                "a",
-                &ClientResponse {
-                    status: 503,
-                    is_complete: true,
-                    ..ClientResponse::default()
-                },
-            );
+            monitor.response_received("a", &rejection(503));
             monitor.run_started(&run("a", "/once/b3"));
             assert_violated(&monitor, "REFUSED");
         }
@@ -264,54 +283,34 @@
     play(async {
         let without_idem =
             || initial_configuration().next(1, |p| p.routes.retain(|r| r.name != "idem"));
-        // Long after the route is gone it still runs.
+        // A request runs long after its route was removed.
         let monitor = monitor().await;
-        let submission = monitor.configuration_submitted(&without_idem(), 1, true);
-        monitor.configuration_acknowledged(submission);
+        acknowledge(&monitor, &without_idem(), 1);
         sleep(Duration::from_secs(3)).await;
         monitor.attempt_sent("a", &attempt(RouteKind::Idempotent, "/idem/b9"));
         monitor.run_started(&run("a", "/idem/b9"));
         assert_violated(&monitor, "CONFIG");
-        // Its effect was seen, then not any more.
+        // A machine shows the effect of a configuration, and goes back to an older one.
         let monitor = self::monitor().await;
         monitor.configuration_submitted(&without_idem(), 1, true);
         monitor.attempt_sent("a", &attempt(RouteKind::Idempotent, "/idem/b9"));
-        monitor.response_received(
-            "a",
-            &ClientResponse {
-                status: 404,
-                is_complete: true,
-                ..ClientResponse::default()
-            },
-        );
+        monitor.response_received("a", &rejection(404));
         assert_none(&monitor);
         sleep(Duration::from_millis(300)).await;
         monitor.attempt_sent("b", &attempt(RouteKind::Idempotent, "/idem/b9"));
         monitor.run_started(&run("b", "/idem/b9"));
         assert_violated(&monitor, "CONFIG");
-        // What was refused is in force.
+        // A rejected configuration is in force.
         let monitor = self::monitor().await;
         let submission = monitor.configuration_submitted(&without_idem(), 1, true);
         monitor.configuration_rejected(submission, 412);
         monitor.attempt_sent("a", &attempt(RouteKind::Idempotent, "/idem/b9"));
-        monitor.response_received(
-            "a",
-            &ClientResponse {
-                status: 404,
-                is_complete: true,
-                ..ClientResponse::default()
-            },
-        );
+        monitor.response_received("a", &rejection(404));
         assert_violated(&monitor, "CONFIG");
-        // Both of a race.
+        // Both changes of a race are acknowledged.
         let monitor = self::monitor().await;
         for step in [1, 2] {
-            let submission = monitor.configuration_submitted(
-                &initial_configuration().next(step, |_| ()),
-                1,
-                true,
-            );
-            monitor.configuration_acknowledged(submission);
+            acknowledge(&monitor, &initial_configuration().next(step, |_| ()), 1);
         }
         assert_violated(&monitor, "CONFIG");
         let monitor = self::monitor().await;
@@ -370,18 +369,14 @@
                 tenant: tenant.map(str::to_owned),
             }]
         };
-        // Mela is isolated, kaje is not, and who has no tenant is nobody's.
+        // The tenant mela is isolated, kaje is not; a run without a tenant belongs to none.
         for (maker, is_violated) in [(Some("kaje"), false), (None, false), (Some("mela"), true)] {
             let monitor = monitor_with_attempt(RouteKind::Idempotent, "/idem/b9").await;
             monitor.run_started(&Run {
                 cached_blocks: blocks_of(maker),
                 ..run("a", "/idem/b9")
             });
-            if is_violated {
-                assert_violated(&monitor, "WALL")
-            } else {
-                assert_none(&monitor)
-            }
+            assert_rule(&monitor, "WALL", is_violated);
         }
         for (maker, is_violated) in [(Some("mela"), false), (Some("kaje"), true), (None, true)] {
             let monitor = monitor().await;
@@ -398,16 +393,12 @@
                 tenant,
                 ..run("a", "/idem/b9")
             });
-            if is_violated {
-                assert_violated(&monitor, "WALL")
-            } else {
-                assert_none(&monitor)
-            }
+            assert_rule(&monitor, "WALL", is_violated);
         }
     });
 }
 
-/// So many requests, each answered so.
+/// Sends so many requests, each with this response.
 fn complete_all(monitor: &Monitor, count: u32, attempt: &Attempt, answer: &ClientResponse) {
     for n in 0..count {
         let id = format!("{}-{}-{n}", attempt.path, answer.status);
@@ -444,7 +435,7 @@
             (5, &proper, of(400), false),
             (6, &proper, of(400), true),
             (6, &proper, of(302), true),
-            // Promises to be tried again, a server's own word, and one that may be refused.
+            // A request for a retry, a server's own response, and a key that no configuration has.
             (50, &proper, of(429), false),
             (50, &proper, sealed, false),
             (50, &unknown, of(401), false),
@@ -457,29 +448,21 @@
             };
             complete_all(&monitor, count, &attempt, &answer);
             monitor.scenario_ended();
-            if is_violated {
-                assert_violated(&monitor, "DENIED")
-            } else {
-                assert_none(&monitor)
-            }
+            assert_rule(&monitor, "DENIED", is_violated);
         }
         let monitor = monitor().await;
         complete_all(&monitor, 494, &proper, &of(503));
         complete_all(&monitor, 6, &proper, &of(400));
         monitor.scenario_ended();
         assert_none(&monitor);
-        // A machine in trouble, and a configuration that may not be in force yet.
+        // A machine with a fault, and a configuration that may not be in force yet.
         let monitor = self::monitor().await;
         monitor.fault_began(FaultScope::Machine(NODE));
         complete_all(&monitor, 50, &proper, &of(400));
         monitor.scenario_ended();
         assert_none(&monitor);
         let monitor = self::monitor().await;
-        monitor.configuration_submitted(
-            &initial_configuration().next(1, |p| p.routes.retain(|r| r.name != "idem")),
-            1,
-            true,
-        );
+        monitor.configuration_submitted(&without_idem(), 1, true);
         complete_all(&monitor, 50, &proper, &of(400));
         monitor.scenario_ended();
         assert_none(&monitor);
@@ -497,12 +480,8 @@
             (20, 0, false, false),
         ] {
             let monitor = monitor().await;
-            let added = initial_configuration().next(1, |p| {
-                p.routes
-                    .push(Route::new("new", RouteKind::Idempotent, "models"))
-            });
-            let submission = monitor.configuration_submitted(&added, 1, true);
-            monitor.configuration_acknowledged(submission);
+            let added = initial_configuration().with_route(1, "new");
+            acknowledge(&monitor, &added, 1);
             sleep(Duration::from_secs(3)).await;
             if !calm {
                 monitor.momentary_fault(FaultScope::Core);
@@ -513,11 +492,7 @@
                     monitor.attempt_sent(&id, &attempt(RouteKind::Idempotent, path));
                     let run = monitor.run_started(&run(&id, path));
                     let good = success(run, body_of(run, 9).into_bytes(), false);
-                    let refused = ClientResponse {
-                        status: 503,
-                        is_complete: true,
-                        ..ClientResponse::default()
-                    };
+                    let refused = rejection(503);
                     monitor.response_received(
                         &id,
                         &ClientResponse {
@@ -528,11 +503,7 @@
                 }
             }
             monitor.scenario_ended();
-            if is_violated {
-                assert_violated(&monitor, "CONFIG")
-            } else {
-                assert_none(&monitor)
-            }
+            assert_rule(&monitor, "CONFIG", is_violated);
         }
     });
 }
@@ -546,15 +517,10 @@
             (initial_configuration().next(3, |_| ()), false),
         ] {
             let monitor = monitor().await;
-            let submission = monitor.configuration_submitted(&next, 1, true);
-            monitor.configuration_acknowledged(submission);
+            acknowledge(&monitor, &next, 1);
             let submission = monitor.configuration_submitted(&second, 1, true);
             monitor.configuration_rejected(submission, 412);
-            if is_violated {
-                assert_violated(&monitor, "CONFIG")
-            } else {
-                assert_none(&monitor)
-            }
+            assert_rule(&monitor, "CONFIG", is_violated);
         }
         let monitor = monitor().await;
         monitor.configuration_read(200, &initial_configuration().json());
@@ -577,11 +543,7 @@
             });
             monitor.command_received("i-1", "x", 5, NODE);
             monitor.command_received("i-1", "y", 4, NODE);
-            if fencing {
-                assert_none(&monitor)
-            } else {
-                assert_violated(&monitor, "ONE")
-            }
+            assert_rule(&monitor, "ONE", !fencing);
         }
     });
 }
@@ -630,11 +592,7 @@
                 monitor.response_received(&id, &ClientResponse::default());
             }
             monitor.scenario_ended();
-            if is_violated {
-                assert_violated(&monitor, "LOST")
-            } else {
-                assert_none(&monitor)
-            }
+            assert_rule(&monitor, "LOST", is_violated);
         }
     });
 }
--- a/crates/sparrouter-simulation/tests/config.rs
+++ b/crates/sparrouter-simulation/tests/config.rs
@@ -24,7 +24,7 @@
 }
 
 fn request_to(name: &str) -> ClientRequest {
-    request(RouteKind::Idempotent, "b10").to_route(&format!("{name}"), "b10")
+    request(RouteKind::Idempotent, "b10").to_route(name, "b10")
 }
 
 #[test]
--- a/crates/sparrouter-simulation/tests/configuration_changes.rs
+++ b/crates/sparrouter-simulation/tests/configuration_changes.rs
@@ -1,4 +1,5 @@
-//! Configurations told as changes of their text: whoever can't use one is told the whole, and all end with the same.
+//! Configurations sent as edits of their text: a node that cannot apply them gets the complete text, and all nodes end with
+//! the same.
 use sparrouter_fleet::node::Node;
 use sparrouter_fleet::peer::messages::{ConfigUpdate, TextUpdate};
 use sparrouter_fleet::platform::net::Sockets;
@@ -204,6 +205,26 @@
     });
 }
 
+/// The digest of the configuration that a node reports, as JSON.
+async fn reported_digest(cluster: &SimulatedCluster, name: &str) -> String {
+    let call = http_messages::call(
+        &cluster.outside_network(),
+        cluster.control_of(name),
+        "GET",
+        "/api/status",
+        &[],
+        "",
+        Duration::from_secs(1),
+    )
+    .await;
+    let reply = call.expect("the node answers");
+    let (_, after) = reply
+        .text()
+        .split_once("\"config_digest\":")
+        .expect("a digest");
+    after.split(',').next().expect("a digest").to_owned()
+}
+
 #[test]
 fn given_patches_and_core_nodes_killed_when_all_is_healthy_again_then_every_node_has_the_text_of_the_register()
  {
@@ -212,13 +233,7 @@
         let load = ClientLoad::start(&cluster, 4, Duration::from_millis(200));
         let mut before = initial_configuration();
         for round in 0..8 {
-            let next = before.next(2, |p| {
-                let name = format!("new{round}");
-                p.routes.push(Route {
-                    public: true,
-                    ..Route::new(&name, RouteKind::Idempotent, "models")
-                });
-            });
+            let next = before.with_public_route(2, &format!("new{round}"));
             if round % 3 == 1 {
                 let victim = format!("core-{}", round % 2);
                 cluster.kill(&victim);
@@ -232,26 +247,9 @@
         sleep(cluster.settings.bounds.contact).await;
         load.stop().await;
         cluster.operator.read_back().await;
-        let net = cluster.outside_network();
         let mut digests = Vec::new();
         for name in cluster.names() {
-            let address = cluster.control_of(&name);
-            let call = http_messages::call(
-                &net,
-                address,
-                "GET",
-                "/api/status",
-                &[],
-                "",
-                Duration::from_secs(1),
-            );
-            let reply = call.await.expect("the node answers");
-            let digest = reply
-                .text()
-                .split("\"config_digest\":")
-                .nth(1)
-                .and_then(|r| r.split(',').next());
-            digests.push(digest.expect("a digest").to_owned());
+            digests.push(reported_digest(&cluster, &name).await);
         }
         let read = cluster
             .operator
--- a/crates/sparrouter-simulation/tests/disks.rs
+++ b/crates/sparrouter-simulation/tests/disks.rs
@@ -1,4 +1,4 @@
-//! Disks that are full, slow or stalled: what cannot be kept is not acknowledged, and it mends itself.
+//! Disks that are full, slow or stalled: what cannot be written is not acknowledged, and the core recovers by itself.
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
 use sparrouter_simulation::configuration::Configuration;
 use sparrouter_simulation::http_messages::{self, Reply};
--- a/crates/sparrouter-simulation/tests/edge.rs
+++ b/crates/sparrouter-simulation/tests/edge.rs
@@ -111,7 +111,7 @@
     reply.await.is_ok_and(|r| r.status == 200)
 }
 
-/// All machines are told to end at once; whether none was ready at any look from 100 ms to 10 s later.
+/// Ends all machines at once; whether none was ready at any check from 100 ms to 10 s later.
 fn none_is_ready_while_leaving() -> bool {
     play(async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(262)).await;
--- a/crates/sparrouter-simulation/tests/forwarding.rs
+++ b/crates/sparrouter-simulation/tests/forwarding.rs
@@ -1,5 +1,5 @@
 //! Requests of clients at servers that fail in every way: what may be sent twice, what proves that nothing ran, and
-//! that no answer goes to another caller. Each guard has a planted mistake that makes its test fail.
+//! that no answer goes to another caller. Each guard has an injected defect that makes its test fail.
 mod scripted;
 
 use bytes::Bytes;
@@ -49,7 +49,7 @@
     )
 }
 
-/// Whether a story's check fails under a planted mistake.
+/// Whether a check fails with an injected defect.
 fn fails(defect: Defect, check: impl FnOnce() -> bool) -> bool {
     inject(Some(defect));
     let holds = check();
@@ -80,7 +80,7 @@
         Reaction::ResetBeforeBody,
         Reaction::End,
         Reaction::RespondAndEnd("no answer at all\r\n\r\n".to_owned()),
-        // Servers' own words of these kinds promise nothing without the field that says so.
+        // A server's own response with these statuses does not deny a run without the field that says so.
         Reaction::Respond(answer(503, "", "")),
         Reaction::Respond(answer(429, "", "")),
     ];
@@ -198,7 +198,7 @@
 }
 
 /// Five servers of which none takes a request that its route lets go to three.
-fn attempts_are_counted() -> bool {
+fn attempts_are_limited() -> bool {
     ["/once/a", "/idem/a"].iter().all(|path| {
         play(async {
             let cluster = scripted::cluster(228).await;
@@ -214,8 +214,8 @@
 
 #[test]
 fn given_more_servers_than_a_route_s_attempts_when_all_decline_then_no_more_are_asked() {
-    assert!(attempts_are_counted());
-    assert!(fails(Defect::AttemptsUncounted, attempts_are_counted));
+    assert!(attempts_are_limited());
+    assert!(fails(Defect::AttemptsUncounted, attempts_are_limited));
 }
 
 /// Two requests at a server that answers the first before its long body is in, and reads on a second later.
@@ -465,8 +465,8 @@
     ));
 }
 
-/// A client whose body takes a while: what the server is told is what is left.
-fn a_slow_body_counts() -> bool {
+/// A client whose body takes a while: the server gets the remaining time as its deadline.
+fn deadline_includes_a_slow_body() -> bool {
     let request = ScriptedRequest {
         body_pause: Duration::from_millis(1_200),
         ..ScriptedRequest::new("/once/a", "a1")
@@ -483,8 +483,11 @@
 
 #[test]
 fn given_a_body_that_comes_slowly_then_a_server_is_handed_only_the_time_that_is_left() {
-    assert!(a_slow_body_counts());
-    assert!(fails(Defect::DeadlineFromBody, a_slow_body_counts));
+    assert!(deadline_includes_a_slow_body());
+    assert!(fails(
+        Defect::DeadlineFromBody,
+        deadline_includes_a_slow_body
+    ));
 }
 
 #[test]
--- a/crates/sparrouter-simulation/tests/graceful_shutdown.rs
+++ b/crates/sparrouter-simulation/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM: what was taken is answered, what is not taken is told so at once, at every moment of a departure.
+//! SIGTERM: accepted requests are answered, others are rejected at once, at every moment of a graceful shutdown.
 use bytes::BytesMut;
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_http::head;
@@ -20,7 +20,7 @@
     Duration::from_millis(of)
 }
 
-/// SIGTERM to a machine; gives back how long its process took to end.
+/// Sends SIGTERM to a machine; returns how long its process took to end.
 fn shut_down(cluster: &Rc<SimulatedCluster>, name: &str) -> JoinHandle<Duration> {
     let (cluster, name) = (cluster.clone(), name.to_owned());
     spawn_local(async move {
--- a/crates/sparrouter-simulation/tests/injected_defects.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects.rs
@@ -1,18 +1,18 @@
-//! Each planted mistake is found by a fixed day, of which only what it takes is played; the long hunt is the example
-//! `hunt`, and its `--planted --shrink` gives these days.
+//! Each injected defect is found by a fixed scenario, restricted to the faults that it takes; the long search is the example
+//! `hunt`, whose `--planted --shrink` prints these scenarios.
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::runtime::play;
 use sparrouter_simulation::scenario::{self, Scenario};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Should a day still differ a little from run to run.
+/// More than one, in case a scenario still differs a little from run to run.
 const ATTEMPTS: usize = 3;
 
 fn is_detected(defect: Defect, seed: u64, indices: &[usize], final_fault: bool) -> bool {
     inject(Some(defect));
     let scenario = Scenario::from_seed(seed).restricted_to(indices, final_fault);
     let detected = (0..ATTEMPTS).any(|_| {
-        // A core may notice it itself, by an assertion without which the story cannot go on.
+        // A core may notice it itself, by an assertion without which the scenario cannot go on.
         let played = catch_unwind(AssertUnwindSafe(|| play(scenario::play(&scenario))));
         played.map_or(true, |report| !report.violations.is_empty())
     });
@@ -30,10 +30,10 @@
     )*};
 }
 
-// LosingProposalInForce, OldGroupNotAsked and OldGroupCounts are in `planted_directed.rs`.
-// Mistakes that no drawn day finds have tests of their own: those in quorum contact and OlderConfigurationApplied in `quorum_contact`,
+// LosingProposalInForce, OldGroupNotAsked and OldGroupCounts are in `injected_defects_directed.rs`.
+// Defects that no drawn scenario finds have tests of their own: those in quorum contact and OlderConfigurationApplied in `quorum_contact`,
 // LeaseUnrenewed and FenceFromDisk in `lease_restart`, LosingProposalInForce in `lost_race`, OldGroupNotAsked, OldGroupCounts and
-// LosingProposalInForce in `planted_directed`, UnconfirmedJoins and LeavesWithoutHandover in `reconfiguration`.
+// LosingProposalInForce in `injected_defects_directed`, UnconfirmedJoins and LeavesWithoutHandover in `reconfiguration`.
 detected! {
     acknowledged_before_it_is_on_disk: AckBeforeSync in 25 [], true;
     a_wiped_machine_votes: WipedDiskVotes in 15 [3], false;
@@ -41,18 +41,18 @@
     the_same_change_refused: SameBodyRefused in 26 [3], false;
     the_minority_acknowledges: MinorityAcks in 15 [1], false;
     new_routes_and_old_keys: MixedSnapshot in 5 [0], false;
-    a_version_that_was_missed_counts_as_taken: CatchUpSkips in 19 [2], false;
-    seeds_read_at_the_start_only: SeedsReadAtStartOnly in 19 [2], false;
-    a_late_beat_undoes_draining: DrainReverted in 2 [0], false;
+    a_missed_version_counts_as_accepted: CatchUpSkips in 19 [2], false;
+    seeds_read_only_at_start: SeedsReadAtStartOnly in 19 [2], false;
+    a_late_heartbeat_undoes_draining: DrainReverted in 2 [0], false;
     draining_acknowledged_alone: AckWithoutReplica in 3 [0], false;
     a_slack_for_every_start: RetrySlackRenewedByRestart in 14 [1], false;
-    memory_of_older_weights: SaltWithoutVersion in 3 [2], false;
-    memory_of_an_isolated_tenant: SaltWithoutTenant in 1 [], false;
+    cache_of_older_weights: SaltWithoutVersion in 3 [2], false;
+    cache_of_an_isolated_tenant: SaltWithoutTenant in 1 [], false;
     whichever_server_has_the_address: ExpectedInstanceOmitted in 7 [0], false;
-    what_may_have_run_sent_again: NonIdempotentRetried in 12 [4], false;
-    promised_what_may_have_run: NeverRunPromiseBroken in 12 [4], false;
-    a_broken_stream_closed_as_whole: BrokenStreamClosedAsComplete in 7 [0], false;
-    a_stream_taken_up_from_its_beginning: ResumedFromStart in 10 [0, 1], false;
+    a_possible_run_retried: NonIdempotentRetried in 12 [4], false;
+    a_possible_run_denied: NeverRunPromiseBroken in 12 [4], false;
+    a_broken_stream_closed_as_complete: BrokenStreamClosedAsComplete in 7 [0], false;
+    a_stream_resumed_from_its_beginning: ResumedFromStart in 10 [0, 1], false;
     the_answer_to_another_request: ForeignAnswer in 33 [5, 6], false;
     no_server_called_no_route: NoServerReportedAsNoRoute in 12 [4], false;
 }
--- a/crates/sparrouter-simulation/tests/injected_defects_directed.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects_directed.rs
@@ -145,7 +145,7 @@
     cluster
 }
 
-/// A member misses a change, and then sees nobody but an empty machine that stands in for another member.
+/// A member misses a change, and then sees nobody but an empty machine that replaced another member.
 async fn swap_without_the_old_group(member: &'static str) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(settings(72)).await;
     let accepted = initial_configuration().with_route(1, "taken");
--- a/crates/sparrouter-simulation/tests/links.rs
+++ b/crates/sparrouter-simulation/tests/links.rs
@@ -57,7 +57,7 @@
 }
 
 impl TestPeer {
-    /// Begins a call that can be told by its number.
+    /// Begins a call that is recognised by its number.
     fn call(&self, number: u64) -> JoinHandle<Result<Reply, LinkError>> {
         let links = self.links.clone();
         let call = Call::QueryPrefix {
--- a/crates/sparrouter-simulation/tests/losses/mod.rs
+++ b/crates/sparrouter-simulation/tests/losses/mod.rs
@@ -13,7 +13,7 @@
 pub enum Loss {
     /// Gone for good; an empty one starts two seconds later at another address.
     Replaced,
-    /// An empty one starts first, then the old one is told to end.
+    /// An empty one starts first, then the old one gets SIGTERM.
     Planned,
     /// Its disk is lost right after a change was acknowledged; the machine starts again with an empty one.
     WipedAfterAcknowledgement,
--- a/crates/sparrouter-simulation/tests/many_changes.rs
+++ b/crates/sparrouter-simulation/tests/many_changes.rs
@@ -16,12 +16,12 @@
 use tokio::time::{Instant, sleep};
 
 const CHANGES: u64 = 500;
-/// A trouble lasts so many changes; then come as many without.
+/// A fault lasts so many changes; then come as many without.
 const CHANGES_PER_FAULT: u64 = 10;
 /// Keys of a tenant and their length, so that the configuration is larger than what goes with a message.
 const KEYS: usize = 80;
 const KEY_LENGTH: usize = 250;
-/// From the end of a trouble until the machine has all that was acknowledged, as `bounds.contact_ms` promises.
+/// From the end of a fault until the machine has all that was acknowledged, as `bounds.contact_ms` promises.
 const CATCH_UP: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Copy, Debug)]
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether a process starts anew, which asks a quorum what is in force.
+    /// Whether a process restarts, which asks a quorum what is in force.
     fn restarts(self) -> bool {
         matches!(self, Fault::Restart | Fault::Wipe | Fault::PowerLoss)
     }
@@ -162,79 +162,112 @@
         .sum()
 }
 
+/// A day of changes under faults.
+struct Day {
+    cluster: Rc<SimulatedCluster>,
+    rng: Rng,
+    configuration: Configuration,
+    /// Faults that were not injected since all were.
+    remaining_faults: Vec<Fault>,
+    /// The fault that is injected now, and the machine that it is at.
+    ongoing: Option<(Fault, String)>,
+}
+
+impl Day {
+    async fn new(seed: u64) -> Day {
+        let cluster = SimulatedCluster::serving(ClusterSettings::small(seed)).await;
+        let configuration = large_configuration();
+        assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
+        Day {
+            cluster,
+            rng: Rng::with_seed(seed),
+            configuration,
+            remaining_faults: FAULTS.to_vec(),
+            ongoing: None,
+        }
+    }
+
+    fn begin_fault(&mut self) {
+        if self.remaining_faults.is_empty() {
+            self.remaining_faults = FAULTS.to_vec();
+        }
+        let index = self.rng.usize(..self.remaining_faults.len());
+        let fault = self.remaining_faults.swap_remove(index);
+        let core = self.cluster.core();
+        let name = core[self.rng.usize(..core.len())].clone();
+        fault.begin(&self.cluster, &name);
+        self.ongoing = Some((fault, name));
+    }
+
+    async fn change(&mut self, number: u64) {
+        let before = &self.configuration;
+        let next = before.next(1, |next| {
+            next.routes.retain(|route| !route.name.starts_with("new"));
+            let name = format!("new{number}");
+            next.routes
+                .push(Route::new(&name, RouteKind::Idempotent, "models"));
+        });
+        let status = self.cluster.operator.patch(&next, before).await;
+        assert_eq!(status, 200, "change {number}");
+        self.configuration = next;
+    }
+
+    /// Ends the fault, and checks that its machine has the newest configuration soon after.
+    async fn end_fault(&mut self) {
+        let Some((fault, name)) = self.ongoing.take() else {
+            return;
+        };
+        let cluster = &self.cluster;
+        let version = self.configuration.version;
+        fault.end(cluster, &name);
+        // A read at a machine makes it catch up at once. One that did not restart must do so by itself, so it is read
+        // only afterwards.
+        if fault.restarts() {
+            answers_with_nothing_older(cluster, &name, version).await;
+        }
+        let elapsed = wait_until_on_disk(cluster, &name, version).await;
+        assert!(
+            elapsed.is_some(),
+            "{name} has {} of {version} on disk, {CATCH_UP:?} after {fault:?}",
+            version_on_disk(cluster, &name),
+        );
+        answers_with_nothing_older(cluster, &name, version).await;
+        // A machine that is back counts as lost for a while.
+        sleep(Duration::from_secs(4)).await;
+    }
+}
+
 async fn day_of_many_changes(seed: u64, changes: u64) -> Rc<SimulatedCluster> {
-    let cluster = SimulatedCluster::serving(ClusterSettings::small(seed)).await;
-    let mut rng = Rng::with_seed(seed);
-    let mut remaining_faults = FAULTS.to_vec();
-    let mut configuration = large_configuration();
-    assert_eq!(cluster.operator.put(&configuration, 1).await, 200);
-    let size = configuration.json().len() as u64;
+    let mut day = Day::new(seed).await;
+    let cluster = day.cluster.clone();
+    let size = day.configuration.json().len() as u64;
     let inline = Settings::default().max_inline_body_bytes;
-    assert!(size > inline as u64, "it is fetched in pieces");
+    assert!(size > inline as u64, "it is fetched in chunks");
     let before = written_in_core(&cluster);
-    let began = Instant::now();
-    let mut ongoing: Option<(Fault, String)> = None;
+    let started_at = Instant::now();
     for change in 0..changes {
         if change % (2 * CHANGES_PER_FAULT) == CHANGES_PER_FAULT {
-            if remaining_faults.is_empty() {
-                remaining_faults = FAULTS.to_vec();
-            }
-            let fault = remaining_faults.swap_remove(rng.usize(..remaining_faults.len()));
-            let core = cluster.core();
-            let name = core[rng.usize(..core.len())].clone();
-            fault.begin(&cluster, &name);
-            ongoing = Some((fault, name));
+            day.begin_fault();
         }
-        let next = configuration.next(1, |p| {
-            p.routes.retain(|r| !r.name.starts_with("new"));
-            let name = format!("new{change}");
-            p.routes
-                .push(Route::new(&name, RouteKind::Idempotent, "models"));
-        });
-        assert_eq!(
-            cluster.operator.patch(&next, &configuration).await,
-            200,
-            "change {change}"
-        );
-        configuration = next;
-        if change % (2 * CHANGES_PER_FAULT) == 2 * CHANGES_PER_FAULT - 1
-            && let Some((fault, name)) = ongoing.take()
-        {
-            fault.end(&cluster, &name);
-            // A question to any machine tells those that are behind: where nobody asks anew, nobody does before it has
-            // caught up by itself.
-            if fault.restarts() {
-                answers_with_nothing_older(&cluster, &name, configuration.version).await;
-            }
-            let elapsed = wait_until_on_disk(&cluster, &name, configuration.version).await;
-            assert!(
-                elapsed.is_some(),
-                "seed {seed}: {name} has {} of {} on disk, {CATCH_UP:?} after {fault:?}",
-                version_on_disk(&cluster, &name),
-                configuration.version
-            );
-            answers_with_nothing_older(&cluster, &name, configuration.version).await;
-            // A machine that is back counts as lost for a while.
-            sleep(Duration::from_secs(4)).await;
+        day.change(change).await;
+        if change % (2 * CHANGES_PER_FAULT) == 2 * CHANGES_PER_FAULT - 1 {
+            day.end_fault().await;
         }
     }
     sleep(CATCH_UP).await;
+    let version = day.configuration.version;
     for name in cluster.core() {
-        assert_eq!(
-            version_on_disk(&cluster, &name),
-            configuration.version,
-            "{name}"
-        );
+        assert_eq!(version_on_disk(&cluster, &name), version, "{name}");
     }
-    let spent = began.elapsed().as_secs();
+    let seconds = started_at.elapsed().as_secs();
     let bytes = written_in_core(&cluster) - before;
     println!(
-        "{bytes} bytes in the core, {} a change, of {size}; {spent} s",
+        "{bytes} bytes in the core, {} a change, of {size}; {seconds} s",
         bytes / changes
     );
     // Two copies a change, one for each return, as much again for what is small, and polls by the second.
-    let max_bytes =
-        changes * size * 2 + changes / CHANGES_PER_FAULT * size + changes * size + spent * 50_000;
+    let returns = changes / CHANGES_PER_FAULT;
+    let max_bytes = changes * size * 2 + returns * size + changes * size + seconds * 50_000;
     assert!(
         bytes <= max_bytes,
         "{bytes} bytes in the core, at most {max_bytes}"
--- a/crates/sparrouter-simulation/tests/older_state.rs
+++ b/crates/sparrouter-simulation/tests/older_state.rs
@@ -1,4 +1,4 @@
-//! Disks that hold the configuration's shard as another release wrote it: an older form is taken over, a newer one refused.
+//! Disks with the configuration's shard as another release wrote it: an older form is adopted, a newer one rejected.
 use nanoserde::SerBin;
 use sparrouter_codec::Seq;
 use sparrouter_consensus::{Record, SharedVote, Vote};
@@ -21,38 +21,38 @@
 struct FirstForm {
     version: u64,
     text: String,
-    accepted: Seq<FirstFormTaken>,
+    accepted: Seq<FirstFormProposal>,
     models: Seq<NamedVersion>,
 }
 
 #[derive(SerBin)]
-struct FirstFormTaken {
+struct FirstFormProposal {
     digest: u64,
     version: u64,
 }
 
-fn as_first_form(state: ConfigurationState) -> Vec<u8> {
-    let accepted = FirstFormTaken {
+fn as_first_form(state: &ConfigurationState) -> Vec<u8> {
+    let accepted = FirstFormProposal {
         digest: 0x1234_5678_9abc_def0,
         version: state.version,
     };
     let first = FirstForm {
         version: state.version,
-        text: state.text,
+        text: state.text.clone(),
         accepted: vec![accepted].into(),
-        models: state.models,
+        models: state.models.clone(),
     };
     first.serialize_bin()
 }
 
-fn as_newer_form(state: ConfigurationState) -> Vec<u8> {
+fn as_newer_form(state: &ConfigurationState) -> Vec<u8> {
     let mut body = state.encode();
     body[8..12].copy_from_slice(&(FORM + 1).to_le_bytes());
     body
 }
 
 /// Rewrites the shard's body on every disk of the core, all processes being down.
-fn rewrite(cluster: &SimulatedCluster, rewritten: fn(ConfigurationState) -> Vec<u8>) {
+fn rewrite(cluster: &SimulatedCluster, rewritten: fn(&ConfigurationState) -> Vec<u8>) {
     for name in cluster.core() {
         let (mut store, opened) =
             Store::open(cluster.disk(&name).files).expect("a disk that works");
@@ -63,7 +63,7 @@
         let vote = record.accepted.expect("a vote");
         let state = ConfigurationState::read(&vote.state.body).expect("a state");
         let mut vote: Vote = (*vote.0).clone();
-        vote.state.body = rewritten(state);
+        vote.state.body = rewritten(&state);
         let record = Record {
             accepted: Some(SharedVote::from(vote)),
             ..record
@@ -78,7 +78,7 @@
 async fn restarted_with(
     seed: u64,
     configuration: &Configuration,
-    rewritten: fn(ConfigurationState) -> Vec<u8>,
+    rewritten: fn(&ConfigurationState) -> Vec<u8>,
 ) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(ClusterSettings::small(seed)).await;
     assert_eq!(cluster.operator.put(configuration, 1).await, 200);
--- a/crates/sparrouter-simulation/tests/operator_orders.rs
+++ b/crates/sparrouter-simulation/tests/operator_orders.rs
@@ -1,5 +1,5 @@
-//! Orders of operators under trouble: one order at two nodes, behind relays that die or fall silent, as a late repeat,
-//! beside another under its number, after all were killed, many at once, after hundreds of others. Each story ends with
+//! Orders of operators beside faults: one order at two nodes, behind relays that end or do not answer, as a late repeat,
+//! beside another under its number, after all were killed, many at once, after hundreds of others. Each test ends with
 //! the check of its history against a register with compare-and-set.
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
 use sparrouter_simulation::configuration::Configuration;
@@ -496,14 +496,38 @@
     });
 }
 
+/// A node without a quorum confirms and rejects neither of these orders, nor a read, nor new weights.
+async fn assert_unclear(cluster: &SimulatedCluster, name: &str, orders: &[Order]) {
+    let address = cluster.control_of(name);
+    for order in orders {
+        let status = cluster.operator.send(address, order).await;
+        assert!(matches!(status, 0 | 503 | 504), "{name}: {status}");
+    }
+    let read = cluster.operator.get_from(address).await;
+    let read = read.map_or(0, |reply| reply.status);
+    assert!(matches!(read, 0 | 503 | 504), "{name}: {read}");
+    let named = http_messages::call(
+        &cluster.outside_network(),
+        address,
+        "POST",
+        "/api/version-put",
+        &[],
+        &format!("{{\"model\":\"{MODEL}\",\"version\":2}}"),
+        Duration::from_secs(1),
+    )
+    .await;
+    let status = named.map_or(0, |reply| reply.status);
+    assert!(matches!(status, 0 | 503 | 504), "{name}: {status}");
+}
+
 #[test]
 fn given_nodes_without_a_quorum_when_called_then_no_call_is_confirmed_or_rejected() {
-    for (seed, how) in [(480, Partition::PacketsLost), (481, Partition::Refusing)] {
+    for (seed, partition) in [(480, Partition::PacketsLost), (481, Partition::Refusing)] {
         run_checked(|| async move {
             let cluster = SimulatedCluster::serving(settings(seed)).await;
             let first = initial_configuration();
             let alone = ["core-0", "edge-0"];
-            cluster.partition(&alone, Some(how));
+            cluster.partition(&alone, Some(partition));
             let newest = first.with_route(2, "new");
             let majority = control_of(&cluster, &["core-1", "core-2"]);
             assert_eq!(
@@ -512,34 +536,15 @@
             );
             let stale = first.with_route(2, "stale");
             let next = newest.with_route(2, "next");
-            let outside = cluster.outside_network();
+            let orders = [
+                put(&newest, 1),
+                put(&stale, 1),
+                patch(&stale, &first),
+                put(&next, newest.version),
+                patch(&next, &newest),
+            ];
             for name in alone {
-                let to = cluster.control_of(name);
-                let orders = [
-                    put(&newest, 1),
-                    put(&stale, 1),
-                    patch(&stale, &first),
-                    put(&next, newest.version),
-                    patch(&next, &newest),
-                ];
-                for order in &orders {
-                    let status = cluster.operator.send(to, order).await;
-                    assert!(matches!(status, 0 | 503 | 504), "{name}: {status}");
-                }
-                let read = cluster.operator.get_from(to).await.map_or(0, |r| r.status);
-                assert!(matches!(read, 0 | 503 | 504), "{name}: {read}");
-                let named = format!("{{\"model\":\"{MODEL}\",\"version\":2}}");
-                let reply = http_messages::call(
-                    &outside,
-                    to,
-                    "POST",
-                    "/api/version-put",
-                    &[],
-                    &named,
-                    Duration::from_secs(1),
-                );
-                let status = reply.await.map_or(0, |r| r.status);
-                assert!(matches!(status, 0 | 503 | 504), "{name}: {status}");
+                assert_unclear(&cluster, name, &orders).await;
             }
             cluster.partition(&alone, None);
             sleep(Duration::from_secs(4)).await;
--- a/crates/sparrouter-simulation/tests/prefix_index.rs
+++ b/crates/sparrouter-simulation/tests/prefix_index.rs
@@ -15,7 +15,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The store answers at its address from now on; without that it is told to be down, and not named.
+/// The store answers at its address from now on; without that it is reported as down, and not named.
 fn open_store(cluster: &Rc<SimulatedCluster>) {
     cluster.network.add(kv_store_address().ip(), ZONES[0]);
     let listener = NetworkInterface::new(cluster.network.clone(), kv_store_address().ip())
--- a/crates/sparrouter-simulation/tests/quorum_contact.rs
+++ b/crates/sparrouter-simulation/tests/quorum_contact.rs
@@ -50,7 +50,7 @@
 
 const WINDOW: u64 = 10;
 
-/// Contact by the words of the invariant: recomputed at every tick of the clock from all reads so far.
+/// Contact as the invariant defines it: recomputed at every tick of the clock from all reads so far.
 #[derive(Default)]
 struct Model {
     newest_read: Option<u64>,
@@ -597,7 +597,7 @@
 }
 
 /// A row of the table in all ways of being cut off.
-fn in_every_scope(seed: u64, row: impl AsyncFn(&Rc<SimulatedCluster>)) {
+fn in_every_scope(seed: u64, row: impl AsyncFn(&Rc<SimulatedCluster>) + Copy) {
     for scope in PartitionScope::ALL {
         run_checked(|| async {
             let cluster = without_contact(seed, scope).await;
@@ -790,7 +790,7 @@
     }));
 }
 
-/// A change is relayed to a machine that is frozen; it wakes long after its sender has given up.
+/// A change is relayed to a machine that is frozen; it resumes long after its sender timed out.
 async fn relay_to_a_frozen_machine(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
     let (caller, to) = (
--- a/crates/sparrouter-simulation/tests/reconfiguration.rs
+++ b/crates/sparrouter-simulation/tests/reconfiguration.rs
@@ -131,7 +131,7 @@
 }
 
 /// The disk of one member stalls, another one is wiped right after an acknowledgement, and the third, which then has
-/// the only copy, is told to end for good.
+/// the only copy, gets SIGTERM for good.
 async fn shutdown_with_the_only_copy() -> Rc<SimulatedCluster> {
     let cluster = watched(settings(351, 3)).await;
     let [leaving, wiped, stalled] = ["core-0", "core-1", "core-2"];
--- a/crates/sparrouter-simulation/tests/revocation.rs
+++ b/crates/sparrouter-simulation/tests/revocation.rs
@@ -60,7 +60,7 @@
     cluster.partition(&[name], Some(Partition::PacketsLost));
     assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
     probe(&cluster, name, Duration::from_secs(12)).await;
-    // What it tells of itself says so too.
+    // Its status says so too.
     for metric in ["sparrouter_ready", "sparrouter_configuration_lease"] {
         assert_eq!(cluster.metric(name, metric).await, Some(0.0), "{metric}");
     }
@@ -119,7 +119,7 @@
     cluster
 }
 
-/// The same, and the node starts anew behind the cut: its source tells it the old configuration.
+/// The same, and the node restarts behind the partition: its source has the old configuration.
 async fn revoked_before_a_start_behind_a_partition(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(strict(seed)).await;
     cluster.partition(&["core-0", "edge-0"], Some(Partition::PacketsLost));
--- a/crates/sparrouter-simulation/tests/scripted/mod.rs
+++ b/crates/sparrouter-simulation/tests/scripted/mod.rs
@@ -1,5 +1,9 @@
-//! Servers and clients that do exactly what a test says, in a world of real nodes.
-#![allow(dead_code)] // Each test file is a program of its own and uses a part.
+//! Servers and clients that do exactly what a test says, in a cluster of real nodes.
+#![allow(
+    dead_code,
+    reason = "each test file is a program of its own and uses some of them"
+)]
+
 use bytes::{Bytes, BytesMut};
 use sparrouter_fleet::platform::http;
 use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
@@ -50,7 +54,7 @@
     pub server: usize,
     pub connection: usize,
     pub head: RequestHead,
-    /// None where it was not read whole.
+    /// `None` where it was not read completely.
     pub body: Option<Bytes>,
 }
 
@@ -66,12 +70,12 @@
 
 type Script = Rc<dyn Fn(&RequestHead, usize) -> Reaction>;
 
-/// Servers that follow one script, and what they saw.
+/// Servers that follow one script, and what they received.
 pub struct Servers {
     script: Script,
     connections: Cell<usize>,
     pub received: RefCell<Vec<ReceivedRequest>>,
-    /// Bytes that came where the rest of a body was due, or that are no request.
+    /// Why bytes were no request, as where they came instead of the rest of a body.
     pub unexpected_bytes: RefCell<Vec<String>>,
     /// When connections on which a request was silent disconnects.
     pub disconnects: RefCell<Vec<Instant>>,
@@ -88,13 +92,13 @@
     /// Bytes came where the protocol has none.
     pub unexpected_bytes: bool,
     pub retry_after: bool,
-    /// It bears a server's seal.
+    /// It has a server's seal.
     pub is_sealed: bool,
     pub elapsed: Duration,
 }
 
 impl Servers {
-    /// `script`: what to do with a request, and the how many-th request of clients it is.
+    /// `script`: the reaction to a request, by its head and the number of client requests before it.
     pub async fn start(
         cluster: &SimulatedCluster,
         count: usize,
@@ -115,7 +119,7 @@
         servers
     }
 
-    /// A server with this id at the place of the `n`-th.
+    /// Starts a server with this id at the address of the `n`-th.
     pub fn host(self: Rc<Self>, cluster: &SimulatedCluster, n: usize, id: &str) {
         let ip = IpAddr::from([10, 0, 1, n as u8]);
         cluster.network.add(ip, ZONES[n % ZONES.len()]);
@@ -151,14 +155,30 @@
         self.received.borrow().last().expect("a request").clone()
     }
 
-    /// Answers a question for events as one who keeps nothing.
-    async fn no_events(&self, stream: &mut Socket) -> bool {
+    /// Answers a long poll for cache events as a server without any.
+    async fn respond_without_events(&self, stream: &mut Socket) -> bool {
         sleep(Duration::from_millis(900)).await;
         let body = "{\"epoch\":1,\"next_page_token\":0,\"lost_count\":false,\"events\":[]}";
         let answer = http_messages::response_text(200, "", body);
         stream.write_all(answer.as_bytes()).await.is_ok()
     }
 
+    /// The head of the next request; `None` once the connection ends, or after bytes that are no request.
+    async fn next_head(&self, stream: &mut Socket, buffer: &mut BytesMut) -> Option<RequestHead> {
+        let parsed = match reading::head(stream, buffer, b"", 64 << 10).await {
+            Ok(bytes) => head::parse_request(&bytes),
+            Err(ReadError::Bad(bad)) => Err(bad),
+            Err(_) => return None,
+        };
+        match parsed {
+            Ok(head) => Some(head),
+            Err(bad) => {
+                self.unexpected_bytes.borrow_mut().push(bad.0.to_owned());
+                None
+            }
+        }
+    }
+
     async fn serve_connection(
         self: Rc<Self>,
         mut stream: Socket,
@@ -166,84 +186,116 @@
         connection: usize,
     ) {
         let mut buffer = BytesMut::new();
-        loop {
-            let bytes = match reading::head(&mut stream, &mut buffer, b"", 64 << 10).await {
-                Ok(bytes) => bytes,
-                Err(ReadError::Bad(bad)) => {
-                    return self.unexpected_bytes.borrow_mut().push(bad.0.to_owned());
+        while let Some(head) = self.next_head(&mut stream, &mut buffer).await {
+            let goes_on = if head.target.starts_with(b"/api/kv-") {
+                self.respond_without_events(&mut stream).await
+            } else {
+                let reaction = (self.script)(&head, self.runs());
+                let index = self.received.borrow().len();
+                self.received.borrow_mut().push(ReceivedRequest {
+                    received_at: Instant::now(),
+                    server,
+                    connection,
+                    head,
+                    body: None,
+                });
+                match self.react(&mut stream, &mut buffer, index, reaction).await {
+                    Fate::KeepOpen => true,
+                    Fate::Close => false,
+                    Fate::Reset => return stream.abort(),
                 }
-                Err(_) => return,
-            };
-            let head = match head::parse_request(&bytes) {
-                Ok(head) => head,
-                Err(bad) => return self.unexpected_bytes.borrow_mut().push(bad.0.to_owned()),
             };
-            if head.target.starts_with(b"/api/kv-") {
-                if !self.no_events(&mut stream).await {
-                    return;
-                }
-                continue;
+            if !goes_on {
+                return;
             }
-            let reaction = (self.script)(&head, self.runs());
-            let index = self.received.borrow().len();
-            self.received.borrow_mut().push(ReceivedRequest {
-                received_at: Instant::now(),
-                server,
-                connection,
-                head: head.clone(),
-                body: None,
-            });
-            let id = head
-                .fields
-                .text("sparrouter-attempt-id")
-                .unwrap_or_default()
-                .to_owned();
-            let fill = |text: &str| text.replace("{id}", &id);
-            if matches!(reaction, Reaction::ResetBeforeBody) {
-                return stream.abort();
+        }
+    }
+
+    /// Does as the script says with the request at this index.
+    async fn react(
+        &self,
+        stream: &mut Socket,
+        buffer: &mut BytesMut,
+        index: usize,
+        reaction: Reaction,
+    ) -> Fate {
+        if matches!(reaction, Reaction::ResetBeforeBody) {
+            return Fate::Reset;
+        }
+        let head = self.received.borrow()[index].head.clone();
+        let id = head.fields.text("sparrouter-attempt-id");
+        let id = id.unwrap_or_default();
+        if let Reaction::RespondEarly(text, pause) = &reaction {
+            if write(stream, text, id).await.is_err() {
+                return Fate::Close;
             }
-            if let Reaction::RespondEarly(text, pause) = &reaction {
-                if stream.write_all(fill(text).as_bytes()).await.is_err() {
-                    return;
-                }
-                sleep(*pause).await;
+            sleep(*pause).await;
+        }
+        match http::read_body(stream, buffer, head.framing, 16 << 20).await {
+            Ok(body) => self.received.borrow_mut()[index].body = body,
+            Err(_) => return Fate::Close,
+        }
+        self.respond(stream, buffer, id, reaction).await
+    }
+
+    /// Responds to a request that was read.
+    async fn respond(
+        &self,
+        stream: &mut Socket,
+        buffer: &mut BytesMut,
+        id: &str,
+        reaction: Reaction,
+    ) -> Fate {
+        let written = match reaction {
+            Reaction::RespondEarly(..) | Reaction::ResetBeforeBody => Ok(()),
+            Reaction::Respond(text) => write(stream, &text, id).await,
+            Reaction::RespondAfter(wait, text) => {
+                sleep(wait).await;
+                write(stream, &text, id).await
             }
-            match http::read_body(&mut stream, &mut buffer, head.framing, 16 << 20).await {
-                Ok(body) => self.received.borrow_mut()[index].body = body,
-                Err(_) => return,
+            Reaction::RespondAndEnd(text) => {
+                // The connection ends whether the caller reads or not; so with the other reactions below.
+                let _ = write(stream, &text, id).await;
+                return Fate::Close;
             }
-            let written = match reaction {
-                Reaction::Respond(text) => stream.write_all(fill(&text).as_bytes()).await,
-                Reaction::RespondAfter(wait, text) => {
-                    sleep(wait).await;
-                    stream.write_all(fill(&text).as_bytes()).await
-                }
-                Reaction::RespondAndEnd(text) => {
-                    let _ = stream.write_all(fill(&text).as_bytes()).await;
-                    return;
-                }
-                Reaction::RespondAndReset(text) => {
-                    let _ = stream.write_all(fill(&text).as_bytes()).await;
-                    sleep(Duration::from_millis(20)).await;
-                    return stream.abort();
-                }
-                Reaction::Reset => return stream.abort(),
-                Reaction::End => return,
-                Reaction::NoResponse | Reaction::RespondAndStall(_) => {
-                    if let Reaction::RespondAndStall(text) = reaction {
-                        let _ = stream.write_all(fill(&text).as_bytes()).await;
-                    }
-                    // Until the caller leaves.
-                    while reading::more(&mut stream, &mut buffer).await.is_ok() {}
-                    return self.disconnects.borrow_mut().push(Instant::now());
-                }
-                Reaction::RespondEarly(..) | Reaction::ResetBeforeBody => Ok(()),
-            };
-            if written.is_err() {
-                return;
+            Reaction::RespondAndReset(text) => {
+                let _ = write(stream, &text, id).await;
+                sleep(Duration::from_millis(20)).await;
+                return Fate::Reset;
+            }
+            Reaction::Reset => return Fate::Reset,
+            Reaction::End => return Fate::Close,
+            Reaction::NoResponse => return self.wait_for_disconnect(stream, buffer).await,
+            Reaction::RespondAndStall(text) => {
+                let _ = write(stream, &text, id).await;
+                return self.wait_for_disconnect(stream, buffer).await;
             }
+        };
+        match written {
+            Ok(()) => Fate::KeepOpen,
+            Err(_) => Fate::Close,
         }
     }
+
+    /// Waits until the caller leaves.
+    async fn wait_for_disconnect(&self, stream: &mut Socket, buffer: &mut BytesMut) -> Fate {
+        while reading::more(stream, buffer).await.is_ok() {}
+        self.disconnects.borrow_mut().push(Instant::now());
+        Fate::Close
+    }
+}
+
+/// What becomes of a connection after a request.
+enum Fate {
+    KeepOpen,
+    Close,
+    Reset,
+}
+
+/// Writes a text in which `{id}` stands for the attempt id.
+async fn write(stream: &mut Socket, text: &str, id: &str) -> std::io::Result<()> {
+    let text = text.replace("{id}", id);
+    stream.write_all(text.as_bytes()).await
 }
 
 pub fn id_of(n: usize) -> String {
@@ -262,16 +314,16 @@
              \"slot_count\":64,\"state\":\"ready\",\"cold_remaining_ms\":0,\"serving_stage\":\"both\",\
              \"models\":[{{\"name\":\"{MODEL}\",\"version\":1,\"adapters\":[]}}],\"call_sequence\":{sequence}}}"
         );
-        // Always the same node: one that is not called any more counts the server as silent.
+        // Always the same node: one that gets no more heartbeats counts the server as unresponsive.
         let to = control[0];
         let path = format!("/api/instances/{id}");
-        // A beat that gets lost is followed by the next one.
+        // A heartbeat that is lost is followed by the next one.
         let _ = http_messages::call(&net, to, "PUT", &path, &[], &body, CALL_TIMEOUT).await;
         sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// A world without servers of its own.
+/// A cluster without servers of its own.
 pub async fn cluster(seed: u64) -> Rc<SimulatedCluster> {
     SimulatedCluster::serving(ClusterSettings::with_seed(seed).servers(0)).await
 }
@@ -289,7 +341,7 @@
     )
 }
 
-/// What a server answers that did not run the request.
+/// The response of a server that did not run the request.
 pub fn declined(status: u16) -> String {
     answer(status, "Sparrouter-Not-Executed: 1\r\n", "")
 }
