--- a/crates/sparrouter-simulation/examples/availability.rs
+++ b/crates/sparrouter-simulation/examples/availability.rs
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-const USAGE: &str = "availability SEEDS THREADS; whole numbers";
+const USAGE: &str = "availability SEEDS THREADS; both integers";
 /// The fault lasts so long after the change.
 const FAULT_TIME: Duration = Duration::from_secs(5);
 /// Time between two attempts.
@@ -45,14 +45,14 @@
     let net = cluster.outside_network();
     let to = cluster.control_of(machine);
     let began = Instant::now();
-    let timeout_after = Duration::from_secs(2);
+    let time_limit = Duration::from_secs(2);
     while began.elapsed() < MAX_WAIT {
         let conditional = [("If-Match", base)];
         let fields = match method {
             "PUT" => &conditional[..],
             _ => &[],
         };
-        let sent = call(&net, to, method, "/api/config", fields, body, timeout_after);
+        let sent = call(&net, to, method, "/api/config", fields, body, time_limit);
         if sent.await.is_ok_and(|reply| reply.status == 200) {
             return Some(began.elapsed());
         }
@@ -142,7 +142,9 @@
     let workers: Vec<_> = (0..threads)
         .map(|thread| thread::spawn(move || seeds_of(thread)))
         .collect();
-    let results = workers.into_iter().map(|w| w.join().expect("a whole run"));
+    let results = workers
+        .into_iter()
+        .map(|w| w.join().expect("a run without panics"));
     results.flatten().collect()
 }
 
--- a/crates/sparrouter-simulation/examples/contact_times.rs
+++ b/crates/sparrouter-simulation/examples/contact_times.rs
@@ -1,4 +1,4 @@
-//! How long quorum contact outlasts a cut of 20 s, and how long it takes to come back after it, over many seeds:
+//! How long quorum contact outlasts a partition of 20 s, and how long it takes to come back after it, over many seeds:
 //! `cargo run --release -p sparrouter-simulation --example contact_times -- SEEDS`.
 use sparrouter_simulation::cluster::partitions::PartitionScope;
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
@@ -10,7 +10,7 @@
 
 const VICTIM: &str = "core-0";
 
-/// Contact after the cut began, and from its end until there is contact again.
+/// Contact after the partition began, and from its end until there is contact again.
 async fn times(seed: u64, scope: PartitionScope) -> (Duration, Duration) {
     let cluster = SimulatedCluster::serving(ClusterSettings::small(seed)).await;
     let watch = ContactWatch::start(&cluster, &[VICTIM.to_owned()], FAST_POLL);
@@ -44,7 +44,7 @@
         .nth(1)
         .and_then(|n| n.parse().ok())
         .unwrap_or(100);
-    println!("| cut | lost after, p50 | p99 | most | back after, p50 | p99 | most |");
+    println!("| partition | lost after, p50 | p99 | max | back after, p50 | p99 | max |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for scope in PartitionScope::ALL {
         let (mut lost, mut back): (Vec<_>, Vec<_>) =
--- a/crates/sparrouter-simulation/examples/hunt.rs
+++ b/crates/sparrouter-simulation/examples/hunt.rs
@@ -5,7 +5,7 @@
 //! | --- | --- |
 //! | `--days N`, `--seed S` | number of days (20), and the first seed (1) |
 //! | `--all` | go on after a day with violations |
-//! | `--story` | print the event trace of each day, with each request |
+//! | `--scenario` | print the event trace of each day, with each request |
 //! | `--shrink` | print a smallest day that still has a violation |
 //! | `--defect NAME` | inject a defect first (`sparrouter_fleet::platform::defects`) |
 //! | `--planted` | inject each defect in turn, and print after how many days it was found |
--- a/crates/sparrouter-simulation/examples/order_load.rs
+++ b/crates/sparrouter-simulation/examples/order_load.rs
@@ -1,7 +1,7 @@
 //! Operators at once over a core with faults, seed after seed, each history checked for linearizability:
 //! `cargo run --release -p sparrouter-simulation --example order_load -- FIRST COUNT [DEFECT]`.
 //!
-//! With DEFECT that mistake is planted, to see which seeds find it.
+//! With DEFECT that defect is injected, to see which seeds find it.
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::{order_load, runtime};
 use std::process::ExitCode;
--- a/crates/sparrouter-simulation/examples/reconfiguration_times.rs
+++ b/crates/sparrouter-simulation/examples/reconfiguration_times.rs
@@ -59,10 +59,10 @@
 fn main() {
     let seeds = std::env::args().nth(1);
     let seeds: u64 = seeds.and_then(|s| s.parse().ok()).unwrap_or(100);
-    println!("{seeds} seeds; seconds until repaired: p50, p99, most; not within 20 s");
+    println!("{seeds} seeds; seconds until repaired: p50, p99, max; not within 20 s");
     for loss in [Loss::Replaced, Loss::Wiped, Loss::Planned] {
         let mut times = Vec::new();
-        let mut late = 0;
+        let mut timed_out = 0;
         for seed in 0..seeds {
             let settings = ClusterSettings::small(seed);
             let lost = format!("core-{}", seed % 3);
@@ -71,7 +71,7 @@
             });
             match elapsed {
                 Some(elapsed) => times.push(elapsed.as_secs_f64()),
-                None => late += 1,
+                None => timed_out += 1,
             }
         }
         times.sort_by(f64::total_cmp);
@@ -83,7 +83,7 @@
                 .unwrap_or(f64::NAN)
         };
         println!(
-            "{loss:?}: {:.2} {:.2} {:.2}; {late}",
+            "{loss:?}: {:.2} {:.2} {:.2}; {timed_out}",
             quantile(0.5),
             quantile(0.99),
             quantile(1.0)
--- a/crates/sparrouter-simulation/examples/second_losses.rs
+++ b/crates/sparrouter-simulation/examples/second_losses.rs
@@ -1,4 +1,4 @@
-//! Hunts for a loss right after another one that breaks a rule: drawn losses, each as soon as the tolerance allows it.
+//! Hunts for a loss right after another one that violates a rule: drawn losses, each as soon as the tolerance allows it.
 //!
 //! `cargo run --release -p sparrouter-simulation --example second_losses -- SEEDS [FIRST]`
 #[path = "../tests/losses/mod.rs"]
--- a/crates/sparrouter-simulation/src/checkers/rollout_lease.rs
+++ b/crates/sparrouter-simulation/src/checkers/rollout_lease.rs
@@ -34,10 +34,10 @@
             "{lease_owner} and another one command {server} alternately"
         ));
     }
-    let shares_token = |e: &RolloutCommand| e.fencing_token == *fencing_token && is_other(e);
+    let has_same_token = |e: &RolloutCommand| e.fencing_token == *fencing_token && is_other(e);
     earlier
         .iter()
-        .any(shares_token)
+        .any(has_same_token)
         .then(|| format!("two lease owners command {server} under {fencing_token}"))
 }
 
--- a/crates/sparrouter-simulation/src/client/response.rs
+++ b/crates/sparrouter-simulation/src/client/response.rs
@@ -3,6 +3,7 @@
 use crate::monitor::ClientResponse;
 use crate::network::socket::Socket;
 use bytes::BytesMut;
+use sparrouter_http::Parsed;
 use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
 use sparrouter_http::head::{self, Framing, ResponseHead};
 use sparrouter_http::reading;
@@ -37,9 +38,9 @@
     let retry_after = text("retry-after")
         .and_then(|seconds| seconds.parse().ok())
         .map(Duration::from_secs_f64);
-    let ended_well = read_body(socket, &mut buffer, head.framing, response).await;
+    let is_complete = read_body(socket, &mut buffer, head.framing, response).await;
     ReadOutcome {
-        is_reusable: ended_well && head.keep_alive && buffer.is_empty(),
+        is_reusable: is_complete && head.keep_alive && buffer.is_empty(),
         retry_after,
     }
 }
@@ -79,8 +80,8 @@
         match framing {
             Framing::Length(length) => take_up_to(length, buffer, response),
             Framing::Chunked => {
-                if let Err(malformed) = take_chunks(&mut chunks, buffer, response) {
-                    response.malformed = Some(malformed);
+                if let Err(error) = take_chunks(&mut chunks, buffer, response) {
+                    response.malformed = Some(error.0);
                     return false;
                 }
             }
@@ -107,21 +108,20 @@
     response.is_complete = response.body.len() == length;
 }
 
-/// Takes the chunks that are there. Errors: why the bytes are no chunks.
+/// Takes the chunks that are there.
 fn take_chunks(
     chunks: &mut ChunkDecoder,
     buffer: &mut BytesMut,
     response: &mut ClientResponse,
-) -> Result<(), &'static str> {
+) -> Parsed<()> {
     loop {
-        match chunks.next(buffer) {
-            Ok(ChunkEvent::Data(bytes)) => response.body.extend_from_slice(&bytes),
-            Ok(ChunkEvent::More) => return Ok(()),
-            Ok(ChunkEvent::End) => {
+        match chunks.next(buffer)? {
+            ChunkEvent::Data(bytes) => response.body.extend_from_slice(&bytes),
+            ChunkEvent::More => return Ok(()),
+            ChunkEvent::End => {
                 response.is_complete = true;
                 return Ok(());
             }
-            Err(bad) => return Err(bad.0),
         }
     }
 }
--- a/crates/sparrouter-simulation/src/http_messages.rs
+++ b/crates/sparrouter-simulation/src/http_messages.rs
@@ -1,4 +1,4 @@
-//! HTTP for stand-ins: calls with their answers, and requests that stand-ins receive.
+//! HTTP as servers, clients and the operator speak it: calls with their replies, and requests that servers receive.
 
 use crate::network::interface::NetworkInterface;
 use crate::network::socket::Socket;
@@ -6,6 +6,7 @@
 use sparrouter_fleet::platform::http;
 use sparrouter_http::head::{self, RequestHead, ResponseHead};
 use sparrouter_http::reading;
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -15,18 +16,30 @@
 const MAX_HEAD_BYTES: usize = 64 << 10;
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Why a call has no answer.
+/// Why a call has no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
     /// No connection could be established.
     Unreachable,
     /// No complete response came in time.
     TimedOut,
-    /// The connection broke, or the answer was malformed.
+    /// The connection broke, or the response was malformed.
     Broken,
 }
 
-/// An answer.
+impl fmt::Display for CallError {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
+            CallError::Unreachable => "no connection could be established: check the address",
+            CallError::TimedOut => "no complete response came in time",
+            CallError::Broken => "the connection broke, or the response was malformed",
+        })
+    }
+}
+
+impl std::error::Error for CallError {}
+
+/// A reply to a call.
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
@@ -43,32 +56,28 @@
     }
 }
 
-/// Sends a call on a new connection. `timeout_after`: how long all of it may take.
+/// Sends a call on a new connection. `time_limit`: how long all of it may take.
 ///
 /// # Errors
 ///
-/// [`CallError`] if no whole answer came.
+/// [`CallError`] if no complete response came.
 pub async fn call(
-    net: &NetworkInterface,
+    network: &NetworkInterface,
     to: SocketAddr,
     method: &str,
     path: &str,
     fields: &[(&str, &str)],
     body: &str,
-    timeout_after: Duration,
+    time_limit: Duration,
 ) -> Result<Reply, CallError> {
     let mut reached = false;
     let exchange = async {
-        let mut stream = net.connect(to).await.map_err(|_| CallError::Unreachable)?;
+        let mut stream = network
+            .connect(to)
+            .await
+            .map_err(|_| CallError::Unreachable)?;
         reached = true;
-        let mut text = format!("{method} {path} HTTP/1.1\r\nHost: {to}\r\n");
-        for (name, value) in fields {
-            text.push_str(&format!("{name}: {value}\r\n"));
-        }
-        text.push_str(&format!(
-            "Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
-            body.len()
-        ));
+        let text = request_text(to, method, path, fields, body);
         stream
             .write_all(text.as_bytes())
             .await
@@ -85,13 +94,30 @@
             body,
         })
     };
-    match timeout(timeout_after, exchange).await {
+    match timeout(time_limit, exchange).await {
         Ok(answer) => answer,
         Err(_) if reached => Err(CallError::TimedOut),
         Err(_) => Err(CallError::Unreachable),
     }
 }
 
+fn request_text(
+    to: SocketAddr,
+    method: &str,
+    path: &str,
+    fields: &[(&str, &str)],
+    body: &str,
+) -> String {
+    let fields: String = fields
+        .iter()
+        .map(|(name, value)| format!("{name}: {value}\r\n"))
+        .collect();
+    format!(
+        "{method} {path} HTTP/1.1\r\nHost: {to}\r\n{fields}Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
+        body.len()
+    )
+}
+
 /// Reads the next request on a connection that a stand-in accepted; `None` once it ends.
 pub async fn next_call(stream: &mut Socket, buffer: &mut BytesMut) -> Option<(RequestHead, Bytes)> {
     let bytes = reading::head(stream, buffer, b"", MAX_HEAD_BYTES)
@@ -105,7 +131,7 @@
     Some((head, body))
 }
 
-/// The text of an answer with a body of known length. `fields`: further header fields, each with its line end.
+/// The text of a response with a body of known length. `fields`: further header fields, each with its line end.
 pub fn response_text(status: u16, fields: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status} Word\r\n{fields}Content-Length: {}\r\n\r\n{body}",
--- a/crates/sparrouter-simulation/src/load.rs
+++ b/crates/sparrouter-simulation/src/load.rs
@@ -171,7 +171,7 @@
             if self.rng.u8(..ABANDONED_ONE_IN) == 0 {
                 self.send_and_abandon(request).await;
             } else {
-                self.send_counted(&request).await;
+                self.send_and_count(&request).await;
             }
         }
     }
@@ -225,7 +225,7 @@
         self.client.send(&request).await;
     }
 
-    async fn send_counted(&self, request: &ClientRequest) {
+    async fn send_and_count(&self, request: &ClientRequest) {
         self.load.count_sent();
         let outcome = self.client.send(request).await;
         self.load.count_outcome(&outcome);
--- a/crates/sparrouter-simulation/src/monitor/trace.rs
+++ b/crates/sparrouter-simulation/src/monitor/trace.rs
@@ -7,7 +7,7 @@
 #[derive(Debug)]
 pub struct EventTrace {
     started_at: Instant,
-    lines: RefCell<Vec<String>>,
+    events: RefCell<Vec<String>>,
     /// Each request is traced too, not only faults and changes.
     pub verbose: Cell<bool>,
 }
@@ -17,7 +17,7 @@
     pub fn new() -> EventTrace {
         EventTrace {
             started_at: Instant::now(),
-            lines: RefCell::default(),
+            events: RefCell::default(),
             verbose: Cell::new(false),
         }
     }
@@ -30,7 +30,7 @@
     /// Adds an event.
     pub fn record(&self, event: &str) {
         let seconds = self.started_at.elapsed().as_secs_f64();
-        self.lines
+        self.events
             .borrow_mut()
             .push(format!("{seconds:9.3} {event}"));
     }
@@ -44,7 +44,7 @@
 
     /// All lines so far.
     pub fn lines(&self) -> Vec<String> {
-        self.lines.borrow().clone()
+        self.events.borrow().clone()
     }
 }
 
--- a/crates/sparrouter-simulation/tests/config.rs
+++ b/crates/sparrouter-simulation/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configurations: taken, everywhere in time, of two rivals one, and never an invalid one.
+//! Configurations: accepted, everywhere in time, of two rivals one, and never an invalid one.
 use sparrouter_simulation::client::{ClientRequest, RequestOutcome};
 use sparrouter_simulation::cluster::{
     ClusterSettings, KEY, SimulatedCluster, initial_configuration, request,
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Asks every node for a path of a route, as the platform's direct requests do; gives back who served it.
+/// Requests from every node a path of a route, as the platform's direct requests do; returns who served it.
 async fn served_by(cluster: &Rc<SimulatedCluster>, request: &ClientRequest) -> Vec<String> {
     let client = cluster.client(false);
     let mut served = Vec::new();
--- a/crates/sparrouter-simulation/tests/configuration_changes.rs
+++ b/crates/sparrouter-simulation/tests/configuration_changes.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A node that keeps control state, and so tells others.
+/// A node that has control state, and so updates others.
 fn node(seed: u64) -> Rc<Node> {
     let settings = include_str!("../../sparrouter-fleet/tests/settings/page.conf");
     let boot = ProcessSettings::parse(Path::new("story"), settings).expect("the page's settings");
@@ -69,7 +69,7 @@
         assert_eq!(
             polls(&poller, &source),
             (true, true),
-            "the first comes whole"
+            "the first text is complete"
         );
         source.apply_configuration(chosen(2));
         assert_eq!(polls(&poller, &source), (false, true));
@@ -137,7 +137,7 @@
         let (one, other, poller) = (node(1), node(2), node(3));
         let mut last = 0;
         for seq in 1..40 {
-            // Each misses every third or fourth, as one that was cut off does.
+            // Each misses every third or fourth version, as a partitioned node does.
             if seq % 3 != 0 {
                 one.apply_configuration(chosen(seq));
             }
@@ -180,7 +180,7 @@
         );
         assert!(
             poller.apply_configuration(source.config_update(0)),
-            "0 asks for it whole"
+            "0 requests the complete text"
         );
         assert_eq!(
             &*poller.active_configuration().text,
--- a/crates/sparrouter-simulation/tests/core.rs
+++ b/crates/sparrouter-simulation/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core: nodes that are killed, wiped, cut off, replaced, or all end at once, and what was acknowledged.
+//! The core: nodes that are killed, wiped, partitioned, replaced, or all end at once, and what was acknowledged.
 use sparrouter_simulation::client::RequestOutcome;
 use sparrouter_simulation::cluster::{
     ClusterSettings, SimulatedCluster, initial_configuration, request,
@@ -82,7 +82,7 @@
             let to = cluster.control_of(name);
             let (net, body) = (net.clone(), configuration.json());
             async move {
-                let timeout_after = Duration::from_secs(2);
+                let time_limit = Duration::from_secs(2);
                 let call = sparrouter_simulation::http_messages::call(
                     &net,
                     to,
@@ -90,7 +90,7 @@
                     "/api/config",
                     &fields,
                     &body,
-                    timeout_after,
+                    time_limit,
                 );
                 call.await.map_or(0, |r| r.status)
             }
@@ -209,7 +209,7 @@
             let core = cluster.core();
             core.iter().for_each(|name| cluster.power_off(name));
             sleep(Duration::from_millis(1_300)).await;
-            // The first asks one that is still dark: what it says is lost, and the network says it again a second later.
+            // The first one calls a machine without power: its packet is lost, and the network sends it again a second later.
             cluster.power_on(&core[0]);
             sleep(Duration::from_millis(40 + 10 * seed)).await;
             cluster.power_on(&core[1]);
@@ -239,7 +239,7 @@
         run_checked(|| async {
             let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(54 + seed)).await;
             let mut configuration = initial_configuration();
-            // Twice: the more machines it remembers that are gone, the longer it has somebody left to ask in vain.
+            // Twice: the more removed machines the node remembers, the longer it has addresses left that do not answer.
             for round in 0..2 {
                 cluster.partition(&["edge-0"], Some(Partition::PacketsLost));
                 for lost in cluster.core() {
--- a/crates/sparrouter-simulation/tests/disks.rs
+++ b/crates/sparrouter-simulation/tests/disks.rs
@@ -14,7 +14,7 @@
 ) -> Option<Reply> {
     let base = base.to_string();
     let fields = [("If-Match", base.as_str())];
-    let timeout_after = Duration::from_millis(1_500);
+    let time_limit = Duration::from_millis(1_500);
     let (net, at) = (cluster.outside_network(), cluster.control_of(to));
     http_messages::call(
         &net,
@@ -23,7 +23,7 @@
         "/api/config",
         &fields,
         &configuration.json(),
-        timeout_after,
+        time_limit,
     )
     .await
     .ok()
--- a/crates/sparrouter-simulation/tests/edge.rs
+++ b/crates/sparrouter-simulation/tests/edge.rs
@@ -80,7 +80,7 @@
             let response = ScriptedRequest::new(path, "a1")
                 .send_to(&cluster, NODE)
                 .await;
-            // What may not be repeated is passed on as it comes, and can only be broken off.
+            // What may not be retried is forwarded as it comes, and can only be broken off.
             assert_eq!(
                 (response.status, response.is_complete),
                 (status, status == 504),
@@ -98,7 +98,7 @@
 async fn is_ready(cluster: &SimulatedCluster, node: &str) -> bool {
     let net = cluster.outside_network();
     let readiness = SocketAddr::new(cluster.ip(node), READINESS_PORT);
-    let timeout_after = Duration::from_millis(500);
+    let time_limit = Duration::from_millis(500);
     let reply = http_messages::call(
         &net,
         readiness,
@@ -106,7 +106,7 @@
         "/api/readiness",
         &[],
         "",
-        timeout_after,
+        time_limit,
     );
     reply.await.is_ok_and(|r| r.status == 200)
 }
@@ -169,10 +169,10 @@
         let removed_server = servers.last().server;
         let path = format!("/api/instances/{}", scripted::id_of(removed_server));
         let to = cluster.control_of("core-0");
-        let timeout_after = Duration::from_secs(1);
+        let time_limit = Duration::from_secs(1);
         let net = cluster.outside_network();
         let signalled_at =
-            http_messages::call(&net, to, "DELETE", &path, &[], "", timeout_after).await;
+            http_messages::call(&net, to, "DELETE", &path, &[], "", time_limit).await;
         assert!(signalled_at.is_ok_and(|r| r.status < 300));
         sleep(Duration::from_millis(300)).await;
         for (n, node) in cluster.names().iter().enumerate() {
--- a/crates/sparrouter-simulation/tests/forwarding.rs
+++ b/crates/sparrouter-simulation/tests/forwarding.rs
@@ -28,7 +28,7 @@
     format!("id: {number}\ndata: event {number}\n\n")
 }
 
-/// A stream in chunks; `last`: it is whole.
+/// A stream in chunks; `last`: it is complete.
 fn chunked(events: &[String], last: bool) -> String {
     let mut text =
         "HTTP/1.1 200 OK\r\nSparrouter-Attempt-Id: {id}\r\nSparrouter-Response-Seal: seal\r\n\
@@ -52,9 +52,9 @@
 /// Whether a check fails with an injected defect.
 fn fails(defect: Defect, check: impl FnOnce() -> bool) -> bool {
     inject(Some(defect));
-    let holds = check();
+    let passes = check();
     inject(None);
-    !holds
+    !passes
 }
 
 /// Three servers with one script, and one request at one node.
@@ -433,7 +433,7 @@
             };
             assert_eq!(request.send_to(&cluster, NODE).await.status, 200);
         }
-        // Admission asks the node that counts what waits at the server, which does not answer any more.
+        // Admission queries the node that counts what waits at the server, which does not answer any more.
         for name in cluster.names().iter().filter(|n| *n != NODE) {
             cluster.freeze(name, true);
         }
--- a/crates/sparrouter-simulation/tests/graceful_shutdown.rs
+++ b/crates/sparrouter-simulation/tests/graceful_shutdown.rs
@@ -98,7 +98,7 @@
     );
 }
 
-/// Sends one short request on a connection that is kept, and another at `moment` after SIGTERM.
+/// Sends one short request on a connection that stays open, and another at `moment` after SIGTERM.
 async fn outcome_on_reused_connection(
     cluster: &Rc<SimulatedCluster>,
     client: &Rc<Client>,
@@ -265,7 +265,7 @@
     }
 }
 
-/// The status that a client gets whose request of a long stream is whole only at `moment` after SIGTERM.
+/// The status that a client gets whose request of a long stream is complete only at `moment` after SIGTERM.
 async fn slow_body(cluster: &Rc<SimulatedCluster>, name: &str, moment: Duration) -> (u16, bool) {
     let net = cluster.outside_network();
     let mut stream = net
--- a/crates/sparrouter-simulation/tests/injected_defects_directed.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects_directed.rs
@@ -1,4 +1,4 @@
-//! Planted mistakes that no drawn day finds, each brought about step by step: the scenario breaks a rule with the mistake
+//! Injected defects that no drawn day finds, each brought about step by step: the scenario violates a rule with the defect
 //! and keeps them all without.
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::client::RequestOutcome;
@@ -30,7 +30,7 @@
     [others[0], others[1]]
 }
 
-/// Sends a configuration to one machine alone, again and again; whether it was taken.
+/// Sends a configuration to one machine alone, again and again; whether it was accepted.
 async fn is_accepted_at(
     cluster: &Rc<SimulatedCluster>,
     machine: &str,
@@ -45,16 +45,8 @@
     for _ in 0..5 {
         let fields = [("If-Match", base.as_str())];
         let to = cluster.control_of(machine);
-        let timeout_after = Duration::from_secs(2);
-        let sent = call(
-            &net,
-            to,
-            "PUT",
-            "/api/config",
-            &fields,
-            &body,
-            timeout_after,
-        );
+        let time_limit = Duration::from_secs(2);
+        let sent = call(&net, to, "PUT", "/api/config", &fields, &body, time_limit);
         if sent.await.is_ok_and(|reply| reply.status == 200) {
             cluster.monitor.configuration_acknowledged(index);
             return true;
@@ -63,7 +55,7 @@
     false
 }
 
-/// What was broken, with or without a mistake.
+/// What was violated, with or without a defect.
 fn violations<F: Future<Output = Rc<SimulatedCluster>>>(
     defect: Option<Defect>,
     scenario: impl FnOnce() -> F,
@@ -77,7 +69,7 @@
     played.unwrap_or_else(|_| vec!["an assertion of the register".to_owned()])
 }
 
-/// Asserts that the scenario finds the mistake at one of the members, and breaks nothing at any without it.
+/// Asserts that the scenario finds the defect at one of the members, and violates nothing at any without it.
 fn assert_finds<F: Future<Output = Rc<SimulatedCluster>>>(
     defect: Defect,
     scenario: impl Fn(&'static str) -> F,
@@ -85,10 +77,7 @@
     let mut detections = Vec::new();
     for member in MEMBERS {
         let sound = violations(None, || scenario(member));
-        assert!(
-            sound.is_empty(),
-            "without a mistake, at {member}: {sound:?}"
-        );
+        assert!(sound.is_empty(), "without a defect, at {member}: {sound:?}");
         let with_defect = violations(Some(defect), || scenario(member));
         println!("{defect:?} at {member}: {with_defect:?}");
         detections.extend(with_defect);
@@ -96,7 +85,7 @@
     assert!(!detections.is_empty(), "{defect:?} is not found any more");
 }
 
-/// A change that one member alone accepts and that loses its slot to another; then that member starts anew.
+/// A change that one member alone accepts and that loses its slot to another; then that member restarts.
 async fn lost_race(member: &'static str) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(settings(71)).await;
     let accepted = initial_configuration().with_route(1, "taken");
@@ -179,7 +168,7 @@
     if cluster.operator.put(&next, 1).await != 200 {
         cluster
             .monitor
-            .report_violation("ACKS", format!("no change is taken without {down}"));
+            .report_violation("ACKS", format!("no change is accepted without {down}"));
     }
     cluster.start(down, false);
     sleep(Duration::from_secs(6)).await;
--- a/crates/sparrouter-simulation/tests/injected_defects_orders.rs
+++ b/crates/sparrouter-simulation/tests/injected_defects_orders.rs
@@ -1,4 +1,4 @@
-//! Each mistake that may be made in knowing an order again is found by a fixed story, which keeps all rules without it.
+//! Each defect that may be made in knowing an order again is found by a fixed scenario, which keeps all rules without it.
 use nanoserde::SerBin;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Applied, Machine};
@@ -19,7 +19,7 @@
     Order::new(configuration, base, Encoding::Full, true)
 }
 
-/// What the check of the history says of a story.
+/// What the check of the history says of a scenario.
 fn violation<F: Future<Output = Rc<SimulatedCluster>>>(
     scenario: impl FnOnce() -> F,
 ) -> Vec<String> {
@@ -153,7 +153,7 @@
     assert_detected(Defect::EarlyReplicaRejected, delayed_duplicate);
 }
 
-/// Too many changes for a whole fleet: the machine alone.
+/// Too many changes for a fleet: the machine alone.
 #[test]
 fn given_old_orders_rejected_when_one_of_a_thousand_changes_ago_comes_again_then_it_is_found() {
     let order = |number: u64| Change::Put {
@@ -179,5 +179,8 @@
     inject(Some(Defect::OldOrderRefused));
     let refused = monitor(&order(1));
     inject(None);
-    assert_eq!(refused, 412, "the mistake refuses an order that was taken");
+    assert_eq!(
+        refused, 412,
+        "the defect rejects an order that was accepted"
+    );
 }
--- a/crates/sparrouter-simulation/tests/lease_restart.rs
+++ b/crates/sparrouter-simulation/tests/lease_restart.rs
@@ -1,4 +1,4 @@
-//! A lease holder that starts anew over an old disk: it orders nothing under a fencing token that was replaced.
+//! An owner of the rollout lease that restarts over an old disk: it orders nothing under a fencing token that was replaced.
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
 use sparrouter_simulation::monitor::Bounds;
--- a/crates/sparrouter-simulation/tests/linearizability.rs
+++ b/crates/sparrouter-simulation/tests/linearizability.rs
@@ -346,7 +346,7 @@
             (order(3, 5, "b"), ACKNOWLEDGED),
             (order(3, 6, "c"), ACKNOWLEDGED),
         ],
-        // Refused though it was taken.
+        // Rejected though it was accepted.
         vec![
             (order(3, 5, "b"), ACKNOWLEDGED),
             (order(3, 5, "b"), REJECTED),
@@ -356,11 +356,11 @@
             (order(5, 7, "c"), ACKNOWLEDGED),
             (order(3, 5, "b"), REJECTED),
         ],
-        // Refused though nothing stood in its way.
+        // Rejected though nothing stood in its way.
         vec![(order(3, 5, "b"), REJECTED)],
-        // Taken on a base that was not in force.
+        // Accepted on a base that was not in force.
         vec![(order(4, 5, "b"), ACKNOWLEDGED)],
-        // Refused, and what builds on it is taken.
+        // Rejected, and what builds on it is accepted.
         vec![
             (order(3, 5, "b"), ACKNOWLEDGED),
             (order(3, 6, "c"), REJECTED),
--- a/crates/sparrouter-simulation/tests/links.rs
+++ b/crates/sparrouter-simulation/tests/links.rs
@@ -118,8 +118,8 @@
         for _ in 0..3 {
             ids.push(peer.next().await);
         }
-        for (id, asked) in ids.into_iter().rev() {
-            peer.answer(id, asked).await;
+        for (id, number) in ids.into_iter().rev() {
+            peer.answer(id, number).await;
         }
         for (index, call) in calls.into_iter().enumerate() {
             assert_eq!(number(call).await, Ok(index as u64 + 1));
@@ -187,11 +187,11 @@
         for call in calls {
             assert_eq!(number(call).await, Err(LinkError::Broken));
         }
-        // The next life at the address is asked by another id, and sees the new call alone.
+        // The next process at the address is called by another id, and sees the new call alone.
         let third = test.call(3);
         let mut peer = test.connection().await;
-        let (id, asked) = peer.next().await;
-        assert_eq!(asked, 3);
+        let (id, called) = peer.next().await;
+        assert_eq!(called, 3);
         assert!(id > first + 1);
         peer.answer(first, 1).await;
         peer.answer(id, 3).await;
--- a/crates/sparrouter-simulation/tests/long_partitions.rs
+++ b/crates/sparrouter-simulation/tests/long_partitions.rs
@@ -1,5 +1,5 @@
-//! A core machine cut off for 20 s in every way, joined again in the middle of a change, a replacement or new weights,
-//! under load, with all rules judged and every claim of quorum contact checked.
+//! A core machine partitioned for 20 s in every way, joined again in the middle of a change, a replacement or new weights,
+//! under load, with all rules checked and every claim of quorum contact checked.
 use sparrouter_simulation::cluster::partitions::PartitionScope;
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
 use sparrouter_simulation::configuration::Configuration;
@@ -15,20 +15,20 @@
 const PARTITION_TIME: Duration = Duration::from_secs(20);
 /// A machine that is back counts as lost for so long.
 const CATCH_UP: Duration = Duration::from_secs(4);
-/// Whatever is under way when the cut ends began at most this long before, in ms.
+/// Whatever is under way when the partition ends began at most this long before, in ms.
 const BEFORE_REPAIR_MS: u64 = 24;
 
-/// What is done to other machines while one is cut off.
+/// What is done to other machines while one is partitioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Beside {
     Nothing,
-    /// The settings name seeds that begin with the machine that is cut off, and the others are restarted.
+    /// The settings name seeds that begin with the machine that is partitioned, and the others are restarted.
     Seeds,
-    /// The machine that is cut off is restarted, then the other core machines, one after the other.
+    /// The machine that is partitioned is restarted, then the other core machines, one after the other.
     Both,
 }
 
-/// What is under way when the cut ends.
+/// What is under way when the partition ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Work {
     Change,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Starts what is to be under way when the cut ends; gives back the configuration that it ends with.
+    /// Starts what is to be under way when the partition ends; returns the configuration that it ends with.
     fn begin_work(
         &self,
         cluster: &Rc<SimulatedCluster>,
--- a/crates/sparrouter-simulation/tests/losses/mod.rs
+++ b/crates/sparrouter-simulation/tests/losses/mod.rs
@@ -38,7 +38,7 @@
     cluster
 }
 
-/// Changes the configuration, and expects that it is taken.
+/// Changes the configuration, and expects that it is accepted.
 pub async fn change(cluster: &Rc<SimulatedCluster>, configuration: &mut Configuration, name: &str) {
     let next = configuration.next(2, |p| {
         p.routes
--- a/crates/sparrouter-simulation/tests/lost_race.rs
+++ b/crates/sparrouter-simulation/tests/lost_race.rs
@@ -1,5 +1,5 @@
 //! A change that one machine alone accepted, and that lost its slot to another: it is in force nowhere, also not at that
-//! machine once it starts anew over its disk.
+//! machine once it restarts over its disk.
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
 use sparrouter_simulation::configuration::Configuration;
--- a/crates/sparrouter-simulation/tests/many_changes.rs
+++ b/crates/sparrouter-simulation/tests/many_changes.rs
@@ -122,7 +122,7 @@
     None
 }
 
-/// Asks a machine, which has just started, what is in force until it answers; its answer must not be older than what
+/// Reads the configuration of a machine that has just started until it answers; its answer must not be older than what
 /// was acknowledged before the question.
 async fn answers_with_nothing_older(cluster: &SimulatedCluster, name: &str, acknowledged: u64) {
     for _ in 0..20 {
--- a/crates/sparrouter-simulation/tests/older_state.rs
+++ b/crates/sparrouter-simulation/tests/older_state.rs
@@ -57,7 +57,7 @@
         let (mut store, opened) =
             Store::open(cluster.disk(&name).files).expect("a disk that works");
         let Opened::Existing(records) = opened else {
-            panic!("{name} has kept nothing");
+            panic!("{name} has an empty disk");
         };
         let record = Record::decode(&records[RECORD], MAX_RECORD_BYTES).expect("a record");
         let vote = record.accepted.expect("a vote");
@@ -148,7 +148,7 @@
         for name in cluster.core() {
             let (_, opened) = Store::open(cluster.disk(&name).files).expect("a disk that works");
             let Opened::Existing(records) = opened else {
-                panic!("{name} has kept nothing");
+                panic!("{name} has an empty disk");
             };
             let record = Record::decode(&records[RECORD], MAX_RECORD_BYTES).expect("a record");
             let body = &record.accepted.expect("a vote").state.body;
--- a/crates/sparrouter-simulation/tests/outliers.rs
+++ b/crates/sparrouter-simulation/tests/outliers.rs
@@ -64,7 +64,7 @@
     inject(Some(Defect::OutlierUnreported));
     let (during, _) = play(served_fractions(800, 1));
     inject(None);
-    assert!(during < 0.93, "the mistake is not found: {during:.3}");
+    assert!(during < 0.93, "the defect is not found: {during:.3}");
 }
 
 #[test]
--- a/crates/sparrouter-simulation/tests/prefix_index.rs
+++ b/crates/sparrouter-simulation/tests/prefix_index.rs
@@ -1,4 +1,4 @@
-//! The index of kept prompts over whole nodes: what one server keeps, another is pointed at.
+//! The index of cached prompts over complete nodes: what one server keeps, another is pointed at.
 use bytes::BytesMut;
 use sparrouter_simulation::client::{ClientRequest, RequestOutcome};
 use sparrouter_simulation::cluster::{
@@ -51,7 +51,7 @@
     }
 }
 
-/// Asks once more; gives back how many parts servers other than these took from elsewhere.
+/// Sends the requests once more; returns how many parts servers other than these took from elsewhere.
 async fn moved_to(
     cluster: &Rc<SimulatedCluster>,
     request: &ClientRequest,
--- a/crates/sparrouter-simulation/tests/quorum_contact.rs
+++ b/crates/sparrouter-simulation/tests/quorum_contact.rs
@@ -1,4 +1,4 @@
-//! Quorum contact: what a core machine that is cut off, frozen or only just back claims, hands out and answers.
+//! Quorum contact: what a core machine that is partitioned, frozen or only just back claims, hands out and answers.
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Action, Leases, Member, Outcome, Record, Register, Settings};
 use sparrouter_fleet::control::configuration_state::Change;
@@ -25,7 +25,7 @@
 use tokio::time::{Instant, sleep};
 
 const PARTITION_TIME: Duration = Duration::from_secs(20);
-/// From a cut on a machine may claim contact this long: the window, and the time of an answer.
+/// From a partition on a machine may claim contact this long: the window, and the time of an answer.
 const CLAIMS_END: Duration = CONTACT_WINDOW.saturating_add(Duration::from_millis(50));
 const VICTIM: &str = "core-0";
 
@@ -33,7 +33,7 @@
     ClusterSettings::small(seed)
 }
 
-/// Whether a scenario shows the planted mistake, by a breach or by an assertion.
+/// Whether a scenario shows the injected defect, by a violation or by an assertion.
 fn is_detected<F: Future<Output = Rc<SimulatedCluster>>>(
     defect: Defect,
     scenario: impl FnOnce() -> F,
@@ -130,8 +130,8 @@
 
 // Claims towards other nodes.
 
-/// The victim is cut off while a change is made, and joined again after 20 s. No machine claims contact without what
-/// was acknowledged, and the victim does not claim any while it is cut off.
+/// The victim is partitioned while a change is made, and joined again after 20 s. No machine claims contact without what
+/// was acknowledged, and the victim claims none while it is partitioned.
 async fn partition_and_repair(seed: u64, scope: PartitionScope) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
     let watch = ContactWatch::start(&cluster, &cluster.core(), FAST_POLL);
@@ -157,7 +157,7 @@
     if claims(partitioned_at + CLAIMS_END, repaired_at) > 0 {
         cluster.monitor.report_violation(
             "CONTACT",
-            format!("{VICTIM} claims contact while cut off {scope:?}"),
+            format!("{VICTIM} claims contact while partitioned {scope:?}"),
         );
     }
     assert!(
@@ -250,8 +250,8 @@
 ) -> Option<Reply> {
     let (method, path) = request;
     let (net, at) = (cluster.outside_network(), cluster.control_of(name));
-    let timeout_after = Duration::from_secs(1);
-    let call = http_messages::call(&net, at, method, path, fields, body, timeout_after);
+    let time_limit = Duration::from_secs(1);
+    let call = http_messages::call(&net, at, method, path, fields, body, time_limit);
     call.await.ok()
 }
 
@@ -404,7 +404,7 @@
 
 // A process that starts.
 
-/// An edge node starts while it reaches only a core machine that is cut off from the others.
+/// An edge node starts while it reaches only a core machine that is partitioned from the others.
 async fn start_beside_a_partitioned_machine(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
     cluster.kill("edge-0");
@@ -511,10 +511,9 @@
 
 #[test]
 fn given_an_answer_older_than_its_caller_would_wait_then_it_counts_for_nothing() {
-    let timeout_after = Duration::from_millis(1_700);
+    let time_limit = Duration::from_millis(1_700);
     let detected = || {
-        let after =
-            |ms: u64| is_timely(5_000_000_000, 5_000_000_000 + ms * 1_000_000, timeout_after);
+        let after = |ms: u64| is_timely(5_000_000_000, 5_000_000_000 + ms * 1_000_000, time_limit);
         !after(0) || !after(1_700) || after(1_701) || after(20_000)
     };
     assert!(!detected());
@@ -524,7 +523,7 @@
     assert!(with_defect);
 }
 
-/// An edge node that has the newest configuration is left with a machine that is cut off and has an older one.
+/// An edge node that has the newest configuration is left with a machine that is partitioned and has an older one.
 async fn left_with_an_older_machine(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
     cluster.partition_core(VICTIM, PartitionScope::Core, Some(Partition::PacketsLost));
@@ -596,7 +595,7 @@
     matches!(status, 0 | 503 | 504)
 }
 
-/// A row of the table in all ways of being cut off.
+/// A row of the table in all ways of being partitioned.
 fn in_every_scope(seed: u64, row: impl AsyncFn(&Rc<SimulatedCluster>) + Copy) {
     for scope in PartitionScope::ALL {
         run_checked(|| async {
@@ -625,11 +624,17 @@
             .await;
             assert!(is_unclear(status), "on {base}: {status}");
         }
-        let broken = next
+        let malformed = next
             .json()
             .replace("\"service\":\"models\"", "\"service\":\"none\"");
-        let status =
-            call_victim(cluster, "PUT", "/api/config", &[("If-Match", "1")], &broken).await;
+        let status = call_victim(
+            cluster,
+            "PUT",
+            "/api/config",
+            &[("If-Match", "1")],
+            &malformed,
+        )
+        .await;
         assert!(is_unclear(status), "invalid: {status}");
     });
 }
@@ -717,9 +722,9 @@
     );
     let update = caller.poll(to).await.expect("an answer");
     assert!(!update.has_quorum_contact(), "poll");
-    let timeout_after = Duration::from_secs(1);
+    let time_limit = Duration::from_secs(1);
     let notify = Call::Notify(MembershipDelta::default());
-    let reply = caller.call(to, &notify, timeout_after).await;
+    let reply = caller.call(to, &notify, time_limit).await;
     assert!(
         matches!(reply, Some(messages::Reply::Rejected(_))),
         "notify: {reply:?}"
@@ -729,7 +734,7 @@
         change: Blob(encode(&Change::Get)),
         timeout_ms: 500,
     };
-    let reply = caller.call(to, &change, timeout_after).await;
+    let reply = caller.call(to, &change, time_limit).await;
     assert!(
         matches!(reply, Some(messages::Reply::NotApplied(_))),
         "change: {reply:?}"
@@ -758,7 +763,7 @@
     assert!(is_detected(Defect::NotifyWithoutContact, nodes));
 }
 
-/// A server's draining at an edge node that reaches no core machine but one that is cut off.
+/// A server's draining at an edge node that reaches no core machine but one that is partitioned.
 async fn draining_toward_a_partitioned_machine(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(small(seed)).await;
     cluster.partition_core(VICTIM, PartitionScope::Core, Some(Partition::PacketsLost));
--- a/crates/sparrouter-simulation/tests/reconfiguration.rs
+++ b/crates/sparrouter-simulation/tests/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Machines of the core lost one after the other as fast as the tolerance allows: what is left holds everything and acts.
+//! Machines of the core lost one after the other as fast as the tolerance allows: the remaining ones have the complete state and commit.
 mod losses;
 
 use losses::{CATCH_UP, LOSSES, Loss, change, lose, settings, watched, wipe};
@@ -165,7 +165,7 @@
     ranked(CONFIG, &members)[0].name.clone()
 }
 
-/// A new machine joins, and is cut off with the leader from the two others before it is a member.
+/// A new machine joins, and is partitioned with the leader from the two others before it is a member.
 async fn split_beside_a_new_machine() -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(settings(352, 3)).await;
     let leader = leader(&cluster);
@@ -183,7 +183,7 @@
     cluster
 }
 
-/// What a planted mistake breaks on a day, with the assertions of the program that failed.
+/// What a injected defect breaks on a day, with the assertions of the program that failed.
 fn violations<F: Future<Output = Rc<SimulatedCluster>>>(
     defect: Defect,
     day: impl FnOnce() -> F,
--- a/crates/sparrouter-simulation/tests/revocation.rs
+++ b/crates/sparrouter-simulation/tests/revocation.rs
@@ -54,7 +54,7 @@
     outcomes
 }
 
-/// One node is cut off from all others of the fleet, then a key is removed. Clients and servers reach the node.
+/// One node is partitioned from all others of the fleet, then a key is removed. Clients and servers reach the node.
 async fn revoked_behind_a_partition(name: &str, seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(strict(seed)).await;
     cluster.partition(&[name], Some(Partition::PacketsLost));
@@ -86,7 +86,7 @@
     cluster
 }
 
-/// A core node is cut off, a key is removed, and the node's process starts anew behind the cut: its disk has the old
+/// A core node is partitioned, a key is removed, and the node's process restarts behind the partition: its disk has the old
 /// configuration.
 async fn revoked_before_a_start_from_disk(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(strict(seed)).await;
@@ -103,10 +103,10 @@
     cluster
 }
 
-/// The sources of a node are cut off from the rest of the core: the node hears them, and they hear nothing new.
+/// The sources of a node are partitioned from the rest of the core: they reach the node, and get no updates themselves.
 async fn revoked_with_sources_behind(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(strict(seed)).await;
-    // The far side of the cut holds one core node and one other; it has no quorum.
+    // The far side of the partition holds one core node and one other; it has no quorum.
     cluster.partition(&["core-0", "edge-0"], Some(Partition::PacketsLost));
     assert_eq!(cluster.operator.put(&revoked(), 1).await, 200);
     let lasts = Duration::from_secs(12);
@@ -163,13 +163,13 @@
     }
 }
 
-/// What is broken with a mistake planted, in one story.
+/// What is violated with a defect injected, in one scenario.
 fn violations<F: Future<Output = Rc<SimulatedCluster>>>(
     defect: Defect,
-    story: impl FnOnce() -> F,
+    scenario: impl FnOnce() -> F,
 ) -> Vec<String> {
     inject(Some(defect));
-    let violated = play(async { story().await.monitor.violations() });
+    let violated = play(async { scenario().await.monitor.violations() });
     inject(None);
     violated
 }
@@ -200,8 +200,8 @@
     assert_detected(defect, &violated);
 }
 
-/// A node is frozen while answers of its sources are on their way to it, and wakes behind a cut after a key was removed:
-/// those answers tell what was so before.
+/// A node is frozen while answers of its sources are on their way to it, and wakes behind a partition after a key was removed:
+/// those answers have the older configuration.
 async fn resumed_behind_a_partition(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(strict(seed)).await;
     // Polls are held for a second, so that some are answered within this time.
--- a/crates/sparrouter-simulation/tests/server_orders.rs
+++ b/crates/sparrouter-simulation/tests/server_orders.rs
@@ -43,7 +43,7 @@
 }
 
 fn body(order: &ReceivedRequest) -> String {
-    let body = order.body.as_deref().expect("a whole order");
+    let body = order.body.as_deref().expect("a complete order");
     String::from_utf8_lossy(body).into_owned()
 }
 
--- a/crates/sparrouter-simulation/tests/slow_links.rs
+++ b/crates/sparrouter-simulation/tests/slow_links.rs
@@ -1,4 +1,4 @@
-//! A configuration of 500 KB where each machine's line carries 10 Mbit/s: nodes that start anew, several at once, get it
+//! A configuration of 500 KB where each machine's link carries 10 Mbit/s: nodes that restart, several at once, get it
 //! soon and not again and again.
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
--- a/crates/sparrouter-simulation/tests/split_core.rs
+++ b/crates/sparrouter-simulation/tests/split_core.rs
@@ -1,4 +1,4 @@
-//! The machines that count are cut into two halves for some seconds, whatever may be lost at once; everybody else reaches
+//! The machines that count are partitioned into two halves for some seconds, whatever may be lost at once; everybody else reaches
 //! both. Nothing that was acknowledged is lost or shown in an older state, on either side, and service goes on.
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
 use sparrouter_simulation::load::ClientLoad;
@@ -11,7 +11,7 @@
 
 const PARTITION_TIME: Duration = Duration::from_secs(9);
 
-/// Cuts the links between the first half of the core and the second, or joins them.
+/// Partitions the links between the first half of the core and the second, or repairs them.
 fn split_in_halves(cluster: &SimulatedCluster, partition: Option<Partition>) {
     let core = cluster.core();
     let (first, second) = core.split_at(core.len() / 2);
@@ -23,7 +23,7 @@
     }
     cluster
         .monitor
-        .trace(format!("the core is cut in halves: {partition:?}"));
+        .trace(format!("the core is split in halves: {partition:?}"));
     match partition {
         Some(_) => cluster.monitor.fault_began(FaultScope::Core),
         None => {
@@ -36,19 +36,19 @@
 /// Reads the configuration at every node for a while; the greatest share of reads that were answered at one node.
 async fn read_everywhere(cluster: &Rc<SimulatedCluster>, span: Duration) -> f64 {
     let began = Instant::now();
-    let (mut asked, mut answered) = (0, 0);
+    let (mut reads, mut answered) = (0, 0);
     while began.elapsed() < span {
         for name in cluster.names() {
             // Each answer goes into the history, which is checked for an older one after a newer.
             let reply = cluster.operator.get_from(cluster.control_of(&name)).await;
             let status = reply.map_or(0, |reply| reply.status);
             assert!(matches!(status, 0 | 200 | 503), "{name}: {status}");
-            asked += 1;
+            reads += 1;
             answered += u32::from(status == 200);
         }
         sleep(Duration::from_millis(100)).await;
     }
-    f64::from(answered) / f64::from(asked.max(1))
+    f64::from(answered) / f64::from(reads.max(1))
 }
 
 async fn halved(seed: u64, core: usize) -> Rc<SimulatedCluster> {
@@ -79,7 +79,7 @@
     let fraction = read_everywhere(&cluster, Duration::from_secs(1)).await;
     assert!(
         fraction > 0.9,
-        "{fraction} of reads are answered after the cut"
+        "{fraction} of reads are answered after the partition"
     );
     cluster.operator.read_back().await;
     load.stop().await;
--- a/crates/sparrouter-simulation/tests/state_files.rs
+++ b/crates/sparrouter-simulation/tests/state_files.rs
@@ -92,7 +92,7 @@
         .expect("a record of this release")
 }
 
-/// The file with another record in a frame that is whole.
+/// The file with another record in a complete frame.
 fn with_record(name: &str, change: impl FnOnce(&mut Vec<u8>)) -> BTreeMap<String, Vec<u8>> {
     let mut files = recorded();
     let version = name
@@ -101,7 +101,7 @@
         .and_then(|v| v.parse().ok())
         .expect("a version");
     let frame::Opened::Good(mut bytes) = frame::read(version, &files[name]) else {
-        panic!("{name} is whole");
+        panic!("{name} is complete");
     };
     change(&mut bytes);
     files.insert(name.to_owned(), frame::write(version, &bytes));
@@ -206,7 +206,7 @@
 {
     for (name, _) in RECORDED.iter().filter(|(n, _)| n.starts_with("part-")) {
         let truncated = with_record(name, |r| r.truncate(r.len() - 1));
-        assert!(joins_as_new(&truncated), "{name} cut");
+        assert!(joins_as_new(&truncated), "{name} truncated");
         let older = with_record(name, |r| r[0] = 0);
         assert!(joins_as_new(&older), "{name} of an older format");
     }
--- a/crates/sparrouter-simulation/tests/versions.rs
+++ b/crates/sparrouter-simulation/tests/versions.rs
@@ -1,5 +1,5 @@
 //! Time limits of versions of weights: each version has its own, which neither a later version, nor the start of a process,
-//! nor a quiet core moves. Each guard is shown by a mistake that takes it out.
+//! nor a quiet core moves. Each guard is shown by a defect that takes it out.
 use fastrand::Rng;
 use sparrouter_fleet::platform::defects::{Defect, inject};
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster};
@@ -39,7 +39,7 @@
     cluster
 }
 
-/// Every node that takes clients alone starts anew between two versions and the first limit.
+/// Every node that takes clients alone restarts between two versions and the first limit.
 async fn restarted_between(seed: u64) -> Rc<SimulatedCluster> {
     let cluster = SimulatedCluster::serving(slow_rollout(seed)).await;
     let load = ClientLoad::start(&cluster, 12, REQUEST_INTERVAL);
@@ -55,7 +55,7 @@
     cluster
 }
 
-/// A core node starts anew each six seconds, so that no calm stretch is long, while servers take a new version slowly.
+/// A core node restarts each six seconds, so that no stable period is long, while servers take a new version slowly.
 async fn never_calm_for_long(seed: u64) -> Rc<SimulatedCluster> {
     let bounds = Bounds {
         version_all: Duration::from_secs(5),
@@ -81,7 +81,7 @@
     cluster
 }
 
-/// What is broken with a mistake, over a few seeds.
+/// What is violated with a defect, over a few seeds.
 fn violations<F: Future<Output = Rc<SimulatedCluster>>>(
     defect: Defect,
     scenario: impl Fn(u64) -> F,
@@ -90,9 +90,9 @@
     let mut all = Vec::new();
     for seed in seeds {
         inject(Some(defect));
-        let broken = play(async { scenario(seed).await.monitor.violations() });
+        let violated = play(async { scenario(seed).await.monitor.violations() });
         inject(None);
-        all.extend(broken);
+        all.extend(violated);
     }
     all
 }
@@ -102,10 +102,10 @@
     for seed in 310..313 {
         run_checked(|| overlapping_versions(seed));
     }
-    let broken = violations(Defect::LimitReplaced, overlapping_versions, 310..311);
+    let violated = violations(Defect::LimitReplaced, overlapping_versions, 310..311);
     assert!(
-        broken.iter().any(|b| b.starts_with("VERSION")),
-        "{broken:?}"
+        violated.iter().any(|b| b.starts_with("VERSION")),
+        "{violated:?}"
     );
 }
 
@@ -115,9 +115,9 @@
         run_checked(|| restarted_between(seed));
     }
     for defect in [Defect::StartMovesLimits, Defect::VersionAgeUnreported] {
-        let broken = violations(defect, restarted_between, 320..323);
-        let is_detected = broken.iter().any(|b| b.starts_with("VERSION"));
-        assert!(is_detected, "{defect:?}: {broken:?}");
+        let violated = violations(defect, restarted_between, 320..323);
+        let is_detected = violated.iter().any(|b| b.starts_with("VERSION"));
+        assert!(is_detected, "{defect:?}: {violated:?}");
     }
 }
 
@@ -126,9 +126,9 @@
     for seed in 350..353 {
         run_checked(|| never_calm_for_long(seed));
     }
-    let broken = violations(Defect::VersionSumIgnored, never_calm_for_long, 350..353);
-    let is_detected = broken.iter().any(|b| b.starts_with("VERSION"));
-    assert!(is_detected, "{broken:?}");
+    let violated = violations(Defect::VersionSumIgnored, never_calm_for_long, 350..353);
+    let is_detected = violated.iter().any(|b| b.starts_with("VERSION"));
+    assert!(is_detected, "{violated:?}");
 }
 
 /// All core processes are killed in the middle of a slow rollout, which forgets when the version was named; the other
@@ -165,9 +165,9 @@
     for seed in 354..357 {
         run_checked(|| core_forgets_the_age(seed));
     }
-    let broken = violations(Defect::VersionAgeUnreturned, core_forgets_the_age, 354..357);
-    let is_detected = broken.iter().any(|b| b.starts_with("VERSION"));
-    assert!(is_detected, "{broken:?}");
+    let violated = violations(Defect::VersionAgeUnreturned, core_forgets_the_age, 354..357);
+    let is_detected = violated.iter().any(|b| b.starts_with("VERSION"));
+    assert!(is_detected, "{violated:?}");
 }
 
 /// Versions at drawn moments, servers of drawn slowness, and restarts of nodes in between, by one seed.
