--- a/crates/sparrouter-simulation/src/cluster/mod.rs
+++ b/crates/sparrouter-simulation/src/cluster/mod.rs
@@ -25,7 +25,7 @@
 
 use crate::client::{Client, ClientRequest, RequestOutcome};
 use crate::disk::SimulatedDisk;
-use crate::http_messages::call;
+use crate::http_messages::{Reply, call};
 use crate::load_balancer::LoadBalancer;
 use crate::monitor::Monitor;
 use crate::network::SimulatedNetwork;
@@ -50,6 +50,9 @@
 /// Port of model servers.
 const SERVER_PORT: u16 = 8080;
 
+/// How long a GET of a test may take.
+const GET_TIMEOUT: Duration = Duration::from_secs(1);
+
 /// Failure domains of the machines.
 pub const ZONES: [&str; 3] = ["lalitpur", "bhaktapur", "kirtipur"];
 
@@ -205,12 +208,19 @@
         SocketAddr::new(self.ip(name), FRONT_PORT)
     }
 
+    /// GET of a path at the control address of a machine; `None` without a reply within a second.
+    pub async fn get(&self, machine: &str, path: &str) -> Option<Reply> {
+        let network = self.outside_network();
+        let address = self.control_of(machine);
+        let reply = call(&network, address, "GET", path, &[], "", GET_TIMEOUT);
+        reply.await.ok()
+    }
+
     /// The value of a metric, by its full name with labels; `None` where the machine has none or does not answer.
     pub async fn metric(&self, machine: &str, metric: &str) -> Option<f64> {
         let network = self.outside_network();
-        let timeout = Duration::from_secs(1);
         let address = self.metrics_of(machine);
-        let reply = call(&network, address, "GET", "/metrics", &[], "", timeout);
+        let reply = call(&network, address, "GET", "/metrics", &[], "", GET_TIMEOUT);
         let reply = reply.await.ok()?;
         let value = |line: &str| line.strip_prefix(metric)?.trim().parse().ok();
         reply.text().lines().find_map(value)
--- a/crates/sparrouter-simulation/tests/bootstrap.rs
+++ b/crates/sparrouter-simulation/tests/bootstrap.rs
@@ -2,7 +2,6 @@
 use sparrouter_simulation::client::{ClientRequest, RequestOutcome};
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, request};
 use sparrouter_simulation::configuration::RouteKind;
-use sparrouter_simulation::http_messages;
 use sparrouter_simulation::load::ClientLoad;
 use sparrouter_simulation::runtime::run_checked;
 use std::time::Duration;
@@ -59,18 +58,8 @@
         }
         sleep(Duration::from_secs(4)).await;
         for name in &core {
-            let address = cluster.control_of(name);
-            let net = cluster.outside_network();
-            let call = http_messages::call(
-                &net,
-                address,
-                "GET",
-                "/api/status",
-                &[],
-                "",
-                Duration::from_secs(1),
-            );
-            let reply = call.await.expect("a node of the core answers");
+            let reply = cluster.get(name, "/api/status").await;
+            let reply = reply.expect("a node of the core answers");
             for other in cluster.names() {
                 let row = format!("{{\"name\":\"{other}\",");
                 assert!(
--- a/crates/sparrouter-simulation/tests/configuration_changes.rs
+++ b/crates/sparrouter-simulation/tests/configuration_changes.rs
@@ -7,7 +7,6 @@
 use sparrouter_fleet::process::settings::ProcessSettings;
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
 use sparrouter_simulation::configuration::{Configuration, Route, RouteKind};
-use sparrouter_simulation::http_messages;
 use sparrouter_simulation::load::ClientLoad;
 use sparrouter_simulation::runtime::{play, run_checked};
 use std::path::Path;
@@ -207,17 +206,8 @@
 
 /// The digest of the configuration that a node reports, as JSON.
 async fn reported_digest(cluster: &SimulatedCluster, name: &str) -> String {
-    let call = http_messages::call(
-        &cluster.outside_network(),
-        cluster.control_of(name),
-        "GET",
-        "/api/status",
-        &[],
-        "",
-        Duration::from_secs(1),
-    )
-    .await;
-    let reply = call.expect("the node answers");
+    let reply = cluster.get(name, "/api/status").await;
+    let reply = reply.expect("the node answers");
     let (_, after) = reply
         .text()
         .split_once("\"config_digest\":")
--- a/crates/sparrouter-simulation/tests/lost_race.rs
+++ b/crates/sparrouter-simulation/tests/lost_race.rs
@@ -27,17 +27,7 @@
 
 /// The digest of the configuration that a machine has in force, as its status says.
 async fn digest_of(cluster: &SimulatedCluster, name: &str) -> Option<String> {
-    let net = cluster.outside_network();
-    let reply = http_messages::call(
-        &net,
-        cluster.control_of(name),
-        "GET",
-        "/api/status",
-        &[],
-        "",
-        Duration::from_secs(1),
-    );
-    let reply = reply.await.ok()?;
+    let reply = cluster.get(name, "/api/status").await?;
     let digest = reply.text().split("\"config_digest\":").nth(1)?;
     Some(digest.split(',').next()?.to_owned())
 }
