--- a/crates/sparrouter-config/src/order.rs
+++ b/crates/sparrouter-config/src/order.rs
@@ -22,7 +22,7 @@
     /// The version that it builds on, 0 for the first configuration.
     pub base: u64,
     /// The version that it makes.
-    pub number: u64,
+    pub version: u64,
     /// SHA-256 of the request.
     pub digest: OrderDigest,
 }
@@ -42,7 +42,7 @@
         hasher.update(text.as_bytes());
         Order {
             base,
-            number,
+            version: number,
             digest: OrderDigest(hasher.finalize().into()),
         }
     }
--- a/crates/sparrouter-config/tests/changes.rs
+++ b/crates/sparrouter-config/tests/changes.rs
@@ -155,7 +155,7 @@
 fn given_an_order_when_digested_then_method_base_number_and_every_byte_of_the_text_count() {
     let known = order(Method::Put, EXAMPLE, 5);
     assert_eq!(known, order(Method::Put, EXAMPLE, 5));
-    assert_eq!((known.base, known.number), (5, 7));
+    assert_eq!((known.base, known.version), (5, 7));
     let others = [
         order(Method::Patch, EXAMPLE, 5),
         order(Method::Put, EXAMPLE, 4),
--- a/crates/sparrouter-consensus/src/defects.rs
+++ b/crates/sparrouter-consensus/src/defects.rs
@@ -17,7 +17,7 @@
     /// Callers are answered on the newest vote reported, before it is chosen.
     pub judge_unchosen: bool,
     /// Callers are answered (and fencing tokens handed out) when `Accept` is sent.
-    pub answer_unchosen: bool,
+    pub answer_before_chosen: bool,
     /// The first vote that a promise brings is proposed again, not the newest.
     pub any_promise: bool,
     /// Half of a group counts as its majority.
@@ -45,5 +45,5 @@
     /// A fetch is abandoned for any other body that is offered.
     pub fetch_overtaken: bool,
     /// Members don't run anti-entropy.
-    pub exchange_silent: bool,
+    pub anti_entropy_disabled: bool,
 }
--- a/crates/sparrouter-consensus/src/register/catch_up.rs
+++ b/crates/sparrouter-consensus/src/register/catch_up.rs
@@ -75,7 +75,7 @@
         if !self
             .anti_entropy
             .start_comparison(&mut self.rng, &self.settings, now)
-            || self.settings.defects.exchange_silent
+            || self.settings.defects.anti_entropy_disabled
         {
             return;
         }
--- a/crates/sparrouter-consensus/src/register/proposal.rs
+++ b/crates/sparrouter-consensus/src/register/proposal.rs
@@ -180,7 +180,7 @@
     }
 
     fn start_accept(&mut self, vote: SharedVote, evaluated: Vec<Evaluated>, now: Nanos) {
-        if self.settings.defects.answer_unchosen {
+        if self.settings.defects.answer_before_chosen {
             self.answer_before_chosen(&evaluated);
         }
         self.start_request(RequestKind::Accept { evaluated }, vote, now);
--- a/crates/sparrouter-consensus/tests/explore/scenarios.rs
+++ b/crates/sparrouter-consensus/tests/explore/scenarios.rs
@@ -409,7 +409,7 @@
         with_defect(
             "answer_unchosen",
             8,
-            |d| d.answer_unchosen = true,
+            |d| d.answer_before_chosen = true,
             &[],
             race_of(3),
         ),
--- a/crates/sparrouter-consensus/tests/fleet/defects.rs
+++ b/crates/sparrouter-consensus/tests/fleet/defects.rs
@@ -56,7 +56,7 @@
     ),
     case(
         "answer_unchosen",
-        |d| d.answer_unchosen = true,
+        |d| d.answer_before_chosen = true,
         FaultMix::Mixed,
     ),
     case("any_promise", |d| d.any_promise = true, FaultMix::Mixed),
--- a/crates/sparrouter-consensus/tests/fleet/node.rs
+++ b/crates/sparrouter-consensus/tests/fleet/node.rs
@@ -196,7 +196,9 @@
             return;
         }
         match disk_state {
-            DiskState::Failing => node.files.fail_at(draw % 4, disk_failure(draw as usize, 9)),
+            DiskState::Failing => node
+                .files
+                .schedule_failure(draw % 4, disk_failure(draw as usize, 9)),
             DiskState::Full => node.files.set_capacity(Some(bytes.len() * 2)),
             _ => {}
         }
@@ -215,7 +217,8 @@
         let torn_at = self.rng.usize(..200);
         let node = &mut self.nodes[node];
         if let (Some(bytes), Some(mut store)) = (node.bytes_in_flight.take(), node.store.take()) {
-            node.files.fail_at(operation, disk_failure(kind, torn_at));
+            node.files
+                .schedule_failure(operation, disk_failure(kind, torn_at));
             // Whether it fails depends on how many operations the store takes.
             let _ = store.save(RECORD, &bytes);
         }
@@ -262,8 +265,8 @@
 /// One of three failures: before the operation, after it, or in the middle.
 fn disk_failure(kind: usize, torn_at: usize) -> DiskFailure {
     match kind % 3 {
-        0 => DiskFailure::Before,
-        1 => DiskFailure::After,
+        0 => DiskFailure::NotExecuted,
+        1 => DiskFailure::ExecutedWithError,
         _ => DiskFailure::Torn(torn_at),
     }
 }
--- a/crates/sparrouter-fleet/src/control/configuration_state.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state.rs
@@ -170,7 +170,7 @@
     fn fate_of(&self, order: &Order) -> OrderFate {
         match self.orders.fate(order) {
             OrderFate::Applied
-                if order.number != self.version && !rules::applied_orders_remembered() =>
+                if order.version != self.version && !rules::applied_orders_remembered() =>
             {
                 OrderFate::Lost
             }
--- a/crates/sparrouter-fleet/src/control/configuration_state/history.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state/history.rs
@@ -64,12 +64,12 @@
 
     /// Appends an order that builds on the newest version.
     pub fn push(&mut self, order: &Order) {
-        debug_assert!(order.number > self.newest());
+        debug_assert!(order.version > self.newest());
         if self.links.len() >= MAX_KNOWN_ORDERS {
             self.base = self.links.remove(0).number;
         }
         self.links.push(AppliedOrder {
-            number: order.number,
+            number: order.version,
             digest: order.digest,
         });
     }
@@ -81,7 +81,7 @@
         }
         if order.base < self.base {
             // The version that such an order made is at or before the oldest base.
-            return if order.number > self.base {
+            return if order.version > self.base {
                 OrderFate::Lost
             } else {
                 OrderFate::Unknown
@@ -108,7 +108,7 @@
 
 fn is_made_by(link: &AppliedOrder, order: &Order) -> bool {
     let same_digest = link.digest == order.digest || !rules::order_digests_compared();
-    link.number == order.number && same_digest
+    link.number == order.version && same_digest
 }
 
 impl SerBin for AppliedOrder {
--- a/crates/sparrouter-fleet/src/membership/outliers.rs
+++ b/crates/sparrouter-fleet/src/membership/outliers.rs
@@ -59,7 +59,7 @@
     pub fn count_served_elsewhere(&self, server: u64) {
         let now = self.now();
         let mut outliers = self.owned_keys.outliers.borrow_mut();
-        outliers.served_elsewhere(server, now);
+        outliers.record_served_elsewhere(server, now);
     }
 
     /// Counts a failure that another node reports to this one, the server's owner.
@@ -75,7 +75,7 @@
         let (proxies, now) = (self.proxy_count(), self.now());
         let is_outlier = {
             let mut outliers = self.owned_keys.outliers.borrow_mut();
-            outliers.failed(failure, proxies, now)
+            outliers.record_failure(failure, proxies, now)
         };
         let id = {
             let server_table = self.server_table.borrow();
--- a/crates/sparrouter-fleet/src/node/mod.rs
+++ b/crates/sparrouter-fleet/src/node/mod.rs
@@ -208,6 +208,6 @@
     let has_total = !total.is_zero() && rules::total_version_limit_applies();
     OutdatedVersionLimits {
         per_stretch: limit(settings.bounds.version),
-        in_total: has_total.then(|| limit(total)),
+        total: has_total.then(|| limit(total)),
     }
 }
--- a/crates/sparrouter-fleet/src/platform/defects.rs
+++ b/crates/sparrouter-fleet/src/platform/defects.rs
@@ -213,9 +213,9 @@
         ack_before_sync: !rules::acks_follow_sync(),
         old_group_only: !rules::only_current_group_counts(),
         skip_joint: !rules::both_groups_asked(),
-        answer_unchosen: !rules::answers_follow_choice(),
+        answer_before_chosen: !rules::answers_follow_choice(),
         unconfirmed_candidates: !rules::joins_need_stored_state(),
-        exchange_silent: !rules::members_compare_states(),
+        anti_entropy_disabled: !rules::members_compare_states(),
         ..sparrouter_consensus::Defects::default()
     }
 }
--- a/crates/sparrouter-fleet/src/proxy/exchange.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange.rs
@@ -168,7 +168,7 @@
             }
             AttemptOutcome::NotRun { .. } => in_flight.outcome = RequestOutcome::Declined,
             AttemptOutcome::MayHaveRun => {
-                in_flight.outcome = RequestOutcome::Broke;
+                in_flight.outcome = RequestOutcome::ConnectionLost;
                 self.failed.push(selection.server);
                 self.is_proven_not_run = !rules::only_idempotent_retried();
             }
@@ -208,7 +208,7 @@
             RelayOutcome::ClientLeft => Some(ExchangeOutcome::Closed),
             RelayOutcome::DeadlinePassed => Some(client.end_at_deadline()),
             RelayOutcome::Broke => {
-                in_flight.outcome = RequestOutcome::Broke;
+                in_flight.outcome = RequestOutcome::ConnectionLost;
                 self.failed.push(server);
                 self.is_proven_not_run = false;
                 client.resume_or_close()
--- a/crates/sparrouter-fleet/src/proxy/exchange/accept.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/accept.rs
@@ -134,7 +134,7 @@
 fn read_prompt(request: &Request) -> Prompt {
     let fields = &request.head.fields;
     let prefix = fields.text("sparrouter-prompt-prefix");
-    Prompt::read(prefix, fields.text("sparrouter-token-usage"))
+    Prompt::parse(prefix, fields.text("sparrouter-token-usage"))
 }
 
 /// The key by which the request's server is selected: of its prompt's prefix, so that requests which share it go to one
--- a/crates/sparrouter-fleet/src/proxy/exchange/in_flight.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/in_flight.rs
@@ -52,7 +52,10 @@
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         self.dequeue(false);
-        if matches!(self.outcome, RequestOutcome::Broke | RequestOutcome::Failed) {
+        if matches!(
+            self.outcome,
+            RequestOutcome::ConnectionLost | RequestOutcome::Failed
+        ) {
             self.node.report_failure(self.server, self.key);
         }
         let now = self.node.now();
--- a/crates/sparrouter-routing/src/outliers.rs
+++ b/crates/sparrouter-routing/src/outliers.rs
@@ -104,7 +104,7 @@
 
 impl Outliers {
     /// Records that a request which failed at this server was answered by another one.
-    pub fn served_elsewhere(&mut self, server: u64, now: Nanos) {
+    pub fn record_served_elsewhere(&mut self, server: u64, now: Nanos) {
         if let Some(evidence) = self.0.get_mut(&server) {
             evidence.served_elsewhere.add(1.0, now);
         }
@@ -112,7 +112,7 @@
 
     /// Records a failure, and returns whether the server is to be ejected now; true at most once in half of
     /// [`EJECTION_PERIOD`] for a server. `nodes`: how many nodes send requests to the server.
-    pub fn failed(&mut self, failure: Failure, nodes: usize, now: Nanos) -> bool {
+    pub fn record_failure(&mut self, failure: Failure, nodes: usize, now: Nanos) -> bool {
         if self.0.len() >= MAX_SERVERS && !self.0.contains_key(&failure.server) {
             self.0
                 .retain(|_, evidence| evidence.failures.value(now) >= NEGLIGIBLE);
--- a/crates/sparrouter-routing/src/prompt.rs
+++ b/crates/sparrouter-routing/src/prompt.rs
@@ -46,7 +46,7 @@
 impl Prompt {
     /// Parses the header fields. `prefix`: `ID:TOKENS,...`; `usage`: `IN,OUT`. What cannot be parsed is left out, because
     /// a prompt that is described badly can still be served.
-    pub fn read(prefix: Option<&str>, usage: Option<&str>) -> Prompt {
+    pub fn parse(prefix: Option<&str>, usage: Option<&str>) -> Prompt {
         let blocks: Vec<PrefixBlock> = prefix
             .unwrap_or_default()
             .split(',')
--- a/crates/sparrouter-routing/src/server.rs
+++ b/crates/sparrouter-routing/src/server.rs
@@ -21,7 +21,7 @@
     /// No connection could be established.
     Unreachable,
     /// The connection broke, or the answer was malformed.
-    Broke,
+    ConnectionLost,
     /// The client disconnected or its deadline passed, which says nothing of the server.
     Withdrawn,
 }
--- a/crates/sparrouter-routing/src/server_table.rs
+++ b/crates/sparrouter-routing/src/server_table.rs
@@ -201,7 +201,7 @@
             RequestOutcome::Failed
             | RequestOutcome::Declined
             | RequestOutcome::Misdirected
-            | RequestOutcome::Broke
+            | RequestOutcome::ConnectionLost
             | RequestOutcome::Withdrawn => {}
         }
     }
--- a/crates/sparrouter-routing/src/versions.rs
+++ b/crates/sparrouter-routing/src/versions.rs
@@ -35,7 +35,7 @@
     /// Within one stretch in which the core did not change.
     pub per_stretch: Nanos,
     /// Over all such stretches; `None`: they are not added up.
-    pub in_total: Option<Nanos>,
+    pub total: Option<Nanos>,
 }
 
 impl OutdatedVersionLimits {
@@ -43,7 +43,7 @@
     pub fn per_stretch_only(per_stretch: Nanos) -> OutdatedVersionLimits {
         OutdatedVersionLimits {
             per_stretch,
-            in_total: None,
+            total: None,
         }
     }
 
@@ -54,7 +54,7 @@
         });
         let stretch_limit = stretch_start.saturating_add(to_timestamp(self.per_stretch));
         let total_limit = self
-            .in_total
+            .total
             .map(|in_total| required.named_at.saturating_add(to_timestamp(in_total)));
         total_limit.map_or(stretch_limit, |limit| limit.min(stretch_limit))
     }
--- a/crates/sparrouter-routing/tests/outliers.rs
+++ b/crates/sparrouter-routing/tests/outliers.rs
@@ -32,7 +32,7 @@
             continue;
         }
         let failure = failure(rng.u64(..), answered[node].value(now));
-        ejections += usize::from(outliers.failed(failure, NODES, now));
+        ejections += usize::from(outliers.record_failure(failure, NODES, now));
     }
     ejections
 }
@@ -62,7 +62,7 @@
 fn given_one_request_that_fails_at_each_attempt_then_no_server_is_ejected() {
     let mut outliers = Outliers::default();
     for n in 0..200 {
-        let is_ejected = outliers.failed(failure(1 + n % 2, 0.0), NODES, n * SECOND / 10);
+        let is_ejected = outliers.record_failure(failure(1 + n % 2, 0.0), NODES, n * SECOND / 10);
         assert!(!is_ejected);
     }
 }
@@ -71,7 +71,7 @@
 fn given_failures_that_lie_far_apart_then_they_do_not_add_up() {
     let mut outliers = Outliers::default();
     for n in 0..50 {
-        assert!(!outliers.failed(failure(n, 0.0), NODES, n * 5 * SECOND));
+        assert!(!outliers.record_failure(failure(n, 0.0), NODES, n * 5 * SECOND));
     }
 }
 
@@ -79,10 +79,10 @@
 fn given_an_ejected_server_when_it_fails_again_then_fewer_failures_eject_it_and_only_once() {
     let mut outliers = Outliers::default();
     let ejections: Vec<bool> = (0..5)
-        .map(|n| outliers.failed(failure(n, 0.0), NODES, n))
+        .map(|n| outliers.record_failure(failure(n, 0.0), NODES, n))
         .collect();
     assert_eq!(ejections, [false, false, true, false, false]);
-    assert!(outliers.failed(failure(9, 0.0), NODES, EJECTION_PERIOD + SECOND));
+    assert!(outliers.record_failure(failure(9, 0.0), NODES, EJECTION_PERIOD + SECOND));
 }
 
 #[test]
@@ -90,8 +90,8 @@
     let mut outliers = Outliers::default();
     let mut is_ejected = false;
     for n in 0..6 {
-        is_ejected |= outliers.failed(failure(1, 0.0), NODES, n * SECOND / 10);
-        outliers.served_elsewhere(SERVER, n * SECOND / 10);
+        is_ejected |= outliers.record_failure(failure(1, 0.0), NODES, n * SECOND / 10);
+        outliers.record_served_elsewhere(SERVER, n * SECOND / 10);
     }
     assert!(is_ejected);
 }
--- a/crates/sparrouter-routing/tests/prompt.rs
+++ b/crates/sparrouter-routing/tests/prompt.rs
@@ -3,15 +3,15 @@
 
 #[test]
 fn given_a_prompt_then_its_key_is_the_deepest_shared_block_with_its_salt() {
-    let a = Prompt::read(Some("aa:10,bb:20,c1:5"), Some("35,7"));
-    let b = Prompt::read(Some("aa:10,bb:20,c2:9"), Some("39,7"));
+    let a = Prompt::parse(Some("aa:10,bb:20,c1:5"), Some("35,7"));
+    let b = Prompt::parse(Some("aa:10,bb:20,c2:9"), Some("39,7"));
     assert_eq!(a.key("m/"), b.key("m/"));
     assert_ne!(a.key("m/"), a.key("m/tenant"));
     assert_eq!(
         (a.tokens_in, a.tokens_out, a.shared_blocks().len()),
         (35, 7, 2)
     );
-    assert_eq!(Prompt::read(Some("junk,,x:y"), None).key(""), None);
+    assert_eq!(Prompt::parse(Some("junk,,x:y"), None).key(""), None);
 }
 
 #[test]
--- a/crates/sparrouter-routing/tests/selection.rs
+++ b/crates/sparrouter-routing/tests/selection.rs
@@ -135,7 +135,7 @@
     let (mut server_table, _) = server_table(3);
     for ix in 0..3 {
         server_table.start_request(ix, 0);
-        server_table.finish_request(ix, 0, RequestOutcome::Broke, 0);
+        server_table.finish_request(ix, 0, RequestOutcome::ConnectionLost, 0);
         server_table.start_request(ix, 0);
         server_table.finish_request(ix, 0, RequestOutcome::Declined, 0);
     }
--- a/crates/sparrouter-routing/tests/versions.rs
+++ b/crates/sparrouter-routing/tests/versions.rs
@@ -66,7 +66,7 @@
 fn given_stretches_that_are_added_up_when_the_core_changes_then_the_total_limit_stays() {
     let mut versions = Versions::new(OutdatedVersionLimits {
         per_stretch: LIMIT,
-        in_total: Some(10 * SECOND),
+        total: Some(10 * SECOND),
     });
     versions.record_named("m", 2, 0, 0);
     versions.record_core_change(3 * SECOND);
--- a/crates/sparrouter-simulation/tests/state_files.rs
+++ b/crates/sparrouter-simulation/tests/state_files.rs
@@ -100,7 +100,7 @@
         .nth(1)
         .and_then(|v| v.parse().ok())
         .expect("a version");
-    let frame::Opened::Good(mut bytes) = frame::read(version, &files[name]) else {
+    let frame::DecodedFile::Record(mut bytes) = frame::read(version, &files[name]) else {
         panic!("{name} is complete");
     };
     change(&mut bytes);
@@ -240,7 +240,7 @@
 #[test]
 fn given_a_folder_that_cannot_be_read_when_opened_then_it_stays_and_the_process_has_no_disk() {
     let disk = disk_of(&recorded());
-    disk.fail_at(0, sparrouter_storage::simulated::DiskFailure::Before);
+    disk.schedule_failure(0, sparrouter_storage::simulated::DiskFailure::NotExecuted);
     let contents = open(&disk).expect("a process without a disk");
     assert!(contents.writer.is_none() && contents.disk_id != recorded_disk());
     disk.clear_failure();
--- a/crates/sparrouter-storage/src/frame.rs
+++ b/crates/sparrouter-storage/src/frame.rs
@@ -26,9 +26,9 @@
 
 /// The content of a file.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Opened {
+pub enum DecodedFile {
     /// A complete record.
-    Good(Vec<u8>),
+    Record(Vec<u8>),
     /// A file of a newer release, with its format version.
     Newer(u16),
     /// Anything else.
@@ -49,17 +49,17 @@
 }
 
 /// Checks the bytes of a file whose name gives this version.
-pub fn read(version: u64, bytes: &[u8]) -> Opened {
+pub fn read(version: u64, bytes: &[u8]) -> DecodedFile {
     let Some((header, record)) = bytes.split_at_checked(HEAD) else {
-        return Opened::Damaged;
+        return DecodedFile::Damaged;
     };
     if !header.starts_with(&MAGIC) {
-        return Opened::Damaged;
+        return DecodedFile::Damaged;
     }
     // The format is checked before the checksum, because a newer release may compute that differently.
     let format = u16::from_le_bytes([header[8], header[9]]);
     if format > FORMAT {
-        return Opened::Newer(format);
+        return DecodedFile::Newer(format);
     }
     let expected_checksum = checksum(&header[CHECKED_BYTES], record);
     let is_complete = format == FORMAT
@@ -67,9 +67,9 @@
         && read_number(&header[LENGTH_BYTES]) == record.len() as u64
         && read_number(&header[CHECKSUM_BYTES]) == u64::from(expected_checksum);
     if is_complete {
-        Opened::Good(record.to_vec())
+        DecodedFile::Record(record.to_vec())
     } else {
-        Opened::Damaged
+        DecodedFile::Damaged
     }
 }
 
--- a/crates/sparrouter-storage/src/simulated.rs
+++ b/crates/sparrouter-storage/src/simulated.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFailure {
     /// The operation has no effect, and reports an error.
-    Before,
+    NotExecuted,
     /// The operation has its effect, but reports an error.
-    After,
+    ExecutedWithError,
     /// A write or its sync ends after so many bytes; any other operation has its effect. Both report an error.
     Torn(usize),
 }
@@ -46,7 +46,7 @@
     }
 
     /// Lets the nth operation from now (0 is the next) fail, and all that follow.
-    pub fn fail_at(&self, nth: u64, failure: DiskFailure) {
+    pub fn schedule_failure(&self, nth: u64, failure: DiskFailure) {
         let mut disk = self.disk();
         let operation = disk.operations + nth;
         disk.scheduled_failure = Some(ScheduledFailure { operation, failure });
--- a/crates/sparrouter-storage/src/simulated/disk.rs
+++ b/crates/sparrouter-storage/src/simulated/disk.rs
@@ -108,8 +108,8 @@
         };
         self.is_down = true;
         match scheduled.failure {
-            DiskFailure::Before => {}
-            DiskFailure::After => drop(run(self, None)?),
+            DiskFailure::NotExecuted => {}
+            DiskFailure::ExecutedWithError => drop(run(self, None)?),
             DiskFailure::Torn(length) => drop(run(self, Some(length))?),
         }
         Err(disk_failed())
--- a/crates/sparrouter-storage/src/store.rs
+++ b/crates/sparrouter-storage/src/store.rs
@@ -169,13 +169,13 @@
         .read(file)
         .map_err(|error| StorageError::from_io(&files.folder(), Operation::Read, file, 0, error))?;
     match frame::read(version, &bytes) {
-        frame::Opened::Good(record) => Ok(record),
-        frame::Opened::Newer(format) => Err(StorageError::Newer {
+        frame::DecodedFile::Record(record) => Ok(record),
+        frame::DecodedFile::Newer(format) => Err(StorageError::Newer {
             name: file.to_owned(),
             format,
             newest_known: frame::FORMAT,
         }),
-        frame::Opened::Damaged => Err(StorageError::Damaged {
+        frame::DecodedFile::Damaged => Err(StorageError::Damaged {
             name: file.to_owned(),
         }),
     }
--- a/crates/sparrouter-storage/tests/saves.rs
+++ b/crates/sparrouter-storage/tests/saves.rs
@@ -22,7 +22,7 @@
 }
 
 fn failures() -> impl Iterator<Item = DiskFailure> {
-    [DiskFailure::Before, DiskFailure::After]
+    [DiskFailure::NotExecuted, DiskFailure::ExecutedWithError]
         .into_iter()
         .chain((0..NEW.len() + 26).map(DiskFailure::Torn))
 }
@@ -53,7 +53,7 @@
 /// Saves `OLD`, then `NEW` with a crash; gives the directory, and whether the second save was acknowledged.
 fn crash_while_replacing(crash: Crash) -> (SimulatedFiles, bool) {
     let (files, mut store) = store_with_old(crash.seed);
-    files.fail_at(crash.nth, crash.failure);
+    files.schedule_failure(crash.nth, crash.failure);
     let is_saved = store.save("part-1", NEW).is_ok();
     (files, is_saved)
 }
@@ -92,7 +92,7 @@
         let files = SimulatedFiles::new(crash.seed);
         let (mut store, opened) = Store::open(files.clone()).unwrap();
         assert_eq!(opened, Opened::Fresh);
-        files.fail_at(crash.nth, crash.failure);
+        files.schedule_failure(crash.nth, crash.failure);
         let is_saved = store.save("disk", NEW).is_ok();
         files.lose_power();
         let reopened = reopen(files, "disk");
@@ -109,7 +109,7 @@
     for nth in 0..operations_of_a_save() {
         for failure in failures() {
             let (files, mut store) = store_with_old(nth);
-            files.fail_at(nth, failure);
+            files.schedule_failure(nth, failure);
             let _ = store.save("part-1", NEW);
             files.clear_failure();
             store.save("part-1", b"third").unwrap();
