--- a/crates/sparrouter-balancer/src/lib.rs
+++ b/crates/sparrouter-balancer/src/lib.rs
@@ -3,7 +3,7 @@
 //! | module | its one job |
 //! | --- | --- |
 //! | [`types`] | events, actions and settings as plain values: the interface between a protocol's adapter and the decisions |
-//! | [`policy`] | every decision; its page tells the way of one invocation |
+//! | [`policy`] | every decision; its page describes the way of one invocation |
 //! | [`gossip`] | messages between nodes, as bytes |
 pub mod gossip;
 pub mod policy;
--- a/crates/sparrouter-balancer/src/policy/caches/cache.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/cache.rs
@@ -18,7 +18,7 @@
     /// Wait between checks, in nanoseconds; doubled with each failure.
     pub backoff: Nanos,
     /// A health check was answered, so one invocation may be sent there.
-    pub may_try: bool,
+    pub allows_trial: bool,
 }
 
 /// Outcomes of forwards, faded by age. `bad / total` is the mean badness.
--- a/crates/sparrouter-balancer/src/policy/caches/suspicion.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/suspicion.rs
@@ -47,8 +47,12 @@
     fn suspect(&mut self, index: CacheIndex, now: Nanos) {
         let first = self.first_check_delay;
         // If most are suspected, the judgement itself may be wrong: all are checked again soon.
-        let is_most = self.are_most_suspected();
-        let max_multiple = if is_most { 1 } else { MAX_BACKOFF_MULTIPLE };
+        let are_most_suspected = self.are_most_suspected();
+        let max_multiple = if are_most_suspected {
+            1
+        } else {
+            MAX_BACKOFF_MULTIPLE
+        };
         let cache = self.get_mut(index);
         // One that is neither reachable nor listed is checked ever more seldom.
         let longest = if cache.is_unlisted && cache.is_unreachable {
@@ -61,7 +65,7 @@
         cache.suspicion = Some(Suspicion {
             next_check_at: now + backoff,
             backoff,
-            may_try: false,
+            allows_trial: false,
         });
         // The list and own forwards have agreed for long enough: it takes nothing until it is listed again.
         let is_removed = cache.is_unlisted && backoff > first * REMOVAL_BACKOFF_MULTIPLE;
--- a/crates/sparrouter-balancer/src/policy/completion.rs
+++ b/crates/sparrouter-balancer/src/policy/completion.rs
@@ -36,7 +36,7 @@
             Action::Error { inv: index }
         });
         self.complete(index, false);
-        self.forget_if_done(index);
+        self.forget_if_over(index);
     }
 
     /// The invocation is over: withdraws what is still out, and those that wait for its fetch go on. `is_stored`: a cache
@@ -71,7 +71,7 @@
     }
 
     /// Forgets an invocation that is over and has no forward in flight.
-    pub(super) fn forget_if_done(&mut self, index: InvocationIndex) {
+    pub(super) fn forget_if_over(&mut self, index: InvocationIndex) {
         let invocation = self.invocations.get(&index);
         if invocation.is_some_and(|i| i.is_over && i.in_flight() == 0) {
             self.invocations.remove(&index);
@@ -99,7 +99,7 @@
         };
         invocation.is_over = true;
         self.complete(index, false);
-        self.forget_if_done(index);
+        self.forget_if_over(index);
     }
 
     /// From now on an answer is of no use: forwards in flight have timed out, and the invocation is shed.
--- a/crates/sparrouter-balancer/src/policy/endpoint_list.rs
+++ b/crates/sparrouter-balancer/src/policy/endpoint_list.rs
@@ -65,7 +65,7 @@
         }
         let cache = self.caches.find_mut(cache);
         if let Some(suspicion) = cache.and_then(|c| c.suspicion.as_mut()) {
-            suspicion.may_try = true;
+            suspicion.allows_trial = true;
         }
     }
 }
--- a/crates/sparrouter-balancer/src/policy/origin/queue.rs
+++ b/crates/sparrouter-balancer/src/policy/origin/queue.rs
@@ -53,8 +53,8 @@
         let Some(last) = last.filter(|l| l.invocation != newest) else {
             return;
         };
-        let turn = self.now as f64 + self.origin.queueing_time(last.priority);
-        if turn > self.invocations[&last.invocation].target_deadline as f64 {
+        let foreseen_start = self.now as f64 + self.origin.queueing_time(last.priority);
+        if foreseen_start > self.invocations[&last.invocation].target_deadline as f64 {
             self.shed(last.invocation, ShedReason::Origin);
         }
     }
--- a/crates/sparrouter-balancer/src/policy/outcome.rs
+++ b/crates/sparrouter-balancer/src/policy/outcome.rs
@@ -62,7 +62,7 @@
                 Continuation::Origin => self.after_origin(ended),
             }
         }
-        self.forget_if_done(ended.inv);
+        self.forget_if_over(ended.inv);
         if is_origin {
             self.pump_origin_queue();
         }
--- a/crates/sparrouter-balancer/src/policy/selection.rs
+++ b/crates/sparrouter-balancer/src/policy/selection.rs
@@ -150,10 +150,10 @@
         let allows_checks = self.environment.allows_health_checks;
         let is_check_time = suspicion.next_check_at <= self.now;
         let needs_no_check = context.are_most_suspected || !allows_checks;
-        let may_try = suspicion.may_try || is_check_time && needs_no_check;
-        if may_try && cache.in_flight == 0 && operation.effect == Effect::Idempotent {
+        let is_trial_allowed = suspicion.allows_trial || is_check_time && needs_no_check;
+        if is_trial_allowed && cache.in_flight == 0 && operation.effect == Effect::Idempotent {
             Verdict::Choose
-        } else if is_check_time && !suspicion.may_try && allows_checks {
+        } else if is_check_time && !suspicion.allows_trial && allows_checks {
             Verdict::CheckHealth
         } else {
             Verdict::Skip
--- a/crates/sparrouter-balancer/src/types/event.rs
+++ b/crates/sparrouter-balancer/src/types/event.rs
@@ -26,7 +26,7 @@
     pub zone: usize,
     /// Its cell within the zone.
     pub cell: i64,
-    /// Index of its kind, which tells the origin from cache servers.
+    /// Index of its kind, which distinguishes the origin from cache servers.
     pub kind: usize,
     /// Its relative capacity.
     pub weight: f64,
