--- /dev/null
+++ b/crates/sparrouter-balancer/tests/admission.rs
@@ -0,0 +1,166 @@
+//! Admission: when load is shed, how much, and until when.
+mod harness;
+use harness::*;
+use sparrouter_balancer::types::*;
+use std::collections::VecDeque;
+
+/// One bad server, or an origin that answers nothing, is no reason to shed what the caches can answer.
+#[test]
+fn an_unresponsive_origin_does_not_shed_what_the_caches_store() {
+    let mut node = Harness::new(setup(), servers(6));
+    for n in 0..600 {
+        let index = node.read(1000 + n);
+        if !node.targets(index).is_empty() {
+            let is_miss = n % 3 == 0;
+            let outcome = if is_miss {
+                Outcome::Miss
+            } else {
+                Outcome::Succeeded
+            };
+            node.end(index, 0, outcome);
+        }
+        node.advance(10 * MS);
+    }
+    let before = node.log.len();
+    node.winner(2);
+    let mut actions = node.log[before..].iter();
+    let first = actions.find(|a| !matches!(a, Action::SetTimer { .. }));
+    assert!(matches!(first, Some(Action::Forward { .. })));
+}
+
+/// Guards against old evidence that outweighs the new: the shed fraction falls soon after an overload.
+#[test]
+fn load_shedding_does_not_outlive_its_cause() {
+    let mut node = Harness::new(setup(), servers(200));
+    let shed_fraction_after = |node: &mut Harness, reads: u64, outcome: Outcome| {
+        for n in 0..reads {
+            let index = node.read(n);
+            for copy in 0..3 {
+                node.advance(10 * MS);
+                if node.targets(index).len() > copy && !node.is_answered(index) {
+                    node.end(index, copy, outcome);
+                }
+            }
+            node.advance(20 * MS);
+        }
+        node.policy.counts().shed_fraction
+    };
+    let highest = shed_fraction_after(&mut node, 60, Outcome::Full);
+    assert!(highest > 0.3, "an overload is noticed: {highest}");
+    let remaining = shed_fraction_after(&mut node, 60, Outcome::Succeeded);
+    assert!(
+        remaining < 0.75 * highest,
+        "{remaining} left of {highest} after three seconds"
+    );
+}
+
+/// Advised to come back too late for its next attempt to count, a client would be served for nothing.
+#[test]
+fn early_throttling_advises_a_return_within_the_latency_target() {
+    let mut node = Harness::new(setup(), vec![]);
+    node.read(1);
+    let Some(Action::Throttle { retry_after, .. }) = node.log.last() else {
+        panic!("{:?}", node.log)
+    };
+    assert!(*retry_after < 300 * MS / 2);
+}
+
+/// A node that hears one of many cache servers a second must not take the lack of answers from the rest for good news.
+#[test]
+fn a_node_with_few_answers_of_many_caches_notices_an_overload() {
+    let throttled = |is_overloaded: bool| {
+        let mut node = Harness::new(setup().without_health_checks(), servers(200));
+        for key in 0..150 {
+            let index = node.arrive(Request::read(key).timeout(2 * SECOND));
+            node.advance(if is_overloaded { 400 } else { 50 } * MS);
+            if node.in_flight().contains(&(index, 0)) {
+                node.end(index, 0, Outcome::Succeeded);
+            }
+            node.advance(200 * MS);
+        }
+        let is_throttled = |&index: &InvocationIndex| node.targets(index).is_empty();
+        (100..150).filter(is_throttled).count()
+    };
+    assert_eq!(throttled(false), 0);
+    let of_overloaded = throttled(true);
+    assert!(of_overloaded > 5, "{of_overloaded}");
+}
+
+/// Guards against shedding for as long as evidence of an overload lasts: four seconds of four times the traffic, all of it
+/// rejected as full, leave the usual traffic served soon after.
+#[test]
+fn after_an_overload_the_usual_traffic_is_admitted() {
+    let mut node = Harness::new(setup().without_health_checks(), servers(8));
+    node.play_good_reads(6 * SECOND);
+    for _ in 0..800 {
+        let key = node.new_key();
+        node.read(key);
+        node.advance(5 * MS);
+        while let Some(&(index, copy)) = node.in_flight().first() {
+            node.end(index, copy, Outcome::Full);
+        }
+    }
+    let throttled = |node: &Harness| node.count_actions(|a| matches!(a, Action::Throttle { .. }));
+    assert!(throttled(&node) > 600, "{}", throttled(&node));
+    node.play_good_reads(1500 * MS);
+    let before = throttled(&node);
+    node.play_good_reads(2 * SECOND);
+    let after = throttled(&node) - before;
+    assert!(after <= 5, "{after} of 100");
+}
+
+/// A forward that is answered at a moment of its own.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PendingAnswer {
+    at: Nanos,
+    index: InvocationIndex,
+    copy: usize,
+}
+
+/// Reads at 50 a second: one in ten is answered in time, the others just past the latency target of 300 ms. Gives how many
+/// were shed for overload by the beginning of each second.
+fn shed_by_second_while_late(node: &mut Harness, seconds: u64) -> Vec<u64> {
+    let mut pending: VecDeque<PendingAnswer> = VecDeque::new();
+    let mut shed_by_second = Vec::new();
+    let start = node.now;
+    while node.now < start + seconds * SECOND {
+        let key = node.new_key();
+        node.read(key);
+        node.advance(20 * MS);
+        for (index, copy) in node.in_flight() {
+            let mut known = pending.iter();
+            if !known.any(|p| (p.index, p.copy) == (index, copy)) {
+                let is_in_time = node.new_keys.is_multiple_of(10);
+                let latency = if is_in_time { 40 } else { 330 };
+                let at = node.now + latency * MS;
+                pending.push_back(PendingAnswer { at, index, copy });
+            }
+        }
+        pending.make_contiguous().sort();
+        while pending.front().is_some_and(|p| p.at <= node.now) {
+            if let Some(PendingAnswer { index, copy, .. }) = pending.pop_front()
+                && node.in_flight().contains(&(index, copy))
+            {
+                node.end(index, copy, Outcome::Succeeded);
+            }
+        }
+        if node.now >= start + shed_by_second.len() as Nanos * SECOND {
+            let shed = node.policy.counts().shed;
+            shed_by_second.push(shed[ShedReason::Overload as usize]);
+        }
+    }
+    shed_by_second
+}
+
+/// If what was done before cannot be done any more, the former goodput does not hold load shedding back for long.
+#[test]
+fn former_goodput_does_not_prevent_shedding_while_answers_are_late() {
+    let mut node = Harness::new(setup().without_health_checks(), servers(8));
+    node.play_good_reads(6 * SECOND);
+    let shed_by_second = shed_by_second_while_late(&mut node, 12);
+    let last = shed_by_second[11] - shed_by_second[8];
+    assert!(
+        last > 50,
+        "{last} of 150 shed in the last three seconds: {shed_by_second:?}"
+    );
+}
--- /dev/null
+++ b/crates/sparrouter-balancer/tests/origin.rs
@@ -0,0 +1,162 @@
+//! The origin: fetches after misses, writes, and its protection.
+mod harness;
+use harness::*;
+use sparrouter_balancer::types::*;
+
+#[test]
+fn a_miss_goes_to_the_origin_and_one_fetch_serves_all_who_wait() {
+    let mut node = Harness::new(setup(), servers(4));
+    let leader = node.read(1);
+    let winner = node.targets(leader)[0];
+    node.end(leader, 0, Outcome::Miss);
+    let follower = node.read(1);
+    let targets = (node.targets(leader), node.targets(follower));
+    assert_eq!(targets, (vec![winner, 4], vec![]));
+    node.end(leader, 1, Outcome::Succeeded);
+    assert_eq!(node.targets(follower), vec![winner]);
+}
+
+#[test]
+fn writes_go_to_the_origin_and_one_that_may_have_run_ends_in_an_error() {
+    let mut node = Harness::new(setup(), servers(4));
+    let index = node.write(1);
+    assert_eq!(node.targets(index), vec![4]);
+    node.end(index, 0, Outcome::Reset);
+    assert!(matches!(node.log.last(), Some(Action::Error { .. })));
+}
+
+/// A single broken connection does not cost the client its read.
+#[test]
+fn a_fetch_whose_connection_broke_is_retried_once() {
+    let mut node = Harness::new(setup(), servers(4));
+    let index = node.read(1);
+    node.end(index, 0, Outcome::Miss);
+    node.end(index, 1, Outcome::Reset);
+    assert_eq!(node.targets(index)[1..], [4, 4]);
+    node.end(index, 2, Outcome::Reset);
+    assert!(matches!(node.log.last(), Some(Action::Throttle { .. })));
+}
+
+/// Asked again at once after it rejected work, the origin would only fill its queue.
+#[test]
+fn the_origin_gets_a_pause_after_it_rejected_work() {
+    let mut node = Harness::new(setup(), servers(4));
+    let index = node.read(1);
+    node.end(index, 0, Outcome::Miss);
+    node.end(index, 1, Outcome::Full);
+    assert_eq!(node.targets(index).len(), 2);
+    node.advance(50 * MS);
+    assert_eq!(node.targets(index).len(), 3);
+}
+
+/// Guards against misses beyond a quota that wait for the origin before those within.
+#[test]
+fn the_origin_takes_misses_within_quota_first() {
+    let mut node = Harness::new(setup().quotas(&[1000.0, 0.001]), servers(3));
+    let fetching = node.crowd_origin(3);
+    let first = node.read(1);
+    let second = node.read(2);
+    for index in [first, second] {
+        node.end(index, 0, Outcome::Miss);
+    }
+    let (within, beyond) = if first.is_multiple_of(2) {
+        (first, second)
+    } else {
+        (second, first)
+    };
+    node.end(fetching[0], 1, Outcome::Succeeded);
+    let last_target_within = node.targets(within).last().copied();
+    let has_fetched_beyond = node.targets(beyond).contains(&3);
+    assert_eq!((last_target_within, has_fetched_beyond), (Some(3), false));
+}
+
+/// Writes that fail at the origin, all with the same keys, are no sign that it is crowded.
+#[test]
+fn writes_that_fail_by_themselves_leave_the_origin_its_limit() {
+    let mut node = Harness::new(setup(), servers(4));
+    for n in 0..200u64 {
+        let failing = node.write(n % 3);
+        node.advance(5 * MS);
+        node.end(failing, 0, Outcome::Error);
+        assert!(node.is_answered(failing));
+        let succeeding = node.write(50 + n);
+        assert_eq!(node.targets(succeeding), vec![4]);
+        node.advance(5 * MS);
+        node.end(succeeding, 0, Outcome::Succeeded);
+    }
+}
+
+/// One fetch at the origin of [`origin_under`].
+struct Fetch {
+    index: InvocationIndex,
+    sent_at: Nanos,
+    ends_at: Nanos,
+}
+
+/// What the last third of the fetches of [`origin_under`] saw.
+struct OriginRun {
+    mean_latency: Nanos,
+    fetches: usize,
+}
+
+/// Plays misses at a steady interval before an origin that works on one after the other, `service_time` for each, and
+/// answers each `extra_latency` later.
+fn origin_under(interval: Nanos, service_time: Nanos, extra_latency: Nanos) -> OriginRun {
+    let mut node = Harness::new(setup().max_forwards(2), servers(6));
+    let mut in_flight: Vec<Fetch> = vec![];
+    let mut idle_at = node.now;
+    let mut late_latencies: Vec<Nanos> = vec![];
+    for n in 0..2400u64 {
+        let index = node.arrive(Request::read(n).timeout(1200 * MS));
+        if node.targets(index).len() == 1 {
+            node.end(index, 0, Outcome::Miss);
+        }
+        node.advance(interval);
+        let now = node.now;
+        let positions = (0..in_flight.len()).rev();
+        let ended: Vec<usize> = positions.filter(|&i| in_flight[i].ends_at <= now).collect();
+        for position in ended {
+            let fetch = in_flight.remove(position);
+            if n > 1600 {
+                late_latencies.push(now - fetch.sent_at);
+            }
+            node.end(fetch.index, 1, Outcome::Succeeded);
+        }
+        for (index, copy) in node.in_flight().into_iter().filter(|&(_, copy)| copy == 1) {
+            if in_flight.iter().all(|fetch| fetch.index != index) {
+                idle_at = idle_at.max(now) + service_time;
+                in_flight.push(Fetch {
+                    index,
+                    sent_at: now,
+                    ends_at: idle_at + extra_latency,
+                });
+            }
+            assert_eq!(copy, 1);
+        }
+    }
+    let fetches = late_latencies.len();
+    OriginRun {
+        mean_latency: late_latencies.iter().sum::<Nanos>() / fetches.max(1) as Nanos,
+        fetches,
+    }
+}
+
+/// If an origin is crowded from the first second on, its crowded latency must not pass for what it needs.
+#[test]
+fn an_origin_crowded_from_the_start_is_distinguished_from_a_slow_one() {
+    let crowded = origin_under(20 * MS, 30 * MS, 0);
+    assert!(
+        crowded.mean_latency < 200 * MS && crowded.fetches > 400,
+        "crowded: {} ms, {}",
+        crowded.mean_latency / MS,
+        crowded.fetches
+    );
+    // One that takes longer than is tolerated however few ask is used all the same.
+    let slow = origin_under(20 * MS, MS, 180 * MS);
+    assert!(
+        slow.mean_latency < 250 * MS && slow.fetches > 400,
+        "slow by itself: {} ms, {}",
+        slow.mean_latency / MS,
+        slow.fetches
+    );
+}
--- /dev/null
+++ b/crates/sparrouter-balancer/tests/peers.rs
@@ -0,0 +1,143 @@
+//! Gossip with peers: how many messages there are, and what follows from those that come.
+mod harness;
+use harness::*;
+use sparrouter_balancer::gossip::GossipMessage;
+use sparrouter_balancer::types::*;
+
+struct SentMessage {
+    peer: usize,
+    text: Vec<u8>,
+}
+
+fn sent_messages(node: &Harness) -> Vec<SentMessage> {
+    let message = |action: &Action| match action {
+        Action::SendGossip { peer, text } => Some(SentMessage {
+            peer: *peer,
+            text: text.clone(),
+        }),
+        _ => None,
+    };
+    node.log.iter().filter_map(message).collect()
+}
+
+/// A message of a peer that sheds this fraction of its load.
+fn shed_report(shed_fraction: f64) -> Vec<u8> {
+    GossipMessage {
+        arrivals_by_tenant: vec![4],
+        shed_fraction,
+        ..GossipMessage::default()
+    }
+    .encode()
+}
+
+/// Messages to every peer would grow with the square of the number of nodes.
+#[test]
+fn messages_go_to_a_few_peers_whatever_their_number() {
+    let mut node = Harness::new(gossiping_setup(700, 3), servers(4));
+    node.advance(10 * SECOND);
+    let sent = sent_messages(&node).len();
+    assert!((10..=20).contains(&sent), "{sent}");
+}
+
+/// Deep queues stay full if no single node feeds them enough to see it: what one node finds out moves keys at another.
+#[test]
+fn a_node_sends_fewer_keys_to_a_cache_that_a_peer_reports_as_crowded() {
+    let keys_at_winner = |has_report: bool| {
+        let mut reporter = Harness::new(gossiping_setup(2, 0), servers(6));
+        let mut node = Harness::new(gossiping_setup(2, 1), servers(6));
+        let crowded = node.winner(key_hash(1));
+        reporter.receive_gossip(1, vec![0; 10]);
+        for n in 0..120 {
+            let index = reporter.read(key_hash(n));
+            reporter.advance(50 * MS);
+            let is_full = reporter.targets(index).first() == Some(&crowded);
+            let outcome = if is_full {
+                Outcome::Full
+            } else {
+                Outcome::Succeeded
+            };
+            reporter.end(index, 0, outcome);
+            reporter.end_all();
+        }
+        if has_report {
+            node.advance(reporter.now - node.now);
+            for message in sent_messages(&reporter) {
+                assert_eq!(message.peer, 1);
+                node.receive_gossip(0, message.text);
+            }
+        }
+        let keys = 1000..1400;
+        keys.filter(|&key| node.winner(key_hash(key)) == crowded)
+            .count()
+    };
+    let (with_report, without) = (keys_at_winner(true), keys_at_winner(false));
+    assert!(with_report * 10 < without * 9, "{with_report} {without}");
+}
+
+/// What came of reads while some peers report an overload falsely.
+struct FalseReportRun {
+    throttled: usize,
+    shed_fraction: f64,
+}
+
+/// 400 reads at 20 a second at one of 16 nodes. The first `liars` peers report twenty times a second that nine in ten have
+/// to be shed, the others once a second that nothing is. `is_answered`: reads succeed; otherwise their clients leave.
+fn run_with_false_reports(liars: usize, is_answered: bool) -> FalseReportRun {
+    let mut node = Harness::new(gossiping_setup(16, 0), servers(6));
+    let mut throttled = 0;
+    for n in 0..400 {
+        for peer in 1..16 {
+            let is_liar = peer <= liars;
+            if is_liar || n % 20 == peer {
+                node.receive_gossip(peer, shed_report(if is_liar { 0.9 } else { 0.0 }));
+            }
+        }
+        let index = node.read(n as u64);
+        node.advance(25 * MS);
+        if node.targets(index).is_empty() {
+            throttled += 1;
+        } else if is_answered {
+            node.end(index, 0, Outcome::Succeeded);
+        } else {
+            node.close_client(index);
+        }
+        node.advance(25 * MS);
+    }
+    FalseReportRun {
+        throttled,
+        shed_fraction: node.policy.counts().shed_fraction,
+    }
+}
+
+/// Few peers are not believed against the others. If most report an overload, a node follows while it knows nothing of its
+/// own.
+#[test]
+fn few_false_reports_do_not_make_a_node_shed_load() {
+    let one = run_with_false_reports(1, true).throttled;
+    let three = run_with_false_reports(3, true).throttled;
+    let twelve = run_with_false_reports(12, true);
+    assert!(one < 8 && three < 8, "{one} {three}");
+    // One that has no answers of its own follows.
+    let without_answers = run_with_false_reports(12, false).throttled;
+    assert!(without_answers > 100, "{without_answers}");
+    // It follows most peers; its own good answers bound what comes of it, but at first it has none.
+    assert!(
+        twelve.shed_fraction > 0.5 && (8..100).contains(&twelve.throttled),
+        "{} {}",
+        twelve.throttled,
+        twelve.shed_fraction
+    );
+}
+
+/// New settings apply, and a false report is the first to come: what others reported before still stands against it.
+#[test]
+fn a_false_report_right_after_a_change_of_settings_is_not_believed() {
+    let mut node = Harness::new(gossiping_setup(16, 0), servers(6));
+    for peer in 1..8 {
+        node.receive_gossip(peer, shed_report(0.0));
+    }
+    node.apply_settings(setup().operations, setup().limits, 16);
+    node.receive_gossip(9, shed_report(0.9));
+    let shed_fraction = node.policy.counts().shed_fraction;
+    assert!(shed_fraction < 0.1, "{shed_fraction}");
+}
