--- a/crates/sparrouter-balancer/src/policy/caches/cache.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/cache.rs
@@ -4,6 +4,10 @@
 
 /// What one outcome adds to what is known of a cache server lately.
 pub const OUTCOME_GAIN: f64 = 0.2;
+/// Recent outcomes fade by half in so many seconds.
+const RECENT_HALVING_SECONDS: Nanos = 4;
+/// Long-term outcomes fade by half in so many seconds.
+pub const LONG_TERM_HALVING_SECONDS: Nanos = 8;
 /// Highest limit of forwards in flight.
 const MAX_IN_FLIGHT_LIMIT: f64 = 16.0;
 /// How bad a rejection for want of capacity is, beside an answer that comes too late (1).
@@ -55,7 +59,7 @@
     pub in_flight: u32,
     /// Something was sent there; until then it does not count in the mean of forwards in flight.
     pub is_used: bool,
-    /// When it last answered anything.
+    /// When it last answered anything but a rejection for want of capacity.
     pub last_answer_at: Nanos,
     /// Pieces of evidence of a failure since it last answered.
     pub consecutive_failures: u32,
@@ -111,7 +115,7 @@
     /// learnt and peers reported. Guards against deep queues that no single node feeds enough to see. `prior` is the
     /// number of good outcomes that are assumed beforehand.
     pub fn health_factor(&self, prior: f64, now: Nanos) -> f64 {
-        let left = fade(now.saturating_sub(self.outcomes_at) / 8);
+        let left = fade(now.saturating_sub(self.outcomes_at) / LONG_TERM_HALVING_SECONDS);
         1.0 / (1.0
             + HEALTH_GAIN * self.long_term.bad * left / (self.long_term.total * left + prior))
     }
@@ -126,16 +130,17 @@
             self.in_flight_limit + 0.5 / self.in_flight_limit
         };
         self.in_flight_limit = self.in_flight_limit.clamp(1.0, MAX_IN_FLIGHT_LIMIT);
-        let left = (1.0 - OUTCOME_GAIN) * fade((now - self.outcomes_at) / 4);
+        let age = now - self.outcomes_at;
+        let left = (1.0 - OUTCOME_GAIN) * fade(age / RECENT_HALVING_SECONDS);
         self.recent.bad = left * self.recent.bad + OUTCOME_GAIN * bad;
         self.recent.total = left * self.recent.total + OUTCOME_GAIN;
-        let left = fade((now - self.outcomes_at) / 8);
+        let left = fade(age / LONG_TERM_HALVING_SECONDS);
         self.long_term.bad = self.long_term.bad * left + bad.max(slow * slow);
         self.long_term.total = self.long_term.total * left + 1.0;
         self.outcomes_at = now;
     }
 
-    /// The health check that is wanted now, if it is suspected: the next one comes after the backoff.
+    /// Moves the next health check to the end of the backoff, since one is made now. Whether it is suspected at all.
     pub fn postpone_check(&mut self, now: Nanos) -> bool {
         let Some(suspicion) = &mut self.suspicion else {
             return false;
--- a/crates/sparrouter-balancer/src/policy/caches/health.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/health.rs
@@ -1,6 +1,6 @@
 //! Outcomes over all cache servers, and the exchange of long-term outcomes with peers.
 use super::CacheSet;
-use super::cache::{Cache, OUTCOME_GAIN, OutcomeSums};
+use super::cache::{Cache, LONG_TERM_HALVING_SECONDS, OUTCOME_GAIN, OutcomeSums};
 use crate::gossip::CacheRow;
 use crate::policy::fading::fade;
 use crate::types::{CacheIndex, Nanos};
@@ -57,7 +57,7 @@
             return;
         };
         let age = now - cache.outcomes_at;
-        let left = fade(age / 8);
+        let left = fade(age / LONG_TERM_HALVING_SECONDS);
         cache.long_term.bad = cache.long_term.bad * left + row.bad.min(row.total);
         cache.long_term.total = cache.long_term.total * left + row.total;
         let left = fade(age);
--- a/crates/sparrouter-balancer/src/policy/caches/suspicion.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/suspicion.rs
@@ -1,7 +1,7 @@
 //! Evidence that a cache server cannot be reached or does not respond, and its way back.
 //!
-//! Invariant: a cache server is suspected only after evidence that comes by chance less often than [`RARE`]; anything that it
-//! answers ends the suspicion.
+//! Invariant: a cache server is suspected only after evidence that comes by chance no more often than [`RARE`]; any answer
+//! but a rejection for want of capacity ends the suspicion.
 use super::{CacheSet, Suspicion};
 use crate::types::{CacheIndex, LifecycleState, Nanos};
 
--- a/crates/sparrouter-balancer/src/policy/endpoint_list.rs
+++ b/crates/sparrouter-balancer/src/policy/endpoint_list.rs
@@ -1,6 +1,7 @@
 //! The list of cache servers: it is applied, requested again when it was lost, and health checks are answered.
 //!
-//! Invariant: while a list is owed to this node, a timer requests it again within half of the poll interval.
+//! Invariant: while a request is pending, or one failed, a timer makes the next one within half of the poll interval, or
+//! within a second if that is longer.
 use super::Policy;
 use super::timer::Timer;
 use crate::types::{Action, CacheIndex, CacheRecord, ListKind, Nanos, SECOND};
--- a/crates/sparrouter-balancer/src/policy/goodput.rs
+++ b/crates/sparrouter-balancer/src/policy/goodput.rs
@@ -5,8 +5,8 @@
 const ARRIVAL_TIME_CONSTANT: f64 = 1.0;
 /// Time constant of the rate of answers in time, in seconds.
 const ANSWER_TIME_CONSTANT: f64 = 2.0;
-/// Time in which the highest rate of answers in time halves, in seconds.
-const PEAK_HALF_LIFE: f64 = 60.0;
+/// Time in which the peak rate of answers in time halves, in seconds.
+const PEAK_HALVING_SECONDS: f64 = 60.0;
 /// So many times the peak rate is admitted.
 const ADMITTED_MULTIPLE: f64 = 1.5;
 /// What one late answer takes off the peak rate, as a fraction of the way to the present rate.
@@ -33,7 +33,7 @@
         self.arrivals_per_s *= left(ARRIVAL_TIME_CONSTANT);
         self.in_time_per_s *= left(ANSWER_TIME_CONSTANT);
         self.updated_at = now;
-        self.peak_per_s *= 0.5f64.powf(seconds / PEAK_HALF_LIFE);
+        self.peak_per_s *= 0.5f64.powf(seconds / PEAK_HALVING_SECONDS);
     }
 
     /// Counts an arrival; gives `wanted`, the fraction of the load to shed, as far as the peak rate allows it. Guards
--- a/crates/sparrouter-balancer/src/policy/hot_keys.rs
+++ b/crates/sparrouter-balancer/src/policy/hot_keys.rs
@@ -1,7 +1,7 @@
 //! Hot keys, and keys whose invocations fail wherever they go.
 //!
-//! Invariant: no key's arrivals are below the thousandth of the total or 0.1 of an arrival, whichever is less, once the
-//! counts were scaled; keys below are forgotten, so that the table stays small.
+//! Invariant: right after the counts were scaled, each key has at least a thousandth of all arrivals, or 0.1 of an arrival
+//! if that is less. Keys with fewer are forgotten, so that the table stays small.
 use super::fading::fade;
 use crate::gossip::KeyRow;
 use crate::types::{Nanos, SECOND};
@@ -15,6 +15,8 @@
 const ARRIVALS_PER_CACHE: f64 = 32.0;
 /// Counts are halved after this time at the latest.
 const MAX_AGE: Nanos = 24 * SECOND;
+/// Failures of a key fade by half in so many seconds.
+const FAILURE_HALVING_SECONDS: Nanos = 4;
 /// A key with fewer arrivals is forgotten. Low, since small fractions from many peers add up.
 const MIN_ARRIVALS: f64 = 0.1;
 
@@ -32,7 +34,7 @@
 
 impl KeyStats {
     fn failures_left(&self, now: Nanos) -> f64 {
-        self.failures * fade(now.saturating_sub(self.failed_at) / 4)
+        self.failures * fade(now.saturating_sub(self.failed_at) / FAILURE_HALVING_SECONDS)
     }
 
     /// Counts an invocation that failed wherever it went.
--- a/crates/sparrouter-balancer/src/policy/latency.rs
+++ b/crates/sparrouter-balancer/src/policy/latency.rs
@@ -4,9 +4,9 @@
 /// What one answer adds to the estimate.
 const GAIN: f64 = 0.05;
 
-/// Smoothed mean and deviation of latencies, in nanoseconds, after TCP's estimate of the round-trip time (RFC 6298).
+/// Smoothed mean and deviation of latencies, in nanoseconds, in the manner of TCP's estimate of the round-trip time (RFC 6298).
 ///
-/// Invariant: both are 0 until the first answer, and the mean is above 0 from then on.
+/// Invariant: both are 0 until the first latency is taken in.
 #[derive(Clone, Copy, Default)]
 pub struct LatencyEstimate {
     /// Smoothed mean.
--- a/crates/sparrouter-balancer/src/policy/origin/mod.rs
+++ b/crates/sparrouter-balancer/src/policy/origin/mod.rs
@@ -25,8 +25,8 @@
 
 /// What is known of the origin, and who waits for it.
 ///
-/// Invariants: `warm_up_in_flight <= in_flight`; an invocation is in `queue` once at most, and only while it is not over; each
-/// key in `fetches` has one invocation with `leads_fetch`.
+/// Invariants: `warm_up_in_flight <= in_flight`; no invocation in `queue` is over; each key in `fetches` has just one
+/// invocation with `leads_fetch`.
 #[derive(Default)]
 pub struct OriginGuard {
     /// How many fetches this node may have in flight; below 1, one after another with pauses.
--- a/crates/sparrouter-balancer/src/policy/quota.rs
+++ b/crates/sparrouter-balancer/src/policy/quota.rs
@@ -3,6 +3,8 @@
 
 /// Seconds of its quota that a tenant may save up, since small parts of its traffic come unevenly.
 const MAX_SAVED_SECONDS: f64 = 5.0;
+/// How far a second of counts moves this node's fraction of the traffic.
+const FRACTION_GAIN: f64 = 0.3;
 
 /// A token bucket for one tenant.
 ///
@@ -46,13 +48,13 @@
         is_within
     }
 
-    /// Moves the node's fraction of the tenant's traffic towards what the counts since the last message say. `others`:
-    /// arrivals at the `reporting` peers; `missing`: how many peers do not report, which are taken for the mean.
+    /// Moves the node's fraction of the tenant's traffic towards what the counts since the last message say. `others`: the
+    /// arrivals at the `reporting` peers that report theirs; `missing`: how many do not, each taken for the mean of the rest.
     pub fn update_fraction(&mut self, others: f64, reporting: usize, missing: f64) {
         let own = self.arrivals as f64;
         let all = own + others + missing * (own + others) / (1.0 + reporting as f64);
         if all > 0.0 {
-            self.fraction += 0.3 * (own / all - self.fraction);
+            self.fraction += FRACTION_GAIN * (own / all - self.fraction);
         }
     }
 }
--- a/crates/sparrouter-balancer/tests/admission.rs
+++ b/crates/sparrouter-balancer/tests/admission.rs
@@ -65,7 +65,7 @@
     assert!(*retry_after < 300 * MS / 2);
 }
 
-/// A node that hears one of many cache servers a second must not take the lack of answers from the rest for good news.
+/// A node that gets one answer a second, of many cache servers, must not count the others as good.
 #[test]
 fn a_node_with_few_answers_of_many_caches_notices_an_overload() {
     let throttled = |is_overloaded: bool| {
--- a/crates/sparrouter-balancer/tests/properties.rs
+++ b/crates/sparrouter-balancer/tests/properties.rs
@@ -214,7 +214,7 @@
     })]
 
     #[test]
-    fn the_safety_rules_hold_after_every_step(
+    fn no_legal_traffic_breaks_the_safety_rules(
         setup in setups(),
         steps in prop::collection::vec(any::<u32>(), 50..250),
     ) {
