--- a/crates/sparrouter-fleet/src/api/mod.rs
+++ b/crates/sparrouter-fleet/src/api/mod.rs
@@ -2,21 +2,21 @@
 //!
 //! | module | its job |
 //! | --- | --- |
-//! | [`control`] | the calls of servers and operators |
+//! | `control` | the calls of servers and operators |
 //! | [`endpoint`] | HTTP endpoints as trees of handlers |
-//! | [`metrics`] | the metrics of a process as text |
-//! | [`peer`] | the calls of other nodes |
+//! | `metrics` | the metrics of a process as text |
+//! | `peer` | the calls of other nodes |
 //! | `readiness` | readiness checks |
-//! | [`status`] | the status of a node as JSON |
+//! | `status` | the status of a node as JSON |
 //!
 //! Owns no state: each call is answered from the modules below it.
-pub mod control;
+pub(crate) mod control;
 pub mod endpoint;
-pub mod metrics;
-pub mod peer;
+pub(crate) mod metrics;
+pub(crate) mod peer;
 mod readiness;
 mod services;
-pub mod status;
+pub(crate) mod status;
 
-pub use readiness::readiness_tree;
-pub use services::ControlServices;
+pub(crate) use readiness::readiness_tree;
+pub(crate) use services::ControlServices;
--- a/crates/sparrouter-fleet/src/client/fleet.rs
+++ b/crates/sparrouter-fleet/src/client/fleet.rs
@@ -88,11 +88,6 @@
         }
     }
 
-    /// The addresses that are tried.
-    pub fn addresses(&self) -> &[SocketAddr] {
-        &self.addresses
-    }
-
     /// Sends a call until a node answers with a 2xx; gives the answer and the node's address.
     ///
     /// # Errors
--- a/crates/sparrouter-fleet/src/client/mod.rs
+++ b/crates/sparrouter-fleet/src/client/mod.rs
@@ -9,7 +9,7 @@
 //! | [`page`] | a node's status as a table |
 //! | [`error`] | what can go wrong, the remedy and the exit code |
 //!
-//! Owns no state beyond one command. Uses the settings, the platform and the form of [`crate::api::status`].
+//! Owns no state beyond one command. Uses the settings, the platform and the form of `crate::api::status`.
 
 pub mod call;
 pub mod commands;
--- a/crates/sparrouter-fleet/src/lib.rs
+++ b/crates/sparrouter-fleet/src/lib.rs
@@ -9,7 +9,7 @@
 //! | [`client`] | the operators' command line |
 //! | [`api`] | calls of operators, servers, scrapers and other nodes; status and metrics |
 //! | [`proxy`] | one client request from accept to the last byte |
-//! | [`rollout`] | new weights, brought to servers a few at a time |
+//! | `rollout` | new weights, brought to servers a few at a time |
 //! | [`prefix_cache`] | which server or store has which prompt in its cache |
 //! | [`membership`] | heartbeats of servers, long polls between nodes, liveness, outliers |
 //! | [`control`] | configuration and rollout leases by quorum; what is on disk |
@@ -31,5 +31,5 @@
 pub mod prefix_cache;
 pub mod process;
 pub mod proxy;
-pub mod rollout;
+pub(crate) mod rollout;
 pub mod settings;
--- a/crates/sparrouter-fleet/src/membership/mod.rs
+++ b/crates/sparrouter-fleet/src/membership/mod.rs
@@ -6,7 +6,7 @@
 //! | `notify` | sending changed records to the control nodes |
 //! | `outliers` | failures at servers, counted by each server's owner |
 //! | [`polls`] | long polls of sources |
-//! | [`registry`] | the servers that call this node |
+//! | `registry` | the servers that call this node |
 //! | `sources` | which sources this node polls |
 //!
 //! Owns the registry and what is known of sources. The records themselves are in `sparrouter_membership::MembershipTable`,
@@ -15,7 +15,5 @@
 mod notify;
 mod outliers;
 pub mod polls;
-pub mod registry;
+pub(crate) mod registry;
 mod sources;
-
-pub use notify::notify;
--- a/crates/sparrouter-fleet/src/node/mod.rs
+++ b/crates/sparrouter-fleet/src/node/mod.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | `configuration` | the configuration in force, its edits and its lease |
 //! | [`configuration_lease`] | whether it is fresh enough for requests with API keys |
-//! | [`counters`] | what is counted as it happens |
+//! | `counters` | what is counted as it happens |
 //! | `fleet_contact` | when a node with quorum contact was last heard from |
 //! | `live_nodes` | what follows from the node records: owners of keys, control nodes |
 //! | `owned_keys` | what this node counts for the keys that it owns |
@@ -16,7 +16,7 @@
 //! Uses the messages and connections of `peer`, the settings and the platform; nothing above.
 mod configuration;
 pub mod configuration_lease;
-pub mod counters;
+pub(crate) mod counters;
 mod fleet_contact;
 mod live_nodes;
 mod owned_keys;
--- a/crates/sparrouter-fleet/src/peer/mod.rs
+++ b/crates/sparrouter-fleet/src/peer/mod.rs
@@ -4,4 +4,4 @@
 mod frames;
 pub mod links;
 pub mod messages;
-pub mod server;
+pub(crate) mod server;
--- a/crates/sparrouter-fleet/src/platform/defects.rs
+++ b/crates/sparrouter-fleet/src/platform/defects.rs
@@ -1,7 +1,7 @@
 //! Injected defects: mistakes made on purpose, one at a time, so that tests can show that they would find them.
 //!
 //! Sound code does not name a defect. Where a guard depends on one, the code asks for the *rule* that the defect
-//! switches off, such as [`rules::relay_needs_contact`]: a rule holds always, unless its defect is injected. Without the
+//! switches off, such as `rules::relay_needs_contact`: a rule holds always, unless its defect is injected. Without the
 //! feature `injected-defects`, which tests alone enable, each rule is the constant `true` and nothing of this remains
 //! in the program. The injected defect is a state of the thread, so that all nodes of a simulation share it.
 
--- a/crates/sparrouter-fleet/src/platform/net.rs
+++ b/crates/sparrouter-fleet/src/platform/net.rs
@@ -20,7 +20,7 @@
 
 /// One connection.
 pub trait Connection: AsyncRead + AsyncWrite + Unpin {
-    /// Reads what has arrived, without waiting; see [`reading::at_hand`].
+    /// Reads what has arrived, without waiting; see [`reading::read_available`].
     fn read_available(&self, buffer: &mut [u8]) -> Option<io::Result<usize>>;
 }
 
--- a/crates/sparrouter-fleet/src/platform/upstream.rs
+++ b/crates/sparrouter-fleet/src/platform/upstream.rs
@@ -232,9 +232,4 @@
             !connections.is_empty() && exists(instance)
         });
     }
-
-    /// Closes all connections.
-    pub fn clear(&self) {
-        self.idle.borrow_mut().clear();
-    }
 }
