--- a/crates/sparrouter-node/src/transport/link.rs
+++ b/crates/sparrouter-node/src/transport/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a cache server or the origin, carrying one exchange at a time.
+//! One connection to a cache server or the origin, which carries one exchange at a time.
 use super::budget::{Body, BodyMemory, Reservation};
 use super::reading::{self, ReadError};
 use crate::protocol::ParseError;
@@ -12,87 +12,117 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// Interim answers ahead of one that counts.
+/// Interim answers (1xx) allowed ahead of the final one.
 const MAX_INTERIM: usize = 16;
 
+/// One connection to a peer.
 pub struct Link {
     stream: TcpStream,
+    /// What was read beyond the last answer; empty while the connection is idle.
     buffer: BytesMut,
     /// Where it leads.
-    pub to: SocketAddr,
+    pub endpoint: SocketAddr,
     /// How long it stood idle before its present use; none for a new one.
     pub idle: Option<Duration>,
-    _permit: Reservation,
+    _descriptor: Reservation,
 }
 
-/// A whole answer, and the link if it can carry another exchange.
+/// A request to send.
+pub struct ExchangeRequest {
+    /// The head, with its empty line.
+    pub head: Bytes,
+    /// The body.
+    pub body: Bytes,
+    /// The request is written completely by then or the exchange ends.
+    pub send_before: Option<Instant>,
+}
+
+/// A complete answer, and the connection if it can carry another exchange.
 pub struct Reply {
+    /// The head.
     pub head: ResponseHead,
+    /// The body.
     pub body: Body,
+    /// The connection, if it can be reused.
     pub link: Option<Link>,
 }
 
 impl Link {
-    pub async fn dial(to: SocketAddr, limit: Duration, permit: Reservation) -> io::Result<Link> {
-        let stream = tokio::time::timeout(limit, TcpStream::connect(to)).await??;
+    /// Connects.
+    ///
+    /// # Errors
+    ///
+    /// The connection is refused, broken, or not established within `limit`.
+    pub async fn connect(
+        endpoint: SocketAddr,
+        limit: Duration,
+        descriptor: Reservation,
+    ) -> io::Result<Link> {
+        let stream = tokio::time::timeout(limit, TcpStream::connect(endpoint)).await??;
         stream.set_nodelay(true)?;
         Ok(Link {
             stream,
             buffer: BytesMut::new(),
-            to,
+            endpoint,
             idle: None,
-            _permit: permit,
+            _descriptor: descriptor,
         })
     }
 
-    /// Open and silent, as an idle connection must be: one that was ended, or holds bytes that nobody
-    /// asked for, would hand a late reply to the wrong invocation.
+    /// Open and without unread bytes, as an idle connection must be: one that was closed, or has bytes that nobody
+    /// requested, would hand a late answer to the wrong invocation.
     pub fn is_quiet(&self) -> bool {
         self.buffer.is_empty() && reading::read_available(&self.stream, &mut [0]).is_none()
     }
 
-    /// Sends once, and never again by itself. `written` tells whether the last byte left, also where
-    /// this is dropped half way; dropping closes the connection. None where it could not be written whole
-    /// `before` that moment.
+    /// Sends once, and never retries by itself. `written` tells whether the last byte was written, also where this is
+    /// dropped before its end; dropping closes the connection. None where the request could not be written completely
+    /// before `send_before`.
+    ///
+    /// # Errors
+    ///
+    /// The connection broke, or the answer violates the protocol or is too long for the memory left.
     pub async fn exchange(
         mut self,
-        head: Bytes,
-        body: Bytes,
-        before: Option<Instant>,
+        request: ExchangeRequest,
         memory: &BodyMemory,
         written: &Cell<bool>,
     ) -> Result<Option<Reply>, ReadError> {
-        let mut all = head.chain(body);
-        let writing = self.stream.write_all_buf(&mut all);
-        let wrote = match before {
-            Some(before) => match timeout_at(before, writing).await {
-                Ok(wrote) => wrote,
+        let mut bytes = request.head.chain(request.body);
+        let writing = self.stream.write_all_buf(&mut bytes);
+        let result = match request.send_before {
+            Some(deadline) => match timeout_at(deadline, writing).await {
+                Ok(result) => result,
                 Err(_) => return Ok(None),
             },
             None => writing.await,
         };
-        wrote.map_err(|_| ReadError::Reset)?;
+        result.map_err(|_| ReadError::Reset)?;
         written.set(true);
+        let head = self.read_final_head().await?;
+        let body = reading::body(&mut self.stream, &mut self.buffer, head.framing, memory).await?;
+        let is_reusable = head.keep_alive && self.buffer.is_empty();
+        self.buffer = BytesMut::new();
+        Ok(Some(Reply {
+            head,
+            body,
+            link: is_reusable.then_some(self),
+        }))
+    }
+
+    /// The head of the final answer, past interim ones.
+    async fn read_final_head(&mut self) -> Result<ResponseHead, ReadError> {
         let mut interim = 0;
-        let head = loop {
+        loop {
             let head = reading::head(&mut self.stream, &mut self.buffer, head::REPLY).await?;
             let head = head::parse_response(&head)?;
-            // Interim answers come before the one that counts, but not without end.
             if head.status >= 200 {
-                break head;
+                return Ok(head);
             }
             interim += 1;
             if interim > MAX_INTERIM {
                 return Err(ParseError("interim answers without end").into());
             }
-        };
-        let body = reading::body(&mut self.stream, &mut self.buffer, head.framing, memory).await?;
-        let reusable = head.keep_alive && self.buffer.is_empty();
-        self.buffer = BytesMut::new();
-        Ok(Some(Reply {
-            head,
-            body,
-            link: reusable.then_some(self),
-        }))
+        }
     }
 }
--- a/crates/sparrouter-node/src/transport/reading.rs
+++ b/crates/sparrouter-node/src/transport/reading.rs
@@ -1,5 +1,5 @@
-//! FetchFull messages from a stream, with bounded buffers.
-use super::budget::{Body, BodyMemory};
+//! Complete messages from a stream, with bounded buffers.
+use super::budget::{Body, BodyMemory, Reservation};
 use crate::protocol::chunks::{ChunkDecoder, ChunkEvent};
 use crate::protocol::head::Framing;
 use crate::protocol::{MAX_HEAD, ParseError};
@@ -8,7 +8,11 @@
 
 pub use sparrouter_http::reading::{ReadError, more, read_available};
 
-/// Up to and with the empty line, as long as this program allows.
+/// Reads a head up to and including its empty line, of at most `MAX_HEAD` bytes.
+///
+/// # Errors
+///
+/// As [`sparrouter_http::reading::head`].
 pub async fn head(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -17,47 +21,53 @@
     sparrouter_http::reading::head(stream, buffer, begins, MAX_HEAD).await
 }
 
-/// As long as there is room for it.
+/// What may be read of one body.
+struct BodyLimit<'a> {
+    memory: &'a BodyMemory,
+    reservations: Vec<Reservation>,
+}
+
+impl BodyLimit<'_> {
+    fn check(&mut self, length: usize) -> Result<(), ParseError> {
+        match self.memory.reserve(length, &mut self.reservations) {
+            true => Ok(()),
+            false => Err(ParseError("body too long")),
+        }
+    }
+}
+
+/// Reads a body, as long as there is memory for it.
+///
+/// # Errors
+///
+/// The connection ended before the body, the chunks are malformed, or the body is too long.
 pub async fn body(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
     framing: Framing,
     memory: &BodyMemory,
 ) -> Result<Body, ReadError> {
-    let mut reservations = Vec::new();
-    let mut fits = |length| match memory.reserve(length, &mut reservations) {
-        true => Ok(()),
-        false => Err(ParseError("body too long")),
+    let mut limit = BodyLimit {
+        memory,
+        reservations: Vec::new(),
     };
     let bytes = match framing {
         Framing::Length(length) => {
-            fits(length)?;
+            limit.check(length)?;
             while buffer.len() < length {
                 buffer.reserve(length - buffer.len());
                 more(stream, buffer).await?;
             }
             buffer.split_to(length).freeze()
         }
-        Framing::Chunked => {
-            let (mut chunks, mut whole) = (ChunkDecoder::default(), BytesMut::new());
-            loop {
-                match chunks.next(buffer)? {
-                    ChunkEvent::Data(piece) => {
-                        fits(whole.len() + piece.len())?;
-                        whole.extend_from_slice(&piece);
-                    }
-                    ChunkEvent::More => more(stream, buffer).await?,
-                    ChunkEvent::End => break whole.freeze(),
-                }
-            }
-        }
+        Framing::Chunked => chunked(stream, buffer, &mut limit).await?,
         Framing::ToEnd => {
-            // Nothing but its end tells how long it is: cut off, it would be taken for whole.
+            // Nothing but its end tells how long it is: if that were cut off, it would pass for complete.
             loop {
                 match more(stream, buffer).await {
-                    Ok(()) => fits(buffer.len())?,
+                    Ok(()) => limit.check(buffer.len())?,
                     Err(ReadError::Closed) => break,
-                    Err(broken) => return Err(broken),
+                    Err(error) => return Err(error),
                 }
             }
             buffer.split().freeze()
@@ -65,6 +75,25 @@
     };
     Ok(Body {
         bytes,
-        reservations,
+        reservations: limit.reservations,
     })
 }
+
+async fn chunked(
+    stream: &mut (impl AsyncRead + Unpin),
+    buffer: &mut BytesMut,
+    limit: &mut BodyLimit<'_>,
+) -> Result<Bytes, ReadError> {
+    let mut chunks = ChunkDecoder::default();
+    let mut body = BytesMut::new();
+    loop {
+        match chunks.next(buffer)? {
+            ChunkEvent::Data(bytes) => {
+                limit.check(body.len() + bytes.len())?;
+                body.extend_from_slice(&bytes);
+            }
+            ChunkEvent::More => more(stream, buffer).await?,
+            ChunkEvent::End => return Ok(body.freeze()),
+        }
+    }
+}
--- a/crates/sparrouter-node/src/transport/tests.rs
+++ b/crates/sparrouter-node/src/transport/tests.rs
@@ -1,9 +1,10 @@
-//! A client's connection alone, between a client and whoever decides. The client's stream is a plain one: what it
-//! does has come to the system before the connection's task runs again, while the runtime has not looked yet.
-use super::budget::{DescriptorBudget, IdleConnections};
+//! A client's connection alone, between a client and the decision actor's mailbox. The client's stream is a blocking one:
+//! what it does has reached the system before the connection's task runs again, while the runtime has not looked yet.
+use super::budget::DescriptorBudget;
 use super::client::{self, ClientContext, ClientEvent, ReservedAnswer, ServingStage};
+use super::idle::IdleConnections;
 use crate::protocol::messages::Answer;
-use crate::routing::tests::play;
+use crate::routing::tests::run_local;
 use bytes::Bytes;
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
@@ -17,9 +18,9 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-struct Front {
+struct ClientFixture {
     client: TcpStream,
-    said: mpsc::Receiver<ClientEvent>,
+    events: mpsc::Receiver<ClientEvent>,
     stage: watch::Sender<ServingStage>,
     context: Rc<ClientContext<ClientEvent>>,
     task: JoinHandle<()>,
@@ -30,35 +31,39 @@
 }
 
 fn served(body: Bytes) -> ReservedAnswer {
-    (Answer::Succeeded { kind: None, body }, Vec::new())
+    Answer::Succeeded {
+        content_type: None,
+        body,
+    }
+    .into()
 }
 
-impl Front {
-    async fn new() -> Front {
+impl ClientFixture {
+    async fn new() -> ClientFixture {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         client.set_nonblocking(true).unwrap();
         let stream = listener.accept().await.unwrap().0;
-        let (mailbox, said) = mpsc::channel(8);
+        let (mailbox, events) = mpsc::channel(8);
         let (stage, staged) = watch::channel(ServingStage::Serving);
         let context = Rc::new(ClientContext {
             mailbox,
             stage: staged,
-            idlers: IdleConnections::new(64),
-            patience: Cell::new(900 * MS),
-            leaves: Cell::new(None),
-            next: Cell::new(0),
+            idle: IdleConnections::new(64),
+            max_timeout: Cell::new(900 * MS),
+            shutdown_deadline: Cell::new(None),
+            next_invocation: Cell::new(0),
         });
-        let permit = DescriptorBudget::new(1).take().unwrap();
+        let permit = DescriptorBudget::new(1).reserve().unwrap();
         let task = tokio::task::spawn_local(client::serve_connection(
             stream,
             permit,
             false,
             context.clone(),
         ));
-        Front {
+        ClientFixture {
             client,
-            said,
+            events,
             stage,
             context,
             task,
@@ -70,40 +75,40 @@
     fn half_close(&self) {
         self.client.shutdown(std::net::Shutdown::Write).unwrap();
     }
-    async fn taken(&mut self) -> (String, oneshot::Sender<ReservedAnswer>) {
-        match timeout(2000 * MS, self.said.recv())
+    async fn received(&mut self) -> (String, oneshot::Sender<ReservedAnswer>) {
+        match timeout(2000 * MS, self.events.recv())
             .await
             .expect("an invocation")
         {
             Some(ClientEvent::Received {
                 invocation, answer, ..
             }) => (String::from_utf8(invocation.id.to_vec()).unwrap(), answer),
-            _ => panic!("an invocation is taken"),
+            _ => panic!("an invocation is received"),
         }
     }
-    async fn gone(&mut self) {
-        let says = timeout(2000 * MS, self.said.recv())
+    async fn client_left(&mut self) {
+        let event = timeout(2000 * MS, self.events.recv())
             .await
-            .expect("word that it has gone");
-        assert!(matches!(says, Some(ClientEvent::Left { .. })));
+            .expect("the event that it has left");
+        assert!(matches!(event, Some(ClientEvent::Left { .. })));
     }
-    /// All that comes up to the end of the connection, and whether that was a reset.
-    async fn rest(&mut self) -> (String, bool) {
-        let (mut all, mut piece) = (Vec::new(), [0; 4096]);
+    /// All that is received up to the end of the connection, and whether that was a reset.
+    async fn read_to_end(&mut self) -> (String, bool) {
+        let (mut all, mut bytes) = (Vec::new(), [0; 4096]);
         for _ in 0..5000 {
-            match self.client.read(&mut piece) {
+            match self.client.read(&mut bytes) {
                 Ok(0) => return (String::from_utf8(all).unwrap(), false),
-                Ok(read) => all.extend_from_slice(&piece[..read]),
+                Ok(read) => all.extend_from_slice(&bytes[..read]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => sleep(MS).await,
                 Err(_) => return (String::from_utf8(all).unwrap(), true),
             }
         }
         panic!("the connection does not end");
     }
-    /// One invocation and its answer; the connection rests from now on.
-    async fn rested(&mut self) {
+    /// One invocation and its answer; the connection is idle from now on.
+    async fn exchange_first(&mut self) {
         self.write(&request("first"));
-        let (_, answer) = self.taken().await;
+        let (_, answer) = self.received().await;
         let _ = answer.send(served(Bytes::from_static(b"1")));
         let mut text = Vec::new();
         while !text.ends_with(b"\r\n\r\n1") {
@@ -116,7 +121,7 @@
         }
         sleep(5 * MS).await;
     }
-    async fn over(self) {
+    async fn task_ended(self) {
         timeout(2000 * MS, self.task)
             .await
             .expect("nothing is left of it")
@@ -124,39 +129,39 @@
     }
 }
 
-/// A request is written on a resting connection just as the node closes it, at its end or for want of descriptors.
-/// Come before the close it is answered; come after it, it is not read, and so never sent on.
+/// A request is written on an idle connection just as the node closes it, in its shutdown or for want of descriptors. If
+/// it arrives before the close it is answered; after it, it is not read, and so never forwarded.
 #[test]
 fn a_request_that_crosses_the_close_is_answered_or_never_read() {
-    for (leaves, first) in [(true, true), (false, true), (true, false), (false, false)] {
-        play(async {
-            let mut f = Front::new().await;
-            f.rested().await;
-            if first {
+    for (shuts_down, is_first) in [(true, true), (false, true), (true, false), (false, false)] {
+        run_local(async {
+            let mut f = ClientFixture::new().await;
+            f.exchange_first().await;
+            if is_first {
                 f.write(&request("second"));
             }
-            if leaves {
+            if shuts_down {
                 f.stage.send_replace(ServingStage::Closing);
             } else {
-                assert!(f.context.idlers.ask_first());
+                assert!(f.context.idle.close_one());
             }
-            if first {
-                let (id, answer) = f.taken().await;
+            if is_first {
+                let (id, answer) = f.received().await;
                 let _ = answer.send(served(Bytes::from_static(b"2")));
                 assert_eq!(id, "second");
-                if leaves {
-                    let (text, reset) = f.rest().await;
+                if shuts_down {
+                    let (text, reset) = f.read_to_end().await;
                     assert!(
                         text.contains("Connection: close") && text.ends_with("\r\n\r\n2") && !reset
                     );
                 }
             } else {
-                let (text, _) = f.rest().await;
+                let (text, _) = f.read_to_end().await;
                 let _ = f.client.write_all(request("second").as_bytes());
                 assert_eq!(text, "");
                 assert!(
-                    timeout(50 * MS, f.said.recv()).await.is_err(),
-                    "nothing of it is handed over"
+                    timeout(50 * MS, f.events.recv()).await.is_err(),
+                    "nothing of it is submitted"
                 );
             }
         });
@@ -165,81 +170,85 @@
 
 /// A connection that came in the last moment is not closed before its message can be there.
 #[test]
-fn a_new_connection_is_heard_though_the_node_closes() {
-    play(async {
-        let mut f = Front::new().await;
+fn a_new_connection_is_served_though_the_node_closes() {
+    run_local(async {
+        let mut f = ClientFixture::new().await;
         f.stage.send_replace(ServingStage::Closing);
         sleep(50 * MS).await;
         f.write(&request("late"));
-        let (_, answer) = f.taken().await;
+        let (_, answer) = f.received().await;
         let _ = answer.send(served(Bytes::from_static(b"1")));
-        assert!(f.rest().await.0.ends_with("\r\n\r\n1"));
-        f.over().await;
+        assert!(f.read_to_end().await.0.ends_with("\r\n\r\n1"));
+        f.task_ended().await;
     });
 }
 
-/// What can't be over before the node has to be gone is told to come back, not begun.
+/// An invocation that may not be over before the node ends is rejected, not begun.
 #[test]
-fn what_would_outlive_the_node_is_not_begun() {
-    play(async {
-        let mut f = Front::new().await;
+fn an_invocation_that_would_outlive_the_node_is_rejected() {
+    run_local(async {
+        let mut f = ClientFixture::new().await;
         f.stage.send_replace(ServingStage::Draining);
-        f.context.leaves.set(Some(Instant::now() + 800 * MS));
+        f.context
+            .shutdown_deadline
+            .set(Some(Instant::now() + 800 * MS));
         f.write(&request("long"));
-        assert!(f.rest().await.0.starts_with("HTTP/1.1 503 "));
-        assert!(f.said.try_recv().is_err());
-        f.over().await;
+        assert!(f.read_to_end().await.0.starts_with("HTTP/1.1 503 "));
+        assert!(f.events.try_recv().is_err());
+        f.task_ended().await;
     });
-    play(async {
-        let mut f = Front::new().await;
-        f.context.leaves.set(Some(Instant::now() + 800 * MS));
+    run_local(async {
+        let mut f = ClientFixture::new().await;
+        f.context
+            .shutdown_deadline
+            .set(Some(Instant::now() + 800 * MS));
         f.write(&request("short").replace("\r\n\r\n", "\r\nX-Deadline-Ms: 300\r\n\r\n"));
-        assert_eq!(f.taken().await.0, "short");
+        assert_eq!(f.received().await.0, "short");
     });
 }
 
-/// Its client had left before anybody looked, or behind an invocation that is not its last: nothing is handed over,
-/// and a client that only ended its side is told so.
+/// Its client had left before anybody looked, or behind an invocation that is not its last: nothing is submitted, and a
+/// client that only closed its side gets 503.
 #[test]
-fn what_waited_after_its_client_left_is_not_handed_over() {
-    for behind in [false, true] {
-        play(async {
-            let mut f = Front::new().await;
-            if behind {
+fn a_request_that_waited_after_its_client_left_is_not_submitted() {
+    for is_behind in [false, true] {
+        run_local(async {
+            let mut f = ClientFixture::new().await;
+            if is_behind {
                 f.write(&request("ahead"));
-                let (_, answer) = f.taken().await;
+                let (_, answer) = f.received().await;
                 f.write(&request("behind"));
                 f.half_close();
                 let _ = answer.send(served(Bytes::from_static(b"1")));
                 // It may have been seen first that the client has left.
-                let (text, _) = f.rest().await;
+                let (text, _) = f.read_to_end().await;
                 assert_eq!(text.matches("HTTP/1.1 ").count(), 2, "{text}");
                 assert!(text.contains("HTTP/1.1 503 "));
             } else {
                 f.write(&request("alone"));
                 f.half_close();
-                assert!(f.rest().await.0.starts_with("HTTP/1.1 503 "));
+                assert!(f.read_to_end().await.0.starts_with("HTTP/1.1 503 "));
             }
-            while let Ok(says) = f.said.try_recv() {
+            while let Ok(event) = f.events.try_recv() {
                 assert!(
-                    matches!(says, ClientEvent::Left { .. }),
-                    "nothing more is handed over"
+                    matches!(event, ClientEvent::Left { .. }),
+                    "nothing more is submitted"
                 );
             }
-            f.over().await;
+            f.task_ended().await;
         });
     }
 }
 
-/// It leaves while its invocation waits: whoever decides hears of it at once. Where only its side has ended, the
-/// client gets what that says.
+/// It leaves while its invocation is in flight: the decision actor is notified at once. Where only its side is closed, the
+/// client gets the answer.
 #[test]
-fn a_client_that_leaves_is_told_of_at_once() {
+fn a_client_that_leaves_is_reported_immediately() {
     for reset in [false, true] {
-        play(async {
-            let mut f = Front::new().await;
+        run_local(async {
+            let mut f = ClientFixture::new().await;
             f.write(&request("waits"));
-            let (_, answer) = f.taken().await;
+            let (_, answer) = f.received().await;
             let start = Instant::now();
             if reset {
                 socket2::SockRef::from(&f.client)
@@ -253,13 +262,13 @@
             } else {
                 f.half_close();
             }
-            f.gone().await;
+            f.client_left().await;
             assert!(start.elapsed() < 100 * MS, "{:?}", start.elapsed());
-            let _ = answer.send((Answer::Throttled { retry_after: 0 }, Vec::new()));
+            let _ = answer.send(Answer::Throttled { retry_after: 0 }.into());
             if !reset {
-                assert!(f.rest().await.0.starts_with("HTTP/1.1 503 "));
+                assert!(f.read_to_end().await.0.starts_with("HTTP/1.1 503 "));
             }
-            f.over().await;
+            f.task_ended().await;
         });
     }
 }
@@ -267,10 +276,10 @@
 /// Closed with bytes unread, a connection is reset, and what is not yet at the client of a long answer goes with it.
 #[test]
 fn an_answer_reaches_a_client_that_has_sent_more() {
-    play(async {
-        let mut f = Front::new().await;
+    run_local(async {
+        let mut f = ClientFixture::new().await;
         f.write(&request("long"));
-        let (_, answer) = f.taken().await;
+        let (_, answer) = f.received().await;
         f.stage.send_replace(ServingStage::Closing);
         let body = Bytes::from(vec![b'x'; 1 << 20]);
         let _ = answer.send(served(body.clone()));
@@ -278,12 +287,12 @@
         sleep(5 * MS).await;
         let _ = f.client.write_all(request("crosses").as_bytes());
         sleep(50 * MS).await;
-        let (text, _) = f.rest().await;
+        let (text, _) = f.read_to_end().await;
         assert!(text.contains("Connection: close"));
         assert_eq!(text.matches('x').count(), body.len());
         assert!(
-            f.said.try_recv().is_err(),
-            "what crosses the end is not handed over"
+            f.events.try_recv().is_err(),
+            "what crosses the end is not submitted"
         );
     });
 }
