--- a/crates/sparrouter-node/src/program/config.rs
+++ b/crates/sparrouter-node/src/program/config.rs
@@ -98,7 +98,7 @@
     let config = std::fs::read_to_string(&path)
         .map_err(FileError::from)
         .and_then(|text| parse(&text));
-    config.map_err(|error| error.at(path))
+    config.map_err(|error| error.in_file(path))
 }
 
 fn parse(text: &str) -> Result<Config, FileError> {
--- a/crates/sparrouter-node/src/program/error.rs
+++ b/crates/sparrouter-node/src/program/error.rs
@@ -99,7 +99,7 @@
 
 impl FileError {
     /// The error with the file's name.
-    pub fn at(self, path: impl Into<String>) -> NodeError {
+    pub fn in_file(self, path: impl Into<String>) -> NodeError {
         NodeError::File {
             path: path.into(),
             error: self,
--- a/crates/sparrouter-node/src/program/operator.rs
+++ b/crates/sparrouter-node/src/program/operator.rs
@@ -106,7 +106,7 @@
         let config = std::fs::read_to_string(path)
             .map_err(FileError::from)
             .and_then(|text| OperatorConfig::parse(&text));
-        config.map_err(|error| error.at(path.display().to_string()))
+        config.map_err(|error| error.in_file(path.display().to_string()))
     }
 
     fn parse(text: &str) -> Result<OperatorConfig, FileError> {
--- a/crates/sparrouter-node/src/program/serve.rs
+++ b/crates/sparrouter-node/src/program/serve.rs
@@ -2,7 +2,7 @@
 use super::error::NodeError;
 use super::reload::{ActiveConfiguration, Reload};
 use crate::routing::Message;
-use crate::transport::budget::DescriptorBudget;
+use crate::transport::budget::Budget;
 use crate::transport::client::{ClientContext, ServingStage};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
     /// What client connections share.
     pub context: Rc<ClientContext<Message>>,
     /// The descriptors of clients.
-    pub clients: Rc<DescriptorBudget>,
+    pub clients: Rc<Budget>,
 }
 
 /// Serves until a signal stops the node, then shuts down gracefully.
--- a/crates/sparrouter-node/src/program/start.rs
+++ b/crates/sparrouter-node/src/program/start.rs
@@ -190,7 +190,7 @@
     let actor = EndpointListActor {
         discovery,
         requests,
-        module: mailbox.clone(),
+        decisions: mailbox.clone(),
         rev: config.known.rev,
         connect_timeout: plan.peer_limits.connect_timeout,
         call_timeout: plan.call_timeout,
--- a/crates/sparrouter-node/src/routing/endpoint_list.rs
+++ b/crates/sparrouter-node/src/routing/endpoint_list.rs
@@ -44,7 +44,7 @@
     /// The actor's mailbox. The actor ends when its senders are dropped.
     pub requests: mpsc::Receiver<ListRequest>,
     /// The decision actor's mailbox.
-    pub module: mpsc::Sender<Message>,
+    pub decisions: mpsc::Sender<Message>,
     /// Version of the list that the decision actor has.
     pub rev: u64,
     /// A connection that is not established by then never is.
@@ -114,7 +114,7 @@
         if let ListEvent::Updated(update) = &event {
             self.rev = update.rev;
         }
-        let _ = self.module.send(Message::List(event)).await;
+        let _ = self.decisions.send(Message::List(event)).await;
     }
 
     fn open_subscription(&self, limit: Duration) -> PendingCall<DiscoveryCall> {
--- a/crates/sparrouter-node/src/routing/peer.rs
+++ b/crates/sparrouter-node/src/routing/peer.rs
@@ -116,7 +116,7 @@
     /// By the list: nothing new is sent to a server that drains or has left.
     accepts_forwards: Cell<bool>,
     pool: Rc<Pool>,
-    module: mpsc::Sender<Message>,
+    decisions: mpsc::Sender<Message>,
     limits: PeerLimits,
     /// What connections took of late to be established: a round trip.
     round_trip: Cell<Duration>,
@@ -152,7 +152,7 @@
     cache: CacheIndex,
     endpoint: SocketAddr,
     pool: Rc<Pool>,
-    module: mpsc::Sender<Message>,
+    decisions: mpsc::Sender<Message>,
     limits: PeerLimits,
     memory: BodyMemory,
 ) -> PeerHandle {
@@ -162,7 +162,7 @@
         endpoint: Cell::new(endpoint),
         accepts_forwards: Cell::new(true),
         pool,
-        module,
+        decisions,
         limits,
         round_trip: Cell::default(),
         memory,
@@ -261,7 +261,7 @@
             forward: forward.id,
             result,
         };
-        let _ = self.module.send(Message::Peer(event)).await;
+        let _ = self.decisions.send(Message::Peer(event)).await;
     }
 
     /// Waits until the close of a connection can have arrived. Guards against a next forward that is there before this
@@ -385,7 +385,7 @@
             cache: self.cache,
             ok: matches!(answer, Ok(Some(true))),
         };
-        let _ = self.module.send(Message::Peer(event)).await;
+        let _ = self.decisions.send(Message::Peer(event)).await;
     }
 
     /// Whether it answers `/health/live` with 200; none without an answer.
--- a/crates/sparrouter-node/src/routing/tests/endpoint_list.rs
+++ b/crates/sparrouter-node/src/routing/tests/endpoint_list.rs
@@ -52,13 +52,13 @@
 }
 
 fn start(address: SocketAddr, is_pushed: bool) -> ActorFixture {
-    let (module, events) = mpsc::channel(16);
+    let (decisions, events) = mpsc::channel(16);
     let (requests, mailbox) = mpsc::channel(4);
     let (sender, discovery) = watch::channel(address);
     let list = EndpointListActor {
         discovery,
         requests: mailbox,
-        module,
+        decisions,
         rev: 41,
         connect_timeout: 500 * MS,
         // Far longer than any case waits: whatever needs it to run out fails.
--- a/crates/sparrouter-node/src/routing/tests/peer.rs
+++ b/crates/sparrouter-node/src/routing/tests/peer.rs
@@ -5,7 +5,7 @@
     self, Forward, ForwardId, ForwardResult, PeerCommand, PeerEvent, PeerHandle, PeerLimits,
 };
 use crate::routing::tests::run_local;
-use crate::transport::budget::{BodyMemory, DescriptorBudget};
+use crate::transport::budget::{BodyMemory, Budget};
 use crate::transport::pool::Pool;
 use bytes::Bytes;
 use sparrouter_balancer::types::Outcome;
@@ -63,14 +63,14 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (module, mut events) = mpsc::channel(8);
+        let (decisions, mut events) = mpsc::channel(8);
         let limits = PeerLimits {
             connect_timeout: 800 * MS,
             health_check_timeout: 800 * MS,
             allows_hedging: false,
         };
-        let pool = Pool::new(DescriptorBudget::new(8), 1000 * MS);
-        let peer = peer::start(0, address, pool, module, limits, BodyMemory::USUAL);
+        let pool = Pool::new(Budget::new(8), 1000 * MS);
+        let peer = peer::start(0, address, pool, decisions, limits, BodyMemory::USUAL);
         assert!(peer.command(PeerCommand::Forward(forward(1, invocation(), None))));
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut text = Vec::new();
@@ -121,18 +121,18 @@
 impl PeerFixture {
     async fn new() -> PeerFixture {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (module, events) = mpsc::channel(8);
+        let (decisions, events) = mpsc::channel(8);
         let limits = PeerLimits {
             connect_timeout: 800 * MS,
             health_check_timeout: 800 * MS,
             allows_hedging: true,
         };
-        let pool = Pool::new(DescriptorBudget::new(8), 5000 * MS);
+        let pool = Pool::new(Budget::new(8), 5000 * MS);
         let peer = peer::start(
             0,
             listener.local_addr().unwrap(),
             pool,
-            module,
+            decisions,
             limits,
             BodyMemory::USUAL,
         );
--- a/crates/sparrouter-node/src/transport/budget.rs
+++ b/crates/sparrouter-node/src/transport/budget.rs
@@ -13,7 +13,7 @@
 const OVERFLOW_FRACTION: f64 = 0.05;
 
 /// So many descriptors, or pages of memory, for one use.
-pub struct DescriptorBudget {
+pub struct Budget {
     limit: usize,
     /// The sum of all reservations; at most `limit`.
     reserved: Cell<usize>,
@@ -22,7 +22,7 @@
 
 /// The right to so much of a budget, given back when dropped.
 pub struct Reservation {
-    budget: Rc<DescriptorBudget>,
+    budget: Rc<Budget>,
     count: usize,
 }
 
@@ -34,10 +34,10 @@
     }
 }
 
-impl DescriptorBudget {
+impl Budget {
     /// A budget of `limit`, at least 1.
-    pub fn new(limit: usize) -> Rc<DescriptorBudget> {
-        Rc::new(DescriptorBudget {
+    pub fn new(limit: usize) -> Rc<Budget> {
+        Rc::new(Budget {
             limit: limit.max(1),
             reserved: Cell::new(0),
             released: Notify::new(),
@@ -73,7 +73,7 @@
 /// Memory for what of a body goes beyond the usual `MAX_BODY`. Guards against answers of some hundred KiB that were
 /// valid and thrown away, and against many at once that would exhaust the node's memory.
 #[derive(Clone)]
-pub struct BodyMemory(Option<Rc<DescriptorBudget>>);
+pub struct BodyMemory(Option<Rc<Budget>>);
 
 impl BodyMemory {
     /// None beyond the usual.
@@ -81,7 +81,7 @@
 
     /// A quarter of the node's memory, which is in bytes.
     pub fn of(memory: usize) -> BodyMemory {
-        BodyMemory(Some(DescriptorBudget::new(memory / 4 / MAX_BODY)))
+        BodyMemory(Some(Budget::new(memory / 4 / MAX_BODY)))
     }
 
     /// Reserves memory for a body of `length` bytes, beyond what was reserved for it before. One body gets a quarter at
@@ -114,11 +114,11 @@
 /// How the descriptors are split.
 pub struct DescriptorSplit {
     /// For client connections, also those that are accepted to be rejected.
-    pub clients: Rc<DescriptorBudget>,
+    pub clients: Rc<Budget>,
     /// How many clients are served.
     pub max_served: usize,
     /// For connections to peers.
-    pub peers: Rc<DescriptorBudget>,
+    pub peers: Rc<Budget>,
 }
 
 /// Splits `sockets` descriptors. Each connection may at the worst have one message that is read and one that is
@@ -131,8 +131,8 @@
     let peers = (free as usize - clients - overflow).min(max_by_memory);
     let max_served = clients.min(max_by_memory).max(1);
     DescriptorSplit {
-        clients: DescriptorBudget::new(max_served + overflow),
+        clients: Budget::new(max_served + overflow),
         max_served,
-        peers: DescriptorBudget::new(peers),
+        peers: Budget::new(peers),
     }
 }
--- a/crates/sparrouter-node/src/transport/listener.rs
+++ b/crates/sparrouter-node/src/transport/listener.rs
@@ -1,5 +1,5 @@
 //! Accepts clients as long as there is any descriptor for them.
-use super::budget::{DescriptorBudget, Reservation};
+use super::budget::{Budget, Reservation};
 use super::client::{self, ClientContext, ClientEvent};
 use crate::invariant::OccurrenceCounter;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 /// accepting would lose it.
 pub async fn accept<M: From<ClientEvent> + 'static>(
     listener: TcpListener,
-    budget: Rc<DescriptorBudget>,
+    budget: Rc<Budget>,
     max_served: usize,
     context: Rc<ClientContext<M>>,
 ) {
@@ -52,7 +52,7 @@
 }
 
 /// Waits for a descriptor.
-async fn reserve<M>(budget: &Rc<DescriptorBudget>, context: &ClientContext<M>) -> Reservation {
+async fn reserve<M>(budget: &Rc<Budget>, context: &ClientContext<M>) -> Reservation {
     loop {
         match budget.reserve() {
             Some(descriptor) => return descriptor,
--- a/crates/sparrouter-node/src/transport/pool.rs
+++ b/crates/sparrouter-node/src/transport/pool.rs
@@ -1,5 +1,5 @@
 //! Idle connections to all peers, under one budget of descriptors.
-use super::budget::{DescriptorBudget, Reservation};
+use super::budget::{Budget, Reservation};
 use super::link::Link;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -77,7 +77,7 @@
 pub struct Pool {
     /// Connections established since the start.
     pub opened: Rc<Cell<u64>>,
-    budget: Rc<DescriptorBudget>,
+    budget: Rc<Budget>,
     max_idle: Duration,
     statistics: RefCell<AgeStatistics>,
     /// By time since they were last used, the longest idle first.
@@ -86,7 +86,7 @@
 
 impl Pool {
     /// `max_idle`: how long a connection may stand idle, well before the other side would close it.
-    pub fn new(budget: Rc<DescriptorBudget>, max_idle: Duration) -> Rc<Pool> {
+    pub fn new(budget: Rc<Budget>, max_idle: Duration) -> Rc<Pool> {
         Rc::new(Pool {
             opened: Rc::default(),
             budget,
--- a/crates/sparrouter-node/src/transport/tests.rs
+++ b/crates/sparrouter-node/src/transport/tests.rs
@@ -1,6 +1,6 @@
 //! A client's connection alone, between a client and the decision actor's mailbox. The client's stream is a blocking one:
 //! what it does has reached the system before the connection's task runs again, while the runtime has not looked yet.
-use super::budget::DescriptorBudget;
+use super::budget::Budget;
 use super::client::{self, ClientContext, ClientEvent, ReservedAnswer, ServingStage};
 use super::idle::IdleConnections;
 use crate::protocol::messages::Answer;
@@ -54,7 +54,7 @@
             shutdown_deadline: Cell::new(None),
             next_invocation: Cell::new(0),
         });
-        let permit = DescriptorBudget::new(1).reserve().unwrap();
+        let permit = Budget::new(1).reserve().unwrap();
         let task = tokio::task::spawn_local(client::serve_connection(
             stream,
             permit,
--- a/crates/sparrouter-node/tests/changes.rs
+++ b/crates/sparrouter-node/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Changes in stages of sixteen real nodes, under the lab's clients, faults and audit. Bad versions are planted.
+//! Staged rollouts over sixteen real nodes, under the lab's clients, faults and audit. Bad versions have injected defects.
 use sparrouter_lab::play::{Program, Run, play_with};
 use sparrouter_lab::rollout::{self, Tools};
 use sparrouter_lab::scenario::Scenario;
@@ -41,10 +41,10 @@
 client_timeout_ms = 1200
 "#;
 
-/// Not tests by themselves: processes of their own, which the lab starts and kills.
+/// No tests by themselves: processes of their own, which the lab starts and kills.
 #[test]
 #[ignore = "run by the tests below"]
-fn planted_in_a_process() {
+fn defect_in_a_process() {
     plant::run().unwrap();
 }
 #[test]
@@ -61,7 +61,7 @@
             .to_vec()
     };
     Tools {
-        plant: test("planted_in_a_process"),
+        plant: test("defect_in_a_process"),
         conductor: test("conductor_in_a_process"),
     }
 }
@@ -79,7 +79,7 @@
     run
 }
 
-fn told(run: &Run) -> String {
+fn describe(run: &Run) -> String {
     let c = run.rollout.as_ref().unwrap();
     format!(
         "{} {:?} stages {}, changed {:?}\n{:#?}\n{:?}",
@@ -87,8 +87,8 @@
     )
 }
 
-/// Cache servers crash, discovery is away, notes pass one way, the conductor is killed four times: it goes through,
-/// no rule is broken and no answer is lost.
+/// Cache servers crash, discovery is down, gossip passes one way, the conductor is killed four times: the rollout
+/// completes, no rule is broken and no answer is lost.
 #[test]
 fn a_sound_change_goes_through_beside_faults_and_a_killed_conductor() {
     let run = played(
@@ -106,20 +106,25 @@
         (c.how.as_str(), c.changed.len(), c.kills),
         ("through", 16, 4),
         "{}",
-        told(&run)
+        describe(&run)
     );
-    assert!(run.verdict.kept(), "{}", told(&run));
-    assert_eq!(run.tally.total.unanswered, 0, "{}", told(&run));
+    assert!(run.verdict.kept(), "{}", describe(&run));
+    assert_eq!(run.tally.total.unanswered, 0, "{}", describe(&run));
 }
 
-/// Stopped by the second stage, all taken back, under 2 % of the value lost, whatever is planted.
+/// Stopped by the second stage, all rolled back, under 2 % of the value lost, whatever the defect.
 fn stopped(lane: usize, name: &str, length_s: u32, change: &str, why: &[&str]) -> Run {
     let run = played(lane, name, length_s, change, "");
     let c = run.rollout.as_ref().unwrap();
-    assert_eq!(c.how, "back", "{}", told(&run));
-    assert!(c.stages <= 2 && c.changed.is_empty(), "{}", told(&run));
-    assert!(why.iter().any(|w| c.why.contains(w)), "{}", told(&run));
-    assert!(run.tally.value > 0.98, "{} {}", run.tally.value, told(&run));
+    assert_eq!(c.how, "back", "{}", describe(&run));
+    assert!(c.stages <= 2 && c.changed.is_empty(), "{}", describe(&run));
+    assert!(why.iter().any(|w| c.why.contains(w)), "{}", describe(&run));
+    assert!(
+        run.tally.value > 0.98,
+        "{} {}",
+        run.tally.value,
+        describe(&run)
+    );
     run
 }
 
@@ -143,7 +148,7 @@
         "plant = \"never_ready\"",
         &["never reported"],
     );
-    assert!(run.verdict.kept(), "{}", told(&run));
+    assert!(run.verdict.kept(), "{}", describe(&run));
 }
 
 #[test]
@@ -159,7 +164,7 @@
 
 #[test]
 fn one_operation_that_errs_is_enough() {
-    // What is planted closes a connection now and then as it leaves: no rule is judged here.
+    // This defect closes a connection now and then in its shutdown: no rule is judged here.
     stopped(
         0,
         "one worse",
@@ -178,25 +183,26 @@
         "odd_settings = { TickUs = -1 }",
         &["never reported", "could not be changed"],
     );
-    assert!(run.verdict.kept(), "{}", told(&run));
+    assert!(run.verdict.kept(), "{}", describe(&run));
 }
 
-/// Notes of rubbish and of a later format go by the others; the change may pass or be stopped, but harms nobody.
+/// Gossip of garbage and of a later format is ignored by the others; the rollout may complete or be stopped, but does no
+/// harm.
 #[test]
-fn notes_of_rubbish_and_of_a_later_format_harm_nobody() {
+fn gossip_of_garbage_and_of_a_later_format_is_harmless() {
     for (lane, plant) in [(0, "rubbish"), (0, "newer_notes")] {
         let run = played(lane, plant, 20, &format!("plant = \"{plant}\""), "");
         assert!(
             run.verdict.kept() && run.tally.value > 0.99,
             "{} {}",
             run.tally.value,
-            told(&run)
+            describe(&run)
         );
     }
 }
 
-/// Three nodes are killed at once in mid-change and start anew: whoever was changed counts as crashed. Either way all
-/// nodes end on one side, and the rules hold for what was answered.
+/// Three nodes are killed at once during a rollout and restart: those that were changed count as crashed. Either way all
+/// nodes end with one version, and the rules hold for what was answered.
 #[test]
 fn nodes_killed_in_mid_change_leave_all_nodes_on_one_side() {
     let run = played(
@@ -211,7 +217,7 @@
     assert!(
         ends == ("through", 16) || ends == ("back", 0),
         "{}",
-        told(&run)
+        describe(&run)
     );
-    assert!(run.verdict.kept(), "{}", told(&run));
+    assert!(run.verdict.kept(), "{}", describe(&run));
 }
--- a/crates/sparrouter-node/tests/clients.rs
+++ b/crates/sparrouter-node/tests/clients.rs
@@ -1,32 +1,34 @@
-//! Clients that leave, flood, or give up and return: nothing is worked off for who has gone, and others are served.
+//! Clients that leave, flood, or cancel and retry: nothing is done for those that left, and others are served.
 mod harness;
 
 use harness::*;
 use sparrouter_lab::scripted::{Act, Server, until};
 use std::io::Write;
 use std::net::TcpStream;
+use std::sync::atomic::Ordering::SeqCst;
+use std::time::Instant;
 
-/// Clients that wait for another's fetch leave in a burst: none of theirs is sent on when it ends.
+/// Clients that wait for another's fetch leave in a burst: none of their invocations is forwarded when it ends.
 #[test]
-fn those_that_left_while_they_waited_are_not_sent_on() {
+fn waiting_invocations_of_clients_that_left_are_not_forwarded() {
     let (cache, origin) = (Server::always(Act::Miss), Server::always(Act::Late(300)));
-    let w = world(&[&cache], origin.at, 256);
+    let w = start_node(&[&cache], origin.at, 256);
     let mut clients: Vec<TcpStream> = (0..12).map(|_| w.client()).collect();
     for (n, stream) in clients.iter_mut().enumerate() {
-        ask(stream, "GET", "/api/same", &format!("w{n}"), "get", "");
+        send_request(stream, "GET", "/api/same", &format!("w{n}"), "get", "");
         until("the fetch", || origin.seen().len() == 1);
     }
     assert_eq!(w.call("GET", "/health/ready", "", "").0, 200);
-    let mut leads = clients.remove(0);
+    let mut fetching = clients.remove(0);
     drop(clients);
-    assert_eq!(status(&mut leads), 200);
+    assert_eq!(read_status(&mut fetching), 200);
     std::thread::sleep(350 * MS);
     assert_eq!((cache.seen().len(), origin.seen().len()), (1, 1));
 }
 
-/// A flood on one connection by a client that goes at once: a handful is begun, and others are served meanwhile.
+/// A flood on one connection by a client that leaves at once: a handful is forwarded, and others are served meanwhile.
 #[test]
-fn a_flood_whose_client_has_gone_is_not_worked_off() {
+fn a_flood_of_a_client_that_left_is_not_processed() {
     let cache = Server::start(|seen| {
         if seen.id().starts_with('f') {
             Act::Late(50)
@@ -34,7 +36,7 @@
             Act::Hit
         }
     });
-    let w = world(&[&cache], nowhere(), 256);
+    let w = start_node(&[&cache], unused_address(), 256);
     let mut flood = w.client();
     flood.set_nonblocking(true).unwrap();
     let mut sent = 0;
@@ -49,7 +51,7 @@
     until("the first", || !cache.seen().is_empty());
     drop(flood);
     std::thread::sleep(300 * MS);
-    let begun = cache.seen().len();
+    let forwarded = cache.seen().len();
     assert_eq!(w.get("other"), 200);
     std::thread::sleep(300 * MS);
     let after = cache
@@ -57,12 +59,12 @@
         .iter()
         .filter(|s| s.id().starts_with('f'))
         .count();
-    assert!(after <= begun && begun < 12, "{begun}, {after}");
+    assert!(after <= forwarded && forwarded < 12, "{forwarded}, {after}");
 }
 
-/// A client that gives up early and is back at once, over and over: nothing of what it left stays, and the last is served.
+/// A client that cancels early and retries at once, repeatedly: nothing of what it cancelled stays, and the last is served.
 #[test]
-fn one_that_gives_up_and_returns_at_once_is_served() {
+fn a_client_that_cancels_and_retries_immediately_is_served() {
     let cache = Server::start(|seen| {
         if seen.id() == "last" {
             Act::Hit
@@ -70,10 +72,10 @@
             Act::Late(700)
         }
     });
-    let w = world(&[&cache], nowhere(), 64);
+    let w = start_node(&[&cache], unused_address(), 64);
     for n in 0..40 {
         let mut stream = w.client();
-        ask(
+        send_request(
             &mut stream,
             "GET",
             "/api/k",
@@ -83,8 +85,9 @@
         );
         // Some leave before, some while it is forwarded.
         if n % 2 == 0 {
-            until("that it is forwarded or turned away", || {
-                cache.seen().iter().any(|s| s.id() == format!("early{n}")) || ended_now(&stream)
+            until("that it is forwarded or rejected", || {
+                cache.seen().iter().any(|s| s.id() == format!("early{n}"))
+                    || has_answer_or_end(&stream)
             });
         }
     }
@@ -96,10 +99,24 @@
     );
 }
 
-/// Whether the node has said or ended something there.
-fn ended_now(stream: &TcpStream) -> bool {
+/// Whether the node has answered or closed there.
+fn has_answer_or_end(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
-    let said = stream.peek(&mut [0]).is_ok();
+    let is_readable = stream.peek(&mut [0]).is_ok();
     stream.set_nonblocking(false).unwrap();
-    said
+    is_readable
+}
+
+#[test]
+fn a_client_that_leaves_cancels_its_forward() {
+    let cache = Server::always(Act::Silent);
+    let w = start_node(&[&cache], unused_address(), 256);
+    let mut stream = w.client();
+    send_request(&mut stream, "GET", "/api/k", "a", "get", "");
+    until("the forward", || cache.seen().len() == 1);
+    let start = Instant::now();
+    drop(stream);
+    until("the forward's end", || cache.closed.load(SeqCst) == 1);
+    // Sooner than by the timeout of the node.
+    assert!(start.elapsed() < 200 * MS);
 }
--- /dev/null
+++ b/crates/sparrouter-node/tests/endpoint_list.rs
@@ -0,0 +1,172 @@
+//! The endpoint list: requested or pushed, lost, wrong, and with servers that come and go.
+mod harness;
+
+use harness::*;
+use sparrouter_lab::scripted::{Act, Server, target, until};
+use std::io::BufRead;
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering::SeqCst;
+use std::thread::sleep;
+use std::time::Instant;
+
+#[test]
+fn draining_and_removed_servers_get_nothing_and_a_lost_subscription_is_reopened() {
+    let (a, b) = (Server::always(Act::Hit), Server::always(Act::Hit));
+    let w = start_node(&[&a, &b], unused_address(), 256);
+    until("the subscription", || w.discovery.calls() == 1);
+    assert!(w.discovery.calls.lock().unwrap()[0].contains("watch=1&after=41"));
+    let change = |rev: u32, state: &str| {
+        format!(
+            r#"{{"rev":{rev},"all":false,"targets":[{}],"new":{{"x":[1]}}}}"#,
+            target("c0", a.at, "box", state)
+        )
+    };
+    w.discovery.say(&change(42, "terminating"));
+    sleep(100 * MS);
+    let before = a.seen().len();
+    w.reads("d", 20);
+    assert!(a.seen().len() == before && !b.seen().is_empty());
+    // Lost by its end, and by an invalid line: each time a new one, from the known version.
+    for (n, last) in ["end", "{\"rev\":oops}"].iter().enumerate() {
+        w.discovery.say(last);
+        until("a new subscription", || w.discovery.calls() == n + 2);
+        assert!(w.discovery.calls.lock().unwrap()[n + 1].contains("after=42"));
+    }
+    w.discovery.say(&change(43, "in_service"));
+    sleep(100 * MS);
+    w.reads("e", 40);
+    assert!(a.seen().len() > before);
+    // A full list that does not name a server says that it has left.
+    let all = format!(
+        r#"{{"rev":44,"all":true,"targets":[{}]}}"#,
+        target("c1", b.at, "box", "in_service")
+    );
+    w.discovery.say(&all);
+    sleep(100 * MS);
+    let before = a.seen().len();
+    w.reads("f", 20);
+    assert_eq!(a.seen().len(), before);
+    // Partitioned: the connection stays open and brings nothing any more.
+    w.discovery.mute.store(1, SeqCst);
+    until("a subscription after the time-out", || {
+        w.discovery.calls() > 3
+    });
+}
+
+/// Guards against a list that is wrong: where removal is advice, running servers that it calls terminated or does not name
+/// still get forwards; one that drained first does not.
+#[test]
+fn where_gone_is_advice_only_draining_binds() {
+    let (a, b) = (Server::always(Act::Hit), Server::always(Act::Hit));
+    let settings = SETTINGS.replace(
+        "\"FallUs\":1000000",
+        "\"FallUs\":1000000,\"GoneIsAdvice\":true",
+    );
+    let w = start_node_with(&settings, &[&a, &b], unused_address(), 256);
+    until("the subscription", || w.discovery.calls() == 1);
+    let mut rev = 41;
+    let mut reads = |all: bool, states: &[(usize, &str)]| {
+        let addresses = [a.at, b.at];
+        let target =
+            |&(n, state): &(usize, &str)| target(&format!("c{n}"), addresses[n], "box", state);
+        let targets: Vec<String> = states.iter().map(target).collect();
+        rev += 1;
+        w.discovery.say(&format!(
+            r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#,
+            targets.join(",")
+        ));
+        until("the line", || w.discovery.feed.lock().unwrap().is_empty());
+        sleep(50 * MS);
+        let before = (a.seen().len(), b.seen().len());
+        w.reads(&format!("r{rev}-"), 30);
+        (a.seen().len() > before.0, b.seen().len() > before.1)
+    };
+    assert_eq!(reads(true, &[]), (true, true));
+    assert_eq!(
+        reads(false, &[(0, "terminated"), (1, "terminated")]),
+        (true, true)
+    );
+    assert_eq!(
+        reads(false, &[(0, "in_service"), (1, "in_service")]),
+        (true, true)
+    );
+    assert_eq!(reads(false, &[(0, "terminating")]), (false, true));
+    assert_eq!(reads(false, &[(0, "terminated")]), (false, true));
+    assert_eq!(reads(true, &[]), (false, true));
+    assert_eq!(reads(false, &[(0, "in_service")]), (true, true));
+}
+
+/// Where the list is pushed the policy requests nothing: the node keeps a subscription by itself.
+#[test]
+fn a_pushed_list_is_subscribed_to_without_a_request() {
+    let (a, b) = (Server::always(Act::Hit), Server::always(Act::Hit));
+    let w = start_node_with(
+        &SETTINGS.replace("subscribe", "automatic"),
+        &[&a],
+        unused_address(),
+        256,
+    );
+    until("the subscription", || w.discovery.calls() == 1);
+    let full_list = |rev: u32, uid: &str, address: SocketAddr| {
+        format!(
+            r#"{{"rev":{rev},"all":true,"targets":[{}]}}"#,
+            target(uid, address, "box", "in_service")
+        )
+    };
+    // Once it is lost it is opened again at once, from the known version.
+    let start = Instant::now();
+    w.discovery.say("end");
+    until("a new subscription", || w.discovery.calls() == 2);
+    assert!(start.elapsed() < 500 * MS, "{:?}", start.elapsed());
+    assert!(w.discovery.calls.lock().unwrap()[1].contains("after=41"));
+    w.discovery.say(&full_list(42, "c1", b.at));
+    until("the line", || w.discovery.feed.lock().unwrap().is_empty());
+    sleep(100 * MS);
+    w.reads("n", 5);
+    assert!(a.seen().is_empty());
+    w.discovery.say(&full_list(43, "c0", a.at));
+    sleep(100 * MS);
+    let before = b.seen().len();
+    w.reads("m", 5);
+    assert!(!a.seen().is_empty() && b.seen().len() == before);
+}
+
+/// Guards against names, indices and actors that accumulate while cache servers are replaced.
+#[test]
+fn names_of_departed_cache_servers_are_released() {
+    let cache = Server::always(Act::Hit);
+    let mut w = start_node(&[&cache], unused_address(), 256);
+    until("the subscription", || w.discovery.calls() == 1);
+    let mut rev = 42;
+    let mut say = |w: &TestNode, uid: &str, state: &str| {
+        let entry = target(uid, cache.at, "box", state);
+        w.discovery.say(&format!(
+            r#"{{"rev":{rev},"all":false,"targets":[{entry}]}}"#
+        ));
+        rev += 1;
+        until("the line", || w.discovery.feed.lock().unwrap().is_empty());
+        sleep(20 * MS);
+    };
+    // Each at the address of the one before.
+    for n in 0..5 {
+        say(&w, &format!("n{n}"), "in_service");
+        say(
+            &w,
+            &if n == 0 {
+                "c0".to_string()
+            } else {
+                format!("n{}", n - 1)
+            },
+            "terminated",
+        );
+    }
+    // Twice the longest client timeout later, the five that left are released; another server gets the index of one.
+    sleep(1900 * MS);
+    say(&w, "unheard-of", "terminated");
+    say(&w, "late", "in_service");
+    say(&w, "n4", "terminated");
+    w.reads("z", 10);
+    let log = std::io::BufReader::new(w.node.stderr.take().unwrap());
+    let mut lines = log.lines().map_while(Result::ok);
+    assert!(lines.any(|l| l.contains("5 names of gone cache servers let go")));
+}
--- a/crates/sparrouter-node/tests/fleet.rs
+++ b/crates/sparrouter-node/tests/fleet.rs
@@ -69,7 +69,7 @@
     );
 }
 
-/// What a killed node held is its client's to ask again; what it had answered counts.
+/// What was in flight at a killed node is retried by its client; what it had answered counts.
 #[test]
 fn nodes_killed_in_the_middle_lose_nothing_that_they_had_answered() {
     let run = played(
@@ -85,17 +85,17 @@
     assert!(run.tally.good() > 0.85, "{:?}", run.tally.total);
 }
 
-/// Stopped where they are and woken with all that they had in hand: nothing runs twice, nothing is sent to what has
-/// drained meanwhile later than the grace after.
+/// Stopped and resumed with all that was in flight: nothing runs twice, and nothing is sent to a server that drained
+/// meanwhile later than the drain grace allows.
 #[test]
-fn nodes_that_stand_still_and_wake_keep_the_rules() {
+fn paused_nodes_that_resume_keep_the_rules() {
     let run = played(
         "name = \"paused\"\nlength_s = 7\n[nodes]\ncount = 3\nfront_notices_s = 0.4\n[caches]\ncount = 6\n\
          [load]\nrate_per_s = 200\nretries = 1\n\
          [[fault]]\nkind = \"node_pause\"\nat_s = 1.5\nlength_s = 0.8\npart = 0.67\n\
          [[fault]]\nkind = \"node_pause\"\nat_s = 4\nlength_s = 2\npart = 0.34\n",
     );
-    // They did stand still: some of what they had in hand came too late or not at all.
+    // They were paused: some of what was in flight was answered too late or not at all.
     let late =
         run.tally.total.past_objective + run.tally.total.unanswered + run.tally.total.errored;
     assert!(
@@ -106,9 +106,9 @@
     );
 }
 
-/// Cut replies, vanished bytes and slow links before cache servers.
+/// Truncated replies, lost bytes and slow links before cache servers.
 #[test]
-fn links_that_lose_delay_and_cut_keep_the_rules() {
+fn links_that_lose_delay_and_break_keep_the_rules() {
     let fault = |at: f64, how: &str| {
         format!(
             "[[fault]]\nkind = \"links\"\nat_s = {at}\nlength_s = 1.2\nbefore = \"caches\"\npart = 0.34\n{how}\n"
--- a/crates/sparrouter-node/tests/harness/mod.rs
+++ b/crates/sparrouter-node/tests/harness/mod.rs
@@ -9,9 +9,10 @@
 
 pub const MS: Duration = Duration::from_millis(1);
 
-pub struct World {
+/// A running node beside scripted cache servers; it is killed when dropped.
+pub struct TestNode {
     pub node: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub discovery: Discovery,
     pub other: UdpSocket,
     pub datagrams: SocketAddr,
@@ -30,13 +31,18 @@
   "FallUs":1000000}}"#;
 
 /// A node beside caches and an origin, once it is ready.
-pub fn world(caches: &[&Server], origin: SocketAddr, sockets: usize) -> World {
-    world_of(SETTINGS, caches, origin, sockets)
+pub fn start_node(caches: &[&Server], origin: SocketAddr, sockets: usize) -> TestNode {
+    start_node_with(SETTINGS, caches, origin, sockets)
 }
 
-pub fn world_of(settings: &str, caches: &[&Server], origin: SocketAddr, sockets: usize) -> World {
+pub fn start_node_with(
+    settings: &str,
+    caches: &[&Server],
+    origin: SocketAddr,
+    sockets: usize,
+) -> TestNode {
     let discovery = Discovery::start();
-    let at = free();
+    let address = free();
     let other = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let datagrams = free();
     let mut targets: Vec<String> = caches
@@ -47,15 +53,15 @@
     targets.push(target("o", origin, "origin", "in_service"));
     let (targets, peer) = (targets.join(","), other.local_addr().unwrap());
     let config = format!(
-        r#"{{"name":"n0","listen":"{at}","discovery":"{}","seed":"8c1f30d27a5be964",
+        r#"{{"name":"n0","listen":"{address}","discovery":"{}","seed":"8c1f30d27a5be964",
  "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"peer_listen":"{datagrams}",
  "peers":["{datagrams}","{peer}"],"known":{{"rev":41,"all":true,"targets":[{targets}]}},"settings":{settings}}}"#,
         discovery.at
     );
-    let (node, folder) = start(&config);
-    let world = World {
+    let (node, folder) = spawn_node(&config);
+    let start_node = TestNode {
         node,
-        at,
+        address,
         discovery,
         other,
         datagrams,
@@ -63,12 +69,13 @@
         folder,
     };
     until("ready", || {
-        TcpStream::connect(at).is_ok() && world.call("GET", "/health/ready", "", "").0 == 200
+        TcpStream::connect(address).is_ok()
+            && start_node.call("GET", "/health/ready", "", "").0 == 200
     });
-    world
+    start_node
 }
 
-pub fn start(config: &str) -> (Child, tempfile::TempDir) {
+pub fn spawn_node(config: &str) -> (Child, tempfile::TempDir) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("config.json");
     std::fs::write(&path, config).unwrap();
@@ -80,27 +87,27 @@
     (command.spawn().unwrap(), folder)
 }
 
-/// Says why, where the program has ended while something of it is waited for.
-pub fn still_runs(node: &mut Child) {
+/// Panics with the log if the program has ended.
+pub fn assert_running(node: &mut Child) {
     if let Some(status) = node.try_wait().unwrap() {
-        let mut told = String::new();
+        let mut log = String::new();
         node.stderr
             .take()
             .unwrap()
-            .read_to_string(&mut told)
+            .read_to_string(&mut log)
             .unwrap();
-        panic!("the node ended with {status}: {told}");
+        panic!("the node ended with {status}: {log}");
     }
 }
 
-impl Drop for World {
+impl Drop for TestNode {
     fn drop(&mut self) {
         let _ = self.node.kill();
         let _ = self.node.wait();
     }
 }
 
-pub fn ask(
+pub fn send_request(
     stream: &mut TcpStream,
     method: &str,
     path: &str,
@@ -121,7 +128,7 @@
     let _ = stream.write_all(text.as_bytes());
 }
 
-pub fn answer(stream: &mut TcpStream) -> Option<(u16, String, String)> {
+pub fn read_answer(stream: &mut TcpStream) -> Option<(u16, String, String)> {
     let (head, body) = message(stream)?;
     Some((
         head[9..12].parse().ok()?,
@@ -130,15 +137,15 @@
     ))
 }
 
-impl World {
+impl TestNode {
     pub fn client(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.at).unwrap();
+        let stream = TcpStream::connect(self.address).unwrap();
         stream
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
         stream
     }
-    /// A connection that the node closed before it read anything on it is the client's to open anew.
+    /// One request and its answer. A connection that the node closed before it read anything is opened again.
     pub fn call(
         &self,
         method: &str,
@@ -148,7 +155,7 @@
     ) -> (u16, String, String) {
         let answer = (0..3).find_map(|_| {
             let mut stream = self.client();
-            ask(
+            send_request(
                 &mut stream,
                 method,
                 path,
@@ -156,12 +163,12 @@
                 operation,
                 if method == "PUT" { "new" } else { "" },
             );
-            answer(&mut stream)
+            read_answer(&mut stream)
         });
         answer.expect("an answer")
     }
-    /// So many reads that succeed. Where there is one fast cache server and a loaded machine holds it
-    /// up for a moment, the module may doubt it and turn the next one away.
+    /// So many reads that succeed. Where there is one fast cache server and a loaded machine delays it for a moment, the
+    /// policy may suspect it and reject the next one.
     pub fn reads(&self, name: &str, count: usize) {
         let (mut n, mut good) = (0, 0);
         until("so many reads", || {
@@ -183,23 +190,23 @@
                 .success()
         );
     }
-    /// Replaces the configuration's file and says so.
+    /// Replaces the file of the configuration and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(self.folder.path().join("config.json"), config).unwrap();
         self.signal("-HUP");
     }
 }
 
-/// Nobody listens there.
-pub fn nowhere() -> SocketAddr {
+/// An address at which nobody listens.
+pub fn unused_address() -> SocketAddr {
     free()
 }
 
-pub fn ended(mut stream: &TcpStream) -> bool {
+pub fn is_closed(mut stream: &TcpStream) -> bool {
     let waits = |e: std::io::Error| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
     !stream.read(&mut [0; 1]).is_err_and(waits)
 }
 
-pub fn status(stream: &mut TcpStream) -> u16 {
-    answer(stream).expect("a whole answer").0
+pub fn read_status(stream: &mut TcpStream) -> u16 {
+    read_answer(stream).expect("a whole answer").0
 }
--- a/crates/sparrouter-node/tests/rollout.rs
+++ b/crates/sparrouter-node/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! A change of real nodes in stages, under traffic: sound, bad, with the conductor killed and nodes stopped.
+//! Staged rollouts over real nodes under traffic: good ones, bad ones, with the conductor killed and nodes stopped.
 use sparrouter_lab::scripted::{Act, Discovery, Server, free, target, until};
 use sparrouter_rollout::record::How;
 use sparrouter_rollout::run::{self, Mode};
@@ -34,11 +34,11 @@
 
 struct Fleet {
     folder: tempfile::TempDir,
-    at: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
     _servers: Vec<Server>,
     _discovery: Discovery,
     over: Arc<AtomicBool>,
-    /// Calls answered 200, and all that were begun while their node took connections.
+    /// Calls with an answer, and calls that their node accepted and did not answer.
     answered: Arc<AtomicUsize>,
     unanswered: Arc<AtomicUsize>,
     clients: Vec<JoinHandle<()>>,
@@ -89,14 +89,14 @@
             .map(|(n, s)| target(&format!("c{n}"), s.at, "box", "in_service"))
             .collect();
         let targets = targets.join(",");
-        let mut at = Vec::new();
+        let mut addresses = Vec::new();
         let mut plan = "name = \"t\"\nchange = { generation = \"new\", from = \"old\" }\n[stages]\n\
              parts = [0.25, 0.5, 1.0]\nhold_s = 3\nlongest_s = 25\ncommand_s = 10\nspan_s = 0.25\ndown_at_once = 1\n\
              [bounds]\nfleet_loss = 0.5\n"
             .to_string();
         for n in 0..NODES {
             let listen = free();
-            at.push(listen);
+            addresses.push(listen);
             for (state, objective) in [("old", 300_000), ("new", new_objective_us)] {
                 let report = folder.path().join(format!("n{n}.jsonl"));
                 file(
@@ -131,7 +131,7 @@
         let over = Arc::new(AtomicBool::new(false));
         let mut fleet = Fleet {
             folder,
-            at,
+            addresses,
             _servers: servers,
             _discovery: discovery,
             over,
@@ -140,11 +140,14 @@
             clients: vec![],
         };
         for n in 0..NODES {
-            let done = fleet.control("restart", n).status().unwrap();
-            assert!(done.success());
+            let status = fleet.control("restart", n).status().unwrap();
+            assert!(status.success());
         }
         until("all nodes", || {
-            fleet.at.iter().all(|at| TcpStream::connect(at).is_ok())
+            fleet
+                .addresses
+                .iter()
+                .all(|address| TcpStream::connect(address).is_ok())
         });
         fleet.clients = (0..NODES).map(|n| fleet.client(n)).collect();
         fleet
@@ -160,7 +163,7 @@
 
     /// Some 60 calls a second to one node, each on its own connection.
     fn client(&self, n: usize) -> JoinHandle<()> {
-        let (at, over) = (self.at[n], self.over.clone());
+        let (address, over) = (self.addresses[n], self.over.clone());
         let (answered, unanswered) = (self.answered.clone(), self.unanswered.clone());
         thread::spawn(move || {
             let mut id = 0;
@@ -168,7 +171,7 @@
                 id += 1;
                 sleep(5 * MS);
                 // A node that is down takes no connection: its front layer would send elsewhere.
-                let Ok(mut stream) = TcpStream::connect(at) else {
+                let Ok(mut stream) = TcpStream::connect(address) else {
                     continue;
                 };
                 let _ = stream.set_read_timeout(Some(Duration::from_secs(2)));
@@ -224,9 +227,9 @@
     );
 }
 
-/// New settings under which each answer is given up as too late: stopped in the first stage and taken back.
+/// New settings under which each answer is shed as too late: stopped in the first stage and rolled back.
 #[test]
-fn settings_that_do_worse_are_stopped_and_taken_back() {
+fn settings_that_perform_worse_are_stopped_and_rolled_back() {
     let fleet = Fleet::start(3_000);
     let how = fleet.run(Mode::Run);
     assert!(
@@ -265,7 +268,7 @@
         .unwrap()
 }
 
-/// The conductor is killed again and again, a node that is not being changed is stopped for a while: it ends as it
+/// The conductor is killed repeatedly, and a node that is not being changed is stopped for a while: the rollout ends as it
 /// would have.
 #[test]
 fn a_killed_conductor_and_a_stopped_node_change_nothing_about_the_end() {
--- a/crates/sparrouter-node/tests/shares.rs
+++ b/crates/sparrouter-node/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Common limits kept by several real nodes while nodes stand still, are killed, cut off from each other, and become more.
+//! Quotas shared by several real nodes while nodes are paused, killed, partitioned from each other, and added.
 use sparrouter_lab::experiment::shares;
 use sparrouter_lab::play::{Program, play};
 use sparrouter_lab::scenario::Scenario;
@@ -76,9 +76,9 @@
 node = 7
 "#;
 
-/// In no window more than a twentieth over the limit; and what is there is used once trouble is over.
+/// In no window more than a twentieth over the limit; and the quota is used once the faults are over.
 #[test]
-fn the_sum_over_real_nodes_holds_whatever_fails_between_them() {
+fn the_sum_of_quota_shares_stays_within_the_limit_through_faults() {
     let scenario = Scenario::parse("shares", FLEET).unwrap();
     let folder = tempfile::tempdir().unwrap();
     let node = Program::Node(env!("CARGO_BIN_EXE_sparrouter-node").into());
@@ -100,7 +100,7 @@
                 .collect();
             some.iter().sum::<f64>() / some.len().max(1) as f64
         };
-        // Nodes whose arrivals come to just their part lose a tenth of them to chance in windows this short.
+        // Nodes whose arrivals equal just their share lose a tenth of them to chance in windows this short.
         // A liar may take what is idle and an eighth of the rest: that is given to it, and lost.
         assert!(steady(26.0, 30.0) > 0.55, "{limit}\n{all:#?}");
         assert!(
--- a/crates/sparrouter-node/tests/shutdown.rs
+++ b/crates/sparrouter-node/tests/shutdown.rs
@@ -1,31 +1,32 @@
-//! The program is told to end while something is under way: all that was taken is answered, and it ends with 0.
+//! Graceful shutdown: all that was received is answered, and the program exits with 0.
 mod harness;
 
 use harness::*;
-use sparrouter_lab::scripted::{Act, Server, until};
-use std::io::Write;
+use sparrouter_lab::scripted::{Act, Server, field, until};
+use std::io::{Read, Write};
 use std::net::TcpStream;
+use std::thread::sleep;
 use std::time::Instant;
 
-/// At rest, in half a head, in half a body, at a cache server that hangs, at one that is slow, between the miss and
-/// the origin's answer, behind another's fetch. Told once more, and told to read its file, it goes on leaving.
+/// Connections that are idle, within a head, within a body, at a cache server that hangs, at one that is slow, between the
+/// miss and the origin's answer, behind another's fetch. Further signals do not stop the shutdown.
 #[test]
-fn whatever_is_under_way_is_answered_before_the_end() {
+fn all_that_is_in_flight_is_answered_before_the_exit() {
     let cache = Server::start(|seen| match seen.id().as_str() {
         "hangs" => Act::Silent,
         "slow" => Act::Late(300),
         _ => Act::Miss,
     });
     let origin = Server::start(|seen| {
-        if seen.id() == "rests" {
+        if seen.id() == "idle" {
             Act::Hit
         } else {
             Act::Late(300)
         }
     });
-    let mut w = world(&[&cache], origin.at, 256);
+    let mut w = start_node(&[&cache], origin.at, 256);
     let [
-        mut rests,
+        mut idle,
         mut head,
         mut body,
         mut hangs,
@@ -33,24 +34,24 @@
         mut misses,
         mut waits,
     ] = [(); 7].map(|()| w.client());
-    ask(&mut rests, "GET", "/api/r", "rests", "get", "");
-    assert_eq!(status(&mut rests), 200);
+    send_request(&mut idle, "GET", "/api/r", "idle", "get", "");
+    assert_eq!(read_status(&mut idle), 200);
     let half = "GET /api/h HTTP/1.1\r\nX-Request-Id: head\r\nX-Cl";
     head.write_all(half.as_bytes()).unwrap();
     let put =
         "PUT /api/b HTTP/1.1\r\nX-Request-Id: body\r\nX-Class: pay\r\nContent-Length: 6\r\n\r\nhal";
     body.write_all(put.as_bytes()).unwrap();
-    ask(&mut hangs, "GET", "/api/1", "hangs", "get", "");
-    ask(&mut slow, "GET", "/api/2", "slow", "get", "");
-    ask(&mut misses, "GET", "/api/3", "misses", "get", "");
+    send_request(&mut hangs, "GET", "/api/1", "hangs", "get", "");
+    send_request(&mut slow, "GET", "/api/2", "slow", "get", "");
+    send_request(&mut misses, "GET", "/api/3", "misses", "get", "");
     until("the fetch", || {
         origin.seen().iter().any(|s| s.id() == "misses")
     });
-    ask(&mut waits, "GET", "/api/3", "waits", "get", "");
+    send_request(&mut waits, "GET", "/api/3", "waits", "get", "");
     until("all at the cache server", || cache.seen().len() == 5);
     let start = Instant::now();
     w.signal("-TERM");
-    until("that it leaves", || {
+    until("that it drains", || {
         w.call("GET", "/health/ready", "", "").0 == 503
     });
     w.signal("-TERM");
@@ -58,75 +59,112 @@
     w.signal("-INT");
     head.write_all(b"ass: get\r\n\r\n").unwrap();
     body.write_all(b"ves").unwrap();
-    assert_eq!(status(&mut body), 200);
-    // The one cache server that hangs for some may be doubted for it, and reads then be turned away.
+    assert_eq!(read_status(&mut body), 200);
+    // The one cache server that hangs for some may be suspected for it, and reads then be rejected.
     for (name, stream) in [
         ("head", &mut head),
         ("slow", &mut slow),
         ("misses", &mut misses),
     ] {
-        let status = status(stream);
+        let status = read_status(stream);
         assert!(matches!(status, 200 | 503), "{name}: {status}");
     }
-    assert!(matches!(status(&mut waits), 200 | 503));
-    assert!(matches!(status(&mut hangs), 502 | 503));
-    // The resting one: ended without a word, or its request is answered.
-    ask(&mut rests, "GET", "/api/r", "crosses", "get", "");
-    let answered = answer(&mut rests).is_some();
-    let sent_on = cache.seen().iter().any(|s| s.id() == "crosses");
-    assert!(answered || !sent_on, "read, sent on and lost");
+    assert!(matches!(read_status(&mut waits), 200 | 503));
+    assert!(matches!(read_status(&mut hangs), 502 | 503));
+    // The idle one: closed without an answer, or its request is answered.
+    send_request(&mut idle, "GET", "/api/r", "crosses", "get", "");
+    let answered = read_answer(&mut idle).is_some();
+    let is_forwarded = cache.seen().iter().any(|s| s.id() == "crosses");
+    assert!(answered || !is_forwarded, "read, forwarded and lost");
     until("the end", || w.node.try_wait().unwrap().is_some());
     assert!(w.node.wait().unwrap().success());
     // The longest client timeout, and 0.7 s.
     assert!(start.elapsed() < 1600 * MS, "{:?}", start.elapsed());
 }
 
-/// Forty resting connections, each written to a millisecond later than the one before, around the moment in which
+/// Forty idle connections, each written to a millisecond later than the one before, around the moment at which
 /// the node closes them.
 #[test]
-fn requests_around_the_close_are_answered_or_never_sent_on() {
+fn requests_around_the_close_are_answered_or_never_forwarded() {
     let cache = Server::always(Act::Hit);
-    let mut w = world(&[&cache], nowhere(), 512);
-    let mut resting: Vec<TcpStream> = (0..40).map(|_| w.client()).collect();
-    for (n, stream) in resting.iter_mut().enumerate() {
-        ask(stream, "GET", "/api/k", &format!("r{n}"), "get", "");
-        assert_eq!(status(stream), 200);
+    let mut w = start_node(&[&cache], unused_address(), 512);
+    let mut idle: Vec<TcpStream> = (0..40).map(|_| w.client()).collect();
+    for (n, stream) in idle.iter_mut().enumerate() {
+        send_request(stream, "GET", "/api/k", &format!("r{n}"), "get", "");
+        assert_eq!(read_status(stream), 200);
     }
     let start = Instant::now();
     w.signal("-TERM");
-    for (n, stream) in resting.iter_mut().enumerate() {
+    for (n, stream) in idle.iter_mut().enumerate() {
         while start.elapsed() < (430 + n as u32) * MS {
             std::hint::spin_loop();
         }
-        ask(stream, "GET", "/api/k", &format!("x{n}"), "get", "");
+        send_request(stream, "GET", "/api/k", &format!("x{n}"), "get", "");
     }
-    let answered: Vec<bool> = resting.iter_mut().map(|s| answer(s).is_some()).collect();
+    let answered: Vec<bool> = idle.iter_mut().map(|s| read_answer(s).is_some()).collect();
     until("the end", || w.node.try_wait().unwrap().is_some());
     assert!(w.node.wait().unwrap().success());
     for (n, answered) in answered.iter().enumerate() {
-        let sent_on = cache.seen().iter().any(|s| s.id() == format!("x{n}"));
-        assert!(*answered || !sent_on, "x{n} was read, sent on and lost");
+        let is_forwarded = cache.seen().iter().any(|s| s.id() == format!("x{n}"));
+        assert!(
+            *answered || !is_forwarded,
+            "x{n} was read, forwarded and lost"
+        );
     }
 }
 
-/// A client that sends a byte now and then holds nobody up, and a node that nobody asks ends soon.
+/// A client that sends a byte now and then delays nothing, and a node without requests exits soon.
 #[test]
-fn slow_clients_do_not_keep_the_node() {
+fn slow_clients_do_not_delay_the_exit() {
     let cache = Server::always(Act::Hit);
-    let mut w = world(&[&cache], nowhere(), 256);
+    let mut w = start_node(&[&cache], unused_address(), 256);
     let mut slow = w.client();
     slow.write_all(b"GET /api/k HT").unwrap();
     let start = Instant::now();
     w.signal("-TERM");
     while w.node.try_wait().unwrap().is_none() {
         let _ = slow.write_all(b"T");
-        std::thread::sleep(20 * MS);
+        sleep(20 * MS);
         assert!(start.elapsed() < 1600 * MS);
     }
     assert!(w.node.wait().unwrap().success());
-    let mut w = world(&[&cache], nowhere(), 256);
+    let mut w = start_node(&[&cache], unused_address(), 256);
     let start = Instant::now();
     w.signal("-TERM");
     until("the end", || w.node.try_wait().unwrap().is_some());
     assert!(start.elapsed() < 1000 * MS, "{:?}", start.elapsed());
 }
+
+#[test]
+fn sigterm_answers_all_that_was_received_and_exits_in_time() {
+    let (cache, origin) = (Server::always(Act::Hit), Server::always(Act::Late(250)));
+    let mut w = start_node(&[&cache], origin.at, 256);
+    let (mut old, mut slow) = (w.client(), w.client());
+    send_request(&mut old, "GET", "/api/k", "o1", "get", "");
+    assert_eq!(read_answer(&mut old).unwrap().0, 200);
+    send_request(&mut slow, "PUT", "/api/k", "slow", "pay", "new");
+    until("the forward", || origin.seen().len() == 1);
+    w.signal("-TERM");
+    sleep(50 * MS);
+    // Not ready, but it answers what it receives, on open connections and on new ones.
+    assert_eq!(w.call("GET", "/health/ready", "", "").0, 503);
+    send_request(&mut old, "GET", "/api/k", "o2", "get", "");
+    let (status, head, _) = read_answer(&mut old).unwrap();
+    assert_eq!(
+        (status, field(&head, "connection").as_deref()),
+        (200, Some("close"))
+    );
+    assert_eq!(old.read(&mut [0; 1]).unwrap(), 0);
+    // For so long clients may still connect.
+    let start = Instant::now();
+    for n in 0.. {
+        assert!(matches!(w.get(&format!("late{n}")), 200 | 503));
+        if start.elapsed() > 300 * MS {
+            break;
+        }
+    }
+    assert_eq!(read_answer(&mut slow).unwrap().0, 200);
+    let start = Instant::now();
+    until("the end", || w.node.try_wait().unwrap().is_some());
+    assert!(w.node.wait().unwrap().success() && start.elapsed() < 700 * MS);
+}
--- a/crates/sparrouter-node/tests/start.rs
+++ b/crates/sparrouter-node/tests/start.rs
@@ -1,4 +1,4 @@
-//! The program starts while what it depends on is missing, and says what it can't use.
+//! The program starts while what it depends on is missing, and names what is invalid in its files.
 mod harness;
 
 use harness::*;
@@ -12,44 +12,48 @@
     sparrouter_lab::scripted::target(&format!("c{n}"), at, "box", state)
 }
 
-/// A discovery that says this to every call, and then nothing more.
-fn says(text: String) -> (TcpListener, SocketAddr) {
-    let (listener, at) = listen();
-    let door = listener.try_clone().unwrap();
+/// A discovery that answers this to every call, and then nothing more.
+fn discovery_that_answers(text: String) -> (TcpListener, SocketAddr) {
+    let (listener, address) = listen();
+    let acceptor = listener.try_clone().unwrap();
     thread::spawn(move || {
-        let mut held = Vec::new();
-        for stream in door.incoming() {
+        let mut open = Vec::new();
+        for stream in acceptor.incoming() {
             let mut stream = stream.unwrap();
             let _ = stream.read(&mut [0; 1024]);
             let _ = stream.write_all(text.as_bytes());
-            held.push(stream);
+            open.push(stream);
         }
     });
-    (listener, at)
+    (listener, address)
 }
 
-/// A node with one cache server that serves and one that drains by the list that it had, and what it took until ready.
+/// A node with one cache server that serves and one that drains by the list that it had, and how long it took to be ready.
 fn ready(
     discovery: SocketAddr,
     mode: &str,
     cache: &Server,
     drains: &Server,
 ) -> (Running, Duration) {
-    let (start, at) = (Instant::now(), free());
+    let (start, address) = (Instant::now(), free());
     let known = [
         target(0, cache.at, "in_service"),
         target(1, drains.at, "terminating"),
     ]
     .join(",");
     let config = format!(
-        r#"{{"name":"n0","listen":"{at}","discovery":"{discovery}","seed":"1",
+        r#"{{"name":"n0","listen":"{address}","discovery":"{discovery}","seed":"1",
  "known":{{"rev":41,"all":true,"targets":[{known}]}},"settings":{}}}"#,
         SETTINGS.replace("subscribe", mode)
     );
-    let (node, _folder) = harness::start(&config);
-    let running = Running { node, at, _folder };
+    let (node, _folder) = harness::spawn_node(&config);
+    let running = Running {
+        node,
+        address,
+        _folder,
+    };
     until("ready", || {
-        TcpStream::connect(at).is_ok()
+        TcpStream::connect(address).is_ok()
             && running
                 .call("GET", "/health/ready")
                 .is_some_and(|s| s == 200)
@@ -59,21 +63,21 @@
 
 struct Running {
     node: std::process::Child,
-    at: SocketAddr,
+    address: SocketAddr,
     _folder: tempfile::TempDir,
 }
 
 impl Running {
     fn call(&self, method: &str, id: &str) -> Option<u16> {
-        let mut stream = TcpStream::connect(self.at).ok()?;
+        let mut stream = TcpStream::connect(self.address).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
         let path = if id.starts_with('/') {
             id.to_string()
         } else {
             format!("/api/{id}")
         };
-        ask(&mut stream, method, &path, id, "get", "");
-        answer(&mut stream).map(|a| a.0)
+        send_request(&mut stream, method, &path, id, "get", "");
+        read_answer(&mut stream).map(|a| a.0)
     }
 }
 
@@ -84,12 +88,12 @@
     }
 }
 
-/// Down, silent, refusing, talking nonsense, half a list, or none of the cache servers to be reached: the node is
-/// ready at once, serves by the list that it had, and keeps to what drains there from the first moment.
+/// Discovery is down, silent, refuses, answers nonsense or an incomplete list: the node is ready at once, serves by the
+/// list that it had, and respects what drains there from the first moment.
 #[test]
 fn ready_whatever_discovery_does_and_drains_bind_from_the_first_moment() {
     let open = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let half = r#"{"rev":42,"all":true,"targets":[{"uid":"c0","#;
+    let incomplete = r#"{"rev":42,"all":true,"targets":[{"uid":"c0","#;
     let bad = "{\"rev\":oops}\n";
     for mode in ["subscribe", "automatic"] {
         let (cache, drains) = (Server::always(Act::Hit), Server::always(Act::Hit));
@@ -106,21 +110,23 @@
                 Some(format!("{open}{:x}\r\n{bad}\r\n", bad.len())),
             ),
             (
-                "half a list",
-                Some(format!("{open}{:x}\r\n{half}\r\n", half.len())),
+                "an incomplete list",
+                Some(format!("{open}{:x}\r\n{incomplete}\r\n", incomplete.len())),
             ),
         ];
         for (name, text) in cases {
-            let held = text.map(says);
-            let discovery = held.as_ref().map_or_else(nowhere, |(_, at)| *at);
+            let started = text.map(discovery_that_answers);
+            let discovery = started
+                .as_ref()
+                .map_or_else(unused_address, |(_, address)| *address);
             let (node, took) = ready(discovery, mode, &cache, &drains);
             assert!(took < Duration::from_secs(5), "{name}: {took:?}");
-            // Held up on a loaded machine, the one that serves may be doubted for a moment.
-            let (mut asked, mut good) = (0, 0);
+            // Delayed on a loaded machine, the one that serves may be suspected for a moment.
+            let (mut sent, mut good) = (0, 0);
             until(name, || {
-                let status = node.call("GET", &format!("k{asked}"));
+                let status = node.call("GET", &format!("k{sent}"));
                 assert!(matches!(status, Some(200 | 503)), "{name}: {status:?}");
-                (asked, good) = (asked + 1, good + usize::from(status == Some(200)));
+                (sent, good) = (sent + 1, good + usize::from(status == Some(200)));
                 good == 20
             });
         }
@@ -136,17 +142,21 @@
     thread::scope(|scope| {
         for n in 0..14 {
             scope.spawn(move || {
-                let at = free();
-                let known = target(0, nowhere(), "in_service");
+                let address = free();
+                let known = target(0, unused_address(), "in_service");
                 let config = format!(
-                    r#"{{"name":"n{n}","listen":"{at}","discovery":"{}","seed":"1",
+                    r#"{{"name":"n{n}","listen":"{address}","discovery":"{}","seed":"1",
  "known":{{"rev":41,"all":true,"targets":[{known}]}},"settings":{SETTINGS}}}"#,
-                    nowhere()
+                    unused_address()
                 );
-                let (node, _folder) = harness::start(&config);
-                let mut running = Running { node, at, _folder };
+                let (node, _folder) = harness::spawn_node(&config);
+                let mut running = Running {
+                    node,
+                    address,
+                    _folder,
+                };
                 until("ready", || {
-                    harness::still_runs(&mut running.node);
+                    harness::assert_running(&mut running.node);
                     running.call("GET", "/health/ready") == Some(200)
                 });
                 assert!(matches!(running.call("GET", "k"), Some(502 | 503)));
@@ -160,27 +170,31 @@
     );
 }
 
-/// What is optional may be absent, and what can't be used is named by its field, with exit code 2.
+/// What is optional may be absent, and an invalid value is named by its field, with exit code 2.
 #[test]
-fn settings_are_taken_or_refused_by_field() {
-    let least = r#"{"Areas":["x"],"Classes":[{"Name":"uus","ObjectiveUs":400000,"DeadlineUs":900000,"Effect":"read_like"}],
+fn settings_are_accepted_or_rejected_by_field() {
+    let minimal = r#"{"Areas":["x"],"Classes":[{"Name":"uus","ObjectiveUs":400000,"DeadlineUs":900000,"Effect":"read_like"}],
  "Limits":{"MaxAttempts":1},"Safety":{"AnswerSlackUs":0,"StartCapacity":0.1,"ColdUs":0,"FallMultiple":1.0,"FallUs":0}}"#;
-    let config = |at: SocketAddr, settings: &str| {
+    let config = |address: SocketAddr, settings: &str| {
         format!(
-            r#"{{"name":"n","listen":"{at}","discovery":"{}","seed":"1","settings":{settings}}}"#,
-            nowhere()
+            r#"{{"name":"n","listen":"{address}","discovery":"{}","seed":"1","settings":{settings}}}"#,
+            unused_address()
         )
     };
-    let at = free();
-    let (node, _folder) = harness::start(&config(at, least));
-    let running = Running { node, at, _folder };
+    let address = free();
+    let (node, _folder) = harness::spawn_node(&config(address, minimal));
+    let running = Running {
+        node,
+        address,
+        _folder,
+    };
     until("ready", || {
         running.call("GET", "/health/ready") == Some(200)
     });
-    let mut stream = TcpStream::connect(at).unwrap();
-    ask(&mut stream, "GET", "/api/k", "a", "uus", "");
+    let mut stream = TcpStream::connect(address).unwrap();
+    send_request(&mut stream, "GET", "/api/k", "a", "uus", "");
     assert_eq!(
-        answer(&mut stream).unwrap().0,
+        read_answer(&mut stream).unwrap().0,
         503,
         "no cache server is known"
     );
@@ -223,11 +237,38 @@
             "ConnIdleUs",
         ),
     ] {
-        assert!(least.contains(good), "{good}");
-        let (node, _folder) = harness::start(&config(free(), &least.replace(good, bad)));
+        assert!(minimal.contains(good), "{good}");
+        let (node, _folder) = harness::spawn_node(&config(free(), &minimal.replace(good, bad)));
         let out = node.wait_with_output().unwrap();
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!(out.status.code(), Some(2), "{bad}: {text}");
         assert!(text.contains(field), "{bad}: {text}");
     }
 }
+
+#[test]
+fn an_invalid_configuration_is_named_and_exits_with_2() {
+    for (config, expected) in [
+        ("{", "EOF"),
+        ("{}", "missing field `name`"),
+        (
+            &format!(
+                r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"xyz","settings":{SETTINGS}}}"#
+            ),
+            "seed",
+        ),
+        (
+            &format!(
+                r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{}}}"#,
+                SETTINGS.replace("read_like", "whatever")
+            ),
+            "field Effect",
+        ),
+    ] {
+        let (node, _folder) = spawn_node(config);
+        let out = node.wait_with_output().unwrap();
+        let text = String::from_utf8_lossy(&out.stderr).into_owned();
+        assert_eq!(out.status.code(), Some(2), "{text}");
+        assert!(text.contains(expected), "{text}");
+    }
+}
