--- a/crates/sparrouter-node/tests/connections.rs
+++ b/crates/sparrouter-node/tests/connections.rs
@@ -45,12 +45,10 @@
     assert!(start.elapsed() < 3000 * MS, "{:?}", start.elapsed());
 }
 
-#[test]
-fn bad_input_gets_400_or_a_closed_connection_and_harms_nobody() {
-    let cache = Server::always(Act::Hit);
-    let w = start_node(&[&cache], unused_address(), 256);
+/// Requests that violate the protocol or the limits of the node.
+fn invalid_requests() -> Vec<String> {
     let named = "X-Request-Id: i\r\nX-Class: get\r\n";
-    for bad in [
+    vec![
         "nonsense\r\n\r\n".to_string(),
         "GET /api/k HTTP/2.0\r\n\r\n".into(),
         "GET api HTTP/1.1\r\n\r\n".into(),
@@ -76,7 +74,14 @@
             "x".repeat(65537)
         ),
         format!("GET /{} HTTP/1.1\r\n\r\n", "k".repeat(20_000)),
-    ] {
+    ]
+}
+
+#[test]
+fn bad_input_gets_400_or_a_closed_connection_and_harms_nobody() {
+    let cache = Server::always(Act::Hit);
+    let w = start_node(&[&cache], unused_address(), 256);
+    for bad in invalid_requests() {
         let mut stream = w.client();
         // The node may close before all of it is read.
         let _ = stream.write_all(bad.as_bytes());
--- a/crates/sparrouter-node/tests/random_runs.rs
+++ b/crates/sparrouter-node/tests/random_runs.rs
@@ -24,9 +24,12 @@
     prop_oneof![6 => plain, 1 => (1u32..500).prop_map(Act::Late)]
 }
 
+/// One invocation of a run: its operation, whether its client leaves, and its key.
+type Call = (&'static str, bool, u8);
+
 /// Three servers and the origin, each with its own sequence of acts; invocations, some writes, some clients that leave;
 /// each is checked as soon as it is over.
-fn play(acts: [Vec<Act>; 4], calls: Vec<(&str, bool, u8)>) {
+fn play(acts: [Vec<Act>; 4], calls: Vec<Call>) {
     let servers = acts.map(|acts| {
         let next = AtomicUsize::new(0);
         Server::start(move |_| acts[next.fetch_add(1, SeqCst) % acts.len()])
@@ -34,56 +37,52 @@
     let [a, b, c, origin] = &servers;
     let w = start_node(&[a, b, c], origin.at, 256);
     thread::scope(|scope| {
-        for (n, (operation, client_leaves, key)) in calls.into_iter().enumerate() {
+        for (n, call) in calls.into_iter().enumerate() {
             let (w, servers) = (&w, &servers);
-            scope.spawn(move || {
-                let (id, mut stream) = (format!("i{n}"), w.client());
-                let (method, body) = if operation == "get" {
-                    ("GET", "")
-                } else {
-                    ("PUT", "new")
-                };
-                let start = Instant::now();
-                send_request(
-                    &mut stream,
-                    method,
-                    &format!("/api/{key}"),
-                    &id,
-                    operation,
-                    body,
-                );
-                if client_leaves {
-                    sleep(20 * MS);
-                    return;
-                }
-                let (status, _, body) = read_answer(&mut stream).expect("one answer");
-                // Slack of the settings, and a loaded machine's.
-                assert!(start.elapsed() < 1200 * MS, "answered in time");
-                let received = || {
-                    servers
-                        .iter()
-                        .flat_map(|s| s.seen())
-                        .filter(|s| s.id() == id)
-                        .collect::<Vec<_>>()
-                };
-                // Also of forwards that were cancelled: the scripted servers notice a moment later.
-                until("the end of all forwards", || {
-                    received().iter().all(|s| s.until.is_some())
-                });
-                check(&received(), status, &body, operation, &id);
-                // Nothing more is sent once it is answered, and no second answer follows. What was sent before may be read
-                // late on a loaded machine; what is sent after violates the program's own invariant.
-                sleep(100 * MS);
-                let count = received().len();
-                sleep(100 * MS);
-                stream.set_nonblocking(true).unwrap();
-                assert!(received().len() == count && !is_closed(&stream));
-            });
+            scope.spawn(move || invoke(w, servers, &format!("i{n}"), call));
             sleep(10 * MS);
         }
     });
 }
 
+fn invoke(w: &TestNode, servers: &[Server], id: &str, (operation, client_leaves, key): Call) {
+    let mut stream = w.client();
+    let (method, body) = if operation == "get" {
+        ("GET", "")
+    } else {
+        ("PUT", "new")
+    };
+    let start = Instant::now();
+    let path = format!("/api/{key}");
+    send_request(&mut stream, method, &path, id, operation, body);
+    if client_leaves {
+        sleep(20 * MS);
+        return;
+    }
+    let (status, _, body) = read_answer(&mut stream).expect("one answer");
+    // Slack of the settings, and a loaded machine's.
+    assert!(start.elapsed() < 1200 * MS, "answered in time");
+    let received = || {
+        servers
+            .iter()
+            .flat_map(|s| s.seen())
+            .filter(|s| s.id() == id)
+            .collect::<Vec<_>>()
+    };
+    // Also of forwards that were cancelled: the scripted servers notice a moment later.
+    until("the end of all forwards", || {
+        received().iter().all(|s| s.until.is_some())
+    });
+    check(&received(), status, &body, operation, id);
+    // Nothing more is sent once it is answered, and no second answer follows. What was sent before may be read late on a
+    // loaded machine; what is sent after violates the program's own invariant.
+    sleep(100 * MS);
+    let count = received().len();
+    sleep(100 * MS);
+    stream.set_nonblocking(true).unwrap();
+    assert!(received().len() == count && !is_closed(&stream));
+}
+
 fn check(requests: &[Seen], status: u16, body: &str, operation: &str, id: &str) {
     assert!(matches!(status, 200 | 502 | 503) && requests.len() <= 4);
     let ran = |s: &Seen| !matches!(s.act, Act::NotRun | Act::Miss);
--- a/crates/sparrouter-node/tests/rollout.rs
+++ b/crates/sparrouter-node/tests/rollout.rs
@@ -32,11 +32,16 @@
 echo "$to" >"$2.state.next" && mv "$2.state.next" "$2.state"
 "#;
 
+/// The rollout's plan without its nodes.
+const PLAN: &str = "name = \"t\"\nchange = { generation = \"new\", from = \"old\" }\n[stages]\n\
+    parts = [0.25, 0.5, 1.0]\nhold_s = 3\nlongest_s = 25\ncommand_s = 10\nspan_s = 0.25\ndown_at_once = 1\n\
+    [bounds]\nfleet_loss = 0.5\n";
+
 struct Fleet {
     folder: tempfile::TempDir,
     addresses: Vec<SocketAddr>,
     _servers: Vec<Server>,
-    _discovery: Discovery,
+    discovery: Discovery,
     over: Arc<AtomicBool>,
     /// Calls with an answer, and calls that their node accepted and did not answer.
     answered: Arc<AtomicUsize>,
@@ -78,81 +83,79 @@
         let folder = tempfile::tempdir().unwrap();
         let servers: Vec<Server> = (0..3).map(|_| Server::always(Act::Late(10))).collect();
         let discovery = Discovery::start();
-        let file = |name: &str, text: &str| std::fs::write(folder.path().join(name), text).unwrap();
-        file(
-            "control.sh",
-            &CONTROL.replace("$NODE", env!("CARGO_BIN_EXE_sparrouter-node")),
-        );
         let targets: Vec<String> = servers
             .iter()
             .enumerate()
             .map(|(n, s)| target(&format!("c{n}"), s.at, "box", "in_service"))
             .collect();
-        let targets = targets.join(",");
-        let mut addresses = Vec::new();
-        let mut plan = "name = \"t\"\nchange = { generation = \"new\", from = \"old\" }\n[stages]\n\
-             parts = [0.25, 0.5, 1.0]\nhold_s = 3\nlongest_s = 25\ncommand_s = 10\nspan_s = 0.25\ndown_at_once = 1\n\
-             [bounds]\nfleet_loss = 0.5\n"
-            .to_string();
-        for n in 0..NODES {
-            let listen = free();
-            addresses.push(listen);
-            for (state, objective) in [("old", 300_000), ("new", new_objective_us)] {
-                let report = folder.path().join(format!("n{n}.jsonl"));
-                file(
-                    &format!("n{n}.{state}.toml"),
-                    &format!(
-                        "[identity]\ngeneration = \"{state}\"\n[report]\npath = {report:?}\nevery_ms = 100\n"
-                    ),
-                );
-                file(
-                    &format!("n{n}.{state}.json"),
-                    &format!(
-                        r#"{{"name":"n{n}","listen":"{listen}","discovery":"{}","seed":"{n}","known":{{"rev":41,"all":true,"targets":[{targets}]}},"settings":{}}}"#,
-                        discovery.at,
-                        settings(objective)
-                    ),
-                );
-            }
-            file(&format!("n{n}.state"), "old\n");
-            file(&format!("n{n}.pid"), "999999999\n");
-            let control = folder.path().join("control.sh");
-            let command = |what| format!("[\"bash\", {control:?}, \"{what}\", \"n{n}\"]");
-            plan += &format!(
-                "[[node]]\nname = \"n{n}\"\nzone = \"z{}\"\nchange = {}\nback = {}\nrestart = {}\nreport = {:?}\n",
-                n % 2,
-                command("change"),
-                command("back"),
-                command("restart"),
-                folder.path().join(format!("n{n}.jsonl"))
-            );
-        }
-        file("plan.toml", &plan);
-        let over = Arc::new(AtomicBool::new(false));
         let mut fleet = Fleet {
             folder,
-            addresses,
+            addresses: Vec::new(),
             _servers: servers,
-            _discovery: discovery,
-            over,
+            discovery,
+            over: Arc::default(),
             answered: Arc::default(),
             unanswered: Arc::default(),
             clients: vec![],
         };
+        let control = CONTROL.replace("$NODE", env!("CARGO_BIN_EXE_sparrouter-node"));
+        fleet.write("control.sh", &control);
+        let mut plan = PLAN.to_string();
+        for n in 0..NODES {
+            fleet.addresses.push(free());
+            fleet.write_node_files(n, &targets.join(","), new_objective_us);
+            plan += &fleet.plan_of(n);
+        }
+        fleet.write("plan.toml", &plan);
         for n in 0..NODES {
             let status = fleet.control("restart", n).status().unwrap();
             assert!(status.success());
         }
         until("all nodes", || {
-            fleet
-                .addresses
-                .iter()
-                .all(|address| TcpStream::connect(address).is_ok())
+            let mut addresses = fleet.addresses.iter();
+            addresses.all(|address| TcpStream::connect(address).is_ok())
         });
         fleet.clients = (0..NODES).map(|n| fleet.client(n)).collect();
         fleet
     }
 
+    fn write(&self, name: &str, text: &str) {
+        std::fs::write(self.path(name), text).unwrap();
+    }
+
+    /// The files of one node, in the old and in the new state.
+    fn write_node_files(&self, n: usize, targets: &str, new_objective_us: u64) {
+        let (listen, discovery) = (self.addresses[n], self.discovery.at);
+        let report = self.path(&format!("n{n}.jsonl"));
+        for (state, objective) in [("old", 300_000), ("new", new_objective_us)] {
+            let operator = format!(
+                "[identity]\ngeneration = \"{state}\"\n[report]\npath = {report:?}\nevery_ms = 100\n"
+            );
+            self.write(&format!("n{n}.{state}.toml"), &operator);
+            let settings = settings(objective);
+            let config = format!(
+                r#"{{"name":"n{n}","listen":"{listen}","discovery":"{discovery}","seed":"{n}","known":{{"rev":41,"all":true,"targets":[{targets}]}},"settings":{settings}}}"#
+            );
+            self.write(&format!("n{n}.{state}.json"), &config);
+        }
+        self.write(&format!("n{n}.state"), "old\n");
+        self.write(&format!("n{n}.pid"), "999999999\n");
+    }
+
+    /// What the rollout's plan says of one node.
+    fn plan_of(&self, n: usize) -> String {
+        let control = self.path("control.sh");
+        let command = |what| format!("[\"bash\", {control:?}, \"{what}\", \"n{n}\"]");
+        format!(
+            "[[node]]\nname = \"n{n}\"\nzone = \"z{}\"\nchange = {}\nback = {}\nrestart = {}\nreport = {:?}\n",
+            n % 2,
+            command("change"),
+            command("back"),
+            command("restart"),
+            self.path(&format!("n{n}.jsonl"))
+        )
+    }
+
     fn control(&self, what: &str, n: usize) -> Command {
         let mut c = Command::new("bash");
         c.arg(self.path("control.sh"))
--- a/crates/sparrouter-node/tests/shutdown.rs
+++ b/crates/sparrouter-node/tests/shutdown.rs
@@ -8,6 +8,35 @@
 use std::thread::sleep;
 use std::time::Instant;
 
+/// Connections of which each is at another point of an exchange, in the order of the names.
+fn in_flight(w: &TestNode, cache: &Server, origin: &Server) -> [TcpStream; 7] {
+    let [
+        mut idle,
+        mut head,
+        mut body,
+        mut hangs,
+        mut slow,
+        mut misses,
+        mut waits,
+    ] = [(); 7].map(|()| w.client());
+    send_request(&mut idle, "GET", "/api/r", "idle", "get", "");
+    assert_eq!(read_status(&mut idle), 200);
+    let half = "GET /api/h HTTP/1.1\r\nX-Request-Id: head\r\nX-Cl";
+    head.write_all(half.as_bytes()).unwrap();
+    let put =
+        "PUT /api/b HTTP/1.1\r\nX-Request-Id: body\r\nX-Class: pay\r\nContent-Length: 6\r\n\r\nhal";
+    body.write_all(put.as_bytes()).unwrap();
+    send_request(&mut hangs, "GET", "/api/1", "hangs", "get", "");
+    send_request(&mut slow, "GET", "/api/2", "slow", "get", "");
+    send_request(&mut misses, "GET", "/api/3", "misses", "get", "");
+    until("the fetch", || {
+        origin.seen().iter().any(|s| s.id() == "misses")
+    });
+    send_request(&mut waits, "GET", "/api/3", "waits", "get", "");
+    until("all at the cache server", || cache.seen().len() == 5);
+    [idle, head, body, hangs, slow, misses, waits]
+}
+
 /// Connections that are idle, within a head, within a body, at a cache server that hangs, at one that is slow, between the
 /// miss and the origin's answer, behind another's fetch. Further signals do not stop the shutdown.
 #[test]
@@ -33,22 +62,7 @@
         mut slow,
         mut misses,
         mut waits,
-    ] = [(); 7].map(|()| w.client());
-    send_request(&mut idle, "GET", "/api/r", "idle", "get", "");
-    assert_eq!(read_status(&mut idle), 200);
-    let half = "GET /api/h HTTP/1.1\r\nX-Request-Id: head\r\nX-Cl";
-    head.write_all(half.as_bytes()).unwrap();
-    let put =
-        "PUT /api/b HTTP/1.1\r\nX-Request-Id: body\r\nX-Class: pay\r\nContent-Length: 6\r\n\r\nhal";
-    body.write_all(put.as_bytes()).unwrap();
-    send_request(&mut hangs, "GET", "/api/1", "hangs", "get", "");
-    send_request(&mut slow, "GET", "/api/2", "slow", "get", "");
-    send_request(&mut misses, "GET", "/api/3", "misses", "get", "");
-    until("the fetch", || {
-        origin.seen().iter().any(|s| s.id() == "misses")
-    });
-    send_request(&mut waits, "GET", "/api/3", "waits", "get", "");
-    until("all at the cache server", || cache.seen().len() == 5);
+    ] = in_flight(&w, &cache, &origin);
     let start = Instant::now();
     w.signal("-TERM");
     until("that it drains", || {
--- a/crates/sparrouter-node/tests/start.rs
+++ b/crates/sparrouter-node/tests/start.rs
@@ -170,6 +170,47 @@
     );
 }
 
+/// A valid text of the settings, an invalid one in its place, and the field that the error names.
+const INVALID_SETTINGS: [(&str, &str, &str); 9] = [
+    (r#""DeadlineUs":900000"#, r#""DeadlineUs":-1"#, "DeadlineUs"),
+    (
+        r#""DeadlineUs":900000"#,
+        r#""DeadlineUs":0"#,
+        "client timeout",
+    ),
+    (
+        r#""ObjectiveUs":400000"#,
+        r#""ObjectiveUs":"soon""#,
+        "ObjectiveUs",
+    ),
+    (
+        r#""Effect":"read_like""#,
+        r#""Effect":"idempotency_key","KeyScope":"shelf""#,
+        "KeyScope",
+    ),
+    (
+        r#""Effect":"read_like""#,
+        r#""Effect":"idempotency_key","WindowUs":-5"#,
+        "WindowUs",
+    ),
+    (r#""FallUs":0"#, r#""FallUs":-1"#, "FallUs"),
+    (
+        r#""FallUs":0"#,
+        r#""FallUs":0,"DrainGraceUs":-1"#,
+        "DrainGraceUs",
+    ),
+    (
+        r#""MaxAttempts":1"#,
+        r#""MaxAttempts":1,"DialTimeoutUs":-1"#,
+        "DialTimeoutUs",
+    ),
+    (
+        r#""MaxAttempts":1"#,
+        r#""MaxAttempts":1,"ConnIdleUs":99999999999999999"#,
+        "ConnIdleUs",
+    ),
+];
+
 /// What is optional may be absent, and an invalid value is named by its field, with exit code 2.
 #[test]
 fn settings_are_accepted_or_rejected_by_field() {
@@ -198,45 +239,7 @@
         503,
         "no cache server is known"
     );
-    for (good, bad, field) in [
-        (r#""DeadlineUs":900000"#, r#""DeadlineUs":-1"#, "DeadlineUs"),
-        (
-            r#""DeadlineUs":900000"#,
-            r#""DeadlineUs":0"#,
-            "client timeout",
-        ),
-        (
-            r#""ObjectiveUs":400000"#,
-            r#""ObjectiveUs":"soon""#,
-            "ObjectiveUs",
-        ),
-        (
-            r#""Effect":"read_like""#,
-            r#""Effect":"idempotency_key","KeyScope":"shelf""#,
-            "KeyScope",
-        ),
-        (
-            r#""Effect":"read_like""#,
-            r#""Effect":"idempotency_key","WindowUs":-5"#,
-            "WindowUs",
-        ),
-        (r#""FallUs":0"#, r#""FallUs":-1"#, "FallUs"),
-        (
-            r#""FallUs":0"#,
-            r#""FallUs":0,"DrainGraceUs":-1"#,
-            "DrainGraceUs",
-        ),
-        (
-            r#""MaxAttempts":1"#,
-            r#""MaxAttempts":1,"DialTimeoutUs":-1"#,
-            "DialTimeoutUs",
-        ),
-        (
-            r#""MaxAttempts":1"#,
-            r#""MaxAttempts":1,"ConnIdleUs":99999999999999999"#,
-            "ConnIdleUs",
-        ),
-    ] {
+    for (good, bad, field) in INVALID_SETTINGS {
         assert!(minimal.contains(good), "{good}");
         let (node, _folder) = harness::spawn_node(&config(free(), &minimal.replace(good, bad)));
         let out = node.wait_with_output().unwrap();
