--- a/crates/sparrouter-node/src/protocol/endpoint_list.rs
+++ b/crates/sparrouter-node/src/protocol/endpoint_list.rs
@@ -21,7 +21,7 @@
     /// Servers of one group share a failure domain.
     #[serde(default)]
     pub pod_group: i64,
-    /// Its lifecycle state, in discovery's words.
+    /// Its lifecycle state, as discovery names it.
     pub state: String,
     /// Its capacity relative to others; 1 without the field.
     #[serde(default = "full_capacity")]
