--- a/crates/sparrouter-node/src/program/operator.rs
+++ b/crates/sparrouter-node/src/program/operator.rs
@@ -1,5 +1,5 @@
-//! The operator's file: what the node's own operator wants of it, beside what the platform's file says. TOML; an unknown
-//! field is an error. Without the file the node neither reports nor shares quotas.
+//! The operator's file: what the node's own operator wants of it, beside what the platform's file says. TOML; an
+//! unknown field is an error. Without the file the node neither reports nor shares quotas.
 use super::error::{FileError, NodeError};
 use serde::{Deserialize, Serialize};
 use std::ops::RangeInclusive;
@@ -54,7 +54,7 @@
     /// A quota holds in any window of this length; what was not used in it is lost: 50 to 60,000 ms.
     #[serde(default = "five_seconds")]
     pub window_ms: Spanned<u64>,
-    /// TenantQuotas are lent and borrowed by notes, where the platform allows those; otherwise each is one over the nodes.
+    /// Shares are lent and borrowed by gossip, where the platform allows that; otherwise all nodes have equal shares.
     #[serde(default = "yes")]
     pub notes: bool,
 }
--- a/crates/sparrouter-node/src/routing/peer.rs
+++ b/crates/sparrouter-node/src/routing/peer.rs
@@ -1,5 +1,5 @@
-//! The actor of a peer, one for each cache server and the origin: carries out the decision actor's commands, and reports
-//! the end of each forward exactly once.
+//! The actor of a peer, one for each cache server and the origin: carries out the decision actor's commands, and
+//! reports the end of each forward exactly once.
 use super::{MAILBOX_CAPACITY, Message};
 use crate::invariant::OccurrenceCounter;
 use crate::protocol::head::ResponseHead;
--- a/crates/sparrouter-node/src/routing/quota.rs
+++ b/crates/sparrouter-node/src/routing/quota.rs
@@ -1,5 +1,5 @@
-//! This node's shares of the tenants' quotas that all nodes keep together. Lending and borrowing of shares is decided in
-//! `sparrouter-shares`; this module brings settings and time to it and its messages to the sockets.
+//! This node's shares of the tenants' quotas that all nodes keep together. Lending and borrowing of shares is decided
+//! in `sparrouter-shares`; this module brings settings and time to it and its messages to the sockets.
 use crate::program::operator::QuotaShareConfig;
 use sparrouter_balancer::types::Nanos;
 use sparrouter_report::Share;
--- a/crates/sparrouter-node/src/routing/tests/endpoint_list.rs
+++ b/crates/sparrouter-node/src/routing/tests/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The actor that follows the endpoint list alone, against a discovery that does what each case says, at the moment that
-//! it names.
+//! The actor that follows the endpoint list alone, against a discovery that does what each case says, at the moment
+//! that it names.
 use crate::protocol::endpoint_list::ListUpdate;
 use crate::routing::Message;
 use crate::routing::endpoint_list::{EndpointListActor, ListEvent, ListRequest};
@@ -130,8 +130,8 @@
     (listener, stream, actor)
 }
 
-/// A discovery that ends or breaks each subscription, at once or behind a valid line, is called at the retry interval and
-/// not without a pause: every call costs both sides, and each lost subscription a line of the log.
+/// A discovery that ends or breaks each subscription, at once or behind a valid line, is called at the retry interval
+/// and not without a pause: every call costs both sides, and each lost subscription a line of the log.
 #[test]
 fn a_pushed_subscription_that_is_lost_repeatedly_is_retried_at_the_interval() {
     let bad = "{\"rev\":oops}\n";
@@ -159,8 +159,8 @@
     }
 }
 
-/// Where the list is pushed what changes counts as known at once: a subscription that was closed or reset is opened again
-/// at once, also while a call for the full list hangs.
+/// Where the list is pushed what changes counts as known at once: a subscription that was closed or reset is opened
+/// again at once, also while a call for the full list hangs.
 #[test]
 fn a_pushed_subscription_that_ends_is_reopened_immediately() {
     for reset in [false, true] {
@@ -293,8 +293,8 @@
     });
 }
 
-/// A full list that was on its way while the subscription brought later changes would undo them, and so would changes to
-/// an older list.
+/// A full list that was on its way while the subscription brought later changes would undo them, and so would changes
+/// to an older list.
 #[test]
 fn an_older_list_does_not_undo_later_changes() {
     run_local(async {
@@ -351,7 +351,8 @@
     });
 }
 
-/// Where the policy requests subscriptions, it alone requests them again: one call for each request, and each is answered.
+/// Where the policy requests subscriptions, it alone requests them again: one call for each request, and each is
+/// answered.
 #[test]
 fn a_requested_subscription_is_left_to_the_policy() {
     run_local(async {
--- a/crates/sparrouter-node/src/routing/tests/peer.rs
+++ b/crates/sparrouter-node/src/routing/tests/peer.rs
@@ -108,8 +108,8 @@
     );
 }
 
-/// A peer's actor and the cache server's side of it. That side's streams are blocking ones, so that what it does has
-/// reached the system before the actor runs again, while the runtime has not looked yet.
+/// A peer's actor and the cache server's side of it. That side's streams are those of the standard library, so that what
+/// it does has reached the system before the actor runs again, while the runtime has not looked yet.
 struct PeerFixture {
     listener: TcpListener,
     peer: PeerHandle,
@@ -200,8 +200,8 @@
     head(stream).await;
 }
 
-/// The cache server closes an idle connection, or writes into it what nobody requested, just as a request is to be sent:
-/// it goes out on another connection, and what was written there is no answer to it.
+/// The cache server closes an idle connection, or writes into it what nobody requested, just as a request is to be
+/// sent: it goes out on another connection, and what was written there is no answer to it.
 #[test]
 fn bytes_on_an_idle_connection_are_noticed_before_a_request_is_sent() {
     for unsolicited in [&b""[..], b"HTTP/1.", HIT] {
--- a/crates/sparrouter-node/src/transport/client.rs
+++ b/crates/sparrouter-node/src/transport/client.rs
@@ -307,8 +307,8 @@
         Ok((request, body.bytes))
     }
 
-    /// Reads on for a while after an error. Guards against a reset that overtakes the error: closed with bytes unread, a
-    /// connection is reset, and its client may never see the answer.
+    /// Reads on for a while after an error. Guards against a reset that overtakes the error: closed with bytes unread,
+    /// a connection is reset, and its client may never see the answer.
     async fn linger(&mut self) {
         let _ = self.stream.shutdown().await;
         let mut remaining = LINGER_BYTES;
--- a/crates/sparrouter-node/src/transport/tests.rs
+++ b/crates/sparrouter-node/src/transport/tests.rs
@@ -1,5 +1,6 @@
-//! A client's connection alone, between a client and the decision actor's mailbox. The client's stream is a blocking one:
-//! what it does has reached the system before the connection's task runs again, while the runtime has not looked yet.
+//! A client's connection alone, between a client and the decision actor's mailbox. The client's stream is one of the
+//! standard library: what it does has reached the system before the connection's task runs again, while the runtime has
+//! not looked yet.
 use super::budget::Budget;
 use super::client::{self, ClientContext, ClientEvent, ReservedAnswer, ServingStage};
 use super::idle::IdleConnections;
@@ -129,8 +130,8 @@
     }
 }
 
-/// A request is written on an idle connection just as the node closes it, in its shutdown or for want of descriptors. If
-/// it arrives before the close it is answered; after it, it is not read, and so never forwarded.
+/// A request is written on an idle connection just as the node closes it, in its shutdown or for want of descriptors.
+/// If it arrives before the close it is answered; after it, it is not read, and so never forwarded.
 #[test]
 fn a_request_that_crosses_the_close_is_answered_or_never_read() {
     for (shuts_down, is_first) in [(true, true), (false, true), (true, false), (false, false)] {
@@ -240,8 +241,8 @@
     }
 }
 
-/// It leaves while its invocation is in flight: the decision actor is notified at once. Where only its side is closed, the
-/// client gets the answer.
+/// It leaves while its invocation is in flight: the decision actor is notified at once. Where only its side is closed,
+/// the client gets the answer.
 #[test]
 fn a_client_that_leaves_is_reported_immediately() {
     for reset in [false, true] {
--- a/crates/sparrouter-node/tests/changes.rs
+++ b/crates/sparrouter-node/tests/changes.rs
@@ -1,4 +1,5 @@
-//! Staged rollouts over sixteen real nodes, under the lab's clients, faults and audit. Bad versions have injected defects.
+//! Staged rollouts over sixteen real nodes, under the lab's clients, faults and audit. Bad versions have injected
+//! defects.
 use sparrouter_lab::play::{Program, Run, play_with};
 use sparrouter_lab::rollout::{self, Tools};
 use sparrouter_lab::scenario::Scenario;
@@ -186,8 +187,8 @@
     assert!(run.verdict.kept(), "{}", describe(&run));
 }
 
-/// Gossip of garbage and of a later format is ignored by the others; the rollout may complete or be stopped, but does no
-/// harm.
+/// Gossip of garbage and of a later format is ignored by the others; the rollout may complete or be stopped, but does
+/// no harm.
 #[test]
 fn gossip_of_garbage_and_of_a_later_format_is_harmless() {
     for (lane, plant) in [(0, "rubbish"), (0, "newer_notes")] {
@@ -201,8 +202,8 @@
     }
 }
 
-/// Three nodes are killed at once during a rollout and restart: those that were changed count as crashed. Either way all
-/// nodes end with one version, and the rules hold for what was answered.
+/// Three nodes are killed at once during a rollout and restart: those that were changed count as crashed. Either way
+/// all nodes end with one version, and the rules hold for what was answered.
 #[test]
 fn nodes_killed_in_mid_change_leave_all_nodes_on_one_side() {
     let run = played(
--- a/crates/sparrouter-node/tests/clients.rs
+++ b/crates/sparrouter-node/tests/clients.rs
@@ -62,7 +62,8 @@
     assert!(after <= forwarded && forwarded < 12, "{forwarded}, {after}");
 }
 
-/// A client that cancels early and retries at once, repeatedly: nothing of what it cancelled stays, and the last is served.
+/// A client that cancels early and retries at once, repeatedly: nothing of what it cancelled stays, and the last is
+/// served.
 #[test]
 fn a_client_that_cancels_and_retries_immediately_is_served() {
     let cache = Server::start(|seen| {
--- a/crates/sparrouter-node/tests/connections.rs
+++ b/crates/sparrouter-node/tests/connections.rs
@@ -8,8 +8,8 @@
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
 
-/// Guards against keeping descriptors for clients that can't be used, and against errors that a reset overtakes. A request
-/// id that is in flight must not reach a cache server twice.
+/// Guards against keeping descriptors for clients that can't be used, and against errors that a reset overtakes. A
+/// request id that is in flight must not reach a cache server twice.
 #[test]
 fn unusable_clients_are_answered_or_closed_in_time() {
     let mut settings = SETTINGS.replace("900000", "4000000");
--- a/crates/sparrouter-node/tests/endpoint_list.rs
+++ b/crates/sparrouter-node/tests/endpoint_list.rs
@@ -53,8 +53,8 @@
     });
 }
 
-/// Guards against a list that is wrong: where removal is advice, running servers that it calls terminated or does not name
-/// still get forwards; one that drained first does not.
+/// Guards against a list that is wrong: where removal is advice, running servers that it calls terminated or does not
+/// name still get forwards; one that drained first does not.
 #[test]
 fn where_gone_is_advice_only_draining_binds() {
     let (a, b) = (Server::always(Act::Hit), Server::always(Act::Hit));
--- a/crates/sparrouter-node/tests/harness/mod.rs
+++ b/crates/sparrouter-node/tests/harness/mod.rs
@@ -167,8 +167,8 @@
         });
         answer.expect("an answer")
     }
-    /// So many reads that succeed. Where there is one fast cache server and a loaded machine delays it for a moment, the
-    /// policy may suspect it and reject the next one.
+    /// So many reads that succeed. Where there is one fast cache server and a loaded machine delays it for a moment,
+    /// the policy may suspect it and reject the next one.
     pub fn reads(&self, name: &str, count: usize) {
         let (mut n, mut good) = (0, 0);
         until("so many reads", || {
--- a/crates/sparrouter-node/tests/random_runs.rs
+++ b/crates/sparrouter-node/tests/random_runs.rs
@@ -74,8 +74,8 @@
         received().iter().all(|s| s.until.is_some())
     });
     check(&received(), status, &body, operation, id);
-    // Nothing more is sent once it is answered, and no second answer follows. What was sent before may be read late on a
-    // loaded machine; what is sent after violates the program's own invariant.
+    // Nothing more is sent once it is answered, and no second answer follows. What was sent before may be read late on
+    // a loaded machine; what is sent after violates the program's own invariant.
     sleep(100 * MS);
     let count = received().len();
     sleep(100 * MS);
--- a/crates/sparrouter-node/tests/reload.rs
+++ b/crates/sparrouter-node/tests/reload.rs
@@ -50,8 +50,8 @@
     assert!(w.node.try_wait().unwrap().is_none());
 }
 
-/// All that can change is applied at once; an invocation keeps the rules under which it was received. The writes wait at
-/// a slow origin: one was received under 900 ms, the other under 250.
+/// All that can change is applied at once; an invocation keeps the rules under which it was received. The writes wait
+/// at a slow origin: one was received under 900 ms, the other under 250.
 #[test]
 fn sighup_applies_settings_to_later_invocations() {
     let (cache, origin) = (Server::always(Act::Hit), Server::always(Act::Late(450)));
--- a/crates/sparrouter-node/tests/rollout.rs
+++ b/crates/sparrouter-node/tests/rollout.rs
@@ -271,8 +271,8 @@
         .unwrap()
 }
 
-/// The conductor is killed repeatedly, and a node that is not being changed is stopped for a while: the rollout ends as it
-/// would have.
+/// The conductor is killed repeatedly, and a node that is not being changed is stopped for a while: the rollout ends as
+/// it would have.
 #[test]
 fn a_killed_conductor_and_a_stopped_node_change_nothing_about_the_end() {
     let fleet = Fleet::start(300_000);
--- a/crates/sparrouter-node/tests/shutdown.rs
+++ b/crates/sparrouter-node/tests/shutdown.rs
@@ -37,8 +37,8 @@
     [idle, head, body, hangs, slow, misses, waits]
 }
 
-/// Connections that are idle, within a head, within a body, at a cache server that hangs, at one that is slow, between the
-/// miss and the origin's answer, behind another's fetch. Further signals do not stop the shutdown.
+/// Connections that are idle, within a head, within a body, at a cache server that hangs, at one that is slow, between
+/// the miss and the origin's answer, behind another's fetch. Further signals do not stop the shutdown.
 #[test]
 fn all_that_is_in_flight_is_answered_before_the_exit() {
     let cache = Server::start(|seen| match seen.id().as_str() {
--- a/crates/sparrouter-node/tests/start.rs
+++ b/crates/sparrouter-node/tests/start.rs
@@ -28,7 +28,8 @@
     (listener, address)
 }
 
-/// A node with one cache server that serves and one that drains by the list that it had, and how long it took to be ready.
+/// A node with one cache server that serves and one that drains by the list that it had, and how long it took to be
+/// ready.
 fn ready(
     discovery: SocketAddr,
     mode: &str,
