--- /dev/null
+++ b/crates/sparrouter-node/src/routing/decision/mod.rs
@@ -0,0 +1,301 @@
+//! The decision actor: the sole owner of `Policy`. It turns messages and timers into the policy's events and carries
+//! out the policy's actions; it decides nothing itself.
+//!
+//! | module | its one job |
+//! | --- | --- |
+//! | `invocations` | invocations in flight, from their arrival to the end of their last forward |
+//! | `forwards` | forwards out, and what their ends mean for the invocation |
+//! | `servers` | actors of the cache servers, started and ended as the endpoint list says |
+//! | `actions` | what the policy orders |
+//! | `reconfigure` | new settings in a running node |
+//! | `counts` | the log's line of counts |
+mod actions;
+mod counts;
+mod forwards;
+mod invocations;
+mod reconfigure;
+mod servers;
+
+pub use reconfigure::{ConfigurationChange, ReporterChange};
+
+use super::Message;
+use super::clock::Clock;
+use super::endpoint_list::{ListEvent, ListRequest};
+use super::peer::{PeerEvent, PeerHandle};
+use super::quota::TenantQuotas;
+use crate::program::operator::QuotaShareConfig;
+use crate::program::reporter::Reporter;
+use crate::protocol::endpoint_list::ListUpdate;
+use crate::transport::client::ClientEvent;
+use crate::transport::gossip::{GossipEvent, GossipSocket};
+use bytes::Bytes;
+use counts::Counts;
+use invocations::PendingInvocation;
+use servers::Server;
+use sparrouter_balancer::policy::Policy;
+use sparrouter_balancer::types::{
+    Action, CacheIndex, Event, InvocationIndex, ListKind, Nanos, ShedCounts,
+};
+use sparrouter_settings::{NameTable, Settings};
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::{Instant, sleep_until};
+
+/// Starts the actor of one peer.
+pub type PeerStarter = Box<dyn Fn(CacheIndex, SocketAddr) -> PeerHandle>;
+
+/// A timer of the policy: when it fires, and the policy's token for it.
+type Timer = Reverse<(Nanos, u64)>;
+
+/// What the decision actor is made of.
+pub struct Parameters {
+    /// The decisions.
+    pub policy: Policy,
+    /// Names of the settings as the policy's indices.
+    pub names: NameTable,
+    /// The policy's clock.
+    pub clock: Clock,
+    /// Client timeouts by operation.
+    pub timeouts: Vec<Nanos>,
+    /// Starts the actor of a cache server.
+    pub start_peer: PeerStarter,
+    /// Mailbox of the actor that follows the endpoint list.
+    pub list: mpsc::Sender<ListRequest>,
+    /// The socket to the other nodes, if there are any.
+    pub gossip: Option<Rc<GossipSocket>>,
+}
+
+/// The decision actor's state. Only `run` and what it calls touch it.
+pub struct DecisionActor {
+    policy: Policy,
+    names: NameTable,
+    clock: Clock,
+    /// By operation: how long a client waits that does not say so; never less than the settings have operations.
+    timeouts: Vec<Nanos>,
+    /// Invocations that are not answered, or have a forward out.
+    pending: HashMap<InvocationIndex, PendingInvocation>,
+    /// The clients' request ids of all that is in `pending`.
+    pending_ids: HashSet<Bytes>,
+    /// By cache index; none for one that left and has no forward out.
+    servers: Vec<Option<Server>>,
+    /// Since when cache servers are out of the list. Their names are released once nothing can refer to them any more.
+    left_at: HashMap<CacheIndex, Nanos>,
+    start_peer: PeerStarter,
+    list: mpsc::Sender<ListRequest>,
+    gossip: Option<Rc<GossipSocket>>,
+    timers: BinaryHeap<Timer>,
+    /// Events that the actor itself found while it carried out actions; empty between two messages.
+    queued_events: VecDeque<Event>,
+    counts: Counts,
+    /// The policy's counts of shed invocations at the last line of counts.
+    reported_shed: ShedCounts,
+    reporter: Option<Reporter>,
+    quotas: Option<TenantQuotas>,
+    /// The settings' index of the origin's kind, and the cache indices that are origins.
+    origin_kind: Option<usize>,
+    origins: HashSet<CacheIndex>,
+}
+
+impl DecisionActor {
+    /// An actor that knows no cache server yet and does not report.
+    pub fn new(parameters: Parameters) -> DecisionActor {
+        DecisionActor {
+            policy: parameters.policy,
+            names: parameters.names,
+            clock: parameters.clock,
+            timeouts: parameters.timeouts,
+            start_peer: parameters.start_peer,
+            list: parameters.list,
+            gossip: parameters.gossip,
+            pending: HashMap::new(),
+            pending_ids: HashSet::new(),
+            servers: Vec::new(),
+            left_at: HashMap::new(),
+            timers: BinaryHeap::new(),
+            queued_events: VecDeque::new(),
+            counts: Counts::default(),
+            reported_shed: ShedCounts::default(),
+            reporter: None,
+            quotas: None,
+            origin_kind: None,
+            origins: HashSet::new(),
+        }
+    }
+
+    /// Reports to this as well. `origin_kind`: the settings' index of the origin's kind.
+    pub fn with_reporter(
+        mut self,
+        reporter: Option<Reporter>,
+        origin_kind: Option<usize>,
+    ) -> DecisionActor {
+        (self.reporter, self.origin_kind) = (reporter, origin_kind);
+        self
+    }
+
+    /// Keeps the tenants' quotas by shares leased between the nodes, if the operator wants that.
+    pub fn with_quotas(
+        mut self,
+        config: Option<&QuotaShareConfig>,
+        settings: &Settings,
+        seed: u64,
+    ) -> DecisionActor {
+        self.quotas = config.map(|c| TenantQuotas::new(c, settings, seed, self.clock.now()));
+        self
+    }
+
+    /// Runs until all senders of the mailbox are dropped. `known`: the list as the node last had it.
+    /// `counts_interval`: between lines of counts in the log.
+    pub async fn run(
+        mut self,
+        known: ListUpdate,
+        mut mailbox: mpsc::Receiver<Message>,
+        counts_interval: Duration,
+    ) {
+        self.apply_list(ListKind::Saved, &known.targets);
+        let mut next_counts = Instant::now() + counts_interval;
+        loop {
+            let wake_at = self.next_wake(next_counts);
+            tokio::select! {
+                biased;
+                message = mailbox.recv() => match message {
+                    Some(message) => self.handle_message(message),
+                    None => return,
+                },
+                () = sleep_until(wake_at) => {}
+            }
+            // After each message, so that a full mailbox can't keep timers from firing.
+            self.fire_timers();
+            self.tick_quotas();
+            self.write_report();
+            if Instant::now() >= next_counts {
+                self.log_counts();
+                next_counts = Instant::now() + counts_interval;
+            }
+        }
+    }
+
+    /// The first moment at which something is due without a message.
+    fn next_wake(&self, next_counts: Instant) -> Instant {
+        let report = self.reporter.as_ref().map(Reporter::next_line);
+        let quotas = self
+            .quotas
+            .as_ref()
+            .map(|q| self.clock.instant(q.next_tick()));
+        let timer = self
+            .timers
+            .peek()
+            .map(|Reverse((fires_at, _))| self.clock.instant(*fires_at));
+        let all = [report, quotas, timer].into_iter().flatten();
+        all.fold(next_counts, Instant::min)
+    }
+
+    fn write_report(&mut self) {
+        let now = self.clock.now();
+        if let Some(reporter) = self.reporter.as_mut().filter(|r| r.is_line_pending()) {
+            let quotas = self.quotas.as_mut();
+            let shares = quotas.map_or_else(Vec::new, |q| q.report(now));
+            reporter.write(&self.policy.counts(), shares);
+        }
+    }
+
+    /// Sends the messages on quota shares that are due.
+    fn tick_quotas(&mut self) {
+        let now = self.clock.now();
+        let Some(quotas) = self.quotas.as_mut().filter(|q| q.next_tick() <= now) else {
+            return;
+        };
+        for message in quotas.tick(now) {
+            self.send_gossip(message.peer, &message.text);
+        }
+    }
+
+    fn send_gossip(&self, peer: usize, text: &[u8]) {
+        if let Some(gossip) = &self.gossip {
+            gossip.send(peer, text);
+        }
+    }
+
+    fn fire_timers(&mut self) {
+        let now = self.clock.now();
+        while let Some(Reverse((fires_at, token))) = self.timers.peek().copied() {
+            if fires_at > now {
+                return;
+            }
+            self.timers.pop();
+            self.handle_event(Event::TimerFired { token });
+        }
+    }
+
+    /// Gives an event to the policy and carries out its actions, also for the events that those bring about.
+    fn handle_event(&mut self, event: Event) {
+        self.queued_events.push_back(event);
+        while let Some(event) = self.queued_events.pop_front() {
+            let now = self.clock.now();
+            self.policy.handle(now, event);
+            let actions: Vec<Action> = self.policy.take_actions().collect();
+            for action in actions {
+                self.carry_out(now, action);
+            }
+        }
+    }
+
+    fn handle_message(&mut self, message: Message) {
+        match message {
+            Message::Client(ClientEvent::Received {
+                inv,
+                invocation,
+                received_at,
+                answer,
+            }) => self.on_invocation(inv, invocation, received_at, answer),
+            Message::Client(ClientEvent::Left { inv }) => self.on_client_left(inv),
+            Message::Gossip(event) => self.on_gossip(event),
+            Message::List(event) => self.on_list_event(event),
+            Message::Peer(PeerEvent::ForwardEnded { forward, result }) => {
+                self.on_forward_ended(forward, result);
+            }
+            Message::Peer(PeerEvent::HealthChecked { cache, ok }) => {
+                self.handle_event(Event::HealthChecked {
+                    cache,
+                    ok,
+                    load: None,
+                });
+            }
+            Message::ConfigurationChanged(change) => self.apply_change(*change),
+        }
+    }
+
+    fn on_gossip(&mut self, GossipEvent { peer, text }: GossipEvent) {
+        if !TenantQuotas::is_quota_message(&text) {
+            return self.handle_event(Event::GossipReceived { peer, text });
+        }
+        let now = self.clock.now();
+        let quotas = self.quotas.as_mut();
+        if let Some(answer) = quotas.and_then(|q| q.receive(peer, &text, now)) {
+            self.send_gossip(peer, &answer);
+        }
+    }
+
+    fn on_list_event(&mut self, event: ListEvent) {
+        match event {
+            ListEvent::Failed => {
+                self.counts.lists_lost += 1;
+                self.handle_event(Event::Listed {
+                    form: ListKind::Lost,
+                    records: Vec::new(),
+                });
+            }
+            ListEvent::Updated(update) => {
+                let kind = if update.all {
+                    ListKind::Full
+                } else {
+                    ListKind::Changes
+                };
+                self.apply_list(kind, &update.targets);
+            }
+        }
+    }
+}
--- a/crates/sparrouter-node/src/routing/mod.rs
+++ b/crates/sparrouter-node/src/routing/mod.rs
@@ -1,37 +1,47 @@
-//! Actors with mailboxes: the module, which alone owns the decisions, one for each peer, and the list.
+//! The actors and their mailboxes: the decision actor, which alone owns the policy, one actor for each peer, and the
+//! one that follows the endpoint list.
+//!
+//! Every mailbox is bounded. Client connections, peers and the list wait while the decision actor's mailbox is full;
+//! gossip is dropped. The decision actor never waits: a command that a full mailbox refuses counts as not sent.
 pub mod clock;
-pub mod list;
-pub mod module;
-pub mod parts;
+pub mod decision;
+pub mod endpoint_list;
 pub mod peer;
+pub mod quota;
 #[cfg(test)]
 pub mod tests;
 
-use crate::transport::client::ClientSays;
-use crate::transport::datagrams::NodeSays;
-use list::ListSays;
-use module::Change;
-use peer::PeerSays;
+use crate::transport::client::ClientEvent;
+use crate::transport::gossip::GossipEvent;
+use decision::ConfigurationChange;
+use endpoint_list::ListEvent;
+use peer::PeerEvent;
 
 /// Messages that a mailbox holds before its senders wait.
-pub const MAILBOX: usize = 256;
+pub const MAILBOX_CAPACITY: usize = 256;
 
-/// What the module is told, by all the others.
-pub enum Told {
-    Client(ClientSays),
-    Node(NodeSays),
-    List(ListSays),
-    Peer(PeerSays),
-    Changed(Box<Change>),
+/// What the decision actor receives from all other tasks.
+pub enum Message {
+    /// From a client's connection.
+    Client(ClientEvent),
+    /// From another node.
+    Gossip(GossipEvent),
+    /// From the actor that follows the endpoint list.
+    List(ListEvent),
+    /// From the actor of a cache server or the origin.
+    Peer(PeerEvent),
+    /// SIGHUP: the files were read again and can be applied.
+    ConfigurationChanged(Box<ConfigurationChange>),
 }
 
-impl From<ClientSays> for Told {
-    fn from(says: ClientSays) -> Told {
-        Told::Client(says)
+impl From<ClientEvent> for Message {
+    fn from(event: ClientEvent) -> Message {
+        Message::Client(event)
     }
 }
-impl From<NodeSays> for Told {
-    fn from(says: NodeSays) -> Told {
-        Told::Node(says)
+
+impl From<GossipEvent> for Message {
+    fn from(event: GossipEvent) -> Message {
+        Message::Gossip(event)
     }
 }
--- /dev/null
+++ b/crates/sparrouter-node/src/routing/quota.rs
@@ -0,0 +1,155 @@
+//! This node's shares of the tenants' quotas that all nodes keep together. Lending and borrowing of shares is decided
+//! in `sparrouter-shares`; this module brings settings and time to it and its messages to the sockets.
+use crate::program::operator::QuotaShareConfig;
+use sparrouter_balancer::types::Nanos;
+use sparrouter_report::Share;
+use sparrouter_settings::{Settings, Tenant, hash};
+use sparrouter_shares::shares::ClusterPosition;
+use sparrouter_shares::{Limit, QuotaShares, SECOND, note};
+
+/// Nanoseconds of a millisecond.
+const MS: Nanos = 1_000_000;
+/// The number of a limit is one byte in messages between nodes: later tenants have no quota by shares.
+const MAX_LIMITS: usize = u8::MAX as usize;
+
+const _: () = assert!(SECOND == sparrouter_balancer::types::SECOND);
+
+/// The quotas of the tenants, by the tenants' indices in the settings.
+pub struct TenantQuotas {
+    config: QuotaShareConfig,
+    /// Names of the tenants with a limit, as many as `shares` has limits.
+    names: Vec<String>,
+    shares: QuotaShares,
+}
+
+/// A quota message to another node.
+pub struct OutgoingMessage {
+    /// Number of the node.
+    pub peer: usize,
+    /// The encoded message.
+    pub text: Vec<u8>,
+}
+
+fn cluster_position(config: &QuotaShareConfig, settings: &Settings, seed: u64) -> ClusterPosition {
+    let (lease, informed) = (config.lease_ms.get_ref(), config.informed_ms.get_ref());
+    // Nodes whose leases or tenants differ do not lend to each other.
+    let fingerprint =
+        hash(format!("{} {lease} {informed}", settings.tenants_fingerprint()).as_bytes()) as u16;
+    ClusterPosition {
+        own: settings.self_index,
+        nodes: settings.balancers,
+        sends_messages: config.notes && settings.peers(),
+        seed,
+        fingerprint,
+    }
+}
+
+fn limited_tenants(settings: &Settings) -> impl Iterator<Item = &Tenant> {
+    settings.tenants.iter().take(MAX_LIMITS)
+}
+
+fn limits(config: &QuotaShareConfig, settings: &Settings) -> Vec<Limit> {
+    let window = config.window_ms.get_ref() * MS;
+    let limit = |tenant: &Tenant| Limit {
+        per_s: tenant.quota_per_s.max(0.0),
+        window,
+    };
+    limited_tenants(settings).map(limit).collect()
+}
+
+fn names(settings: &Settings) -> Vec<String> {
+    limited_tenants(settings).map(|t| t.name.clone()).collect()
+}
+
+impl TenantQuotas {
+    /// The quotas of a node that starts, or whose leases have other times from now on.
+    pub fn new(
+        config: &QuotaShareConfig,
+        settings: &Settings,
+        seed: u64,
+        now: Nanos,
+    ) -> TenantQuotas {
+        let shares = QuotaShares::new(
+            cluster_position(config, settings, seed),
+            &limits(config, settings),
+            config.informed_ms.get_ref() * MS,
+            config.lease_ms.get_ref() * MS,
+            now,
+        );
+        TenantQuotas {
+            config: config.clone(),
+            names: names(settings),
+            shares,
+        }
+    }
+
+    /// The quotas under new settings: the old ones updated, new ones where the configuration of the leases differs,
+    /// none where the operator wants none.
+    pub fn apply_settings(
+        old: Option<TenantQuotas>,
+        config: Option<&QuotaShareConfig>,
+        settings: &Settings,
+        seed: u64,
+        now: Nanos,
+    ) -> Option<TenantQuotas> {
+        let config = config?;
+        let Some(mut quotas) = old.filter(|q| q.config == *config) else {
+            return Some(TenantQuotas::new(config, settings, seed, now));
+        };
+        quotas.shares.update_cluster(
+            cluster_position(config, settings, seed),
+            &limits(config, settings),
+            now,
+        );
+        quotas.names = names(settings);
+        Some(quotas)
+    }
+
+    /// Counts an invocation of a tenant. Returns whether it is within the quota; none for a tenant without a limit.
+    pub fn try_acquire(&mut self, tenant: usize, now: Nanos) -> Option<bool> {
+        (tenant < self.names.len()).then(|| self.shares.try_acquire(tenant, now))
+    }
+
+    /// Whether a gossip datagram is a quota message.
+    pub fn is_quota_message(text: &[u8]) -> bool {
+        text.first() == Some(&note::FIRST_BYTE)
+    }
+
+    /// Handles a quota message. Returns the answer to its sender, if there is one.
+    pub fn receive(&mut self, peer: usize, text: &[u8], now: Nanos) -> Option<Vec<u8>> {
+        self.shares.receive(peer, text, now)
+    }
+
+    /// When `tick` is due.
+    pub fn next_tick(&self) -> Nanos {
+        self.shares.next_tick()
+    }
+
+    /// Renews what has to be renewed. Returns the messages to send.
+    pub fn tick(&mut self, now: Nanos) -> Vec<OutgoingMessage> {
+        let messages = self.shares.tick(now);
+        messages
+            .into_iter()
+            .map(|(peer, text)| OutgoingMessage { peer, text })
+            .collect()
+    }
+
+    /// What the node's report says of each limit.
+    pub fn report(&mut self, now: Nanos) -> Vec<Share> {
+        let mut rows = Vec::with_capacity(self.names.len());
+        for (limit, name) in self.names.iter().enumerate() {
+            let counts = self.shares.counts(limit, now);
+            rows.push(Share {
+                limit: name.clone(),
+                per_s: counts.per_s,
+                part: counts.part,
+                held: counts.held,
+                lent: counts.lent,
+                need: counts.need,
+                arrived: counts.arrived,
+                within: counts.within,
+            });
+        }
+        rows
+    }
+}
--- /dev/null
+++ b/crates/sparrouter-node/src/transport/discovery.rs
@@ -0,0 +1,154 @@
+//! Calls to discovery: the full list once, or a subscription that stays open.
+use super::reading::{self, ReadError};
+use crate::protocol::chunks::{ChunkDecoder, ChunkEvent};
+use crate::protocol::endpoint_list::{self, Frame, FrameSplitter, ListUpdate};
+use crate::protocol::head::{self, Framing};
+use crate::protocol::{ParseError, messages};
+use bytes::BytesMut;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+
+/// An answer that is being read.
+pub struct DiscoveryCall {
+    stream: TcpStream,
+    buffer: BytesMut,
+    body: BodyState,
+    /// What of the body has not been parsed.
+    text: BytesMut,
+    splitter: FrameSplitter,
+}
+
+/// How far the body is read.
+enum BodyState {
+    Chunked(ChunkDecoder),
+    /// Bytes that are still to come.
+    Length(usize),
+    /// As many bytes as come before the end of the stream.
+    ToEnd,
+}
+
+impl DiscoveryCall {
+    /// Calls for changes `after` that version, or for the full list. Open once discovery has answered with 200.
+    ///
+    /// # Errors
+    ///
+    /// The connection was not established or broke, or the answer is not 200.
+    pub async fn open(
+        address: SocketAddr,
+        after: Option<u64>,
+        connect_timeout: Duration,
+    ) -> Result<DiscoveryCall, ReadError> {
+        let target = match after {
+            Some(rev) => format!("/registry/instances?watch=1&after={rev}"),
+            None => "/registry/instances".to_string(),
+        };
+        // A connection to a partitioned machine would neither be established nor fail: the next call finds it sooner.
+        let connected = timeout(connect_timeout, TcpStream::connect(address))
+            .await
+            .map_err(|_| ReadError::Reset)?;
+        let mut stream = connected.map_err(|_| ReadError::Reset)?;
+        let _ = stream.set_nodelay(true);
+        stream
+            .write_all(&messages::get(&target, address))
+            .await
+            .map_err(|_| ReadError::Reset)?;
+        let mut buffer = BytesMut::new();
+        let head = reading::head(&mut stream, &mut buffer, head::REPLY).await?;
+        let head = head::parse_response(&head)?;
+        if head.status != 200 {
+            return Err(ParseError("discovery did not answer 200").into());
+        }
+        let body = match head.framing {
+            Framing::Chunked => BodyState::Chunked(ChunkDecoder::default()),
+            Framing::Length(length) => BodyState::Length(length),
+            Framing::ToEnd => BodyState::ToEnd,
+        };
+        Ok(DiscoveryCall {
+            stream,
+            buffer,
+            body,
+            text: BytesMut::new(),
+            splitter: FrameSplitter::default(),
+        })
+    }
+
+    /// The next update; none for an empty line, by which an idle discovery shows that it is there. The end of the body
+    /// ends an update too. Cancel-safe.
+    ///
+    /// # Errors
+    ///
+    /// The stream ended, or the update is malformed or too long.
+    pub async fn next_update(&mut self) -> Result<Option<ListUpdate>, ReadError> {
+        loop {
+            match self.splitter.next(&mut self.text)? {
+                Frame::Value(value) => {
+                    return Ok(Some(endpoint_list::parse(value.trim_ascii())?));
+                }
+                Frame::Empty => return Ok(None),
+                Frame::Incomplete if self.fill().await? => {}
+                Frame::Incomplete => match self.splitter.rest(&mut self.text) {
+                    Frame::Value(value) => {
+                        return Ok(Some(endpoint_list::parse(value.trim_ascii())?));
+                    }
+                    _ => return Err(ReadError::Closed),
+                },
+            }
+        }
+    }
+
+    /// The full list, past the empty lines before it.
+    ///
+    /// # Errors
+    ///
+    /// As [`DiscoveryCall::next_update`].
+    pub async fn full_list(mut self) -> Result<ListUpdate, ReadError> {
+        loop {
+            if let Some(list) = self.next_update().await? {
+                return Ok(list);
+            }
+        }
+    }
+
+    /// Reads more of the body; false at its end.
+    async fn fill(&mut self) -> Result<bool, ReadError> {
+        match &mut self.body {
+            BodyState::Chunked(chunks) => loop {
+                match chunks.next(&mut self.buffer)? {
+                    ChunkEvent::Data(bytes) => {
+                        self.text.extend_from_slice(&bytes);
+                        return Ok(true);
+                    }
+                    ChunkEvent::More => {
+                        reading::more(&mut self.stream, &mut self.buffer).await?;
+                    }
+                    ChunkEvent::End => return Ok(false),
+                }
+            },
+            BodyState::Length(0) => return Ok(false),
+            BodyState::Length(remaining) => {
+                if self.buffer.is_empty() {
+                    reading::more(&mut self.stream, &mut self.buffer).await?;
+                }
+                let bytes = self.buffer.split_to(self.buffer.len().min(*remaining));
+                *remaining -= bytes.len();
+                self.text.extend_from_slice(&bytes);
+            }
+            BodyState::ToEnd => {
+                if self.buffer.is_empty() {
+                    match reading::more(&mut self.stream, &mut self.buffer).await {
+                        Err(ReadError::Closed) => {
+                            self.body = BodyState::Length(0);
+                            return Ok(false);
+                        }
+                        read => read?,
+                    }
+                }
+                self.text.unsplit(self.buffer.split());
+            }
+        }
+        Ok(true)
+    }
+}
--- a/crates/sparrouter-node/tests/rollout.rs
+++ b/crates/sparrouter-node/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! A change of real nodes in stages, under traffic: sound, bad, with the conductor killed and nodes stopped.
+//! Staged rollouts over real nodes under traffic: good ones, bad ones, with the conductor killed and nodes stopped.
 use sparrouter_lab::scripted::{Act, Discovery, Server, free, target, until};
 use sparrouter_rollout::record::How;
 use sparrouter_rollout::run::{self, Mode};
@@ -32,13 +32,18 @@
 echo "$to" >"$2.state.next" && mv "$2.state.next" "$2.state"
 "#;
 
+/// The rollout's plan without its nodes.
+const PLAN: &str = "name = \"t\"\nchange = { generation = \"new\", from = \"old\" }\n[stages]\n\
+    parts = [0.25, 0.5, 1.0]\nhold_s = 3\nlongest_s = 25\ncommand_s = 10\nspan_s = 0.25\ndown_at_once = 1\n\
+    [bounds]\nfleet_loss = 0.5\n";
+
 struct Fleet {
     folder: tempfile::TempDir,
-    at: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
     _servers: Vec<Server>,
-    _discovery: Discovery,
+    discovery: Discovery,
     over: Arc<AtomicBool>,
-    /// Calls answered 200, and all that were begun while their node took connections.
+    /// Calls with an answer, and calls that their node accepted and did not answer.
     answered: Arc<AtomicUsize>,
     unanswered: Arc<AtomicUsize>,
     clients: Vec<JoinHandle<()>>,
@@ -78,78 +83,79 @@
         let folder = tempfile::tempdir().unwrap();
         let servers: Vec<Server> = (0..3).map(|_| Server::always(Act::Late(10))).collect();
         let discovery = Discovery::start();
-        let file = |name: &str, text: &str| std::fs::write(folder.path().join(name), text).unwrap();
-        file(
-            "control.sh",
-            &CONTROL.replace("$NODE", env!("CARGO_BIN_EXE_sparrouter-node")),
-        );
         let targets: Vec<String> = servers
             .iter()
             .enumerate()
             .map(|(n, s)| target(&format!("c{n}"), s.at, "box", "in_service"))
             .collect();
-        let targets = targets.join(",");
-        let mut at = Vec::new();
-        let mut plan = "name = \"t\"\nchange = { generation = \"new\", from = \"old\" }\n[stages]\n\
-             parts = [0.25, 0.5, 1.0]\nhold_s = 3\nlongest_s = 25\ncommand_s = 10\nspan_s = 0.25\ndown_at_once = 1\n\
-             [bounds]\nfleet_loss = 0.5\n"
-            .to_string();
-        for n in 0..NODES {
-            let listen = free();
-            at.push(listen);
-            for (state, objective) in [("old", 300_000), ("new", new_objective_us)] {
-                let report = folder.path().join(format!("n{n}.jsonl"));
-                file(
-                    &format!("n{n}.{state}.toml"),
-                    &format!(
-                        "[identity]\ngeneration = \"{state}\"\n[report]\npath = {report:?}\nevery_ms = 100\n"
-                    ),
-                );
-                file(
-                    &format!("n{n}.{state}.json"),
-                    &format!(
-                        r#"{{"name":"n{n}","listen":"{listen}","discovery":"{}","seed":"{n}","known":{{"rev":41,"all":true,"targets":[{targets}]}},"settings":{}}}"#,
-                        discovery.at,
-                        settings(objective)
-                    ),
-                );
-            }
-            file(&format!("n{n}.state"), "old\n");
-            file(&format!("n{n}.pid"), "999999999\n");
-            let control = folder.path().join("control.sh");
-            let command = |what| format!("[\"bash\", {control:?}, \"{what}\", \"n{n}\"]");
-            plan += &format!(
-                "[[node]]\nname = \"n{n}\"\nzone = \"z{}\"\nchange = {}\nback = {}\nrestart = {}\nreport = {:?}\n",
-                n % 2,
-                command("change"),
-                command("back"),
-                command("restart"),
-                folder.path().join(format!("n{n}.jsonl"))
-            );
-        }
-        file("plan.toml", &plan);
-        let over = Arc::new(AtomicBool::new(false));
         let mut fleet = Fleet {
             folder,
-            at,
+            addresses: Vec::new(),
             _servers: servers,
-            _discovery: discovery,
-            over,
+            discovery,
+            over: Arc::default(),
             answered: Arc::default(),
             unanswered: Arc::default(),
             clients: vec![],
         };
+        let control = CONTROL.replace("$NODE", env!("CARGO_BIN_EXE_sparrouter-node"));
+        fleet.write("control.sh", &control);
+        let mut plan = PLAN.to_string();
+        for n in 0..NODES {
+            fleet.addresses.push(free());
+            fleet.write_node_files(n, &targets.join(","), new_objective_us);
+            plan += &fleet.plan_of(n);
+        }
+        fleet.write("plan.toml", &plan);
         for n in 0..NODES {
-            let done = fleet.control("restart", n).status().unwrap();
-            assert!(done.success());
+            let status = fleet.control("restart", n).status().unwrap();
+            assert!(status.success());
         }
         until("all nodes", || {
-            fleet.at.iter().all(|at| TcpStream::connect(at).is_ok())
+            let mut addresses = fleet.addresses.iter();
+            addresses.all(|address| TcpStream::connect(address).is_ok())
         });
         fleet.clients = (0..NODES).map(|n| fleet.client(n)).collect();
         fleet
     }
 
+    fn write(&self, name: &str, text: &str) {
+        std::fs::write(self.path(name), text).unwrap();
+    }
+
+    /// The files of one node, in the old and in the new state.
+    fn write_node_files(&self, n: usize, targets: &str, new_objective_us: u64) {
+        let (listen, discovery) = (self.addresses[n], self.discovery.at);
+        let report = self.path(&format!("n{n}.jsonl"));
+        for (state, objective) in [("old", 300_000), ("new", new_objective_us)] {
+            let operator = format!(
+                "[identity]\ngeneration = \"{state}\"\n[report]\npath = {report:?}\nevery_ms = 100\n"
+            );
+            self.write(&format!("n{n}.{state}.toml"), &operator);
+            let settings = settings(objective);
+            let config = format!(
+                r#"{{"name":"n{n}","listen":"{listen}","discovery":"{discovery}","seed":"{n}","known":{{"rev":41,"all":true,"targets":[{targets}]}},"settings":{settings}}}"#
+            );
+            self.write(&format!("n{n}.{state}.json"), &config);
+        }
+        self.write(&format!("n{n}.state"), "old\n");
+        self.write(&format!("n{n}.pid"), "999999999\n");
+    }
+
+    /// What the rollout's plan says of one node.
+    fn plan_of(&self, n: usize) -> String {
+        let control = self.path("control.sh");
+        let command = |what| format!("[\"bash\", {control:?}, \"{what}\", \"n{n}\"]");
+        format!(
+            "[[node]]\nname = \"n{n}\"\nzone = \"z{}\"\nchange = {}\nback = {}\nrestart = {}\nreport = {:?}\n",
+            n % 2,
+            command("change"),
+            command("back"),
+            command("restart"),
+            self.path(&format!("n{n}.jsonl"))
+        )
+    }
+
     fn control(&self, what: &str, n: usize) -> Command {
         let mut c = Command::new("bash");
         c.arg(self.path("control.sh"))
@@ -160,7 +166,7 @@
 
     /// Some 60 calls a second to one node, each on its own connection.
     fn client(&self, n: usize) -> JoinHandle<()> {
-        let (at, over) = (self.at[n], self.over.clone());
+        let (address, over) = (self.addresses[n], self.over.clone());
         let (answered, unanswered) = (self.answered.clone(), self.unanswered.clone());
         thread::spawn(move || {
             let mut id = 0;
@@ -168,7 +174,7 @@
                 id += 1;
                 sleep(5 * MS);
                 // A node that is down takes no connection: its front layer would send elsewhere.
-                let Ok(mut stream) = TcpStream::connect(at) else {
+                let Ok(mut stream) = TcpStream::connect(address) else {
                     continue;
                 };
                 let _ = stream.set_read_timeout(Some(Duration::from_secs(2)));
@@ -224,9 +230,9 @@
     );
 }
 
-/// New settings under which each answer is given up as too late: stopped in the first stage and taken back.
+/// New settings under which each answer is shed as too late: stopped in the first stage and rolled back.
 #[test]
-fn settings_that_do_worse_are_stopped_and_taken_back() {
+fn settings_that_perform_worse_are_stopped_and_rolled_back() {
     let fleet = Fleet::start(3_000);
     let how = fleet.run(Mode::Run);
     assert!(
@@ -265,8 +271,8 @@
         .unwrap()
 }
 
-/// The conductor is killed again and again, a node that is not being changed is stopped for a while: it ends as it
-/// would have.
+/// The conductor is killed repeatedly, and a node that is not being changed is stopped for a while: the rollout ends as
+/// it would have.
 #[test]
 fn a_killed_conductor_and_a_stopped_node_change_nothing_about_the_end() {
     let fleet = Fleet::start(300_000);
