--- a/crates/sparrouter-report/src/lib.rs
+++ b/crates/sparrouter-report/src/lib.rs
@@ -1,117 +1,166 @@
-//! What a node says of itself, a line of JSON each second. Counts only rise while a process lives, so that a lost
-//! line costs nothing; a process that started anew begins at 0.
+//! The report a node writes about itself: one JSON object a line, by default once a second.
+//!
+//! Counters only rise while a process lives and start at 0 with each process. A lost line therefore loses no events:
+//! [`Report::since`] of any two lines of one process gives what happened between them. Field names are the JSON keys
+//! that operators read (`docs/operating/shares.md`, `docs/operating/rollout.md`); they keep the operators' words.
 use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
 
-/// Of one operation. Values are billed values; `latency` counts succeeded answers by half powers of two, in
-/// microseconds.
+/// Counters of one operation since the process started.
+///
+/// `asked` and `in_time` are sums of billed values, not numbers of requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Operation {
+    /// Name of the operation in the node's configuration.
     pub name: String,
+    /// Billed value of all requests received.
     pub asked: f64,
+    /// Billed value earned: all of a request's value within the latency target, a configured fraction of it later; at
+    /// most `asked`.
     pub in_time: f64,
+    /// Requests received.
     pub taken: u64,
+    /// Requests answered with success.
     pub succeeded: u64,
+    /// Requests rejected by a quota or shed.
     pub throttled: u64,
+    /// Requests answered with an error.
     pub errored: u64,
+    /// Succeeded requests by latency: a histogram of [`BUCKETS`] counts, indexed by [`bucket`].
     pub latency: Vec<u64>,
 }
 
-/// A node's part of a limit that all nodes keep together, in units a second; `arrived` and `within` count since its start.
+/// A node's quota share of one common limit. Rates are units a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Share {
+    /// Name of the limit.
     pub limit: String,
-    /// Of all nodes together.
+    /// Rate limit of all nodes together.
     pub per_s: f64,
-    /// This node's part now, of which held of others; what it has lent; what it needs.
+    /// Rate that this node may use now: its own quota share, less `lent`, plus `held`.
     pub part: f64,
+    /// Rate borrowed from other nodes, a part of `part`.
     pub held: f64,
+    /// Rate loaned to other nodes.
     pub lent: f64,
+    /// Rate that this node needs, estimated from its arrivals.
     pub need: f64,
+    /// Units that arrived since the process started.
     pub arrived: u64,
+    /// Units admitted as within the limit since the process started; at most `arrived`.
     pub within: u64,
 }
 
+/// One line of a node's report file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Report {
+    /// The node's name.
     pub name: String,
+    /// Version of the program.
     pub version: String,
+    /// Operator's name of the state of program and settings; a rollout tells changed nodes from unchanged ones by it.
     pub generation: String,
-    /// Of where sample keys go: two nodes that differ here disagree on a key's cache server.
+    /// Digest of the cache servers chosen for sample keys: nodes that differ here place the same key elsewhere.
     pub placement: String,
-    /// Of the settings in force, the same at nodes that have the same.
+    /// Digest of the settings in force: equal settings have equal digests.
     pub settings: String,
-    /// Formats of notes that it reads.
+    /// Formats of messages between nodes that this node reads.
     pub notes: Vec<u8>,
+    /// Milliseconds since the process started.
     pub uptime_ms: u64,
-    /// By the machine's clock, for people and files; nothing is decided by it.
+    /// Wall-clock time in milliseconds since 1970, for people and files; no decision depends on it.
     pub unix_ms: u64,
+    /// Counters of each operation.
     pub operations: Vec<Operation>,
+    /// Requests forwarded to cache servers or the origin, each attempt counted.
     pub forwards: u64,
+    /// Those of `forwards` that went to the origin.
     pub fetches: u64,
     /// Connections opened to cache servers and the origin.
     pub opened: u64,
-    /// Invocations that got no value, by the reason.
-    pub given_up: std::collections::BTreeMap<String, u64>,
-    /// Times that a cache server came into doubt, and forwards to cold ones.
+    /// Requests that got no value, by the reason they were rejected or shed for.
+    pub given_up: BTreeMap<String, u64>,
+    /// Times that a cache server became suspected.
     pub doubts: u64,
+    /// Requests forwarded to cache servers that were warming up.
     pub cold_sends: u64,
+    /// Processor time of the process in milliseconds.
     pub cpu_ms: u64,
+    /// Resident memory in KiB at the time of the report.
     pub memory_kib: u64,
+    /// Open file descriptors at the time of the report.
     pub descriptors: u64,
-    /// Empty where common limits are not kept by leases.
+    /// Quota shares; empty where common limits are not kept by leases.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub shares: Vec<Share>,
-    /// Times that something that must hold did not.
+    /// Invariant violations.
     pub breaches: u64,
 }
 
+/// Number of buckets in a latency histogram.
 pub const BUCKETS: usize = 64;
 
-/// The bucket of a latency: 2 log2 of its microseconds.
+/// The histogram bucket of a latency in microseconds: twice its binary logarithm, so two buckets double the latency.
+///
+/// The result is below [`BUCKETS`]; 0 µs counts as 1 µs.
 pub fn bucket(us: u64) -> usize {
     ((us.max(1) as f64).log2() * 2.0) as usize % BUCKETS
 }
 
+/// Reduces a counter by its earlier value. A counter that fell, which only a defect explains, counts as unchanged.
+fn subtract(counter: &mut u64, earlier: u64) {
+    *counter = counter.saturating_sub(earlier);
+}
+
+impl Operation {
+    /// Reduces each counter by its value in an earlier report of the same process.
+    fn subtract(&mut self, earlier: &Operation) {
+        self.asked -= earlier.asked;
+        self.in_time -= earlier.in_time;
+        subtract(&mut self.taken, earlier.taken);
+        subtract(&mut self.succeeded, earlier.succeeded);
+        subtract(&mut self.throttled, earlier.throttled);
+        subtract(&mut self.errored, earlier.errored);
+        for (count, earlier) in self.latency.iter_mut().zip(&earlier.latency) {
+            subtract(count, *earlier);
+        }
+    }
+}
+
 impl Report {
-    /// What came since an earlier report of the same process; all of it where the process is another.
-    pub fn since(&self, old: &Report) -> Report {
-        if old.uptime_ms > self.uptime_ms {
+    /// What happened between an earlier report of the same process and this one.
+    ///
+    /// Counters of requests, connections and processor time become differences; states (name, memory, descriptors,
+    /// quota shares, invariant violations) stay as they are here. A shorter uptime than the earlier report's means
+    /// another process: then the whole report is returned, as its counters started at 0.
+    pub fn since(&self, earlier: &Report) -> Report {
+        if earlier.uptime_ms > self.uptime_ms {
             return self.clone();
         }
-        let mut new = self.clone();
-        for (now, before) in [
-            (&mut new.forwards, old.forwards),
-            (&mut new.fetches, old.fetches),
-            (&mut new.opened, old.opened),
-            (&mut new.doubts, old.doubts),
-            (&mut new.cold_sends, old.cold_sends),
-            (&mut new.cpu_ms, old.cpu_ms),
-        ] {
-            *now = now.saturating_sub(before);
-        }
-        for (why, now) in &mut new.given_up {
-            *now = now.saturating_sub(old.given_up.get(why).copied().unwrap_or(0));
-        }
-        for op in &mut new.operations {
-            let Some(old) = old.operations.iter().find(|o| o.name == op.name) else {
-                continue;
-            };
-            (op.asked, op.in_time) = (op.asked - old.asked, op.in_time - old.in_time);
-            for (now, before) in [
-                (&mut op.taken, old.taken),
-                (&mut op.succeeded, old.succeeded),
-                (&mut op.throttled, old.throttled),
-                (&mut op.errored, old.errored),
-            ] {
-                *now = now.saturating_sub(before);
-            }
-            for (now, before) in op.latency.iter_mut().zip(&old.latency) {
-                *now = now.saturating_sub(*before);
+        let mut difference = self.clone();
+        difference.subtract_node_counters(earlier);
+        for operation in &mut difference.operations {
+            let same_name = |o: &&Operation| o.name == operation.name;
+            if let Some(earlier) = earlier.operations.iter().find(same_name) {
+                operation.subtract(earlier);
             }
         }
-        new
+        difference
+    }
+
+    /// Reduces the counters of the node as a whole by their earlier values.
+    fn subtract_node_counters(&mut self, earlier: &Report) {
+        subtract(&mut self.forwards, earlier.forwards);
+        subtract(&mut self.fetches, earlier.fetches);
+        subtract(&mut self.opened, earlier.opened);
+        subtract(&mut self.doubts, earlier.doubts);
+        subtract(&mut self.cold_sends, earlier.cold_sends);
+        subtract(&mut self.cpu_ms, earlier.cpu_ms);
+        for (reason, count) in &mut self.given_up {
+            subtract(count, earlier.given_up.get(reason).copied().unwrap_or(0));
+        }
     }
 }
