--- a/crates/sparrouter-rollout/examples/power.rs
+++ b/crates/sparrouter-rollout/examples/power.rs
@@ -1,141 +1,197 @@
-//! The judge by modelled runs: how often a sound change is stopped, the least harm that is found, and how long it takes.
+//! The judge in simulated rollouts: how often a harmless change is stopped, the least harm found, and the time it takes.
 //! `cargo run --release -p sparrouter-rollout --example power [RUNS]`
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
-use fleet::*;
+use fleet::{Defect, Fleet, plan};
 use sparrouter_rollout::SECOND;
-use sparrouter_rollout::conduct::How;
+use sparrouter_rollout::record::Outcome;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
-/// Ended through, went back, anything else; stages begun and seconds of those that went back; seconds of those through.
+/// Rollouts of the same kind, by seed.
+struct Series {
+    nodes: usize,
+    requests_per_s: [usize; 2],
+    defect: Defect,
+    runs: usize,
+    first_seed: u64,
+}
+
+/// One rollout.
+struct Run {
+    outcome: Outcome,
+    stages_begun: usize,
+    seconds: f64,
+    /// Lost fraction of the billed value.
+    lost: f64,
+}
+
+/// How the rollouts of a series ended.
 #[derive(Default)]
-struct Ends {
-    through: usize,
-    back: usize,
-    other: usize,
-    stages: Vec<usize>,
-    back_s: Vec<f64>,
-    through_s: Vec<f64>,
+struct Summary {
+    completed: usize,
+    rolled_back: usize,
+    left: usize,
+    /// Of completed rollouts.
+    completed_seconds: Vec<f64>,
+    /// Of rollouts that were rolled back.
+    rolled_back_seconds: Vec<f64>,
+    /// The last stage that any of these began.
+    last_stage: usize,
     lost: Vec<f64>,
-    why: Vec<String>,
+    reasons: Vec<String>,
 }
 
-fn play(nodes: usize, per_s: [usize; 2], bad: Bad, runs: usize, seed: u64) -> Ends {
-    let (next, threads) = (
-        AtomicUsize::new(0),
-        std::thread::available_parallelism().map_or(4, |n| n.get()),
-    );
-    let one = |run: usize| {
-        let mut fleet = Fleet::new(plan(nodes, 2), bad, seed + run as u64);
-        fleet.per_s = per_s;
-        // Time grows with the nodes: a tenth of them may be down at once.
-        fleet.plan.down_at_once = (nodes / 10).max(2);
-        let began = fleet.now;
-        let how = fleet.play();
-        let took = (fleet.now - began) as f64 / SECOND as f64;
-        (how, fleet.stage(), took, fleet.lost / fleet.asked)
-    };
-    let work = || {
-        let mut all = Vec::new();
-        loop {
-            let run = next.fetch_add(1, Relaxed);
-            if run >= runs {
-                return all;
+impl Summary {
+    fn add(&mut self, run: Run) {
+        self.lost.push(run.lost);
+        match run.outcome {
+            Outcome::Through => {
+                self.completed += 1;
+                self.completed_seconds.push(run.seconds);
             }
-            all.push(one(run));
-        }
-    };
-    let all: Vec<_> = std::thread::scope(|s| {
-        let threads: Vec<_> = (0..threads).map(|_| s.spawn(work)).collect();
-        threads
-            .into_iter()
-            .flat_map(|t| t.join().expect("a run"))
-            .collect()
-    });
-    let mut ends = Ends::default();
-    for (how, stage, took, lost) in all {
-        ends.lost.push(lost);
-        match how {
-            How::Through => {
-                ends.through += 1;
-                ends.through_s.push(took);
+            Outcome::Back(reason) => {
+                self.rolled_back += 1;
+                self.last_stage = self.last_stage.max(run.stages_begun);
+                self.rolled_back_seconds.push(run.seconds);
+                self.reasons.push(reason);
             }
-            How::Back(why) => {
-                ends.back += 1;
-                ends.stages.push(stage);
-                ends.back_s.push(took);
-                ends.why.push(why);
+            Outcome::Left(reason) => {
+                self.left += 1;
+                self.reasons.push(reason);
             }
-            How::Left(why) => {
-                ends.other += 1;
-                ends.why.push(why);
+        }
+    }
+}
+
+impl Series {
+    /// The first seed of the run of this index is `first_seed`.
+    fn run(&self, index: usize) -> Run {
+        let seed = self.first_seed + index as u64;
+        let mut fleet = Fleet::new(plan(self.nodes, 2), self.defect, seed);
+        fleet.requests_per_s = self.requests_per_s;
+        // Time grows with the nodes: a tenth of them may be down at once.
+        fleet.plan.max_unavailable = (self.nodes / 10).max(2);
+        let started_at = fleet.now;
+        let outcome = fleet.play();
+        Run {
+            outcome,
+            stages_begun: fleet.stages_begun(),
+            seconds: (fleet.now - started_at) as f64 / SECOND as f64,
+            lost: fleet.lost / fleet.requested,
+        }
+    }
+
+    /// Plays all rollouts, one thread a processor.
+    fn play(&self) -> Summary {
+        let next = AtomicUsize::new(0);
+        let work = || {
+            let indices = std::iter::repeat_with(|| next.fetch_add(1, Relaxed));
+            let indices = indices.take_while(|index| *index < self.runs);
+            indices.map(|index| self.run(index)).collect::<Vec<Run>>()
+        };
+        let threads = std::thread::available_parallelism().map_or(4, |n| n.get());
+        let mut summary = Summary::default();
+        std::thread::scope(|scope| {
+            let threads: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
+            for thread in threads {
+                let runs = thread.join().expect("a run");
+                runs.into_iter().for_each(|run| summary.add(run));
             }
+        });
+        summary
+    }
+}
+
+fn median(values: &mut [f64]) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
+}
+
+fn print_false_stops(runs: usize) {
+    println!("sound changes of 8 nodes, 68 invocations a second each, {runs} runs");
+    let mut harmless = Series {
+        nodes: 8,
+        requests_per_s: [60, 8],
+        defect: Defect::None,
+        runs,
+        first_seed: 1 << 32,
+    }
+    .play();
+    let stopped = harmless.rolled_back + harmless.left;
+    println!(
+        "  stopped {stopped} ({:.2} %), time {:.0} s in the middle",
+        100.0 * stopped as f64 / runs as f64,
+        median(&mut harmless.completed_seconds)
+    );
+    harmless.reasons.truncate(5);
+    println!("  {:?}", harmless.reasons);
+}
+
+/// The least loss that is stopped in nine of ten runs.
+fn print_least_harm(nodes: usize, requests_per_s: [usize; 2]) {
+    let losses = [0.01, 0.02, 0.03, 0.04, 0.06, 0.08, 0.12, 0.2, 0.3, 0.5];
+    let found = losses.into_iter().find_map(|loss| {
+        let summary = Series {
+            nodes,
+            requests_per_s,
+            defect: Defect::WorseWhenWarm(0, loss),
+            runs: 40,
+            first_seed: 7000,
         }
+        .play();
+        (summary.rolled_back >= 36).then_some((loss, summary))
+    });
+    let per_s = requests_per_s[0] + requests_per_s[1];
+    match found {
+        Some((loss, mut summary)) => println!(
+            "  {nodes:>4} nodes, {per_s:>3}/s: {:>4.0} %  stage {}  {:>5.0} s",
+            100.0 * loss,
+            summary.last_stage,
+            median(&mut summary.rolled_back_seconds)
+        ),
+        None => println!("  {nodes:>4} nodes, {per_s:>3}/s: none found"),
     }
-    ends
 }
 
-fn middle(of: &mut [f64]) -> f64 {
-    of.sort_by(f64::total_cmp);
-    of.get(of.len() / 2).copied().unwrap_or(f64::NAN)
+fn print_large_fleet(nodes: usize, runs: usize) {
+    let series = |defect| Series {
+        nodes,
+        requests_per_s: [60, 8],
+        defect,
+        runs,
+        first_seed: 9000,
+    };
+    let mut harmless = series(Defect::None).play();
+    let mut harmful = series(Defect::WorseWhenWarm(0, 0.1)).play();
+    println!(
+        "  {nodes:>5} nodes: through {} of {runs} in {:.0} s; stopped {} of {runs}, in stage {}, back after {:.0} s, {:.2} % lost",
+        harmless.completed,
+        median(&mut harmless.completed_seconds),
+        harmful.rolled_back,
+        harmful.last_stage,
+        median(&mut harmful.rolled_back_seconds),
+        100.0 * median(&mut harmful.lost)
+    );
 }
 
 fn main() {
     let runs = std::env::args()
         .nth(1)
-        .and_then(|n| n.parse().ok())
+        .and_then(|runs| runs.parse().ok())
         .unwrap_or(10_000);
-    println!("sound changes of 8 nodes, 68 invocations a second each, {runs} runs");
-    let mut sound = play(8, [60, 8], Bad::No, runs, 1 << 32);
-    let part = (sound.back + sound.other) as f64 / runs as f64;
-    println!(
-        "  stopped {} ({:.2} %), time {:.0} s in the middle",
-        sound.back + sound.other,
-        100.0 * part,
-        middle(&mut sound.through_s)
-    );
-    sound.why.truncate(5);
-    println!("  {:?}", sound.why);
+    print_false_stops(runs);
 
     println!(
         "least loss of value stopped in nine of ten of 40 runs; stage, seconds until all is back"
     );
-    for per_s in [[6, 1], [60, 8], [300, 40]] {
+    for requests_per_s in [[6, 1], [60, 8], [300, 40]] {
         for nodes in [4, 8, 16, 64] {
-            let found = [0.01, 0.02, 0.03, 0.04, 0.06, 0.08, 0.12, 0.2, 0.3, 0.5]
-                .into_iter()
-                .find_map(|harm| {
-                    let ends = play(nodes, per_s, Bad::WhenWarm(0, harm), 40, 7000);
-                    (ends.back >= 36).then_some((harm, ends))
-                });
-            match found {
-                Some((harm, mut ends)) => println!(
-                    "  {nodes:>4} nodes, {:>3}/s: {:>4.0} %  stage {}  {:>5.0} s",
-                    per_s[0] + per_s[1],
-                    100.0 * harm,
-                    ends.stages.iter().max().copied().unwrap_or(0),
-                    middle(&mut ends.back_s)
-                ),
-                None => println!(
-                    "  {nodes:>4} nodes, {:>3}/s: none found",
-                    per_s[0] + per_s[1]
-                ),
-            }
+            print_least_harm(nodes, requests_per_s);
         }
     }
 
     println!("large fleets, 68 a second each: a sound change, and one that loses a tenth");
     for (nodes, runs) in [(300, 8), (3000, 2)] {
-        let mut sound = play(nodes, [60, 8], Bad::No, runs, 9000);
-        let mut bad = play(nodes, [60, 8], Bad::WhenWarm(0, 0.1), runs, 9000);
-        println!(
-            "  {nodes:>5} nodes: through {} of {runs} in {:.0} s; stopped {} of {runs}, in stage {}, back after {:.0} s, {:.2} % lost",
-            sound.through,
-            middle(&mut sound.through_s),
-            bad.back,
-            bad.stages.iter().max().copied().unwrap_or(0),
-            middle(&mut bad.back_s),
-            100.0 * middle(&mut bad.lost)
-        );
+        print_large_fleet(nodes, runs);
     }
 }
--- a/crates/sparrouter-rollout/src/main.rs
+++ b/crates/sparrouter-rollout/src/main.rs
@@ -1,9 +1,11 @@
-//! Changes many nodes in stages; see docs/operating/rollout.md.
+//! The program `sparrouter-rollout`: changes many nodes in stages; see docs/operating/rollout.md.
+//!
+//! Exit status 0: every node is changed; 1: rolled back or left to the operator; 2: an error.
 use clap::{Parser, Subcommand};
 use sparrouter_rollout::plan::Plan;
-use sparrouter_rollout::record::{self, Entry, How};
-use sparrouter_rollout::run::{self, Mode};
-use sparrouter_rollout::stages;
+use sparrouter_rollout::record::{Entry, Outcome, RecordError};
+use sparrouter_rollout::run::{self, Mode, OperatorRequest, RunError};
+use sparrouter_rollout::{page, stages};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -14,11 +16,11 @@
 )]
 struct Cli {
     #[command(subcommand)]
-    what: What,
+    operation: Operation,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Operation {
     /// Say what would be done, and do nothing
     Plan { plan: PathBuf },
     /// Begin a change and see it through
@@ -61,148 +63,147 @@
     },
 }
 
-fn log_of(plan: &Path, log: Option<PathBuf>) -> PathBuf {
+/// The log's path: as given, or beside the plan.
+fn log_path(plan: &Path, log: Option<PathBuf>) -> PathBuf {
     log.unwrap_or_else(|| plan.with_extension("log"))
 }
 
-fn show(plan: &Plan) {
+/// Names and zones of these nodes.
+fn describe_nodes(plan: &Plan, nodes: &[usize]) -> String {
+    let describe = |&node: &usize| format!("{} ({})", plan.nodes[node].name, plan.nodes[node].zone);
+    let described: Vec<String> = nodes.iter().map(describe).collect();
+    described.join(", ")
+}
+
+fn print_plan(plan: &Plan) {
     let order = stages::order(plan);
     println!(
         "{}: {} nodes, {} -> {}",
         plan.name,
         order.len(),
-        plan.from,
-        plan.generation
+        plan.old_generation,
+        plan.new_generation
     );
-    let mut from = 0;
-    for (stage, to) in stages::sizes(&plan.parts, order.len())
-        .into_iter()
-        .enumerate()
-    {
-        let name = |&n: &usize| format!("{} ({})", plan.nodes[n].name, plan.nodes[n].zone);
-        let new: Vec<String> = order[from..to].iter().map(name).collect();
-        let fellows = (to - from).min(order.len() - to);
-        let old: Vec<String> = order[order.len() - fellows..].iter().map(name).collect();
-        println!("stage {}: changes {}", stage + 1, new.join(", "));
-        println!(
-            "         beside {}",
-            if old.is_empty() {
-                "the fleet's own past".into()
-            } else {
-                old.join(", ")
-            }
-        );
-        from = to;
+    let mut previous_size = 0;
+    let sizes = stages::sizes(&plan.stage_fractions, order.len());
+    for (stage, size) in sizes.into_iter().enumerate() {
+        let unchanged = (size - previous_size).min(order.len() - size);
+        let compared_with = match unchanged {
+            0 => "the fleet's own past".to_string(),
+            _ => describe_nodes(plan, &order[order.len() - unchanged..]),
+        };
+        let changed = describe_nodes(plan, &order[previous_size..size]);
+        println!("stage {}: changes {changed}", stage + 1);
+        println!("         beside {compared_with}");
+        previous_size = size;
     }
 }
 
-fn status(log: &Path) -> Result<(), String> {
-    let bytes = std::fs::read(log).map_err(|e| format!("{}: {e}", log.display()))?;
-    let (entries, _) =
-        record::read(&bytes, &log.display().to_string()).map_err(|e| e.to_string())?;
-    for entry in &entries {
-        match entry {
-            Entry::Past { past } => println!(
-                "before: {:.2} % of the billed value lost",
-                100.0 * past.lost
-            ),
-            Entry::Plan { name, .. } => println!("plan {name}"),
-            Entry::Stage { stage } => println!("stage {}", stage + 1),
-            Entry::Begin { node, doing } => println!("  {node}: {doing:?} ..."),
-            Entry::End { node, doing, ok } => {
-                println!(
-                    "  {node}: {doing:?} {}",
-                    if *ok { "over" } else { "came to nothing" }
-                )
-            }
-            Entry::Passed { stage } => println!("stage {} passed", stage + 1),
-            Entry::Back { why } => println!("going back: {why}"),
-            Entry::Done { how } => println!("ended: {}", told(how)),
+fn print_entry(entry: &Entry) {
+    match entry {
+        Entry::Baseline { baseline } => println!(
+            "before: {:.2} % of the billed value lost",
+            100.0 * baseline.lost
+        ),
+        Entry::Plan { name, .. } => println!("plan {name}"),
+        Entry::Stage { stage } => println!("stage {}", stage + 1),
+        Entry::CommandStarted { node, command } => println!("  {node}: {command} ..."),
+        Entry::CommandEnded {
+            node,
+            command,
+            succeeded,
+        } => {
+            let result = if *succeeded {
+                "over"
+            } else {
+                "came to nothing"
+            };
+            println!("  {node}: {command} {result}");
         }
+        Entry::StagePassed { stage } => println!("stage {} passed", stage + 1),
+        Entry::RollbackStarted { reason } => println!("going back: {reason}"),
+        Entry::Finished { outcome } => println!("ended: {outcome}"),
     }
-    if !matches!(entries.last(), Some(Entry::Done { .. })) {
+}
+
+fn print_status(log: &Path) -> Result<(), RunError> {
+    let entries = run::read_log(log)?;
+    entries.iter().for_each(print_entry);
+    if !matches!(entries.last(), Some(Entry::Finished { .. })) {
         println!("not ended: a conductor is at work, or `resume` goes on");
     }
     Ok(())
 }
 
-fn write_page(plan: &Path, log: &Path, out: &Path) -> Result<(), String> {
-    let (plan, _) = run::load(plan).map_err(|e| e.to_string())?;
-    let bytes = std::fs::read(log).map_err(|e| format!("{}: {e}", log.display()))?;
-    let (entries, _) =
-        record::read(&bytes, &log.display().to_string()).map_err(|e| e.to_string())?;
-    let page = sparrouter_rollout::page::page(&plan, log, &entries);
-    std::fs::write(out, page).map_err(|e| format!("{}: {e}", out.display()))?;
+fn write_page(plan: &Path, log: &Path, out: &Path) -> Result<(), RunError> {
+    let plan = run::load(plan)?.plan;
+    let entries = run::read_log(log)?;
+    let page = page::page(&plan, log, &entries);
+    std::fs::write(out, page).map_err(|source| RunError::io(out, source))?;
     println!("{}", out.display());
     Ok(())
 }
 
-fn told(how: &How) -> String {
-    match how {
-        How::Through => "every node is changed".to_string(),
-        How::Back(why) => format!("taken back: {why}"),
-        How::Left(why) => format!("left for a person: {why}"),
+fn run_rollout(plan: &Path, log: &Path, mode: Mode) -> Result<Outcome, RunError> {
+    run::run(plan, log, mode, |line| println!("{line}"))
+}
+
+/// Takes the change back; asks the controller at work to do it, if there is one.
+fn take_back(plan: &Path, log: &Path) -> Result<Option<Outcome>, RunError> {
+    match run_rollout(plan, log, Mode::Back) {
+        Err(RunError::Record(RecordError::Busy { .. })) => {
+            submit(OperatorRequest::RollBack, log).map(|()| None)
+        }
+        result => result.map(Some),
     }
 }
 
-fn main() -> ExitCode {
-    let begin = |plan: &Path, log: Option<PathBuf>, mode| {
-        let log = log_of(plan, log);
-        run::run(plan, &log, mode, |line| println!("{line}"))
-    };
-    let ended = match Cli::parse().what {
-        What::Plan { plan } => run::load(&plan).map(|(plan, _)| show(&plan)).map(|()| None),
-        What::Run { plan, log } => begin(&plan, log, Mode::Run).map(Some),
-        What::Resume { plan, log } => begin(&plan, log, Mode::Resume).map(Some),
-        What::Back { plan, log } => {
-            let at = log_of(&plan, log);
-            match run::run(&plan, &at, Mode::Back, |line| println!("{line}")) {
-                // Somebody is at work: it is told.
-                Err(run::RunError::Record(record::RecordError::Busy { .. })) => ask(&at, "back"),
-                other => other.map(Some),
-            }
+fn submit(request: OperatorRequest, log: &Path) -> Result<(), RunError> {
+    request.submit(log)?;
+    println!("asked; `status` tells");
+    Ok(())
+}
+
+/// Does what the command line asks for; the outcome of a rollout that ended.
+fn perform(operation: Operation) -> Result<Option<Outcome>, RunError> {
+    match operation {
+        Operation::Plan { plan } => print_plan(&run::load(&plan)?.plan),
+        Operation::Run { plan, log } => {
+            let log = log_path(&plan, log);
+            return run_rollout(&plan, &log, Mode::Run).map(Some);
         }
-        What::Stop { plan, log } => ask(&log_of(&plan, log), "stop"),
-        What::Page { plan, log, out } => {
-            let (log, out) = (
-                log_of(&plan, log),
-                out.unwrap_or_else(|| plan.with_extension("html")),
-            );
-            return match write_page(&plan, &log, &out) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(text) => fail(&text),
-            };
+        Operation::Resume { plan, log } => {
+            let log = log_path(&plan, log);
+            return run_rollout(&plan, &log, Mode::Resume).map(Some);
         }
-        What::Status { plan, log } => {
-            return match status(&log_of(&plan, log)) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(text) => fail(&text),
-            };
+        Operation::Back { plan, log } => {
+            let log = log_path(&plan, log);
+            return take_back(&plan, &log);
+        }
+        Operation::Stop { plan, log } => submit(OperatorRequest::Stop, &log_path(&plan, log))?,
+        Operation::Page { plan, log, out } => {
+            let out = out.unwrap_or_else(|| plan.with_extension("html"));
+            write_page(&plan, &log_path(&plan, log), &out)?;
         }
-    };
-    match ended {
+        Operation::Status { plan, log } => print_status(&log_path(&plan, log))?,
+    }
+    Ok(None)
+}
+
+fn main() -> ExitCode {
+    match perform(Cli::parse().operation) {
         Ok(None) => ExitCode::SUCCESS,
-        Ok(Some(how)) => {
-            println!("{}", told(&how));
-            if how == How::Through {
+        Ok(Some(outcome)) => {
+            println!("{outcome}");
+            if outcome == Outcome::Through {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::from(1)
             }
         }
-        Err(error) => fail(&error.to_string()),
+        Err(error) => {
+            eprintln!("sparrouter-rollout: {error}");
+            ExitCode::from(2)
+        }
     }
 }
-
-fn fail(text: &str) -> ExitCode {
-    eprintln!("sparrouter-rollout: {text}");
-    ExitCode::from(2)
-}
-
-fn ask(log: &Path, word: &str) -> Result<Option<How>, run::RunError> {
-    let path = run::ask_file(log);
-    let name = path.display().to_string();
-    std::fs::write(path, word).map_err(|source| run::RunError::Io { path: name, source })?;
-    println!("asked; `status` tells");
-    Ok(None)
-}
--- a/crates/sparrouter-rollout/src/page.rs
+++ b/crates/sparrouter-rollout/src/page.rs
@@ -1,295 +1,247 @@
-//! The page of a change: what was seen, span by span, and the reason for each decision. Its lines are kept beside the log;
-//! they are worth no waiting and no stop, as nothing is decided by them.
-use crate::conduct::{How, Seen};
+//! The HTML page of a rollout: what was observed, interval by interval, and the reason for each decision.
+mod plot;
+
+use crate::controller::{Observation, PhaseName};
+use crate::history::{self, HistoryLine};
 use crate::plan::Plan;
-use crate::record::Entry;
-use plotters::prelude::*;
-use serde::{Deserialize, Serialize};
-use std::fmt::Write as _;
-use std::fs::{File, OpenOptions};
-use std::io::Write as _;
-use std::path::{Path, PathBuf};
+use crate::record::{Entry, Outcome};
+use plot::{BLUE, Curve, GREY, Level, Marker, Plot, Point, RED};
+use std::path::Path;
 
-/// One line of the history; times are seconds since 1970.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Line {
-    Said { at: f64, text: String },
-    Seen { at: f64, seen: Seen },
-    Ended { at: f64, how: How },
-}
+const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:1140px;color:#222}\
+h2{margin:1.4em 0 .2em;font-size:17px}svg{max-width:100%;height:auto}td,th{padding:.15em .8em;text-align:left;\
+border-bottom:1px solid #e4e4e0}.through{color:#1a7f37}.back,.left{color:#b00020;font-weight:bold}";
 
-impl Line {
-    fn at(&self) -> f64 {
-        match self {
-            Line::Said { at, .. } | Line::Seen { at, .. } | Line::Ended { at, .. } => *at,
-        }
-    }
+fn escape(text: &str) -> String {
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
-pub fn unix() -> f64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.unwrap_or_default().as_secs_f64()
+/// The page as text. `entries` are those of the log; the history is read from beside it.
+pub fn page(plan: &Plan, log: &Path, entries: &[Entry]) -> String {
+    let page = Page::new(plan, history::read(log), entries);
+    [
+        page.head(),
+        page.losses(),
+        page.evidence(),
+        page.nodes(),
+        page.decisions(),
+    ]
+    .concat()
 }
 
-fn beside(log: &Path, what: &str) -> PathBuf {
-    let mut name = log.as_os_str().to_owned();
-    name.push(what);
-    PathBuf::from(name)
+/// What the page is made of.
+struct Page<'a> {
+    plan: &'a Plan,
+    entries: &'a [Entry],
+    lines: Vec<HistoryLine>,
+    /// Time of the first line, from which the page counts.
+    start: f64,
+    /// Where stages began and the change was stopped.
+    markers: Vec<Marker>,
 }
 
-pub struct History(Option<File>);
+/// The interval that came nearest to a stop since the last printed line.
+struct NearestToStop<'a> {
+    seconds: f64,
+    observation: &'a Observation,
+}
 
-impl History {
-    pub fn open(log: &Path) -> History {
-        History(
-            OpenOptions::new()
-                .create(true)
-                .append(true)
-                .open(beside(log, ".history"))
-                .ok(),
-        )
-    }
-    pub fn add(&mut self, line: &Line) {
-        if let (Some(file), Ok(mut text)) = (&mut self.0, serde_json::to_vec(line)) {
-            text.push(b'\n');
-            // Full or gone: the page will miss it.
-            let _ = file.write_all(&text);
+fn markers(lines: &[HistoryLine], start: f64) -> Vec<Marker> {
+    let marker = |line: &HistoryLine| match line {
+        HistoryLine::Printed { time, text }
+            if text.starts_with("stage ") || text.starts_with("stopped") =>
+        {
+            let label = text.split([':', ';']).next().unwrap_or_default();
+            Some(Marker {
+                seconds: time - start,
+                label: label.to_string(),
+            })
         }
-    }
+        _ => None,
+    };
+    lines.iter().filter_map(marker).collect()
 }
 
-/// What can be read of it: a torn line is passed over.
-fn history(log: &Path) -> Vec<Line> {
-    let text = std::fs::read(beside(log, ".history")).unwrap_or_default();
-    text.split(|b| *b == b'\n')
-        .filter_map(|l| serde_json::from_slice(l).ok())
-        .collect()
+fn table_row(seconds: f64, text: &str) -> String {
+    let text = escape(text);
+    format!("<tr><td>{seconds:.1} s</td><td>{text}</td></tr>")
 }
 
-const INK: [RGBColor; 3] = [
-    RGBColor(127, 127, 127),
-    RGBColor(31, 119, 180),
-    RGBColor(214, 39, 40),
-];
-type Drawn = Result<(), Box<dyn std::error::Error>>;
-type Curve<'a> = (&'a str, Vec<(f64, f64)>, RGBColor);
+impl<'a> Page<'a> {
+    fn new(plan: &'a Plan, lines: Vec<HistoryLine>, entries: &'a [Entry]) -> Page<'a> {
+        let start = lines.first().map_or(0.0, HistoryLine::time);
+        Page {
+            plan,
+            entries,
+            markers: markers(&lines, start),
+            start,
+            lines,
+        }
+    }
 
-/// Curves over seconds; a drawing error leaves an empty picture.
-fn plot(
-    title: &str,
-    curves: &[Curve],
-    level: Option<(f64, &str)>,
-    marks: &[(f64, String)],
-) -> String {
-    let mut text = String::new();
-    let all = || curves.iter().flat_map(|c| &c.1);
-    let end = all().map(|p| p.0).fold(1.0, f64::max);
-    let top = all()
-        .map(|p| p.1)
-        .chain(level.map(|l| l.0))
-        .fold(0.01, f64::max)
-        * 1.1;
-    {
-        let area = SVGBackend::with_string(&mut text, (1100, 260)).into_drawing_area();
-        let draw = || -> Drawn {
-            area.fill(&WHITE)?;
-            let mut chart = ChartBuilder::on(&area)
-                .margin(8)
-                .x_label_area_size(34)
-                .y_label_area_size(62)
-                .build_cartesian_2d(0.0..end, 0.0..top)?;
-            let mut mesh = chart.configure_mesh();
-            mesh.light_line_style(TRANSPARENT)
-                .x_desc("seconds from the start")
-                .y_desc(title)
-                .draw()?;
-            for (at, word) in marks {
-                chart.draw_series([PathElement::new([(*at, 0.0), (*at, top)], BLACK.mix(0.35))])?;
-                chart.draw_series([Text::new(word.clone(), (*at, top), ("sans-serif", 13))])?;
-            }
-            if let Some((at, word)) = level {
-                chart.draw_series([PathElement::new([(0.0, at), (end, at)], BLACK.mix(0.6))])?;
-                chart.draw_series([Text::new(word.to_string(), (0.0, at), ("sans-serif", 13))])?;
-            }
-            for (name, points, ink) in curves {
-                let ink = *ink;
-                chart
-                    .draw_series(LineSeries::new(points.iter().copied(), ink.stroke_width(2)))?
-                    .label(*name)
-                    .legend(move |(x, y)| {
-                        PathElement::new([(x, y), (x + 18, y)], ink.stroke_width(2))
-                    });
-            }
-            if curves.len() > 1 {
-                chart
-                    .configure_series_labels()
-                    .position(SeriesLabelPosition::UpperLeft)
-                    .background_style(WHITE.mix(0.8))
-                    .draw()?;
-            }
-            Ok(())
-        };
-        let drawn = draw();
-        if drawn.is_err() {
-            let _ = area.fill(&WHITE);
+    /// The class and the text of how the rollout ended.
+    fn outcome(&self) -> (&'static str, String) {
+        match self.entries.last() {
+            Some(Entry::Finished { outcome }) => match outcome {
+                Outcome::Through => ("through", "Every node is changed.".to_string()),
+                Outcome::Back(reason) => ("back", format!("Taken back: {reason}")),
+                Outcome::Left(reason) => ("left", format!("Left for a person: {reason}")),
+            },
+            _ => ("", "Not ended.".to_string()),
         }
-        let _ = area.present();
     }
-    text
-}
 
-fn escape(text: &str) -> String {
-    text.replace('&', "&amp;")
-        .replace('<', "&lt;")
-        .replace('>', "&gt;")
-}
+    fn head(&self) -> String {
+        let name = escape(&self.plan.name);
+        let (class, outcome) = self.outcome();
+        format!(
+            "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\">\
+            <title>{name}</title><style>{STYLE}</style><h1>{name}</h1>\
+            <p>{} nodes, {} → {}.</p><p class=\"{class}\">{}</p>",
+            self.plan.nodes.len(),
+            escape(&self.plan.old_generation),
+            escape(&self.plan.new_generation),
+            escape(&outcome)
+        )
+    }
 
-const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:1140px;color:#222}\
-h2{margin:1.4em 0 .2em;font-size:17px}svg{max-width:100%;height:auto}td,th{padding:.15em .8em;text-align:left;\
-border-bottom:1px solid #e4e4e0}.through{color:#1a7f37}.back,.left{color:#b00020;font-weight:bold}";
+    /// A value of all observations that have it, over time.
+    fn points(&self, value: impl Fn(&Observation) -> Option<f64>) -> Vec<Point> {
+        let point = |line: &HistoryLine| match line {
+            HistoryLine::Observed { time, observation } => {
+                value(observation).map(|value| (time - self.start, value))
+            }
+            _ => None,
+        };
+        self.lines.iter().filter_map(point).collect()
+    }
 
-/// The whole page as text.
-pub fn page(plan: &Plan, log: &Path, entries: &[Entry]) -> String {
-    let lines = history(log);
-    let start = lines.first().map_or(0.0, Line::at);
-    let seen: Vec<(f64, &Seen)> = lines
-        .iter()
-        .filter_map(|l| match l {
-            Line::Seen { at, seen } => Some((at - start, seen)),
+    fn section(
+        &self,
+        title: &str,
+        axis: &'static str,
+        curves: &[Curve],
+        level: Option<Level>,
+    ) -> String {
+        let plot = Plot {
+            title: axis,
+            curves,
+            level,
+            markers: &self.markers,
+        };
+        format!("<h2>{title}</h2>{}", plot.to_svg())
+    }
+
+    fn losses(&self) -> String {
+        let baseline_loss = self.entries.iter().find_map(|entry| match entry {
+            Entry::Baseline { baseline } => Some(baseline.lost),
             _ => None,
-        })
-        .collect();
-    let curve = |f: &dyn Fn(&Seen) -> Option<f64>| -> Vec<(f64, f64)> {
-        seen.iter()
-            .filter_map(|(at, s)| f(s).map(|y| (*at, y)))
-            .collect()
-    };
-    let mut marks = Vec::new();
-    for l in &lines {
-        if let Line::Said { at, text } = l
-            && (text.starts_with("stage ") || text.starts_with("stopped"))
-        {
-            marks.push((
-                at - start,
-                text.split([':', ';'])
-                    .next()
-                    .unwrap_or_default()
-                    .to_string(),
-            ));
-        }
+        });
+        let bound = baseline_loss.map(|loss| Level {
+            value: 100.0 * (loss + self.plan.max_fleet_loss),
+            label: "bound of the whole fleet",
+        });
+        let percent = |fraction: Option<f64>| fraction.map(|x| 100.0 * x);
+        let curves = [
+            Curve {
+                name: "all",
+                points: self.points(|o| percent(o.fleet_loss)),
+                color: GREY,
+            },
+            Curve {
+                name: "unchanged",
+                points: self.points(|o| percent(o.unchanged_loss)),
+                color: BLUE,
+            },
+            Curve {
+                name: "changed",
+                points: self.points(|o| percent(o.changed_loss)),
+                color: RED,
+            },
+        ];
+        self.section("Billed value lost, %", "%", &curves, bound)
     }
-    let mut out = String::from("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\">");
-    let name = escape(&plan.name);
-    let _ = write!(
-        out,
-        "<title>{name}</title><style>{STYLE}</style><h1>{name}</h1>"
-    );
-    let _ = write!(
-        out,
-        "<p>{} nodes, {} → {}.</p>",
-        plan.nodes.len(),
-        escape(&plan.from),
-        escape(&plan.generation)
-    );
-    let (class, how) = match entries.last() {
-        Some(Entry::Done { how: How::Through }) => {
-            ("through", "Every node is changed.".to_string())
-        }
-        Some(Entry::Done {
-            how: How::Back(why),
-        }) => ("back", format!("Taken back: {why}")),
-        Some(Entry::Done {
-            how: How::Left(why),
-        }) => ("left", format!("Left for a person: {why}")),
-        _ => ("", "Not ended.".to_string()),
-    };
-    let _ = write!(out, "<p class=\"{class}\">{}</p>", escape(&how));
-    let past = entries.iter().find_map(|e| match e {
-        Entry::Past { past } => Some(past.lost),
-        _ => None,
-    });
-    let bound = past.map(|p| (100.0 * (p + plan.fleet), "bound of the whole fleet"));
-    let percent = |x: Option<f64>| x.map(|x| 100.0 * x);
-    let losses = [
-        ("all", curve(&|s| percent(s.all)), INK[0]),
-        ("unchanged", curve(&|s| percent(s.unchanged)), INK[1]),
-        ("changed", curve(&|s| percent(s.changed)), INK[2]),
-    ];
-    let _ = write!(
-        out,
-        "<h2>Billed value lost, %</h2>{}",
-        plot("%", &losses, bound, &marks)
-    );
-    let worth = [(
-        "worst measure",
-        curve(&|s| (s.phase == "watching").then_some(s.reached)),
-        INK[2],
-    )];
-    let title = "Evidence of harm: 1 stops the change";
-    let _ = write!(
-        out,
-        "<h2>{title}</h2>{}",
-        plot("part of the bound", &worth, Some((1.0, "stop")), &marks)
-    );
-    let nodes = [
-        ("changed", curve(&|s| Some(s.new as f64)), INK[2]),
-        ("down or silent", curve(&|s| Some(s.down as f64)), INK[0]),
-    ];
-    let _ = write!(
-        out,
-        "<h2>Nodes</h2>{}",
-        plot(
-            "nodes",
-            &nodes,
-            Some((plan.down_at_once as f64, "down at once")),
-            &marks
-        )
-    );
-    out.push_str("<h2>What was done, and why</h2><table>");
-    let mut worst: Option<(f64, &Seen)> = None;
-    for l in &lines {
-        match l {
-            Line::Seen { at, seen }
-                if seen.phase == "watching"
-                    && worst.is_none_or(|(_, w)| w.reached < seen.reached) =>
-            {
-                worst = Some((at - start, seen));
-            }
-            Line::Said { at, text } => {
-                if let Some((at, w)) = worst.take().filter(|(_, w)| !w.measure.is_empty()) {
-                    let row = format!(
-                        "nearest to a stop: {} at {:.2} of the bound",
-                        w.measure, w.reached
-                    );
-                    let _ = write!(out, "<tr><td>{at:.1} s</td><td>{}</td></tr>", escape(&row));
+
+    fn evidence(&self) -> String {
+        let watched = |o: &Observation| (o.phase == PhaseName::Baking).then_some(o.evidence);
+        let curves = [Curve {
+            name: "worst measure",
+            points: self.points(watched),
+            color: RED,
+        }];
+        let level = Level {
+            value: 1.0,
+            label: "stop",
+        };
+        let title = "Evidence of harm: 1 stops the change";
+        self.section(title, "part of the bound", &curves, Some(level))
+    }
+
+    fn nodes(&self) -> String {
+        let curves = [
+            Curve {
+                name: "changed",
+                points: self.points(|o| Some(o.changed_nodes as f64)),
+                color: RED,
+            },
+            Curve {
+                name: "down or silent",
+                points: self.points(|o| Some(o.unavailable_nodes as f64)),
+                color: GREY,
+            },
+        ];
+        let level = Level {
+            value: self.plan.max_unavailable as f64,
+            label: "down at once",
+        };
+        self.section("Nodes", "nodes", &curves, Some(level))
+    }
+
+    /// The table of printed lines, with what came nearest to a stop before each.
+    fn decisions(&self) -> String {
+        let mut rows = String::from("<h2>What was done, and why</h2><table>");
+        let mut nearest: Option<NearestToStop> = None;
+        for line in &self.lines {
+            match line {
+                HistoryLine::Observed { time, observation } => {
+                    let evidence = nearest.as_ref().map(|n| n.observation.evidence);
+                    let is_nearer = evidence.is_none_or(|evidence| evidence < observation.evidence);
+                    if observation.phase == PhaseName::Baking && is_nearer {
+                        nearest = Some(NearestToStop {
+                            seconds: time - self.start,
+                            observation,
+                        });
+                    }
                 }
-                let _ = write!(
-                    out,
-                    "<tr><td>{:.1} s</td><td>{}</td></tr>",
-                    at - start,
-                    escape(text)
-                );
+                HistoryLine::Printed { time, text } => {
+                    rows.extend(nearest.take().and_then(|nearest| nearest.row()));
+                    rows.push_str(&table_row(time - self.start, text));
+                }
+                HistoryLine::Finished { .. } => {}
             }
-            _ => {}
         }
+        rows.extend(nearest.and_then(|nearest| nearest.row()));
+        rows.extend(self.last_row());
+        rows.push_str("</table></html>");
+        rows
     }
-    if let Some((at, w)) = worst.filter(|(_, w)| !w.measure.is_empty()) {
-        let row = format!(
-            "nearest to a stop: {} at {:.2} of the bound",
-            w.measure, w.reached
-        );
-        let _ = write!(out, "<tr><td>{at:.1} s</td><td>{}</td></tr>", escape(&row));
+
+    fn last_row(&self) -> Option<String> {
+        let is_end = |line: &&HistoryLine| matches!(line, HistoryLine::Finished { .. });
+        let end = self.lines.iter().rev().find(is_end)?;
+        let (_, outcome) = self.outcome();
+        Some(table_row(end.time() - self.start, &outcome))
     }
-    if let Some(Line::Ended { at, .. }) =
-        lines.iter().rev().find(|l| matches!(l, Line::Ended { .. }))
-    {
-        let _ = write!(
-            out,
-            "<tr><td>{:.1} s</td><td>{}</td></tr>",
-            at - start,
-            escape(&how)
-        );
+}
+
+impl NearestToStop<'_> {
+    fn row(&self) -> Option<String> {
+        let Observation {
+            measure, evidence, ..
+        } = self.observation;
+        let text = format!("nearest to a stop: {measure} at {evidence:.2} of the bound");
+        (!measure.is_empty()).then(|| table_row(self.seconds, &text))
     }
-    out.push_str("</table></html>");
-    out
 }
--- a/crates/sparrouter-rollout/src/record.rs
+++ b/crates/sparrouter-rollout/src/record.rs
@@ -1,135 +1,264 @@
-//! The conductor's memory: a log on disk that is written before anything is done. A record is the length of its
-//! text, the checksum (CRC-32, IEEE) of those four bytes, the checksum of the text, each as four bytes little
-//! endian, and the text, one JSON value. A torn end is cut off: what was not safe on disk was not acted upon.
-//! Anything else that does not fit is refused. The file is locked while it is open.
-use crate::judge::Past;
+//! The controller's log on disk: each entry is safe there before the controller acts on it.
+//!
+//! A record is the length of its text, the CRC-32 (IEEE) of these four bytes, the CRC-32 of the text, each as four
+//! bytes little-endian, and the text: an [`Entry`] as JSON. An incomplete record at the end is cut off, as nothing was
+//! done by it; anything else that does not fit is refused. The file is locked while it is open. Logs of earlier
+//! versions must stay readable, so the JSON keeps their names where the Rust names differ.
+use crate::baseline::Baseline;
 use serde::{Deserialize, Serialize};
+use std::fmt;
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::Path;
 use thiserror::Error;
 
+/// Which of a node's commands is run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Doing {
+pub enum CommandKind {
+    /// Puts the change in force.
     Change,
+    /// Restarts an unchanged node as it is.
     Restart,
-    Back,
+    /// Takes the change back.
+    #[serde(rename = "back")]
+    RollBack,
 }
 
+/// The names that operators read in the printed lines.
+impl fmt::Display for CommandKind {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            CommandKind::Change => "Change",
+            CommandKind::Restart => "Restart",
+            CommandKind::RollBack => "Back",
+        })
+    }
+}
+
+/// How a rollout ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum Outcome {
     /// Every node is changed.
     Through,
-    /// Taken back, and why.
+    /// Every node is rolled back, for this reason.
     Back(String),
-    /// Left as it is for a person to look at, and why.
+    /// The nodes are left as they are for an operator, for this reason.
     Left(String),
 }
 
+/// The line that operators read at the end.
+impl fmt::Display for Outcome {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Outcome::Through => f.write_str("every node is changed"),
+            Outcome::Back(reason) => write!(f, "taken back: {reason}"),
+            Outcome::Left(reason) => write!(f, "left for a person: {reason}"),
+        }
+    }
+}
+
+// The earlier name of the type, which other packages still use.
+#[doc(hidden)]
+pub use Outcome as How;
+
+/// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "is", rename_all = "snake_case")]
 pub enum Entry {
-    /// The checksum of the plan's text: another plan may not go on with this log.
+    /// The rollout begins.
     Plan {
+        /// Name of the plan.
         name: String,
+        /// CRC-32 of the plan file's text: another plan may not continue with this log.
         digest: u32,
     },
-    Past {
-        past: Past,
+    /// The baseline has been learnt.
+    #[serde(rename = "past")]
+    Baseline {
+        /// What the fleet was like before the change.
+        #[serde(rename = "past")]
+        baseline: Baseline,
     },
+    /// A stage begins.
     Stage {
+        /// Index of the stage, from 0.
         stage: usize,
     },
-    Begin {
+    /// A command is about to be started.
+    #[serde(rename = "begin")]
+    CommandStarted {
+        /// Name of the node.
         node: String,
-        doing: Doing,
+        /// The command.
+        #[serde(rename = "doing")]
+        command: CommandKind,
     },
-    End {
+    /// A command has ended.
+    #[serde(rename = "end")]
+    CommandEnded {
+        /// Name of the node.
         node: String,
-        doing: Doing,
-        ok: bool,
+        /// The command.
+        #[serde(rename = "doing")]
+        command: CommandKind,
+        /// Whether it ended with success and in time.
+        #[serde(rename = "ok")]
+        succeeded: bool,
     },
-    Passed {
+    /// A stage has passed.
+    #[serde(rename = "passed")]
+    StagePassed {
+        /// Index of the stage, from 0.
         stage: usize,
     },
-    Back {
-        why: String,
+    /// The rollback begins.
+    #[serde(rename = "back")]
+    RollbackStarted {
+        /// Why the change is taken back.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    Done {
-        how: How,
+    /// The rollout has ended.
+    #[serde(rename = "done")]
+    Finished {
+        /// How it ended.
+        #[serde(rename = "how")]
+        outcome: Outcome,
     },
 }
 
+/// Why the log cannot be used.
 #[derive(Debug, Error)]
 pub enum RecordError {
+    /// The file cannot be opened, read or written.
     #[error("{path}: {source}")]
     Io {
+        /// The log.
         path: String,
+        /// The system's error.
         source: std::io::Error,
     },
+    /// Another process has locked the log.
     #[error("{path}: another conductor has it open; only one may act")]
-    Busy { path: String },
+    Busy {
+        /// The log.
+        path: String,
+    },
+    /// The bytes are not what was written.
     #[error(
-        "{path}: byte {at} is not what was written ({what}); nothing is done, look at the nodes by hand"
+        "{path}: byte {offset} is not what was written ({problem}); nothing is done, look at the nodes by hand"
     )]
-    Spoilt {
+    Corrupt {
+        /// The log.
         path: String,
-        at: usize,
-        what: &'static str,
+        /// Offset of the record that does not fit.
+        offset: usize,
+        /// What of it does not fit.
+        problem: &'static str,
     },
 }
 
+/// What a log's bytes hold.
+pub struct DecodedLog {
+    /// The complete entries in order.
+    pub entries: Vec<Entry>,
+    /// Number of bytes that these entries take; what follows is an incomplete record.
+    pub complete_bytes: usize,
+}
+
+/// A log that is open and locked.
+pub struct OpenedLog {
+    /// The log, to append to.
+    pub log: Log,
+    /// What it holds.
+    pub entries: Vec<Entry>,
+}
+
+/// The open log. Its lock ends when it is dropped.
 pub struct Log {
     file: File,
     path: String,
+    /// Bytes of complete records; the next one is written here.
     length: u64,
-    /// A write came to nothing: what is on disk is not known any more.
-    broken: bool,
+    /// A write failed: what is on disk is not known any more, and nothing is appended.
+    failed: bool,
 }
 
-const HEAD: usize = 12;
+const HEADER_LENGTH: usize = 12;
 
-fn word(bytes: &[u8], at: usize) -> u32 {
-    u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]])
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    let bytes = &bytes[offset..offset + 4];
+    u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
 
-/// The entries of a log's bytes, and how many of these are whole.
-pub fn read(bytes: &[u8], path: &str) -> Result<(Vec<Entry>, usize), RecordError> {
-    let spoilt = |at, what| RecordError::Spoilt {
-        path: path.to_string(),
-        at,
-        what,
-    };
-    let (mut entries, mut at) = (Vec::new(), 0);
-    while at < bytes.len() {
-        let rest = &bytes[at..];
-        // A machine that lost power may leave a longer file of zeros.
-        if rest.len() < HEAD || rest.iter().all(|b| *b == 0) {
-            return Ok((entries, at));
-        }
-        if word(rest, 4) != crc32fast::hash(&rest[..4]) {
-            return Err(spoilt(at, "length"));
-        }
-        let end = HEAD + word(rest, 0) as usize;
-        if rest.len() < end {
-            return Ok((entries, at));
-        }
-        if word(rest, 8) != crc32fast::hash(&rest[HEAD..end]) {
-            if rest.len() == end {
-                return Ok((entries, at));
-            }
-            return Err(spoilt(at, "text"));
-        }
-        let entry = serde_json::from_slice(&rest[HEAD..end]);
-        entries.push(entry.map_err(|_| spoilt(at, "an entry that this version does not know"))?);
-        at += end;
+/// The text of the record at the start of `bytes`; `None` for an incomplete one.
+fn decode_text(bytes: &[u8]) -> Result<Option<&[u8]>, &'static str> {
+    // A machine that lost power may leave a file that is longer by zeros.
+    if bytes.len() < HEADER_LENGTH || bytes.iter().all(|b| *b == 0) {
+        return Ok(None);
+    }
+    if u32_at(bytes, 4) != crc32fast::hash(&bytes[..4]) {
+        return Err("length");
+    }
+    let end = HEADER_LENGTH + u32_at(bytes, 0) as usize;
+    if bytes.len() < end {
+        return Ok(None);
     }
-    Ok((entries, at))
+    let text = &bytes[HEADER_LENGTH..end];
+    let is_last = bytes.len() == end;
+    match (u32_at(bytes, 8) == crc32fast::hash(text), is_last) {
+        (true, _) => Ok(Some(text)),
+        (false, true) => Ok(None),
+        (false, false) => Err("text"),
+    }
+}
+
+/// Decodes the bytes of a log; `path` names it in errors.
+///
+/// # Errors
+///
+/// [`RecordError::Corrupt`] where a record but the last does not fit its checksums, or its entry is not known.
+pub fn decode(bytes: &[u8], path: &str) -> Result<DecodedLog, RecordError> {
+    let mut entries = Vec::new();
+    let mut offset = 0;
+    while offset < bytes.len() {
+        let corrupt = |problem| RecordError::Corrupt {
+            path: path.to_string(),
+            offset,
+            problem,
+        };
+        let Some(text) = decode_text(&bytes[offset..]).map_err(corrupt)? else {
+            break;
+        };
+        let entry = serde_json::from_slice(text)
+            .map_err(|_| corrupt("an entry that this version does not know"))?;
+        entries.push(entry);
+        offset += HEADER_LENGTH + text.len();
+    }
+    Ok(DecodedLog {
+        entries,
+        complete_bytes: offset,
+    })
 }
 
-pub fn written(entry: &Entry) -> Vec<u8> {
+/// [`decode`] under the name and form that other packages still use.
+///
+/// # Errors
+///
+/// As [`decode`].
+#[doc(hidden)]
+pub fn read(bytes: &[u8], path: &str) -> Result<(Vec<Entry>, usize), RecordError> {
+    decode(bytes, path).map(|log| (log.entries, log.complete_bytes))
+}
+
+/// The bytes of an entry's record.
+///
+/// # Panics
+///
+/// Never: an entry is plain values, which can always be written as JSON.
+pub fn encode(entry: &Entry) -> Vec<u8> {
     let text = serde_json::to_vec(entry).expect("an entry is plain values");
     let length = (text.len() as u32).to_le_bytes();
     let mut bytes = length.to_vec();
@@ -139,61 +268,72 @@
     bytes
 }
 
+/// Opens a file without truncating it, creates it if need be, and reads it while holding its lock.
+fn open_locked(path: &Path) -> std::io::Result<Option<(File, Vec<u8>)>> {
+    let mut file = OpenOptions::new()
+        .read(true)
+        .write(true)
+        .create(true)
+        .truncate(false)
+        .open(path)?;
+    if file.try_lock().is_err() {
+        return Ok(None);
+    }
+    let mut bytes = Vec::new();
+    file.read_to_end(&mut bytes)?;
+    Ok(Some((file, bytes)))
+}
+
+/// Makes the file's name in its folder safe on disk.
+fn sync_folder(path: &Path) -> std::io::Result<()> {
+    let folder = path.parent().filter(|p| !p.as_os_str().is_empty());
+    File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
+}
+
 impl Log {
-    pub fn open(path: &Path) -> Result<(Log, Vec<Entry>), RecordError> {
+    /// Opens and locks the log, creates it if there is none, and cuts off an incomplete record at its end.
+    ///
+    /// # Errors
+    ///
+    /// [`RecordError::Busy`] where another process has it open, [`RecordError::Corrupt`] where it cannot be decoded,
+    /// [`RecordError::Io`] for errors of the system.
+    pub fn open(path: &Path) -> Result<OpenedLog, RecordError> {
         let name = path.display().to_string();
         let io = |source| RecordError::Io {
             path: name.clone(),
             source,
         };
-        let mut file = OpenOptions::new()
-            .read(true)
-            .write(true)
-            .create(true)
-            .truncate(false)
-            .open(path)
-            .map_err(io)?;
-        if file.try_lock().is_err() {
-            return Err(RecordError::Busy { path: name.clone() });
-        }
-        let mut bytes = Vec::new();
-        file.read_to_end(&mut bytes).map_err(io)?;
-        let (entries, whole) = read(&bytes, &name)?;
-        if whole < bytes.len() {
-            file.set_len(whole as u64)
+        let Some((file, bytes)) = open_locked(path).map_err(io)? else {
+            return Err(RecordError::Busy { path: name });
+        };
+        let decoded = decode(&bytes, &name)?;
+        let length = decoded.complete_bytes as u64;
+        if decoded.complete_bytes < bytes.len() {
+            file.set_len(length)
                 .and_then(|()| file.sync_all())
                 .map_err(io)?;
         }
-        // The name itself has to be safe too.
-        let folder = path
-            .parent()
-            .filter(|p| !p.as_os_str().is_empty())
-            .unwrap_or(Path::new("."));
-        File::open(folder).and_then(|f| f.sync_all()).map_err(io)?;
-        Ok((
-            Log {
+        sync_folder(path).map_err(io)?;
+        Ok(OpenedLog {
+            log: Log {
                 file,
-                path: name.clone(),
-                length: whole as u64,
-                broken: false,
+                path: name,
+                length,
+                failed: false,
             },
-            entries,
-        ))
+            entries: decoded.entries,
+        })
     }
 
-    /// Returns once it is safe on disk. After an error nothing more is taken: whoever acts on the log stops.
+    /// Appends an entry, and returns once it is safe on disk.
+    ///
+    /// # Errors
+    ///
+    /// [`RecordError::Io`] where it could not be written. Then nothing more is appended, and the caller must not act.
     pub fn append(&mut self, entry: &Entry) -> Result<(), RecordError> {
-        let bytes = written(entry);
-        let wrote = if self.broken {
-            Err(std::io::Error::other("an earlier write came to nothing"))
-        } else {
-            self.file
-                .seek(SeekFrom::Start(self.length))
-                .and_then(|_| self.file.write_all(&bytes))
-                .and_then(|()| self.file.sync_data())
-        };
-        if let Err(source) = wrote {
-            self.broken = true;
+        let bytes = encode(entry);
+        if let Err(source) = self.write(&bytes) {
+            self.failed = true;
             let _ = self.file.set_len(self.length);
             return Err(RecordError::Io {
                 path: self.path.clone(),
@@ -203,4 +343,13 @@
         self.length += bytes.len() as u64;
         Ok(())
     }
+
+    fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
+        if self.failed {
+            return Err(std::io::Error::other("an earlier write came to nothing"));
+        }
+        self.file.seek(SeekFrom::Start(self.length))?;
+        self.file.write_all(bytes)?;
+        self.file.sync_data()
+    }
 }
--- a/crates/sparrouter-rollout/src/run.rs
+++ b/crates/sparrouter-rollout/src/run.rs
@@ -1,279 +1,286 @@
-//! Carries out what the conductor decides: logs, runs commands within their time, reads reports. Decides nothing.
-use crate::conduct::{Action, Conductor, Doing, Entry, How, Input};
-use crate::page::{self, History, Line};
-use crate::plan::{Command, Plan, PlanError};
-use crate::record::{Log, RecordError};
-use crate::report::Report;
-use std::collections::BTreeMap;
-use std::fs::File;
-use std::io::{Read, Seek, SeekFrom};
+//! Carries out what the controller decides: writes the log, runs commands, reads reports. It decides nothing.
+mod commands;
+mod operator_request;
+mod report_tail;
+
+use crate::controller::{Action, Event, RolloutController};
+use crate::history::{self, History, HistoryLine};
+use crate::plan::{Plan, PlanError};
+use crate::record::{self, CommandKind, Entry, Log, Outcome, RecordError};
+use commands::Commands;
+pub use operator_request::OperatorRequest;
+use report_tail::ReportTail;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Stdio};
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
+/// Why a rollout cannot be run.
 #[derive(Debug, Error)]
 pub enum RunError {
+    /// The plan file is not valid.
     #[error("{path}: {source}")]
-    Plan { path: String, source: PlanError },
+    Plan {
+        /// The plan file.
+        path: String,
+        /// What is wrong with it.
+        source: PlanError,
+    },
+    /// A file cannot be read or written.
     #[error("{path}: {source}")]
     Io {
+        /// The file.
         path: String,
+        /// The system's error.
         source: std::io::Error,
     },
+    /// The log cannot be used.
     #[error(transparent)]
     Record(#[from] RecordError),
+    /// The log, named here, belongs to another plan.
     #[error(
         "{0}: its log was begun with another plan; take that one back first, or name another log"
     )]
     OtherPlan(String),
+    /// The log, named here, holds a rollout already.
     #[error(
         "{0}: a change was begun and not ended; `resume` goes on with it, `back` takes it back"
     )]
-    Begun(String),
+    AlreadyBegun(String),
+    /// The log, named here, is empty.
     #[error("{0}: nothing was begun here; `run` begins")]
-    Nothing(String),
+    NothingBegun(String),
+}
+
+impl RunError {
+    /// An error of the system with the file that it concerns.
+    pub fn io(path: &Path, source: std::io::Error) -> RunError {
+        RunError::Io {
+            path: path.display().to_string(),
+            source,
+        }
+    }
 }
 
-/// What is wanted of the log that is there.
+/// What to do with the rollout of a log.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
+    /// Begin one; the log has to be empty.
     Run,
+    /// Continue where an earlier controller ended.
     Resume,
+    /// Take the change back, also after an end.
     Back,
 }
 
-/// Reads at the end of a node's report file; a file that was begun anew is read from its start.
-struct Tail {
-    path: PathBuf,
-    at: u64,
-    rest: Vec<u8>,
-}
-
-/// No line of a report is longer: what is, is passed over.
-const LINE: usize = 1 << 20;
-const LOOK: Duration = Duration::from_millis(20);
-
-impl Tail {
-    fn last(&mut self) -> Option<Report> {
-        let mut file = File::open(&self.path).ok()?;
-        let length = file.metadata().ok()?.len();
-        if length < self.at {
-            (self.at, self.rest) = (0, Vec::new());
-        }
-        // Only the latest counts: what grew while nobody looked is skipped.
-        if length - self.at > LINE as u64 {
-            (self.at, self.rest) = (length - LINE as u64, Vec::new());
-        }
-        file.seek(SeekFrom::Start(self.at)).ok()?;
-        let read = file.take(LINE as u64).read_to_end(&mut self.rest).ok()?;
-        self.at += read as u64;
-        let end = self.rest.iter().rposition(|b| *b == b'\n')?;
-        let whole: Vec<u8> = self.rest.drain(..=end).collect();
-        if self.rest.len() > LINE {
-            self.rest.clear();
-        }
-        let mut lines = whole.rsplit(|b| *b == b'\n').filter(|l| !l.is_empty());
-        lines.find_map(|l| serde_json::from_slice(l).ok())
-    }
-}
+/// Time between two looks at reports, commands and requests.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-struct Running {
-    child: Child,
-    doing: Doing,
-    until: Instant,
+/// A plan with what identifies it in the log.
+pub struct LoadedPlan {
+    /// The plan.
+    pub plan: Plan,
+    /// CRC-32 of the file's text.
+    pub digest: u32,
 }
 
-fn start(command: &Command) -> std::io::Result<Child> {
-    let mut c = std::process::Command::new(&command[0]);
-    c.args(&command[1..])
-        .stdin(Stdio::null())
-        .stdout(Stdio::null())
-        .stderr(Stdio::inherit());
-    c.spawn()
-}
-
-/// Where a person's word is left for a conductor at work: beside its log.
-pub fn ask_file(log: &Path) -> PathBuf {
-    let mut name = log.as_os_str().to_owned();
-    name.push(".ask");
-    PathBuf::from(name)
-}
-
-fn asked(log: &Path) -> Option<Input> {
-    let path = ask_file(log);
-    let text = std::fs::read_to_string(&path).ok()?;
-    let _ = std::fs::remove_file(&path);
-    match text.trim() {
-        "stop" => Some(Input::Stop),
-        "back" => Some(Input::Back),
-        _ => None,
-    }
-}
-
-pub fn load(path: &Path) -> Result<(Plan, u32), RunError> {
-    let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|source| RunError::Io {
-        path: name.clone(),
+/// Reads a plan file.
+///
+/// # Errors
+///
+/// [`RunError::Io`] where it cannot be read, [`RunError::Plan`] where it is not valid.
+pub fn load(path: &Path) -> Result<LoadedPlan, RunError> {
+    let text = std::fs::read_to_string(path).map_err(|source| RunError::io(path, source))?;
+    let plan = Plan::read(&text).map_err(|source| RunError::Plan {
+        path: path.display().to_string(),
         source,
     })?;
-    let plan = Plan::read(&text).map_err(|source| RunError::Plan { path: name, source })?;
-    Ok((plan, crc32fast::hash(text.as_bytes())))
+    Ok(LoadedPlan {
+        plan,
+        digest: crc32fast::hash(text.as_bytes()),
+    })
 }
 
-/// Runs to the end. `say` gets each line of progress.
-pub fn run(plan: &Path, log: &Path, mode: Mode, say: impl FnMut(&str)) -> Result<How, RunError> {
-    run_by(plan, log, mode, say, || {})
+/// Reads the entries of a log without locking it, also while a controller is at work.
+///
+/// # Errors
+///
+/// [`RunError::Io`] where it cannot be read, [`RunError::Record`] where its bytes are not what was written.
+pub fn read_log(path: &Path) -> Result<Vec<Entry>, RunError> {
+    let bytes = std::fs::read(path).map_err(|source| RunError::io(path, source))?;
+    Ok(record::decode(&bytes, &path.display().to_string())?.entries)
 }
 
-/// The same; `point` is called before and after each write of the log and each start of a command: wherever what is
-/// outside changes, and a killed conductor's successor has to find its way.
+/// Runs a rollout to its end. `print` gets each line for the operator.
+///
+/// # Errors
+///
+/// Any [`RunError`]. After an error of the log nothing more is done; `Mode::Resume` continues.
+pub fn run(
+    plan: &Path,
+    log: &Path,
+    mode: Mode,
+    print: impl FnMut(&str),
+) -> Result<Outcome, RunError> {
+    run_by(plan, log, mode, print, || {})
+}
+
+/// As [`run`]; `checkpoint` is called before and after each write of the log and each start of a command: at the points
+/// where a controller that is killed leaves different states behind.
+///
+/// # Errors
+///
+/// As [`run`].
 pub fn run_by(
     plan: &Path,
     log: &Path,
     mode: Mode,
-    mut say: impl FnMut(&str),
-    mut point: impl FnMut(),
-) -> Result<How, RunError> {
-    let (plan, digest) = load(plan)?;
+    print: impl FnMut(&str),
+    mut checkpoint: impl FnMut(),
+) -> Result<Outcome, RunError> {
+    let loaded = load(plan)?;
+    let mut opened = Log::open(log)?;
+    check_log(&loaded, &opened.entries, mode, log)?;
+    if opened.entries.is_empty() {
+        checkpoint();
+        opened.log.append(&Entry::Plan {
+            name: loaded.plan.name.clone(),
+            digest: loaded.digest,
+        })?;
+        checkpoint();
+    }
+    if let (Some(Entry::Finished { outcome }), Mode::Resume) = (opened.entries.last(), mode) {
+        return Ok(outcome.clone());
+    }
+    if mode == Mode::Back {
+        // After an end the nodes are as the log says, and the rollback continues from there.
+        let is_end = |entry: &Entry| matches!(entry, Entry::Finished { .. });
+        opened.entries.retain(|entry| !is_end(entry));
+    }
+    let nodes = loaded.plan.nodes.clone();
+    let timeout = Duration::from_nanos(loaded.plan.command_timeout);
+    let report_path = |node: &crate::plan::Node| PathBuf::from(&node.report_path);
+    let runner = Runner {
+        log_path: log,
+        log: opened.log,
+        history: History::open(log),
+        reports: nodes.iter().map(report_path).map(ReportTail::new).collect(),
+        commands: Commands::new(nodes, timeout),
+        controller: RolloutController::new(loaded.plan, &opened.entries),
+        events: match mode {
+            Mode::Back => vec![Event::RollbackRequested],
+            Mode::Run | Mode::Resume => Vec::new(),
+        },
+        print,
+        checkpoint,
+    };
+    runner.run()
+}
+
+/// Whether the log may be used in this mode: an empty one by `Run`, one of the same plan by the others.
+fn check_log(
+    loaded: &LoadedPlan,
+    entries: &[Entry],
+    mode: Mode,
+    log: &Path,
+) -> Result<(), RunError> {
     let name = log.display().to_string();
-    let (mut record, entries) = Log::open(log)?;
     match (entries.first(), mode) {
-        (None, Mode::Run) => {
-            point();
-            record.append(&Entry::Plan {
-                name: plan.name.clone(),
-                digest,
-            })?;
-            point();
+        (None, Mode::Run) => Ok(()),
+        (None, _) => Err(RunError::NothingBegun(name)),
+        (Some(Entry::Plan { digest, .. }), _) if *digest != loaded.digest => {
+            Err(RunError::OtherPlan(name))
         }
-        (None, _) => return Err(RunError::Nothing(name)),
-        (Some(Entry::Plan { digest: d, .. }), _) if *d != digest => {
-            return Err(RunError::OtherPlan(name));
+        (Some(_), Mode::Run) => Err(RunError::AlreadyBegun(name)),
+        _ => Ok(()),
+    }
+}
+
+/// A rollout at work.
+struct Runner<'a, Print, Checkpoint> {
+    log_path: &'a Path,
+    log: Log,
+    history: History,
+    /// By node.
+    reports: Vec<ReportTail>,
+    commands: Commands,
+    controller: RolloutController,
+    /// What the controller is informed of next.
+    events: Vec<Event>,
+    print: Print,
+    checkpoint: Checkpoint,
+}
+
+impl<Print: FnMut(&str), Checkpoint: FnMut()> Runner<'_, Print, Checkpoint> {
+    fn run(mut self) -> Result<Outcome, RunError> {
+        let started = Instant::now();
+        loop {
+            self.collect_events();
+            // Never 0, which stands for a moment before this controller.
+            let now = started.elapsed().as_nanos() as u64 + crate::SECOND;
+            let events = std::mem::take(&mut self.events);
+            for action in self.controller.tick(now, events) {
+                if let Some(outcome) = self.carry_out(action)? {
+                    return Ok(outcome);
+                }
+            }
+            std::thread::sleep(POLL_INTERVAL);
         }
-        (Some(_), Mode::Run) => return Err(RunError::Begun(name)),
-        _ => {}
     }
-    if let (Some(Entry::Done { how }), Mode::Resume) = (entries.last(), mode) {
-        return Ok(how.clone());
+
+    fn collect_events(&mut self) {
+        self.events.extend(operator_request::take(self.log_path));
+        for (node, tail) in self.reports.iter_mut().enumerate() {
+            if let Some(report) = tail.newest() {
+                let report = Box::new(report);
+                self.events.push(Event::Report { node, report });
+            }
+        }
+        self.events.extend(self.commands.take_ended());
     }
-    // Taken back by hand after an end: the nodes are as the log says, and the end is not the last word.
-    let entries: Vec<Entry> = match mode {
-        Mode::Back => entries
-            .into_iter()
-            .filter(|e| !matches!(e, Entry::Done { .. }))
-            .collect(),
-        _ => entries,
-    };
-    let mut tails: Vec<Tail> = plan
-        .nodes
-        .iter()
-        .map(|n| Tail {
-            path: PathBuf::from(&n.report),
-            at: 0,
-            rest: Vec::new(),
-        })
-        .collect();
-    let (commands, limit) = (plan.nodes.clone(), Duration::from_nanos(plan.command));
-    let mut pages = History::open(log);
-    let mut conductor = Conductor::new(plan, &entries);
-    let (began, mut running) = (Instant::now(), BTreeMap::<usize, Running>::new());
-    let mut inputs: Vec<Input> = if mode == Mode::Back {
-        vec![Input::Back]
-    } else {
-        Vec::new()
-    };
-    loop {
-        inputs.extend(asked(log));
-        for (node, tail) in tails.iter_mut().enumerate() {
-            if let Some(report) = tail.last() {
-                inputs.push(Input::Report {
-                    node,
-                    report: Box::new(report),
+
+    /// Carries out one action, and returns the outcome with the last. After an error of the log the following actions
+    /// are not carried out, as they were not logged.
+    fn carry_out(&mut self, action: Action) -> Result<Option<Outcome>, RunError> {
+        let time = history::unix_time();
+        match action {
+            Action::Log(entry) => {
+                (self.checkpoint)();
+                self.log.append(&entry)?;
+                (self.checkpoint)();
+            }
+            Action::Print(text) => {
+                self.history.add(&HistoryLine::Printed {
+                    time,
+                    text: text.clone(),
+                });
+                (self.print)(&text);
+            }
+            Action::Observe(observation) => {
+                self.history
+                    .add(&HistoryLine::Observed { time, observation });
+            }
+            Action::Run { node, command } => self.start_command(node, command),
+            Action::Finish(outcome) => {
+                self.history.add(&HistoryLine::Finished {
+                    time,
+                    outcome: outcome.clone(),
                 });
+                return Ok(Some(outcome));
             }
         }
-        let over: Vec<usize> = running.keys().copied().collect();
-        for node in over {
-            let Some(r) = running.get_mut(&node) else {
-                continue;
-            };
-            let ok = match r.child.try_wait() {
-                Ok(Some(status)) if status.success() => Ok(()),
-                Ok(Some(status)) => Err(status.to_string()),
-                Ok(None) if Instant::now() < r.until => continue,
-                Ok(None) => {
-                    let _ = r.child.kill();
-                    let _ = r.child.wait();
-                    Err(format!("not over after {} s", limit.as_secs_f64()))
-                }
-                Err(error) => Err(error.to_string()),
-            };
-            inputs.push(Input::Ended {
+        Ok(None)
+    }
+
+    fn start_command(&mut self, node: usize, command: CommandKind) {
+        (self.checkpoint)();
+        let started = self.commands.start(node, command);
+        (self.checkpoint)();
+        if let Err(error) = started {
+            self.events.push(Event::CommandEnded {
                 node,
-                doing: r.doing,
-                ok,
+                command,
+                result: Err(error),
             });
-            running.remove(&node);
-        }
-        // Never 0: that stands for 'long ago'.
-        let now = began.elapsed().as_nanos() as u64 + crate::SECOND;
-        for action in conductor.tick(now, std::mem::take(&mut inputs)) {
-            match action {
-                // On an error nothing is done that could not be logged.
-                Action::Log(entry) => {
-                    point();
-                    record.append(&entry)?;
-                    point();
-                }
-                Action::Say(text) => {
-                    pages.add(&Line::Said {
-                        at: page::unix(),
-                        text: text.clone(),
-                    });
-                    say(&text);
-                }
-                Action::Show(seen) => pages.add(&Line::Seen {
-                    at: page::unix(),
-                    seen,
-                }),
-                Action::Finish(how) => {
-                    pages.add(&Line::Ended {
-                        at: page::unix(),
-                        how: how.clone(),
-                    });
-                    return Ok(how);
-                }
-                Action::Run { node, doing } => {
-                    let n = &commands[node];
-                    let command = match doing {
-                        Doing::Change => &n.change,
-                        Doing::Back => &n.back,
-                        Doing::Restart => &n.restart,
-                    };
-                    point();
-                    let started = start(command);
-                    point();
-                    match started {
-                        Ok(child) => {
-                            running.insert(
-                                node,
-                                Running {
-                                    child,
-                                    doing,
-                                    until: Instant::now() + limit,
-                                },
-                            );
-                        }
-                        Err(error) => inputs.push(Input::Ended {
-                            node,
-                            doing,
-                            ok: Err(error.to_string()),
-                        }),
-                    }
-                }
-            }
         }
-        std::thread::sleep(LOOK);
     }
 }
--- /dev/null
+++ b/crates/sparrouter-rollout/src/run/report_tail.rs
@@ -0,0 +1,60 @@
+//! Reads the newest report at the end of a node's report file.
+use crate::report::Report;
+use std::fs::File;
+use std::io::{Read, Seek, SeekFrom};
+use std::path::PathBuf;
+
+/// Longest line that is read; a longer one is passed over.
+const MAX_LINE: usize = 1 << 20;
+
+/// Position in a report file that grows. A file that was begun anew is read from its start.
+pub(super) struct ReportTail {
+    path: PathBuf,
+    /// Bytes read so far.
+    offset: u64,
+    /// The incomplete line at the end.
+    incomplete: Vec<u8>,
+}
+
+impl ReportTail {
+    pub fn new(path: PathBuf) -> ReportTail {
+        ReportTail {
+            path,
+            offset: 0,
+            incomplete: Vec::new(),
+        }
+    }
+
+    /// The newest report that was added since the last call.
+    pub fn newest(&mut self) -> Option<Report> {
+        let mut file = File::open(&self.path).ok()?;
+        let length = file.metadata().ok()?.len();
+        if length < self.offset {
+            self.skip_to(0);
+        }
+        // Only the newest report counts: what was added meanwhile is skipped.
+        if length - self.offset > MAX_LINE as u64 {
+            self.skip_to(length - MAX_LINE as u64);
+        }
+        file.seek(SeekFrom::Start(self.offset)).ok()?;
+        let read = file
+            .take(MAX_LINE as u64)
+            .read_to_end(&mut self.incomplete)
+            .ok()?;
+        self.offset += read as u64;
+        let end = self.incomplete.iter().rposition(|byte| *byte == b'\n')?;
+        let complete: Vec<u8> = self.incomplete.drain(..=end).collect();
+        if self.incomplete.len() > MAX_LINE {
+            self.incomplete.clear();
+        }
+        complete
+            .rsplit(|byte| *byte == b'\n')
+            .filter(|line| !line.is_empty())
+            .find_map(|line| serde_json::from_slice(line).ok())
+    }
+
+    fn skip_to(&mut self, offset: u64) {
+        self.offset = offset;
+        self.incomplete.clear();
+    }
+}
--- a/crates/sparrouter-rollout/tests/fleet/mod.rs
+++ b/crates/sparrouter-rollout/tests/fleet/mod.rs
@@ -1,29 +1,51 @@
-//! A modelled fleet: nodes that report each second, take commands, and are good or bad by their generation.
-#![allow(dead_code)]
-use sparrouter_rollout::conduct::*;
+//! A simulated fleet: nodes that report each second, run commands, and are good or bad by their generation.
+#![allow(dead_code, reason = "the tests and the example use different parts")]
+mod traffic;
+
+use sparrouter_rollout::controller::*;
 use sparrouter_rollout::plan::Plan;
-use sparrouter_rollout::report::{BUCKETS, Operation, Report, bucket};
+use sparrouter_rollout::record::{CommandKind, Entry, Outcome};
+use sparrouter_rollout::report::Report;
 use sparrouter_rollout::{Nanos, SECOND};
 
 /// What the new version does wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Bad {
-    No,
+pub enum Defect {
+    None,
+    /// Crashes after this time, and is restarted by its supervisor.
+    CrashesAfter(Nanos),
+    /// Crashes after this time, and is not restarted.
     DiesAfter(Nanos),
-    /// And is not started again.
-    DeadAfter(Nanos),
     NeverReady,
+    /// Answers slower by this fraction.
     Slower(f64),
-    Errs(f64),
-    /// The second operation alone.
-    OneWorse(f64),
-    Leaks,
+    /// Answers this fraction of the requests with an error.
+    Errors(f64),
+    /// Loses this fraction of the second operation alone.
+    SecondOperationWorse(f64),
+    LeaksMemory,
     /// Chooses other cache servers for keys.
-    Places,
-    /// Harms all nodes alike.
-    InSum(f64),
-    /// Only when it has run for so long.
-    WhenWarm(Nanos, f64),
+    MovesKeys,
+    /// Harms all nodes alike, by this fraction once all are changed.
+    HarmsFleet(f64),
+    /// Loses this fraction once it has run for so long.
+    WorseWhenWarm(Nanos, f64),
+}
+
+/// All nodes lose this fraction more in this time, which is not the change's fault.
+#[derive(Clone, Copy)]
+pub struct FleetFault {
+    pub from: Nanos,
+    pub to: Nanos,
+    pub loss: f64,
+}
+
+/// Reports of the nodes below this index do not arrive in this time.
+#[derive(Clone, Copy)]
+pub struct Partition {
+    pub from: Nanos,
+    pub to: Nanos,
+    pub nodes: usize,
 }
 
 pub fn plan(nodes: usize, zones: usize) -> Plan {
@@ -33,316 +55,258 @@
         stages = { parts = [0.07, 0.25, 0.5, 1.0], hold_s = 40, longest_s = 120, command_s = 20, down_at_once = 2 }
     "#
     .to_string();
-    for n in 0..nodes {
+    for node in 0..nodes {
         text += &format!(
-            "[[node]]\nname = \"n{n}\"\nzone = \"z{}\"\nchange = [\"c\"]\nback = [\"b\"]\nrestart = [\"r\"]\nreport = \"x\"\n",
-            n % zones
+            "[[node]]\nname = \"n{node}\"\nzone = \"z{}\"\nchange = [\"c\"]\nback = [\"b\"]\nrestart = [\"r\"]\nreport = \"x\"\n",
+            node % zones
         );
     }
-    Plan::read(&text).expect("a sound plan")
+    Plan::read(&text).expect("a valid plan")
 }
 
-pub struct Proc {
-    pub new: bool,
-    pub started: Nanos,
+/// A command that runs at a node.
+#[derive(Clone, Copy)]
+struct RunningCommand {
+    command: CommandKind,
+    ends_at: Nanos,
+}
+
+pub struct Node {
+    pub is_changed: bool,
+    pub started_at: Nanos,
     pub report: Report,
-    /// What it loses for good, whatever its version.
-    own: f64,
-    busy: Option<(Doing, Nanos)>,
-    pub dead: bool,
-    /// Its commands come to nothing.
-    pub stubborn: bool,
-    pub restarts: usize,
+    pub is_dead: bool,
+    /// Its commands fail.
+    pub commands_fail: bool,
+    /// Fraction that it loses whatever its version.
+    own_loss: f64,
+    running: Option<RunningCommand>,
 }
 
 pub struct Fleet {
     pub plan: Plan,
-    pub procs: Vec<Proc>,
+    pub nodes: Vec<Node>,
     pub now: Nanos,
-    pub bad: Bad,
-    /// All nodes lose this part more in this time: not the change's fault.
-    pub trouble: Option<(Nanos, Nanos, f64)>,
+    pub defect: Defect,
+    pub fault: Option<FleetFault>,
+    pub partition: Option<Partition>,
+    /// Nodes whose reports never arrive.
     pub muted: Vec<usize>,
-    /// From then to then reports of the first so many nodes do not arrive.
-    pub cut: Option<(Nanos, Nanos, usize)>,
-    /// Reads and writes that a node gets in a second, on the mean.
-    pub per_s: [usize; 2],
-    rng: fastrand::Rng,
+    /// Mean requests of each of the two operations that a node gets in a second.
+    pub requests_per_s: [usize; 2],
     pub log: Vec<Entry>,
-    pub said: Vec<String>,
-    pub seen: Vec<Seen>,
-    pub asked: f64,
+    pub printed: Vec<String>,
+    pub observations: Vec<Observation>,
+    /// Billed value of all requests, and what of it was lost.
+    pub requested: f64,
     pub lost: f64,
-    pub most_down: usize,
-    /// The conductor is killed after so many actions, before they are logged or done, once.
+    /// Most nodes that were under a command at once.
+    pub max_down: usize,
+    /// The controller is killed after so many actions, before the next is logged or done, once.
     pub kill_after: Option<usize>,
-    acted: usize,
-    inputs: Vec<Input>,
+    action_count: usize,
+    rng: fastrand::Rng,
+    events: Vec<Event>,
+}
+
+fn report(name: String, generation: &str, placement: &str) -> Report {
+    Report {
+        name,
+        generation: generation.into(),
+        placement: placement.into(),
+        ..Report::default()
+    }
 }
 
 impl Fleet {
-    pub fn new(plan: Plan, bad: Bad, seed: u64) -> Fleet {
+    pub fn new(plan: Plan, defect: Defect, seed: u64) -> Fleet {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let names: Vec<String> = plan.nodes.iter().map(|n| n.name.clone()).collect();
-        let procs = names.into_iter().map(|name| Proc {
-            new: false,
-            started: 0,
-            report: Report {
-                name,
-                generation: "old".into(),
-                placement: "1".into(),
-                ..Report::default()
-            },
-            own: 0.02 * rng.f64(),
-            busy: None,
-            dead: false,
-            stubborn: false,
-            restarts: 0,
-        });
+        let mut node = |name: &String| Node {
+            is_changed: false,
+            started_at: 0,
+            report: report(name.clone(), "old", "1"),
+            own_loss: 0.02 * rng.f64(),
+            running: None,
+            is_dead: false,
+            commands_fail: false,
+        };
         Fleet {
-            procs: procs.collect(),
+            nodes: plan.nodes.iter().map(|n| node(&n.name)).collect(),
             plan,
             now: 100 * SECOND,
-            bad,
-            trouble: None,
+            defect,
+            fault: None,
             muted: vec![],
-            cut: None,
-            per_s: [60, 8],
+            partition: None,
+            requests_per_s: [60, 8],
             rng,
             log: vec![],
-            said: vec![],
-            seen: vec![],
-            asked: 0.0,
+            printed: vec![],
+            observations: vec![],
+            requested: 0.0,
             lost: 0.0,
-            most_down: 0,
+            max_down: 0,
             kill_after: None,
-            acted: 0,
-            inputs: vec![],
+            action_count: 0,
+            events: vec![],
         }
     }
 
-    fn start(&mut self, n: usize, new: bool) {
-        let p = &mut self.procs[n];
-        (p.new, p.started, p.dead, p.restarts) = (new, self.now, false, p.restarts + 1);
-        let generation = if new { "new" } else { "old" }.to_string();
-        let placement = if new && self.bad == Bad::Places {
-            "2"
-        } else {
-            "1"
-        }
-        .to_string();
-        p.report = Report {
-            name: p.report.name.clone(),
-            generation,
-            placement,
-            ..Report::default()
-        };
+    fn start(&mut self, index: usize, is_changed: bool) {
+        let node = &mut self.nodes[index];
+        node.is_changed = is_changed;
+        node.started_at = self.now;
+        node.is_dead = false;
+        let generation = if is_changed { "new" } else { "old" };
+        let moves_keys = is_changed && self.defect == Defect::MovesKeys;
+        let placement = if moves_keys { "2" } else { "1" };
+        node.report = report(node.report.name.clone(), generation, placement);
     }
 
-    /// A second of traffic at one node.
-    fn serve(&mut self, n: usize) {
-        let in_sum = match self.bad {
-            Bad::InSum(harm) => {
-                harm * self.procs.iter().filter(|p| p.new).count() as f64 / self.procs.len() as f64
+    /// Lets the nodes crash that do so by the defect.
+    fn crash(&mut self, index: usize) {
+        let node = &self.nodes[index];
+        let age = self.now.saturating_sub(node.started_at);
+        match self.defect {
+            Defect::CrashesAfter(time) if node.is_changed && !node.is_dead && age >= time => {
+                self.start(index, true);
             }
-            _ => 0.0,
-        };
-        let (per_s, bad) = (self.per_s, self.bad);
-        let trouble = self
-            .trouble
-            .filter(|t| (t.0..t.1).contains(&self.now))
-            .map_or(0.0, |t| t.2);
-        let (rng, p, now) = (&mut self.rng, &mut self.procs[n], self.now);
-        let age = now - p.started;
-        // A fresh process is slower by itself.
-        let fresh = if age < 5 * SECOND { 0.03 } else { 0.0 };
-        let (mut worse, mut errs, mut slower, mut second) = (0.0, 0.0, 1.0, 0.0);
-        if p.new {
-            match self.bad {
-                Bad::Slower(by) => slower += by,
-                Bad::Errs(part) => errs = part,
-                Bad::OneWorse(harm) => second = harm,
-                Bad::Leaks => p.report.memory_kib += 400,
-                Bad::WhenWarm(after, harm) if age > after => worse = harm,
-                _ => {}
-            }
-        }
-        // Keys that moved miss at their new place until they have been fetched.
-        let moved = if p.new && bad == Bad::Places {
-            0.8 * 0.5f64.powf(age as f64 / (20 * SECOND) as f64)
-        } else {
-            0.0
-        };
-        let fetched = 0.1 + moved;
-        p.report.uptime_ms = age / 1_000_000;
-        (p.report.memory_kib, p.report.descriptors) = (p.report.memory_kib.max(8000), 60);
-        for (o, (name, per_s)) in ["read", "write"].into_iter().zip(per_s).enumerate() {
-            let at = p
-                .report
-                .operations
-                .iter()
-                .position(|op| op.name == name)
-                .unwrap_or_else(|| {
-                    let (name, latency) = (name.to_string(), vec![0; BUCKETS]);
-                    p.report.operations.push(Operation {
-                        name,
-                        latency,
-                        ..Operation::default()
-                    });
-                    p.report.operations.len() - 1
-                });
-            let op = &mut p.report.operations[at];
-            let harm = p.own + fresh + in_sum + trouble + worse + if o == 1 { second } else { 0.0 };
-            for _ in 0..rng.usize(per_s / 2..=per_s * 3 / 2) {
-                (op.taken, op.asked) = (op.taken + 1, op.asked + 1.0);
-                p.report.forwards += 1;
-                p.report.fetches += u64::from(rng.f64() < fetched);
-                self.asked += 1.0;
-                if rng.f64() < errs {
-                    op.errored += 1;
-                    self.lost += 1.0;
-                    continue;
-                }
-                if rng.f64() < harm {
-                    op.throttled += 1;
-                    self.lost += 1.0;
-                    continue;
-                }
-                op.succeeded += 1;
-                op.in_time += 1.0;
-                let ms = slower * 40.0 * (-rng.f64().max(1e-9).ln());
-                op.latency[bucket((ms * 1000.0) as u64)] += 1;
+            Defect::DiesAfter(time) if node.is_changed && age >= time => {
+                self.nodes[index].is_dead = true;
             }
+            _ => {}
         }
     }
 
-    fn second(&mut self) {
-        for n in 0..self.procs.len() {
-            if let Bad::DiesAfter(time) = self.bad
-                && self.procs[n].new
-                && !self.procs[n].dead
-                && self.now >= self.procs[n].started + time
-            {
-                // Whoever keeps it running starts it again.
-                self.start(n, true);
-            }
-            if let Bad::DeadAfter(time) = self.bad {
-                let p = &mut self.procs[n];
-                p.dead |= p.new && self.now >= p.started + time;
+    fn is_partitioned(&self, index: usize) -> bool {
+        let is_active = |p: &Partition| (p.from..p.to).contains(&self.now) && index < p.nodes;
+        self.partition.as_ref().is_some_and(is_active)
+    }
+
+    /// One second of all nodes.
+    fn run_second(&mut self) {
+        for index in 0..self.nodes.len() {
+            self.crash(index);
+            let node = &self.nodes[index];
+            let is_ready = !(node.is_changed && self.defect == Defect::NeverReady);
+            if node.is_dead || node.running.is_some() || !is_ready {
+                continue;
             }
-            let p = &self.procs[n];
-            let serving = !p.dead && p.busy.is_none() && !(p.new && self.bad == Bad::NeverReady);
-            if serving {
-                self.serve(n);
-                let cut = self
-                    .cut
-                    .is_some_and(|(from, to, first)| (from..to).contains(&self.now) && n < first);
-                if !self.muted.contains(&n) && !cut {
-                    self.inputs.push(Input::Report {
-                        node: n,
-                        report: Box::new(self.procs[n].report.clone()),
-                    });
-                }
+            self.serve(index);
+            if !self.muted.contains(&index) && !self.is_partitioned(index) {
+                let report = Box::new(self.nodes[index].report.clone());
+                self.events.push(Event::Report {
+                    node: index,
+                    report,
+                });
             }
         }
-        let down = self.procs.iter().filter(|p| p.busy.is_some()).count();
-        self.most_down = self.most_down.max(down);
+        let is_down = |node: &&Node| node.running.is_some();
+        let down = self.nodes.iter().filter(is_down).count();
+        self.max_down = self.max_down.max(down);
     }
 
-    fn act(&mut self, action: Action) {
+    fn carry_out(&mut self, action: Action) {
         match action {
             Action::Log(entry) => self.log.push(entry),
-            Action::Say(text) => self.said.push(text),
-            Action::Run { node, doing } => {
-                // Safe to run again: one that is there already is left.
-                let there = match doing {
-                    Doing::Change => self.procs[node].new,
-                    Doing::Back => !self.procs[node].new,
-                    Doing::Restart => false,
-                };
-                let p = &mut self.procs[node];
-                p.busy = Some((
-                    doing,
-                    self.now + if there { SECOND / 2 } else { 2 * SECOND },
-                ));
-            }
-            Action::Show(_) | Action::Finish(_) => {}
+            Action::Print(text) => self.printed.push(text),
+            Action::Run { node, command } => self.start_command(node, command),
+            Action::Observe(_) | Action::Finish(_) => {}
         }
     }
 
-    fn commands(&mut self) {
-        for n in 0..self.procs.len() {
-            let Some((doing, _)) = self.procs[n].busy.filter(|b| b.1 <= self.now) else {
+    /// Commands are safe to run again: one with nothing to do takes half a second.
+    fn start_command(&mut self, index: usize, command: CommandKind) {
+        let node = &mut self.nodes[index];
+        let is_done = match command {
+            CommandKind::Change => node.is_changed,
+            CommandKind::RollBack => !node.is_changed,
+            CommandKind::Restart => false,
+        };
+        let length = if is_done { SECOND / 2 } else { 2 * SECOND };
+        node.running = Some(RunningCommand {
+            command,
+            ends_at: self.now + length,
+        });
+    }
+
+    fn end_commands(&mut self) {
+        for index in 0..self.nodes.len() {
+            let node = &mut self.nodes[index];
+            let Some(running) = node.running.filter(|r| r.ends_at <= self.now) else {
                 continue;
             };
-            self.procs[n].busy = None;
-            if self.procs[n].stubborn {
-                self.inputs.push(Input::Ended {
-                    node: n,
-                    doing,
-                    ok: Err("would not".into()),
-                });
-                continue;
-            }
-            let new = doing == Doing::Change;
-            if doing == Doing::Restart || self.procs[n].new != new {
-                self.start(n, new);
-            }
-            self.inputs.push(Input::Ended {
-                node: n,
-                doing,
-                ok: Ok(()),
+            node.running = None;
+            let command = running.command;
+            let result = if node.commands_fail {
+                Err(std::io::Error::other("would not").into())
+            } else {
+                let is_changed = command == CommandKind::Change;
+                if command == CommandKind::Restart || node.is_changed != is_changed {
+                    self.start(index, is_changed);
+                }
+                Ok(())
+            };
+            self.events.push(Event::CommandEnded {
+                node: index,
+                command,
+                result,
             });
         }
     }
 
-    /// Plays a change to its end, the conductor killed and begun anew where that is wanted.
-    pub fn play(&mut self) -> How {
-        let mut conductor = Conductor::new(self.plan.clone(), &self.log);
-        let mut began = self.now;
+    /// Plays a rollout to its end, with the controller killed and replaced where that is asked for.
+    pub fn play(&mut self) -> Outcome {
+        let mut controller = RolloutController::new(self.plan.clone(), &self.log);
+        let mut started_at = self.now;
         for step in 0..40_000u64 {
             self.now += SECOND / 10;
-            self.commands();
+            self.end_commands();
             if step % 10 == 0 {
-                self.second();
+                self.run_second();
             }
-            let inputs = std::mem::take(&mut self.inputs);
-            for action in conductor.tick(self.now - began + SECOND, inputs) {
-                if let Action::Show(seen) = action {
-                    self.seen.push(seen);
+            let events = std::mem::take(&mut self.events);
+            for action in controller.tick(self.now - started_at + SECOND, events) {
+                if let Action::Observe(observation) = action {
+                    self.observations.push(observation);
                     continue;
                 }
-                if self.kill_after.is_some_and(|k| self.acted >= k) {
-                    // Killed before this action: its commands go on, their ends are told to nobody.
+                if self
+                    .kill_after
+                    .is_some_and(|count| self.action_count >= count)
+                {
+                    // Its commands go on, and nobody is informed of their end.
                     self.kill_after = None;
-                    conductor = Conductor::new(self.plan.clone(), &self.log);
-                    (began, self.inputs) = (self.now, vec![]);
+                    controller = RolloutController::new(self.plan.clone(), &self.log);
+                    started_at = self.now;
+                    self.events.clear();
                     break;
                 }
-                self.acted += 1;
-                if let Action::Finish(how) = &action {
-                    return how.clone();
+                self.action_count += 1;
+                if let Action::Finish(outcome) = &action {
+                    return outcome.clone();
                 }
-                self.act(action);
+                self.carry_out(action);
             }
-            if let Some(Entry::Done { how }) = self.log.last() {
-                return how.clone();
+            if let Some(Entry::Finished { outcome }) = self.log.last() {
+                return outcome.clone();
             }
         }
-        panic!("no end: {:?}", self.said);
+        panic!("no end: {:?}", self.printed);
     }
 
-    pub fn changed(&self) -> usize {
-        self.procs.iter().filter(|p| p.new).count()
+    pub fn changed_nodes(&self) -> usize {
+        self.nodes.iter().filter(|node| node.is_changed).count()
     }
-    pub fn stage(&self) -> usize {
-        self.log
-            .iter()
-            .filter(|e| matches!(e, Entry::Stage { .. }))
-            .count()
+
+    /// Number of stages that began.
+    pub fn stages_begun(&self) -> usize {
+        let is_stage = |entry: &&Entry| matches!(entry, Entry::Stage { .. });
+        self.log.iter().filter(is_stage).count()
     }
-    /// All actions of one play, for the points at which it may be killed.
-    pub fn actions(&self) -> usize {
-        self.acted
+
+    /// Number of actions of a play: the points at which the controller may be killed.
+    pub fn action_count(&self) -> usize {
+        self.action_count
     }
 }
