--- a/crates/sparrouter-report/src/lib.rs
+++ b/crates/sparrouter-report/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Counters only rise while a process lives and start at 0 with each process. A lost line therefore loses no events:
 //! [`Report::since`] of any two lines of one process gives what happened between them. Field names are the JSON keys
-//! that operators read (`docs/operating/shares.md`, `docs/operating/rollout.md`); they keep the operators' words.
+//! that operators read (`docs/operating/shares.md`, `docs/operating/rollout.md`); they keep the terms of these pages.
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/sparrouter-rollout/src/controller.rs
+++ b/crates/sparrouter-rollout/src/controller.rs
@@ -163,7 +163,7 @@
         }
         if !self.is_finished() {
             self.check_timeouts(now);
-            self.observe_if_due(now);
+            self.observe_fleet(now);
             match self.phase {
                 Phase::LearningBaseline => self.learn_baseline(now),
                 Phase::ChangingNodes => self.change_nodes(now),
--- a/crates/sparrouter-rollout/src/controller/disruption.rs
+++ b/crates/sparrouter-rollout/src/controller/disruption.rs
@@ -14,6 +14,7 @@
 }
 
 impl Unavailable {
+    /// Number of nodes that are not available.
     pub fn len(&self) -> usize {
         self.under_command.len() + self.other.len()
     }
--- a/crates/sparrouter-rollout/src/controller/events.rs
+++ b/crates/sparrouter-rollout/src/controller/events.rs
@@ -148,7 +148,7 @@
         } else {
             0
         };
-        let since = state.heard_at.max(self.started_at(now)).max(changed_at);
+        let since = state.reported_at.max(self.started_at(now)).max(changed_at);
         now > since + UNRESPONSIVE_INTERVALS * self.plan.sample_interval
     }
 
--- a/crates/sparrouter-rollout/src/controller/fleet.rs
+++ b/crates/sparrouter-rollout/src/controller/fleet.rs
@@ -138,7 +138,7 @@
 impl RolloutController {
     /// Observes the whole fleet, once an interval. Guards against nodes being changed while all suffer: samples are
     /// taken only of a stage whose nodes are all changed, which takes long with many nodes.
-    pub(super) fn observe_if_due(&mut self, now: Nanos) {
+    pub(super) fn observe_fleet(&mut self, now: Nanos) {
         if now < self.health.next_observation_at {
             return;
         }
--- a/crates/sparrouter-rollout/src/controller/node.rs
+++ b/crates/sparrouter-rollout/src/controller/node.rs
@@ -43,7 +43,7 @@
     /// Its latest report.
     pub latest: Option<Report>,
     /// When the latest report came; 0 before the first.
-    pub heard_at: Nanos,
+    pub reported_at: Nanos,
     /// Its first report to this controller.
     pub first: Option<Report>,
     /// Its report at the end of the last sample of the stage.
@@ -58,7 +58,7 @@
             phase: NodePhase::Unchanged,
             phase_since: 0,
             latest: None,
-            heard_at: 0,
+            reported_at: 0,
             first: None,
             sampled: None,
             observed: None,
@@ -67,6 +67,7 @@
 }
 
 impl NodeState {
+    /// Enters a phase at a moment of this controller.
     pub fn enter(&mut self, phase: NodePhase, now: Nanos) {
         self.phase = phase;
         self.phase_since = now;
@@ -78,8 +79,9 @@
         self.sampled = self.latest.clone();
     }
 
+    /// Keeps a report as the latest one.
     pub fn record_report(&mut self, report: Report, now: Nanos) {
-        self.heard_at = now;
+        self.reported_at = now;
         self.first.get_or_insert_with(|| report.clone());
         self.latest = Some(report);
     }
--- a/crates/sparrouter-rollout/src/run/commands.rs
+++ b/crates/sparrouter-rollout/src/run/commands.rs
@@ -46,6 +46,7 @@
 }
 
 impl Commands {
+    /// No command runs. `timeout` is how long each may take.
     pub fn new(nodes: Vec<Node>, timeout: Duration) -> Commands {
         Commands {
             nodes,
--- a/crates/sparrouter-rollout/src/run/report_tail.rs
+++ b/crates/sparrouter-rollout/src/run/report_tail.rs
@@ -17,6 +17,7 @@
 }
 
 impl ReportTail {
+    /// The start of a file, which need not be there yet.
     pub fn new(path: PathBuf) -> ReportTail {
         ReportTail {
             path,
--- a/crates/sparrouter-rollout/tests/record.rs
+++ b/crates/sparrouter-rollout/tests/record.rs
@@ -66,7 +66,7 @@
             let mut torn = bytes[..length].to_vec();
             torn.resize(length + zeros, 0);
             std::fs::write(&file.path, &torn).unwrap();
-            // A length that was cut and filled with zeros cannot be told from a damaged one: it is refused.
+            // A length that was cut and filled with zeros looks like a damaged one: it is refused.
             let Ok(mut opened) = file.open() else {
                 continue;
             };
--- a/crates/sparrouter-shares/examples/fleets.rs
+++ b/crates/sparrouter-shares/examples/fleets.rs
@@ -49,7 +49,7 @@
 /// towards its fraction of the arrivals; a peer not heard of for three seconds counts as the mean.
 struct GossipNode {
     fraction: f64,
-    heard: BTreeMap<usize, (Nanos, f64)>,
+    reports: BTreeMap<usize, (Nanos, f64)>,
     arrived: f64,
     bucket: TokenBucket,
 }
@@ -66,7 +66,7 @@
         let mut rng = Rng::with_seed(seed);
         let node = |rng: &mut Rng| GossipNode {
             fraction: 1.0 / nodes as f64,
-            heard: BTreeMap::new(),
+            reports: BTreeMap::new(),
             arrived: 0.0,
             bucket: TokenBucket::new(5 * SECOND, rng.fork(), 0),
         };
@@ -141,7 +141,7 @@
                 let to = (from + self.rng.usize(1..nodes)) % nodes;
                 let same_half = (from < nodes / 2) == (to < nodes / 2);
                 if !phase.partitioned || same_half {
-                    self.nodes[to].heard.insert(from, (self.now, arrived));
+                    self.nodes[to].reports.insert(from, (self.now, arrived));
                 }
             }
         }
@@ -150,11 +150,11 @@
     fn adapt(&mut self) {
         let nodes = self.nodes.len();
         for node in &mut self.nodes {
-            node.heard
-                .retain(|_, (heard_at, _)| *heard_at + 3 * SECOND > self.now);
-            let others: f64 = node.heard.values().map(|(_, arrived)| arrived).sum();
-            let known = 1.0 + node.heard.len() as f64;
-            let missing = (nodes - 1 - node.heard.len()) as f64;
+            node.reports
+                .retain(|_, (received_at, _)| *received_at + 3 * SECOND > self.now);
+            let others: f64 = node.reports.values().map(|(_, arrived)| arrived).sum();
+            let known = 1.0 + node.reports.len() as f64;
+            let missing = (nodes - 1 - node.reports.len()) as f64;
             let total = node.arrived + others + missing * (node.arrived + others) / known;
             if total > 0.0 {
                 node.fraction += 0.3 * (node.arrived / total - node.fraction);
--- a/crates/sparrouter-shares/src/shares/borrowing.rs
+++ b/crates/sparrouter-shares/src/shares/borrowing.rs
@@ -69,8 +69,8 @@
         self.rng.shuffle(&mut peers);
         if !is_agreed {
             let lenders = peers.len();
-            let unheard = self.size.unheard_peers();
-            peers.extend(unheard.filter(|n| !self.outstanding.contains_key(n)));
+            let unknown = self.size.peers_without_view();
+            peers.extend(unknown.filter(|n| !self.outstanding.contains_key(n)));
             self.rng.shuffle(&mut peers[lenders..]);
         }
         if lacks_rate || !is_agreed {
--- a/crates/sparrouter-shares/src/size.rs
+++ b/crates/sparrouter-shares/src/size.rs
@@ -173,7 +173,7 @@
     }
 
     /// Peers whose view would help to agree.
-    pub fn unheard_peers(&self) -> impl Iterator<Item = NodeIx> {
+    pub fn peers_without_view(&self) -> impl Iterator<Item = NodeIx> {
         let earlier_nodes = self.max_earlier_nodes();
         let relevant = if self.agreed || earlier_nodes > MAX_VIEWS {
             0
@@ -214,10 +214,10 @@
             .filter(|view| view.unchanged_for >= self.convergence_time)
             .count();
         let required = REQUIRED_VOUCHERS.min(self.nodes - 1);
-        let heard_all = self.views.len() >= required
+        let knows_all_views = self.views.len() >= required
             && self.max_earlier_nodes() <= MAX_VIEWS
-            && self.unheard_peers().next().is_none();
-        self.agreed = has_waited || vouchers >= required || heard_all;
+            && self.peers_without_view().next().is_none();
+        self.agreed = has_waited || vouchers >= required || knows_all_views;
         self.agreed
     }
 }
--- a/crates/sparrouter-shares/tests/fleets.rs
+++ b/crates/sparrouter-shares/tests/fleets.rs
@@ -22,7 +22,13 @@
 
 /// Asserts that the limit held throughout, and that more than these fractions of use and fairness were measured.
 #[track_caller]
-fn assert_kept(cluster: &Cluster, measured: Measurement, used: f64, fairness: f64, context: &str) {
+fn assert_limit_use_and_fairness(
+    cluster: &Cluster,
+    measured: Measurement,
+    used: f64,
+    fairness: f64,
+    context: &str,
+) {
     assert!(
         cluster.max_rate_sum <= LIMIT && measured.used > used && measured.fairness > fairness,
         "{context}: {} {measured:?}",
@@ -30,10 +36,10 @@
     );
 }
 
-/// As [`assert_kept`], without a bound for fairness.
+/// As [`assert_limit_use_and_fairness`], without a bound for fairness.
 #[track_caller]
-fn assert_used(cluster: &Cluster, measured: Measurement, used: f64, context: &str) {
-    assert_kept(cluster, measured, used, f64::NEG_INFINITY, context);
+fn assert_limit_and_use(cluster: &Cluster, measured: Measurement, used: f64, context: &str) {
+    assert_limit_use_and_fairness(cluster, measured, used, f64::NEG_INFINITY, context);
 }
 
 #[test]
@@ -42,7 +48,7 @@
     cluster.set_demand(|_| 20.0);
     cluster.run(2500 * MS);
     let measured = cluster.measure(4 * SECOND);
-    assert_kept(&cluster, measured, 0.9, 0.95, "after the start");
+    assert_limit_use_and_fairness(&cluster, measured, 0.9, 0.95, "after the start");
 }
 
 #[test]
@@ -51,7 +57,7 @@
     cluster.set_demand(|node| if node == 3 { 65.0 } else { 5.0 });
     cluster.run(6 * SECOND);
     let measured = cluster.measure(5 * SECOND);
-    assert_used(&cluster, measured, 0.87, "one busy node");
+    assert_limit_and_use(&cluster, measured, 0.87, "one busy node");
 }
 
 #[test]
@@ -61,7 +67,7 @@
         cluster.set_demand(|node| if node % 4 == busy { 32.0 } else { 2.0 });
         cluster.run(5 * SECOND);
         let measured = cluster.measure(2 * SECOND);
-        assert_kept(&cluster, measured, 0.8, 0.95, &format!("busy group {busy}"));
+        assert_limit_use_and_fairness(&cluster, measured, 0.8, 0.95, &format!("busy group {busy}"));
     }
 }
 
@@ -77,7 +83,7 @@
         cluster.set_demand(|_| 320.0 / nodes as f64);
         cluster.run(5 * SECOND);
         let measured = cluster.measure(4 * SECOND);
-        assert_kept(&cluster, measured, 0.9, 0.95, &format!("{nodes} nodes"));
+        assert_limit_use_and_fairness(&cluster, measured, 0.9, 0.95, &format!("{nodes} nodes"));
     }
 }
 
@@ -97,7 +103,7 @@
         cluster.run(3 * SECOND);
         let measured = cluster.measure(3 * SECOND);
         let context = format!("partition {partition}, one way {one_way}, {flaps} times");
-        assert_used(&cluster, measured, 0.85, &context);
+        assert_limit_and_use(&cluster, measured, 0.85, &context);
     }
 }
 
@@ -110,7 +116,7 @@
         cluster.set_demand(every_nth(2, 25.0, 3.0));
         cluster.run(6 * SECOND);
         let measured = cluster.measure(6 * SECOND);
-        assert_used(&cluster, measured, used, &format!("loss {loss}"));
+        assert_limit_and_use(&cluster, measured, used, &format!("loss {loss}"));
     }
 }
 
@@ -149,7 +155,7 @@
     }
     cluster.run(4 * SECOND);
     let measured = cluster.measure(3 * SECOND);
-    assert_used(&cluster, measured, 0.85, "after the kills");
+    assert_limit_and_use(&cluster, measured, 0.85, "after the kills");
     // Two nodes remain, and are not informed: they use their own shares only.
     (2..16).for_each(|node| cluster.kill(node));
     cluster.set_demand(|_| 100.0);
@@ -252,7 +258,7 @@
     cluster.network.delay = [MS, 900 * MS];
     cluster.run(15 * SECOND);
     let measured = cluster.measure(5 * SECOND);
-    assert_used(&cluster, measured, 0.7, "duplicates");
+    assert_limit_and_use(&cluster, measured, 0.7, "duplicates");
 }
 
 #[test]
@@ -262,7 +268,7 @@
     cluster.set_demand(|_| 14.0);
     cluster.run(10 * SECOND);
     let measured = cluster.measure(3 * SECOND);
-    assert_used(&cluster, measured, 0.85, "mixed versions");
+    assert_limit_and_use(&cluster, measured, 0.85, "mixed versions");
 }
 
 /// Without messages a share follows from the number of nodes; growth shows until all nodes are informed of it.
