--- a/crates/sparrouter-rollout/src/controller/bake.rs
+++ b/crates/sparrouter-rollout/src/controller/bake.rs
@@ -15,10 +15,9 @@
     pub(super) fn bake(&mut self, now: Nanos) {
         if now >= self.next_sample_at {
             self.next_sample_at = now + self.plan.sample_interval;
-            if self.sample_stage(now) {
-                return;
-            }
+            self.sample_stage(now);
         }
+        // A sample may have begun a rollback.
         let Phase::Baking { since, fault_since } = self.phase else {
             return;
         };
@@ -33,10 +32,10 @@
         }
     }
 
-    /// Takes a sample, and rolls back where a fault lasts too long; returns whether it did for that reason.
-    fn sample_stage(&mut self, now: Nanos) -> bool {
+    /// Takes a sample, and rolls back where the evidence suffices or a fault lasts too long.
+    fn sample_stage(&mut self, now: Nanos) {
         let Phase::Baking { fault_since, .. } = self.phase else {
-            return false;
+            return;
         };
         let all_respond = !(0..self.nodes.len()).any(|node| self.is_unresponsive(node, now));
         let unresponsive = self.unresponsive_names(now);
@@ -50,15 +49,11 @@
             self.start_rollback(format!(
                 "no word from {unresponsive}, while the stage was watched and for too long"
             ));
-            return true;
-        }
-        if let Some(since) = self.health.fault_since.filter(lasts_too_long) {
+        } else if let Some(since) = self.health.fault_since.filter(lasts_too_long) {
             let seconds = (now - since) / SECOND;
             let fault = self.describe_fleet_fault();
             self.start_rollback(format!("{fault}, for {seconds} s and too long"));
-            return true;
         }
-        false
     }
 
     /// Compares the groups over the last interval, and rolls back where the evidence suffices. Without a report of each
--- a/crates/sparrouter-shares/tests/fleets.rs
+++ b/crates/sparrouter-shares/tests/fleets.rs
@@ -5,7 +5,7 @@
 use sparrouter_shares::message::{QuotaMessage, QuotaRows};
 use sparrouter_shares::shares::ClusterPosition;
 use sparrouter_shares::size::ClusterSizeView;
-use sparrouter_shares::{QuotaShares, SECOND};
+use sparrouter_shares::{Nanos, QuotaShares, SECOND};
 
 /// The limit itself, and what sums of floating-point numbers may differ by.
 const LIMIT: f64 = 1.0 + 1e-9;
@@ -15,6 +15,14 @@
     Cluster::new(nodes, 10.0 * nodes as f64, true, seed)
 }
 
+/// Such a cluster of 16 nodes that has run for a time with this demand.
+fn loaded_cluster(seed: u64, demand: impl Fn(usize) -> f64, length: Nanos) -> Cluster {
+    let mut cluster = cluster(16, seed);
+    cluster.set_demand(demand);
+    cluster.run(length);
+    cluster
+}
+
 /// A demand of `busy` at every `n`-th node, and of `quiet` at the others.
 fn every_nth(n: usize, busy: f64, quiet: f64) -> impl Fn(usize) -> f64 {
     move |node| if node % n == 0 { busy } else { quiet }
@@ -44,18 +52,14 @@
 
 #[test]
 fn a_cluster_that_starts_at_once_has_its_shares_within_two_seconds() {
-    let mut cluster = cluster(16, 1);
-    cluster.set_demand(|_| 20.0);
-    cluster.run(2500 * MS);
+    let mut cluster = loaded_cluster(1, |_| 20.0, 2500 * MS);
     let measured = cluster.measure(4 * SECOND);
     assert_limit_use_and_fairness(&cluster, measured, 0.9, 0.95, "after the start");
 }
 
 #[test]
 fn one_node_with_half_of_all_arrivals_gets_what_the_others_leave() {
-    let mut cluster = cluster(16, 2);
-    cluster.set_demand(|node| if node == 3 { 65.0 } else { 5.0 });
-    cluster.run(6 * SECOND);
+    let mut cluster = loaded_cluster(2, |node| if node == 3 { 65.0 } else { 5.0 }, 6 * SECOND);
     let measured = cluster.measure(5 * SECOND);
     assert_limit_and_use(&cluster, measured, 0.87, "one busy node");
 }
@@ -90,9 +94,7 @@
 #[test]
 fn partitioned_halves_and_single_nodes_keep_the_sum_and_there_is_no_second_wave() {
     for (partition, one_way, flaps) in [(8, false, 1), (1, false, 1), (8, true, 1), (8, false, 6)] {
-        let mut cluster = cluster(16, 5 + partition as u64);
-        cluster.set_demand(every_nth(2, 25.0, 3.0));
-        cluster.run(5 * SECOND);
+        let mut cluster = loaded_cluster(5 + partition as u64, every_nth(2, 25.0, 3.0), 5 * SECOND);
         for _ in 0..flaps {
             cluster.network.partition = partition;
             cluster.network.one_way = one_way;
@@ -124,9 +126,7 @@
 #[test]
 fn paused_nodes_continue_without_a_share_that_is_anothers_by_now() {
     for length in [SECOND, 5 * SECOND, 20 * SECOND] {
-        let mut cluster = cluster(16, 11);
-        cluster.set_demand(every_nth(2, 30.0, 2.0));
-        cluster.run(5 * SECOND);
+        let mut cluster = loaded_cluster(11, every_nth(2, 30.0, 2.0), 5 * SECOND);
         (0..5).for_each(|node| cluster.pause(node, length));
         cluster.run(length / 2);
         // The cluster grows meanwhile: paused nodes are informed of it when they continue.
@@ -142,9 +142,7 @@
 
 #[test]
 fn nodes_killed_repeatedly_use_no_share_twice() {
-    let mut cluster = cluster(16, 12);
-    cluster.set_demand(every_nth(3, 40.0, 2.0));
-    cluster.run(5 * SECOND);
+    let mut cluster = loaded_cluster(12, every_nth(3, 40.0, 2.0), 5 * SECOND);
     for first in 0..8 {
         let killed: Vec<usize> = (0..5).map(|n| (n * 3 + first) % 16).collect();
         killed.iter().for_each(|node| cluster.kill(*node));
