--- a/crates/sparrouter-simulation/tests/config.rs
+++ b/crates/sparrouter-simulation/tests/config.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn given_a_accepted_configuration_when_it_is_sent_again_unchanged_then_any_node_says_200() {
+fn given_an_accepted_configuration_when_it_is_sent_again_unchanged_then_any_node_says_200() {
     run_checked(|| async {
         let cluster = SimulatedCluster::serving(ClusterSettings::with_seed(13)).await;
         let configuration = initial_configuration().with_public_route(2, "new");
