--- a/crates/sparrouter-simulation/tests/forwarding.rs
+++ b/crates/sparrouter-simulation/tests/forwarding.rs
@@ -128,7 +128,8 @@
 }
 
 #[test]
-fn given_an_unresponsive_server_then_every_request_ends_at_its_deadline_and_nothing_is_sent_again() {
+fn given_an_unresponsive_server_then_every_request_ends_at_its_deadline_and_nothing_is_sent_again()
+{
     for (path, _) in ROUTES {
         let (servers, response) = play(one(
             211,
--- a/crates/sparrouter-simulation/tests/reconfiguration.rs
+++ b/crates/sparrouter-simulation/tests/reconfiguration.rs
@@ -183,7 +183,7 @@
     cluster
 }
 
-/// What a injected defect breaks on a day, with the assertions of the program that failed.
+/// What an injected defect breaks on a day, with the assertions of the program that failed.
 fn violations<F: Future<Output = Rc<SimulatedCluster>>>(
     defect: Defect,
     day: impl FnOnce() -> F,
