--- a/crates/sparrouter-lab/src/clients.rs
+++ b/crates/sparrouter-lab/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::ledger::{Asked, End, Record};
 use crate::scenario::arrivals::{Arrival, Arrivals, id, scramble};
 use crate::scenario::{Effect, Operation};
-use crate::stand::Lab;
+use crate::stand_ins::Lab;
 use crate::workers::Workers;
 use crate::{MS, Nanos, nanos};
 use bytes::BytesMut;
--- a/crates/sparrouter-lab/src/commands/program.rs
+++ b/crates/sparrouter-lab/src/commands/program.rs
@@ -2,7 +2,7 @@
 use super::CommandError;
 use clap::ValueEnum;
 use sparrouter_lab::play::Program;
-use sparrouter_lab::stand::bad::Kind;
+use sparrouter_lab::stand_ins::bad_node::Kind;
 use std::path::{Path, PathBuf};
 
 /// Resolves `node`, `relay`, `direct`, `bad:NAME` or the path of a node's program.
--- a/crates/sparrouter-lab/src/lib.rs
+++ b/crates/sparrouter-lab/src/lib.rs
@@ -2,7 +2,7 @@
 //! starts real nodes, switches faults by a scenario, keeps a ledger of every invocation and judges the
 //! four rules from it.
 //!
-//! By folder: `scenario` (what is to happen, read and drawn ahead; no I/O), `stand` (the stand-ins),
+//! By folder: `scenario` (what is to happen, read and drawn ahead; no I/O), `stand_ins` (what a node meets),
 //! `clients` (load), `ledger` (lives of invocations and the audit; no I/O), `play` (one run),
 //! `rollout` (a change of the nodes while all goes on),
 //! `experiment` (several runs compared), `report` (run.json and report.html), `scripted` (stand-ins for plain
@@ -16,9 +16,12 @@
 pub mod rollout;
 pub mod scenario;
 pub mod scripted;
-pub mod stand;
+pub mod stand_ins;
 pub mod workers;
 
+/// The earlier name of [`stand_ins`], which tests of other packages use.
+pub use stand_ins as stand;
+
 /// Nanoseconds since the run began, or a span of them.
 pub type Nanos = u64;
 pub const MS: Nanos = 1_000_000;
--- a/crates/sparrouter-lab/src/main.rs
+++ b/crates/sparrouter-lab/src/main.rs
@@ -4,7 +4,7 @@
 use clap::{Args, Parser, Subcommand};
 use commands::{CommandError, Outcome, ProgressLog};
 use sparrouter_lab::rollout;
-use sparrouter_lab::stand::{plant, relay};
+use sparrouter_lab::stand_ins::{defect_proxy, relay};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
@@ -66,7 +66,7 @@
         Command::Shares(arguments) => commands::shares::run(arguments),
         Command::Report(arguments) => commands::report::run(arguments),
         Command::Check(arguments) => commands::check::run(arguments),
-        Command::Plant => plant::run()
+        Command::Plant => defect_proxy::run()
             .map(|()| Outcome::Passed)
             .map_err(CommandError::HelperProcess),
         Command::Conduct => rollout::conduct()
--- a/crates/sparrouter-lab/src/play.rs
+++ b/crates/sparrouter-lab/src/play.rs
@@ -6,13 +6,13 @@
 use crate::rollout::{self, Changed, Tools};
 use crate::scenario::schedule::{self, Act, Listed, Schedule};
 use crate::scenario::{Before, Scenario};
-use crate::stand::Lab;
-use crate::stand::bad::{self, Kind};
-use crate::stand::discovery::Discovery;
-use crate::stand::fleet::Fleet;
-use crate::stand::link::Link;
-use crate::stand::node::{Node, Start, Version};
-use crate::stand::notes::Notes;
+use crate::stand_ins::Lab;
+use crate::stand_ins::bad_node::{self, Kind};
+use crate::stand_ins::discovery::Discovery;
+use crate::stand_ins::fleet::Fleet;
+use crate::stand_ins::link::Link;
+use crate::stand_ins::node::{Node, Start, Version};
+use crate::stand_ins::peer_network::Notes;
 use crate::workers::Workers;
 use crate::{MS, Nanos, SECOND, nanos};
 use serde::{Deserialize, Serialize};
@@ -286,7 +286,7 @@
                     let own = lab.free().map_err(io("an address for a node"))?;
                     let (lab, kind, discovery) = (lab.clone(), *kind, discovery.address(n));
                     let workers = lab.workers.clone();
-                    workers.run(move || bad::serve(lab, kind, own, discovery));
+                    workers.run(move || bad_node::serve(lab, kind, own, discovery));
                     at.push(own);
                 }
             }
--- a/crates/sparrouter-lab/src/rollout.rs
+++ b/crates/sparrouter-lab/src/rollout.rs
@@ -3,7 +3,7 @@
 //! whose children the nodes are, carries them out.
 use crate::play::Stage;
 use crate::scenario::rollout::{How, Plant, Rollout};
-use crate::stand::node::Version;
+use crate::stand_ins::node::Version;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
--- a/crates/sparrouter-lab/src/stand/mod.rs
+++ b/crates/sparrouter-lab/src/stand_ins/mod.rs
@@ -1,12 +1,14 @@
 //! The stand-ins: whatever a node meets, played on loopback.
-pub mod bad;
+pub mod bad_node;
 pub mod discovery;
 pub mod fleet;
 pub mod link;
 pub mod model;
 pub mod node;
-pub mod notes;
-pub mod plant;
+pub mod peer_network;
+pub mod defect_proxy;
+/// The earlier name of [`defect_proxy`], which tests of other packages use.
+pub use defect_proxy as plant;
 pub mod relay;
 pub mod server;
 
--- a/crates/sparrouter-lab/tests/bad_nodes.rs
+++ b/crates/sparrouter-lab/tests/bad_nodes.rs
@@ -3,7 +3,7 @@
 use sparrouter_lab::ledger::audit::{Breach, Verdict};
 use sparrouter_lab::play::{Program, Run, play};
 use sparrouter_lab::scenario::Scenario;
-use sparrouter_lab::stand::bad::Kind;
+use sparrouter_lab::stand_ins::bad_node::Kind;
 use std::sync::Mutex;
 
 /// One at a time: what is measured in milliseconds needs the machine.
