--- a/crates/sparrouter-lab/src/clients.rs
+++ b/crates/sparrouter-lab/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: open loop. Arrivals are dealt out when they are due, whatever became of those before; what
 //! an answer took counts from then, so that a node that stalls can't hide it.
-use crate::http::{self, Ended, Message, Peeked};
-use crate::ledger::{Asked, End, Record};
+use crate::http::{self, ReadError, Message, PeekResult};
+use crate::ledger::{ClientAttempt, ClientOutcome, Record};
 use crate::scenario::arrivals::{Arrival, Arrivals, id, scramble};
 use crate::scenario::{Effect, Operation};
 use crate::stand_ins::Lab;
@@ -20,10 +20,10 @@
 use tokio::time::{sleep, timeout};
 
 /// How long after its timeout a client still listens, to tell a late answer from none.
-const LISTENS_ON: Nanos = 500 * MS;
+const LATE_ANSWER_WAIT: Nanos = 500 * MS;
 /// A connection that idles longer is closed by its client, before a node may close it.
-const IDLES: Duration = Duration::from_millis(1500);
-const CONNECTS: Duration = Duration::from_millis(1000);
+const MAX_IDLE: Duration = Duration::from_millis(1500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Deals clients out to nodes.
 pub struct Front {
@@ -120,7 +120,7 @@
     }
     let tries = u64::from(s.load.retries) + 1;
     let longest =
-        (s.longest_ms() * MS + LISTENS_ON + nanos(s.load.backoff_ms / 1e3)) * tries + 2000 * MS;
+        (s.longest_ms() * MS + LATE_ANSWER_WAIT + nanos(s.load.backoff_ms / 1e3)) * tries + 2000 * MS;
     let latest = Instant::now() + Duration::from_nanos(longest);
     while open.load(Relaxed) > 0 && Instant::now() < latest {
         std::thread::sleep(Duration::from_millis(5));
@@ -128,8 +128,8 @@
 }
 
 /// How one try went.
-struct Tried {
-    asked: Asked,
+struct AttemptResult {
+    asked: ClientAttempt,
     retry_after_s: Option<f64>,
 }
 
@@ -156,11 +156,11 @@
         for tried in 0..=lab.scenario.load.retries {
             let dealt = lab.now();
             let one = self.one(&arrival, op, tried as u8, due, dealt).await;
-            let end = one.asked.end;
-            lab.record(Record::Asked(one.asked));
+            let end = one.asked.outcome;
+            lab.record(Record::ClientAttempt(one.asked));
             // What may have run is not tried again where it must not run twice.
-            let harmless = matches!(end, End::Throttled | End::Unconnected);
-            let again = harmless || end != End::Succeeded && op.effect != Effect::NonIdempotent;
+            let harmless = matches!(end, ClientOutcome::Throttled | ClientOutcome::Unconnected);
+            let again = harmless || end != ClientOutcome::Succeeded && op.effect != Effect::NonIdempotent;
             if !again || arrival.leaves.is_some() || tried == lab.scenario.load.retries {
                 break;
             }
@@ -180,7 +180,7 @@
         tried: u8,
         due: Nanos,
         dealt: Nanos,
-    ) -> Tried {
+    ) -> AttemptResult {
         let lab = &self.lab;
         let id = id(arrival.operation, arrival.number, tried);
         let draw = if tried == 0 {
@@ -189,16 +189,16 @@
             scramble(id) as u32
         };
         let node = self.front.pick(draw);
-        let mut asked = Asked {
+        let mut asked = ClientAttempt {
             id,
             tenant: arrival.tenant,
             node: node.unwrap_or(0) as u16,
-            first_due: arrival.at,
-            due,
-            dealt,
-            written: None,
-            end: End::Unconnected,
-            ended: dealt,
+            first_scheduled_at: arrival.at,
+            scheduled_at: due,
+            dispatched_at: dealt,
+            written_at: None,
+            outcome: ClientOutcome::Unconnected,
+            ended_at: dealt,
             end_lag: 0,
         };
         let mut retry_after_s = None;
@@ -208,8 +208,8 @@
             let exchange = self.exchange(node, &text, arrival, op, &mut asked);
             retry_after_s = exchange.await.and_then(|m| m.retry_after_s);
         }
-        (asked.ended, asked.end_lag) = (lab.now(), lab.lag());
-        Tried {
+        (asked.ended_at, asked.end_lag) = (lab.now(), lab.lag());
+        AttemptResult {
             asked,
             retry_after_s,
         }
@@ -248,15 +248,15 @@
     /// False where the other side has closed, or has sent what nobody asked for.
     fn alive(&self, idle: &Idle) -> bool {
         match http::peek(&idle.stream) {
-            Peeked::Nothing => idle.since.elapsed() < IDLES,
-            Peeked::Bytes => {
-                self.lab.record(Record::More {
+            PeekResult::Nothing => idle.since.elapsed() < MAX_IDLE,
+            PeekResult::Bytes => {
+                self.lab.record(Record::ExtraBytes {
                     at: self.lab.now(),
                     id: idle.last,
                 });
                 false
             }
-            Peeked::Ended => false,
+            PeekResult::Ended => false,
         }
     }
 
@@ -275,12 +275,12 @@
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
         last: Option<u64>,
-    ) -> Result<Message, Ended> {
+    ) -> Result<Message, ReadError> {
         loop {
             let answer = http::read(stream, buffer, || {}).await?;
             match last {
-                Some(last) if end(&answer, last) == End::Succeeded => {
-                    self.lab.record(Record::More {
+                Some(last) if end(&answer, last) == ClientOutcome::Succeeded => {
+                    self.lab.record(Record::ExtraBytes {
                         at: self.lab.now(),
                         id: last,
                     });
@@ -297,7 +297,7 @@
         text: &[u8],
         arrival: &Arrival,
         op: &Operation,
-        asked: &mut Asked,
+        asked: &mut ClientAttempt,
     ) -> Option<Message> {
         let s = &self.lab.scenario;
         let mut kept = self.take(node);
@@ -305,7 +305,7 @@
             let (used, last) = (kept.is_some(), kept.as_ref().map(|k| k.last));
             let stream = match kept.take() {
                 Some(idle) => Some(idle.stream),
-                None => timeout(CONNECTS, TcpStream::connect(self.front.nodes[node]))
+                None => timeout(CONNECT_TIMEOUT, TcpStream::connect(self.front.nodes[node]))
                     .await
                     .ok()?
                     .ok(),
@@ -315,35 +315,35 @@
             if let Some(part) = arrival.leaves.filter(|p| *p < 0.3) {
                 // Goes while it is still sending.
                 http::write(&mut stream, &text[..(text.len() as f32 * part) as usize]).await;
-                asked.end = End::Left;
+                asked.outcome = ClientOutcome::Left;
                 return None;
             }
             let written = http::write(&mut stream, text).await;
-            asked.written = written.then(|| self.lab.now());
+            asked.written_at = written.then(|| self.lab.now());
             // Closed between invocations just as this one was sent, it is sent once more on another. On
             // loopback that shows at once, or as a reset: an end that comes later, in order, is the end of
             // one that had been read.
-            if used && (!written || http::peek(&stream) == Peeked::Ended) {
+            if used && (!written || http::peek(&stream) == PeekResult::Ended) {
                 continue;
             }
             let patience = op.client_timeout_ms * MS;
             let (wait, goes) = match arrival.leaves {
                 Some(part) => (op.objective_ms as f64 * MS as f64 * f64::from(part), true),
                 None if s.load.try_part < 1.0 => (patience as f64 * s.load.try_part, true),
-                None => ((patience + LISTENS_ON) as f64, false),
+                None => ((patience + LATE_ANSWER_WAIT) as f64, false),
             };
             let mut buffer = BytesMut::with_capacity(512);
             let read = self.own_answer(&mut stream, &mut buffer, last);
             match timeout(Duration::from_nanos(wait as u64), read).await {
-                Err(_) => asked.end = if goes { End::Left } else { End::Silent },
-                Ok(Err(Ended::Reset)) if used => continue,
-                Ok(Err(_)) => asked.end = End::Closed,
+                Err(_) => asked.outcome = if goes { ClientOutcome::Left } else { ClientOutcome::Silent },
+                Ok(Err(ReadError::Reset)) if used => continue,
+                Ok(Err(_)) => asked.outcome = ClientOutcome::Closed,
                 Ok(Ok(answer)) => {
-                    asked.end = end(&answer, asked.id);
+                    asked.outcome = end(&answer, asked.id);
                     if !buffer.is_empty() {
                         let (at, id) = (self.lab.now(), asked.id);
-                        self.lab.record(Record::More { at, id });
-                    } else if !answer.close && asked.end != End::Foreign {
+                        self.lab.record(Record::ExtraBytes { at, id });
+                    } else if !answer.close && asked.outcome != ClientOutcome::Foreign {
                         let (since, last) = (Instant::now(), asked.id);
                         self.idle[node].borrow_mut().push(Idle {
                             stream,
@@ -359,11 +359,11 @@
     }
 }
 
-fn end(answer: &Message, id: u64) -> End {
+fn end(answer: &Message, id: u64) -> ClientOutcome {
     match answer.status() {
-        200 if answer.body.starts_with(format!("{id:016x}").as_bytes()) => End::Succeeded,
-        200 => End::Foreign,
-        429 | 503 => End::Throttled,
-        _ => End::Errored,
+        200 if answer.body.starts_with(format!("{id:016x}").as_bytes()) => ClientOutcome::Succeeded,
+        200 => ClientOutcome::Foreign,
+        429 | 503 => ClientOutcome::Throttled,
+        _ => ClientOutcome::Errored,
     }
 }
--- a/crates/sparrouter-lab/src/commands/changes.rs
+++ b/crates/sparrouter-lab/src/commands/changes.rs
@@ -3,9 +3,9 @@
     CommandError, Outcome, output_folder, program, read_scenario, rules_column, shortened,
 };
 use clap::Args;
-use sparrouter_lab::experiment::changes::{self, Case, Played};
+use sparrouter_lab::experiment::changes::{self, Case, PlayedCase};
 use sparrouter_lab::play::Run;
-use sparrouter_lab::scenario::rollout::{How, Plant};
+use sparrouter_lab::scenario::rollout::{RolloutMode, Defect};
 use std::path::PathBuf;
 
 /// Play a scenario's change in stages with each bad version: by the conductor, plainly, and all at once
@@ -19,7 +19,7 @@
     cases: Vec<String>,
     /// Only these: staged, plain, at-once
     #[arg(long, value_delimiter = ',', value_enum)]
-    hows: Vec<How>,
+    hows: Vec<RolloutMode>,
     /// So many at once
     #[arg(long, default_value_t = 1)]
     jobs: usize,
@@ -38,7 +38,7 @@
     }
     let cases = selected_cases(&arguments.cases)?;
     let ways = if arguments.hows.is_empty() {
-        vec![How::Staged, How::Plain, How::AtOnce]
+        vec![RolloutMode::Staged, RolloutMode::Plain, RolloutMode::AtOnce]
     } else {
         arguments.hows
     };
@@ -73,7 +73,7 @@
     names.iter().map(find).collect()
 }
 
-fn print_line(played: &Played) {
+fn print_line(played: &PlayedCase) {
     let case = played.case.name();
     let way = format!("{:?}", played.how).to_lowercase();
     match &played.run {
@@ -97,10 +97,10 @@
 }
 
 /// A bad version may break rules; a sound one may not, and every run must be valid.
-fn passed(played: &Played) -> bool {
+fn passed(played: &PlayedCase) -> bool {
     let Ok(run) = &played.run else {
         return false;
     };
-    let sound = played.case == Case::Planted(Plant::None);
+    let sound = played.case == Case::Defect(Defect::None);
     run.tally.valid() && (!sound || run.verdict.kept())
 }
--- a/crates/sparrouter-lab/src/commands/error.rs
+++ b/crates/sparrouter-lab/src/commands/error.rs
@@ -7,9 +7,9 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
     #[error(transparent)]
-    Scenario(#[from] scenario::Unusable),
+    Scenario(#[from] scenario::ScenarioError),
     #[error(transparent)]
-    Run(#[from] play::Failed),
+    Run(#[from] play::RunError),
     #[error("own program: {0}")]
     OwnProgram(std::io::Error),
     #[error("no bad node {name}; there are {}", .known.join(", "))]
--- a/crates/sparrouter-lab/src/commands/kills.rs
+++ b/crates/sparrouter-lab/src/commands/kills.rs
@@ -3,7 +3,7 @@
     CommandError, Outcome, output_folder, program, read_scenario, rules_column, shortened,
 };
 use clap::Args;
-use sparrouter_lab::experiment::kills::{self, Killed, Points};
+use sparrouter_lab::experiment::kills::{self, KilledRun, KillPoints};
 use sparrouter_lab::rollout::Tools;
 use std::path::PathBuf;
 
@@ -45,7 +45,7 @@
         });
     }
     let folder = output_folder(arguments.out, &format!("{}-kills", scenario.name));
-    let points = Points {
+    let points = KillPoints {
         from: arguments.from.into(),
         step: arguments.step.into(),
         most: arguments.most.into(),
@@ -59,7 +59,7 @@
     let all = kills::kills(
         &scenario, &program, &tools, points, jobs, &folder, print_line,
     );
-    let reached: Vec<&Killed> = all.iter().filter(|k| k.reached()).collect();
+    let reached: Vec<&KilledRun> = all.iter().filter(|k| k.reached()).collect();
     let right = reached.iter().filter(|k| k.right(&arguments.ends)).count();
     println!("{right} of {} points ended right", reached.len());
     Ok(Outcome::passed_if(
@@ -67,7 +67,7 @@
     ))
 }
 
-fn print_line(killed: &Killed) {
+fn print_line(killed: &KilledRun) {
     let point = format!("{:?}", killed.points);
     let run = match &killed.run {
         Ok(run) => run,
--- a/crates/sparrouter-lab/src/commands/program.rs
+++ b/crates/sparrouter-lab/src/commands/program.rs
@@ -2,7 +2,7 @@
 use super::CommandError;
 use clap::ValueEnum;
 use sparrouter_lab::play::Program;
-use sparrouter_lab::stand_ins::bad_node::Kind;
+use sparrouter_lab::stand_ins::bad_node::BadNodeKind;
 use std::path::{Path, PathBuf};
 
 /// Resolves `node`, `relay`, `direct`, `bad:NAME` or the path of a node's program.
@@ -23,8 +23,8 @@
     Err(CommandError::UnknownProgram(name.into()))
 }
 
-fn bad_node(name: &str) -> Result<Kind, CommandError> {
-    let kinds = Kind::value_variants();
+fn bad_node(name: &str) -> Result<BadNodeKind, CommandError> {
+    let kinds = BadNodeKind::value_variants();
     kinds
         .iter()
         .copied()
@@ -35,7 +35,7 @@
         })
 }
 
-fn kind_name(kind: Kind) -> String {
+fn kind_name(kind: BadNodeKind) -> String {
     kind.to_possible_value()
         .map_or(String::new(), |value| value.get_name().to_string())
 }
--- a/crates/sparrouter-lab/src/commands/sweep.rs
+++ b/crates/sparrouter-lab/src/commands/sweep.rs
@@ -1,7 +1,7 @@
 //! `sweep`: the highest rate that a program sustains, for each value of one setting.
 use super::{CommandError, Outcome, ProgressLog, output_folder, program, read_scenario};
 use clap::Args;
-use sparrouter_lab::experiment::sweep::{self, By, Step};
+use sparrouter_lab::experiment::sweep::{self, SweepParameter, Step};
 use sparrouter_lab::scenario::Scenario;
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
     program: String,
     /// Find a knee for each value of this
     #[arg(long, requires = "values")]
-    by: Option<By>,
+    by: Option<SweepParameter>,
     #[arg(long, value_delimiter = ',')]
     values: Vec<usize>,
     /// Close in until two rates differ by no more than this ratio
@@ -57,7 +57,7 @@
     Ok(Outcome::Passed)
 }
 
-fn variants(scenario: &Scenario, by: Option<By>, values: &[usize]) -> Vec<Variant> {
+fn variants(scenario: &Scenario, by: Option<SweepParameter>, values: &[usize]) -> Vec<Variant> {
     let Some(by) = by else {
         return vec![Variant {
             value: "-".into(),
--- a/crates/sparrouter-lab/src/experiment/changes.rs
+++ b/crates/sparrouter-lab/src/experiment/changes.rs
@@ -1,16 +1,16 @@
 //! One scenario with a change in stages, played with each bad version in turn: by the conductor, one node after
 //! another without a judge, and all at once.
-use crate::play::{Failed, Program, Run, play};
+use crate::play::{RunError, Program, Run, play};
 use crate::report;
 use crate::scenario::Scenario;
-use crate::scenario::rollout::{How, Plant, Rollout};
+use crate::scenario::rollout::{RolloutMode, Defect, Rollout};
 use std::path::Path;
 use std::sync::Mutex;
 
 /// What the new state does wrong: a planted version, or settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Case {
-    Planted(Plant),
+    Defect(Defect),
     /// Gives up whatever is not there at once.
     Hasty,
     /// Takes many times its part of what cold cache servers may be sent: bad only in sum, if at all.
@@ -21,9 +21,9 @@
 
 impl Case {
     pub fn all() -> Vec<Case> {
-        let plants = <Plant as clap::ValueEnum>::value_variants()
+        let plants = <Defect as clap::ValueEnum>::value_variants()
             .iter()
-            .map(|p| Case::Planted(*p));
+            .map(|p| Case::Defect(*p));
         plants
             .chain([Case::Hasty, Case::Greedy, Case::Refused])
             .collect()
@@ -31,8 +31,8 @@
 
     pub fn name(&self) -> String {
         match self {
-            Case::Planted(Plant::None) => "sound".into(),
-            Case::Planted(plant) => {
+            Case::Defect(Defect::None) => "sound".into(),
+            Case::Defect(plant) => {
                 let word = clap::ValueEnum::to_possible_value(plant);
                 word.map_or(String::new(), |w| w.get_name().to_string())
             }
@@ -48,7 +48,7 @@
 
     pub fn put(&self, change: &mut Rollout) {
         match self {
-            Case::Planted(plant) => change.plant = *plant,
+            Case::Defect(plant) => change.plant = *plant,
             Case::Hasty => {
                 change.settings = Case::fields("Limits = { MaxAttempts = 1 }\nTickUs = 300000")
             }
@@ -60,10 +60,10 @@
     }
 }
 
-pub struct Played {
+pub struct PlayedCase {
     pub case: Case,
-    pub how: How,
-    pub run: Result<Run, Failed>,
+    pub how: RolloutMode,
+    pub run: Result<Run, RunError>,
 }
 
 /// Each case in each way, so many at once. `done` hears of each as it ends; they come back in order.
@@ -71,12 +71,12 @@
     scenario: &Scenario,
     program: &Program,
     cases: &[Case],
-    hows: &[How],
+    hows: &[RolloutMode],
     jobs: usize,
     folder: &Path,
-    done: impl Fn(&Played) + Sync,
-) -> Vec<Played> {
-    let all: Vec<(usize, Case, How)> = cases
+    done: impl Fn(&PlayedCase) + Sync,
+) -> Vec<PlayedCase> {
+    let all: Vec<(usize, Case, RolloutMode)> = cases
         .iter()
         .flat_map(|c| hows.iter().map(|h| (*c, *h)))
         .enumerate()
@@ -99,7 +99,7 @@
                     let own = folder.join(format!("{}-{word}", case.name()));
                     let run = play(&s, program, &own, |_| {});
                     let run = run.and_then(|run| report::write(&run, &own).map(|_| run));
-                    let played = Played { case, how, run };
+                    let played = PlayedCase { case, how, run };
                     done(&played);
                     ended.lock().expect("not poisoned").push((n, played));
                 }
--- a/crates/sparrouter-lab/src/experiment/compare.rs
+++ b/crates/sparrouter-lab/src/experiment/compare.rs
@@ -1,6 +1,6 @@
 //! Two programs in turn on the same scenario: A B A B, so that a machine whose speed drifts is fair to
 //! both, and the ratio of each pair with its spread.
-use crate::play::{Failed, Program, Run, play};
+use crate::play::{RunError, Program, Run, play};
 use crate::scenario::Scenario;
 use std::path::Path;
 
@@ -76,7 +76,7 @@
     pairs: usize,
     folder: &Path,
     mut done: impl FnMut(&Run),
-) -> Result<Vec<(Run, Run)>, Failed> {
+) -> Result<Vec<(Run, Run)>, RunError> {
     let mut all = Vec::new();
     for n in 0..pairs {
         let mut one = |program, side: &str| {
--- a/crates/sparrouter-lab/src/experiment/kills.rs
+++ b/crates/sparrouter-lab/src/experiment/kills.rs
@@ -1,6 +1,6 @@
 //! One scenario with a change in stages, played with the conductor ended at each point of its work in turn, until a
 //! point is named that it never comes to.
-use crate::play::{Failed, Program, Run, play_with};
+use crate::play::{RunError, Program, Run, play_with};
 use crate::report;
 use crate::rollout::Tools;
 use crate::scenario::Scenario;
@@ -8,13 +8,13 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 
-pub struct Killed {
+pub struct KilledRun {
     /// Points at which the conductor and its successors end themselves.
     pub points: Vec<usize>,
-    pub run: Result<Run, Failed>,
+    pub run: Result<Run, RunError>,
 }
 
-impl Killed {
+impl KilledRun {
     /// It came to its point: otherwise the change was over before.
     pub fn reached(&self) -> bool {
         let kills = |run: &Run| run.rollout.as_ref().map_or(0, |c| c.kills);
@@ -36,7 +36,7 @@
 
 /// Every point from `from` on, each `step`-th, at most `most`; with `twice` the successor dies at the same count again.
 #[derive(Clone, Copy)]
-pub struct Points {
+pub struct KillPoints {
     pub from: usize,
     pub step: usize,
     pub most: usize,
@@ -48,11 +48,11 @@
     scenario: &Scenario,
     program: &Program,
     tools: &Tools,
-    points: Points,
+    points: KillPoints,
     jobs: usize,
     folder: &Path,
-    done: impl Fn(&Killed) + Sync,
-) -> Vec<Killed> {
+    done: impl Fn(&KilledRun) + Sync,
+) -> Vec<KilledRun> {
     let (next, over) = (AtomicUsize::new(0), AtomicBool::new(false));
     let ended = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -72,7 +72,7 @@
                     let own = folder.join(format!("point-{at}"));
                     let run = play_with(&s, program, tools, &own, |_| {});
                     let run = run.and_then(|run| report::write(&run, &own).map(|_| run));
-                    let killed = Killed { points: dies, run };
+                    let killed = KilledRun { points: dies, run };
                     if killed.run.is_ok() && !killed.reached() {
                         over.store(true, Relaxed);
                     }
--- a/crates/sparrouter-lab/src/experiment/shares.rs
+++ b/crates/sparrouter-lab/src/experiment/shares.rs
@@ -130,7 +130,7 @@
 }
 
 /// Less than this of what could be let in is not settled.
-const SETTLED: f64 = 0.9;
+const SETTLED_USE: f64 = 0.9;
 
 pub fn phases(s: &Scenario, seconds: &[Second]) -> Vec<Phase> {
     let mut marks: BTreeMap<u64, Vec<String>> = BTreeMap::from([(0, vec!["start".into()])]);
@@ -169,7 +169,7 @@
             .iter()
             .filter(|x| x.at_s >= *from && x.at_s + 1.0 <= to)
             .collect();
-        let good = |x: &&Second| x.used() >= SETTLED;
+        let good = |x: &&Second| x.used() >= SETTLED_USE;
         let settled = inside
             .windows(2)
             .find(|w| w.iter().all(good))
--- a/crates/sparrouter-lab/src/experiment/sweep.rs
+++ b/crates/sparrouter-lab/src/experiment/sweep.rs
@@ -1,5 +1,5 @@
 //! Finds the knee: the highest rate at which nearly all are answered within the latency objective.
-use crate::play::{Failed, Program, Run, play};
+use crate::play::{RunError, Program, Run, play};
 use crate::scenario::Scenario;
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 
 /// What is changed beside the rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum By {
+pub enum SweepParameter {
     Caches,
     Nodes,
     Connections,
@@ -21,12 +21,12 @@
     pub held: bool,
 }
 
-pub fn with(scenario: &Scenario, by: By, value: usize) -> Scenario {
+pub fn with(scenario: &Scenario, by: SweepParameter, value: usize) -> Scenario {
     let mut s = scenario.clone();
     match by {
-        By::Caches => s.caches.count = value,
-        By::Nodes => s.nodes.count = value,
-        By::Connections => s.load.connections = value,
+        SweepParameter::Caches => s.caches.count = value,
+        SweepParameter::Nodes => s.nodes.count = value,
+        SweepParameter::Connections => s.load.connections = value,
     }
     s
 }
@@ -45,7 +45,7 @@
     within: f64,
     folder: &Path,
     mut done: impl FnMut(&Step),
-) -> Result<Vec<Step>, Failed> {
+) -> Result<Vec<Step>, RunError> {
     let mut steps: Vec<Step> = Vec::new();
     let (mut low, mut high) = (0.0, f64::INFINITY);
     let mut rate = scenario.load.rate_per_s;
--- a/crates/sparrouter-lab/src/http.rs
+++ b/crates/sparrouter-lab/src/http.rs
@@ -88,7 +88,7 @@
 
 /// How reading ended without a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum ReadError {
     /// Closed between messages.
     Closed,
     /// Reset between messages: what was sent last was never read.
@@ -104,12 +104,12 @@
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
     mut begun: impl FnMut(),
-) -> Result<Message, Ended> {
+) -> Result<Message, ReadError> {
     if !buffer.is_empty() {
         begun();
     }
     loop {
-        if let Some(message) = take(buffer).map_err(Ended::Bad)? {
+        if let Some(message) = take(buffer).map_err(ReadError::Bad)? {
             return Ok(message);
         }
         let fresh = buffer.is_empty();
@@ -119,8 +119,8 @@
                     begun();
                 }
             }
-            Ok(_) if fresh => return Err(Ended::Closed),
-            _ => return Err(if fresh { Ended::Reset } else { Ended::Broken }),
+            Ok(_) if fresh => return Err(ReadError::Closed),
+            _ => return Err(if fresh { ReadError::Reset } else { ReadError::Broken }),
         }
     }
 }
@@ -142,19 +142,19 @@
 
 /// What a connection holds at this moment, past what the runtime has been told of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Peeked {
+pub enum PeekResult {
     Nothing,
     Bytes,
     Ended,
 }
 
-pub fn peek(stream: &TcpStream) -> Peeked {
+pub fn peek(stream: &TcpStream) -> PeekResult {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match socket2::SockRef::from(stream).peek(&mut byte) {
-        Ok(0) => Peeked::Ended,
-        Ok(_) => Peeked::Bytes,
-        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => Peeked::Nothing,
-        Err(_) => Peeked::Ended,
+        Ok(0) => PeekResult::Ended,
+        Ok(_) => PeekResult::Bytes,
+        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => PeekResult::Nothing,
+        Err(_) => PeekResult::Ended,
     }
 }
 
--- a/crates/sparrouter-lab/src/ledger/audit.rs
+++ b/crates/sparrouter-lab/src/ledger/audit.rs
@@ -1,7 +1,7 @@
 //! The four rules, judged from whole lives. What can't be judged is counted by its reason.
-use super::{Asked, End, Forwarded, How, Life, ORIGIN, Record};
+use super::{ClientAttempt, ClientOutcome, ObservedForward, ForwardOutcome, Invocation, ORIGIN, Record};
 use crate::scenario::arrivals::operation_of;
-use crate::scenario::faults::{Fault, LinkTrouble};
+use crate::scenario::faults::{Fault, LinkFault};
 use crate::scenario::schedule::Listed;
 use crate::scenario::{Before, Effect, Operation, Scenario};
 use crate::{MS, Nanos, SECOND, nanos};
@@ -12,7 +12,7 @@
 const LISTED: usize = 20;
 
 /// What a starved lab can't tell from a breach is none.
-const STOOD_STILL: &str = "the lab stood still meanwhile";
+const LAB_STALLED: &str = "the lab stood still meanwhile";
 
 /// One way in which a rule is broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -63,7 +63,7 @@
 
 /// One breach, with what a person needs to look it up.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Found {
+pub struct ListedBreach {
     pub breach: Breach,
     pub at_s: f64,
     /// Hexadecimal id of the invocation; empty where it is about a stand-in.
@@ -76,7 +76,7 @@
     /// Invocations that were judged on every rule that applies.
     pub judged: u64,
     pub breaches: BTreeMap<Breach, u64>,
-    pub listed: Vec<Found>,
+    pub listed: Vec<ListedBreach>,
     /// Why something could not be judged, and how often.
     pub unjudged: BTreeMap<String, u64>,
     /// What is no breach and yet worth knowing.
@@ -136,7 +136,7 @@
             matches!(
                 f,
                 Fault::Links {
-                    how: LinkTrouble::HalfOpen | LinkTrouble::LostThere | LinkTrouble::LostBack,
+                    how: LinkFault::HalfOpen | LinkFault::LostThere | LinkFault::LostBack,
                     before: Before::Caches | Before::Origin,
                     ..
                 }
@@ -171,7 +171,7 @@
         *self.verdict.breaches.entry(breach).or_default() += 1;
         if self.verdict.breaches[&breach] as usize <= LISTED {
             let id = id.map_or(String::new(), |id| format!("{id:016x}"));
-            self.verdict.listed.push(Found {
+            self.verdict.listed.push(ListedBreach {
                 breach,
                 at_s: at as f64 / SECOND as f64,
                 id,
@@ -191,7 +191,7 @@
             Record::Known { at, cache, listed } => {
                 self.known.entry(cache).or_default().push((at, listed))
             }
-            Record::Told {
+            Record::Notified {
                 at,
                 node,
                 cache,
@@ -202,13 +202,13 @@
                     .or_default()
                     .push((at, listed));
             }
-            Record::Away { at, away: true } => self.away.push((at, Nanos::MAX)),
-            Record::Away { at, away: false } => {
+            Record::DiscoveryAway { at, away: true } => self.away.push((at, Nanos::MAX)),
+            Record::DiscoveryAway { at, away: false } => {
                 if let Some(span) = self.away.last_mut() {
                     span.1 = at;
                 }
             }
-            Record::Fell {
+            Record::CacheFell {
                 at,
                 cache,
                 cold: true,
@@ -220,7 +220,7 @@
                     format!("cache server {cache} fell over"),
                 );
             }
-            Record::More { at, id } => {
+            Record::ExtraBytes { at, id } => {
                 self.found(
                     Breach::AnsweredTwice,
                     at,
@@ -228,7 +228,7 @@
                     "more came behind its answer".into(),
                 );
             }
-            Record::Fell { cold: false, .. } => self.seen("a warm cache server was overdriven"),
+            Record::CacheFell { cold: false, .. } => self.seen("a warm cache server was overdriven"),
             Record::OriginStopped { at } => self.stops.push(at),
             Record::NodeDown { at, node, killed } => {
                 self.down.entry(node).or_default().push((at, killed))
@@ -246,12 +246,12 @@
     }
 
     /// Keeps what is needed to tell why the origin stopped: some windows' worth.
-    pub fn forwarded(&mut self, f: &Forwarded) {
+    pub fn forwarded(&mut self, f: &ObservedForward) {
         if f.to != ORIGIN {
-            if f.how == How::Miss && f.cold {
+            if f.outcome == ForwardOutcome::Miss && f.cold {
                 self.cold_missed.insert(f.id, f.ended);
             }
-        } else if let Some(whole) = f.whole {
+        } else if let Some(whole) = f.complete_at {
             self.fetches.push_back((whole, f.id));
             if self.stops.is_empty() && self.fetches.len() > 200_000 {
                 self.fetches.drain(..100_000);
@@ -269,9 +269,9 @@
             .any(|(at, killed)| *killed && (from..=to + self.slack).contains(at))
     }
 
-    pub(crate) fn judge(&mut self, id: u64, life: &Life) {
-        let Some(asked) = life.asked else {
-            let at = life.forwards.first().map_or(0, |f| f.first);
+    pub(crate) fn judge(&mut self, id: u64, life: &Invocation) {
+        let Some(asked) = life.attempt else {
+            let at = life.forwards.first().map_or(0, |f| f.first_byte_at);
             return self.found(
                 Breach::SentForNobody,
                 at,
@@ -289,83 +289,83 @@
         }
     }
 
-    fn answer(&mut self, id: u64, a: &Asked, op: &Operation, life: &Life) {
+    fn answer(&mut self, id: u64, a: &ClientAttempt, op: &Operation, life: &Invocation) {
         let timeout = op.client_timeout_ms * MS;
-        let Some(written) = a.written else { return };
-        match a.end {
-            End::Closed if self.killed_between(a.node, written, a.ended) => {
+        let Some(written) = a.written_at else { return };
+        match a.outcome {
+            ClientOutcome::Closed if self.killed_between(a.node, written, a.ended_at) => {
                 self.unjudged("its node was killed")
             }
-            End::Silent if self.killed_between(a.node, written, a.ended) => {
+            ClientOutcome::Silent if self.killed_between(a.node, written, a.ended_at) => {
                 self.unjudged("its node was killed")
             }
-            End::Closed => {
+            ClientOutcome::Closed => {
                 let what = "the connection ended with no whole answer".to_string();
-                self.found(Breach::NoAnswer, a.ended, Some(id), what);
+                self.found(Breach::NoAnswer, a.ended_at, Some(id), what);
             }
-            End::Silent => {
+            ClientOutcome::Silent => {
                 let what = format!("nothing within {} ms", op.client_timeout_ms);
-                self.found(Breach::NoAnswer, a.ended, Some(id), what);
+                self.found(Breach::NoAnswer, a.ended_at, Some(id), what);
             }
-            End::Left => self.unjudged("its client left first"),
-            End::Unconnected => {}
-            End::Succeeded | End::Foreign | End::Throttled | End::Errored => {
+            ClientOutcome::Left => self.unjudged("its client left first"),
+            ClientOutcome::Unconnected => {}
+            ClientOutcome::Succeeded | ClientOutcome::Foreign | ClientOutcome::Throttled | ClientOutcome::Errored => {
                 let latest = written + timeout + self.answer_slack;
-                if a.ended > latest && a.ended.saturating_sub(a.end_lag) <= latest {
-                    self.unjudged(STOOD_STILL);
-                } else if a.ended > latest {
-                    let late = (a.ended - written - timeout) / MS;
+                if a.ended_at > latest && a.ended_at.saturating_sub(a.end_lag) <= latest {
+                    self.unjudged(LAB_STALLED);
+                } else if a.ended_at > latest {
+                    let late = (a.ended_at - written - timeout) / MS;
                     self.found(
                         Breach::AnsweredLate,
-                        a.ended,
+                        a.ended_at,
                         Some(id),
                         format!("{late} ms past the client timeout"),
                     );
                 }
-                let after = a.ended + self.slack;
-                let behind = life.forwards.iter().filter(|f| f.first > after);
-                let (clear, unclear): (Vec<&Forwarded>, Vec<_>) =
-                    behind.partition(|f| f.first_since() > after);
-                unclear.iter().for_each(|_| self.unjudged(STOOD_STILL));
+                let after = a.ended_at + self.slack;
+                let behind = life.forwards.iter().filter(|f| f.first_byte_at > after);
+                let (clear, unclear): (Vec<&ObservedForward>, Vec<_>) =
+                    behind.partition(|f| f.earliest_first_byte_at() > after);
+                unclear.iter().for_each(|_| self.unjudged(LAB_STALLED));
                 if let Some(f) = clear.first() {
-                    let what = format!("{} ms later to {}", (f.first - a.ended) / MS, name(f.to));
-                    self.found(Breach::SentAfterAnswer, f.first, Some(id), what);
+                    let what = format!("{} ms later to {}", (f.first_byte_at - a.ended_at) / MS, name(f.to));
+                    self.found(Breach::SentAfterAnswer, f.first_byte_at, Some(id), what);
                 }
             }
         }
-        let good = |f: &&Forwarded| matches!(f.how, How::Done | How::Repeat);
+        let good = |f: &&ObservedForward| matches!(f.outcome, ForwardOutcome::Done | ForwardOutcome::Repeat);
         let made = life
             .forwards
             .iter()
             .filter(good)
-            .any(|f| f.ended_since() <= a.ended + self.slack);
-        if a.end == End::Foreign || a.end == End::Succeeded && !made {
+            .any(|f| f.earliest_end_at() <= a.ended_at + self.slack);
+        if a.outcome == ClientOutcome::Foreign || a.outcome == ClientOutcome::Succeeded && !made {
             let what = "no cache server made this answer for it".to_string();
-            self.found(Breach::AnsweredWithNobodysValue, a.ended, Some(id), what);
+            self.found(Breach::AnsweredWithNobodysValue, a.ended_at, Some(id), what);
         }
     }
 
-    fn effects(&mut self, id: u64, a: &Asked, op: &Operation, life: &Life) {
-        let mut all: Vec<&Forwarded> = life.forwards.iter().filter(|f| f.whole.is_some()).collect();
-        all.sort_by_key(|f| f.whole);
+    fn effects(&mut self, id: u64, a: &ClientAttempt, op: &Operation, life: &Invocation) {
+        let mut all: Vec<&ObservedForward> = life.forwards.iter().filter(|f| f.complete_at.is_some()).collect();
+        all.sort_by_key(|f| f.complete_at);
         if op.effect != Effect::Idempotent && all.iter().filter(|f| f.ran).count() > 1 {
             self.found(
                 Breach::EffectTwice,
-                a.ended,
+                a.ended_at,
                 Some(id),
                 format!("{} ran twice", op.name),
             );
         }
         for (n, later) in all.iter().enumerate() {
-            let whole = later.whole.unwrap_or_default();
+            let whole = later.complete_at.unwrap_or_default();
             let earlier = &all[..n];
             if let Some(first) = earlier.iter().find(|f| f.may_have_run()) {
-                let from = first.whole.unwrap_or_default();
+                let from = first.complete_at.unwrap_or_default();
                 let to = format!(
                     "to {} after {} ({:?})",
                     name(later.to),
                     name(first.to),
-                    first.how
+                    first.outcome
                 );
                 match op.effect {
                     Effect::Idempotent => {}
@@ -380,20 +380,20 @@
             }
             // What a stand-in ended itself was over before the node could know; that the node has gone
             // away may be seen here later than it did so.
-            let over = |f: &&&Forwarded| {
-                let gone = self.linked || matches!(f.how, How::Withdrawn | How::Open);
+            let over = |f: &&&ObservedForward| {
+                let gone = self.linked || matches!(f.outcome, ForwardOutcome::Withdrawn | ForwardOutcome::Open);
                 f.ended > whole + if gone { self.slack } else { 0 }
             };
             // When one was sent that its stand-in saw only once it was withdrawn, nobody can tell.
-            if later.unseen && !earlier.is_empty() {
+            if later.withdrawn_unseen && !earlier.is_empty() {
                 self.unjudged("overlaps of forwards withdrawn before their stand-in saw them");
                 continue;
             }
-            let over = earlier.iter().filter(|f| !f.unseen).find(over);
+            let over = earlier.iter().filter(|f| !f.withdrawn_unseen).find(over);
             if let Some(first) = over.filter(|_| !self.second_copies) {
-                let gone = self.linked || matches!(first.how, How::Withdrawn | How::Open);
-                if gone && first.ended_since() <= whole + self.slack {
-                    self.unjudged(STOOD_STILL);
+                let gone = self.linked || matches!(first.outcome, ForwardOutcome::Withdrawn | ForwardOutcome::Open);
+                if gone && first.earliest_end_at() <= whole + self.slack {
+                    self.unjudged(LAB_STALLED);
                 } else if self.blind {
                     self.unjudged("overlaps behind links that lose bytes");
                 } else {
@@ -402,19 +402,19 @@
                         "to {} while out at {}, {:?} {by} ms later",
                         name(later.to),
                         name(first.to),
-                        first.how
+                        first.outcome
                     );
                     self.found(Breach::Overlapping, whole, Some(id), what);
                 }
             }
         }
-        let before = |f: &&&Forwarded| f.may_have_run() && f.whole.is_some_and(|w| w < a.ended);
-        if a.end == End::Throttled
+        let before = |f: &&&ObservedForward| f.may_have_run() && f.complete_at.is_some_and(|w| w < a.ended_at);
+        if a.outcome == ClientOutcome::Throttled
             && op.effect == Effect::NonIdempotent
             && let Some(f) = all.iter().find(before)
         {
-            let what = format!("after {} ({:?})", name(f.to), f.how);
-            self.found(Breach::ThrottledThoughItMayHaveRun, a.ended, Some(id), what);
+            let what = format!("after {} ({:?})", name(f.to), f.outcome);
+            self.found(Breach::ThrottledThoughItMayHaveRun, a.ended_at, Some(id), what);
         }
     }
 
@@ -426,7 +426,7 @@
     }
 
     /// Told at the latest when discovery has known for so long: a silent subscription counts as informed.
-    fn drain(&mut self, id: u64, a: &Asked, f: &Forwarded) {
+    fn drain(&mut self, id: u64, a: &ClientAttempt, f: &ObservedForward) {
         if f.to == ORIGIN {
             return;
         }
@@ -446,7 +446,7 @@
         all.sort_by_key(|t| t.0);
         // What it knew a grace before, and whether it was told better since.
         // Where the lab stood still it may have come at any moment of that: only what is late either way counts.
-        let Some(bar) = f.first_since().checked_sub(self.grace + self.slack) else {
+        let Some(bar) = f.earliest_first_byte_at().checked_sub(self.grace + self.slack) else {
             return;
         };
         let then = all.iter().rfind(|t| t.0 <= bar);
@@ -460,20 +460,20 @@
             && self
                 .away
                 .iter()
-                .any(|a| (a.0..a.1.saturating_add(self.informed)).contains(&f.first))
+                .any(|a| (a.0..a.1.saturating_add(self.informed)).contains(&f.first_byte_at))
         {
             self.unjudged("sent to a drained cache server while discovery was away");
         }
         let since = all
             .iter()
-            .any(|t| t.0 > bar && t.0 <= f.first && t.1 == Listed::Ready);
+            .any(|t| t.0 > bar && t.0 <= f.first_byte_at && t.1 == Listed::Ready);
         if let Some((at, listed)) = then.filter(|t| t.1 != Listed::Ready && !since) {
             let what = format!(
                 "to {}, {} ms after word of {listed:?}",
                 name(f.to),
-                (f.first - at) / MS
+                (f.first_byte_at - at) / MS
             );
-            self.found(Breach::SentToDrained, f.first, Some(id), what);
+            self.found(Breach::SentToDrained, f.first_byte_at, Some(id), what);
         }
     }
 
--- a/crates/sparrouter-lab/src/ledger/figures.rs
+++ b/crates/sparrouter-lab/src/ledger/figures.rs
@@ -1,5 +1,5 @@
 //! Counts, rates and latencies of a run, by time.
-use super::{Asked, End, Forwarded, How, ORIGIN};
+use super::{ClientAttempt, ClientOutcome, ObservedForward, ForwardOutcome, ORIGIN};
 use crate::scenario::Scenario;
 use crate::scenario::arrivals::root;
 use crate::{MS, Nanos, SECOND};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// Pieces that a run's time is cut into, at the most.
-const PIECES: u64 = 240;
+const MAX_SLICES: u64 = 240;
 /// Longest latency told apart, in µs.
 const LONGEST: u64 = 120_000_000;
 
@@ -36,7 +36,7 @@
 
 /// One piece of the run's time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Piece {
+pub struct TimeSlice {
     pub at_s: f64,
     pub counts: Counts,
     pub latency_ms: Quantiles,
@@ -62,7 +62,7 @@
     pub connected: u64,
     pub outcomes: BTreeMap<String, u64>,
     pub piece_s: f64,
-    pub pieces: Vec<Piece>,
+    pub pieces: Vec<TimeSlice>,
     /// The lab's own lateness.
     pub late_ms: Quantiles,
     pub late_bound_ms: f64,
@@ -82,8 +82,8 @@
     }
 }
 
-struct Slice {
-    piece: Piece,
+struct SliceFigures {
+    piece: TimeSlice,
     latency: Histogram<u64>,
 }
 
@@ -94,7 +94,7 @@
     tenants: Vec<String>,
     tally: Tally,
     piece: Nanos,
-    slices: BTreeMap<u64, Slice>,
+    slices: BTreeMap<u64, SliceFigures>,
     latency: Histogram<u64>,
     late: Histogram<u64>,
     asked_value: f64,
@@ -121,7 +121,7 @@
 
 impl Figures {
     pub fn new(s: &Scenario) -> Figures {
-        let piece = (s.length_s / PIECES as f64).max(0.25);
+        let piece = (s.length_s / MAX_SLICES as f64).max(0.25);
         Figures {
             objectives: s.operation.iter().map(|o| o.objective_ms * MS).collect(),
             values: s.operation.iter().map(|o| o.billed_value).collect(),
@@ -142,45 +142,45 @@
         }
     }
 
-    fn slice(&mut self, at: Nanos) -> &mut Slice {
+    fn slice(&mut self, at: Nanos) -> &mut SliceFigures {
         let n = at / self.piece;
         let at_s = (n * self.piece) as f64 / SECOND as f64;
-        let fresh = || Slice {
-            piece: Piece {
+        let fresh = || SliceFigures {
+            piece: TimeSlice {
                 at_s,
-                ..Piece::default()
+                ..TimeSlice::default()
             },
             latency: histogram(),
         };
         self.slices.entry(n).or_insert_with(fresh)
     }
 
-    pub fn asked(&mut self, a: &Asked, operation: u8) {
+    pub fn asked(&mut self, a: &ClientAttempt, operation: u8) {
         let op = usize::from(operation).min(self.objectives.len() - 1);
         let first = a.id == root(a.id);
-        let took = a.ended.saturating_sub(a.first_due);
-        let good = a.end == End::Succeeded && took <= self.objectives[op];
+        let took = a.ended_at.saturating_sub(a.first_scheduled_at);
+        let good = a.outcome == ClientOutcome::Succeeded && took <= self.objectives[op];
         let us = (took / 1000).clamp(1, LONGEST);
         if first {
             self.late
-                .saturating_record((a.dealt.saturating_sub(a.due) / 1000).clamp(1, LONGEST));
+                .saturating_record((a.dispatched_at.saturating_sub(a.scheduled_at) / 1000).clamp(1, LONGEST));
             self.asked_value += self.values[op];
         }
         if good {
             self.good_value += self.values[op];
         }
-        if a.end == End::Succeeded {
+        if a.outcome == ClientOutcome::Succeeded {
             self.latency.saturating_record(us);
         }
         let count = |c: &mut Counts| {
             c.asked += u64::from(first);
-            match a.end {
-                End::Succeeded if good => c.in_objective += 1,
-                End::Succeeded => c.past_objective += 1,
-                End::Throttled => c.throttled += 1,
-                End::Errored | End::Foreign => c.errored += 1,
-                End::Closed | End::Silent | End::Unconnected => c.unanswered += 1,
-                End::Left => c.left += 1,
+            match a.outcome {
+                ClientOutcome::Succeeded if good => c.in_objective += 1,
+                ClientOutcome::Succeeded => c.past_objective += 1,
+                ClientOutcome::Throttled => c.throttled += 1,
+                ClientOutcome::Errored | ClientOutcome::Foreign => c.errored += 1,
+                ClientOutcome::Closed | ClientOutcome::Silent | ClientOutcome::Unconnected => c.unanswered += 1,
+                ClientOutcome::Left => c.left += 1,
             }
         };
         count(&mut self.tally.total);
@@ -197,29 +197,29 @@
                 .entry(self.tenants[tenant].clone())
                 .or_default(),
         );
-        let slice = self.slice(a.first_due);
+        let slice = self.slice(a.first_scheduled_at);
         count(&mut slice.piece.counts);
-        if a.end == End::Succeeded {
+        if a.outcome == ClientOutcome::Succeeded {
             slice.latency.saturating_record(us);
         }
     }
 
-    pub fn forwarded(&mut self, f: &Forwarded) {
-        let how = match f.how {
-            How::Done => "done",
-            How::Repeat => "repeat",
-            How::Miss => "miss",
-            How::NotRun => "not run",
-            How::Error => "error",
-            How::Reset => "reset",
-            How::Withdrawn => "withdrawn",
-            How::Open => "open",
+    pub fn forwarded(&mut self, f: &ObservedForward) {
+        let how = match f.outcome {
+            ForwardOutcome::Done => "done",
+            ForwardOutcome::Repeat => "repeat",
+            ForwardOutcome::Miss => "miss",
+            ForwardOutcome::NotRun => "not run",
+            ForwardOutcome::Error => "error",
+            ForwardOutcome::Reset => "reset",
+            ForwardOutcome::Withdrawn => "withdrawn",
+            ForwardOutcome::Open => "open",
         };
         match self.tally.outcomes.get_mut(how) {
             Some(count) => *count += 1,
             None => drop(self.tally.outcomes.insert(how.into(), 1)),
         }
-        let slice = self.slice(f.first);
+        let slice = self.slice(f.first_byte_at);
         if f.to == ORIGIN {
             slice.piece.fetches += 1;
             self.tally.fetches += 1;
@@ -238,7 +238,7 @@
         self.tally.value = self.good_value / self.asked_value.max(1e-9);
         self.tally.latency_ms = quantiles(&self.latency);
         self.tally.late_ms = quantiles(&self.late);
-        let piece = |s: Slice| Piece {
+        let piece = |s: SliceFigures| TimeSlice {
             latency_ms: quantiles(&s.latency),
             ..s.piece
         };
--- a/crates/sparrouter-lab/src/ledger/mod.rs
+++ b/crates/sparrouter-lab/src/ledger/mod.rs
@@ -18,7 +18,7 @@
 
 /// How an invocation ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ClientOutcome {
     Succeeded,
     /// 200, with a body that is not of this invocation.
     Foreign,
@@ -36,26 +36,26 @@
 
 /// What a client saw of one try.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct ClientAttempt {
     pub id: u64,
     pub tenant: u8,
     pub node: u16,
     /// When the client's first try was due, and this one.
-    pub first_due: Nanos,
-    pub due: Nanos,
+    pub first_scheduled_at: Nanos,
+    pub scheduled_at: Nanos,
     /// When the lab dealt it out: later than due is the lab's own lateness.
-    pub dealt: Nanos,
+    pub dispatched_at: Nanos,
     /// Its last byte was handed to the connection.
-    pub written: Option<Nanos>,
-    pub end: End,
-    pub ended: Nanos,
+    pub written_at: Option<Nanos>,
+    pub outcome: ClientOutcome,
+    pub ended_at: Nanos,
     /// It may have been over for so long when the lab saw it.
     pub end_lag: Nanos,
 }
 
 /// What a stand-in did with a forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum ForwardOutcome {
     /// Answered with the value, or the effect is done.
     Done,
     /// An effect that it already had: the repeat was dropped.
@@ -74,42 +74,42 @@
 
 /// One forward, as its stand-in saw it.
 #[derive(Clone, Copy, Debug)]
-pub struct Forwarded {
+pub struct ObservedForward {
     pub id: u64,
     pub to: u32,
-    pub first: Nanos,
+    pub first_byte_at: Nanos,
     /// Its last byte came; none: it never came whole.
-    pub whole: Option<Nanos>,
+    pub complete_at: Option<Nanos>,
     pub ended: Nanos,
     /// It may have been there for so long when the lab saw it, and over for so long when that was seen.
     pub first_lag: Nanos,
     pub end_lag: Nanos,
-    pub how: How,
+    pub outcome: ForwardOutcome,
     /// An effect was carried out.
     pub ran: bool,
     /// The stand-in was cold.
     pub cold: bool,
     /// The node had gone away before the stand-in saw it, which then leaves it alone.
-    pub unseen: bool,
+    pub withdrawn_unseen: bool,
 }
 
-impl Forwarded {
+impl ObservedForward {
     /// No earlier than this did it come, or end.
-    pub fn first_since(&self) -> Nanos {
-        self.first.saturating_sub(self.first_lag)
+    pub fn earliest_first_byte_at(&self) -> Nanos {
+        self.first_byte_at.saturating_sub(self.first_lag)
     }
-    pub fn ended_since(&self) -> Nanos {
+    pub fn earliest_end_at(&self) -> Nanos {
         self.ended.saturating_sub(self.end_lag)
     }
     pub fn may_have_run(&self) -> bool {
-        self.whole.is_some() && !matches!(self.how, How::NotRun | How::Miss)
+        self.complete_at.is_some() && !matches!(self.outcome, ForwardOutcome::NotRun | ForwardOutcome::Miss)
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 pub enum Record {
-    Asked(Asked),
-    Forwarded(Forwarded),
+    ClientAttempt(ClientAttempt),
+    ObservedForward(ObservedForward),
     /// Discovery came to know.
     Known {
         at: Nanos,
@@ -117,19 +117,19 @@
         listed: Listed,
     },
     /// Discovery has written it to the node.
-    Told {
+    Notified {
         at: Nanos,
         node: u16,
         cache: u32,
         listed: Listed,
     },
     /// Discovery refuses calls from now on, or takes them again.
-    Away {
+    DiscoveryAway {
         at: Nanos,
         away: bool,
     },
     /// A cache server was pushed over while cold.
-    Fell {
+    CacheFell {
         at: Nanos,
         cache: u32,
         cold: bool,
@@ -156,38 +156,38 @@
         at: Nanos,
     },
     /// Bytes came on a client's connection behind the answer of this invocation.
-    More {
+    ExtraBytes {
         at: Nanos,
         id: u64,
     },
     /// Nothing more will be told.
-    Over,
+    EndOfRun,
 }
 
 #[derive(Default)]
-pub(crate) struct Life {
-    pub asked: Option<Asked>,
-    pub forwards: Vec<Forwarded>,
+pub(crate) struct Invocation {
+    pub attempt: Option<ClientAttempt>,
+    pub forwards: Vec<ObservedForward>,
 }
 
-pub struct Ledger {
-    lives: HashMap<u64, Life>,
+pub struct InvocationLog {
+    open_invocations: HashMap<u64, Invocation>,
     /// When a life may be judged, oldest first.
     due: VecDeque<(Nanos, u64)>,
-    keep: Nanos,
+    retention: Nanos,
     latest: Nanos,
     audit: Audit,
     figures: Figures,
     slowest: Slowest,
 }
 
-impl Ledger {
-    pub fn new(s: &Scenario) -> Ledger {
-        Ledger {
-            lives: HashMap::new(),
+impl InvocationLog {
+    pub fn new(s: &Scenario) -> InvocationLog {
+        InvocationLog {
+            open_invocations: HashMap::new(),
             due: VecDeque::new(),
             // A fetch may outlive its invocation by another client timeout.
-            keep: 2 * s.longest_ms() * MS + 5 * SECOND,
+            retention: 2 * s.longest_ms() * MS + 5 * SECOND,
             latest: 0,
             audit: Audit::new(s),
             figures: Figures::new(s),
@@ -195,25 +195,25 @@
         }
     }
 
-    pub fn take(&mut self, record: Record) {
+    pub fn record(&mut self, record: Record) {
         match record {
-            Record::Asked(asked) => {
+            Record::ClientAttempt(asked) => {
                 self.figures.asked(&asked, operation_of(asked.id));
-                self.latest = self.latest.max(asked.ended);
-                self.lives.entry(asked.id).or_default().asked = Some(asked);
-                self.due.push_back((asked.ended + self.keep, asked.id));
+                self.latest = self.latest.max(asked.ended_at);
+                self.open_invocations.entry(asked.id).or_default().attempt = Some(asked);
+                self.due.push_back((asked.ended_at + self.retention, asked.id));
                 while let Some((_, id)) = self.due.front().copied().filter(|d| d.0 < self.latest) {
                     self.due.pop_front();
-                    if let Some(life) = self.lives.remove(&id) {
+                    if let Some(life) = self.open_invocations.remove(&id) {
                         self.audit.judge(id, &life);
-                        self.slowest.see(id, &life);
+                        self.slowest.add(id, &life);
                     }
                 }
             }
-            Record::Forwarded(forward) => {
+            Record::ObservedForward(forward) => {
                 self.figures.forwarded(&forward);
                 self.audit.forwarded(&forward);
-                self.lives
+                self.open_invocations
                     .entry(forward.id)
                     .or_default()
                     .forwards
@@ -225,16 +225,16 @@
     }
 
     /// Lives not yet judged: bounded by the rate times `keep`.
-    pub fn open(&self) -> usize {
-        self.lives.len()
+    pub fn open_count(&self) -> usize {
+        self.open_invocations.len()
     }
 
     pub fn finish(mut self) -> (Verdict, Tally) {
-        let mut rest: Vec<(u64, Life)> = self.lives.drain().collect();
+        let mut rest: Vec<(u64, Invocation)> = self.open_invocations.drain().collect();
         rest.sort_by_key(|(id, _)| *id);
         for (id, life) in &rest {
             self.audit.judge(*id, life);
-            self.slowest.see(*id, life);
+            self.slowest.add(*id, life);
         }
         let mut tally = self.figures.tally();
         tally.slowest = self.slowest.lines();
--- a/crates/sparrouter-lab/src/ledger/slowest.rs
+++ b/crates/sparrouter-lab/src/ledger/slowest.rs
@@ -1,9 +1,9 @@
 //! The slowest answers of a run with all that their forwards did: where to look first.
-use super::{Asked, End, Life, ORIGIN};
+use super::{ClientAttempt, ClientOutcome, Invocation, ORIGIN};
 use crate::{MS, Nanos};
 
 /// So many are kept, no two of one tenth of a second: one stall would fill the list.
-const KEPT: usize = 24;
+const LISTED: usize = 24;
 
 #[derive(Default)]
 pub struct Slowest(Vec<(Nanos, Nanos, String)>);
@@ -12,20 +12,20 @@
     (at as f64 - from as f64) / MS as f64
 }
 
-fn line(id: u64, a: &Asked, life: &Life) -> String {
-    let due = a.first_due;
+fn line(id: u64, a: &ClientAttempt, life: &Invocation) -> String {
+    let due = a.first_scheduled_at;
     let written = a
-        .written
+        .written_at
         .map_or("never".into(), |w| format!("{:.1}", ms(w, due)));
     let mut text = format!(
         "{:.3} s {id:016x} node {} {:?} after {:.1} ms; written {written}",
         due as f64 / 1e9,
         a.node,
-        a.end,
-        ms(a.ended, due)
+        a.outcome,
+        ms(a.ended_at, due)
     );
     let mut forwards: Vec<_> = life.forwards.iter().collect();
-    forwards.sort_by_key(|f| f.first);
+    forwards.sort_by_key(|f| f.first_byte_at);
     for f in forwards {
         let to = if f.to == ORIGIN {
             "origin".into()
@@ -34,38 +34,38 @@
         };
         text += &format!(
             "; {to} {:.1} to {:.1} {:?}",
-            ms(f.first, due),
+            ms(f.first_byte_at, due),
             ms(f.ended, due),
-            f.how
+            f.outcome
         );
     }
     text
 }
 
 impl Slowest {
-    pub(crate) fn see(&mut self, id: u64, life: &Life) {
+    pub(crate) fn add(&mut self, id: u64, life: &Invocation) {
         let Some(a) = life
-            .asked
-            .filter(|a| matches!(a.end, End::Succeeded | End::Errored | End::Silent))
+            .attempt
+            .filter(|a| matches!(a.outcome, ClientOutcome::Succeeded | ClientOutcome::Errored | ClientOutcome::Silent))
         else {
             return;
         };
         let (took, place) = (
-            a.ended.saturating_sub(a.first_due),
-            a.first_due / (100 * MS),
+            a.ended_at.saturating_sub(a.first_scheduled_at),
+            a.first_scheduled_at / (100 * MS),
         );
         if let Some(same) = self.0.iter_mut().find(|s| s.1 == place) {
             if same.0 >= took {
                 return;
             }
             *same = (took, place, line(id, &a, life));
-        } else if self.0.len() < KEPT || self.0.last().is_some_and(|s| s.0 < took) {
+        } else if self.0.len() < LISTED || self.0.last().is_some_and(|s| s.0 < took) {
             self.0.push((took, place, line(id, &a, life)));
         } else {
             return;
         }
         self.0.sort_by_key(|s| std::cmp::Reverse(s.0));
-        self.0.truncate(KEPT);
+        self.0.truncate(LISTED);
     }
     pub fn lines(self) -> Vec<String> {
         self.0.into_iter().map(|s| s.2).collect()
--- a/crates/sparrouter-lab/src/play.rs
+++ b/crates/sparrouter-lab/src/play.rs
@@ -2,17 +2,17 @@
 use crate::clients::{self, Front};
 use crate::ledger::audit::Verdict;
 use crate::ledger::figures::Tally;
-use crate::ledger::{Ledger, Record};
-use crate::rollout::{self, Changed, Tools};
-use crate::scenario::schedule::{self, Act, Listed, Schedule};
+use crate::ledger::{InvocationLog, Record};
+use crate::rollout::{self, RolloutResult, Tools};
+use crate::scenario::schedule::{self, Action, Listed, Schedule};
 use crate::scenario::{Before, Scenario};
 use crate::stand_ins::Lab;
-use crate::stand_ins::bad_node::{self, Kind};
+use crate::stand_ins::bad_node::{self, BadNodeKind};
 use crate::stand_ins::discovery::Discovery;
 use crate::stand_ins::fleet::Fleet;
 use crate::stand_ins::link::Link;
 use crate::stand_ins::node::{Node, Start, Version};
-use crate::stand_ins::peer_network::Notes;
+use crate::stand_ins::peer_network::PeerNetwork;
 use crate::workers::Workers;
 use crate::{MS, Nanos, SECOND, nanos};
 use serde::{Deserialize, Serialize};
@@ -33,7 +33,7 @@
     Relay(PathBuf),
     /// No node: clients ask one cache server.
     Direct,
-    Bad(Kind),
+    Bad(BadNodeKind),
 }
 
 impl Program {
@@ -48,7 +48,7 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
+pub enum RunError {
     #[error("{0}: {1}")]
     Io(String, std::io::Error),
     #[error("the change of the nodes: {0}")]
@@ -89,7 +89,7 @@
     pub began_unix_ms: u64,
     /// How a change of the nodes went, where there was one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub rollout: Option<Changed>,
+    pub rollout: Option<RolloutResult>,
     /// CPU seconds of all nodes together, from the first arrival on.
     pub cpu_s: f64,
     /// Highest memory of one node, MB.
@@ -109,11 +109,11 @@
 
 type Nodes = Arc<Vec<Mutex<Node>>>;
 
-pub(crate) struct Stage {
+pub(crate) struct Environment {
     pub(crate) lab: Arc<Lab>,
     fleet: Arc<Fleet>,
     discovery: Arc<Discovery>,
-    notes: Notes,
+    notes: PeerNetwork,
     links: HashMap<(Before, usize), Arc<Link>>,
     front: Arc<Front>,
     pub(crate) nodes: Nodes,
@@ -130,7 +130,7 @@
     program: &Program,
     folder: &Path,
     progress: impl Fn(Nanos),
-) -> Result<Run, Failed> {
+) -> Result<Run, RunError> {
     play_with(scenario, program, &Tools::own(), folder, progress)
 }
 
@@ -141,17 +141,17 @@
     tools: &Tools,
     folder: &Path,
     progress: impl Fn(Nanos),
-) -> Result<Run, Failed> {
+) -> Result<Run, RunError> {
     let scenario = scenario.clone().with_defaults();
-    std::fs::create_dir_all(folder).map_err(|e| Failed::Io(folder.display().to_string(), e))?;
+    std::fs::create_dir_all(folder).map_err(|e| RunError::Io(folder.display().to_string(), e))?;
     let (tape, told) = mpsc::channel();
-    let mut ledger = Ledger::new(&scenario);
+    let mut ledger = InvocationLog::new(&scenario);
     let collector = std::thread::spawn(move || {
         for record in told {
-            if matches!(record, Record::Over) {
+            if matches!(record, Record::EndOfRun) {
                 break;
             }
-            ledger.take(record);
+            ledger.record(record);
         }
         ledger.finish()
     });
@@ -160,7 +160,7 @@
     let clients = Workers::start("client", (cores * 3 / 8).max(2));
     let lab = Lab::new(scenario.clone(), tape.clone(), servers.clone());
     let schedule = schedule::draw(&scenario);
-    let stage = match Stage::set(&lab, &schedule, program, folder) {
+    let stage = match Environment::set(&lab, &schedule, program, folder) {
         Ok(stage) => Arc::new(stage),
         Err(failed) => {
             servers.stop();
@@ -201,7 +201,7 @@
     let changed = change
         .map(|c| c.join().unwrap_or_else(|_| Err("it panicked".into())))
         .transpose();
-    let changed = changed.map_err(Failed::Rollout)?;
+    let changed = changed.map_err(RunError::Rollout)?;
     clients.stop();
     let mut run = Run {
         scenario: scenario.clone(),
@@ -224,7 +224,7 @@
     run.cpu_s -= before;
     lab.over.store(true, Relaxed);
     servers.stop();
-    let _ = tape.send(Record::Over);
+    let _ = tape.send(Record::EndOfRun);
     (run.verdict, run.tally) = collector.join().expect("the ledger does not panic");
     for sample in &run.samples {
         for node in &sample.nodes {
@@ -244,17 +244,17 @@
     s.fault.iter().map(|f| band(f.span())).collect()
 }
 
-impl Stage {
+impl Environment {
     fn set(
         lab: &Arc<Lab>,
         schedule: &Schedule,
         program: &Program,
         folder: &Path,
-    ) -> Result<Stage, Failed> {
+    ) -> Result<Environment, RunError> {
         let s = &lab.scenario;
         let io = |what: &str| {
             let what = what.to_string();
-            move |e| Failed::Io(what, e)
+            move |e| RunError::Io(what, e)
         };
         let fleet = Fleet::new(lab, schedule).map_err(io("addresses for cache servers"))?;
         fleet.start(s.caches.count);
@@ -276,7 +276,7 @@
         let discovery = Discovery::new(lab, &fleet, ends);
         (0..s.caches.count).for_each(|n| discovery.list(n, Listed::Ready, false));
         discovery.start();
-        let notes = Notes::start(lab).map_err(io("sockets for notes"))?;
+        let notes = PeerNetwork::start(lab).map_err(io("sockets for notes"))?;
         let mut nodes = Vec::new();
         let mut at = Vec::new();
         match program {
@@ -325,7 +325,7 @@
             .enumerate()
             .map(|(n, a)| end(Before::Nodes, n, *a))
             .collect();
-        let stage = Stage {
+        let stage = Environment {
             lab: lab.clone(),
             fleet,
             discovery,
@@ -350,7 +350,7 @@
         }
         for (n, at) in at.iter().enumerate().take(s.nodes.count) {
             if !ready(*at, Duration::from_secs(30)) {
-                return Err(Failed::NotReady(n, folder.join(format!("n{n}/log.txt"))));
+                return Err(RunError::NotReady(n, folder.join(format!("n{n}/log.txt"))));
             }
         }
         Ok(stage)
@@ -394,31 +394,31 @@
         }
     }
 
-    fn act(self: &Arc<Self>, act: &Act) {
+    fn act(self: &Arc<Self>, act: &Action) {
         let cache = |n: &usize| &self.fleet.caches[*n];
         match act {
-            Act::Start(n) => cache(n).start(true),
-            Act::Die(n) => cache(n).die(),
-            Act::Drain(n) => cache(n).drain(),
-            Act::Hang(n, on) => cache(n).hang(*on),
-            Act::Pause(n, ms) => cache(n).stand_still(*ms),
-            Act::Spoil(n, errors, resets) => cache(n).spoil(*errors, *resets),
-            Act::SpoilOrigin(errors, resets) => self.fleet.origin.spoil(*errors, *resets),
-            Act::List(n, listed) => {
+            Action::Start(n) => cache(n).start(true),
+            Action::Die(n) => cache(n).die(),
+            Action::Drain(n) => cache(n).drain(),
+            Action::Hang(n, on) => cache(n).hang(*on),
+            Action::Pause(n, ms) => cache(n).stand_still(*ms),
+            Action::Spoil(n, errors, resets) => cache(n).spoil(*errors, *resets),
+            Action::SpoilOrigin(errors, resets) => self.fleet.origin.spoil(*errors, *resets),
+            Action::List(n, listed) => {
                 let cold = cache(n).warmth() < 1.0;
                 self.discovery.list(*n, *listed, cold);
             }
-            Act::Flush(part) => self.fleet.flush(*part),
-            Act::NodeStop(n) if *n < self.nodes.len() => self.stop_node(*n, false),
-            Act::NodeKill(n) if *n < self.nodes.len() => self.stop_node(*n, true),
-            Act::NodeStart(n) if *n < self.nodes.len() => self.restart_node(*n),
-            Act::NodeStop(_) | Act::NodeKill(_) | Act::NodeStart(_) => {}
-            Act::Lies(node) => self.notes.lies(*node),
-            Act::Skew(part, nodes) => self.front.skew(*part, *nodes),
-            Act::NodesAre(count, killed) => self.nodes_are((*count).min(self.nodes.len()), *killed),
-            Act::NodesTold(count) => self.tell_nodes((*count).min(self.nodes.len())),
-            Act::Discovery(trouble) => self.discovery.trouble(*trouble),
-            Act::DiscoveryMoves => {
+            Action::Flush(part) => self.fleet.flush(*part),
+            Action::NodeStop(n) if *n < self.nodes.len() => self.stop_node(*n, false),
+            Action::NodeKill(n) if *n < self.nodes.len() => self.stop_node(*n, true),
+            Action::NodeStart(n) if *n < self.nodes.len() => self.restart_node(*n),
+            Action::NodeStop(_) | Action::NodeKill(_) | Action::NodeStart(_) => {}
+            Action::Lies(node) => self.notes.lies(*node),
+            Action::Skew(part, nodes) => self.front.skew(*part, *nodes),
+            Action::NodesAre(count, killed) => self.nodes_are((*count).min(self.nodes.len()), *killed),
+            Action::NodesTold(count) => self.tell_nodes((*count).min(self.nodes.len())),
+            Action::Discovery(trouble) => self.discovery.trouble(*trouble),
+            Action::DiscoveryMoves => {
                 self.discovery.moves();
                 for n in 0..self.nodes.len() {
                     if let Err(e) =
@@ -428,14 +428,14 @@
                     }
                 }
             }
-            Act::Link(before, n, way) => {
+            Action::Link(before, n, way) => {
                 if let Some(link) = self.links.get(&(*before, *n)) {
                     link.set(*way);
                 }
             }
-            Act::Notes(lost, delay) => self.notes.set(*lost, *delay),
-            Act::NotesCut(first, one_way) => self.notes.cut(*first, *one_way),
-            Act::NodePause(n, on) if *n < self.nodes.len() => {
+            Action::Notes(lost, delay) => self.notes.set(*lost, *delay),
+            Action::NotesCut(first, one_way) => self.notes.cut(*first, *one_way),
+            Action::NodePause(n, on) if *n < self.nodes.len() => {
                 let node = *n as u16;
                 if *on {
                     // What a stopped process owes counts like that of one that was killed.
@@ -454,7 +454,7 @@
                     });
                 }
             }
-            Act::NodePause(..) => {}
+            Action::NodePause(..) => {}
         }
     }
 
--- a/crates/sparrouter-lab/src/report.rs
+++ b/crates/sparrouter-lab/src/report.rs
@@ -2,14 +2,14 @@
 mod page;
 pub mod plots;
 
-use crate::play::{Failed, Run};
+use crate::play::{RunError, Run};
 use std::path::{Path, PathBuf};
 
 /// Writes both into the folder; gives the page's path.
-pub fn write(run: &Run, folder: &Path) -> Result<PathBuf, Failed> {
+pub fn write(run: &Run, folder: &Path) -> Result<PathBuf, RunError> {
     let failed = |path: &Path| {
         let path = path.display().to_string();
-        move |e| Failed::Io(path, e)
+        move |e| RunError::Io(path, e)
     };
     std::fs::create_dir_all(folder).map_err(failed(folder))?;
     let (json, page) = (folder.join("run.json"), folder.join("report.html"));
@@ -20,13 +20,13 @@
 }
 
 /// Reads a run again, from its folder or its file.
-pub fn read(path: &Path) -> Result<Run, Failed> {
+pub fn read(path: &Path) -> Result<Run, RunError> {
     let path = if path.is_dir() {
         path.join("run.json")
     } else {
         path.to_path_buf()
     };
-    let failed = |e| Failed::Io(path.display().to_string(), e);
+    let failed = |e| RunError::Io(path.display().to_string(), e);
     let text = std::fs::read_to_string(&path).map_err(failed)?;
     serde_json::from_str(&text).map_err(|e| failed(e.into()))
 }
--- a/crates/sparrouter-lab/src/report/plots.rs
+++ b/crates/sparrouter-lab/src/report/plots.rs
@@ -1,5 +1,5 @@
 //! Plots over one time axis, as SVG text. Faults are bands behind the curves.
-use crate::ledger::figures::{Piece, Quantiles};
+use crate::ledger::figures::{TimeSlice, Quantiles};
 use crate::play::{Run, Sample};
 use plotters::coord::ranged1d::{AsRangedCoord, Ranged, ValueFormatter};
 use plotters::prelude::*;
@@ -130,7 +130,7 @@
         * 1.08
 }
 
-fn per_s(run: &Run, name: &str, of: impl Fn(&Piece) -> u64) -> Curve {
+fn per_s(run: &Run, name: &str, of: impl Fn(&TimeSlice) -> u64) -> Curve {
     let points = run
         .tally
         .pieces
--- a/crates/sparrouter-lab/src/rollout.rs
+++ b/crates/sparrouter-lab/src/rollout.rs
@@ -1,8 +1,8 @@
 //! A change of the lab's nodes while all else goes on: by the conductor in a process of its own, which the lab kills
 //! where a scenario says so, or without one, to hold it against. Its commands leave their wishes in a folder; the lab,
 //! whose children the nodes are, carries them out.
-use crate::play::Stage;
-use crate::scenario::rollout::{How, Plant, Rollout};
+use crate::play::Environment;
+use crate::scenario::rollout::{RolloutMode, Defect, Rollout};
 use crate::stand_ins::node::Version;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
 
 /// How a change went.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Changed {
+pub struct RolloutResult {
     /// `through`, `back`, `left`, or what it was doing when the run was over.
     pub how: String,
     pub why: String,
@@ -55,13 +55,13 @@
 }
 
 /// The wish and its fulfilment are files, so that a killed conductor's command can be told apart from the next one's.
-const ASK: &str = r#"f="$1/$2.$$"; printf %s "$3" > "$f.tmp" && mv "$f.tmp" "$f.ask"
+const COMMAND_SCRIPT: &str = r#"f="$1/$2.$$"; printf %s "$3" > "$f.tmp" && mv "$f.tmp" "$f.ask"
 while :; do [ -f "$f.ok" ] && exit 0; [ -f "$f.no" ] && exit 1; [ -d "$1" ] || exit 2; sleep 0.05; done
 "#;
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-struct Change {
-    stage: Arc<Stage>,
+struct NodeRollout {
+    stage: Arc<Environment>,
     old: Version,
     new: Vec<Version>,
     /// One command at a time for each node.
@@ -75,8 +75,8 @@
     }
 }
 
-impl Change {
-    fn new(stage: &Arc<Stage>, wanted: &Rollout, tools: &Tools) -> Result<Change, String> {
+impl NodeRollout {
+    fn new(stage: &Arc<Environment>, wanted: &Rollout, tools: &Tools) -> Result<NodeRollout, String> {
         let count = stage.nodes.len();
         let first = stage.nodes.first().ok_or("no nodes")?;
         let old = first.lock().expect("not poisoned").version.clone();
@@ -93,7 +93,7 @@
             if n % 2 == 1 && !odd.is_empty() {
                 new.settings = odd.clone();
             }
-            if wanted.plant != Plant::None {
+            if wanted.plant != Defect::None {
                 let word = clap::ValueEnum::to_possible_value(&wanted.plant);
                 let word = word.map_or(String::new(), |w| w.get_name().to_string());
                 let envs = [
@@ -107,7 +107,7 @@
             new
         };
         let new = (0..count).map(version).collect();
-        Ok(Change {
+        Ok(NodeRollout {
             stage: stage.clone(),
             old,
             new,
@@ -146,12 +146,12 @@
         stage.stop_node(n, false);
         let latest = Instant::now() + Duration::from_millis(stage.lab.scenario.longest_ms() + 2000);
         while self.running(n) && Instant::now() < latest {
-            sleep(LOOK);
+            sleep(POLL_INTERVAL);
         }
         stage.nodes[n].lock().expect("not poisoned").version = to;
         stage.restart_node(n);
         while !self.running(n) && Instant::now() < latest && !stage.lab.over.load(Relaxed) {
-            sleep(LOOK);
+            sleep(POLL_INTERVAL);
         }
         // A program that refuses its settings is gone at once.
         sleep(Duration::from_millis(250));
@@ -195,12 +195,12 @@
                     );
                 });
             }
-            sleep(LOOK);
+            sleep(POLL_INTERVAL);
         }
     }
 }
 
-fn plan(change: &Change, wanted: &Rollout, asks: &Path, script: &Path) -> String {
+fn plan(change: &NodeRollout, wanted: &Rollout, asks: &Path, script: &Path) -> String {
     let s = &change.stage.lab.scenario;
     let mut text = format!(
         "name = {:?}\nseed = {}\n[change]\ngeneration = {NEW:?}\nfrom = {OLD:?}\nplacement = {}\n[stages]\n\
@@ -260,7 +260,7 @@
         .append(true)
         .open(said);
     let mut file = file.map_err(|e| e.to_string())?;
-    let dies: Option<usize> = std::env::var(DIES).ok().and_then(|n| n.parse().ok());
+    let dies: Option<usize> = std::env::var(ABORT_POINT_VARIABLE).ok().and_then(|n| n.parse().ok());
     let mut points = 0;
     let point = || {
         points += 1;
@@ -280,7 +280,7 @@
 }
 
 /// Names the point of its work at which a conductor ends itself: the so-manieth before or after a write or a command.
-const DIES: &str = "SPARROUTER_DIES";
+const ABORT_POINT_VARIABLE: &str = "SPARROUTER_DIES";
 
 fn conductor(tools: &Tools, plan: &Path, dies: Option<usize>) -> Result<Child, String> {
     let log = std::fs::File::create(plan.with_extension("err")).map_err(|e| e.to_string())?;
@@ -289,9 +289,9 @@
         .args(&tools.conductor[1..])
         .env("SPARROUTER_PLAN", plan)
         .stdin(Stdio::null());
-    command.stdout(Stdio::null()).stderr(log).env_remove(DIES);
+    command.stdout(Stdio::null()).stderr(log).env_remove(ABORT_POINT_VARIABLE);
     if let Some(point) = dies {
-        command.env(DIES, point.to_string());
+        command.env(ABORT_POINT_VARIABLE, point.to_string());
     }
     command
         .spawn()
@@ -300,13 +300,13 @@
 
 /// Runs until the change has ended or the run is over.
 pub(crate) fn run(
-    stage: &Arc<Stage>,
+    stage: &Arc<Environment>,
     wanted: &Rollout,
     tools: &Tools,
     folder: &Path,
     over: &AtomicBool,
-) -> Result<Changed, String> {
-    let change = Arc::new(Change::new(stage, wanted, tools)?);
+) -> Result<RolloutResult, String> {
+    let change = Arc::new(NodeRollout::new(stage, wanted, tools)?);
     let (asks, file, script) = (
         folder.join("asks"),
         folder.join("plan.toml"),
@@ -319,22 +319,22 @@
         let _ = std::fs::remove_file(file.with_extension(left));
     }
     std::fs::create_dir_all(&asks).map_err(io)?;
-    std::fs::write(&script, ASK).map_err(io)?;
+    std::fs::write(&script, COMMAND_SCRIPT).map_err(io)?;
     std::fs::write(&file, plan(&change, wanted, &asks, &script)).map_err(io)?;
     let due = stage.lab.instant(crate::nanos(wanted.at_s));
     while Instant::now() < due && !over.load(Relaxed) {
-        sleep(LOOK);
+        sleep(POLL_INTERVAL);
     }
     let began = Instant::now();
     let (mut how, mut why, mut kills) = ("not ended".to_string(), String::new(), 0);
     let mut ended = None;
     match wanted.how {
-        How::AtOnce | How::Plain => {
+        RolloutMode::AtOnce | RolloutMode::Plain => {
             let all = (0..change.new.len()).map(|n| {
                 let change = change.clone();
                 spawn(move || change.obey(n, "change"))
             });
-            if wanted.how == How::AtOnce {
+            if wanted.how == RolloutMode::AtOnce {
                 all.collect::<Vec<_>>()
                     .into_iter()
                     .for_each(|t| drop(t.join()));
@@ -351,7 +351,7 @@
             how = "through".into();
             ended = Some(began.elapsed());
         }
-        How::Staged => {
+        RolloutMode::Staged => {
             let wisher = change.clone();
             let (place, gone) = (asks.clone(), Arc::new(AtomicBool::new(false)));
             let until = gone.clone();
@@ -387,7 +387,7 @@
                     }
                     break;
                 }
-                sleep(LOOK);
+                sleep(POLL_INTERVAL);
             }
             let _ = child.kill();
             let _ = child.wait();
@@ -419,7 +419,7 @@
         .iter()
         .filter(|e| matches!(e, sparrouter_rollout::record::Entry::Stage { .. }))
         .count();
-    Ok(Changed {
+    Ok(RolloutResult {
         how,
         why,
         stages,
--- a/crates/sparrouter-lab/src/scenario/arrivals.rs
+++ b/crates/sparrouter-lab/src/scenario/arrivals.rs
@@ -47,7 +47,7 @@
     scramble(seed ^ (rank as u64) << 20)
 }
 
-struct Hot {
+struct HotKeys {
     from: Nanos,
     to: Nanos,
     part: f64,
@@ -63,7 +63,7 @@
     rate: f64,
     ramp_to: f64,
     bursts: Vec<(f64, f64, f64)>,
-    hot: Vec<Hot>,
+    hot: Vec<HotKeys>,
     operations: WeightedIndex<f64>,
     tenants: WeightedIndex<f64>,
     keys: Zipf<f64>,
@@ -87,7 +87,7 @@
                     length_s,
                     part,
                     keys,
-                } => hot.push(Hot {
+                } => hot.push(HotKeys {
                     from: nanos(at_s),
                     to: nanos(at_s + length_s),
                     part,
--- a/crates/sparrouter-lab/src/scenario/check.rs
+++ b/crates/sparrouter-lab/src/scenario/check.rs
@@ -1,14 +1,14 @@
 //! What a scenario may not say. Everything wrong is found in one pass.
-use super::faults::{Fault, LinkTrouble};
+use super::faults::{Fault, LinkFault};
 use super::{Before, Effect, Scenario};
 
-pub struct Wrong {
+pub struct Problem {
     /// As in `fault[2].part`.
     pub field: String,
     pub why: String,
 }
 
-struct Report(Vec<Wrong>);
+struct Report(Vec<Problem>);
 
 impl Report {
     fn range(&mut self, field: &str, value: f64, least: f64, most: f64) {
@@ -20,7 +20,7 @@
         }
     }
     fn say(&mut self, field: &str, why: String) {
-        self.0.push(Wrong {
+        self.0.push(Problem {
             field: field.into(),
             why,
         });
@@ -34,7 +34,7 @@
     }
 }
 
-pub fn check(s: &Scenario) -> Vec<Wrong> {
+pub fn check(s: &Scenario) -> Vec<Problem> {
     let mut r = Report(Vec::new());
     r.range("length_s", s.length_s, 0.1, 86_400.0);
     r.range("nodes.count", s.nodes.count as f64, 1.0, 64.0);
@@ -252,13 +252,13 @@
                     format!("no [[link]] stands before {word}; add one"),
                 );
             }
-            if how == LinkTrouble::Cut && bytes == 0 {
+            if how == LinkFault::Cut && bytes == 0 {
                 r.say(
                     &field("bytes"),
                     "a cut needs the bytes after which it comes".into(),
                 );
             }
-            if before == Before::Nodes && how != LinkTrouble::None {
+            if before == Before::Nodes && how != LinkFault::None {
                 let why = "trouble between clients and nodes can't be told from a node's own: \
                            only delay and bandwidth are allowed there";
                 r.say(&field("how"), why.into());
--- a/crates/sparrouter-lab/src/scenario/faults.rs
+++ b/crates/sparrouter-lab/src/scenario/faults.rs
@@ -80,7 +80,7 @@
     DiscoveryTrouble {
         at_s: f64,
         length_s: f64,
-        how: DiscoveryTrouble,
+        how: DiscoveryFault,
     },
     /// It answers at a new address from now on, and nodes are told by their configuration and SIGHUP.
     DiscoveryMoved { at_s: f64 },
@@ -97,7 +97,7 @@
         #[serde(default)]
         kib_per_s: f64,
         #[serde(default)]
-        how: LinkTrouble,
+        how: LinkFault,
         /// With `how = "cut"`: a connection breaks after so many bytes towards the client.
         #[serde(default)]
         bytes: u64,
@@ -147,7 +147,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum DiscoveryTrouble {
+pub enum DiscoveryFault {
     /// Connections are refused, and watches end.
     Down,
     /// Calls are answered 503; watches go on.
@@ -164,7 +164,7 @@
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum LinkTrouble {
+pub enum LinkFault {
     #[default]
     None,
     /// Open connections are reset, new ones too.
--- a/crates/sparrouter-lab/src/scenario/mod.rs
+++ b/crates/sparrouter-lab/src/scenario/mod.rs
@@ -14,11 +14,11 @@
 
 /// Why a scenario can't be played; one line a problem, each with file, line and field.
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum ScenarioError {
     #[error("{0}: {1}")]
-    Unread(PathBuf, std::io::Error),
+    Unreadable(PathBuf, std::io::Error),
     #[error("{}", .0.join("\n"))]
-    Wrong(Vec<String>),
+    Problem(Vec<String>),
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -360,13 +360,13 @@
 
 impl Scenario {
     /// Reads and checks; all that is wrong comes back at once.
-    pub fn read(path: &Path) -> Result<Scenario, Unusable> {
-        let text = std::fs::read_to_string(path).map_err(|e| Unusable::Unread(path.into(), e))?;
+    pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
+        let text = std::fs::read_to_string(path).map_err(|e| ScenarioError::Unreadable(path.into(), e))?;
         Scenario::parse(&path.display().to_string(), &text)
     }
 
     /// `file` is the name that errors give.
-    pub fn parse(file: &str, text: &str) -> Result<Scenario, Unusable> {
+    pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
         let read: Result<Scenario, toml::de::Error> = toml::from_str(text);
         let scenario = read.map_err(|e| {
             let line = e
@@ -375,7 +375,7 @@
             // The field is the key of that line, where it has one.
             let key = text.lines().nth(line - 1).and_then(|l| l.split_once('='));
             let field = key.map_or(String::new(), |(k, _)| format!("{}: ", k.trim()));
-            Unusable::Wrong(vec![format!(
+            ScenarioError::Problem(vec![format!(
                 "{file}:{line}: {field}{}",
                 e.message().replace('\n', " ")
             )])
@@ -384,7 +384,7 @@
         if wrong.is_empty() {
             return Ok(scenario);
         }
-        let line = |w: &check::Wrong| {
+        let line = |w: &check::Problem| {
             format!(
                 "{file}:{}: {}: {}",
                 check::line(text, &w.field),
@@ -392,7 +392,7 @@
                 w.why
             )
         };
-        Err(Unusable::Wrong(wrong.iter().map(line).collect()))
+        Err(ScenarioError::Problem(wrong.iter().map(line).collect()))
     }
 
     /// The operations that are played; one plain read where none is named.
--- a/crates/sparrouter-lab/src/scenario/rollout.rs
+++ b/crates/sparrouter-lab/src/scenario/rollout.rs
@@ -7,7 +7,7 @@
 pub struct Rollout {
     /// The conductor begins then; its first `hold_s` it looks at the fleet as it is.
     pub at_s: f64,
-    pub how: How,
+    pub how: RolloutMode,
     /// Rising parts of the nodes; the last is all.
     pub parts: Vec<f64>,
     pub hold_s: f64,
@@ -20,7 +20,7 @@
     /// Another program for the new state; empty: the one played.
     pub program: PathBuf,
     /// What the new version does wrong.
-    pub plant: Plant,
+    pub plant: Defect,
     /// Fields of the settings that the change sets otherwise, as in `Safety = { FallMultiple = 30.0 }`.
     pub settings: toml::Table,
     /// Nodes of uneven numbers get these instead.
@@ -36,7 +36,7 @@
     fn default() -> Rollout {
         Rollout {
             at_s: 1.0,
-            how: How::Staged,
+            how: RolloutMode::Staged,
             parts: vec![0.07, 0.25, 0.5, 1.0],
             hold_s: 5.0,
             longest_s: 20.0,
@@ -46,7 +46,7 @@
             fleet_loss: 0.15,
             placement: false,
             program: PathBuf::new(),
-            plant: Plant::None,
+            plant: Defect::None,
             settings: toml::Table::new(),
             odd_settings: toml::Table::new(),
             dies: Vec::new(),
@@ -57,7 +57,7 @@
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq, clap::ValueEnum)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum RolloutMode {
     /// By the conductor, with its judge.
     #[default]
     Staged,
@@ -70,7 +70,7 @@
 /// What is planted in front of the new version's node.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq, clap::ValueEnum)]
 #[serde(rename_all = "snake_case")]
-pub enum Plant {
+pub enum Defect {
     #[default]
     None,
     /// Ends 3 s after its start, and is not started again.
--- a/crates/sparrouter-lab/src/scenario/schedule.rs
+++ b/crates/sparrouter-lab/src/scenario/schedule.rs
@@ -1,5 +1,5 @@
 //! Faults as single steps on single stand-ins, drawn ahead from the seed.
-use super::faults::{DiscoveryTrouble, Fault, LinkTrouble};
+use super::faults::{DiscoveryFault, Fault, LinkFault};
 use super::{Before, Scenario};
 use crate::{Nanos, nanos};
 use rand::seq::SliceRandom;
@@ -21,13 +21,13 @@
     pub delay_ms: f64,
     pub jitter_ms: f64,
     pub kib_per_s: f64,
-    pub how: LinkTrouble,
+    pub how: LinkFault,
     pub bytes: u64,
 }
 
 /// One step; numbers are those of cache servers (in the order of their first start) or nodes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub enum Act {
+pub enum Action {
     /// A process starts, cold; a new cache server or the same anew.
     Start(usize),
     Die(usize),
@@ -53,7 +53,7 @@
     Lies(Option<usize>),
     /// Stands still, or goes on.
     NodePause(usize, bool),
-    Discovery(Option<DiscoveryTrouble>),
+    Discovery(Option<DiscoveryFault>),
     DiscoveryMoves,
     /// A link before one of the group; the number is the cache server's or node's.
     Link(Before, usize, Way),
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Step {
     pub at: Nanos,
-    pub act: Act,
+    pub act: Action,
 }
 
 #[derive(Clone, Debug)]
@@ -78,7 +78,7 @@
     pub speeds: Vec<f64>,
 }
 
-struct Draw<'a> {
+struct ScheduleBuilder<'a> {
     s: &'a Scenario,
     rng: ChaCha8Rng,
     steps: Vec<Step>,
@@ -87,8 +87,8 @@
     alive: Vec<usize>,
 }
 
-impl Draw<'_> {
-    fn put(&mut self, at: f64, act: Act) {
+impl ScheduleBuilder<'_> {
+    fn put(&mut self, at: f64, act: Action) {
         self.steps.push(Step { at: nanos(at), act });
     }
     fn within(&mut self, [from, to]: [f64; 2]) -> f64 {
@@ -107,18 +107,18 @@
         self.caches += 1;
         self.alive.push(new);
         let known = at + self.within(self.s.discovery.add_s);
-        self.put(at, Act::Start(new));
-        self.put(known, Act::List(new, Listed::Ready));
+        self.put(at, Action::Start(new));
+        self.put(known, Action::List(new, Listed::Ready));
     }
     fn retire(&mut self, cache: usize, at: f64, drain_s: f64) {
         self.alive.retain(|c| *c != cache);
         let known = at + self.within(self.s.discovery.notice_s);
-        self.put(at, Act::Drain(cache));
-        self.put(known, Act::List(cache, Listed::Draining));
+        self.put(at, Action::Drain(cache));
+        self.put(known, Action::List(cache, Listed::Draining));
         let ends = (at + drain_s).max(known);
-        self.put(ends, Act::Die(cache));
+        self.put(ends, Action::Die(cache));
         let known = ends + self.within(self.s.discovery.notice_s);
-        self.put(known, Act::List(cache, Listed::Gone));
+        self.put(known, Action::List(cache, Listed::Gone));
     }
 
     fn fault(&mut self, f: &Fault) {
@@ -126,21 +126,21 @@
         match *f {
             Fault::Crash { part, .. } => {
                 for c in self.some(part) {
-                    self.put(from, Act::Die(c));
+                    self.put(from, Action::Die(c));
                     let noticed = from + self.within(self.s.discovery.silent_notice_s);
                     let back = to + self.within(self.s.discovery.add_s);
                     // One that is back before anybody noticed never left the list.
                     if noticed < to {
-                        self.put(noticed, Act::List(c, Listed::Gone));
+                        self.put(noticed, Action::List(c, Listed::Gone));
                     }
-                    self.put(to, Act::Start(c));
-                    self.put(back, Act::List(c, Listed::Ready));
+                    self.put(to, Action::Start(c));
+                    self.put(back, Action::List(c, Listed::Ready));
                 }
             }
             Fault::Hang { part, .. } => {
                 for c in self.some(part) {
-                    self.put(from, Act::Hang(c, true));
-                    self.put(to, Act::Hang(c, false));
+                    self.put(from, Action::Hang(c, true));
+                    self.put(to, Action::Hang(c, false));
                 }
             }
             Fault::Pauses {
@@ -152,7 +152,7 @@
                 for c in self.some(part) {
                     let mut at = from + every_s * self.rng.random::<f64>();
                     while at < to {
-                        self.put(at, Act::Pause(c, pause_ms));
+                        self.put(at, Action::Pause(c, pause_ms));
                         at += every_s * (0.75 + 0.5 * self.rng.random::<f64>());
                     }
                 }
@@ -164,16 +164,16 @@
                 ..
             } => {
                 for c in self.some(part) {
-                    self.put(from, Act::Spoil(c, errors, resets));
-                    self.put(to, Act::Spoil(c, 0.0, 0.0));
+                    self.put(from, Action::Spoil(c, errors, resets));
+                    self.put(to, Action::Spoil(c, 0.0, 0.0));
                 }
             }
             Fault::SpoiltOrigin { errors, resets, .. } => {
-                self.put(from, Act::SpoilOrigin(errors, resets));
-                self.put(to, Act::SpoilOrigin(0.0, 0.0));
+                self.put(from, Action::SpoilOrigin(errors, resets));
+                self.put(to, Action::SpoilOrigin(0.0, 0.0));
             }
             Fault::Burst { .. } | Fault::HotKey { .. } => {}
-            Fault::Flush { part, .. } => self.put(from, Act::Flush(part)),
+            Fault::Flush { part, .. } => self.put(from, Action::Flush(part)),
             Fault::Deploy {
                 length_s,
                 part,
@@ -224,19 +224,19 @@
                     self.put(
                         at,
                         if killed {
-                            Act::NodeKill(node)
+                            Action::NodeKill(node)
                         } else {
-                            Act::NodeStop(node)
+                            Action::NodeStop(node)
                         },
                     );
-                    self.put(at + down_s, Act::NodeStart(node));
+                    self.put(at + down_s, Action::NodeStart(node));
                 }
             }
             Fault::DiscoveryTrouble { how, .. } => {
-                self.put(from, Act::Discovery(Some(how)));
-                self.put(to, Act::Discovery(None));
+                self.put(from, Action::Discovery(Some(how)));
+                self.put(to, Action::Discovery(None));
             }
-            Fault::DiscoveryMoved { .. } => self.put(from, Act::DiscoveryMoves),
+            Fault::DiscoveryMoved { .. } => self.put(from, Action::DiscoveryMoves),
             Fault::Links {
                 before,
                 part,
@@ -260,8 +260,8 @@
                         how,
                         bytes,
                     };
-                    self.put(from, Act::Link(before, n, way));
-                    self.put(to, Act::Link(before, n, base(self.s, before)));
+                    self.put(from, Action::Link(before, n, way));
+                    self.put(to, Action::Link(before, n, base(self.s, before)));
                 }
             }
             Fault::NodePause { part, .. } => {
@@ -269,17 +269,17 @@
                 let mut all: Vec<usize> = (0..self.s.nodes.count).collect();
                 all.shuffle(&mut self.rng);
                 for node in all.into_iter().take(count.max(1)) {
-                    self.put(from, Act::NodePause(node, true));
-                    self.put(to, Act::NodePause(node, false));
+                    self.put(from, Action::NodePause(node, true));
+                    self.put(to, Action::NodePause(node, false));
                 }
             }
             Fault::Liar { node, .. } => {
-                self.put(from, Act::Lies(Some(node)));
-                self.put(to, Act::Lies(None));
+                self.put(from, Action::Lies(Some(node)));
+                self.put(to, Action::Lies(None));
             }
             Fault::Skew { part, nodes, .. } => {
-                self.put(from, Act::Skew(part, nodes));
-                self.put(to, Act::Skew(0.0, 0));
+                self.put(from, Action::Skew(part, nodes));
+                self.put(to, Action::Skew(0.0, 0));
             }
             Fault::Nodes {
                 count,
@@ -287,21 +287,21 @@
                 killed,
                 ..
             } => {
-                self.put(from, Act::NodesAre(count, killed));
-                self.put(from + told_s, Act::NodesTold(count));
+                self.put(from, Action::NodesAre(count, killed));
+                self.put(from + told_s, Action::NodesTold(count));
             }
             Fault::NotesCut { part, one_way, .. } => {
                 let count = (part * self.s.nodes.count as f64).round() as usize;
-                self.put(from, Act::NotesCut(count, one_way));
-                self.put(to, Act::NotesCut(0, false));
+                self.put(from, Action::NotesCut(count, one_way));
+                self.put(to, Action::NotesCut(0, false));
             }
             Fault::Notes {
                 lost_part,
                 delay_ms,
                 ..
             } => {
-                self.put(from, Act::Notes(lost_part, delay_ms));
-                self.put(to, Act::Notes(self.s.peers.lost_part, 0.0));
+                self.put(from, Action::Notes(lost_part, delay_ms));
+                self.put(to, Action::Notes(self.s.peers.lost_part, 0.0));
             }
         }
     }
@@ -319,7 +319,7 @@
 
 /// Faults in the order of their beginnings, so that each finds the fleet that the one before has left.
 pub fn draw(s: &Scenario) -> Schedule {
-    let mut d = Draw {
+    let mut d = ScheduleBuilder {
         s,
         rng: ChaCha8Rng::seed_from_u64(s.seed ^ 0x5eed_fa17),
         steps: Vec::new(),
--- a/crates/sparrouter-lab/src/stand_ins/bad_node.rs
+++ b/crates/sparrouter-lab/src/stand_ins/bad_node.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Kind {
+pub enum BadNodeKind {
     /// Keeps all rules, if slowly.
     Sound,
     /// Answers now and then twice.
@@ -54,7 +54,7 @@
 }
 
 struct Bad {
-    kind: Kind,
+    kind: BadNodeKind,
     lab: Arc<Lab>,
     list: RefCell<Vec<Target>>,
     /// All that were ever listed.
@@ -63,7 +63,7 @@
 }
 
 /// What came back for one forward.
-enum Back {
+enum ForwardResult {
     Value(Vec<u8>),
     Miss,
     NeverRan,
@@ -71,7 +71,7 @@
 }
 
 /// Serves at this address, following discovery at the other.
-pub async fn serve(lab: Arc<Lab>, kind: Kind, at: SocketAddr, discovery: SocketAddr) {
+pub async fn serve(lab: Arc<Lab>, kind: BadNodeKind, at: SocketAddr, discovery: SocketAddr) {
     let bad = Bad {
         kind,
         lab,
@@ -125,8 +125,8 @@
         let cache = |t: &&Target| t.model == "cache";
         let name = |t: &Target| t.uid.bytes().fold(0, |h, b| scramble(h ^ u64::from(b)));
         let mut all: Vec<Target> = match self.kind {
-            Kind::Drained => self.ever.borrow().iter().filter(cache).cloned().collect(),
-            Kind::PushesCold => self.list.borrow().iter().filter(cache).cloned().collect(),
+            BadNodeKind::Drained => self.ever.borrow().iter().filter(cache).cloned().collect(),
+            BadNodeKind::PushesCold => self.list.borrow().iter().filter(cache).cloned().collect(),
             _ => {
                 let list = self.list.borrow();
                 list.iter()
@@ -137,7 +137,7 @@
             }
         };
         all.sort_by_key(|t| scramble(name(t) ^ key));
-        if self.kind == Kind::PushesCold {
+        if self.kind == BadNodeKind::PushesCold {
             all.sort_by_key(|t| std::cmp::Reverse(t.boot_ms));
         }
         all.iter().map(|t| t.endpoint).collect()
@@ -162,7 +162,7 @@
                 http::write(&mut stream, &http::reply("200 OK", "", b"ready")).await;
                 continue;
             }
-            if self.kind == Kind::Swallows && self.now_and_then(1000) {
+            if self.kind == BadNodeKind::Swallows && self.now_and_then(1000) {
                 return;
             }
             let patience = Duration::from_millis(message.deadline_ms.unwrap_or(1000));
@@ -174,13 +174,13 @@
                 }
                 Err(_) => http::reply("502 Bad Gateway", "", b""),
             };
-            if self.kind == Kind::Late && self.now_and_then(200) {
+            if self.kind == BadNodeKind::Late && self.now_and_then(200) {
                 sleep(patience + Duration::from_millis(200)).await;
             }
             if !http::write(&mut stream, &answer).await {
                 return;
             }
-            if self.kind == Kind::Twice && self.now_and_then(50) {
+            if self.kind == BadNodeKind::Twice && self.now_and_then(50) {
                 http::write(&mut stream, &answer).await;
             }
         }
@@ -201,7 +201,7 @@
             http::reply("503 Busy", "", b""),
             http::reply("502 Bad Gateway", "", b""),
         );
-        if self.kind == Kind::Invents && self.now_and_then(100) {
+        if self.kind == BadNodeKind::Invents && self.now_and_then(100) {
             return good(format!("{:016x}................", m.id.unwrap_or(0)).as_bytes());
         }
         if m.writes() {
@@ -210,41 +210,41 @@
             };
             for again in 0..2 {
                 match self.forward(m, origin).await {
-                    Back::Value(body) => return good(&body),
-                    Back::NeverRan | Back::Miss => return busy,
-                    Back::Unknown if self.kind == Kind::Resends && again == 0 => {}
-                    Back::Unknown if self.kind == Kind::Throttles => return busy,
-                    Back::Unknown => return failed,
+                    ForwardResult::Value(body) => return good(&body),
+                    ForwardResult::NeverRan | ForwardResult::Miss => return busy,
+                    ForwardResult::Unknown if self.kind == BadNodeKind::Resends && again == 0 => {}
+                    ForwardResult::Unknown if self.kind == BadNodeKind::Throttles => return busy,
+                    ForwardResult::Unknown => return failed,
                 }
             }
             return failed;
         }
         let order = self.order(m.key());
-        if self.kind == Kind::Overlaps && self.now_and_then(20) && order.len() > 1 {
+        if self.kind == BadNodeKind::Overlaps && self.now_and_then(20) && order.len() > 1 {
             let (a, b) = tokio::join!(self.forward(m, order[0]), self.forward(m, order[1]));
-            if let (Back::Value(body), _) | (_, Back::Value(body)) = (a, b) {
+            if let (ForwardResult::Value(body), _) | (_, ForwardResult::Value(body)) = (a, b) {
                 return good(&body);
             }
         }
         for to in order.iter().take(3) {
             match self.forward(m, *to).await {
-                Back::Value(body) => return good(&body),
-                Back::Miss => break,
-                Back::NeverRan | Back::Unknown => {}
+                ForwardResult::Value(body) => return good(&body),
+                ForwardResult::Miss => break,
+                ForwardResult::NeverRan | ForwardResult::Unknown => {}
             }
         }
         let Some(origin) = self.origin() else {
             return busy;
         };
         match self.forward(m, origin).await {
-            Back::Value(body) => good(&body),
+            ForwardResult::Value(body) => good(&body),
             _ => busy,
         }
     }
 
-    async fn forward(&self, m: &Message, to: SocketAddr) -> Back {
+    async fn forward(&self, m: &Message, to: SocketAddr) -> ForwardResult {
         let Ok(mut stream) = TcpStream::connect(to).await else {
-            return Back::NeverRan;
+            return ForwardResult::NeverRan;
         };
         let _ = stream.set_nodelay(true);
         let mark = m
@@ -258,13 +258,13 @@
         );
         let text = [head.as_bytes(), &m.body].concat();
         if !http::write(&mut stream, &text).await {
-            return Back::Unknown;
+            return ForwardResult::Unknown;
         }
         match http::read(&mut stream, &mut BytesMut::new(), || {}).await {
-            Ok(answer) if answer.status() == 200 => Back::Value(answer.body),
-            Ok(answer) if answer.status() == 404 => Back::Miss,
-            Ok(answer) if answer.not_run => Back::NeverRan,
-            _ => Back::Unknown,
+            Ok(answer) if answer.status() == 200 => ForwardResult::Value(answer.body),
+            Ok(answer) if answer.status() == 404 => ForwardResult::Miss,
+            Ok(answer) if answer.not_run => ForwardResult::NeverRan,
+            _ => ForwardResult::Unknown,
         }
     }
 }
--- a/crates/sparrouter-lab/src/stand_ins/defect_proxy.rs
+++ b/crates/sparrouter-lab/src/stand_ins/defect_proxy.rs
@@ -1,7 +1,7 @@
 //! A version that does one thing wrong: a process that starts the real node behind itself, takes its place, and
 //! reports for both. Small and slow.
 use crate::http;
-use crate::scenario::rollout::Plant;
+use crate::scenario::rollout::Defect;
 use bytes::BytesMut;
 use serde_json::Value;
 use sparrouter_report::{BUCKETS, Operation, Report, bucket};
@@ -18,37 +18,37 @@
 use tokio::time::sleep;
 
 /// The node behind.
-struct Inner(Child);
+struct NodeProcess(Child);
 
 /// Guards against a node left behind by one that was killed: ends it once we are gone.
-const KEEPER: &str = r#"while kill -0 "$1" 2>/dev/null; do kill -0 "$2" 2>/dev/null || exit; sleep 0.1; done; kill -KILL "$2""#;
+const WATCHDOG_SCRIPT: &str = r#"while kill -0 "$1" 2>/dev/null; do kill -0 "$2" 2>/dev/null || exit; sleep 0.1; done; kill -KILL "$2""#;
 
 fn keep(own: u32, inner: u32) {
     let mut keeper = Command::new("sh");
     keeper
-        .args(["-c", KEEPER, "sh", &own.to_string(), &inner.to_string()])
+        .args(["-c", WATCHDOG_SCRIPT, "sh", &own.to_string(), &inner.to_string()])
         .stdin(std::process::Stdio::null());
     let _ = keeper.spawn();
 }
 
-impl Drop for Inner {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-struct Worth {
+struct OperationValue {
     value: f64,
     objective: Duration,
 }
 
-struct Planted {
-    plant: Plant,
+struct DefectProxy {
+    plant: Defect,
     inner: SocketAddr,
     began: Instant,
     count: Cell<u64>,
-    worth: Vec<Worth>,
+    worth: Vec<OperationValue>,
     report: RefCell<Report>,
     inner_report: PathBuf,
     held: RefCell<Vec<(std::fs::File, Vec<u8>)>>,
@@ -57,7 +57,7 @@
 /// With what the lab hands to a node: `PROXY_CONFIG`, `SPARROUTER_CONFIG`; and `SPARROUTER_PLANT`, `SPARROUTER_NODE`.
 pub fn run() -> Result<(), String> {
     let var = |name: &str| std::env::var(name).map_err(|_| format!("{name} is not set"));
-    let plant = <Plant as clap::ValueEnum>::from_str(&var("SPARROUTER_PLANT")?, true)?;
+    let plant = <Defect as clap::ValueEnum>::from_str(&var("SPARROUTER_PLANT")?, true)?;
     let read = |path: &str| std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"));
     let path = var("PROXY_CONFIG")?;
     let mut config: Value = serde_json::from_str(&read(&path)?).map_err(|e| e.to_string())?;
@@ -77,7 +77,7 @@
     let inner = std::net::TcpListener::bind((own.ip(), 0)).and_then(|l| l.local_addr());
     let inner = inner.map_err(|e| e.to_string())?;
     config["listen"] = Value::String(inner.to_string());
-    let talks = matches!(plant, Plant::Rubbish | Plant::NewerNotes | Plant::Lies);
+    let talks = matches!(plant, Defect::Rubbish | Defect::NewerNotes | Defect::Lies);
     let speaks: Option<SocketAddr> = talks.then(|| from(&config["peer_listen"])).transpose()?;
     if talks {
         config["settings"]["Limits"]["Peers"] = Value::Bool(false);
@@ -106,9 +106,9 @@
     command
         .env("PROXY_CONFIG", inner_config)
         .env("SPARROUTER_CONFIG", inner_operator);
-    let child = Inner(command.spawn().map_err(|e| e.to_string())?);
+    let child = NodeProcess(command.spawn().map_err(|e| e.to_string())?);
     keep(std::process::id(), child.0.id());
-    let class = |c: &Value| Worth {
+    let class = |c: &Value| OperationValue {
         value: c["Worth"].as_f64().unwrap_or(1.0),
         objective: Duration::from_micros(c["ObjectiveUs"].as_u64().unwrap_or(0)),
     };
@@ -123,7 +123,7 @@
         latency: vec![0; BUCKETS],
         ..Operation::default()
     };
-    let planted = Rc::new(Planted {
+    let planted = Rc::new(DefectProxy {
         plant,
         inner,
         began: Instant::now(),
@@ -153,14 +153,14 @@
         .ok_or(format!("{value} is no address"))
 }
 
-impl Planted {
+impl DefectProxy {
     async fn serve(
         self: Rc<Self>,
         own: SocketAddr,
         report: PathBuf,
         speaks: Option<SocketAddr>,
         peers: Vec<SocketAddr>,
-        child: Inner,
+        child: NodeProcess,
     ) -> Result<(), String> {
         // Passed on.
         let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
@@ -171,7 +171,7 @@
         let number = child.0.id() as i32;
         let accepting = self.clone();
         let accept = async move {
-            if accepting.plant == Plant::NeverReady {
+            if accepting.plant == Defect::NeverReady {
                 return std::future::pending().await;
             }
             while !accepting.ready().await {
@@ -192,7 +192,7 @@
         };
         let dies = async {
             match self.plant {
-                Plant::Dies => sleep(Duration::from_secs(3)).await,
+                Defect::Dies => sleep(Duration::from_secs(3)).await,
                 _ => std::future::pending().await,
             }
         };
@@ -243,8 +243,8 @@
             n += 1;
             let drawn = |k: u64| crate::scenario::arrivals::scramble(n ^ k << 32);
             let text: Vec<u8> = match self.plant {
-                Plant::Rubbish => (0..drawn(0) % 250).map(|k| drawn(k + 1) as u8).collect(),
-                Plant::NewerNotes => std::iter::once(130)
+                Defect::Rubbish => (0..drawn(0) % 250).map(|k| drawn(k + 1) as u8).collect(),
+                Defect::NewerNotes => std::iter::once(130)
                     .chain((0..200).map(|k| drawn(k) as u8))
                     .collect(),
                 _ => {
@@ -328,19 +328,19 @@
     ) -> Vec<u8> {
         let failed = || http::reply("502 Bad Gateway", "", b"");
         match self.plant {
-            Plant::Slow => sleep(start.elapsed() / 3).await,
-            Plant::Errs if self.now_and_then(200) => return failed(),
-            Plant::OneWorse if writes && self.now_and_then(2) => return failed(),
-            Plant::WhenWarm
+            Defect::Slow => sleep(start.elapsed() / 3).await,
+            Defect::Errs if self.now_and_then(200) => return failed(),
+            Defect::OneWorse if writes && self.now_and_then(2) => return failed(),
+            Defect::WhenWarm
                 if self.began.elapsed() > Duration::from_secs(6) && self.now_and_then(10) =>
             {
                 return failed();
             }
-            Plant::Twice if writes => {
+            Defect::Twice if writes => {
                 let again = far.write_all(&raw).await.is_ok();
                 let _ = if again { whole(far, rest).await } else { None };
             }
-            Plant::Leaks if self.now_and_then(10) => {
+            Defect::Leaks if self.now_and_then(10) => {
                 let more = std::fs::File::open("/dev/null").map(|file| (file, vec![1; 64 << 10]));
                 self.held.borrow_mut().extend(more);
             }
@@ -385,7 +385,7 @@
             ..inner
         };
         own.uptime_ms = self.began.elapsed().as_millis() as u64;
-        if self.plant == Plant::Places {
+        if self.plant == Defect::Places {
             own.placement = "other".into();
         }
         // Only what it holds for nothing: that it is two processes is no fault of the version played.
--- a/crates/sparrouter-lab/src/stand_ins/discovery.rs
+++ b/crates/sparrouter-lab/src/stand_ins/discovery.rs
@@ -4,7 +4,7 @@
 use super::{Lab, unix_ms};
 use crate::http;
 use crate::ledger::Record;
-use crate::scenario::faults::DiscoveryTrouble;
+use crate::scenario::faults::DiscoveryFault;
 use crate::scenario::schedule::Listed;
 use bytes::BytesMut;
 use serde::Serialize;
@@ -47,7 +47,7 @@
 struct State {
     targets: Vec<Target>,
     rev: u64,
-    trouble: Option<DiscoveryTrouble>,
+    trouble: Option<DiscoveryFault>,
     /// What came to be known while the list stood still.
     held: Vec<Target>,
     /// By node, where it is found now; and the tasks that serve it there.
@@ -146,7 +146,7 @@
             cache: number,
             listed,
         });
-        if state.trouble == Some(DiscoveryTrouble::Stale) {
+        if state.trouble == Some(DiscoveryFault::Stale) {
             return state.held.push(target);
         }
         self.publish(&mut state, target);
@@ -168,21 +168,21 @@
         self.changed.send_replace(state.rev);
     }
 
-    pub fn trouble(self: &Arc<Self>, trouble: Option<DiscoveryTrouble>) {
+    pub fn trouble(self: &Arc<Self>, trouble: Option<DiscoveryFault>) {
         let before = {
             let mut state = self.state.lock().expect("not poisoned");
             let before = std::mem::replace(&mut state.trouble, trouble);
-            let refuses = |t| matches!(t, Some(DiscoveryTrouble::Down | DiscoveryTrouble::Errors));
+            let refuses = |t| matches!(t, Some(DiscoveryFault::Down | DiscoveryFault::Errors));
             if refuses(before) != refuses(trouble) {
-                self.lab.record(Record::Away {
+                self.lab.record(Record::DiscoveryAway {
                     at: self.lab.now(),
                     away: refuses(trouble),
                 });
             }
-            if trouble == Some(DiscoveryTrouble::Down) {
+            if trouble == Some(DiscoveryFault::Down) {
                 state.tasks.drain(..).for_each(|t| t.abort());
             }
-            let lies = |t| matches!(t, Some(DiscoveryTrouble::Empty | DiscoveryTrouble::Wrong));
+            let lies = |t| matches!(t, Some(DiscoveryFault::Empty | DiscoveryFault::Wrong));
             if (lies(before) || lies(trouble)) && trouble != before {
                 // A lie is news to those who watch, and so is the truth afterwards.
                 state.rev += 1;
@@ -196,7 +196,7 @@
             }
             before
         };
-        if before == Some(DiscoveryTrouble::Down) && trouble != before {
+        if before == Some(DiscoveryFault::Down) && trouble != before {
             self.start();
         }
     }
@@ -254,8 +254,8 @@
     fn line(&self, after: Option<u64>, node: usize) -> (u64, String) {
         let state = self.state.lock().expect("not poisoned");
         let (empty, wrong) = match state.trouble {
-            Some(DiscoveryTrouble::Empty) => (true, false),
-            Some(DiscoveryTrouble::Wrong) => (false, true),
+            Some(DiscoveryFault::Empty) => (true, false),
+            Some(DiscoveryFault::Wrong) => (false, true),
             _ => (false, false),
         };
         let lies = empty || wrong;
@@ -276,7 +276,7 @@
         // An empty list is no word of anything; a wrong one is what the node was told.
         for t in targets.iter().filter(|t| t.model != "origin" && !empty) {
             let listed = if wrong { Listed::Ready } else { t.listed };
-            self.lab.record(Record::Told {
+            self.lab.record(Record::Notified {
                 at,
                 node: node as u16,
                 cache: t.number,
@@ -287,7 +287,7 @@
             // Whatever the whole list does not name is gone.
             for t in state.targets.iter().filter(|t| t.listed == Listed::Gone) {
                 let cache = t.number;
-                self.lab.record(Record::Told {
+                self.lab.record(Record::Notified {
                     at,
                     node: node as u16,
                     cache,
@@ -311,7 +311,7 @@
         serde_json::from_str(&self.line(None, node).1).expect("just written")
     }
 
-    fn now(&self) -> Option<DiscoveryTrouble> {
+    fn now(&self) -> Option<DiscoveryFault> {
         self.state.lock().expect("not poisoned").trouble
     }
 
@@ -321,8 +321,8 @@
             return;
         };
         match self.now() {
-            Some(DiscoveryTrouble::Silent) => return sleep(Duration::from_secs(3600)).await,
-            Some(DiscoveryTrouble::Errors) => {
+            Some(DiscoveryFault::Silent) => return sleep(Duration::from_secs(3600)).await,
+            Some(DiscoveryFault::Errors) => {
                 http::write(
                     &mut stream,
                     &http::reply("503 Service Unavailable", "", b""),
@@ -353,7 +353,7 @@
         let mut first = true;
         loop {
             let news = first || *changed.borrow_and_update() > rev;
-            if self.now() != Some(DiscoveryTrouble::Silent) {
+            if self.now() != Some(DiscoveryFault::Silent) {
                 let line = if news {
                     let (now, line) = self.line(Some(rev), node);
                     rev = now;
--- a/crates/sparrouter-lab/src/stand_ins/link.rs
+++ b/crates/sparrouter-lab/src/stand_ins/link.rs
@@ -2,7 +2,7 @@
 use super::Lab;
 use crate::http;
 use crate::scenario::arrivals::scramble;
-use crate::scenario::faults::LinkTrouble;
+use crate::scenario::faults::LinkFault;
 use crate::scenario::schedule::Way;
 use crate::{Nanos, nanos};
 use bytes::{Bytes, BytesMut};
@@ -20,7 +20,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Chunks under way in one direction before reading pauses.
-const UNDER_WAY: usize = 256;
+const MAX_QUEUED_CHUNKS: usize = 256;
 
 pub struct Link {
     pub at: SocketAddr,
@@ -64,7 +64,7 @@
 
     pub fn set(&self, way: Way) {
         *self.way.lock().expect("not poisoned") = way;
-        if way.how == LinkTrouble::Reset {
+        if way.how == LinkFault::Reset {
             self.broken.send_modify(|n| *n += 1);
         }
     }
@@ -91,12 +91,12 @@
 
     async fn carry(self: Arc<Self>, near: TcpStream) {
         let way = self.way();
-        if way.how == LinkTrouble::Reset {
+        if way.how == LinkFault::Reset {
             return http::reset(near);
         }
         let _ = near.set_nodelay(true);
         // Half open: it comes up here, and nobody is behind it.
-        if way.how == LinkTrouble::HalfOpen {
+        if way.how == LinkFault::HalfOpen {
             sleep(Duration::from_secs(3600)).await;
         }
         let limit = Duration::from_secs(3);
@@ -130,7 +130,7 @@
 impl Pipe {
     /// Until its source has ended and all of it is through, or it is cut.
     async fn run(self, mut from: OwnedReadHalf, to: OwnedWriteHalf) {
-        let (queue, delayed) = mpsc::channel::<(Nanos, Bytes)>(UNDER_WAY);
+        let (queue, delayed) = mpsc::channel::<(Nanos, Bytes)>(MAX_QUEUED_CHUNKS);
         let deliver = deliver(
             self.link.clone(),
             self.back,
@@ -183,9 +183,9 @@
         }
         let way = link.way();
         let lost = match way.how {
-            LinkTrouble::LostThere => !back,
-            LinkTrouble::LostBack => back,
-            LinkTrouble::HalfOpen => true,
+            LinkFault::LostThere => !back,
+            LinkFault::LostBack => back,
+            LinkFault::HalfOpen => true,
             _ => false,
         };
         if lost {
@@ -201,7 +201,7 @@
         }
         let mut bytes = bytes;
         let mut cut = false;
-        if back && way.how == LinkTrouble::Cut {
+        if back && way.how == LinkFault::Cut {
             let left = way.bytes.saturating_sub(passed.get()) as usize;
             cut = bytes.len() >= left;
             bytes.truncate(left);
--- a/crates/sparrouter-lab/src/stand_ins/model.rs
+++ b/crates/sparrouter-lab/src/stand_ins/model.rs
@@ -6,7 +6,7 @@
 
 /// Keys that one keeps; those used longest ago go first.
 #[derive(Debug, Default)]
-pub struct Store {
+pub struct CacheStore {
     /// None: it holds all but what is void.
     most: Option<usize>,
     used: HashMap<u64, u64>,
@@ -17,19 +17,19 @@
     empty: bool,
 }
 
-impl Store {
-    pub fn new(most: usize) -> Store {
-        Store {
+impl CacheStore {
+    pub fn new(most: usize) -> CacheStore {
+        CacheStore {
             most: (most > 0).then_some(most),
-            ..Store::default()
+            ..CacheStore::default()
         }
     }
     /// After a start nothing is kept.
     pub fn clear(&mut self) {
-        *self = Store {
+        *self = CacheStore {
             most: self.most,
             empty: true,
-            ..Store::default()
+            ..CacheStore::default()
         };
     }
     pub fn has(&mut self, key: u64) -> bool {
@@ -77,12 +77,12 @@
 
 /// Marks seen of late; a repeat within the window is dropped.
 #[derive(Debug, Default)]
-pub struct Marks {
+pub struct IdempotencyKeys {
     seen: HashMap<u64, Nanos>,
     order: VecDeque<(Nanos, u64)>,
 }
 
-impl Marks {
+impl IdempotencyKeys {
     /// True where the effect is to be carried out.
     pub fn fresh(&mut self, mark: u64, window: Nanos, now: Nanos) -> bool {
         while let Some((at, old)) = self
@@ -107,15 +107,15 @@
 
 /// Work sent within a window, against what can be done in it.
 #[derive(Debug)]
-pub struct Drive {
+pub struct RecentWork {
     window: Nanos,
     sent: VecDeque<(Nanos, f64)>,
     sum: f64,
 }
 
-impl Drive {
-    pub fn new(window: Nanos) -> Drive {
-        Drive {
+impl RecentWork {
+    pub fn new(window: Nanos) -> RecentWork {
+        RecentWork {
             window: window.max(1),
             sent: VecDeque::new(),
             sum: 0.0,
@@ -168,7 +168,7 @@
 
     #[test]
     fn keeps_what_was_used_last_and_forgets_the_rest() {
-        let mut store = Store::new(2);
+        let mut store = CacheStore::new(2);
         store.clear();
         store.put(1);
         store.put(2);
@@ -181,7 +181,7 @@
 
     #[test]
     fn one_that_holds_all_lacks_only_what_is_void_until_it_starts_anew() {
-        let mut store = Store::new(0);
+        let mut store = CacheStore::new(0);
         store.void(7);
         assert!(store.has(6) && !store.has(7));
         store.put(7);
@@ -194,7 +194,7 @@
 
     #[test]
     fn a_repeat_is_dropped_within_its_window_only() {
-        let mut marks = Marks::default();
+        let mut marks = IdempotencyKeys::default();
         assert!(marks.fresh(5, 100, 0));
         assert!(!marks.fresh(5, 100, 100));
         assert!(marks.fresh(5, 100, 201));
@@ -202,7 +202,7 @@
 
     #[test]
     fn work_sent_long_ago_no_longer_drives() {
-        let mut drive = Drive::new(10);
+        let mut drive = RecentWork::new(10);
         drive.add(1.0, 0);
         assert_eq!(drive.add(1.0, 10), 2.0);
         assert_eq!(drive.add(1.0, 11), 2.0);
--- a/crates/sparrouter-lab/src/stand_ins/peer_network.rs
+++ b/crates/sparrouter-lab/src/stand_ins/peer_network.rs
@@ -12,16 +12,16 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-pub struct Notes {
+pub struct PeerNetwork {
     /// What nodes know as each other's addresses.
     pub peers: Vec<SocketAddr>,
     /// Where they listen.
     pub listen: Vec<SocketAddr>,
-    now: Arc<Mutex<Now>>,
+    now: Arc<Mutex<NetworkConditions>>,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Now {
+struct NetworkConditions {
     lost_part: f64,
     /// On top, in ms.
     delay_ms: f64,
@@ -33,19 +33,19 @@
     print: Option<u16>,
 }
 
-impl Now {
+impl NetworkConditions {
     fn passes(&self, from: usize, to: usize) -> bool {
         let (from, to) = (from < self.cut, to < self.cut);
         from == to || from && self.one_way
     }
 }
 
-impl Notes {
-    pub fn start(lab: &Arc<Lab>) -> std::io::Result<Notes> {
+impl PeerNetwork {
+    pub fn start(lab: &Arc<Lab>) -> std::io::Result<PeerNetwork> {
         let count = lab.scenario.most_nodes();
-        let now = Arc::new(Mutex::new(Now {
+        let now = Arc::new(Mutex::new(NetworkConditions {
             lost_part: lab.scenario.peers.lost_part,
-            ..Now::default()
+            ..NetworkConditions::default()
         }));
         let sockets: Result<Vec<_>, _> = (0..count)
             .map(|_| std::net::UdpSocket::bind((lab.address(), 0)))
@@ -80,7 +80,7 @@
                 ));
             }
         });
-        Ok(Notes { peers, listen, now })
+        Ok(PeerNetwork { peers, listen, now })
     }
     pub fn set(&self, lost_part: f64, delay_ms: f64) {
         let mut now = self.now.lock().expect("not poisoned");
@@ -98,7 +98,7 @@
 const LIES: Duration = Duration::from_millis(50);
 
 /// Asks for parts in the name of one node; what is given goes to that node, which did not ask.
-async fn lie(all: Vec<Arc<UdpSocket>>, listen: Vec<SocketAddr>, state: Arc<Mutex<Now>>) {
+async fn lie(all: Vec<Arc<UdpSocket>>, listen: Vec<SocketAddr>, state: Arc<Mutex<NetworkConditions>>) {
     let mut number = 0;
     loop {
         sleep(LIES).await;
@@ -134,7 +134,7 @@
     socket: Arc<UdpSocket>,
     all: Vec<Arc<UdpSocket>>,
     listen: Vec<SocketAddr>,
-    state: Arc<Mutex<Now>>,
+    state: Arc<Mutex<NetworkConditions>>,
 ) {
     let mut buffer = [0; 512];
     let mut chance = lab.scenario.seed ^ k as u64;
--- a/crates/sparrouter-lab/src/stand_ins/server.rs
+++ b/crates/sparrouter-lab/src/stand_ins/server.rs
@@ -2,9 +2,9 @@
 //! told to. Every forward that it sees goes to the ledger exactly once.
 use super::Lab;
 use super::fleet::Fleet;
-use super::model::{Drive, Marks, Store, unlucky, warmth, work};
-use crate::http::{self, Ended, Message, Peeked};
-use crate::ledger::{Forwarded, How, ORIGIN, Record};
+use super::model::{RecentWork, IdempotencyKeys, CacheStore, unlucky, warmth, work};
+use crate::http::{self, ReadError, Message, PeekResult};
+use crate::ledger::{ObservedForward, ForwardOutcome, ORIGIN, Record};
 use crate::scenario::arrivals::operation_of;
 use crate::{MS, Nanos, SECOND, nanos};
 use bytes::BytesMut;
@@ -52,9 +52,9 @@
     resets: f64,
     busy: usize,
     line: VecDeque<oneshot::Sender<Core>>,
-    store: Store,
-    marks: Marks,
-    drive: Drive,
+    store: CacheStore,
+    marks: IdempotencyKeys,
+    drive: RecentWork,
     fallen: bool,
     listener: Option<AbortHandle>,
 }
@@ -79,36 +79,36 @@
 }
 
 /// A forward in hand; told to the ledger when dropped, whatever ends it.
-struct Flight {
+struct InFlightForward {
     server: Arc<Server>,
     life: u64,
-    f: Forwarded,
+    f: ObservedForward,
 }
 
-impl Flight {
-    fn end(mut self, how: How) {
-        self.f.how = how;
+impl InFlightForward {
+    fn end(mut self, how: ForwardOutcome) {
+        self.f.outcome = how;
     }
     /// Ends with an answer, unless the node has gone away before it could have any: what it sends
     /// elsewhere from then on does not overlap.
-    fn answer(self, how: How, stream: &TcpStream) {
-        self.end(if http::peek(stream) == Peeked::Ended {
-            How::Withdrawn
+    fn answer(self, how: ForwardOutcome, stream: &TcpStream) {
+        self.end(if http::peek(stream) == PeekResult::Ended {
+            ForwardOutcome::Withdrawn
         } else {
             how
         });
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightForward {
     fn drop(&mut self) {
         let lab = &self.server.lab;
         (self.f.ended, self.f.end_lag) = (lab.now(), lab.lag());
-        if self.f.how == How::Open && !lab.over.load(Relaxed) {
+        if self.f.outcome == ForwardOutcome::Open && !lab.over.load(Relaxed) {
             let reset = self.life != self.server.life.load(Relaxed);
-            self.f.how = if reset { How::Reset } else { How::Withdrawn };
+            self.f.outcome = if reset { ForwardOutcome::Reset } else { ForwardOutcome::Withdrawn };
         }
-        lab.record(Record::Forwarded(self.f));
+        lab.record(Record::ObservedForward(self.f));
     }
 }
 
@@ -137,7 +137,7 @@
 }
 
 /// How work came out.
-enum Worked {
+enum WorkOutcome {
     Done,
     Full,
     Withdrawn,
@@ -184,9 +184,9 @@
                 resets: 0.0,
                 busy: 0,
                 line: VecDeque::new(),
-                store: Store::new(keys),
-                marks: Marks::default(),
-                drive: Drive::new(nanos(s.rules.fall_s)),
+                store: CacheStore::new(keys),
+                marks: IdempotencyKeys::default(),
+                drive: RecentWork::new(nanos(s.rules.fall_s)),
                 fallen: false,
                 listener: None,
             }),
@@ -211,7 +211,7 @@
         }
         state.up = true;
         (state.hangs, state.draining, state.started) = (false, false, None);
-        state.marks = Marks::default();
+        state.marks = IdempotencyKeys::default();
         state.drive.clear();
         if cold && self.role == Role::Cache {
             state.started = Some(self.lab.now());
@@ -360,14 +360,14 @@
         seconds: f64,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-    ) -> Worked {
+    ) -> WorkOutcome {
         let place = {
             let mut state = self.state();
             if state.busy < self.cores {
                 state.busy += 1;
                 Ok(Core(self.clone()))
             } else if state.line.len() >= self.waiting {
-                return Worked::Full;
+                return WorkOutcome::Full;
             } else {
                 let (give, take) = oneshot::channel();
                 state.line.push_back(give);
@@ -381,9 +381,9 @@
                 biased;
                 core = &mut take => match core {
                     Ok(core) => core,
-                    Err(_) => return Worked::Withdrawn,
+                    Err(_) => return WorkOutcome::Withdrawn,
                 },
-                () = gone(stream, buffer), if drops => return Worked::Withdrawn,
+                () = gone(stream, buffer), if drops => return WorkOutcome::Withdrawn,
             },
         };
         // Work that has begun goes on, also where nobody waits for it any more.
@@ -399,10 +399,10 @@
                 sleep(Duration::from_secs_f64(seconds / 2.0)).await;
                 drop((core, server));
             });
-            return Worked::Withdrawn;
+            return WorkOutcome::Withdrawn;
         }
         drop(core);
-        Worked::Done
+        WorkOutcome::Done
     }
 
     /// Pushed over by too much work within the window. True where it just fell.
@@ -435,7 +435,7 @@
         match self.role {
             Role::Cache => {
                 self.state().fallen = true;
-                self.lab.record(Record::Fell {
+                self.lab.record(Record::CacheFell {
                     at: now,
                     cache: self.number,
                     cold: true,
@@ -485,7 +485,7 @@
         let begun = || (began, began_lag) = (server.lab.now(), server.lab.lag());
         let message = match timeout(idle, http::read(stream, &mut buffer, begun)).await {
             Ok(Ok(message)) => message,
-            Ok(Err(Ended::Bad(_))) => {
+            Ok(Err(ReadError::Bad(_))) => {
                 http::write(stream, &http::reply("400 Bad Request", "", b"")).await;
                 return;
             }
@@ -503,27 +503,27 @@
             return;
         };
         let now = server.lab.now();
-        let f = Forwarded {
+        let f = ObservedForward {
             id,
             to: server.number,
-            first: began,
-            whole: Some(now),
+            first_byte_at: began,
+            complete_at: Some(now),
             ended: now,
             first_lag: began_lag,
             end_lag: 0,
-            how: How::Open,
+            outcome: ForwardOutcome::Open,
             ran: false,
             cold: server.warmth() < 1.0,
-            unseen: http::peek(stream) == Peeked::Ended,
+            withdrawn_unseen: http::peek(stream) == PeekResult::Ended,
         };
-        let flight = Flight {
+        let flight = InFlightForward {
             server: server.clone(),
             life,
             f,
         };
         // A crowd of new connections is accepted late; what was withdrawn meanwhile never runs.
-        if flight.f.unseen {
-            return flight.end(How::Withdrawn);
+        if flight.f.withdrawn_unseen {
+            return flight.end(ForwardOutcome::Withdrawn);
         }
         if server.driven(server.offered(&message, id), now) {
             drop(flight);
@@ -532,7 +532,7 @@
             return;
         }
         if full {
-            flight.answer(How::NotRun, stream);
+            flight.answer(ForwardOutcome::NotRun, stream);
             let reply = http::reply(
                 "503 Service Unavailable",
                 "X-Not-Run: 1\r\nConnection: close\r\n",
@@ -562,13 +562,13 @@
         if self.role == Role::Origin {
             return 1.0;
         }
-        let part = if message.writes() { MISS_PART } else { 1.0 };
+        let part = if message.writes() { MISS_WORK_RATIO } else { 1.0 };
         part * work(id, self.mean_work(id))
     }
 }
 
 /// Work of a miss beside that of a hit.
-const MISS_PART: f64 = 0.1;
+const MISS_WORK_RATIO: f64 = 0.1;
 
 /// One forward; none where the connection is over.
 async fn serve(
@@ -576,7 +576,7 @@
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
     message: Message,
-    mut flight: Flight,
+    mut flight: InFlightForward,
     connect_s: f64,
 ) -> Option<()> {
     let (id, key) = (flight.f.id, message.key());
@@ -610,27 +610,27 @@
     let s = &lab.scenario;
     let warm = warmth(started, s.caches.cold_from, s.caches.cold_s, lab.now());
     let mean = server.mean_work(id);
-    let part = if held { 1.0 } else { MISS_PART };
+    let part = if held { 1.0 } else { MISS_WORK_RATIO };
     let seconds = match server.role {
         Role::Cache => (part * work(id, mean) + connect_s) / (server.speed * warm),
         Role::Origin => work(id, mean),
     };
     if seconds > 0.0 {
         match server.work(seconds, stream, buffer).await {
-            Worked::Done => {}
-            Worked::Full => {
-                flight.answer(How::NotRun, stream);
+            WorkOutcome::Done => {}
+            WorkOutcome::Full => {
+                flight.answer(ForwardOutcome::NotRun, stream);
                 let reply = http::reply("503 Service Unavailable", "X-Not-Run: 1\r\n", b"");
                 return http::write(stream, &reply).await.then_some(());
             }
-            Worked::Withdrawn => {
-                flight.end(How::Withdrawn);
+            WorkOutcome::Withdrawn => {
+                flight.end(ForwardOutcome::Withdrawn);
                 return None;
             }
         }
     }
     if unlucky(id, u64::from(server.number) + 1, errors) {
-        flight.answer(How::Error, stream);
+        flight.answer(ForwardOutcome::Error, stream);
         return http::write(stream, &http::reply("500 Oops", "", b""))
             .await
             .then_some(());
@@ -640,7 +640,7 @@
             .fleet
             .upgrade()
             .inspect(|fleet| fleet.missed(id, server.number));
-        flight.answer(How::Miss, stream);
+        flight.answer(ForwardOutcome::Miss, stream);
         return http::write(
             stream,
             &http::reply("404 Not Found", "X-Cache: miss\r\n", b""),
@@ -648,7 +648,7 @@
         .await
         .then_some(());
     }
-    let mut how = How::Done;
+    let mut how = ForwardOutcome::Done;
     if message.writes() {
         let window = s
             .operation
@@ -662,7 +662,7 @@
                 .fresh(m, window.max(SECOND / 1000), now)
         });
         flight.f.ran = fresh;
-        how = if fresh { How::Done } else { How::Repeat };
+        how = if fresh { ForwardOutcome::Done } else { ForwardOutcome::Repeat };
         server.fleet.upgrade().inspect(|fleet| fleet.void(key));
     }
     let mut body = format!("{id:016x}").into_bytes();
@@ -671,7 +671,7 @@
     if unlucky(id, u64::from(server.number) + 77, resets) {
         // Half an answer, then the end.
         http::write(stream, &reply[..reply.len() - 7]).await;
-        flight.end(How::Reset);
+        flight.end(ForwardOutcome::Reset);
         return None;
     }
     if server.role == Role::Origin && !message.writes() {
--- a/crates/sparrouter-lab/src/workers.rs
+++ b/crates/sparrouter-lab/src/workers.rs
@@ -14,9 +14,9 @@
 type Job = Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = ()>>> + Send>;
 
 #[derive(Clone)]
-pub struct Workers(Arc<Inner>);
+pub struct Workers(Arc<WorkerPool>);
 
-struct Inner {
+struct WorkerPool {
     inboxes: Vec<mpsc::UnboundedSender<Job>>,
     next: AtomicUsize,
     stop: watch::Sender<bool>,
@@ -39,7 +39,7 @@
             inboxes.push(inbox);
         }
         let threads = std::sync::Mutex::new(threads);
-        Workers(Arc::new(Inner {
+        Workers(Arc::new(WorkerPool {
             inboxes,
             next: AtomicUsize::new(0),
             stop,
@@ -88,12 +88,12 @@
 }
 
 /// How often a worker notes that it still looks at what comes.
-const BEAT: Duration = Duration::from_millis(2);
+const TURN_INTERVAL: Duration = Duration::from_millis(2);
 
 thread_local! {
-    static LOOKED: Cell<Option<Instant>> = const { Cell::new(None) };
+    static LAST_TURN: Cell<Option<Instant>> = const { Cell::new(None) };
     /// Since when it last stood still, and until when that counts.
-    static STOOD: Cell<Option<(Instant, Instant)>> = const { Cell::new(None) };
+    static LAST_STALL: Cell<Option<(Instant, Instant)>> = const { Cell::new(None) };
 }
 
 /// Since when the worker that asks has not looked: what it sees now may have happened at any moment since.
@@ -101,19 +101,19 @@
 pub fn unseen_for() -> Duration {
     let now = Instant::now();
     // What piled up while it stood still is worked off in about that time again, after the first beat as well.
-    let stood = STOOD.get().filter(|s| now < s.1).map(|s| s.0);
+    let stood = LAST_STALL.get().filter(|s| now < s.1).map(|s| s.0);
     stood
-        .or(LOOKED.get())
+        .or(LAST_TURN.get())
         .map_or(Duration::ZERO, |looked| now - looked)
 }
 
 async fn beat() {
     loop {
         let now = Instant::now();
-        if let Some(before) = LOOKED.replace(Some(now)).filter(|b| now - *b > 4 * BEAT) {
-            STOOD.set(Some((before, now + (now - before))));
+        if let Some(before) = LAST_TURN.replace(Some(now)).filter(|b| now - *b > 4 * TURN_INTERVAL) {
+            LAST_STALL.set(Some((before, now + (now - before))));
         }
-        tokio::time::sleep(BEAT).await;
+        tokio::time::sleep(TURN_INTERVAL).await;
     }
 }
 
--- a/crates/sparrouter-lab/tests/audit.rs
+++ b/crates/sparrouter-lab/tests/audit.rs
@@ -1,6 +1,6 @@
 //! The audit on lives written by hand, without a socket.
 use sparrouter_lab::ledger::audit::{Breach, Verdict};
-use sparrouter_lab::ledger::{Asked, End, Forwarded, How, Ledger, ORIGIN, Record};
+use sparrouter_lab::ledger::{ClientAttempt, ClientOutcome, ObservedForward, ForwardOutcome, InvocationLog, ORIGIN, Record};
 use sparrouter_lab::scenario::Scenario;
 use sparrouter_lab::scenario::arrivals::id;
 use sparrouter_lab::scenario::schedule::Listed;
@@ -36,46 +36,46 @@
 const SWAP: u8 = 1;
 const ASSIGN: u8 = 2;
 
-struct Lives(Ledger);
+struct LogBuilder(InvocationLog);
 
-impl Lives {
-    fn new() -> Lives {
-        Lives(Ledger::new(
+impl LogBuilder {
+    fn new() -> LogBuilder {
+        LogBuilder(InvocationLog::new(
             &Scenario::parse("lives", SCENARIO).unwrap().with_defaults(),
         ))
     }
-    fn asked(&mut self, id: u64, at: Nanos, end: End, ended: Nanos) {
+    fn asked(&mut self, id: u64, at: Nanos, end: ClientOutcome, ended: Nanos) {
         let (first_due, due, dealt) = (at, at, at);
         let written = Some(at);
-        let asked = Asked {
+        let asked = ClientAttempt {
             id,
             tenant: 0,
             node: 0,
-            first_due,
-            due,
-            dealt,
-            written,
-            end,
-            ended,
+            first_scheduled_at: first_due,
+            scheduled_at: due,
+            dispatched_at: dealt,
+            written_at: written,
+            outcome: end,
+            ended_at: ended,
             end_lag: 0,
         };
-        self.0.take(Record::Asked(asked));
+        self.0.record(Record::ClientAttempt(asked));
     }
-    fn forward(&mut self, id: u64, to: u32, at: Nanos, ended: Nanos, how: How) {
-        let ran = to == ORIGIN && how == How::Done;
+    fn forward(&mut self, id: u64, to: u32, at: Nanos, ended: Nanos, how: ForwardOutcome) {
+        let ran = to == ORIGIN && how == ForwardOutcome::Done;
         let whole = Some(at);
-        self.0.take(Record::Forwarded(Forwarded {
+        self.0.record(Record::ObservedForward(ObservedForward {
             id,
             to,
-            first: at,
-            whole,
+            first_byte_at: at,
+            complete_at: whole,
             ended,
             first_lag: 0,
             end_lag: 0,
-            how,
+            outcome: how,
             ran,
             cold: false,
-            unseen: false,
+            withdrawn_unseen: false,
         }));
     }
     fn verdict(self) -> Verdict {
@@ -87,47 +87,47 @@
 /// that crashed and was listed anew looked drained six seconds after its crash was known.
 #[test]
 fn a_crash_known_long_ago_is_no_word_of_the_successor() {
-    let mut l = Lives::new();
+    let mut l = LogBuilder::new();
     let (at, cache) = (SECOND, 3);
-    l.0.take(Record::Known {
+    l.0.record(Record::Known {
         at,
         cache,
         listed: Listed::Gone,
     });
-    l.0.take(Record::Told {
+    l.0.record(Record::Notified {
         at: at + MS,
         node: 0,
         cache,
         listed: Listed::Gone,
     });
-    l.0.take(Record::Known {
+    l.0.record(Record::Known {
         at: 2 * at,
         cache,
         listed: Listed::Ready,
     });
-    l.0.take(Record::Told {
+    l.0.record(Record::Notified {
         at: 2 * at + MS,
         node: 0,
         cache,
         listed: Listed::Ready,
     });
     let one = id(VIEW, 1, 0);
-    l.forward(one, cache, 10 * SECOND, 10 * SECOND + MS, How::Done);
-    l.asked(one, 10 * SECOND, End::Succeeded, 10 * SECOND + 2 * MS);
+    l.forward(one, cache, 10 * SECOND, 10 * SECOND + MS, ForwardOutcome::Done);
+    l.asked(one, 10 * SECOND, ClientOutcome::Succeeded, 10 * SECOND + 2 * MS);
     assert!(l.verdict().kept());
 }
 
 #[test]
 fn a_silent_subscription_counts_as_informed() {
     let word = |told: bool, at: Nanos| {
-        let mut l = Lives::new();
-        l.0.take(Record::Known {
+        let mut l = LogBuilder::new();
+        l.0.record(Record::Known {
             at: SECOND,
             cache: 3,
             listed: Listed::Draining,
         });
         if told {
-            l.0.take(Record::Told {
+            l.0.record(Record::Notified {
                 at: 2 * SECOND,
                 node: 0,
                 cache: 3,
@@ -135,8 +135,8 @@
             });
         }
         let one = id(VIEW, 1, 0);
-        l.forward(one, 3, at, at + MS, How::Done);
-        l.asked(one, at, End::Succeeded, at + 2 * MS);
+        l.forward(one, 3, at, at + MS, ForwardOutcome::Done);
+        l.asked(one, at, ClientOutcome::Succeeded, at + 2 * MS);
         l.verdict().has(Breach::SentToDrained)
     };
     assert!(!word(true, 2 * SECOND + 400 * MS) && word(true, 2 * SECOND + 600 * MS));
@@ -148,30 +148,30 @@
 #[test]
 fn word_counts_from_when_discovery_is_back() {
     let sent = |at: Nanos, back: bool| {
-        let mut l = Lives::new();
-        l.0.take(Record::Away {
+        let mut l = LogBuilder::new();
+        l.0.record(Record::DiscoveryAway {
             at: SECOND,
             away: true,
         });
-        l.0.take(Record::Known {
+        l.0.record(Record::Known {
             at: 2 * SECOND,
             cache: 3,
             listed: Listed::Gone,
         });
         if back {
-            l.0.take(Record::Known {
+            l.0.record(Record::Known {
                 at: 3 * SECOND,
                 cache: 3,
                 listed: Listed::Ready,
             });
         }
-        l.0.take(Record::Away {
+        l.0.record(Record::DiscoveryAway {
             at: 20 * SECOND,
             away: false,
         });
         let listed = Listed::Ready;
         if back {
-            l.0.take(Record::Told {
+            l.0.record(Record::Notified {
                 at: 21 * SECOND,
                 node: 0,
                 cache: 3,
@@ -179,8 +179,8 @@
             });
         }
         let one = id(VIEW, 1, 0);
-        l.forward(one, 3, at, at + MS, How::Done);
-        l.asked(one, at, End::Succeeded, at + 2 * MS);
+        l.forward(one, 3, at, at + MS, ForwardOutcome::Done);
+        l.asked(one, at, ClientOutcome::Succeeded, at + 2 * MS);
         l.verdict()
     };
     let away = sent(19 * SECOND, false);
@@ -192,9 +192,9 @@
 #[test]
 fn a_killed_node_owes_nothing_for_what_it_held_and_all_that_it_answered_counts() {
     let verdict = |killed: bool| {
-        let mut l = Lives::new();
+        let mut l = LogBuilder::new();
         if killed {
-            l.0.take(Record::NodeDown {
+            l.0.record(Record::NodeDown {
                 at: 2 * SECOND,
                 node: 0,
                 killed,
@@ -203,12 +203,12 @@
         l.asked(
             id(VIEW, 1, 0),
             2 * SECOND - 10 * MS,
-            End::Closed,
+            ClientOutcome::Closed,
             2 * SECOND + MS,
         );
         let one = id(ASSIGN, 2, 0);
-        l.forward(one, ORIGIN, SECOND, SECOND + MS, How::Done);
-        l.asked(one, SECOND, End::Succeeded, SECOND + 2 * MS);
+        l.forward(one, ORIGIN, SECOND, SECOND + MS, ForwardOutcome::Done);
+        l.asked(one, SECOND, ClientOutcome::Succeeded, SECOND + 2 * MS);
         l.verdict()
     };
     assert!(verdict(false).has(Breach::NoAnswer));
@@ -218,35 +218,35 @@
 
 #[test]
 fn a_write_that_never_ran_may_go_again_and_one_that_may_have_may_not() {
-    let after = |how: How, op: u8, gap: Nanos| {
-        let mut l = Lives::new();
+    let after = |how: ForwardOutcome, op: u8, gap: Nanos| {
+        let mut l = LogBuilder::new();
         let one = id(op, 1, 0);
         l.forward(one, ORIGIN, SECOND, SECOND + MS, how);
-        l.forward(one, ORIGIN, SECOND + gap, SECOND + gap + MS, How::Done);
-        l.asked(one, SECOND, End::Succeeded, SECOND + gap + 2 * MS);
+        l.forward(one, ORIGIN, SECOND + gap, SECOND + gap + MS, ForwardOutcome::Done);
+        l.asked(one, SECOND, ClientOutcome::Succeeded, SECOND + gap + 2 * MS);
         l.verdict()
     };
-    assert!(after(How::NotRun, ASSIGN, 10 * MS).kept());
-    assert!(after(How::Reset, VIEW, 10 * MS).kept());
-    assert!(after(How::Reset, SWAP, 400 * MS).kept());
-    assert!(after(How::Reset, SWAP, 600 * MS).has(Breach::RepeatedOutsideWindow));
-    for how in [How::Reset, How::Error, How::Withdrawn] {
+    assert!(after(ForwardOutcome::NotRun, ASSIGN, 10 * MS).kept());
+    assert!(after(ForwardOutcome::Reset, VIEW, 10 * MS).kept());
+    assert!(after(ForwardOutcome::Reset, SWAP, 400 * MS).kept());
+    assert!(after(ForwardOutcome::Reset, SWAP, 600 * MS).has(Breach::RepeatedOutsideWindow));
+    for how in [ForwardOutcome::Reset, ForwardOutcome::Error, ForwardOutcome::Withdrawn] {
         assert!(
             after(how, ASSIGN, 10 * MS).has(Breach::ForwardedAgain),
             "{how:?}"
         );
     }
-    assert!(after(How::Done, SWAP, 10 * MS).has(Breach::EffectTwice));
+    assert!(after(ForwardOutcome::Done, SWAP, 10 * MS).has(Breach::EffectTwice));
 }
 
 #[test]
 fn forwards_that_overlap_or_come_behind_the_answer_are_seen() {
     let second = |from: Nanos, ended: Nanos| {
-        let mut l = Lives::new();
+        let mut l = LogBuilder::new();
         let one = id(VIEW, 1, 0);
-        l.forward(one, 1, SECOND, SECOND + 100 * MS, How::Done);
-        l.forward(one, 2, from, from + MS, How::Done);
-        l.asked(one, SECOND, End::Succeeded, ended);
+        l.forward(one, 1, SECOND, SECOND + 100 * MS, ForwardOutcome::Done);
+        l.forward(one, 2, from, from + MS, ForwardOutcome::Done);
+        l.asked(one, SECOND, ClientOutcome::Succeeded, ended);
         l.verdict()
     };
     assert!(second(SECOND + 101 * MS, SECOND + 103 * MS).kept());
@@ -258,42 +258,42 @@
 /// 23 ms after the next forward, and a landing failed for it. What is late either way still counts.
 #[test]
 fn what_a_starved_lab_saw_late_is_no_breach_and_what_was_late_by_itself_is() {
-    let seen = |ended: Nanos, end_lag: Nanos, how: How, first: Nanos, first_lag: Nanos| {
-        let mut l = Lives::new();
+    let seen = |ended: Nanos, end_lag: Nanos, how: ForwardOutcome, first: Nanos, first_lag: Nanos| {
+        let mut l = LogBuilder::new();
         let one = id(VIEW, 1, 0);
         let mut record =
-            |to: u32, first: Nanos, first_lag: Nanos, ended: Nanos, end_lag: Nanos, how: How| {
+            |to: u32, first: Nanos, first_lag: Nanos, ended: Nanos, end_lag: Nanos, how: ForwardOutcome| {
                 let (whole, ran, cold, unseen) = (Some(first), false, false, false);
-                let f = Forwarded {
+                let f = ObservedForward {
                     id: one,
                     to,
-                    first,
-                    whole,
+                    first_byte_at: first,
+                    complete_at: whole,
                     ended,
                     first_lag,
                     end_lag,
-                    how,
+                    outcome: how,
                     ran,
                     cold,
-                    unseen,
+                    withdrawn_unseen: unseen,
                 };
-                l.0.take(Record::Forwarded(f));
+                l.0.record(Record::ObservedForward(f));
             };
         record(1, SECOND, 0, ended, end_lag, how);
-        record(2, first, first_lag, first + MS, 0, How::Done);
-        l.asked(one, SECOND, End::Succeeded, SECOND + 103 * MS);
+        record(2, first, first_lag, first + MS, 0, ForwardOutcome::Done);
+        l.asked(one, SECOND, ClientOutcome::Succeeded, SECOND + 103 * MS);
         l.verdict()
     };
     let at = SECOND + 50 * MS;
-    let stood = seen(at + 60 * MS, 58 * MS, How::Withdrawn, at, 0);
+    let stood = seen(at + 60 * MS, 58 * MS, ForwardOutcome::Withdrawn, at, 0);
     assert!(
         stood.kept() && stood.unjudged.values().sum::<u64>() == 1,
         "{stood:?}"
     );
-    assert!(seen(at + 60 * MS, 30 * MS, How::Withdrawn, at, 0).has(Breach::Overlapping));
-    assert!(seen(SECOND + 2 * MS, 0, How::Done, SECOND + 140 * MS, 60 * MS).kept());
+    assert!(seen(at + 60 * MS, 30 * MS, ForwardOutcome::Withdrawn, at, 0).has(Breach::Overlapping));
+    assert!(seen(SECOND + 2 * MS, 0, ForwardOutcome::Done, SECOND + 140 * MS, 60 * MS).kept());
     assert!(
-        seen(SECOND + 2 * MS, 0, How::Done, SECOND + 140 * MS, 10 * MS)
+        seen(SECOND + 2 * MS, 0, ForwardOutcome::Done, SECOND + 140 * MS, 10 * MS)
             .has(Breach::SentAfterAnswer)
     );
 }
@@ -320,28 +320,28 @@
 #[test]
 fn an_origin_stopped_by_misses_at_cold_cache_servers_breaks_the_fourth_rule() {
     let stopped = |cold: bool| {
-        let mut l = Lives::new();
+        let mut l = LogBuilder::new();
         for n in 0..100 {
             let one = id(VIEW, n, 0);
             let (at, to) = (SECOND + n * MS, 1);
-            let (first, whole, ended, how, ran) = (at, Some(at), at, How::Miss, false);
-            l.0.take(Record::Forwarded(Forwarded {
+            let (first, whole, ended, how, ran) = (at, Some(at), at, ForwardOutcome::Miss, false);
+            l.0.record(Record::ObservedForward(ObservedForward {
                 id: one,
                 to,
-                first,
-                whole,
+                first_byte_at: first,
+                complete_at: whole,
                 ended,
                 first_lag: 0,
                 end_lag: 0,
-                how,
+                outcome: how,
                 ran,
                 cold,
-                unseen: false,
+                withdrawn_unseen: false,
             }));
-            l.forward(one, ORIGIN, at + MS, at + 2 * MS, How::Done);
-            l.asked(one, at, End::Succeeded, at + 3 * MS);
+            l.forward(one, ORIGIN, at + MS, at + 2 * MS, ForwardOutcome::Done);
+            l.asked(one, at, ClientOutcome::Succeeded, at + 3 * MS);
         }
-        l.0.take(Record::OriginStopped {
+        l.0.record(Record::OriginStopped {
             at: SECOND + 200 * MS,
         });
         l.verdict()
@@ -354,20 +354,20 @@
 /// A long run must not keep every life.
 #[test]
 fn lives_are_judged_and_let_go_as_time_passes() {
-    let mut l = Lives::new();
+    let mut l = LogBuilder::new();
     for n in 0..100_000 {
         let (one, at) = (id(VIEW, n, 0), n * 10 * MS);
-        l.forward(one, 1, at, at + MS, How::Done);
-        l.asked(one, at, End::Succeeded, at + MS);
+        l.forward(one, 1, at, at + MS, ForwardOutcome::Done);
+        l.asked(one, at, ClientOutcome::Succeeded, at + MS);
     }
-    assert!(l.0.open() < 2000, "{}", l.0.open());
+    assert!(l.0.open_count() < 2000, "{}", l.0.open_count());
     assert_eq!(l.verdict().judged, 100_000);
 }
 
 #[test]
 fn a_forward_for_nobody_is_a_breach() {
-    let mut l = Lives::new();
-    l.forward(id(VIEW, 9, 0), 1, SECOND, SECOND + MS, How::Done);
+    let mut l = LogBuilder::new();
+    l.forward(id(VIEW, 9, 0), 1, SECOND, SECOND + MS, ForwardOutcome::Done);
     assert!(l.verdict().has(Breach::SentForNobody));
 }
 
@@ -375,23 +375,23 @@
 #[test]
 fn a_run_in_which_the_lab_was_late_itself_is_not_valid() {
     let valid = |late: Nanos| {
-        let mut l = Lives::new();
+        let mut l = LogBuilder::new();
         for n in 0..100 {
             let (id, due, dealt) = (id(VIEW, n, 0), n * SECOND, n * SECOND + late);
-            let (written, ended, end) = (Some(dealt), dealt + MS, End::Succeeded);
-            let asked = Asked {
+            let (written, ended, end) = (Some(dealt), dealt + MS, ClientOutcome::Succeeded);
+            let asked = ClientAttempt {
                 id,
                 tenant: 0,
                 node: 0,
-                first_due: due,
-                due,
-                dealt,
-                written,
-                end,
-                ended,
+                first_scheduled_at: due,
+                scheduled_at: due,
+                dispatched_at: dealt,
+                written_at: written,
+                outcome: end,
+                ended_at: ended,
                 end_lag: 0,
             };
-            l.0.take(Record::Asked(asked));
+            l.0.record(Record::ClientAttempt(asked));
         }
         l.0.finish().1.valid()
     };
--- a/crates/sparrouter-lab/tests/bad_nodes.rs
+++ b/crates/sparrouter-lab/tests/bad_nodes.rs
@@ -3,7 +3,7 @@
 use sparrouter_lab::ledger::audit::{Breach, Verdict};
 use sparrouter_lab::play::{Program, Run, play};
 use sparrouter_lab::scenario::Scenario;
-use sparrouter_lab::stand_ins::bad_node::Kind;
+use sparrouter_lab::stand_ins::bad_node::BadNodeKind;
 use std::sync::Mutex;
 
 /// One at a time: what is measured in milliseconds needs the machine.
@@ -74,16 +74,16 @@
     run
 }
 
-fn verdict(kind: Kind, faults: &str) -> Verdict {
+fn verdict(kind: BadNodeKind, faults: &str) -> Verdict {
     played(Program::Bad(kind), faults).verdict
 }
 
 /// Caught, named with an invocation, and nothing else is held against it.
-fn caught(kind: Kind, faults: &str, breaches: &[Breach]) {
+fn caught(kind: BadNodeKind, faults: &str, breaches: &[Breach]) {
     named(kind, &verdict(kind, faults), breaches);
 }
 
-fn named(kind: Kind, v: &Verdict, breaches: &[Breach]) {
+fn named(kind: BadNodeKind, v: &Verdict, breaches: &[Breach]) {
     assert!(v.has(breaches[0]), "{kind:?} is not caught: {v:?}");
     assert!(
         v.breaches.keys().all(|b| breaches.contains(b)),
@@ -98,20 +98,20 @@
 #[test]
 fn one_that_keeps_the_rules_is_passed_in_calm_and_in_trouble() {
     for faults in ["", RESETS, DRAINS, GROWS] {
-        let v = verdict(Kind::Sound, faults);
+        let v = verdict(BadNodeKind::Sound, faults);
         assert!(v.kept() && v.judged > 900, "{faults}: {v:?}");
     }
 }
 
 #[test]
 fn one_that_answers_twice() {
-    caught(Kind::Twice, "", &[Breach::AnsweredTwice]);
+    caught(BadNodeKind::Twice, "", &[Breach::AnsweredTwice]);
 }
 
 #[test]
 fn one_that_resends_a_write_after_a_reset() {
     caught(
-        Kind::Resends,
+        BadNodeKind::Resends,
         RESETS,
         &[Breach::ForwardedAgain, Breach::EffectTwice],
     );
@@ -119,7 +119,7 @@
 
 #[test]
 fn one_that_sends_to_drained_cache_servers() {
-    caught(Kind::Drained, DRAINS, &[Breach::SentToDrained]);
+    caught(BadNodeKind::Drained, DRAINS, &[Breach::SentToDrained]);
 }
 
 #[test]
@@ -128,31 +128,31 @@
         .replace("rate_per_s = 400", "rate_per_s = 1500")
         .replace("work_ms = 8", "work_ms = 1");
     named(
-        Kind::Swallows,
-        &played_of(Program::Bad(Kind::Swallows), &text).verdict,
+        BadNodeKind::Swallows,
+        &played_of(Program::Bad(BadNodeKind::Swallows), &text).verdict,
         &[Breach::NoAnswer],
     );
 }
 
 #[test]
 fn one_that_answers_after_the_client_timeout() {
-    caught(Kind::Late, "", &[Breach::AnsweredLate]);
+    caught(BadNodeKind::Late, "", &[Breach::AnsweredLate]);
 }
 
 #[test]
 fn one_that_pushes_a_cold_cache_server_over() {
-    caught(Kind::PushesCold, GROWS, &[Breach::ColdPushedOver]);
+    caught(BadNodeKind::PushesCold, GROWS, &[Breach::ColdPushedOver]);
 }
 
 #[test]
 fn one_that_sends_a_second_copy() {
-    caught(Kind::Overlaps, "", &[Breach::Overlapping]);
+    caught(BadNodeKind::Overlaps, "", &[Breach::Overlapping]);
 }
 
 #[test]
 fn one_that_calls_harmless_what_may_have_run() {
     caught(
-        Kind::Throttles,
+        BadNodeKind::Throttles,
         RESETS,
         &[Breach::ThrottledThoughItMayHaveRun],
     );
@@ -160,5 +160,5 @@
 
 #[test]
 fn one_that_makes_answers_up() {
-    caught(Kind::Invents, "", &[Breach::AnsweredWithNobodysValue]);
+    caught(BadNodeKind::Invents, "", &[Breach::AnsweredWithNobodysValue]);
 }
--- a/crates/sparrouter-lab/tests/scenarios.rs
+++ b/crates/sparrouter-lab/tests/scenarios.rs
@@ -141,7 +141,7 @@
 /// Each fault finds the fleet that the ones before have left; nobody who is gone crashes.
 #[test]
 fn faults_follow_each_other_on_one_fleet() {
-    use sparrouter_lab::scenario::schedule::Act;
+    use sparrouter_lab::scenario::schedule::Action;
     let text = "[[fault]]\nkind = \"shrink\"\nat_s = 1\nlength_s = 1\npart = 0.5\ndrain_s = 0.5\n\
                 [[fault]]\nkind = \"crash\"\nat_s = 6\nlength_s = 1\npart = 1\n\
                 [[fault]]\nkind = \"grow\"\nat_s = 8\ntimes = 3\n";
@@ -149,7 +149,7 @@
         .unwrap()
         .with_defaults();
     let drawn = schedule::draw(&s);
-    let of = |from: f64, to: f64, pick: fn(&Act) -> Option<usize>| -> Vec<usize> {
+    let of = |from: f64, to: f64, pick: fn(&Action) -> Option<usize>| -> Vec<usize> {
         let inside = |at: u64| (from..to).contains(&(at as f64 / 1e9));
         let mut all: Vec<usize> = drawn
             .steps
@@ -161,7 +161,7 @@
         all
     };
     let drained = of(0.0, 6.0, |a| {
-        if let Act::Drain(n) = a {
+        if let Action::Drain(n) = a {
             Some(*n)
         } else {
             None
@@ -170,7 +170,7 @@
     let crashed = of(
         6.0,
         7.0,
-        |a| if let Act::Die(n) = a { Some(*n) } else { None },
+        |a| if let Action::Die(n) = a { Some(*n) } else { None },
     );
     assert_eq!((drained.len(), crashed.len()), (4, 4));
     assert!(crashed.iter().all(|c| !drained.contains(c)));
