--- a/crates/sparrouter-lab/src/clients.rs
+++ b/crates/sparrouter-lab/src/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: open loop. Arrivals are dealt out when they are due, whatever became of those before; what
 //! an answer took counts from then, so that a node that stalls can't hide it.
-use crate::http::{self, ReadError, Message, PeekResult};
+use crate::http::{self, Message, PeekResult, ReadError};
 use crate::ledger::{ClientAttempt, ClientOutcome, Record};
 use crate::scenario::arrivals::{Arrival, Arrivals, id, scramble};
 use crate::scenario::{Effect, Operation};
@@ -28,48 +28,52 @@
 /// Deals clients out to nodes.
 pub struct Front {
     pub nodes: Vec<SocketAddr>,
-    dealt: RwLock<Vec<usize>>,
+    active_nodes: RwLock<Vec<usize>>,
     /// This part of all goes to those below this number.
     skew: RwLock<(f64, usize)>,
 }
 
 impl Front {
     pub fn new(nodes: Vec<SocketAddr>) -> Arc<Front> {
-        let dealt = RwLock::new((0..nodes.len()).collect());
+        let active_nodes = RwLock::new((0..nodes.len()).collect());
         Arc::new(Front {
             nodes,
-            dealt,
+            active_nodes,
             skew: RwLock::new((0.0, 0)),
         })
     }
     /// A node is, or is no longer, dealt out.
     pub fn set(&self, node: usize, on: bool) {
-        let mut dealt = self.dealt.write().expect("not poisoned");
-        dealt.retain(|n| *n != node);
+        let mut active_nodes = self.active_nodes.write().expect("not poisoned");
+        active_nodes.retain(|n| *n != node);
         if on {
-            dealt.push(node);
+            active_nodes.push(node);
         }
     }
     pub fn skew(&self, part: f64, nodes: usize) {
         *self.skew.write().expect("not poisoned") = (part, nodes);
     }
     fn pick(&self, draw: u32) -> Option<usize> {
-        let dealt = self.dealt.read().expect("not poisoned");
+        let active_nodes = self.active_nodes.read().expect("not poisoned");
         let (part, nodes) = *self.skew.read().expect("not poisoned");
         let again = scramble(u64::from(draw) ^ 0x5ce3);
         if part > 0.0 && ((again >> 11) as f64 / (1u64 << 53) as f64) < part {
-            let few: Vec<usize> = dealt.iter().copied().filter(|n| *n < nodes).collect();
+            let few: Vec<usize> = active_nodes
+                .iter()
+                .copied()
+                .filter(|n| *n < nodes)
+                .collect();
             if !few.is_empty() {
                 return Some(few[draw as usize % few.len()]);
             }
         }
-        (!dealt.is_empty()).then(|| dealt[draw as usize % dealt.len()])
+        (!active_nodes.is_empty()).then(|| active_nodes[draw as usize % active_nodes.len()])
     }
 }
 
 struct Idle {
     stream: TcpStream,
-    since: Instant,
+    idle_since: Instant,
     /// The invocation that it last carried.
     last: u64,
 }
@@ -79,7 +83,7 @@
     lab: Arc<Lab>,
     front: Arc<Front>,
     idle: Vec<RefCell<Vec<Idle>>>,
-    room: Vec<Semaphore>,
+    connection_slots: Vec<Semaphore>,
     open: Arc<AtomicUsize>,
 }
 
@@ -96,21 +100,21 @@
         let nodes = front.nodes.len();
         workers.run_on(n, move || async move {
             let idle = (0..nodes).map(|_| RefCell::default()).collect();
-            let room = (0..nodes).map(|_| Semaphore::new(share)).collect();
+            let connection_slots = (0..nodes).map(|_| Semaphore::new(share)).collect();
             let clients = Rc::new(Clients {
                 lab,
                 front,
                 idle,
-                room,
+                connection_slots,
                 open,
             });
-            clients.attend(arrivals).await;
+            clients.serve_arrivals(arrivals).await;
         });
         inboxes.push(inbox);
     }
     for (n, arrival) in Arrivals::new(s).enumerate() {
-        let due = lab.instant(arrival.at);
-        let wait = due.saturating_duration_since(Instant::now());
+        let scheduled_at = lab.instant(arrival.at);
+        let wait = scheduled_at.saturating_duration_since(Instant::now());
         if !wait.is_zero() {
             progress(arrival.at);
             std::thread::sleep(wait);
@@ -118,9 +122,11 @@
         open.fetch_add(1, Relaxed);
         let _ = inboxes[n % inboxes.len()].send(arrival);
     }
-    let tries = u64::from(s.load.retries) + 1;
+    let attempts = u64::from(s.load.retries) + 1;
     let longest =
-        (s.longest_ms() * MS + LATE_ANSWER_WAIT + nanos(s.load.backoff_ms / 1e3)) * tries + 2000 * MS;
+        (s.max_client_timeout_ms() * MS + LATE_ANSWER_WAIT + nanos(s.load.backoff_ms / 1e3))
+            * attempts
+            + 2000 * MS;
     let latest = Instant::now() + Duration::from_nanos(longest);
     while open.load(Relaxed) > 0 && Instant::now() < latest {
         std::thread::sleep(Duration::from_millis(5));
@@ -129,12 +135,12 @@
 
 /// How one try went.
 struct AttemptResult {
-    asked: ClientAttempt,
+    observed: ClientAttempt,
     retry_after_s: Option<f64>,
 }
 
 impl Clients {
-    async fn attend(self: Rc<Self>, mut arrivals: mpsc::UnboundedReceiver<Arrival>) {
+    async fn serve_arrivals(self: Rc<Self>, mut arrivals: mpsc::UnboundedReceiver<Arrival>) {
         while let Some(arrival) = arrivals.recv().await {
             spawn_local(self.clone().invocation(arrival));
         }
@@ -144,7 +150,7 @@
             .iter()
             .flat_map(|i| i.borrow_mut().drain(..).collect::<Vec<_>>())
         {
-            self.alive(&idle);
+            self.is_reusable(&idle);
         }
     }
 
@@ -152,70 +158,73 @@
     async fn invocation(self: Rc<Self>, arrival: Arrival) {
         let lab = &self.lab;
         let op = &lab.scenario.operation[usize::from(arrival.operation)];
-        let mut due = arrival.at;
-        for tried in 0..=lab.scenario.load.retries {
-            let dealt = lab.now();
-            let one = self.one(&arrival, op, tried as u8, due, dealt).await;
-            let end = one.asked.outcome;
-            lab.record(Record::ClientAttempt(one.asked));
+        let mut scheduled_at = arrival.at;
+        for attempt in 0..=lab.scenario.load.retries {
+            let active_nodes = lab.now();
+            let one = self
+                .attempt_once(&arrival, op, attempt as u8, scheduled_at, active_nodes)
+                .await;
+            let end = one.observed.outcome;
+            lab.record(Record::ClientAttempt(one.observed));
             // What may have run is not tried again where it must not run twice.
             let harmless = matches!(end, ClientOutcome::Throttled | ClientOutcome::Unconnected);
-            let again = harmless || end != ClientOutcome::Succeeded && op.effect != Effect::NonIdempotent;
-            if !again || arrival.leaves.is_some() || tried == lab.scenario.load.retries {
+            let again =
+                harmless || end != ClientOutcome::Succeeded && op.effect != Effect::NonIdempotent;
+            if !again || arrival.leaves_after.is_some() || attempt == lab.scenario.load.retries {
                 break;
             }
             let wait = one
                 .retry_after_s
                 .map_or(lab.scenario.load.backoff_ms / 1e3, |s| s.min(5.0));
             sleep(Duration::from_secs_f64(wait)).await;
-            due = lab.now();
+            scheduled_at = lab.now();
         }
         self.open.fetch_sub(1, Relaxed);
     }
 
-    async fn one(
+    async fn attempt_once(
         &self,
         arrival: &Arrival,
         op: &Operation,
-        tried: u8,
-        due: Nanos,
-        dealt: Nanos,
+        attempt: u8,
+        scheduled_at: Nanos,
+        active_nodes: Nanos,
     ) -> AttemptResult {
         let lab = &self.lab;
-        let id = id(arrival.operation, arrival.number, tried);
-        let draw = if tried == 0 {
+        let id = id(arrival.operation, arrival.number, attempt);
+        let draw = if attempt == 0 {
             arrival.draw
         } else {
             scramble(id) as u32
         };
         let node = self.front.pick(draw);
-        let mut asked = ClientAttempt {
+        let mut observed = ClientAttempt {
             id,
             tenant: arrival.tenant,
             node: node.unwrap_or(0) as u16,
             first_scheduled_at: arrival.at,
-            scheduled_at: due,
-            dispatched_at: dealt,
+            scheduled_at,
+            dispatched_at: active_nodes,
             written_at: None,
             outcome: ClientOutcome::Unconnected,
-            ended_at: dealt,
+            ended_at: active_nodes,
             end_lag: 0,
         };
         let mut retry_after_s = None;
         if let Some(node) = node {
-            let text = self.text(arrival, op, id, tried);
-            let _place = self.room[node].acquire().await;
-            let exchange = self.exchange(node, &text, arrival, op, &mut asked);
+            let text = self.text(arrival, op, id, attempt);
+            let _slot = self.connection_slots[node].acquire().await;
+            let exchange = self.exchange(node, &text, arrival, op, &mut observed);
             retry_after_s = exchange.await.and_then(|m| m.retry_after_s);
         }
-        (asked.ended_at, asked.end_lag) = (lab.now(), lab.lag());
+        (observed.ended_at, observed.end_lag) = (lab.now(), lab.lag());
         AttemptResult {
-            asked,
+            observed,
             retry_after_s,
         }
     }
 
-    fn text(&self, a: &Arrival, op: &Operation, id: u64, tried: u8) -> Vec<u8> {
+    fn text(&self, a: &Arrival, op: &Operation, id: u64, attempt: u8) -> Vec<u8> {
         let s = &self.lab.scenario;
         let (method, body) = if op.write {
             ("PUT", "new value")
@@ -236,7 +245,7 @@
                 crate::scenario::arrivals::root(id)
             );
         }
-        if tried > 0 && s.load.marks_retries {
+        if attempt > 0 && s.load.marks_retries {
             text += "X-Retry: 1\r\n";
         }
         if op.write {
@@ -246,9 +255,9 @@
     }
 
     /// False where the other side has closed, or has sent what nobody asked for.
-    fn alive(&self, idle: &Idle) -> bool {
-        match http::peek(&idle.stream) {
-            PeekResult::Nothing => idle.since.elapsed() < MAX_IDLE,
+    fn is_reusable(&self, idle: &Idle) -> bool {
+        match http::probe(&idle.stream) {
+            PeekResult::Nothing => idle.idle_since.elapsed() < MAX_IDLE,
             PeekResult::Bytes => {
                 self.lab.record(Record::ExtraBytes {
                     at: self.lab.now(),
@@ -260,10 +269,10 @@
         }
     }
 
-    fn take(&self, node: usize) -> Option<Idle> {
+    fn take_idle(&self, node: usize) -> Option<Idle> {
         loop {
             let idle = self.idle[node].borrow_mut().pop()?;
-            if self.alive(&idle) {
+            if self.is_reusable(&idle) {
                 return Some(idle);
             }
         }
@@ -279,7 +288,7 @@
         loop {
             let answer = http::read(stream, buffer, || {}).await?;
             match last {
-                Some(last) if end(&answer, last) == ClientOutcome::Succeeded => {
+                Some(last) if classify(&answer, last) == ClientOutcome::Succeeded => {
                     self.lab.record(Record::ExtraBytes {
                         at: self.lab.now(),
                         id: last,
@@ -297,13 +306,13 @@
         text: &[u8],
         arrival: &Arrival,
         op: &Operation,
-        asked: &mut ClientAttempt,
+        observed: &mut ClientAttempt,
     ) -> Option<Message> {
         let s = &self.lab.scenario;
-        let mut kept = self.take(node);
+        let mut reused = self.take_idle(node);
         loop {
-            let (used, last) = (kept.is_some(), kept.as_ref().map(|k| k.last));
-            let stream = match kept.take() {
+            let (used, last) = (reused.is_some(), reused.as_ref().map(|k| k.last));
+            let stream = match reused.take() {
                 Some(idle) => Some(idle.stream),
                 None => timeout(CONNECT_TIMEOUT, TcpStream::connect(self.front.nodes[node]))
                     .await
@@ -312,22 +321,22 @@
             };
             let mut stream = stream?;
             let _ = stream.set_nodelay(true);
-            if let Some(part) = arrival.leaves.filter(|p| *p < 0.3) {
+            if let Some(part) = arrival.leaves_after.filter(|p| *p < 0.3) {
                 // Goes while it is still sending.
                 http::write(&mut stream, &text[..(text.len() as f32 * part) as usize]).await;
-                asked.outcome = ClientOutcome::Left;
+                observed.outcome = ClientOutcome::Left;
                 return None;
             }
             let written = http::write(&mut stream, text).await;
-            asked.written_at = written.then(|| self.lab.now());
+            observed.written_at = written.then(|| self.lab.now());
             // Closed between invocations just as this one was sent, it is sent once more on another. On
             // loopback that shows at once, or as a reset: an end that comes later, in order, is the end of
             // one that had been read.
-            if used && (!written || http::peek(&stream) == PeekResult::Ended) {
+            if used && (!written || http::probe(&stream) == PeekResult::Ended) {
                 continue;
             }
             let patience = op.client_timeout_ms * MS;
-            let (wait, goes) = match arrival.leaves {
+            let (wait, goes) = match arrival.leaves_after {
                 Some(part) => (op.objective_ms as f64 * MS as f64 * f64::from(part), true),
                 None if s.load.try_part < 1.0 => (patience as f64 * s.load.try_part, true),
                 None => ((patience + LATE_ANSWER_WAIT) as f64, false),
@@ -335,19 +344,25 @@
             let mut buffer = BytesMut::with_capacity(512);
             let read = self.own_answer(&mut stream, &mut buffer, last);
             match timeout(Duration::from_nanos(wait as u64), read).await {
-                Err(_) => asked.outcome = if goes { ClientOutcome::Left } else { ClientOutcome::Silent },
+                Err(_) => {
+                    observed.outcome = if goes {
+                        ClientOutcome::Left
+                    } else {
+                        ClientOutcome::Silent
+                    }
+                }
                 Ok(Err(ReadError::Reset)) if used => continue,
-                Ok(Err(_)) => asked.outcome = ClientOutcome::Closed,
+                Ok(Err(_)) => observed.outcome = ClientOutcome::Closed,
                 Ok(Ok(answer)) => {
-                    asked.outcome = end(&answer, asked.id);
+                    observed.outcome = classify(&answer, observed.id);
                     if !buffer.is_empty() {
-                        let (at, id) = (self.lab.now(), asked.id);
+                        let (at, id) = (self.lab.now(), observed.id);
                         self.lab.record(Record::ExtraBytes { at, id });
-                    } else if !answer.close && asked.outcome != ClientOutcome::Foreign {
-                        let (since, last) = (Instant::now(), asked.id);
+                    } else if !answer.close && observed.outcome != ClientOutcome::Foreign {
+                        let (idle_since, last) = (Instant::now(), observed.id);
                         self.idle[node].borrow_mut().push(Idle {
                             stream,
-                            since,
+                            idle_since,
                             last,
                         });
                     }
@@ -359,7 +374,7 @@
     }
 }
 
-fn end(answer: &Message, id: u64) -> ClientOutcome {
+fn classify(answer: &Message, id: u64) -> ClientOutcome {
     match answer.status() {
         200 if answer.body.starts_with(format!("{id:016x}").as_bytes()) => ClientOutcome::Succeeded,
         200 => ClientOutcome::Foreign,
--- a/crates/sparrouter-lab/src/commands/changes.rs
+++ b/crates/sparrouter-lab/src/commands/changes.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use sparrouter_lab::experiment::changes::{self, Case, PlayedCase};
 use sparrouter_lab::play::Run;
-use sparrouter_lab::scenario::rollout::{RolloutMode, Defect};
+use sparrouter_lab::scenario::rollout::{Defect, RolloutMode};
 use std::path::PathBuf;
 
 /// Play a scenario's change in stages with each bad version: by the conductor, plainly, and all at once
--- a/crates/sparrouter-lab/src/commands/compare.rs
+++ b/crates/sparrouter-lab/src/commands/compare.rs
@@ -57,7 +57,7 @@
     println!(
         "{:<20}{a:>11.3}{b:>11.3}{lowest:>9.3}{middle:>9.3}{highest:>9.3}  {}",
         row.name,
-        row.word()
+        row.verdict()
     );
 }
 
--- a/crates/sparrouter-lab/src/commands/kills.rs
+++ b/crates/sparrouter-lab/src/commands/kills.rs
@@ -3,7 +3,7 @@
     CommandError, Outcome, output_folder, program, read_scenario, rules_column, shortened,
 };
 use clap::Args;
-use sparrouter_lab::experiment::kills::{self, KilledRun, KillPoints};
+use sparrouter_lab::experiment::kills::{self, KillPoints, KilledRun};
 use sparrouter_lab::rollout::Tools;
 use std::path::PathBuf;
 
@@ -60,7 +60,10 @@
         &scenario, &program, &tools, points, jobs, &folder, print_line,
     );
     let reached: Vec<&KilledRun> = all.iter().filter(|k| k.reached()).collect();
-    let right = reached.iter().filter(|k| k.right(&arguments.ends)).count();
+    let right = reached
+        .iter()
+        .filter(|k| k.ended_as_expected(&arguments.ends))
+        .count();
     println!("{right} of {} points ended right", reached.len());
     Ok(Outcome::passed_if(
         !reached.is_empty() && right == reached.len(),
--- a/crates/sparrouter-lab/src/commands/sweep.rs
+++ b/crates/sparrouter-lab/src/commands/sweep.rs
@@ -1,7 +1,7 @@
 //! `sweep`: the highest rate that a program sustains, for each value of one setting.
 use super::{CommandError, Outcome, ProgressLog, output_folder, program, read_scenario};
 use clap::Args;
-use sparrouter_lab::experiment::sweep::{self, SweepParameter, Step};
+use sparrouter_lab::experiment::sweep::{self, SweepParameter, SweepStep};
 use sparrouter_lab::scenario::Scenario;
 use std::path::PathBuf;
 
@@ -71,9 +71,9 @@
     values.iter().map(variant).collect()
 }
 
-fn log_step(log: ProgressLog, value: &str, step: &Step) {
+fn log_step(log: ProgressLog, value: &str, step: &SweepStep) {
     let run = &step.run;
-    let result = if step.held { "held" } else { "not held" };
+    let result = if step.sustained { "held" } else { "not held" };
     log.line(&format!(
         "{value}: {:.0}/s {result}: {:.5} in time, p99 {:.2} ms, {} breaches, late p99 {:.2} ms",
         step.rate_per_s,
@@ -84,7 +84,7 @@
     ));
 }
 
-fn print_knee(value: &str, steps: &[Step]) {
+fn print_knee(value: &str, steps: &[SweepStep]) {
     let Some(knee) = sweep::knee(steps) else {
         println!("{value:<8}no rate held");
         return;
--- a/crates/sparrouter-lab/src/experiment/changes.rs
+++ b/crates/sparrouter-lab/src/experiment/changes.rs
@@ -1,9 +1,9 @@
 //! One scenario with a change in stages, played with each bad version in turn: by the conductor, one node after
 //! another without a judge, and all at once.
-use crate::play::{RunError, Program, Run, play};
+use crate::play::{Program, Run, RunError, play};
 use crate::report;
 use crate::scenario::Scenario;
-use crate::scenario::rollout::{RolloutMode, Defect, Rollout};
+use crate::scenario::rollout::{Defect, Rollout, RolloutMode};
 use std::path::Path;
 use std::sync::Mutex;
 
@@ -46,7 +46,7 @@
         toml::from_str(text).expect("a fixed text")
     }
 
-    pub fn put(&self, change: &mut Rollout) {
+    pub fn apply(&self, change: &mut Rollout) {
         match self {
             Case::Defect(plant) => change.plant = *plant,
             Case::Hasty => {
@@ -93,7 +93,7 @@
                     let mut s = scenario.clone();
                     let mut change = s.rollout.take().unwrap_or_default();
                     change.how = how;
-                    case.put(&mut change);
+                    case.apply(&mut change);
                     s.rollout = Some(change);
                     let word = format!("{how:?}").to_lowercase();
                     let own = folder.join(format!("{}-{word}", case.name()));
--- a/crates/sparrouter-lab/src/experiment/compare.rs
+++ b/crates/sparrouter-lab/src/experiment/compare.rs
@@ -1,6 +1,6 @@
 //! Two programs in turn on the same scenario: A B A B, so that a machine whose speed drifts is fair to
 //! both, and the ratio of each pair with its spread.
-use crate::play::{RunError, Program, Run, play};
+use crate::play::{Program, Run, RunError, play};
 use crate::scenario::Scenario;
 use std::path::Path;
 
@@ -10,7 +10,7 @@
     pub a: Vec<f64>,
     pub b: Vec<f64>,
     /// More is better.
-    pub more: bool,
+    pub higher_is_better: bool,
 }
 
 impl Row {
@@ -29,7 +29,7 @@
 
     /// A plain word. A difference counts where all pairs agree on its side and the middle one lies off 1
     /// by more than the pairs differ among themselves.
-    pub fn word(&self) -> &'static str {
+    pub fn verdict(&self) -> &'static str {
         let r = self.ratios();
         let (Some(least), Some(most)) = (r.first(), r.last()) else {
             return "nothing to compare";
@@ -37,7 +37,7 @@
         let middle = r[r.len() / 2];
         let clear =
             r.len() > 1 && (*least > 1.0 || *most < 1.0) && (middle - 1.0).abs() > most - least;
-        match (clear, (middle > 1.0) == self.more) {
+        match (clear, (middle > 1.0) == self.higher_is_better) {
             (false, _) => "within the noise",
             (true, true) => "A is better",
             (true, false) => "B is better",
@@ -49,7 +49,7 @@
 pub fn rows(pairs: &[(Run, Run)]) -> Vec<Row> {
     let row = |name, more, of: fn(&Run) -> f64| Row {
         name,
-        more,
+        higher_is_better: more,
         a: pairs.iter().map(|p| of(&p.0)).collect(),
         b: pairs.iter().map(|p| of(&p.1)).collect(),
     };
@@ -103,28 +103,28 @@
             name: "x",
             a: a.to_vec(),
             b: b.to_vec(),
-            more: false,
+            higher_is_better: false,
         }
     }
 
     #[test]
     fn a_difference_within_the_pairs_own_spread_is_noise() {
         assert_eq!(
-            row(&[1.0, 1.2, 0.9], &[1.0, 1.0, 1.0]).word(),
+            row(&[1.0, 1.2, 0.9], &[1.0, 1.0, 1.0]).verdict(),
             "within the noise"
         );
         assert_eq!(
-            row(&[1.3, 1.31, 1.3], &[1.0, 1.0, 1.0]).word(),
+            row(&[1.3, 1.31, 1.3], &[1.0, 1.0, 1.0]).verdict(),
             "B is better"
         );
         assert_eq!(
-            row(&[1.3, 1.01, 1.3], &[1.0, 1.0, 1.0]).word(),
+            row(&[1.3, 1.01, 1.3], &[1.0, 1.0, 1.0]).verdict(),
             "B is better"
         );
         assert_eq!(
-            row(&[0.5, 0.52, 0.51], &[1.0, 1.0, 1.0]).word(),
+            row(&[0.5, 0.52, 0.51], &[1.0, 1.0, 1.0]).verdict(),
             "A is better"
         );
-        assert_eq!(row(&[0.5], &[1.0]).word(), "within the noise");
+        assert_eq!(row(&[0.5], &[1.0]).verdict(), "within the noise");
     }
 }
--- a/crates/sparrouter-lab/src/experiment/kills.rs
+++ b/crates/sparrouter-lab/src/experiment/kills.rs
@@ -1,6 +1,6 @@
 //! One scenario with a change in stages, played with the conductor ended at each point of its work in turn, until a
 //! point is named that it never comes to.
-use crate::play::{RunError, Program, Run, play_with};
+use crate::play::{Program, Run, RunError, play_with};
 use crate::report;
 use crate::rollout::Tools;
 use crate::scenario::Scenario;
@@ -21,7 +21,7 @@
         self.run.as_ref().is_ok_and(|run| kills(run) > 0)
     }
     /// It ended as it does with nobody killed, rules kept, no answer lost.
-    pub fn right(&self, how: &str) -> bool {
+    pub fn ended_as_expected(&self, how: &str) -> bool {
         let ended = |run: &Run| {
             let all = run.scenario.nodes.count;
             run.rollout.as_ref().is_some_and(|c| {
--- a/crates/sparrouter-lab/src/experiment/shares.rs
+++ b/crates/sparrouter-lab/src/experiment/shares.rs
@@ -39,9 +39,9 @@
 }
 
 /// Counts at a moment, along a straight line between two reports of one process; none outside its life.
-fn at(life: &[(u64, Share)], ms: u64) -> Option<(f64, f64, f64)> {
-    let after = life.partition_point(|l| l.0 < ms);
-    let (a, b) = (life.get(after.checked_sub(1)?)?, life.get(after)?);
+fn at(process: &[(u64, Share)], ms: u64) -> Option<(f64, f64, f64)> {
+    let after = process.partition_point(|l| l.0 < ms);
+    let (a, b) = (process.get(after.checked_sub(1)?)?, process.get(after)?);
     let part = (ms - a.0) as f64 / (b.0 - a.0).max(1) as f64;
     let between = |x: u64, y: u64| x as f64 + part * (y as f64 - x as f64);
     Some((
@@ -54,7 +54,7 @@
 /// `began_ms`: the first arrival, by the machine's clock.
 pub fn seconds(reports: &[Vec<Report>], limit: &str, began_ms: u64, length_s: f64) -> Vec<Second> {
     // A process that started anew counts from 0.
-    let mut lives: Vec<Vec<(u64, Share)>> = Vec::new();
+    let mut processes: Vec<Vec<(u64, Share)>> = Vec::new();
     let mut per_s: f64 = 0.0;
     for node in reports {
         let mut uptime = u64::MAX;
@@ -65,14 +65,14 @@
             per_s = per_s.max(share.per_s);
             if r.uptime_ms < uptime {
                 // What came before its first line was let in by a process that was not there before.
-                lives.push(vec![(
+                processes.push(vec![(
                     r.unix_ms.saturating_sub(r.uptime_ms),
                     Share::default(),
                 )]);
             }
             uptime = r.uptime_ms;
-            if let Some(life) = lives.last_mut() {
-                life.push((r.unix_ms, share.clone()));
+            if let Some(process) = processes.last_mut() {
+                process.push((r.unix_ms, share.clone()));
             }
         }
     }
@@ -84,13 +84,14 @@
             jain: 1.0,
             ..Second::default()
         };
-        let mut hungry = Vec::new();
-        for life in &lives {
-            let (first, last) = (life[0].0, life[life.len() - 1].0);
+        let mut limited = Vec::new();
+        for process in &processes {
+            let (first, last) = (process[0].0, process[process.len() - 1].0);
             if last <= from || first >= to {
                 continue;
             }
-            let (Some(a), Some(b)) = (at(life, from.max(first + 1)), at(life, to.min(last))) else {
+            let (Some(a), Some(b)) = (at(process, from.max(first + 1)), at(process, to.min(last)))
+            else {
                 continue;
             };
             let (within, arrived) = (b.0 - a.0, b.1 - a.1);
@@ -100,14 +101,14 @@
             second.nodes += 1;
             // Only whole seconds of a node compare.
             if first <= from && last >= to && arrived > 1.15 * within + 1.0 {
-                hungry.push(within);
+                limited.push(within);
             }
         }
-        let (sum, squares) = hungry
+        let (sum, squares) = limited
             .iter()
             .fold((0.0, 0.0), |(s, q), x| (s + x, q + x * x));
         if squares > 0.0 {
-            second.jain = sum * sum / (hungry.len() as f64 * squares);
+            second.jain = sum * sum / (limited.len() as f64 * squares);
         }
         all.push(second);
     }
@@ -133,25 +134,25 @@
 const SETTLED_USE: f64 = 0.9;
 
 pub fn phases(s: &Scenario, seconds: &[Second]) -> Vec<Phase> {
-    let mut marks: BTreeMap<u64, Vec<String>> = BTreeMap::from([(0, vec!["start".into()])]);
+    let mut boundaries: BTreeMap<u64, Vec<String>> = BTreeMap::from([(0, vec!["start".into()])]);
     for f in &s.fault {
         let (from, to, what) = f.span();
         let what = match f {
             Fault::Nodes { count, .. } => format!("{count} nodes"),
             _ => what.to_string(),
         };
-        marks
+        boundaries
             .entry((from * 1e3) as u64)
             .or_default()
             .push(what.clone());
         if !matches!(f, Fault::Nodes { .. }) && to < s.length_s && to > from + 0.5 {
-            marks
+            boundaries
                 .entry((to * 1e3) as u64)
                 .or_default()
                 .push(format!("{what} over"));
         }
     }
-    let marks: Vec<(f64, String)> = marks
+    let boundaries: Vec<(f64, String)> = boundaries
         .into_iter()
         .map(|(ms, w)| (ms as f64 / 1e3, w.join(", ")))
         .collect();
@@ -162,21 +163,21 @@
         Some(seconds[first..last].iter().map(|x| x.within).sum::<f64>() / window as f64)
     };
     let mut all = Vec::new();
-    for (n, (from, what)) in marks.iter().enumerate() {
-        let to = marks.get(n + 1).map_or(s.length_s, |m| m.0);
+    for (n, (from, what)) in boundaries.iter().enumerate() {
+        let to = boundaries.get(n + 1).map_or(s.length_s, |m| m.0);
         // Whole seconds of this phase alone.
         let inside: Vec<&Second> = seconds
             .iter()
             .filter(|x| x.at_s >= *from && x.at_s + 1.0 <= to)
             .collect();
         let good = |x: &&Second| x.used() >= SETTLED_USE;
-        let settled = inside
+        let settled_at = inside
             .windows(2)
             .find(|w| w.iter().all(good))
             .map(|w| w[0].at_s);
         let rest: Vec<&&Second> = inside
             .iter()
-            .filter(|x| settled.is_none_or(|at| x.at_s >= at))
+            .filter(|x| settled_at.is_none_or(|at| x.at_s >= at))
             .collect();
         let mean = |f: &dyn Fn(&Second) -> f64| {
             rest.iter().map(|x| f(x)).sum::<f64>() / rest.len().max(1) as f64
@@ -192,7 +193,7 @@
             parts: inside.iter().map(|x| x.parts).fold(0.0, f64::max),
             used: mean(&|x| x.used()),
             jain: mean(&|x| x.jain),
-            settled_s: settled.map(|at| at - from),
+            settled_s: settled_at.map(|at| at - from),
         });
     }
     all
--- a/crates/sparrouter-lab/src/experiment/sweep.rs
+++ b/crates/sparrouter-lab/src/experiment/sweep.rs
@@ -1,5 +1,5 @@
 //! Finds the knee: the highest rate at which nearly all are answered within the latency objective.
-use crate::play::{RunError, Program, Run, play};
+use crate::play::{Program, Run, RunError, play};
 use crate::scenario::Scenario;
 use std::path::Path;
 
@@ -15,10 +15,10 @@
 }
 
 /// One step: its rate, its run, and whether it held.
-pub struct Step {
+pub struct SweepStep {
     pub rate_per_s: f64,
     pub run: Run,
-    pub held: bool,
+    pub sustained: bool,
 }
 
 pub fn with(scenario: &Scenario, by: SweepParameter, value: usize) -> Scenario {
@@ -44,9 +44,9 @@
     program: &Program,
     within: f64,
     folder: &Path,
-    mut done: impl FnMut(&Step),
-) -> Result<Vec<Step>, RunError> {
-    let mut steps: Vec<Step> = Vec::new();
+    mut done: impl FnMut(&SweepStep),
+) -> Result<Vec<SweepStep>, RunError> {
+    let mut steps: Vec<SweepStep> = Vec::new();
     let (mut low, mut high) = (0.0, f64::INFINITY);
     let mut rate = scenario.load.rate_per_s;
     while high / f64::max(low, 1e-9) > within && steps.len() < 40 {
@@ -66,13 +66,13 @@
                 |_| {},
             )?;
         }
-        let step = Step {
+        let step = SweepStep {
             rate_per_s: rate,
-            held: held(&run),
+            sustained: held(&run),
             run,
         };
         done(&step);
-        if step.held {
+        if step.sustained {
             low = rate
         } else {
             high = rate
@@ -91,9 +91,9 @@
     Ok(steps)
 }
 
-pub fn knee(steps: &[Step]) -> Option<&Step> {
+pub fn knee(steps: &[SweepStep]) -> Option<&SweepStep> {
     steps
         .iter()
-        .filter(|s| s.held)
+        .filter(|s| s.sustained)
         .max_by(|a, b| a.rate_per_s.total_cmp(&b.rate_per_s))
 }
--- a/crates/sparrouter-lab/src/http.rs
+++ b/crates/sparrouter-lab/src/http.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// Method and target, or version and status.
-    pub first: (String, String),
+    pub start_line: (String, String),
     pub id: Option<u64>,
-    pub mark: Option<u64>,
+    pub idempotency_key: Option<u64>,
     pub not_run: bool,
     pub retry_after_s: Option<f64>,
     pub deadline_ms: Option<u64>,
@@ -19,15 +19,15 @@
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.first.1.parse().unwrap_or(0)
+        self.start_line.1.parse().unwrap_or(0)
     }
     /// Last part of the path.
     pub fn key(&self) -> u64 {
-        let last = self.first.1.rsplit('/').next().unwrap_or_default();
+        let last = self.start_line.1.rsplit('/').next().unwrap_or_default();
         u64::from_str_radix(last, 16).unwrap_or(0)
     }
     pub fn writes(&self) -> bool {
-        self.first.0 == "PUT"
+        self.start_line.0 == "PUT"
     }
 }
 
@@ -36,7 +36,7 @@
 }
 
 /// A whole message at the front of the buffer, taken out of it. Err where it can't be one.
-pub fn take(buffer: &mut BytesMut) -> Result<Option<Message>, &'static str> {
+pub fn parse(buffer: &mut BytesMut) -> Result<Option<Message>, &'static str> {
     let Some(end) = buffer
         .windows(4)
         .position(|w| w == b"\r\n\r\n")
@@ -56,7 +56,7 @@
         words.next().ok_or("a first line of one word")?,
     );
     let mut m = Message {
-        first: (first.0.into(), first.1.into()),
+        start_line: (first.0.into(), first.1.into()),
         ..Message::default()
     };
     let mut length = 0;
@@ -67,7 +67,7 @@
         } else if name.eq_ignore_ascii_case("x-request-id") {
             m.id = hex(value);
         } else if name.eq_ignore_ascii_case("idempotency-key") {
-            m.mark = hex(value);
+            m.idempotency_key = hex(value);
         } else if name.eq_ignore_ascii_case("x-not-run") {
             m.not_run = value == "1";
         } else if name.eq_ignore_ascii_case("retry-after") {
@@ -109,7 +109,7 @@
         begun();
     }
     loop {
-        if let Some(message) = take(buffer).map_err(ReadError::Bad)? {
+        if let Some(message) = parse(buffer).map_err(ReadError::Bad)? {
             return Ok(message);
         }
         let fresh = buffer.is_empty();
@@ -120,7 +120,13 @@
                 }
             }
             Ok(_) if fresh => return Err(ReadError::Closed),
-            _ => return Err(if fresh { ReadError::Reset } else { ReadError::Broken }),
+            _ => {
+                return Err(if fresh {
+                    ReadError::Reset
+                } else {
+                    ReadError::Broken
+                });
+            }
         }
     }
 }
@@ -148,7 +154,7 @@
     Ended,
 }
 
-pub fn peek(stream: &TcpStream) -> PeekResult {
+pub fn probe(stream: &TcpStream) -> PeekResult {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match socket2::SockRef::from(stream).peek(&mut byte) {
         Ok(0) => PeekResult::Ended,
--- a/crates/sparrouter-lab/src/ledger/audit.rs
+++ b/crates/sparrouter-lab/src/ledger/audit.rs
@@ -1,5 +1,7 @@
 //! The four rules, judged from whole lives. What can't be judged is counted by its reason.
-use super::{ClientAttempt, ClientOutcome, ObservedForward, ForwardOutcome, Invocation, ORIGIN, Record};
+use super::{
+    ClientAttempt, ClientOutcome, ForwardOutcome, Invocation, ORIGIN, ObservedForward, Record,
+};
 use crate::scenario::arrivals::operation_of;
 use crate::scenario::faults::{Fault, LinkFault};
 use crate::scenario::schedule::Listed;
@@ -107,7 +109,7 @@
     /// A node's going away comes late through links.
     linked: bool,
     /// By node and cache server: what it was told when.
-    told: HashMap<(u16, u32), Vec<(Nanos, Listed)>>,
+    notified: HashMap<(u16, u32), Vec<(Nanos, Listed)>>,
     known: HashMap<u32, Vec<(Nanos, Listed)>>,
     /// Spans in which discovery refused all calls: then no subscription is silent, there is none.
     away: Vec<(Nanos, Nanos)>,
@@ -156,7 +158,7 @@
                 .link
                 .iter()
                 .any(|l| matches!(l.before, Before::Caches | Before::Origin)),
-            told: HashMap::new(),
+            notified: HashMap::new(),
             known: HashMap::new(),
             away: Vec::new(),
             down: HashMap::new(),
@@ -167,7 +169,7 @@
         }
     }
 
-    fn found(&mut self, breach: Breach, at: Nanos, id: Option<u64>, what: String) {
+    fn add_breach(&mut self, breach: Breach, at: Nanos, id: Option<u64>, what: String) {
         *self.verdict.breaches.entry(breach).or_default() += 1;
         if self.verdict.breaches[&breach] as usize <= LISTED {
             let id = id.map_or(String::new(), |id| format!("{id:016x}"));
@@ -179,10 +181,10 @@
             });
         }
     }
-    fn unjudged(&mut self, why: &str) {
+    fn count_unjudged(&mut self, why: &str) {
         *self.verdict.unjudged.entry(why.into()).or_default() += 1;
     }
-    fn seen(&mut self, what: &str) {
+    fn count_notable(&mut self, what: &str) {
         *self.verdict.seen.entry(what.into()).or_default() += 1;
     }
 
@@ -197,7 +199,7 @@
                 cache,
                 listed,
             } => {
-                self.told
+                self.notified
                     .entry((node, cache))
                     .or_default()
                     .push((at, listed));
@@ -213,7 +215,7 @@
                 cache,
                 cold: true,
             } => {
-                self.found(
+                self.add_breach(
                     Breach::ColdPushedOver,
                     at,
                     None,
@@ -221,20 +223,22 @@
                 );
             }
             Record::ExtraBytes { at, id } => {
-                self.found(
+                self.add_breach(
                     Breach::AnsweredTwice,
                     at,
                     Some(id),
                     "more came behind its answer".into(),
                 );
             }
-            Record::CacheFell { cold: false, .. } => self.seen("a warm cache server was overdriven"),
+            Record::CacheFell { cold: false, .. } => {
+                self.count_notable("a warm cache server was overdriven")
+            }
             Record::OriginStopped { at } => self.stops.push(at),
             Record::NodeDown { at, node, killed } => {
                 self.down.entry(node).or_default().push((at, killed))
             }
             Record::NodeCrashed { at, node } => {
-                self.found(
+                self.add_breach(
                     Breach::NodeCrashed,
                     at,
                     None,
@@ -272,7 +276,7 @@
     pub(crate) fn judge(&mut self, id: u64, life: &Invocation) {
         let Some(asked) = life.attempt else {
             let at = life.forwards.first().map_or(0, |f| f.first_byte_at);
-            return self.found(
+            return self.add_breach(
                 Breach::SentForNobody,
                 at,
                 Some(id),
@@ -282,40 +286,43 @@
         let op =
             self.operations[usize::from(operation_of(id)).min(self.operations.len() - 1)].clone();
         self.verdict.judged += 1;
-        self.answer(id, &asked, &op, life);
-        self.effects(id, &asked, &op, life);
+        self.judge_answer(id, &asked, &op, life);
+        self.judge_effects(id, &asked, &op, life);
         for f in &life.forwards {
-            self.drain(id, &asked, f);
+            self.judge_drain(id, &asked, f);
         }
     }
 
-    fn answer(&mut self, id: u64, a: &ClientAttempt, op: &Operation, life: &Invocation) {
+    fn judge_answer(&mut self, id: u64, a: &ClientAttempt, op: &Operation, life: &Invocation) {
         let timeout = op.client_timeout_ms * MS;
         let Some(written) = a.written_at else { return };
         match a.outcome {
             ClientOutcome::Closed if self.killed_between(a.node, written, a.ended_at) => {
-                self.unjudged("its node was killed")
+                self.count_unjudged("its node was killed")
             }
             ClientOutcome::Silent if self.killed_between(a.node, written, a.ended_at) => {
-                self.unjudged("its node was killed")
+                self.count_unjudged("its node was killed")
             }
             ClientOutcome::Closed => {
                 let what = "the connection ended with no whole answer".to_string();
-                self.found(Breach::NoAnswer, a.ended_at, Some(id), what);
+                self.add_breach(Breach::NoAnswer, a.ended_at, Some(id), what);
             }
             ClientOutcome::Silent => {
                 let what = format!("nothing within {} ms", op.client_timeout_ms);
-                self.found(Breach::NoAnswer, a.ended_at, Some(id), what);
+                self.add_breach(Breach::NoAnswer, a.ended_at, Some(id), what);
             }
-            ClientOutcome::Left => self.unjudged("its client left first"),
+            ClientOutcome::Left => self.count_unjudged("its client left first"),
             ClientOutcome::Unconnected => {}
-            ClientOutcome::Succeeded | ClientOutcome::Foreign | ClientOutcome::Throttled | ClientOutcome::Errored => {
+            ClientOutcome::Succeeded
+            | ClientOutcome::Foreign
+            | ClientOutcome::Throttled
+            | ClientOutcome::Errored => {
                 let latest = written + timeout + self.answer_slack;
                 if a.ended_at > latest && a.ended_at.saturating_sub(a.end_lag) <= latest {
-                    self.unjudged(LAB_STALLED);
+                    self.count_unjudged(LAB_STALLED);
                 } else if a.ended_at > latest {
                     let late = (a.ended_at - written - timeout) / MS;
-                    self.found(
+                    self.add_breach(
                         Breach::AnsweredLate,
                         a.ended_at,
                         Some(id),
@@ -326,14 +333,22 @@
                 let behind = life.forwards.iter().filter(|f| f.first_byte_at > after);
                 let (clear, unclear): (Vec<&ObservedForward>, Vec<_>) =
                     behind.partition(|f| f.earliest_first_byte_at() > after);
-                unclear.iter().for_each(|_| self.unjudged(LAB_STALLED));
+                unclear
+                    .iter()
+                    .for_each(|_| self.count_unjudged(LAB_STALLED));
                 if let Some(f) = clear.first() {
-                    let what = format!("{} ms later to {}", (f.first_byte_at - a.ended_at) / MS, name(f.to));
-                    self.found(Breach::SentAfterAnswer, f.first_byte_at, Some(id), what);
+                    let what = format!(
+                        "{} ms later to {}",
+                        (f.first_byte_at - a.ended_at) / MS,
+                        name(f.to)
+                    );
+                    self.add_breach(Breach::SentAfterAnswer, f.first_byte_at, Some(id), what);
                 }
             }
         }
-        let good = |f: &&ObservedForward| matches!(f.outcome, ForwardOutcome::Done | ForwardOutcome::Repeat);
+        let good = |f: &&ObservedForward| {
+            matches!(f.outcome, ForwardOutcome::Done | ForwardOutcome::Repeat)
+        };
         let made = life
             .forwards
             .iter()
@@ -341,15 +356,19 @@
             .any(|f| f.earliest_end_at() <= a.ended_at + self.slack);
         if a.outcome == ClientOutcome::Foreign || a.outcome == ClientOutcome::Succeeded && !made {
             let what = "no cache server made this answer for it".to_string();
-            self.found(Breach::AnsweredWithNobodysValue, a.ended_at, Some(id), what);
+            self.add_breach(Breach::AnsweredWithNobodysValue, a.ended_at, Some(id), what);
         }
     }
 
-    fn effects(&mut self, id: u64, a: &ClientAttempt, op: &Operation, life: &Invocation) {
-        let mut all: Vec<&ObservedForward> = life.forwards.iter().filter(|f| f.complete_at.is_some()).collect();
+    fn judge_effects(&mut self, id: u64, a: &ClientAttempt, op: &Operation, life: &Invocation) {
+        let mut all: Vec<&ObservedForward> = life
+            .forwards
+            .iter()
+            .filter(|f| f.complete_at.is_some())
+            .collect();
         all.sort_by_key(|f| f.complete_at);
         if op.effect != Effect::Idempotent && all.iter().filter(|f| f.ran).count() > 1 {
-            self.found(
+            self.add_breach(
                 Breach::EffectTwice,
                 a.ended_at,
                 Some(id),
@@ -370,10 +389,10 @@
                 match op.effect {
                     Effect::Idempotent => {}
                     Effect::NonIdempotent => {
-                        self.found(Breach::ForwardedAgain, whole, Some(id), to)
+                        self.add_breach(Breach::ForwardedAgain, whole, Some(id), to)
                     }
                     Effect::Deduplicated if whole > from + op.window_ms * MS + self.slack => {
-                        self.found(Breach::RepeatedOutsideWindow, whole, Some(id), to);
+                        self.add_breach(Breach::RepeatedOutsideWindow, whole, Some(id), to);
                     }
                     Effect::Deduplicated => {}
                 }
@@ -381,21 +400,28 @@
             // What a stand-in ended itself was over before the node could know; that the node has gone
             // away may be seen here later than it did so.
             let over = |f: &&&ObservedForward| {
-                let gone = self.linked || matches!(f.outcome, ForwardOutcome::Withdrawn | ForwardOutcome::Open);
+                let gone = self.linked
+                    || matches!(f.outcome, ForwardOutcome::Withdrawn | ForwardOutcome::Open);
                 f.ended > whole + if gone { self.slack } else { 0 }
             };
             // When one was sent that its stand-in saw only once it was withdrawn, nobody can tell.
             if later.withdrawn_unseen && !earlier.is_empty() {
-                self.unjudged("overlaps of forwards withdrawn before their stand-in saw them");
+                self.count_unjudged(
+                    "overlaps of forwards withdrawn before their stand-in saw them",
+                );
                 continue;
             }
             let over = earlier.iter().filter(|f| !f.withdrawn_unseen).find(over);
             if let Some(first) = over.filter(|_| !self.second_copies) {
-                let gone = self.linked || matches!(first.outcome, ForwardOutcome::Withdrawn | ForwardOutcome::Open);
+                let gone = self.linked
+                    || matches!(
+                        first.outcome,
+                        ForwardOutcome::Withdrawn | ForwardOutcome::Open
+                    );
                 if gone && first.earliest_end_at() <= whole + self.slack {
-                    self.unjudged(LAB_STALLED);
+                    self.count_unjudged(LAB_STALLED);
                 } else if self.blind {
-                    self.unjudged("overlaps behind links that lose bytes");
+                    self.count_unjudged("overlaps behind links that lose bytes");
                 } else {
                     let by = (first.ended - whole) / MS;
                     let what = format!(
@@ -404,49 +430,59 @@
                         name(first.to),
                         first.outcome
                     );
-                    self.found(Breach::Overlapping, whole, Some(id), what);
+                    self.add_breach(Breach::Overlapping, whole, Some(id), what);
                 }
             }
         }
-        let before = |f: &&&ObservedForward| f.may_have_run() && f.complete_at.is_some_and(|w| w < a.ended_at);
+        let before = |f: &&&ObservedForward| {
+            f.may_have_run() && f.complete_at.is_some_and(|w| w < a.ended_at)
+        };
         if a.outcome == ClientOutcome::Throttled
             && op.effect == Effect::NonIdempotent
             && let Some(f) = all.iter().find(before)
         {
             let what = format!("after {} ({:?})", name(f.to), f.outcome);
-            self.found(Breach::ThrottledThoughItMayHaveRun, a.ended_at, Some(id), what);
+            self.add_breach(
+                Breach::ThrottledThoughItMayHaveRun,
+                a.ended_at,
+                Some(id),
+                what,
+            );
         }
     }
 
     /// So long after discovery knew, or after it answers again where it was away meanwhile.
-    fn counts_as_told(&self, known: Nanos) -> Nanos {
+    fn notified_deadline(&self, known: Nanos) -> Nanos {
         let told = known + self.informed;
         let away = self.away.iter().filter(|a| a.0 < told && a.1 > known);
         away.fold(told, |told, a| told.max(a.1.saturating_add(self.informed)))
     }
 
     /// Told at the latest when discovery has known for so long: a silent subscription counts as informed.
-    fn drain(&mut self, id: u64, a: &ClientAttempt, f: &ObservedForward) {
+    fn judge_drain(&mut self, id: u64, a: &ClientAttempt, f: &ObservedForward) {
         if f.to == ORIGIN {
             return;
         }
-        let told = self.told.get(&(a.node, f.to)).map_or(&[][..], |t| t);
+        let told = self.notified.get(&(a.node, f.to)).map_or(&[][..], |t| t);
         let known = self.known.get(&f.to).map_or(&[][..], |k| k);
         // Word that came in time, of this or of something newer, makes the latest moment for it moot.
-        let unheard = |at: Nanos| {
+        let not_notified_in_time = |at: Nanos| {
             !told
                 .iter()
-                .any(|t| (at..=self.counts_as_told(at)).contains(&t.0))
+                .any(|t| (at..=self.notified_deadline(at)).contains(&t.0))
         };
         let known = known
             .iter()
-            .filter(|k| unheard(k.0))
-            .map(|(at, l)| (self.counts_as_told(*at), *l));
+            .filter(|k| not_notified_in_time(k.0))
+            .map(|(at, l)| (self.notified_deadline(*at), *l));
         let mut all: Vec<(Nanos, Listed)> = told.iter().copied().chain(known).collect();
         all.sort_by_key(|t| t.0);
         // What it knew a grace before, and whether it was told better since.
         // Where the lab stood still it may have come at any moment of that: only what is late either way counts.
-        let Some(bar) = f.earliest_first_byte_at().checked_sub(self.grace + self.slack) else {
+        let Some(bar) = f
+            .earliest_first_byte_at()
+            .checked_sub(self.grace + self.slack)
+        else {
             return;
         };
         let then = all.iter().rfind(|t| t.0 <= bar);
@@ -462,7 +498,7 @@
                 .iter()
                 .any(|a| (a.0..a.1.saturating_add(self.informed)).contains(&f.first_byte_at))
         {
-            self.unjudged("sent to a drained cache server while discovery was away");
+            self.count_unjudged("sent to a drained cache server while discovery was away");
         }
         let since = all
             .iter()
@@ -473,7 +509,7 @@
                 name(f.to),
                 (f.first_byte_at - at) / MS
             );
-            self.found(Breach::SentToDrained, f.first_byte_at, Some(id), what);
+            self.add_breach(Breach::SentToDrained, f.first_byte_at, Some(id), what);
         }
     }
 
@@ -488,9 +524,9 @@
             }
             if all > 0 && cold as f64 > self.cold_misses * all as f64 {
                 let what = format!("{cold} of {all} fetches were misses at cold cache servers");
-                self.found(Breach::OriginStoppedByColdMisses, at, None, what);
+                self.add_breach(Breach::OriginStoppedByColdMisses, at, None, what);
             } else {
-                self.seen("the origin stopped, not for cold misses");
+                self.count_notable("the origin stopped, not for cold misses");
             }
         }
         self.verdict
--- a/crates/sparrouter-lab/src/ledger/figures.rs
+++ b/crates/sparrouter-lab/src/ledger/figures.rs
@@ -1,5 +1,5 @@
 //! Counts, rates and latencies of a run, by time.
-use super::{ClientAttempt, ClientOutcome, ObservedForward, ForwardOutcome, ORIGIN};
+use super::{ClientAttempt, ClientOutcome, ForwardOutcome, ORIGIN, ObservedForward};
 use crate::scenario::Scenario;
 use crate::scenario::arrivals::root;
 use crate::{MS, Nanos, SECOND};
@@ -162,8 +162,9 @@
         let good = a.outcome == ClientOutcome::Succeeded && took <= self.objectives[op];
         let us = (took / 1000).clamp(1, LONGEST);
         if first {
-            self.late
-                .saturating_record((a.dispatched_at.saturating_sub(a.scheduled_at) / 1000).clamp(1, LONGEST));
+            self.late.saturating_record(
+                (a.dispatched_at.saturating_sub(a.scheduled_at) / 1000).clamp(1, LONGEST),
+            );
             self.asked_value += self.values[op];
         }
         if good {
@@ -179,7 +180,9 @@
                 ClientOutcome::Succeeded => c.past_objective += 1,
                 ClientOutcome::Throttled => c.throttled += 1,
                 ClientOutcome::Errored | ClientOutcome::Foreign => c.errored += 1,
-                ClientOutcome::Closed | ClientOutcome::Silent | ClientOutcome::Unconnected => c.unanswered += 1,
+                ClientOutcome::Closed | ClientOutcome::Silent | ClientOutcome::Unconnected => {
+                    c.unanswered += 1
+                }
                 ClientOutcome::Left => c.left += 1,
             }
         };
--- a/crates/sparrouter-lab/src/ledger/mod.rs
+++ b/crates/sparrouter-lab/src/ledger/mod.rs
@@ -102,7 +102,8 @@
         self.ended.saturating_sub(self.end_lag)
     }
     pub fn may_have_run(&self) -> bool {
-        self.complete_at.is_some() && !matches!(self.outcome, ForwardOutcome::NotRun | ForwardOutcome::Miss)
+        self.complete_at.is_some()
+            && !matches!(self.outcome, ForwardOutcome::NotRun | ForwardOutcome::Miss)
     }
 }
 
@@ -187,7 +188,7 @@
             open_invocations: HashMap::new(),
             due: VecDeque::new(),
             // A fetch may outlive its invocation by another client timeout.
-            retention: 2 * s.longest_ms() * MS + 5 * SECOND,
+            retention: 2 * s.max_client_timeout_ms() * MS + 5 * SECOND,
             latest: 0,
             audit: Audit::new(s),
             figures: Figures::new(s),
@@ -201,7 +202,8 @@
                 self.figures.asked(&asked, operation_of(asked.id));
                 self.latest = self.latest.max(asked.ended_at);
                 self.open_invocations.entry(asked.id).or_default().attempt = Some(asked);
-                self.due.push_back((asked.ended_at + self.retention, asked.id));
+                self.due
+                    .push_back((asked.ended_at + self.retention, asked.id));
                 while let Some((_, id)) = self.due.front().copied().filter(|d| d.0 < self.latest) {
                     self.due.pop_front();
                     if let Some(life) = self.open_invocations.remove(&id) {
--- a/crates/sparrouter-lab/src/ledger/slowest.rs
+++ b/crates/sparrouter-lab/src/ledger/slowest.rs
@@ -44,10 +44,12 @@
 
 impl Slowest {
     pub(crate) fn add(&mut self, id: u64, life: &Invocation) {
-        let Some(a) = life
-            .attempt
-            .filter(|a| matches!(a.outcome, ClientOutcome::Succeeded | ClientOutcome::Errored | ClientOutcome::Silent))
-        else {
+        let Some(a) = life.attempt.filter(|a| {
+            matches!(
+                a.outcome,
+                ClientOutcome::Succeeded | ClientOutcome::Errored | ClientOutcome::Silent
+            )
+        }) else {
             return;
         };
         let (took, place) = (
--- a/crates/sparrouter-lab/src/play.rs
+++ b/crates/sparrouter-lab/src/play.rs
@@ -118,7 +118,7 @@
     front: Arc<Front>,
     pub(crate) nodes: Nodes,
     /// Nodes that were told to stop and not yet started again.
-    pub(crate) away: Vec<AtomicBool>,
+    pub(crate) stopped_nodes: Vec<AtomicBool>,
     starts: AtomicU64,
     /// Nodes that there are now.
     size: AtomicUsize,
@@ -160,7 +160,7 @@
     let clients = Workers::start("client", (cores * 3 / 8).max(2));
     let lab = Lab::new(scenario.clone(), tape.clone(), servers.clone());
     let schedule = schedule::draw(&scenario);
-    let stage = match Environment::set(&lab, &schedule, program, folder) {
+    let stage = match Environment::start(&lab, &schedule, program, folder) {
         Ok(stage) => Arc::new(stage),
         Err(failed) => {
             servers.stop();
@@ -178,11 +178,11 @@
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
     let over = Arc::new(AtomicBool::new(false));
-    let (troubler, watcher) = (stage.clone(), stage.clone());
-    let (until, until_too) = (over.clone(), over.clone());
+    let (injecting, watcher) = (stage.clone(), stage.clone());
+    let (until, sampling_over) = (over.clone(), over.clone());
     let steps = schedule.steps.clone();
-    let troubles = std::thread::spawn(move || troubler.trouble(&steps, &until));
-    let samples = std::thread::spawn(move || watcher.watch(&until_too));
+    let fault_injector = std::thread::spawn(move || injecting.inject_faults(&steps, &until));
+    let samples = std::thread::spawn(move || watcher.sample_until(&sampling_over));
     let change = scenario.rollout.clone().map(|wanted| {
         let (stage, tools, folder, over) = (
             stage.clone(),
@@ -196,7 +196,7 @@
     // What is still under way at cache servers is let come to its end.
     std::thread::sleep(Duration::from_millis(200));
     over.store(true, Relaxed);
-    let _ = troubles.join();
+    let _ = fault_injector.join();
     let samples = samples.join().unwrap_or_default();
     let changed = change
         .map(|c| c.join().unwrap_or_else(|_| Err("it panicked".into())))
@@ -245,7 +245,7 @@
 }
 
 impl Environment {
-    fn set(
+    fn start(
         lab: &Arc<Lab>,
         schedule: &Schedule,
         program: &Program,
@@ -332,13 +332,13 @@
             notes,
             links,
             front: Front::new(seen),
-            away: nodes.iter().map(|_| AtomicBool::new(false)).collect(),
+            stopped_nodes: nodes.iter().map(|_| AtomicBool::new(false)).collect(),
             nodes: Arc::new(nodes),
             starts: AtomicU64::new(0),
             size: AtomicUsize::new(s.nodes.count),
         };
         for n in s.nodes.count..stage.nodes.len() {
-            stage.away[n].store(true, Relaxed);
+            stage.stopped_nodes[n].store(true, Relaxed);
             stage.front.set(n, false);
         }
         for n in 0..stage.nodes.len().min(s.nodes.count) {
@@ -377,7 +377,7 @@
 
     // -- faults --
 
-    fn trouble(self: &Arc<Self>, steps: &[schedule::Step], over: &AtomicBool) {
+    fn inject_faults(self: &Arc<Self>, steps: &[schedule::Step], over: &AtomicBool) {
         for step in steps {
             let due = self.lab.instant(step.at);
             loop {
@@ -390,18 +390,18 @@
                 }
                 std::thread::sleep(left.min(Duration::from_millis(20)));
             }
-            self.act(&step.act);
+            self.apply(&step.act);
         }
     }
 
-    fn act(self: &Arc<Self>, act: &Action) {
+    fn apply(self: &Arc<Self>, act: &Action) {
         let cache = |n: &usize| &self.fleet.caches[*n];
         match act {
             Action::Start(n) => cache(n).start(true),
             Action::Die(n) => cache(n).die(),
             Action::Drain(n) => cache(n).drain(),
             Action::Hang(n, on) => cache(n).hang(*on),
-            Action::Pause(n, ms) => cache(n).stand_still(*ms),
+            Action::Pause(n, ms) => cache(n).pause_for(*ms),
             Action::Spoil(n, errors, resets) => cache(n).spoil(*errors, *resets),
             Action::SpoilOrigin(errors, resets) => self.fleet.origin.spoil(*errors, *resets),
             Action::List(n, listed) => {
@@ -413,11 +413,13 @@
             Action::NodeKill(n) if *n < self.nodes.len() => self.stop_node(*n, true),
             Action::NodeStart(n) if *n < self.nodes.len() => self.restart_node(*n),
             Action::NodeStop(_) | Action::NodeKill(_) | Action::NodeStart(_) => {}
-            Action::Lies(node) => self.notes.lies(*node),
+            Action::Lies(node) => self.notes.set_liar(*node),
             Action::Skew(part, nodes) => self.front.skew(*part, *nodes),
-            Action::NodesAre(count, killed) => self.nodes_are((*count).min(self.nodes.len()), *killed),
-            Action::NodesTold(count) => self.tell_nodes((*count).min(self.nodes.len())),
-            Action::Discovery(trouble) => self.discovery.trouble(*trouble),
+            Action::NodesAre(count, killed) => {
+                self.resize_fleet((*count).min(self.nodes.len()), *killed)
+            }
+            Action::NodesTold(count) => self.notify_fleet_size((*count).min(self.nodes.len())),
+            Action::Discovery(fault) => self.discovery.set_fault(*fault),
             Action::DiscoveryMoves => {
                 self.discovery.moves();
                 for n in 0..self.nodes.len() {
@@ -434,7 +436,7 @@
                 }
             }
             Action::Notes(lost, delay) => self.notes.set(*lost, *delay),
-            Action::NotesCut(first, one_way) => self.notes.cut(*first, *one_way),
+            Action::NotesCut(first, one_way) => self.notes.partition(*first, *one_way),
             Action::NodePause(n, on) if *n < self.nodes.len() => {
                 let node = *n as u16;
                 if *on {
@@ -458,7 +460,7 @@
         }
     }
 
-    fn nodes_are(self: &Arc<Self>, count: usize, killed: bool) {
+    fn resize_fleet(self: &Arc<Self>, count: usize, killed: bool) {
         let before = self.size.swap(count, Relaxed);
         for n in before..count {
             self.restart_node(n);
@@ -468,7 +470,7 @@
         }
     }
 
-    fn tell_nodes(&self, count: usize) {
+    fn notify_fleet_size(&self, count: usize) {
         // Those that started with it know already; to be told again changes nothing.
         for n in 0..count {
             if let Err(e) = self.with_start(n, |node, lab, start| node.reconfigure(lab, start)) {
@@ -478,7 +480,7 @@
     }
 
     pub(crate) fn stop_node(self: &Arc<Self>, n: usize, killed: bool) {
-        self.away[n].store(true, Relaxed);
+        self.stopped_nodes[n].store(true, Relaxed);
         let node = n as u16;
         self.lab.record(Record::NodeDown {
             at: self.lab.now(),
@@ -496,19 +498,19 @@
             // One that says it is no longer ready is noticed sooner than one that is silent.
             let notices = if killed { notices } else { notices.min(0.3) };
             std::thread::sleep(Duration::from_secs_f64(notices));
-            if stage.away[n].load(Relaxed) {
+            if stage.stopped_nodes[n].load(Relaxed) {
                 stage.front.set(n, false);
             }
         });
         let stage = self.clone();
         // Guards against ending its successor, which may be up before this is first looked at.
         let told = self.nodes[n].lock().expect("not poisoned").process();
-        let longest = Duration::from_millis(self.lab.scenario.longest_ms() + 700);
+        let longest = Duration::from_millis(self.lab.scenario.max_client_timeout_ms() + 700);
         std::thread::spawn(move || {
             let latest = Instant::now() + longest;
             loop {
                 let mut node = stage.nodes[n].lock().expect("not poisoned");
-                if node.ended() || !node.running() || node.process() != told {
+                if node.take_exited() || !node.running() || node.process() != told {
                     return;
                 }
                 if Instant::now() > latest {
@@ -540,7 +542,7 @@
             }
             let at = stage.nodes[n].lock().expect("not poisoned").at;
             if ready(at, Duration::from_secs(30)) {
-                stage.away[n].store(false, Relaxed);
+                stage.stopped_nodes[n].store(false, Relaxed);
                 stage.lab.record(Record::NodeUp {
                     at: stage.lab.now(),
                     node: n as u16,
@@ -552,16 +554,16 @@
 
     // -- what can be seen --
 
-    fn watch(&self, over: &AtomicBool) -> Vec<Sample> {
+    fn sample_until(&self, over: &AtomicBool) -> Vec<Sample> {
         let every = nanos((self.lab.scenario.length_s / 240.0).max(0.25));
         let (mut samples, mut next) = (Vec::new(), 0);
         while !over.load(Relaxed) {
             std::thread::sleep(Duration::from_millis(20));
             for (n, node) in self.nodes.iter().enumerate() {
-                let ended =
-                    !self.away[n].load(Relaxed) && node.lock().expect("not poisoned").ended();
+                let ended = !self.stopped_nodes[n].load(Relaxed)
+                    && node.lock().expect("not poisoned").take_exited();
                 // Told to stop meanwhile, it was no crash.
-                if ended && !self.away[n].load(Relaxed) {
+                if ended && !self.stopped_nodes[n].load(Relaxed) {
                     self.lab.record(Record::NodeCrashed {
                         at: self.lab.now(),
                         node: n as u16,
@@ -591,7 +593,7 @@
                 (true, false, true) => 1,
                 (true, false, false) => 2,
             };
-            (state, c.in_hand(), c.open.load(Relaxed))
+            (state, c.pending_count(), c.open.load(Relaxed))
         });
         Sample {
             at_s: self.lab.now() as f64 / SECOND as f64,
--- a/crates/sparrouter-lab/src/report.rs
+++ b/crates/sparrouter-lab/src/report.rs
@@ -2,7 +2,7 @@
 mod page;
 pub mod plots;
 
-use crate::play::{RunError, Run};
+use crate::play::{Run, RunError};
 use std::path::{Path, PathBuf};
 
 /// Writes both into the folder; gives the page's path.
--- a/crates/sparrouter-lab/src/report/plots.rs
+++ b/crates/sparrouter-lab/src/report/plots.rs
@@ -1,5 +1,5 @@
 //! Plots over one time axis, as SVG text. Faults are bands behind the curves.
-use crate::ledger::figures::{TimeSlice, Quantiles};
+use crate::ledger::figures::{Quantiles, TimeSlice};
 use crate::play::{Run, Sample};
 use plotters::coord::ranged1d::{AsRangedCoord, Ranged, ValueFormatter};
 use plotters::prelude::*;
--- a/crates/sparrouter-lab/src/rollout.rs
+++ b/crates/sparrouter-lab/src/rollout.rs
@@ -2,7 +2,7 @@
 //! where a scenario says so, or without one, to hold it against. Its commands leave their wishes in a folder; the lab,
 //! whose children the nodes are, carries them out.
 use crate::play::Environment;
-use crate::scenario::rollout::{RolloutMode, Defect, Rollout};
+use crate::scenario::rollout::{Defect, Rollout, RolloutMode};
 use crate::stand_ins::node::Version;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -62,10 +62,10 @@
 
 struct NodeRollout {
     stage: Arc<Environment>,
-    old: Version,
-    new: Vec<Version>,
+    old_version: Version,
+    new_versions: Vec<Version>,
     /// One command at a time for each node.
-    busy: Vec<Mutex<()>>,
+    command_locks: Vec<Mutex<()>>,
 }
 
 fn fields(table: &toml::Table) -> Result<serde_json::Map<String, serde_json::Value>, String> {
@@ -76,7 +76,11 @@
 }
 
 impl NodeRollout {
-    fn new(stage: &Arc<Environment>, wanted: &Rollout, tools: &Tools) -> Result<NodeRollout, String> {
+    fn new(
+        stage: &Arc<Environment>,
+        wanted: &Rollout,
+        tools: &Tools,
+    ) -> Result<NodeRollout, String> {
         let count = stage.nodes.len();
         let first = stage.nodes.first().ok_or("no nodes")?;
         let old = first.lock().expect("not poisoned").version.clone();
@@ -109,9 +113,9 @@
         let new = (0..count).map(version).collect();
         Ok(NodeRollout {
             stage: stage.clone(),
-            old,
-            new,
-            busy: (0..count).map(|_| Mutex::new(())).collect(),
+            old_version: old,
+            new_versions: new,
+            command_locks: (0..count).map(|_| Mutex::new(())).collect(),
         })
     }
 
@@ -128,23 +132,24 @@
     }
 
     /// Safe to ask again: what is there already is left as it is.
-    fn obey(&self, n: usize, word: &str) -> Result<(), String> {
-        let _alone = self.busy[n].lock().expect("not poisoned");
+    fn execute(&self, n: usize, word: &str) -> Result<(), String> {
+        let _alone = self.command_locks[n].lock().expect("not poisoned");
         let stage = &self.stage;
         let there = self.generation(n);
         let to = match word {
-            "change" => self.new[n].clone(),
-            "back" => self.old.clone(),
-            "restart" if there == self.old.generation => self.old.clone(),
-            "restart" => self.new[n].clone(),
+            "change" => self.new_versions[n].clone(),
+            "back" => self.old_version.clone(),
+            "restart" if there == self.old_version.generation => self.old_version.clone(),
+            "restart" => self.new_versions[n].clone(),
             other => return Err(format!("{other}: not known")),
         };
-        let serves = self.running(n) && !stage.away[n].load(Relaxed);
+        let serves = self.running(n) && !stage.stopped_nodes[n].load(Relaxed);
         if word != "restart" && there == to.generation && serves {
             return Ok(());
         }
         stage.stop_node(n, false);
-        let latest = Instant::now() + Duration::from_millis(stage.lab.scenario.longest_ms() + 2000);
+        let latest = Instant::now()
+            + Duration::from_millis(stage.lab.scenario.max_client_timeout_ms() + 2000);
         while self.running(n) && Instant::now() < latest {
             sleep(POLL_INTERVAL);
         }
@@ -162,7 +167,7 @@
         }
     }
 
-    fn wishes(self: &Arc<Self>, folder: &Path, over: &AtomicBool) {
+    fn serve_commands(self: &Arc<Self>, folder: &Path, over: &AtomicBool) {
         while !over.load(Relaxed) {
             for entry in std::fs::read_dir(folder).into_iter().flatten().flatten() {
                 let path = entry.path();
@@ -186,7 +191,7 @@
                 let change = self.clone();
                 spawn(move || {
                     let done = match node {
-                        Some(n) if n < change.busy.len() => change.obey(n, &word),
+                        Some(n) if n < change.command_locks.len() => change.execute(n, &word),
                         _ => Err(format!("{name}: no such node")),
                     };
                     let _ = std::fs::write(
@@ -200,7 +205,7 @@
     }
 }
 
-fn plan(change: &NodeRollout, wanted: &Rollout, asks: &Path, script: &Path) -> String {
+fn plan(change: &NodeRollout, wanted: &Rollout, command_folder: &Path, script: &Path) -> String {
     let s = &change.stage.lab.scenario;
     let mut text = format!(
         "name = {:?}\nseed = {}\n[change]\ngeneration = {NEW:?}\nfrom = {OLD:?}\nplacement = {}\n[stages]\n\
@@ -224,7 +229,7 @@
             format!(
                 "[\"sh\", {:?}, {:?}, \"n{n}\", {word:?}]",
                 script.display(),
-                asks.display()
+                command_folder.display()
             )
         };
         text += &format!(
@@ -260,7 +265,9 @@
         .append(true)
         .open(said);
     let mut file = file.map_err(|e| e.to_string())?;
-    let dies: Option<usize> = std::env::var(ABORT_POINT_VARIABLE).ok().and_then(|n| n.parse().ok());
+    let dies: Option<usize> = std::env::var(ABORT_POINT_VARIABLE)
+        .ok()
+        .and_then(|n| n.parse().ok());
     let mut points = 0;
     let point = || {
         points += 1;
@@ -289,7 +296,10 @@
         .args(&tools.conductor[1..])
         .env("SPARROUTER_PLAN", plan)
         .stdin(Stdio::null());
-    command.stdout(Stdio::null()).stderr(log).env_remove(ABORT_POINT_VARIABLE);
+    command
+        .stdout(Stdio::null())
+        .stderr(log)
+        .env_remove(ABORT_POINT_VARIABLE);
     if let Some(point) = dies {
         command.env(ABORT_POINT_VARIABLE, point.to_string());
     }
@@ -307,20 +317,20 @@
     over: &AtomicBool,
 ) -> Result<RolloutResult, String> {
     let change = Arc::new(NodeRollout::new(stage, wanted, tools)?);
-    let (asks, file, script) = (
+    let (command_folder, file, script) = (
         folder.join("asks"),
         folder.join("plan.toml"),
         folder.join("ask.sh"),
     );
     let io = |e: std::io::Error| e.to_string();
     // What an earlier run in this folder left would be gone on with.
-    let _ = std::fs::remove_dir_all(&asks);
+    let _ = std::fs::remove_dir_all(&command_folder);
     for left in ["log", "log.history", "how", "said", "err"] {
         let _ = std::fs::remove_file(file.with_extension(left));
     }
-    std::fs::create_dir_all(&asks).map_err(io)?;
+    std::fs::create_dir_all(&command_folder).map_err(io)?;
     std::fs::write(&script, COMMAND_SCRIPT).map_err(io)?;
-    std::fs::write(&file, plan(&change, wanted, &asks, &script)).map_err(io)?;
+    std::fs::write(&file, plan(&change, wanted, &command_folder, &script)).map_err(io)?;
     let due = stage.lab.instant(crate::nanos(wanted.at_s));
     while Instant::now() < due && !over.load(Relaxed) {
         sleep(POLL_INTERVAL);
@@ -330,20 +340,20 @@
     let mut ended = None;
     match wanted.how {
         RolloutMode::AtOnce | RolloutMode::Plain => {
-            let all = (0..change.new.len()).map(|n| {
+            let all = (0..change.new_versions.len()).map(|n| {
                 let change = change.clone();
-                spawn(move || change.obey(n, "change"))
+                spawn(move || change.execute(n, "change"))
             });
             if wanted.how == RolloutMode::AtOnce {
                 all.collect::<Vec<_>>()
                     .into_iter()
                     .for_each(|t| drop(t.join()));
             } else {
-                for n in 0..change.new.len() {
+                for n in 0..change.new_versions.len() {
                     if over.load(Relaxed) {
                         break;
                     }
-                    let _ = change.obey(n, "change");
+                    let _ = change.execute(n, "change");
                     // As a person would: the next once this one is up.
                     sleep(Duration::from_millis(500));
                 }
@@ -352,10 +362,10 @@
             ended = Some(began.elapsed());
         }
         RolloutMode::Staged => {
-            let wisher = change.clone();
-            let (place, gone) = (asks.clone(), Arc::new(AtomicBool::new(false)));
+            let server = change.clone();
+            let (place, gone) = (command_folder.clone(), Arc::new(AtomicBool::new(false)));
             let until = gone.clone();
-            let wishes = spawn(move || wisher.wishes(&place, &until));
+            let serve_commands = spawn(move || server.serve_commands(&place, &until));
             let mut points = wanted.dies.iter().copied();
             let mut dies = points.next();
             let mut child = conductor(tools, &file, dies)?;
@@ -392,7 +402,7 @@
             let _ = child.kill();
             let _ = child.wait();
             gone.store(true, Relaxed);
-            let _ = wishes.join();
+            let _ = serve_commands.join();
         }
     }
     let (end, said) = told(&file);
@@ -424,7 +434,7 @@
         why,
         stages,
         took_s: ended.unwrap_or(began.elapsed()).as_secs_f64(),
-        changed: (0..change.new.len()).filter(new).collect(),
+        changed: (0..change.new_versions.len()).filter(new).collect(),
         kills,
         said,
     })
--- a/crates/sparrouter-lab/src/scenario/arrivals.rs
+++ b/crates/sparrouter-lab/src/scenario/arrivals.rs
@@ -18,7 +18,7 @@
     /// Deals clients out to nodes.
     pub draw: u32,
     /// The client closes its connection after this part of its patience.
-    pub leaves: Option<f32>,
+    pub leaves_after: Option<f32>,
 }
 
 /// Id of an invocation: operation, number and which try of its client it is. Cache servers see nothing
@@ -162,7 +162,8 @@
         }
         let operation = self.operations.sample(&mut self.rng) as u8;
         let tenant = self.tenants.sample(&mut self.rng) as u8;
-        let leaves = (self.rng.random::<f64>() < self.leave_part).then(|| self.rng.random::<f32>());
+        let leaves_after =
+            (self.rng.random::<f64>() < self.leave_part).then(|| self.rng.random::<f32>());
         let draw = self.rng.random();
         let key = key(self.seed, rank);
         Some(Arrival {
@@ -172,7 +173,7 @@
             tenant,
             key,
             draw,
-            leaves,
+            leaves_after,
         })
     }
 }
--- a/crates/sparrouter-lab/src/scenario/mod.rs
+++ b/crates/sparrouter-lab/src/scenario/mod.rs
@@ -361,7 +361,8 @@
 impl Scenario {
     /// Reads and checks; all that is wrong comes back at once.
     pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
-        let text = std::fs::read_to_string(path).map_err(|e| ScenarioError::Unreadable(path.into(), e))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|e| ScenarioError::Unreadable(path.into(), e))?;
         Scenario::parse(&path.display().to_string(), &text)
     }
 
@@ -430,7 +431,7 @@
         counts.fold(self.nodes.count, usize::max)
     }
     /// Longest time that any client waits.
-    pub fn longest_ms(&self) -> u64 {
+    pub fn max_client_timeout_ms(&self) -> u64 {
         self.operation
             .iter()
             .map(|o| o.client_timeout_ms)
--- a/crates/sparrouter-lab/src/scripted.rs
+++ b/crates/sparrouter-lab/src/scripted.rs
@@ -129,7 +129,7 @@
                 let (script, seen, closed) = (script.clone(), seen.clone(), closed.clone());
                 let link = links.fetch_add(1, SeqCst);
                 thread::spawn(move || {
-                    converse(stream.unwrap(), link, script, seen);
+                    serve_connection(stream.unwrap(), link, script, seen);
                     closed.fetch_add(1, SeqCst);
                 });
             }
@@ -144,7 +144,12 @@
     }
 }
 
-fn converse(mut stream: TcpStream, link: usize, script: Script, all: Arc<Mutex<Vec<Seen>>>) {
+fn serve_connection(
+    mut stream: TcpStream,
+    link: usize,
+    script: Script,
+    all: Arc<Mutex<Vec<Seen>>>,
+) {
     let _ = stream.set_nodelay(true);
     while let Some((head, body)) = message(&mut stream) {
         let first = head.lines().next().unwrap().to_string();
--- a/crates/sparrouter-lab/src/stand_ins/bad_node.rs
+++ b/crates/sparrouter-lab/src/stand_ins/bad_node.rs
@@ -92,7 +92,7 @@
         }
     });
     while let Ok((stream, _)) = listener.accept().await {
-        spawn_local(bad.clone().converse(stream));
+        spawn_local(bad.clone().serve_connection(stream));
     }
 }
 
@@ -150,19 +150,19 @@
             .map(|t| t.endpoint)
     }
     /// True for one in so many.
-    fn now_and_then(&self, every: u64) -> bool {
+    fn every_nth(&self, every: u64) -> bool {
         self.count.set(self.count.get() + 1);
         self.count.get().is_multiple_of(every)
     }
 
-    async fn converse(self: Rc<Self>, mut stream: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, mut stream: TcpStream) {
         let mut buffer = BytesMut::new();
         while let Ok(message) = http::read(&mut stream, &mut buffer, || {}).await {
-            if message.first.1 == "/health/ready" {
+            if message.start_line.1 == "/health/ready" {
                 http::write(&mut stream, &http::reply("200 OK", "", b"ready")).await;
                 continue;
             }
-            if self.kind == BadNodeKind::Swallows && self.now_and_then(1000) {
+            if self.kind == BadNodeKind::Swallows && self.every_nth(1000) {
                 return;
             }
             let patience = Duration::from_millis(message.deadline_ms.unwrap_or(1000));
@@ -174,13 +174,13 @@
                 }
                 Err(_) => http::reply("502 Bad Gateway", "", b""),
             };
-            if self.kind == BadNodeKind::Late && self.now_and_then(200) {
+            if self.kind == BadNodeKind::Late && self.every_nth(200) {
                 sleep(patience + Duration::from_millis(200)).await;
             }
             if !http::write(&mut stream, &answer).await {
                 return;
             }
-            if self.kind == BadNodeKind::Twice && self.now_and_then(50) {
+            if self.kind == BadNodeKind::Twice && self.every_nth(50) {
                 http::write(&mut stream, &answer).await;
             }
         }
@@ -201,7 +201,7 @@
             http::reply("503 Busy", "", b""),
             http::reply("502 Bad Gateway", "", b""),
         );
-        if self.kind == BadNodeKind::Invents && self.now_and_then(100) {
+        if self.kind == BadNodeKind::Invents && self.every_nth(100) {
             return good(format!("{:016x}................", m.id.unwrap_or(0)).as_bytes());
         }
         if m.writes() {
@@ -220,7 +220,7 @@
             return failed;
         }
         let order = self.order(m.key());
-        if self.kind == BadNodeKind::Overlaps && self.now_and_then(20) && order.len() > 1 {
+        if self.kind == BadNodeKind::Overlaps && self.every_nth(20) && order.len() > 1 {
             let (a, b) = tokio::join!(self.forward(m, order[0]), self.forward(m, order[1]));
             if let (ForwardResult::Value(body), _) | (_, ForwardResult::Value(body)) = (a, b) {
                 return good(&body);
@@ -248,9 +248,9 @@
         };
         let _ = stream.set_nodelay(true);
         let mark = m
-            .mark
+            .idempotency_key
             .map_or(String::new(), |k| format!("Idempotency-Key: {k:016x}\r\n"));
-        let (method, path) = (&m.first.0, &m.first.1);
+        let (method, path) = (&m.start_line.0, &m.start_line.1);
         let id = m.id.unwrap_or(0);
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: x\r\nX-Request-Id: {id:016x}\r\n{mark}Content-Length: {}\r\n\r\n",
--- a/crates/sparrouter-lab/src/stand_ins/defect_proxy.rs
+++ b/crates/sparrouter-lab/src/stand_ins/defect_proxy.rs
@@ -23,12 +23,18 @@
 /// Guards against a node left behind by one that was killed: ends it once we are gone.
 const WATCHDOG_SCRIPT: &str = r#"while kill -0 "$1" 2>/dev/null; do kill -0 "$2" 2>/dev/null || exit; sleep 0.1; done; kill -KILL "$2""#;
 
-fn keep(own: u32, inner: u32) {
-    let mut keeper = Command::new("sh");
-    keeper
-        .args(["-c", WATCHDOG_SCRIPT, "sh", &own.to_string(), &inner.to_string()])
+fn start_watchdog(own: u32, inner: u32) {
+    let mut watchdog = Command::new("sh");
+    watchdog
+        .args([
+            "-c",
+            WATCHDOG_SCRIPT,
+            "sh",
+            &own.to_string(),
+            &inner.to_string(),
+        ])
         .stdin(std::process::Stdio::null());
-    let _ = keeper.spawn();
+    let _ = watchdog.spawn();
 }
 
 impl Drop for NodeProcess {
@@ -48,10 +54,10 @@
     inner: SocketAddr,
     began: Instant,
     count: Cell<u64>,
-    worth: Vec<OperationValue>,
+    values: Vec<OperationValue>,
     report: RefCell<Report>,
     inner_report: PathBuf,
-    held: RefCell<Vec<(std::fs::File, Vec<u8>)>>,
+    leaked: RefCell<Vec<(std::fs::File, Vec<u8>)>>,
 }
 
 /// With what the lab hands to a node: `PROXY_CONFIG`, `SPARROUTER_CONFIG`; and `SPARROUTER_PLANT`, `SPARROUTER_NODE`.
@@ -77,9 +83,11 @@
     let inner = std::net::TcpListener::bind((own.ip(), 0)).and_then(|l| l.local_addr());
     let inner = inner.map_err(|e| e.to_string())?;
     config["listen"] = Value::String(inner.to_string());
-    let talks = matches!(plant, Defect::Rubbish | Defect::NewerNotes | Defect::Lies);
-    let speaks: Option<SocketAddr> = talks.then(|| from(&config["peer_listen"])).transpose()?;
-    if talks {
+    let sends_datagrams = matches!(plant, Defect::Rubbish | Defect::NewerNotes | Defect::Lies);
+    let peer_socket: Option<SocketAddr> = sends_datagrams
+        .then(|| from(&config["peer_listen"]))
+        .transpose()?;
+    if sends_datagrams {
         config["settings"]["Limits"]["Peers"] = Value::Bool(false);
     }
     let generation = operator["identity"]["generation"]
@@ -107,7 +115,7 @@
         .env("PROXY_CONFIG", inner_config)
         .env("SPARROUTER_CONFIG", inner_operator);
     let child = NodeProcess(command.spawn().map_err(|e| e.to_string())?);
-    keep(std::process::id(), child.0.id());
+    start_watchdog(std::process::id(), child.0.id());
     let class = |c: &Value| OperationValue {
         value: c["Worth"].as_f64().unwrap_or(1.0),
         objective: Duration::from_micros(c["ObjectiveUs"].as_u64().unwrap_or(0)),
@@ -128,21 +136,21 @@
         inner,
         began: Instant::now(),
         count: Cell::new(0),
-        worth: classes().map(class).collect(),
+        values: classes().map(class).collect(),
         report: RefCell::new(Report {
             generation,
             operations: classes().map(operation).collect(),
             ..Report::default()
         }),
         inner_report,
-        held: RefCell::default(),
+        leaked: RefCell::default(),
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     LocalSet::new().block_on(
         &runtime.map_err(|e| e.to_string())?,
-        planted.serve(own, report, speaks, peers, child),
+        planted.serve(own, report, peer_socket, peers, child),
     )
 }
 
@@ -158,15 +166,15 @@
         self: Rc<Self>,
         own: SocketAddr,
         report: PathBuf,
-        speaks: Option<SocketAddr>,
+        peer_socket: Option<SocketAddr>,
         peers: Vec<SocketAddr>,
         child: NodeProcess,
     ) -> Result<(), String> {
         // Passed on.
         let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
             .map_err(|e| e.to_string())?;
-        if let Some(at) = speaks {
-            spawn_local(self.clone().talk(at, peers));
+        if let Some(at) = peer_socket {
+            spawn_local(self.clone().send_datagrams(at, peers));
         }
         let number = child.0.id() as i32;
         let accepting = self.clone();
@@ -187,7 +195,7 @@
             });
             loop {
                 let (stream, _) = listener.accept().await?;
-                spawn_local(accepting.clone().converse(stream));
+                spawn_local(accepting.clone().serve_connection(stream));
             }
         };
         let dies = async {
@@ -234,7 +242,7 @@
         asked.await.unwrap_or(false)
     }
 
-    async fn talk(self: Rc<Self>, at: SocketAddr, peers: Vec<SocketAddr>) {
+    async fn send_datagrams(self: Rc<Self>, at: SocketAddr, peers: Vec<SocketAddr>) {
         let Ok(socket) = UdpSocket::bind(at).await else {
             return;
         };
@@ -268,20 +276,20 @@
         }
     }
 
-    fn now_and_then(&self, every: u64) -> bool {
+    fn every_nth(&self, every: u64) -> bool {
         self.count.set(self.count.get() + 1);
         self.count.get().is_multiple_of(every)
     }
 
     /// One connection: messages of the client to the node behind, answers back.
-    async fn converse(self: Rc<Self>, mut near: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, mut near: TcpStream) {
         let Ok(mut far) = TcpStream::connect(self.inner).await else {
             return;
         };
         let _ = (near.set_nodelay(true), far.set_nodelay(true));
         let (mut from_near, mut from_far) = (BytesMut::new(), BytesMut::new());
         loop {
-            let Some(raw) = whole(&mut near, &mut from_near).await else {
+            let Some(raw) = read_message(&mut near, &mut from_near).await else {
                 return;
             };
             let head = String::from_utf8_lossy(&raw).to_string();
@@ -302,14 +310,14 @@
             if far.write_all(&raw).await.is_err() {
                 return;
             }
-            let Some(mut answer) = whole(&mut far, &mut from_far).await else {
+            let Some(mut answer) = read_message(&mut far, &mut from_far).await else {
                 return;
             };
             if let Some(op) = at {
                 answer = self
-                    .spoil(raw, answer, writes, start, &mut far, &mut from_far)
+                    .apply_defect(raw, answer, writes, start, &mut far, &mut from_far)
                     .await;
-                self.learn(op, &answer, start.elapsed());
+                self.count_answer(op, &answer, start.elapsed());
             }
             if near.write_all(&answer).await.is_err() {
                 return;
@@ -317,7 +325,7 @@
         }
     }
 
-    async fn spoil(
+    async fn apply_defect(
         &self,
         raw: Vec<u8>,
         answer: Vec<u8>,
@@ -329,35 +337,39 @@
         let failed = || http::reply("502 Bad Gateway", "", b"");
         match self.plant {
             Defect::Slow => sleep(start.elapsed() / 3).await,
-            Defect::Errs if self.now_and_then(200) => return failed(),
-            Defect::OneWorse if writes && self.now_and_then(2) => return failed(),
+            Defect::Errs if self.every_nth(200) => return failed(),
+            Defect::OneWorse if writes && self.every_nth(2) => return failed(),
             Defect::WhenWarm
-                if self.began.elapsed() > Duration::from_secs(6) && self.now_and_then(10) =>
+                if self.began.elapsed() > Duration::from_secs(6) && self.every_nth(10) =>
             {
                 return failed();
             }
             Defect::Twice if writes => {
                 let again = far.write_all(&raw).await.is_ok();
-                let _ = if again { whole(far, rest).await } else { None };
+                let _ = if again {
+                    read_message(far, rest).await
+                } else {
+                    None
+                };
             }
-            Defect::Leaks if self.now_and_then(10) => {
+            Defect::Leaks if self.every_nth(10) => {
                 let more = std::fs::File::open("/dev/null").map(|file| (file, vec![1; 64 << 10]));
-                self.held.borrow_mut().extend(more);
+                self.leaked.borrow_mut().extend(more);
             }
             _ => {}
         }
         answer
     }
 
-    fn learn(&self, op: usize, answer: &[u8], took: Duration) {
+    fn count_answer(&self, op: usize, answer: &[u8], took: Duration) {
         let mut report = self.report.borrow_mut();
-        let (o, worth) = (&mut report.operations[op], &self.worth[op]);
-        (o.taken, o.asked) = (o.taken + 1, o.asked + worth.value);
+        let (o, values) = (&mut report.operations[op], &self.values[op]);
+        (o.taken, o.asked) = (o.taken + 1, o.asked + values.value);
         match answer.get(9..12) {
             Some(b"200" | b"404") => {
                 o.succeeded += 1;
-                o.in_time += if took <= worth.objective {
-                    worth.value
+                o.in_time += if took <= values.objective {
+                    values.value
                 } else {
                     0.0
                 };
@@ -389,9 +401,9 @@
             own.placement = "other".into();
         }
         // Only what it holds for nothing: that it is two processes is no fault of the version played.
-        let held = self.held.borrow().len() as u64;
-        own.memory_kib += 64 * held;
-        own.descriptors += held;
+        let leaked = self.leaked.borrow().len() as u64;
+        own.memory_kib += 64 * leaked;
+        own.descriptors += leaked;
         let mut line = serde_json::to_vec(&*own)?;
         line.push(b'\n');
         std::fs::OpenOptions::new()
@@ -403,10 +415,10 @@
 }
 
 /// One message as it came, head and body.
-async fn whole(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<Vec<u8>> {
+async fn read_message(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<Vec<u8>> {
     loop {
         let before = buffer.clone();
-        match http::take(buffer) {
+        match http::parse(buffer) {
             Ok(Some(_)) => return Some(before[..before.len() - buffer.len()].to_vec()),
             Ok(None) => {}
             Err(_) => return None,
--- a/crates/sparrouter-lab/src/stand_ins/discovery.rs
+++ b/crates/sparrouter-lab/src/stand_ins/discovery.rs
@@ -47,9 +47,9 @@
 struct State {
     targets: Vec<Target>,
     rev: u64,
-    trouble: Option<DiscoveryFault>,
+    fault: Option<DiscoveryFault>,
     /// What came to be known while the list stood still.
-    held: Vec<Target>,
+    delayed_changes: Vec<Target>,
     /// By node, where it is found now; and the tasks that serve it there.
     at: Vec<SocketAddr>,
     tasks: Vec<AbortHandle>,
@@ -95,8 +95,8 @@
         let state = State {
             targets: vec![target],
             rev: 1,
-            trouble: None,
-            held: vec![],
+            fault: None,
+            delayed_changes: vec![],
             at,
             tasks: vec![],
         };
@@ -146,8 +146,8 @@
             cache: number,
             listed,
         });
-        if state.trouble == Some(DiscoveryFault::Stale) {
-            return state.held.push(target);
+        if state.fault == Some(DiscoveryFault::Stale) {
+            return state.delayed_changes.push(target);
         }
         self.publish(&mut state, target);
     }
@@ -168,35 +168,37 @@
         self.changed.send_replace(state.rev);
     }
 
-    pub fn trouble(self: &Arc<Self>, trouble: Option<DiscoveryFault>) {
+    pub fn set_fault(self: &Arc<Self>, fault: Option<DiscoveryFault>) {
         let before = {
             let mut state = self.state.lock().expect("not poisoned");
-            let before = std::mem::replace(&mut state.trouble, trouble);
+            let before = std::mem::replace(&mut state.fault, fault);
             let refuses = |t| matches!(t, Some(DiscoveryFault::Down | DiscoveryFault::Errors));
-            if refuses(before) != refuses(trouble) {
+            if refuses(before) != refuses(fault) {
                 self.lab.record(Record::DiscoveryAway {
                     at: self.lab.now(),
-                    away: refuses(trouble),
+                    away: refuses(fault),
                 });
             }
-            if trouble == Some(DiscoveryFault::Down) {
+            if fault == Some(DiscoveryFault::Down) {
                 state.tasks.drain(..).for_each(|t| t.abort());
             }
             let lies = |t| matches!(t, Some(DiscoveryFault::Empty | DiscoveryFault::Wrong));
-            if (lies(before) || lies(trouble)) && trouble != before {
+            if (lies(before) || lies(fault)) && fault != before {
                 // A lie is news to those who watch, and so is the truth afterwards.
                 state.rev += 1;
                 let rev = state.rev;
                 state.targets.iter_mut().for_each(|t| t.rev = rev);
                 self.changed.send_replace(rev);
             }
-            if trouble.is_none() {
-                let held = std::mem::take(&mut state.held);
-                held.into_iter().for_each(|t| self.publish(&mut state, t));
+            if fault.is_none() {
+                let delayed_changes = std::mem::take(&mut state.delayed_changes);
+                delayed_changes
+                    .into_iter()
+                    .for_each(|t| self.publish(&mut state, t));
             }
             before
         };
-        if before == Some(DiscoveryFault::Down) && trouble != before {
+        if before == Some(DiscoveryFault::Down) && fault != before {
             self.start();
         }
     }
@@ -217,7 +219,7 @@
     pub fn start(self: &Arc<Self>) {
         for node in 0..self.lab.scenario.most_nodes() {
             let (discovery, at) = (self.clone(), self.address(node));
-            let ready = self.lab.workers.ask(move || async move {
+            let ready = self.lab.workers.run_blocking(move || async move {
                 for _ in 0..200 {
                     if let Ok(listener) = TcpListener::bind(at).await {
                         let task = spawn_local(discovery.clone().accept(listener, node));
@@ -241,7 +243,7 @@
 
     async fn accept(self: Arc<Self>, listener: TcpListener, node: usize) {
         while let Ok((stream, _)) = listener.accept().await {
-            let task = spawn_local(self.clone().converse(stream, node));
+            let task = spawn_local(self.clone().serve_connection(stream, node));
             self.state
                 .lock()
                 .expect("not poisoned")
@@ -251,9 +253,9 @@
     }
 
     /// Changes after a version, or the whole list; marks them as told.
-    fn line(&self, after: Option<u64>, node: usize) -> (u64, String) {
+    fn listing(&self, after: Option<u64>, node: usize) -> (u64, String) {
         let state = self.state.lock().expect("not poisoned");
-        let (empty, wrong) = match state.trouble {
+        let (empty, wrong) = match state.fault {
             Some(DiscoveryFault::Empty) => (true, false),
             Some(DiscoveryFault::Wrong) => (false, true),
             _ => (false, false),
@@ -308,14 +310,14 @@
 
     /// The list as a node last had it, for its configuration.
     pub fn known(&self, node: usize) -> serde_json::Value {
-        serde_json::from_str(&self.line(None, node).1).expect("just written")
+        serde_json::from_str(&self.listing(None, node).1).expect("just written")
     }
 
     fn now(&self) -> Option<DiscoveryFault> {
-        self.state.lock().expect("not poisoned").trouble
+        self.state.lock().expect("not poisoned").fault
     }
 
-    async fn converse(self: Arc<Self>, mut stream: TcpStream, node: usize) {
+    async fn serve_connection(self: Arc<Self>, mut stream: TcpStream, node: usize) {
         let mut buffer = BytesMut::new();
         let Ok(call) = http::read(&mut stream, &mut buffer, || {}).await else {
             return;
@@ -332,13 +334,13 @@
             }
             _ => {}
         }
-        if !call.first.1.contains("watch=1") {
-            let (_, line) = self.line(None, node);
-            http::write(&mut stream, &http::reply("200 OK", "", line.as_bytes())).await;
+        if !call.start_line.1.contains("watch=1") {
+            let (_, listing) = self.listing(None, node);
+            http::write(&mut stream, &http::reply("200 OK", "", listing.as_bytes())).await;
             return;
         }
         let after = call
-            .first
+            .start_line
             .1
             .rsplit("after=")
             .next()
@@ -352,16 +354,16 @@
         let mut rev = after;
         let mut first = true;
         loop {
-            let news = first || *changed.borrow_and_update() > rev;
+            let changed_since = first || *changed.borrow_and_update() > rev;
             if self.now() != Some(DiscoveryFault::Silent) {
-                let line = if news {
-                    let (now, line) = self.line(Some(rev), node);
+                let listing = if changed_since {
+                    let (now, listing) = self.listing(Some(rev), node);
                     rev = now;
-                    line + "\n"
+                    listing + "\n"
                 } else {
                     "\n".into()
                 };
-                let chunk = format!("{:x}\r\n{line}\r\n", line.len());
+                let chunk = format!("{:x}\r\n{listing}\r\n", listing.len());
                 if !http::write(&mut stream, chunk.as_bytes()).await {
                     return;
                 }
--- a/crates/sparrouter-lab/src/stand_ins/link.rs
+++ b/crates/sparrouter-lab/src/stand_ins/link.rs
@@ -26,17 +26,17 @@
     pub at: SocketAddr,
     to: SocketAddr,
     lab: Arc<Lab>,
-    way: Mutex<Way>,
+    conditions: Mutex<Way>,
     /// Counts resets: connections older than that break.
-    broken: watch::Sender<u64>,
+    resets: watch::Sender<u64>,
     chance: AtomicU64,
 }
 
 /// One direction of one connection.
 struct Pipe {
     link: Arc<Link>,
-    back: bool,
-    passed: Rc<Cell<u64>>,
+    towards_client: bool,
+    bytes_back: Rc<Cell<u64>>,
 }
 
 impl Link {
@@ -46,14 +46,14 @@
             at,
             to,
             lab: lab.clone(),
-            way: Mutex::new(way),
-            broken: watch::Sender::new(0),
+            conditions: Mutex::new(way),
+            resets: watch::Sender::new(0),
             chance: AtomicU64::new(lab.scenario.seed),
         };
         let link = Arc::new(link);
         let own = link.clone();
         // Bound before anybody is told of it.
-        lab.workers.ask(move || async move {
+        lab.workers.run_blocking(move || async move {
             match TcpListener::bind(at).await {
                 Ok(listener) => drop(spawn_local(own.accept(listener))),
                 Err(e) => eprintln!("lab: link on {at}: {e}"),
@@ -63,13 +63,13 @@
     }
 
     pub fn set(&self, way: Way) {
-        *self.way.lock().expect("not poisoned") = way;
+        *self.conditions.lock().expect("not poisoned") = way;
         if way.how == LinkFault::Reset {
-            self.broken.send_modify(|n| *n += 1);
+            self.resets.send_modify(|n| *n += 1);
         }
     }
     fn way(&self) -> Way {
-        *self.way.lock().expect("not poisoned")
+        *self.conditions.lock().expect("not poisoned")
     }
 
     async fn accept(self: Arc<Self>, listener: TcpListener) {
@@ -104,20 +104,20 @@
             return http::reset(near);
         };
         let _ = far.set_nodelay(true);
-        let mut broken = self.broken.subscribe();
+        let mut broken = self.resets.subscribe();
         let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-        let passed = Rc::new(Cell::new(0));
-        let pipe = |back| Pipe {
+        let bytes_back = Rc::new(Cell::new(0));
+        let pipe = |towards_client| Pipe {
             link: self.clone(),
-            back,
-            passed: passed.clone(),
+            towards_client,
+            bytes_back: bytes_back.clone(),
         };
-        let (there, back) = (pipe(false), pipe(true));
+        let (there, towards_client) = (pipe(false), pipe(true));
         // Dropped halves close the connection by themselves.
         tokio::select! {
             biased;
             _ = broken.changed() => {}
-            () = async { tokio::join!(there.run(near_in, far_out), back.run(far_in, near_out)); } => {}
+            () = async { tokio::join!(there.run(near_in, far_out), towards_client.run(far_in, near_out)); } => {}
         }
     }
 
@@ -133,8 +133,8 @@
         let (queue, delayed) = mpsc::channel::<(Nanos, Bytes)>(MAX_QUEUED_CHUNKS);
         let deliver = deliver(
             self.link.clone(),
-            self.back,
-            self.passed.clone(),
+            self.towards_client,
+            self.bytes_back.clone(),
             delayed,
             to,
         );
@@ -171,8 +171,8 @@
 
 async fn deliver(
     link: Arc<Link>,
-    back: bool,
-    passed: Rc<Cell<u64>>,
+    towards_client: bool,
+    bytes_back: Rc<Cell<u64>>,
     mut queue: mpsc::Receiver<(Nanos, Bytes)>,
     mut to: OwnedWriteHalf,
 ) {
@@ -183,8 +183,8 @@
         }
         let way = link.way();
         let lost = match way.how {
-            LinkFault::LostThere => !back,
-            LinkFault::LostBack => back,
+            LinkFault::LostThere => !towards_client,
+            LinkFault::LostBack => towards_client,
             LinkFault::HalfOpen => true,
             _ => false,
         };
@@ -201,13 +201,13 @@
         }
         let mut bytes = bytes;
         let mut cut = false;
-        if back && way.how == LinkFault::Cut {
-            let left = way.bytes.saturating_sub(passed.get()) as usize;
+        if towards_client && way.how == LinkFault::Cut {
+            let left = way.bytes.saturating_sub(bytes_back.get()) as usize;
             cut = bytes.len() >= left;
             bytes.truncate(left);
         }
-        if back {
-            passed.set(passed.get() + bytes.len() as u64);
+        if towards_client {
+            bytes_back.set(bytes_back.get() + bytes.len() as u64);
         }
         if to.write_all(&bytes).await.is_err() || cut {
             return;
--- a/crates/sparrouter-lab/src/stand_ins/mod.rs
+++ b/crates/sparrouter-lab/src/stand_ins/mod.rs
@@ -1,12 +1,12 @@
 //! The stand-ins: whatever a node meets, played on loopback.
 pub mod bad_node;
+pub mod defect_proxy;
 pub mod discovery;
 pub mod fleet;
 pub mod link;
 pub mod model;
 pub mod node;
 pub mod peer_network;
-pub mod defect_proxy;
 /// The earlier name of [`defect_proxy`], which tests of other packages use.
 pub use defect_proxy as plant;
 pub mod relay;
@@ -66,7 +66,7 @@
     }
     /// What is seen now may have happened so long ago: on a machine with too little time for the lab.
     pub fn lag(&self) -> Nanos {
-        crate::workers::unseen_for().as_nanos() as Nanos
+        crate::workers::observation_lag().as_nanos() as Nanos
     }
     pub fn instant(&self, at: Nanos) -> Instant {
         self.begun.get().copied().unwrap_or_else(Instant::now) + Duration::from_nanos(at)
--- a/crates/sparrouter-lab/src/stand_ins/model.rs
+++ b/crates/sparrouter-lab/src/stand_ins/model.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Default)]
 pub struct CacheStore {
     /// None: it holds all but what is void.
-    most: Option<usize>,
+    capacity: Option<usize>,
     used: HashMap<u64, u64>,
     order: BTreeMap<u64, u64>,
     stamp: u64,
@@ -20,20 +20,20 @@
 impl CacheStore {
     pub fn new(most: usize) -> CacheStore {
         CacheStore {
-            most: (most > 0).then_some(most),
+            capacity: (most > 0).then_some(most),
             ..CacheStore::default()
         }
     }
     /// After a start nothing is kept.
     pub fn clear(&mut self) {
         *self = CacheStore {
-            most: self.most,
+            capacity: self.capacity,
             empty: true,
             ..CacheStore::default()
         };
     }
     pub fn has(&mut self, key: u64) -> bool {
-        if self.most.is_none() && !self.empty {
+        if self.capacity.is_none() && !self.empty {
             return !self.void.contains_key(&key);
         }
         let Some(stamp) = self.used.get_mut(&key) else {
@@ -47,20 +47,20 @@
     }
     pub fn put(&mut self, key: u64) {
         self.void.remove(&key);
-        if self.most.is_none() && !self.empty || self.has(key) {
+        if self.capacity.is_none() && !self.empty || self.has(key) {
             return;
         }
         self.stamp += 1;
         self.used.insert(key, self.stamp);
         self.order.insert(self.stamp, key);
-        if self.used.len() > self.most.unwrap_or(usize::MAX)
+        if self.used.len() > self.capacity.unwrap_or(usize::MAX)
             && let Some((_, old)) = self.order.pop_first()
         {
             self.used.remove(&old);
         }
     }
     pub fn void(&mut self, key: u64) {
-        if self.most.is_none() && !self.empty {
+        if self.capacity.is_none() && !self.empty {
             self.void.insert(key, ());
         } else if let Some(stamp) = self.used.remove(&key) {
             self.order.remove(&stamp);
@@ -78,13 +78,13 @@
 /// Marks seen of late; a repeat within the window is dropped.
 #[derive(Debug, Default)]
 pub struct IdempotencyKeys {
-    seen: HashMap<u64, Nanos>,
+    seen_at: HashMap<u64, Nanos>,
     order: VecDeque<(Nanos, u64)>,
 }
 
 impl IdempotencyKeys {
     /// True where the effect is to be carried out.
-    pub fn fresh(&mut self, mark: u64, window: Nanos, now: Nanos) -> bool {
+    pub fn insert_if_new(&mut self, mark: u64, window: Nanos, now: Nanos) -> bool {
         while let Some((at, old)) = self
             .order
             .front()
@@ -92,14 +92,14 @@
             .filter(|(at, _)| at + window < now)
         {
             self.order.pop_front();
-            if self.seen.get(&old) == Some(&at) {
-                self.seen.remove(&old);
+            if self.seen_at.get(&old) == Some(&at) {
+                self.seen_at.remove(&old);
             }
         }
-        if self.seen.contains_key(&mark) {
+        if self.seen_at.contains_key(&mark) {
             return false;
         }
-        self.seen.insert(mark, now);
+        self.seen_at.insert(mark, now);
         self.order.push_back((now, mark));
         true
     }
@@ -110,7 +110,7 @@
 pub struct RecentWork {
     window: Nanos,
     sent: VecDeque<(Nanos, f64)>,
-    sum: f64,
+    total: f64,
 }
 
 impl RecentWork {
@@ -118,13 +118,13 @@
         RecentWork {
             window: window.max(1),
             sent: VecDeque::new(),
-            sum: 0.0,
+            total: 0.0,
         }
     }
     /// Sum of the work in the window that ends now, this one with it.
     pub fn add(&mut self, work: f64, now: Nanos) -> f64 {
         self.sent.push_back((now, work));
-        self.sum += work;
+        self.total += work;
         while let Some((_, old)) = self
             .sent
             .front()
@@ -132,13 +132,13 @@
             .filter(|(at, _)| at + self.window < now)
         {
             self.sent.pop_front();
-            self.sum -= old;
+            self.total -= old;
         }
-        self.sum
+        self.total
     }
     pub fn clear(&mut self) {
         self.sent.clear();
-        self.sum = 0.0;
+        self.total = 0.0;
     }
 }
 
@@ -158,7 +158,7 @@
 }
 
 /// Whether this forward is one of a part that is to go wrong.
-pub fn unlucky(id: u64, salt: u64, part: f64) -> bool {
+pub fn is_selected(id: u64, salt: u64, part: f64) -> bool {
     part > 0.0 && (scramble(id ^ salt << 17) >> 11) as f64 / ((1u64 << 53) as f64) < part
 }
 
@@ -195,9 +195,9 @@
     #[test]
     fn a_repeat_is_dropped_within_its_window_only() {
         let mut marks = IdempotencyKeys::default();
-        assert!(marks.fresh(5, 100, 0));
-        assert!(!marks.fresh(5, 100, 100));
-        assert!(marks.fresh(5, 100, 201));
+        assert!(marks.insert_if_new(5, 100, 0));
+        assert!(!marks.insert_if_new(5, 100, 100));
+        assert!(marks.insert_if_new(5, 100, 201));
     }
 
     #[test]
--- a/crates/sparrouter-lab/src/stand_ins/node.rs
+++ b/crates/sparrouter-lab/src/stand_ins/node.rs
@@ -36,7 +36,7 @@
     folder: PathBuf,
     child: Option<Child>,
     /// CPU of processes that have ended.
-    before: f64,
+    earlier_cpu_s: f64,
     last: Usage,
 }
 
@@ -73,10 +73,10 @@
 }
 
 /// Lays fields over an object, table by table.
-fn over(object: &mut Value, fields: &serde_json::Map<String, Value>) {
+fn merge_fields(object: &mut Value, fields: &serde_json::Map<String, Value>) {
     for (name, value) in fields {
         match (value, object.get_mut(name)) {
-            (Value::Object(inner), Some(there @ Value::Object(_))) => over(there, inner),
+            (Value::Object(inner), Some(there @ Value::Object(_))) => merge_fields(there, inner),
             _ => object[name] = value.clone(),
         }
     }
@@ -102,7 +102,7 @@
             version,
             folder,
             child: None,
-            before: 0.0,
+            earlier_cpu_s: 0.0,
             last: Usage::default(),
         }
     }
@@ -117,7 +117,7 @@
         let seed =
             crate::scenario::arrivals::scramble(s.seed ^ (self.number as u64) << 32 ^ start.starts);
         let mut own = settings(s, self.number, start.peers.len());
-        over(&mut own, &self.version.settings);
+        merge_fields(&mut own, &self.version.settings);
         let config = json!({
             "name": format!("n{}", self.number), "listen": self.at, "discovery": start.discovery,
             "seed": format!("{seed:016x}"),
@@ -203,17 +203,17 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.before += std::mem::take(&mut self.last).cpu_s;
+        self.earlier_cpu_s += std::mem::take(&mut self.last).cpu_s;
     }
     /// True where it ended by itself since it was last asked.
-    pub fn ended(&mut self) -> bool {
+    pub fn take_exited(&mut self) -> bool {
         let over = self
             .child
             .as_mut()
             .is_some_and(|c| !matches!(c.try_wait(), Ok(None)));
         if over {
             self.child = None;
-            self.before += std::mem::take(&mut self.last).cpu_s;
+            self.earlier_cpu_s += std::mem::take(&mut self.last).cpu_s;
         }
         over
     }
@@ -229,7 +229,7 @@
             self.last = usage;
         }
         Usage {
-            cpu_s: self.before + self.last.cpu_s,
+            cpu_s: self.earlier_cpu_s + self.last.cpu_s,
             ..self.last
         }
     }
--- a/crates/sparrouter-lab/src/stand_ins/peer_network.rs
+++ b/crates/sparrouter-lab/src/stand_ins/peer_network.rs
@@ -26,16 +26,16 @@
     /// On top, in ms.
     delay_ms: f64,
     /// Nothing passes between the first so many and the others, or nothing towards the first.
-    cut: usize,
+    partitioned_nodes: usize,
     one_way: bool,
     /// In whose name lies are told; and the fingerprint of limits that real notes carry.
     liar: Option<usize>,
-    print: Option<u16>,
+    fingerprint: Option<u16>,
 }
 
 impl NetworkConditions {
-    fn passes(&self, from: usize, to: usize) -> bool {
-        let (from, to) = (from < self.cut, to < self.cut);
+    fn connects(&self, from: usize, to: usize) -> bool {
+        let (from, to) = (from < self.partitioned_nodes, to < self.partitioned_nodes);
         from == to || from && self.one_way
     }
 }
@@ -67,10 +67,10 @@
             let Ok(sockets) = bound.collect::<std::io::Result<Vec<_>>>() else {
                 return;
             };
-            spawn_local(lie(sockets.clone(), shared.clone(), state.clone()));
+            spawn_local(send_lies(sockets.clone(), shared.clone(), state.clone()));
             for (k, socket) in sockets.iter().enumerate() {
                 let (socket, all) = (socket.clone(), sockets.clone());
-                spawn_local(pass(
+                spawn_local(relay_datagrams(
                     own.clone(),
                     k,
                     socket,
@@ -86,49 +86,53 @@
         let mut now = self.now.lock().expect("not poisoned");
         (now.lost_part, now.delay_ms) = (lost_part, delay_ms);
     }
-    pub fn lies(&self, node: Option<usize>) {
+    pub fn set_liar(&self, node: Option<usize>) {
         self.now.lock().expect("not poisoned").liar = node;
     }
-    pub fn cut(&self, first: usize, one_way: bool) {
+    pub fn partition(&self, first: usize, one_way: bool) {
         let mut now = self.now.lock().expect("not poisoned");
-        (now.cut, now.one_way) = (first, one_way);
+        (now.partitioned_nodes, now.one_way) = (first, one_way);
     }
 }
 
 const LIES: Duration = Duration::from_millis(50);
 
 /// Asks for parts in the name of one node; what is given goes to that node, which did not ask.
-async fn lie(all: Vec<Arc<UdpSocket>>, listen: Vec<SocketAddr>, state: Arc<Mutex<NetworkConditions>>) {
+async fn send_lies(
+    all: Vec<Arc<UdpSocket>>,
+    listen: Vec<SocketAddr>,
+    state: Arc<Mutex<NetworkConditions>>,
+) {
     let mut number = 0;
     loop {
         sleep(LIES).await;
         let now = *state.lock().expect("not poisoned");
-        let (Some(liar), Some(print)) = (now.liar, now.print) else {
+        let (Some(liar), Some(fingerprint)) = (now.liar, now.fingerprint) else {
             continue;
         };
         number += 1;
         let rows = (0..8).map(|limit| (limit, 0.0, 1e6)).collect();
-        let says = ClusterSizeView {
+        let size_view = ClusterSizeView {
             nodes: all.len(),
             previous_nodes: 0,
             unchanged_for: 0,
         };
         let text = QuotaMessage {
-            fingerprint: print,
-            size_view: says,
+            fingerprint,
+            size_view,
             sequence: number,
             rows: QuotaRows::Request(rows),
         }
         .write();
         for (to, at) in listen.iter().enumerate().filter(|(to, _)| *to != liar) {
-            if now.passes(liar, to) {
+            if now.connects(liar, to) {
                 let _ = all[liar].send_to(&text, at).await;
             }
         }
     }
 }
 
-async fn pass(
+async fn relay_datagrams(
     lab: Arc<Lab>,
     k: usize,
     socket: Arc<UdpSocket>,
@@ -146,12 +150,12 @@
             continue;
         };
         if let Some(note) = QuotaMessage::read(&buffer[..length]) {
-            state.lock().expect("not poisoned").print = Some(note.fingerprint);
+            state.lock().expect("not poisoned").fingerprint = Some(note.fingerprint);
         }
         chance = scramble(chance);
         let draw = (chance >> 11) as f64 / (1u64 << 53) as f64;
         let now = *state.lock().expect("not poisoned");
-        if draw < now.lost_part || !now.passes(sender, k) {
+        if draw < now.lost_part || !now.connects(sender, k) {
             continue;
         }
         let [least, most] = lab.scenario.peers.delay_ms;
--- a/crates/sparrouter-lab/src/stand_ins/server.rs
+++ b/crates/sparrouter-lab/src/stand_ins/server.rs
@@ -2,9 +2,9 @@
 //! told to. Every forward that it sees goes to the ledger exactly once.
 use super::Lab;
 use super::fleet::Fleet;
-use super::model::{RecentWork, IdempotencyKeys, CacheStore, unlucky, warmth, work};
-use crate::http::{self, ReadError, Message, PeekResult};
-use crate::ledger::{ObservedForward, ForwardOutcome, ORIGIN, Record};
+use super::model::{CacheStore, IdempotencyKeys, RecentWork, is_selected, warmth, work};
+use crate::http::{self, Message, PeekResult, ReadError};
+use crate::ledger::{ForwardOutcome, ORIGIN, ObservedForward, Record};
 use crate::scenario::arrivals::operation_of;
 use crate::{MS, Nanos, SECOND, nanos};
 use bytes::BytesMut;
@@ -30,13 +30,13 @@
     /// Where it listens.
     pub at: SocketAddr,
     cores: usize,
-    waiting: usize,
+    queue_capacity: usize,
     speed: f64,
     lab: Arc<Lab>,
     fleet: Weak<Fleet>,
     state: Mutex<State>,
     /// Counts its lives; a connection of an earlier one is reset.
-    life: AtomicU64,
+    incarnation: AtomicU64,
     pub open: AtomicUsize,
     tasks: Mutex<HashMap<u64, AbortHandle>>,
     next: AtomicU64,
@@ -47,14 +47,14 @@
     started: Option<Nanos>,
     draining: bool,
     hangs: bool,
-    stands_until: Nanos,
+    paused_until: Nanos,
     errors: f64,
     resets: f64,
     busy: usize,
-    line: VecDeque<oneshot::Sender<Core>>,
+    queue: VecDeque<oneshot::Sender<Core>>,
     store: CacheStore,
-    marks: IdempotencyKeys,
-    drive: RecentWork,
+    idempotency_keys: IdempotencyKeys,
+    recent_work: RecentWork,
     fallen: bool,
     listener: Option<AbortHandle>,
 }
@@ -65,7 +65,7 @@
 impl Drop for Core {
     fn drop(&mut self) {
         let server = self.0.clone();
-        let next = |server: &Server| server.state().line.pop_front();
+        let next = |server: &Server| server.state().queue.pop_front();
         while let Some(waiter) = next(&server) {
             match waiter.send(Core(server.clone())) {
                 Ok(()) => return,
@@ -81,7 +81,7 @@
 /// A forward in hand; told to the ledger when dropped, whatever ends it.
 struct InFlightForward {
     server: Arc<Server>,
-    life: u64,
+    incarnation: u64,
     f: ObservedForward,
 }
 
@@ -92,7 +92,7 @@
     /// Ends with an answer, unless the node has gone away before it could have any: what it sends
     /// elsewhere from then on does not overlap.
     fn answer(self, how: ForwardOutcome, stream: &TcpStream) {
-        self.end(if http::peek(stream) == PeekResult::Ended {
+        self.end(if http::probe(stream) == PeekResult::Ended {
             ForwardOutcome::Withdrawn
         } else {
             how
@@ -105,8 +105,12 @@
         let lab = &self.server.lab;
         (self.f.ended, self.f.end_lag) = (lab.now(), lab.lag());
         if self.f.outcome == ForwardOutcome::Open && !lab.over.load(Relaxed) {
-            let reset = self.life != self.server.life.load(Relaxed);
-            self.f.outcome = if reset { ForwardOutcome::Reset } else { ForwardOutcome::Withdrawn };
+            let reset = self.incarnation != self.server.incarnation.load(Relaxed);
+            self.f.outcome = if reset {
+                ForwardOutcome::Reset
+            } else {
+                ForwardOutcome::Withdrawn
+            };
         }
         lab.record(Record::ObservedForward(self.f));
     }
@@ -115,7 +119,7 @@
 /// A connection; closed by a reset where its process has died.
 struct Conn {
     server: Arc<Server>,
-    life: u64,
+    incarnation: u64,
     task: u64,
     stream: Option<TcpStream>,
 }
@@ -128,7 +132,7 @@
             .lock()
             .expect("not poisoned")
             .remove(&self.task);
-        if self.life != self.server.life.load(Relaxed)
+        if self.incarnation != self.server.incarnation.load(Relaxed)
             && let Some(a) = self.stream.take()
         {
             http::reset(a)
@@ -158,7 +162,7 @@
         };
         let at = SocketAddr::from((lab.address(), 9000));
         // As many at once as make its stated rate at its stated time.
-        let (cores, waiting, keys) = match role {
+        let (cores, queue_capacity, keys) = match role {
             Role::Cache => (s.caches.cores, s.caches.waiting, s.caches.keys),
             Role::Origin => {
                 let cores = (s.origin.per_s * s.origin.takes_ms / 1e3).round().max(1.0) as usize;
@@ -170,7 +174,7 @@
             role,
             at,
             cores,
-            waiting,
+            queue_capacity,
             speed,
             lab: lab.clone(),
             fleet: fleet.clone(),
@@ -179,18 +183,18 @@
                 started: None,
                 draining: false,
                 hangs: false,
-                stands_until: 0,
+                paused_until: 0,
                 errors: 0.0,
                 resets: 0.0,
                 busy: 0,
-                line: VecDeque::new(),
+                queue: VecDeque::new(),
                 store: CacheStore::new(keys),
-                marks: IdempotencyKeys::default(),
-                drive: RecentWork::new(nanos(s.rules.fall_s)),
+                idempotency_keys: IdempotencyKeys::default(),
+                recent_work: RecentWork::new(nanos(s.rules.fall_s)),
                 fallen: false,
                 listener: None,
             }),
-            life: AtomicU64::new(0),
+            incarnation: AtomicU64::new(0),
             open: AtomicUsize::new(0),
             tasks: Mutex::new(HashMap::new()),
             next: AtomicU64::new(0),
@@ -211,8 +215,8 @@
         }
         state.up = true;
         (state.hangs, state.draining, state.started) = (false, false, None);
-        state.marks = IdempotencyKeys::default();
-        state.drive.clear();
+        state.idempotency_keys = IdempotencyKeys::default();
+        state.recent_work.clear();
         if cold && self.role == Role::Cache {
             state.started = Some(self.lab.now());
             state.store.clear();
@@ -229,16 +233,16 @@
                 }
                 sleep(Duration::from_millis(5)).await;
             }
-            log_lost(&server);
+            log_bind_failure(&server);
         });
     }
 
     /// The process dies: its connections are reset and new ones refused.
     pub fn die(&self) {
-        self.life.fetch_add(1, Relaxed);
+        self.incarnation.fetch_add(1, Relaxed);
         let mut state = self.state();
         state.up = false;
-        state.line.clear();
+        state.queue.clear();
         if let Some(l) = state.listener.take() {
             l.abort()
         }
@@ -255,8 +259,8 @@
     pub fn hang(&self, hangs: bool) {
         self.state().hangs = hangs;
     }
-    pub fn stand_still(&self, ms: f64) {
-        self.state().stands_until = self.lab.now() + nanos(ms / 1e3);
+    pub fn pause_for(&self, ms: f64) {
+        self.state().paused_until = self.lab.now() + nanos(ms / 1e3);
     }
     pub fn spoil(&self, errors: f64, resets: f64) {
         let mut state = self.state();
@@ -291,15 +295,15 @@
         let s = &self.lab.scenario.caches;
         warmth(self.state().started, s.cold_from, s.cold_s, self.lab.now())
     }
-    pub fn in_hand(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         let state = self.state();
-        state.busy + state.line.len()
+        state.busy + state.queue.len()
     }
 
     // -- connections --
 
     async fn accept(self: Arc<Self>, listener: TcpListener) {
-        let life = self.life.load(Relaxed);
+        let incarnation = self.incarnation.load(Relaxed);
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 sleep(Duration::from_millis(5)).await;
@@ -316,17 +320,17 @@
                 let stream = TcpStream::from_std(stream).ok();
                 let conn = Conn {
                     server: server.clone(),
-                    life,
+                    incarnation,
                     task,
                     stream,
                 };
                 let tasks = server.tasks.lock();
                 let mut tasks = tasks.expect("not poisoned");
-                let handle = spawn_local(converse(conn)).abort_handle();
+                let handle = spawn_local(serve_connection(conn)).abort_handle();
                 tasks.insert(task, handle);
                 drop(tasks);
                 // Accepted by a process that has died since.
-                if server.life.load(Relaxed) != life
+                if server.incarnation.load(Relaxed) != incarnation
                     && let Some(t) = server.tasks.lock().expect("not poisoned").remove(&task)
                 {
                     t.abort()
@@ -366,11 +370,11 @@
             if state.busy < self.cores {
                 state.busy += 1;
                 Ok(Core(self.clone()))
-            } else if state.line.len() >= self.waiting {
+            } else if state.queue.len() >= self.queue_capacity {
                 return WorkOutcome::Full;
             } else {
                 let (give, take) = oneshot::channel();
-                state.line.push_back(give);
+                state.queue.push_back(give);
                 Err(take)
             }
         };
@@ -383,7 +387,7 @@
                     Ok(core) => core,
                     Err(_) => return WorkOutcome::Withdrawn,
                 },
-                () = gone(stream, buffer), if drops => return WorkOutcome::Withdrawn,
+                () = closed(stream, buffer), if drops => return WorkOutcome::Withdrawn,
             },
         };
         // Work that has begun goes on, also where nobody waits for it any more.
@@ -391,7 +395,7 @@
         tokio::select! {
             biased;
             () = sleep(Duration::from_secs_f64(seconds)) => {}
-            () = gone(stream, buffer) => left = true,
+            () = closed(stream, buffer) => left = true,
         }
         if left {
             let server = self.clone();
@@ -406,7 +410,7 @@
     }
 
     /// Pushed over by too much work within the window. True where it just fell.
-    fn driven(&self, work: f64, now: Nanos) -> bool {
+    fn overloads(&self, work: f64, now: Nanos) -> bool {
         let s = &self.lab.scenario;
         let (window, multiple) = match self.role {
             Role::Cache => (s.rules.fall_s, s.rules.fall_multiple),
@@ -418,7 +422,7 @@
         }
         let (warmth, sum) = (
             warmth(state.started, s.caches.cold_from, s.caches.cold_s, now),
-            state.drive.add(work, now),
+            state.recent_work.add(work, now),
         );
         if warmth >= 1.0 && self.role == Role::Cache {
             state.started = None;
@@ -431,7 +435,7 @@
         sum > multiple * capacity
     }
 
-    fn fall(self: &Arc<Self>, now: Nanos) {
+    fn fail_overloaded(self: &Arc<Self>, now: Nanos) {
         match self.role {
             Role::Cache => {
                 self.state().fallen = true;
@@ -455,12 +459,12 @@
     }
 }
 
-fn log_lost(server: &Server) {
+fn log_bind_failure(server: &Server) {
     eprintln!("lab: {} could not be bound again", server.at);
 }
 
 /// Until the other side has closed.
-async fn gone(stream: &mut TcpStream, buffer: &mut BytesMut) {
+async fn closed(stream: &mut TcpStream, buffer: &mut BytesMut) {
     use tokio::io::AsyncReadExt;
     loop {
         match stream.read_buf(buffer).await {
@@ -470,8 +474,8 @@
     }
 }
 
-async fn converse(mut conn: Conn) {
-    let (server, life) = (conn.server.clone(), conn.life);
+async fn serve_connection(mut conn: Conn) {
+    let (server, incarnation) = (conn.server.clone(), conn.incarnation);
     let Some(stream) = conn.stream.as_mut() else {
         return;
     };
@@ -491,7 +495,7 @@
             }
             _ => return,
         };
-        if message.first.1.starts_with("/health/") {
+        if message.start_line.1.starts_with("/health/") {
             let ok = http::reply("200 OK", "", b"");
             if !http::write(stream, &ok).await {
                 return;
@@ -514,20 +518,20 @@
             outcome: ForwardOutcome::Open,
             ran: false,
             cold: server.warmth() < 1.0,
-            withdrawn_unseen: http::peek(stream) == PeekResult::Ended,
+            withdrawn_unseen: http::probe(stream) == PeekResult::Ended,
         };
         let flight = InFlightForward {
             server: server.clone(),
-            life,
+            incarnation,
             f,
         };
         // A crowd of new connections is accepted late; what was withdrawn meanwhile never runs.
         if flight.f.withdrawn_unseen {
             return flight.end(ForwardOutcome::Withdrawn);
         }
-        if server.driven(server.offered(&message, id), now) {
+        if server.overloads(server.offered(&message, id), now) {
             drop(flight);
-            server.fall(now);
+            server.fail_overloaded(now);
             // Ended by its own death; nothing is awaited any more.
             return;
         }
@@ -562,7 +566,11 @@
         if self.role == Role::Origin {
             return 1.0;
         }
-        let part = if message.writes() { MISS_WORK_RATIO } else { 1.0 };
+        let part = if message.writes() {
+            MISS_WORK_RATIO
+        } else {
+            1.0
+        };
         part * work(id, self.mean_work(id))
     }
 }
@@ -585,14 +593,14 @@
         let state = server.state();
         (
             state.hangs,
-            state.stands_until,
+            state.paused_until,
             state.errors,
             state.resets,
             state.started,
         )
     };
     if hangs {
-        gone(stream, buffer).await;
+        closed(stream, buffer).await;
         return None;
     }
     if stands > lab.now() {
@@ -600,7 +608,7 @@
             biased;
             () = sleep(Duration::from_nanos(stands - lab.now())) => {}
             // A process that stands still learns of it later; the ledger must not.
-            () = gone(stream, buffer) => return None,
+            () = closed(stream, buffer) => return None,
         }
     }
     let held = match server.role {
@@ -629,7 +637,7 @@
             }
         }
     }
-    if unlucky(id, u64::from(server.number) + 1, errors) {
+    if is_selected(id, u64::from(server.number) + 1, errors) {
         flight.answer(ForwardOutcome::Error, stream);
         return http::write(stream, &http::reply("500 Oops", "", b""))
             .await
@@ -655,20 +663,24 @@
             .get(usize::from(operation_of(id)))
             .map_or(0, |o| o.window_ms * MS);
         let now = lab.now();
-        let fresh = message.mark.is_none_or(|m| {
+        let fresh = message.idempotency_key.is_none_or(|m| {
             server
                 .state()
-                .marks
-                .fresh(m, window.max(SECOND / 1000), now)
+                .idempotency_keys
+                .insert_if_new(m, window.max(SECOND / 1000), now)
         });
         flight.f.ran = fresh;
-        how = if fresh { ForwardOutcome::Done } else { ForwardOutcome::Repeat };
+        how = if fresh {
+            ForwardOutcome::Done
+        } else {
+            ForwardOutcome::Repeat
+        };
         server.fleet.upgrade().inspect(|fleet| fleet.void(key));
     }
     let mut body = format!("{id:016x}").into_bytes();
     body.resize(s.caches.body_bytes.max(16), b'.');
     let reply = http::reply("200 OK", "X-Cache: hit\r\n", &body);
-    if unlucky(id, u64::from(server.number) + 77, resets) {
+    if is_selected(id, u64::from(server.number) + 77, resets) {
         // Half an answer, then the end.
         http::write(stream, &reply[..reply.len() - 7]).await;
         flight.end(ForwardOutcome::Reset);
--- a/crates/sparrouter-lab/src/workers.rs
+++ b/crates/sparrouter-lab/src/workers.rs
@@ -67,7 +67,7 @@
     }
 
     /// Runs something on a worker and waits for what it gives, from an ordinary thread.
-    pub fn ask<T: Send + 'static, F: Future<Output = T> + 'static>(
+    pub fn run_blocking<T: Send + 'static, F: Future<Output = T> + 'static>(
         &self,
         job: impl FnOnce() -> F + Send + 'static,
     ) -> T {
@@ -98,7 +98,7 @@
 
 /// Since when the worker that asks has not looked: what it sees now may have happened at any moment since.
 /// Guards against blaming a node for what a starved lab saw late; with cores to spare it stays about 2 ms.
-pub fn unseen_for() -> Duration {
+pub fn observation_lag() -> Duration {
     let now = Instant::now();
     // What piled up while it stood still is worked off in about that time again, after the first beat as well.
     let stood = LAST_STALL.get().filter(|s| now < s.1).map(|s| s.0);
@@ -107,10 +107,13 @@
         .map_or(Duration::ZERO, |looked| now - looked)
 }
 
-async fn beat() {
+async fn record_turns() {
     loop {
         let now = Instant::now();
-        if let Some(before) = LAST_TURN.replace(Some(now)).filter(|b| now - *b > 4 * TURN_INTERVAL) {
+        if let Some(before) = LAST_TURN
+            .replace(Some(now))
+            .filter(|b| now - *b > 4 * TURN_INTERVAL)
+        {
             LAST_STALL.set(Some((before, now + (now - before))));
         }
         tokio::time::sleep(TURN_INTERVAL).await;
@@ -123,7 +126,7 @@
         .build()
         .expect("a runtime starts");
     LocalSet::new().block_on(&runtime, async {
-        tokio::task::spawn_local(beat());
+        tokio::task::spawn_local(record_turns());
         loop {
             tokio::select! {
                 biased;
--- a/crates/sparrouter-lab/tests/audit.rs
+++ b/crates/sparrouter-lab/tests/audit.rs
@@ -1,6 +1,8 @@
 //! The audit on lives written by hand, without a socket.
 use sparrouter_lab::ledger::audit::{Breach, Verdict};
-use sparrouter_lab::ledger::{ClientAttempt, ClientOutcome, ObservedForward, ForwardOutcome, InvocationLog, ORIGIN, Record};
+use sparrouter_lab::ledger::{
+    ClientAttempt, ClientOutcome, ForwardOutcome, InvocationLog, ORIGIN, ObservedForward, Record,
+};
 use sparrouter_lab::scenario::Scenario;
 use sparrouter_lab::scenario::arrivals::id;
 use sparrouter_lab::scenario::schedule::Listed;
@@ -45,15 +47,15 @@
         ))
     }
     fn asked(&mut self, id: u64, at: Nanos, end: ClientOutcome, ended: Nanos) {
-        let (first_due, due, dealt) = (at, at, at);
+        let (first_scheduled_at, due, dispatched_at) = (at, at, at);
         let written = Some(at);
         let asked = ClientAttempt {
             id,
             tenant: 0,
             node: 0,
-            first_scheduled_at: first_due,
+            first_scheduled_at,
             scheduled_at: due,
-            dispatched_at: dealt,
+            dispatched_at,
             written_at: written,
             outcome: end,
             ended_at: ended,
@@ -112,8 +114,19 @@
         listed: Listed::Ready,
     });
     let one = id(VIEW, 1, 0);
-    l.forward(one, cache, 10 * SECOND, 10 * SECOND + MS, ForwardOutcome::Done);
-    l.asked(one, 10 * SECOND, ClientOutcome::Succeeded, 10 * SECOND + 2 * MS);
+    l.forward(
+        one,
+        cache,
+        10 * SECOND,
+        10 * SECOND + MS,
+        ForwardOutcome::Done,
+    );
+    l.asked(
+        one,
+        10 * SECOND,
+        ClientOutcome::Succeeded,
+        10 * SECOND + 2 * MS,
+    );
     assert!(l.verdict().kept());
 }
 
@@ -222,7 +235,13 @@
         let mut l = LogBuilder::new();
         let one = id(op, 1, 0);
         l.forward(one, ORIGIN, SECOND, SECOND + MS, how);
-        l.forward(one, ORIGIN, SECOND + gap, SECOND + gap + MS, ForwardOutcome::Done);
+        l.forward(
+            one,
+            ORIGIN,
+            SECOND + gap,
+            SECOND + gap + MS,
+            ForwardOutcome::Done,
+        );
         l.asked(one, SECOND, ClientOutcome::Succeeded, SECOND + gap + 2 * MS);
         l.verdict()
     };
@@ -230,7 +249,11 @@
     assert!(after(ForwardOutcome::Reset, VIEW, 10 * MS).kept());
     assert!(after(ForwardOutcome::Reset, SWAP, 400 * MS).kept());
     assert!(after(ForwardOutcome::Reset, SWAP, 600 * MS).has(Breach::RepeatedOutsideWindow));
-    for how in [ForwardOutcome::Reset, ForwardOutcome::Error, ForwardOutcome::Withdrawn] {
+    for how in [
+        ForwardOutcome::Reset,
+        ForwardOutcome::Error,
+        ForwardOutcome::Withdrawn,
+    ] {
         assert!(
             after(how, ASSIGN, 10 * MS).has(Breach::ForwardedAgain),
             "{how:?}"
@@ -258,11 +281,16 @@
 /// 23 ms after the next forward, and a landing failed for it. What is late either way still counts.
 #[test]
 fn what_a_starved_lab_saw_late_is_no_breach_and_what_was_late_by_itself_is() {
-    let seen = |ended: Nanos, end_lag: Nanos, how: ForwardOutcome, first: Nanos, first_lag: Nanos| {
-        let mut l = LogBuilder::new();
-        let one = id(VIEW, 1, 0);
-        let mut record =
-            |to: u32, first: Nanos, first_lag: Nanos, ended: Nanos, end_lag: Nanos, how: ForwardOutcome| {
+    let seen =
+        |ended: Nanos, end_lag: Nanos, how: ForwardOutcome, first: Nanos, first_lag: Nanos| {
+            let mut l = LogBuilder::new();
+            let one = id(VIEW, 1, 0);
+            let mut record = |to: u32,
+                              first: Nanos,
+                              first_lag: Nanos,
+                              ended: Nanos,
+                              end_lag: Nanos,
+                              how: ForwardOutcome| {
                 let (whole, ran, cold, unseen) = (Some(first), false, false, false);
                 let f = ObservedForward {
                     id: one,
@@ -279,11 +307,11 @@
                 };
                 l.0.record(Record::ObservedForward(f));
             };
-        record(1, SECOND, 0, ended, end_lag, how);
-        record(2, first, first_lag, first + MS, 0, ForwardOutcome::Done);
-        l.asked(one, SECOND, ClientOutcome::Succeeded, SECOND + 103 * MS);
-        l.verdict()
-    };
+            record(1, SECOND, 0, ended, end_lag, how);
+            record(2, first, first_lag, first + MS, 0, ForwardOutcome::Done);
+            l.asked(one, SECOND, ClientOutcome::Succeeded, SECOND + 103 * MS);
+            l.verdict()
+        };
     let at = SECOND + 50 * MS;
     let stood = seen(at + 60 * MS, 58 * MS, ForwardOutcome::Withdrawn, at, 0);
     assert!(
@@ -291,10 +319,25 @@
         "{stood:?}"
     );
     assert!(seen(at + 60 * MS, 30 * MS, ForwardOutcome::Withdrawn, at, 0).has(Breach::Overlapping));
-    assert!(seen(SECOND + 2 * MS, 0, ForwardOutcome::Done, SECOND + 140 * MS, 60 * MS).kept());
     assert!(
-        seen(SECOND + 2 * MS, 0, ForwardOutcome::Done, SECOND + 140 * MS, 10 * MS)
-            .has(Breach::SentAfterAnswer)
+        seen(
+            SECOND + 2 * MS,
+            0,
+            ForwardOutcome::Done,
+            SECOND + 140 * MS,
+            60 * MS
+        )
+        .kept()
+    );
+    assert!(
+        seen(
+            SECOND + 2 * MS,
+            0,
+            ForwardOutcome::Done,
+            SECOND + 140 * MS,
+            10 * MS
+        )
+        .has(Breach::SentAfterAnswer)
     );
 }
 
@@ -302,13 +345,13 @@
 #[test]
 fn a_worker_that_stood_still_says_so() {
     let workers = sparrouter_lab::workers::Workers::start("late", 1);
-    let lag = workers.ask(|| async {
+    let lag = workers.run_blocking(|| async {
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
         std::thread::sleep(std::time::Duration::from_millis(60));
-        let first = sparrouter_lab::workers::unseen_for();
+        let first = sparrouter_lab::workers::observation_lag();
         // Also once the worker has looked again: what was ready before then is still being worked off.
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
-        (first, sparrouter_lab::workers::unseen_for())
+        (first, sparrouter_lab::workers::observation_lag())
     });
     assert!(
         lag.0.as_millis() >= 60 && lag.1.as_millis() >= 60,
@@ -377,15 +420,19 @@
     let valid = |late: Nanos| {
         let mut l = LogBuilder::new();
         for n in 0..100 {
-            let (id, due, dealt) = (id(VIEW, n, 0), n * SECOND, n * SECOND + late);
-            let (written, ended, end) = (Some(dealt), dealt + MS, ClientOutcome::Succeeded);
+            let (id, due, dispatched_at) = (id(VIEW, n, 0), n * SECOND, n * SECOND + late);
+            let (written, ended, end) = (
+                Some(dispatched_at),
+                dispatched_at + MS,
+                ClientOutcome::Succeeded,
+            );
             let asked = ClientAttempt {
                 id,
                 tenant: 0,
                 node: 0,
                 first_scheduled_at: due,
                 scheduled_at: due,
-                dispatched_at: dealt,
+                dispatched_at,
                 written_at: written,
                 outcome: end,
                 ended_at: ended,
--- a/crates/sparrouter-lab/tests/bad_nodes.rs
+++ b/crates/sparrouter-lab/tests/bad_nodes.rs
@@ -160,5 +160,9 @@
 
 #[test]
 fn one_that_makes_answers_up() {
-    caught(BadNodeKind::Invents, "", &[Breach::AnsweredWithNobodysValue]);
+    caught(
+        BadNodeKind::Invents,
+        "",
+        &[Breach::AnsweredWithNobodysValue],
+    );
 }
--- a/crates/sparrouter-lab/tests/scenarios.rs
+++ b/crates/sparrouter-lab/tests/scenarios.rs
@@ -167,11 +167,13 @@
             None
         }
     });
-    let crashed = of(
-        6.0,
-        7.0,
-        |a| if let Action::Die(n) = a { Some(*n) } else { None },
-    );
+    let crashed = of(6.0, 7.0, |a| {
+        if let Action::Die(n) = a {
+            Some(*n)
+        } else {
+            None
+        }
+    });
     assert_eq!((drained.len(), crashed.len()), (4, 4));
     assert!(crashed.iter().all(|c| !drained.contains(c)));
     assert_eq!(drawn.caches, 8 + 8);
