--- a/crates/sparrouter-lab/src/scenario/mod.rs
+++ b/crates/sparrouter-lab/src/scenario/mod.rs
@@ -390,7 +390,7 @@
                 "{file}:{}: {}: {}",
                 check::line(text, &w.field),
                 w.field,
-                w.why
+                w.reason
             )
         };
         Err(ScenarioError::Problem(wrong.iter().map(line).collect()))
--- a/crates/sparrouter-lab/src/stand_ins/link.rs
+++ b/crates/sparrouter-lab/src/stand_ins/link.rs
@@ -3,7 +3,7 @@
 use crate::http;
 use crate::scenario::arrivals::scramble;
 use crate::scenario::faults::LinkFault;
-use crate::scenario::schedule::Way;
+use crate::scenario::schedule::LinkConditions;
 use crate::{Nanos, nanos};
 use bytes::{Bytes, BytesMut};
 use std::cell::Cell;
@@ -19,14 +19,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Chunks under way in one direction before reading pauses.
+/// Chunks under conditions in one direction before reading pauses.
 const MAX_QUEUED_CHUNKS: usize = 256;
 
 pub struct Link {
     pub at: SocketAddr,
     to: SocketAddr,
     lab: Arc<Lab>,
-    conditions: Mutex<Way>,
+    conditions: Mutex<LinkConditions>,
     /// Counts resets: connections older than that break.
     resets: watch::Sender<u64>,
     chance: AtomicU64,
@@ -40,13 +40,18 @@
 }
 
 impl Link {
-    pub fn start(lab: &Arc<Lab>, to: SocketAddr, port: u16, way: Way) -> Arc<Link> {
+    pub fn start(
+        lab: &Arc<Lab>,
+        to: SocketAddr,
+        port: u16,
+        conditions: LinkConditions,
+    ) -> Arc<Link> {
         let at = SocketAddr::from((lab.address(), port));
         let link = Link {
             at,
             to,
             lab: lab.clone(),
-            conditions: Mutex::new(way),
+            conditions: Mutex::new(conditions),
             resets: watch::Sender::new(0),
             chance: AtomicU64::new(lab.scenario.seed),
         };
@@ -62,13 +67,13 @@
         link
     }
 
-    pub fn set(&self, way: Way) {
-        *self.conditions.lock().expect("not poisoned") = way;
-        if way.how == LinkFault::Reset {
+    pub fn set(&self, conditions: LinkConditions) {
+        *self.conditions.lock().expect("not poisoned") = conditions;
+        if conditions.fault == LinkFault::Reset {
             self.resets.send_modify(|n| *n += 1);
         }
     }
-    fn way(&self) -> Way {
+    fn conditions(&self) -> LinkConditions {
         *self.conditions.lock().expect("not poisoned")
     }
 
@@ -90,13 +95,13 @@
     }
 
     async fn carry(self: Arc<Self>, near: TcpStream) {
-        let way = self.way();
-        if way.how == LinkFault::Reset {
+        let conditions = self.conditions();
+        if conditions.fault == LinkFault::Reset {
             return http::reset(near);
         }
         let _ = near.set_nodelay(true);
         // Half open: it comes up here, and nobody is behind it.
-        if way.how == LinkFault::HalfOpen {
+        if conditions.fault == LinkFault::HalfOpen {
             sleep(Duration::from_secs(3600)).await;
         }
         let limit = Duration::from_secs(3);
@@ -143,13 +148,13 @@
             loop {
                 buffer.reserve(16 << 10);
                 let ended = !matches!(from.read_buf(&mut buffer).await, Ok(n) if n > 0);
-                let way = self.link.way();
+                let conditions = self.link.conditions();
                 let bytes = buffer.split().freeze();
                 let mut at = self.link.lab.now()
-                    + nanos(way.delay_ms / 1e3)
-                    + self.link.jitter(way.jitter_ms);
-                if way.kib_per_s > 0.0 {
-                    at = at.max(latest) + nanos(bytes.len() as f64 / 1024.0 / way.kib_per_s);
+                    + nanos(conditions.delay_ms / 1e3)
+                    + self.link.jitter(conditions.jitter_ms);
+                if conditions.kib_per_s > 0.0 {
+                    at = at.max(latest) + nanos(bytes.len() as f64 / 1024.0 / conditions.kib_per_s);
                 }
                 // Bytes never overtake each other.
                 latest = at.max(latest);
@@ -158,7 +163,7 @@
                 }
             }
             drop(queue);
-            // The rest is up to what is still under way.
+            // The rest is up to what is still under conditions.
             std::future::pending::<()>().await;
         };
         tokio::select! {
@@ -181,8 +186,8 @@
         if at > now {
             sleep(Duration::from_nanos(at - now)).await;
         }
-        let way = link.way();
-        let lost = match way.how {
+        let conditions = link.conditions();
+        let lost = match conditions.fault {
             LinkFault::LostThere => !towards_client,
             LinkFault::LostBack => towards_client,
             LinkFault::HalfOpen => true,
@@ -201,8 +206,8 @@
         }
         let mut bytes = bytes;
         let mut cut = false;
-        if towards_client && way.how == LinkFault::Cut {
-            let left = way.bytes.saturating_sub(bytes_back.get()) as usize;
+        if towards_client && conditions.fault == LinkFault::Cut {
+            let left = conditions.bytes.saturating_sub(bytes_back.get()) as usize;
             cut = bytes.len() >= left;
             bytes.truncate(left);
         }
