--- a/crates/sparrouter-lab/src/commands/error.rs
+++ b/crates/sparrouter-lab/src/commands/error.rs
@@ -1,5 +1,5 @@
 //! What makes a command impossible; the program then exits with code 2.
-use sparrouter_lab::{play, scenario};
+use sparrouter_lab::{play, rollout, scenario};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -34,7 +34,9 @@
         listen: SocketAddr,
         source: std::io::Error,
     },
-    /// A hidden helper process (the defect proxy or the conductor) ended with this message.
+    #[error(transparent)]
+    Conductor(rollout::RolloutError),
+    /// The hidden defect proxy ended with this message.
     #[error("{0}")]
-    HelperProcess(String),
+    DefectProxy(String),
 }
--- a/crates/sparrouter-lab/src/main.rs
+++ b/crates/sparrouter-lab/src/main.rs
@@ -68,10 +68,10 @@
         Command::Check(arguments) => commands::check::run(arguments),
         Command::Plant => defect_proxy::run()
             .map(|()| Outcome::Passed)
-            .map_err(CommandError::HelperProcess),
+            .map_err(CommandError::DefectProxy),
         Command::Conduct => rollout::conduct()
             .map(|()| Outcome::Passed)
-            .map_err(CommandError::HelperProcess),
+            .map_err(CommandError::Conductor),
         Command::Relay(RelayArguments { listen, to }) => relay::run(listen, to)
             .map(|()| Outcome::Passed)
             .map_err(|source| CommandError::Relay { listen, source }),
--- a/crates/sparrouter-lab/src/stand_ins/mod.rs
+++ b/crates/sparrouter-lab/src/stand_ins/mod.rs
@@ -86,7 +86,7 @@
 }
 
 /// What discovery's lists count start times in.
-fn unix_ms() -> u64 {
+pub(crate) fn unix_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as u64
 }
