--- a/crates/sparrouter-lab/src/ledger/audit.rs
+++ b/crates/sparrouter-lab/src/ledger/audit.rs
@@ -253,7 +253,7 @@
     pub fn forwarded(&mut self, f: &ObservedForward) {
         if f.to != ORIGIN {
             if f.outcome == ForwardOutcome::Miss && f.cold {
-                self.cold_missed.insert(f.id, f.ended);
+                self.cold_missed.insert(f.id, f.ended_at);
             }
         } else if let Some(whole) = f.complete_at {
             self.fetches.push_back((whole, f.id));
@@ -402,7 +402,7 @@
             let over = |f: &&&ObservedForward| {
                 let gone = self.linked
                     || matches!(f.outcome, ForwardOutcome::Withdrawn | ForwardOutcome::Open);
-                f.ended > whole + if gone { self.slack } else { 0 }
+                f.ended_at > whole + if gone { self.slack } else { 0 }
             };
             // When one was sent that its stand-in saw only once it was withdrawn, nobody can tell.
             if later.withdrawn_unseen && !earlier.is_empty() {
@@ -423,7 +423,7 @@
                 } else if self.blind {
                     self.count_unjudged("overlaps behind links that lose bytes");
                 } else {
-                    let by = (first.ended - whole) / MS;
+                    let by = (first.ended_at - whole) / MS;
                     let what = format!(
                         "to {} while out at {}, {:?} {by} ms later",
                         name(later.to),
--- a/crates/sparrouter-lab/src/ledger/mod.rs
+++ b/crates/sparrouter-lab/src/ledger/mod.rs
@@ -80,7 +80,7 @@
     pub first_byte_at: Nanos,
     /// Its last byte came; none: it never came whole.
     pub complete_at: Option<Nanos>,
-    pub ended: Nanos,
+    pub ended_at: Nanos,
     /// It may have been there for so long when the lab saw it, and over for so long when that was seen.
     pub first_lag: Nanos,
     pub end_lag: Nanos,
@@ -99,7 +99,7 @@
         self.first_byte_at.saturating_sub(self.first_lag)
     }
     pub fn earliest_end_at(&self) -> Nanos {
-        self.ended.saturating_sub(self.end_lag)
+        self.ended_at.saturating_sub(self.end_lag)
     }
     pub fn may_have_run(&self) -> bool {
         self.complete_at.is_some()
--- a/crates/sparrouter-lab/src/ledger/slowest.rs
+++ b/crates/sparrouter-lab/src/ledger/slowest.rs
@@ -35,7 +35,7 @@
         text += &format!(
             "; {to} {:.1} to {:.1} {:?}",
             ms(f.first_byte_at, due),
-            ms(f.ended, due),
+            ms(f.ended_at, due),
             f.outcome
         );
     }
--- a/crates/sparrouter-lab/src/rollout/requests.rs
+++ b/crates/sparrouter-lab/src/rollout/requests.rs
@@ -4,7 +4,7 @@
 //! begins; `.ok` or `.no` beside it is the answer. Files tell the command of a killed conductor from its successor's.
 use super::POLL_INTERVAL;
 use super::nodes::{Command, NodeRollout};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::thread::{JoinHandle, sleep, spawn};
@@ -51,7 +51,7 @@
     }
 }
 
-fn execute(rollout: &NodeRollout, node: Option<usize>, command: &str, taken: &PathBuf) {
+fn execute(rollout: &NodeRollout, node: Option<usize>, command: &str, taken: &Path) {
     let node = node.filter(|n| *n < rollout.count());
     let executed = match (node, Command::parse(command)) {
         (Some(n), Some(command)) => rollout.execute(n, command).is_ok(),
