--- a/crates/sparrouter-lab/src/clients.rs
+++ b/crates/sparrouter-lab/src/clients.rs
@@ -34,6 +34,7 @@
 }
 
 impl Front {
+    /// All nodes are dealt out from the beginning.
     pub fn new(nodes: Vec<SocketAddr>) -> Arc<Front> {
         let active_nodes = RwLock::new((0..nodes.len()).collect());
         Arc::new(Front {
@@ -50,6 +51,7 @@
             active_nodes.push(node);
         }
     }
+    /// Sends this part of the traffic to the first `nodes` nodes; a part of 0 ends it.
     pub fn skew(&self, part: f64, nodes: usize) {
         *self.skew.write().expect("not poisoned") = (part, nodes);
     }
--- a/crates/sparrouter-lab/src/experiment/changes.rs
+++ b/crates/sparrouter-lab/src/experiment/changes.rs
@@ -20,6 +20,7 @@
 }
 
 impl Case {
+    /// Every case, in the order of the report.
     pub fn all() -> Vec<Case> {
         let plants = <Defect as clap::ValueEnum>::value_variants()
             .iter()
@@ -29,6 +30,7 @@
             .collect()
     }
 
+    /// The name that the command line takes.
     pub fn name(&self) -> String {
         match self {
             Case::Defect(Defect::None) => "sound".into(),
@@ -46,6 +48,7 @@
         toml::from_str(text).expect("a fixed text")
     }
 
+    /// Makes a rollout one of this case.
     pub fn apply(&self, change: &mut Rollout) {
         match self {
             Case::Defect(plant) => change.plant = *plant,
@@ -60,6 +63,7 @@
     }
 }
 
+/// One case in one way of rolling out, and its run.
 pub struct PlayedCase {
     pub case: Case,
     pub how: RolloutMode,
--- a/crates/sparrouter-lab/src/experiment/kills.rs
+++ b/crates/sparrouter-lab/src/experiment/kills.rs
@@ -8,6 +8,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 
+/// A run in which the conductor aborted at chosen points.
 pub struct KilledRun {
     /// Points at which the conductor and its successors end themselves.
     pub points: Vec<usize>,
--- a/crates/sparrouter-lab/src/experiment/shares.rs
+++ b/crates/sparrouter-lab/src/experiment/shares.rs
@@ -133,6 +133,7 @@
 /// Less than this of what could be let in is not settled.
 const SETTLED_USE: f64 = 0.9;
 
+/// Cuts a run into phases at the beginnings and ends of its faults, and summarises each.
 pub fn phases(s: &Scenario, seconds: &[Second]) -> Vec<Phase> {
     let mut boundaries: BTreeMap<u64, Vec<String>> = BTreeMap::from([(0, vec!["start".into()])]);
     for f in &s.fault {
--- a/crates/sparrouter-lab/src/experiment/sweep.rs
+++ b/crates/sparrouter-lab/src/experiment/sweep.rs
@@ -21,6 +21,7 @@
     pub sustained: bool,
 }
 
+/// The scenario with one setting at another value.
 pub fn with(scenario: &Scenario, by: SweepParameter, value: usize) -> Scenario {
     let mut s = scenario.clone();
     match by {
@@ -91,6 +92,7 @@
     Ok(steps)
 }
 
+/// The step with the highest rate that was sustained; none where none was.
 pub fn knee(steps: &[SweepStep]) -> Option<&SweepStep> {
     steps
         .iter()
--- a/crates/sparrouter-lab/src/http.rs
+++ b/crates/sparrouter-lab/src/http.rs
@@ -18,6 +18,7 @@
 }
 
 impl Message {
+    /// Status of a reply; 0 where there is none.
     pub fn status(&self) -> u16 {
         self.start_line.1.parse().unwrap_or(0)
     }
@@ -26,6 +27,7 @@
         let last = self.start_line.1.rsplit('/').next().unwrap_or_default();
         u64::from_str_radix(last, 16).unwrap_or(0)
     }
+    /// A request that changes a value.
     pub fn writes(&self) -> bool {
         self.start_line.0 == "PUT"
     }
@@ -131,6 +133,7 @@
     }
 }
 
+/// Writes all of the text; false where the connection broke.
 pub async fn write(stream: &mut TcpStream, text: &[u8]) -> bool {
     stream.write_all(text).await.is_ok()
 }
@@ -154,6 +157,7 @@
     Ended,
 }
 
+/// Looks at what a connection holds without taking it.
 pub fn probe(stream: &TcpStream) -> PeekResult {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match socket2::SockRef::from(stream).peek(&mut byte) {
--- a/crates/sparrouter-lab/src/ledger/audit.rs
+++ b/crates/sparrouter-lab/src/ledger/audit.rs
@@ -42,6 +42,7 @@
 }
 
 impl Breach {
+    /// Number of the rule that is broken, 1 to 4.
     pub fn rule(self) -> u8 {
         use Breach::*;
         match self {
@@ -73,6 +74,7 @@
     pub what: String,
 }
 
+/// The audit's judgement on a whole run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Verdict {
     /// Invocations that were judged on every rule that applies.
@@ -86,14 +88,17 @@
 }
 
 impl Verdict {
+    /// No rule was broken.
     pub fn kept(&self) -> bool {
         self.breaches.is_empty()
     }
+    /// This breach was found at least once.
     pub fn has(&self, breach: Breach) -> bool {
         self.breaches.contains_key(&breach)
     }
 }
 
+/// Judges invocations against the four rules as their records become complete.
 pub struct Audit {
     operations: Vec<Operation>,
     second_copies: bool,
@@ -123,6 +128,7 @@
 }
 
 impl Audit {
+    /// An audit by the bounds that the scenario sets.
     pub fn new(s: &Scenario) -> Audit {
         let delays = |f: &Fault| match f {
             Fault::Links {
@@ -188,6 +194,7 @@
         *self.verdict.seen.entry(what.into()).or_default() += 1;
     }
 
+    /// Takes a record of the surroundings: discovery, nodes, overloads.
     pub fn event(&mut self, record: Record) {
         match record {
             Record::Known { at, cache, listed } => {
@@ -513,6 +520,7 @@
         }
     }
 
+    /// Ends the audit; judges stops of the origin, which need all records.
     pub fn verdict(mut self) -> Verdict {
         for at in std::mem::take(&mut self.stops) {
             let from = at.saturating_sub(self.fall);
--- a/crates/sparrouter-lab/src/ledger/figures.rs
+++ b/crates/sparrouter-lab/src/ledger/figures.rs
@@ -12,6 +12,7 @@
 /// Longest latency told apart, in µs.
 const LONGEST: u64 = 120_000_000;
 
+/// Invocations by their outcome.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
     pub asked: u64,
@@ -87,6 +88,7 @@
     latency: Histogram<u64>,
 }
 
+/// Collects the figures of a run as records come.
 pub struct Figures {
     objectives: Vec<Nanos>,
     values: Vec<f64>,
@@ -120,6 +122,7 @@
 }
 
 impl Figures {
+    /// Empty figures for a scenario's operations and tenants.
     pub fn new(s: &Scenario) -> Figures {
         let piece = (s.length_s / MAX_SLICES as f64).max(0.25);
         Figures {
@@ -155,6 +158,7 @@
         self.slices.entry(n).or_insert_with(fresh)
     }
 
+    /// Counts a client's attempt.
     pub fn asked(&mut self, a: &ClientAttempt, operation: u8) {
         let op = usize::from(operation).min(self.objectives.len() - 1);
         let first = a.id == root(a.id);
@@ -207,6 +211,7 @@
         }
     }
 
+    /// Counts a forward.
     pub fn forwarded(&mut self, f: &ObservedForward) {
         let how = match f.outcome {
             ForwardOutcome::Done => "done",
@@ -232,11 +237,13 @@
         }
     }
 
+    /// Counts a connection to a cache server or the origin.
     pub fn connected(&mut self, at: Nanos) {
         self.tally.connected += 1;
         self.slice(at).piece.connected += 1;
     }
 
+    /// Ends the collection.
     pub fn tally(mut self) -> Tally {
         self.tally.value = self.good_value / self.asked_value.max(1e-9);
         self.tally.latency_ms = quantiles(&self.latency);
--- a/crates/sparrouter-lab/src/ledger/mod.rs
+++ b/crates/sparrouter-lab/src/ledger/mod.rs
@@ -98,15 +98,18 @@
     pub fn earliest_first_byte_at(&self) -> Nanos {
         self.first_byte_at.saturating_sub(self.first_lag)
     }
+    /// No earlier than this did it end.
     pub fn earliest_end_at(&self) -> Nanos {
         self.ended_at.saturating_sub(self.end_lag)
     }
+    /// Its effect may have been carried out, as far as a node can know.
     pub fn may_have_run(&self) -> bool {
         self.complete_at.is_some()
             && !matches!(self.outcome, ForwardOutcome::NotRun | ForwardOutcome::Miss)
     }
 }
 
+/// One observation. `at` is the time since the run began.
 #[derive(Clone, Copy, Debug)]
 pub enum Record {
     ClientAttempt(ClientAttempt),
@@ -171,6 +174,7 @@
     pub forwards: Vec<ObservedForward>,
 }
 
+/// Collects records by invocation and judges each invocation once nothing more can come for it.
 pub struct InvocationLog {
     open_invocations: HashMap<u64, Invocation>,
     /// When a life may be judged, oldest first.
@@ -183,6 +187,7 @@
 }
 
 impl InvocationLog {
+    /// An empty log for a scenario.
     pub fn new(s: &Scenario) -> InvocationLog {
         InvocationLog {
             open_invocations: HashMap::new(),
@@ -196,6 +201,7 @@
         }
     }
 
+    /// Takes a record; judges the invocations that are complete by then.
     pub fn record(&mut self, record: Record) {
         match record {
             Record::ClientAttempt(asked) => {
@@ -231,6 +237,7 @@
         self.open_invocations.len()
     }
 
+    /// Judges the remaining invocations and ends the log.
     pub fn finish(mut self) -> (Verdict, Tally) {
         let mut rest: Vec<(u64, Invocation)> = self.open_invocations.drain().collect();
         rest.sort_by_key(|(id, _)| *id);
--- a/crates/sparrouter-lab/src/ledger/slowest.rs
+++ b/crates/sparrouter-lab/src/ledger/slowest.rs
@@ -5,6 +5,7 @@
 /// So many are kept, no two of one tenth of a second: one stall would fill the list.
 const LISTED: usize = 24;
 
+/// The slowest answers so far: how long each took, its tenth of a second, its line.
 #[derive(Default)]
 pub struct Slowest(Vec<(Nanos, Nanos, String)>);
 
@@ -69,6 +70,7 @@
         self.0.sort_by_key(|s| std::cmp::Reverse(s.0));
         self.0.truncate(LISTED);
     }
+    /// One line an invocation, slowest first.
     pub fn lines(self) -> Vec<String> {
         self.0.into_iter().map(|s| s.2).collect()
     }
--- a/crates/sparrouter-lab/src/lib.rs
+++ b/crates/sparrouter-lab/src/lib.rs
@@ -24,7 +24,9 @@
 
 /// Nanoseconds since the run began, or a span of them.
 pub type Nanos = u64;
+/// One millisecond.
 pub const MS: Nanos = 1_000_000;
+/// One second.
 pub const SECOND: Nanos = 1_000_000_000;
 
 /// Seconds of a scenario as nanoseconds; negative ones count as none.
--- a/crates/sparrouter-lab/src/report/page.rs
+++ b/crates/sparrouter-lab/src/report/page.rs
@@ -155,6 +155,7 @@
 .kept{color:#1a7f37}.broken{color:#b00020;font-weight:bold}svg{max-width:100%;height:auto}\
 .bands span{background:#ffe9b8;padding:.1em .5em;margin-right:.5em;white-space:nowrap}";
 
+/// The report of a run as one HTML page.
 pub fn page(run: &Run) -> String {
     let mut out = String::from("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\">");
     let name = escape(&run.scenario.name);
--- a/crates/sparrouter-lab/src/report/plots.rs
+++ b/crates/sparrouter-lab/src/report/plots.rs
@@ -16,11 +16,13 @@
     RGBColor(127, 127, 127),
 ];
 
+/// Name, and points of time in seconds and value.
 pub type Curve = (String, Vec<(f64, f64)>);
 /// CPU, memory, descriptors.
 type Use = (f64, f64, usize);
 type Drawn = Result<(), Box<dyn std::error::Error>>;
 
+/// A plot with its heading.
 pub struct Plot {
     pub title: &'static str,
     pub svg: String,
@@ -249,6 +251,7 @@
     (0..nodes).map(curve).collect()
 }
 
+/// The plots of a report, in their order.
 pub fn all(run: &Run) -> Vec<Plot> {
     let cpu = by_node(run, |a, b, s| 100.0 * (b.0 - a.0).max(0.0) / s.max(0.01));
     let memory = by_node(run, |_, b, _| b.1);
--- a/crates/sparrouter-lab/src/scenario/arrivals.rs
+++ b/crates/sparrouter-lab/src/scenario/arrivals.rs
@@ -26,6 +26,7 @@
 pub fn id(operation: u8, number: u64, tried: u8) -> u64 {
     u64::from(operation) << 56 | (number & 0xf_ffff_ffff_ffff) << 4 | u64::from(tried & 15)
 }
+/// Index of the operation of an invocation's id.
 pub fn operation_of(id: u64) -> u8 {
     (id >> 56) as u8
 }
@@ -54,6 +55,7 @@
     keys: u64,
 }
 
+/// The arrivals of a scenario in the order of time: an iterator.
 pub struct Arrivals {
     rng: ChaCha8Rng,
     seed: u64,
--- a/crates/sparrouter-lab/src/scenario/faults.rs
+++ b/crates/sparrouter-lab/src/scenario/faults.rs
@@ -145,6 +145,7 @@
     },
 }
 
+/// What discovery does wrong.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum DiscoveryFault {
@@ -162,6 +163,7 @@
     Wrong,
 }
 
+/// What a link does wrong.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkFault {
--- a/crates/sparrouter-lab/src/scenario/mod.rs
+++ b/crates/sparrouter-lab/src/scenario/mod.rs
@@ -21,6 +21,7 @@
     Problem(Vec<String>),
 }
 
+/// A scenario as its TOML file states it; see [`Scenario::read`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -59,6 +60,7 @@
     pub shares: Option<Shares>,
 }
 
+/// How nodes share tenants' quotas.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Shares {
@@ -80,6 +82,7 @@
     }
 }
 
+/// The nodes under test and their limits.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Nodes {
@@ -110,6 +113,7 @@
     }
 }
 
+/// The cache servers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Caches {
@@ -158,6 +162,7 @@
     }
 }
 
+/// The origin behind the cache servers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Origin {
@@ -184,6 +189,7 @@
     }
 }
 
+/// How fast discovery learns; each span is in seconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
@@ -204,6 +210,7 @@
     }
 }
 
+/// The network between nodes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Peers {
@@ -222,6 +229,7 @@
     }
 }
 
+/// What clients send.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
@@ -269,6 +277,7 @@
     5.0
 }
 
+/// Bounds of the four rules that the audit judges by.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
@@ -299,6 +308,7 @@
     }
 }
 
+/// What repeating an operation does.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
@@ -307,6 +317,7 @@
     NonIdempotent,
 }
 
+/// A kind of invocation.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operation {
@@ -328,6 +339,7 @@
     pub window_ms: u64,
 }
 
+/// Who sends, and its quota.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
@@ -338,6 +350,7 @@
     pub quota_per_s: f64,
 }
 
+/// Groups that a link can stand before.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Before {
--- a/crates/sparrouter-lab/src/scenario/rollout.rs
+++ b/crates/sparrouter-lab/src/scenario/rollout.rs
@@ -2,6 +2,7 @@
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
+/// A rollout of new node versions during the run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rollout {
@@ -55,6 +56,7 @@
     }
 }
 
+/// Who carries a rollout out.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq, clap::ValueEnum)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutMode {
--- a/crates/sparrouter-lab/src/scripted.rs
+++ b/crates/sparrouter-lab/src/scripted.rs
@@ -39,6 +39,7 @@
     Trailed,
 }
 
+/// A forward that a scripted server received.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub first: String,
@@ -52,11 +53,13 @@
 }
 
 impl Seen {
+    /// Value of `X-Request-Id`; empty where there is none.
     pub fn id(&self) -> String {
         field(&self.head, "x-request-id").unwrap_or_default()
     }
 }
 
+/// Value of the first header field of this name.
 pub fn field(head: &str, name: &str) -> Option<String> {
     let lines = head.lines().filter_map(|l| l.split_once(':'));
     lines
@@ -82,6 +85,7 @@
 
 type Script = Arc<dyn Fn(&Seen) -> Act + Send + Sync>;
 
+/// A server that answers by a script.
 pub struct Server {
     pub at: SocketAddr,
     pub seen: Arc<Mutex<Vec<Seen>>>,
@@ -89,6 +93,7 @@
     pub closed: Arc<AtomicUsize>,
 }
 
+/// A listener on a free port of 127.0.0.1, and its address.
 pub fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let at = listener.local_addr().unwrap();
@@ -113,6 +118,7 @@
 }
 
 impl Server {
+    /// Starts on a free port of 127.0.0.1.
     pub fn start(script: impl Fn(&Seen) -> Act + Send + Sync + 'static) -> Server {
         let (listener, at) = listen();
         let seen = Arc::<Mutex<Vec<Seen>>>::default();
@@ -136,9 +142,11 @@
         });
         server
     }
+    /// A server that does the same for each forward.
     pub fn always(act: Act) -> Server {
         Server::start(move |_| act)
     }
+    /// All forwards so far.
     pub fn seen(&self) -> Vec<Seen> {
         self.seen.lock().unwrap().clone()
     }
@@ -237,6 +245,7 @@
 }
 
 impl Discovery {
+    /// Starts on a free port of 127.0.0.1.
     pub fn start() -> Discovery {
         let (listener, at) = listen();
         let feed = Arc::<Mutex<Vec<String>>>::default();
@@ -256,9 +265,11 @@
         });
         discovery
     }
+    /// Queues a line for the watch, or the answer to a call for the list.
     pub fn say(&self, line: &str) {
         self.feed.lock().unwrap().push(line.to_string());
     }
+    /// Number of watches opened so far.
     pub fn calls(&self) -> usize {
         self.calls.lock().unwrap().len()
     }
@@ -317,12 +328,17 @@
     }
 }
 
+/// An entry of discovery's list, as JSON.
 pub fn target(uid: &str, at: SocketAddr, model: &str, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{at}","az":"x","model":"{model}","pod_group":1,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
+/// Waits until the condition holds.
+///
+/// # Panics
+/// After 10 s.
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
--- a/crates/sparrouter-lab/src/stand_ins/bad_node.rs
+++ b/crates/sparrouter-lab/src/stand_ins/bad_node.rs
@@ -15,6 +15,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
+/// What a bad node does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum BadNodeKind {
     /// Keeps all rules, if slowly.
--- a/crates/sparrouter-lab/src/stand_ins/discovery.rs
+++ b/crates/sparrouter-lab/src/stand_ins/discovery.rs
@@ -55,6 +55,7 @@
     tasks: Vec<AbortHandle>,
 }
 
+/// The discovery service, with one address for each node.
 pub struct Discovery {
     lab: Arc<Lab>,
     fleet: Arc<Fleet>,
@@ -110,6 +111,7 @@
         })
     }
 
+    /// Where this node finds it now.
     pub fn address(&self, node: usize) -> SocketAddr {
         self.state.lock().expect("not poisoned").at[node]
     }
@@ -168,6 +170,7 @@
         self.changed.send_replace(state.rev);
     }
 
+    /// Begins a fault, or ends it.
     pub fn set_fault(self: &Arc<Self>, fault: Option<DiscoveryFault>) {
         let before = {
             let mut state = self.state.lock().expect("not poisoned");
--- a/crates/sparrouter-lab/src/stand_ins/fleet.rs
+++ b/crates/sparrouter-lab/src/stand_ins/fleet.rs
@@ -10,6 +10,7 @@
 /// Misses that are remembered, for the origin's answers to be stored.
 const REMEMBERED: usize = 100_000;
 
+/// All servers of a run.
 pub struct Fleet {
     pub caches: Vec<Arc<Server>>,
     pub origin: Arc<Server>,
@@ -57,6 +58,7 @@
         self.origin.start(false);
     }
 
+    /// Remembers that an invocation missed at a cache server.
     pub fn missed(&self, id: u64, cache: u32) {
         let mut missed = self.missed.lock().expect("not poisoned");
         if missed.len() > REMEMBERED {
@@ -80,6 +82,7 @@
     pub fn void(&self, key: u64) {
         self.caches.iter().for_each(|c| c.void(key));
     }
+    /// Removes this part of the keys at every cache server.
     pub fn flush(&self, part: f64) {
         self.caches.iter().for_each(|c| c.flush(&self.keys, part));
     }
--- a/crates/sparrouter-lab/src/stand_ins/link.rs
+++ b/crates/sparrouter-lab/src/stand_ins/link.rs
@@ -22,6 +22,7 @@
 /// Chunks under conditions in one direction before reading pauses.
 const MAX_QUEUED_CHUNKS: usize = 256;
 
+/// Accepts connections at one address and carries them to another.
 pub struct Link {
     pub at: SocketAddr,
     to: SocketAddr,
@@ -40,6 +41,7 @@
 }
 
 impl Link {
+    /// Listens on this port of an address of its own.
     pub fn start(
         lab: &Arc<Lab>,
         to: SocketAddr,
@@ -67,6 +69,7 @@
         link
     }
 
+    /// Changes how it treats bytes from now on; [`LinkFault::Reset`] breaks open connections.
     pub fn set(&self, conditions: LinkConditions) {
         *self.conditions.lock().expect("not poisoned") = conditions;
         if conditions.fault == LinkFault::Reset {
--- a/crates/sparrouter-lab/src/stand_ins/mod.rs
+++ b/crates/sparrouter-lab/src/stand_ins/mod.rs
@@ -33,6 +33,7 @@
 }
 
 impl Lab {
+    /// A clock that does not run yet, and a part of 127.0.0.0/8 for this run alone.
     pub fn new(scenario: Scenario, tape: mpsc::Sender<Record>, workers: Workers) -> Arc<Lab> {
         // A part of 127.0.0.0/8 that no outgoing connection takes its address from, so that a port that
         // was free stays free; another lab at the same time most likely has another part.
@@ -59,6 +60,7 @@
     pub fn begin(&self) {
         let _ = self.begun.set(Instant::now());
     }
+    /// Time since the run began; 0 before.
     pub fn now(&self) -> Nanos {
         self.begun
             .get()
@@ -68,9 +70,11 @@
     pub fn lag(&self) -> Nanos {
         crate::workers::observation_lag().as_nanos() as Nanos
     }
+    /// The moment of a time of the run.
     pub fn instant(&self, at: Nanos) -> Instant {
         self.begun.get().copied().unwrap_or_else(Instant::now) + Duration::from_nanos(at)
     }
+    /// Sends a record to the invocation log.
     pub fn record(&self, record: Record) {
         let _ = self.tape.send(record);
     }
--- a/crates/sparrouter-lab/src/stand_ins/model.rs
+++ b/crates/sparrouter-lab/src/stand_ins/model.rs
@@ -18,6 +18,7 @@
 }
 
 impl CacheStore {
+    /// Holds this many keys; 0: every key.
     pub fn new(most: usize) -> CacheStore {
         CacheStore {
             capacity: (most > 0).then_some(most),
@@ -32,6 +33,7 @@
             ..CacheStore::default()
         };
     }
+    /// Whether the key is held; marks it as used.
     pub fn has(&mut self, key: u64) -> bool {
         if self.capacity.is_none() && !self.empty {
             return !self.void.contains_key(&key);
@@ -45,6 +47,7 @@
         self.order.insert(self.stamp, key);
         true
     }
+    /// Stores a key; the one used longest ago goes where there is no room.
     pub fn put(&mut self, key: u64) {
         self.void.remove(&key);
         if self.capacity.is_none() && !self.empty || self.has(key) {
@@ -59,6 +62,7 @@
             self.used.remove(&old);
         }
     }
+    /// Removes a key.
     pub fn void(&mut self, key: u64) {
         if self.capacity.is_none() && !self.empty {
             self.void.insert(key, ());
@@ -114,6 +118,7 @@
 }
 
 impl RecentWork {
+    /// Counts over this window.
     pub fn new(window: Nanos) -> RecentWork {
         RecentWork {
             window: window.max(1),
@@ -136,6 +141,7 @@
         }
         self.total
     }
+    /// Forgets all work.
     pub fn clear(&mut self) {
         self.sent.clear();
         self.total = 0.0;
--- a/crates/sparrouter-lab/src/stand_ins/node.rs
+++ b/crates/sparrouter-lab/src/stand_ins/node.rs
@@ -29,6 +29,7 @@
     pub generation: Option<String>,
 }
 
+/// A node as a process, across its restarts.
 pub struct Node {
     pub number: usize,
     pub at: SocketAddr,
@@ -134,6 +135,7 @@
         Ok(path)
     }
 
+    /// Starts its process with a fresh configuration.
     pub fn start(&mut self, lab: &Lab, start: &Start) -> std::io::Result<()> {
         let config = self.configure(lab, start)?;
         let log = self.folder.join("log.txt");
@@ -191,12 +193,15 @@
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
+    /// Stops it where it is (SIGSTOP), or lets it go on.
     pub fn pause(&self, on: bool) {
         self.signal(if on { Signal::SIGSTOP } else { Signal::SIGCONT });
     }
+    /// Asks it to shut down (SIGTERM).
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
+    /// Kills it and waits for its end.
     pub fn kill(&mut self) {
         self.usage();
         if let Some(mut child) = self.child.take() {
@@ -217,13 +222,16 @@
         }
         over
     }
+    /// Id of its process, where one runs.
     pub fn process(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
+    /// A process of it was started and not yet seen to end.
     pub fn running(&self) -> bool {
         self.child.is_some()
     }
 
+    /// Its usage of resources, with the CPU time of its earlier processes.
     pub fn usage(&mut self) -> Usage {
         if let Some(usage) = self.child.as_ref().and_then(|c| usage(c.id())) {
             self.last = usage;
--- a/crates/sparrouter-lab/src/stand_ins/peer_network.rs
+++ b/crates/sparrouter-lab/src/stand_ins/peer_network.rs
@@ -12,6 +12,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+/// The sockets between nodes, and what becomes of datagrams there.
 pub struct PeerNetwork {
     /// What nodes know as each other's addresses.
     pub peers: Vec<SocketAddr>,
@@ -41,6 +42,7 @@
 }
 
 impl PeerNetwork {
+    /// Binds one socket for each node that the scenario ever has.
     pub fn start(lab: &Arc<Lab>) -> std::io::Result<PeerNetwork> {
         let count = lab.scenario.most_nodes();
         let now = Arc::new(Mutex::new(NetworkConditions {
@@ -82,13 +84,16 @@
         });
         Ok(PeerNetwork { peers, listen, now })
     }
+    /// Sets the part that is lost, and the additional delay in ms.
     pub fn set(&self, lost_part: f64, delay_ms: f64) {
         let mut now = self.now.lock().expect("not poisoned");
         (now.lost_part, now.delay_ms) = (lost_part, delay_ms);
     }
+    /// Sends forged quota requests in this node's name, or no longer.
     pub fn set_liar(&self, node: Option<usize>) {
         self.now.lock().expect("not poisoned").liar = node;
     }
+    /// Separates the first `first` nodes from the others; `one_way`: only datagrams towards the first are lost.
     pub fn partition(&self, first: usize, one_way: bool) {
         let mut now = self.now.lock().expect("not poisoned");
         (now.partitioned_nodes, now.one_way) = (first, one_way);
--- a/crates/sparrouter-lab/src/workers.rs
+++ b/crates/sparrouter-lab/src/workers.rs
@@ -13,6 +13,7 @@
 
 type Job = Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = ()>>> + Send>;
 
+/// A pool of threads, each with a runtime of its own.
 #[derive(Clone)]
 pub struct Workers(Arc<WorkerPool>);
 
@@ -24,6 +25,7 @@
 }
 
 impl Workers {
+    /// Starts at least one thread; `name` is the prefix of their names.
     pub fn start(name: &str, count: usize) -> Workers {
         let (stop, stopped) = watch::channel(false);
         let (mut inboxes, mut threads) = (Vec::new(), Vec::new());
@@ -47,6 +49,7 @@
         }))
     }
 
+    /// Number of threads.
     pub fn count(&self) -> usize {
         self.0.inboxes.len()
     }
@@ -56,6 +59,7 @@
         let next = self.0.next.fetch_add(1, Relaxed);
         self.run_on(next, job);
     }
+    /// On this worker, counted round.
     pub fn run_on<F: Future<Output = ()> + 'static>(
         &self,
         worker: usize,
