--- a/crates/sparrouter-lab/src/ledger/audit.rs
+++ b/crates/sparrouter-lab/src/ledger/audit/mod.rs
@@ -1,19 +1,21 @@
-//! The four rules, judged from whole lives. What can't be judged is counted by its reason.
-use super::{
-    ClientAttempt, ClientOutcome, ForwardOutcome, Invocation, ORIGIN, ObservedForward, Record,
-};
+//! The four rules, judged from complete records of invocations. What can't be judged is counted by its reason.
+mod answers;
+mod drains;
+mod effects;
+
+use super::{ForwardOutcome, Invocation, ORIGIN, ObservedForward, Record};
 use crate::scenario::arrivals::operation_of;
 use crate::scenario::faults::{Fault, LinkFault};
 use crate::scenario::schedule::Listed;
-use crate::scenario::{Before, Effect, Operation, Scenario};
+use crate::scenario::{Before, Operation, Scenario};
 use crate::{MS, Nanos, SECOND, nanos};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Of each kind of breach so many are listed; all are counted.
+/// Breaches of one kind that are listed, at the most; all are counted.
 const LISTED: usize = 20;
 
-/// What a starved lab can't tell from a breach is none.
+/// Counted for what a starved lab can't tell from a breach.
 const LAB_STALLED: &str = "the lab stood still meanwhile";
 
 /// One way in which a rule is broken.
@@ -113,7 +115,7 @@
     blind: bool,
     /// A node's going away comes late through links.
     linked: bool,
-    /// By node and cache server: what it was told when.
+    /// By node and cache server: when discovery sent which state.
     notified: HashMap<(u16, u32), Vec<(Nanos, Listed)>>,
     known: HashMap<u32, Vec<(Nanos, Listed)>>,
     /// Spans in which discovery refused all calls: then no subscription is silent, there is none.
@@ -300,226 +302,6 @@
         }
     }
 
-    fn judge_answer(&mut self, id: u64, a: &ClientAttempt, op: &Operation, life: &Invocation) {
-        let timeout = op.client_timeout_ms * MS;
-        let Some(written) = a.written_at else { return };
-        match a.outcome {
-            ClientOutcome::Closed if self.killed_between(a.node, written, a.ended_at) => {
-                self.count_unjudged("its node was killed")
-            }
-            ClientOutcome::Silent if self.killed_between(a.node, written, a.ended_at) => {
-                self.count_unjudged("its node was killed")
-            }
-            ClientOutcome::Closed => {
-                let what = "the connection ended with no whole answer".to_string();
-                self.add_breach(Breach::NoAnswer, a.ended_at, Some(id), what);
-            }
-            ClientOutcome::Silent => {
-                let what = format!("nothing within {} ms", op.client_timeout_ms);
-                self.add_breach(Breach::NoAnswer, a.ended_at, Some(id), what);
-            }
-            ClientOutcome::Left => self.count_unjudged("its client left first"),
-            ClientOutcome::Unconnected => {}
-            ClientOutcome::Succeeded
-            | ClientOutcome::Foreign
-            | ClientOutcome::Throttled
-            | ClientOutcome::Errored => {
-                let latest = written + timeout + self.answer_slack;
-                if a.ended_at > latest && a.ended_at.saturating_sub(a.end_lag) <= latest {
-                    self.count_unjudged(LAB_STALLED);
-                } else if a.ended_at > latest {
-                    let late = (a.ended_at - written - timeout) / MS;
-                    self.add_breach(
-                        Breach::AnsweredLate,
-                        a.ended_at,
-                        Some(id),
-                        format!("{late} ms past the client timeout"),
-                    );
-                }
-                let after = a.ended_at + self.slack;
-                let behind = life.forwards.iter().filter(|f| f.first_byte_at > after);
-                let (clear, unclear): (Vec<&ObservedForward>, Vec<_>) =
-                    behind.partition(|f| f.earliest_first_byte_at() > after);
-                unclear
-                    .iter()
-                    .for_each(|_| self.count_unjudged(LAB_STALLED));
-                if let Some(f) = clear.first() {
-                    let what = format!(
-                        "{} ms later to {}",
-                        (f.first_byte_at - a.ended_at) / MS,
-                        name(f.to)
-                    );
-                    self.add_breach(Breach::SentAfterAnswer, f.first_byte_at, Some(id), what);
-                }
-            }
-        }
-        let good = |f: &&ObservedForward| {
-            matches!(f.outcome, ForwardOutcome::Done | ForwardOutcome::Repeat)
-        };
-        let made = life
-            .forwards
-            .iter()
-            .filter(good)
-            .any(|f| f.earliest_end_at() <= a.ended_at + self.slack);
-        if a.outcome == ClientOutcome::Foreign || a.outcome == ClientOutcome::Succeeded && !made {
-            let what = "no cache server made this answer for it".to_string();
-            self.add_breach(Breach::AnsweredWithNobodysValue, a.ended_at, Some(id), what);
-        }
-    }
-
-    fn judge_effects(&mut self, id: u64, a: &ClientAttempt, op: &Operation, life: &Invocation) {
-        let mut all: Vec<&ObservedForward> = life
-            .forwards
-            .iter()
-            .filter(|f| f.complete_at.is_some())
-            .collect();
-        all.sort_by_key(|f| f.complete_at);
-        if op.effect != Effect::Idempotent && all.iter().filter(|f| f.ran).count() > 1 {
-            self.add_breach(
-                Breach::EffectTwice,
-                a.ended_at,
-                Some(id),
-                format!("{} ran twice", op.name),
-            );
-        }
-        for (n, later) in all.iter().enumerate() {
-            let whole = later.complete_at.unwrap_or_default();
-            let earlier = &all[..n];
-            if let Some(first) = earlier.iter().find(|f| f.may_have_run()) {
-                let from = first.complete_at.unwrap_or_default();
-                let to = format!(
-                    "to {} after {} ({:?})",
-                    name(later.to),
-                    name(first.to),
-                    first.outcome
-                );
-                match op.effect {
-                    Effect::Idempotent => {}
-                    Effect::NonIdempotent => {
-                        self.add_breach(Breach::ForwardedAgain, whole, Some(id), to)
-                    }
-                    Effect::Deduplicated if whole > from + op.window_ms * MS + self.slack => {
-                        self.add_breach(Breach::RepeatedOutsideWindow, whole, Some(id), to);
-                    }
-                    Effect::Deduplicated => {}
-                }
-            }
-            // What a stand-in ended itself was over before the node could know; that the node has gone
-            // away may be seen here later than it did so.
-            let over = |f: &&&ObservedForward| {
-                let gone = self.linked
-                    || matches!(f.outcome, ForwardOutcome::Withdrawn | ForwardOutcome::Open);
-                f.ended_at > whole + if gone { self.slack } else { 0 }
-            };
-            // When one was sent that its stand-in saw only once it was withdrawn, nobody can tell.
-            if later.withdrawn_unseen && !earlier.is_empty() {
-                self.count_unjudged(
-                    "overlaps of forwards withdrawn before their stand-in saw them",
-                );
-                continue;
-            }
-            let over = earlier.iter().filter(|f| !f.withdrawn_unseen).find(over);
-            if let Some(first) = over.filter(|_| !self.second_copies) {
-                let gone = self.linked
-                    || matches!(
-                        first.outcome,
-                        ForwardOutcome::Withdrawn | ForwardOutcome::Open
-                    );
-                if gone && first.earliest_end_at() <= whole + self.slack {
-                    self.count_unjudged(LAB_STALLED);
-                } else if self.blind {
-                    self.count_unjudged("overlaps behind links that lose bytes");
-                } else {
-                    let by = (first.ended_at - whole) / MS;
-                    let what = format!(
-                        "to {} while out at {}, {:?} {by} ms later",
-                        name(later.to),
-                        name(first.to),
-                        first.outcome
-                    );
-                    self.add_breach(Breach::Overlapping, whole, Some(id), what);
-                }
-            }
-        }
-        let before = |f: &&&ObservedForward| {
-            f.may_have_run() && f.complete_at.is_some_and(|w| w < a.ended_at)
-        };
-        if a.outcome == ClientOutcome::Throttled
-            && op.effect == Effect::NonIdempotent
-            && let Some(f) = all.iter().find(before)
-        {
-            let what = format!("after {} ({:?})", name(f.to), f.outcome);
-            self.add_breach(
-                Breach::ThrottledThoughItMayHaveRun,
-                a.ended_at,
-                Some(id),
-                what,
-            );
-        }
-    }
-
-    /// So long after discovery knew, or after it answers again where it was away meanwhile.
-    fn notified_deadline(&self, known: Nanos) -> Nanos {
-        let told = known + self.informed;
-        let away = self.away.iter().filter(|a| a.0 < told && a.1 > known);
-        away.fold(told, |told, a| told.max(a.1.saturating_add(self.informed)))
-    }
-
-    /// Told at the latest when discovery has known for so long: a silent subscription counts as informed.
-    fn judge_drain(&mut self, id: u64, a: &ClientAttempt, f: &ObservedForward) {
-        if f.to == ORIGIN {
-            return;
-        }
-        let told = self.notified.get(&(a.node, f.to)).map_or(&[][..], |t| t);
-        let known = self.known.get(&f.to).map_or(&[][..], |k| k);
-        // Word that came in time, of this or of something newer, makes the latest moment for it moot.
-        let not_notified_in_time = |at: Nanos| {
-            !told
-                .iter()
-                .any(|t| (at..=self.notified_deadline(at)).contains(&t.0))
-        };
-        let known = known
-            .iter()
-            .filter(|k| not_notified_in_time(k.0))
-            .map(|(at, l)| (self.notified_deadline(*at), *l));
-        let mut all: Vec<(Nanos, Listed)> = told.iter().copied().chain(known).collect();
-        all.sort_by_key(|t| t.0);
-        // What it knew a grace before, and whether it was told better since.
-        // Where the lab stood still it may have come at any moment of that: only what is late either way counts.
-        let Some(bar) = f
-            .earliest_first_byte_at()
-            .checked_sub(self.grace + self.slack)
-        else {
-            return;
-        };
-        let then = all.iter().rfind(|t| t.0 <= bar);
-        let bar_known = bar.saturating_sub(self.informed);
-        let drained = self
-            .known
-            .get(&f.to)
-            .and_then(|k| k.iter().rfind(|k| k.0 <= bar_known));
-        let drained = drained.is_some_and(|k| k.1 != Listed::Ready);
-        if drained
-            && self
-                .away
-                .iter()
-                .any(|a| (a.0..a.1.saturating_add(self.informed)).contains(&f.first_byte_at))
-        {
-            self.count_unjudged("sent to a drained cache server while discovery was away");
-        }
-        let since = all
-            .iter()
-            .any(|t| t.0 > bar && t.0 <= f.first_byte_at && t.1 == Listed::Ready);
-        if let Some((at, listed)) = then.filter(|t| t.1 != Listed::Ready && !since) {
-            let what = format!(
-                "to {}, {} ms after word of {listed:?}",
-                name(f.to),
-                (f.first_byte_at - at) / MS
-            );
-            self.add_breach(Breach::SentToDrained, f.first_byte_at, Some(id), what);
-        }
-    }
-
     /// Ends the audit; judges stops of the origin, which need all records.
     pub fn verdict(mut self) -> Verdict {
         for at in std::mem::take(&mut self.stops) {
