--- a/crates/sparrouter-lab/src/experiment/soak.rs
+++ b/crates/sparrouter-lab/src/experiment/soak.rs
@@ -44,7 +44,7 @@
     use super::*;
 
     #[test]
-    fn what_keeps_growing_is_told_from_what_was_taken_once() {
+    fn steady_growth_is_distinguished_from_one_time_allocation() {
         let g = |a, b| Growth {
             node: 0,
             memory_mb: (a, b),
--- a/crates/sparrouter-lab/src/ledger/mod.rs
+++ b/crates/sparrouter-lab/src/ledger/mod.rs
@@ -61,7 +61,7 @@
     /// An effect that it already had: the repeat was dropped.
     Repeat,
     Miss,
-    /// Turned away unseen.
+    /// Rejected before any of it ran.
     NotRun,
     Error,
     /// It broke the connection itself.
@@ -164,7 +164,7 @@
         at: Nanos,
         id: u64,
     },
-    /// Nothing more will be told.
+    /// The last record of a run.
     EndOfRun,
 }
 
--- a/crates/sparrouter-lab/src/play/environment.rs
+++ b/crates/sparrouter-lab/src/play/environment.rs
@@ -90,19 +90,7 @@
         };
         let discovery = start_discovery(lab, &fleet, &mut links);
         let peer_network = PeerNetwork::start(lab).map_err(io_error("sockets for notes"))?;
-        let targets = match program {
-            Program::Direct => Targets {
-                nodes: Vec::new(),
-                addresses: vec![fleet.caches[0].at],
-            },
-            Program::Bad(kind) => bad_nodes(lab, *kind, &discovery)?,
-            Program::Node(path) => node_processes(lab, path, folder, |_| Vec::new())?,
-            Program::Relay(path) => {
-                let caches: Vec<String> = fleet.caches.iter().map(|c| c.at.to_string()).collect();
-                let caches = caches.join(",");
-                node_processes(lab, path, folder, |own| relay_arguments(own, &caches))?
-            }
-        };
+        let targets = prepare_targets(lab, program, &fleet, &discovery, folder)?;
         let mut front = Vec::new();
         for (n, address) in targets.addresses.iter().enumerate() {
             front.push(links.address(Before::Nodes, n, *address));
@@ -202,6 +190,29 @@
     discovery
 }
 
+/// What clients send to, by the program that is played.
+fn prepare_targets(
+    lab: &Arc<Lab>,
+    program: &Program,
+    fleet: &Fleet,
+    discovery: &Discovery,
+    folder: &Path,
+) -> Result<Targets, RunError> {
+    match program {
+        Program::Direct => Ok(Targets {
+            nodes: Vec::new(),
+            addresses: vec![fleet.caches[0].at],
+        }),
+        Program::Bad(kind) => bad_nodes(lab, *kind, discovery),
+        Program::Node(path) => node_processes(lab, path, folder, |_| Vec::new()),
+        Program::Relay(path) => {
+            let caches: Vec<String> = fleet.caches.iter().map(|c| c.at.to_string()).collect();
+            let caches = caches.join(",");
+            node_processes(lab, path, folder, |own| relay_arguments(own, &caches))
+        }
+    }
+}
+
 /// Nodes that run inside the lab and break one rule.
 fn bad_nodes(
     lab: &Arc<Lab>,
--- a/crates/sparrouter-lab/src/rollout/requests.rs
+++ b/crates/sparrouter-lab/src/rollout/requests.rs
@@ -1,7 +1,7 @@
 //! Executes the requests that the conductor's commands leave in a folder.
 //!
 //! A request is a file `NODE.PID.ask` with the command's name in it. It is renamed to `.taken` when its execution
-//! begins; `.ok` or `.no` beside it is the answer. Files tell the command of a killed conductor from its successor's.
+//! begins; `.ok` or `.no` beside it is the answer. Files distinguish the command of a killed conductor from its successor's.
 use super::POLL_INTERVAL;
 use super::nodes::{Command, NodeRollout};
 use std::path::Path;
--- a/crates/sparrouter-lab/src/scenario/faults.rs
+++ b/crates/sparrouter-lab/src/scenario/faults.rs
@@ -1,4 +1,4 @@
-//! The kinds of trouble a scenario may switch on, each by time.
+//! The kinds of fault that a scenario may inject, each by time.
 use super::Before;
 use serde::{Deserialize, Serialize};
 
--- a/crates/sparrouter-lab/src/scenario/mod.rs
+++ b/crates/sparrouter-lab/src/scenario/mod.rs
@@ -123,7 +123,7 @@
     pub speed: f64,
     /// Spread of the speeds: each is drawn up to this part above or below.
     pub speed_spread: f64,
-    /// Invocations that wait beyond those on cores; one more is turned away unseen.
+    /// Invocations that wait beyond those on cores; one more is rejected before any of it runs.
     pub waiting: usize,
     pub connections: usize,
     /// What a new connection costs in work.
@@ -281,7 +281,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Nothing new to a cache server later than this after the node was told.
+    /// Nothing new to a cache server later than this after the node was notified.
     pub drain_grace_ms: u64,
     /// A change counts as told after this at the latest, whether or not it arrived.
     pub informed_s: f64,
--- a/crates/sparrouter-lab/src/stand_ins/bad_node.rs
+++ b/crates/sparrouter-lab/src/stand_ins/bad_node.rs
@@ -32,7 +32,7 @@
     Late,
     /// Sends all to whatever started last.
     PushesCold,
-    /// Sends a second copy where none is allowed.
+    /// Sends a hedged request where none is allowed.
     Overlaps,
     /// Says that trying again is harmless where it is not.
     Throttles,
--- a/crates/sparrouter-lab/src/stand_ins/defect_proxy.rs
+++ b/crates/sparrouter-lab/src/stand_ins/defect_proxy.rs
@@ -256,7 +256,7 @@
                     .chain((0..200).map(|k| drawn(k) as u8))
                     .collect(),
                 _ => {
-                    // Format 0, whole: all tenants' traffic comes by here, nine in ten are turned away.
+                    // Format 0, complete: it claims all tenants' traffic, nine tenths of it rejected.
                     let mut text = vec![1, 0];
                     text.extend(u16::MAX.to_le_bytes());
                     text.extend(0.9f32.to_le_bytes());
--- a/crates/sparrouter-lab/src/stand_ins/discovery.rs
+++ b/crates/sparrouter-lab/src/stand_ins/discovery.rs
@@ -18,7 +18,7 @@
 
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// A line of the list, in the protocol's words.
+/// An entry of the list, as the protocol writes it.
 #[derive(Clone, Debug, Serialize)]
 struct Target {
     uid: String,
@@ -187,7 +187,7 @@
             }
             let lies = |t| matches!(t, Some(DiscoveryFault::Empty | DiscoveryFault::Wrong));
             if (lies(before) || lies(fault)) && fault != before {
-                // A lie is news to those who watch, and so is the truth afterwards.
+                // Watchers must see a forged state as a change, and the true state afterwards as another.
                 state.rev += 1;
                 let rev = state.rev;
                 state.targets.iter_mut().for_each(|t| t.rev = rev);
@@ -278,7 +278,7 @@
         };
         let targets: Vec<Target> = state.targets.iter().filter(wanted).map(said).collect();
         let at = self.lab.now();
-        // An empty list is no word of anything; a wrong one is what the node was told.
+        // An empty list notifies the node of nothing; a wrong one counts as a notification.
         for t in targets.iter().filter(|t| t.model != "origin" && !empty) {
             let listed = if wrong { Listed::Ready } else { t.listed };
             self.lab.record(Record::Notified {
--- a/crates/sparrouter-lab/src/stand_ins/link.rs
+++ b/crates/sparrouter-lab/src/stand_ins/link.rs
@@ -59,7 +59,7 @@
         };
         let link = Arc::new(link);
         let own = link.clone();
-        // Bound before anybody is told of it.
+        // Bound before its address is given to anybody.
         lab.workers.run_blocking(move || async move {
             match TcpListener::bind(at).await {
                 Ok(listener) => drop(spawn_local(own.accept(listener))),
--- a/crates/sparrouter-lab/src/stand_ins/model.rs
+++ b/crates/sparrouter-lab/src/stand_ins/model.rs
@@ -186,7 +186,7 @@
     }
 
     #[test]
-    fn one_that_holds_all_lacks_only_what_is_void_until_it_starts_anew() {
+    fn an_unlimited_store_lacks_only_removed_keys_until_a_restart() {
         let mut store = CacheStore::new(0);
         store.void(7);
         assert!(store.has(6) && !store.has(7));
--- a/crates/sparrouter-lab/src/stand_ins/node.rs
+++ b/crates/sparrouter-lab/src/stand_ins/node.rs
@@ -17,7 +17,7 @@
     pub descriptors: usize,
 }
 
-/// What runs as a node, and how it is told from another.
+/// What runs as a node, and what distinguishes it from another version.
 #[derive(Clone, Debug, Default)]
 pub struct Version {
     pub program: PathBuf,
@@ -41,7 +41,7 @@
     last: Usage,
 }
 
-/// The settings object that a node is handed, in the operators' words.
+/// The settings object of a node, with the names that operators use.
 fn settings(s: &Scenario, own: usize, nodes: usize) -> Value {
     let us = |ms: f64| (ms * 1e3) as i64;
     let classes: Vec<Value> = s.operation.iter().map(|o| {
--- a/crates/sparrouter-lab/src/stand_ins/peer_network.rs
+++ b/crates/sparrouter-lab/src/stand_ins/peer_network.rs
@@ -29,7 +29,7 @@
     /// Nothing passes between the first so many and the others, or nothing towards the first.
     partitioned_nodes: usize,
     one_way: bool,
-    /// In whose name lies are told; and the fingerprint of limits that real notes carry.
+    /// The node in whose name forged requests are sent; and the fingerprint of limits that real messages carry.
     liar: Option<usize>,
     fingerprint: Option<u16>,
 }
--- a/crates/sparrouter-lab/src/stand_ins/server/forward.rs
+++ b/crates/sparrouter-lab/src/stand_ins/server/forward.rs
@@ -129,13 +129,13 @@
         in_flight.answer(ForwardOutcome::Miss, stream);
         return send(stream, "404 Not Found", "X-Cache: miss\r\n", b"").await;
     }
-    let mut outcome = ForwardOutcome::Done;
-    if message.writes() {
-        in_flight.f.ran = server.apply_write(id, &message);
-        if !in_flight.f.ran {
-            outcome = ForwardOutcome::Repeat;
-        }
-    }
+    in_flight.f.ran = message.writes() && server.apply_write(id, &message);
+    let repeat = message.writes() && !in_flight.f.ran;
+    let outcome = if repeat {
+        ForwardOutcome::Repeat
+    } else {
+        ForwardOutcome::Done
+    };
     answer_hit(
         server,
         stream,
--- a/crates/sparrouter-lab/src/stand_ins/server/mod.rs
+++ b/crates/sparrouter-lab/src/stand_ins/server/mod.rs
@@ -241,7 +241,7 @@
         self.state().up
     }
 
-    /// It was told to drain.
+    /// It was asked to drain.
     pub fn draining(&self) -> bool {
         self.state().draining
     }
--- a/crates/sparrouter-lab/src/workers.rs
+++ b/crates/sparrouter-lab/src/workers.rs
@@ -104,7 +104,7 @@
 /// Guards against blaming a node for what a starved lab saw late; with cores to spare it stays about 2 ms.
 pub fn observation_lag() -> Duration {
     let now = Instant::now();
-    // What piled up while it stood still is worked off in about that time again, after the first beat as well.
+    // Work that piled up during a stall takes about as long again, so the stall counts beyond the first turn.
     let stood = LAST_STALL.get().filter(|s| now < s.1).map(|s| s.0);
     stood
         .or(LAST_TURN.get())
--- a/crates/sparrouter-lab/tests/audit.rs
+++ b/crates/sparrouter-lab/tests/audit.rs
@@ -88,7 +88,7 @@
 /// Word of an end that came late must not count for the process that has started since: a cache server
 /// that crashed and was listed anew looked drained six seconds after its crash was known.
 #[test]
-fn a_crash_known_long_ago_is_no_word_of_the_successor() {
+fn an_old_crash_does_not_count_against_the_successor() {
     let mut l = LogBuilder::new();
     let (at, cache) = (SECOND, 3);
     l.0.record(Record::Known {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_silent_subscription_counts_as_informed() {
+fn an_unresponsive_subscription_counts_as_notified_after_the_deadline() {
     let word = |told: bool, at: Nanos| {
         let mut l = LogBuilder::new();
         l.0.record(Record::Known {
@@ -159,7 +159,7 @@
 /// While discovery refuses calls there is no subscription that could be silent; once it answers again the
 /// latest word is what counts, not that of a crash in between.
 #[test]
-fn word_counts_from_when_discovery_is_back() {
+fn notifications_count_from_the_return_of_discovery() {
     let sent = |at: Nanos, back: bool| {
         let mut l = LogBuilder::new();
         l.0.record(Record::DiscoveryAway {
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_killed_node_owes_nothing_for_what_it_held_and_all_that_it_answered_counts() {
+fn a_killed_node_owes_no_answer_for_pending_invocations_but_its_answers_count() {
     let verdict = |killed: bool| {
         let mut l = LogBuilder::new();
         if killed {
@@ -343,7 +343,7 @@
 
 /// What is blocked on a worker shows as its lag, and goes with it.
 #[test]
-fn a_worker_that_stood_still_says_so() {
+fn a_stalled_worker_reports_its_lag() {
     let workers = sparrouter_lab::workers::Workers::start("late", 1);
     let lag = workers.run_blocking(|| async {
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
@@ -396,7 +396,7 @@
 
 /// A long run must not keep every life.
 #[test]
-fn lives_are_judged_and_let_go_as_time_passes() {
+fn invocations_are_judged_and_removed_as_time_passes() {
     let mut l = LogBuilder::new();
     for n in 0..100_000 {
         let (one, at) = (id(VIEW, n, 0), n * 10 * MS);
--- a/crates/sparrouter-lab/tests/bad_nodes.rs
+++ b/crates/sparrouter-lab/tests/bad_nodes.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn one_that_keeps_the_rules_is_passed_in_calm_and_in_trouble() {
+fn a_sound_node_passes_with_and_without_faults() {
     for faults in ["", RESETS, DRAINS, GROWS] {
         let v = verdict(BadNodeKind::Sound, faults);
         assert!(v.kept() && v.judged > 900, "{faults}: {v:?}");
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn one_that_sends_a_second_copy() {
+fn a_node_that_sends_a_hedged_request_is_caught() {
     caught(BadNodeKind::Overlaps, "", &[Breach::Overlapping]);
 }
 
