--- a/crates/sparrouter-lab/src/experiment/changes.rs
+++ b/crates/sparrouter-lab/src/experiment/changes.rs
@@ -1,16 +1,16 @@
 //! One scenario with a change in stages, played with each bad version in turn: by the conductor, one node after
 //! another without a judge, and all at once.
-use crate::play::{Failed, Program, Run, play};
+use crate::play::{Program, Run, RunError, play};
 use crate::report;
 use crate::scenario::Scenario;
-use crate::scenario::rollout::{How, Plant, Rollout};
+use crate::scenario::rollout::{Defect, Rollout, RolloutMode};
 use std::path::Path;
 use std::sync::Mutex;
 
 /// What the new state does wrong: a planted version, or settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Case {
-    Planted(Plant),
+    Defect(Defect),
     /// Gives up whatever is not there at once.
     Hasty,
     /// Takes many times its part of what cold cache servers may be sent: bad only in sum, if at all.
@@ -20,19 +20,21 @@
 }
 
 impl Case {
+    /// Every case, in the order of the report.
     pub fn all() -> Vec<Case> {
-        let plants = <Plant as clap::ValueEnum>::value_variants()
+        let plants = <Defect as clap::ValueEnum>::value_variants()
             .iter()
-            .map(|p| Case::Planted(*p));
+            .map(|p| Case::Defect(*p));
         plants
             .chain([Case::Hasty, Case::Greedy, Case::Refused])
             .collect()
     }
 
+    /// The name that the command line takes.
     pub fn name(&self) -> String {
         match self {
-            Case::Planted(Plant::None) => "sound".into(),
-            Case::Planted(plant) => {
+            Case::Defect(Defect::None) => "sound".into(),
+            Case::Defect(plant) => {
                 let word = clap::ValueEnum::to_possible_value(plant);
                 word.map_or(String::new(), |w| w.get_name().to_string())
             }
@@ -46,9 +48,10 @@
         toml::from_str(text).expect("a fixed text")
     }
 
-    pub fn put(&self, change: &mut Rollout) {
+    /// Makes a rollout one of this case.
+    pub fn apply(&self, change: &mut Rollout) {
         match self {
-            Case::Planted(plant) => change.plant = *plant,
+            Case::Defect(plant) => change.plant = *plant,
             Case::Hasty => {
                 change.settings = Case::fields("Limits = { MaxAttempts = 1 }\nTickUs = 300000")
             }
@@ -60,10 +63,11 @@
     }
 }
 
-pub struct Played {
+/// One case in one way of rolling out, and its run.
+pub struct PlayedCase {
     pub case: Case,
-    pub how: How,
-    pub run: Result<Run, Failed>,
+    pub how: RolloutMode,
+    pub run: Result<Run, RunError>,
 }
 
 /// Each case in each way, so many at once. `done` hears of each as it ends; they come back in order.
@@ -71,12 +75,12 @@
     scenario: &Scenario,
     program: &Program,
     cases: &[Case],
-    hows: &[How],
+    hows: &[RolloutMode],
     jobs: usize,
     folder: &Path,
-    done: impl Fn(&Played) + Sync,
-) -> Vec<Played> {
-    let all: Vec<(usize, Case, How)> = cases
+    done: impl Fn(&PlayedCase) + Sync,
+) -> Vec<PlayedCase> {
+    let all: Vec<(usize, Case, RolloutMode)> = cases
         .iter()
         .flat_map(|c| hows.iter().map(|h| (*c, *h)))
         .enumerate()
@@ -93,13 +97,13 @@
                     let mut s = scenario.clone();
                     let mut change = s.rollout.take().unwrap_or_default();
                     change.how = how;
-                    case.put(&mut change);
+                    case.apply(&mut change);
                     s.rollout = Some(change);
                     let word = format!("{how:?}").to_lowercase();
                     let own = folder.join(format!("{}-{word}", case.name()));
                     let run = play(&s, program, &own, |_| {});
                     let run = run.and_then(|run| report::write(&run, &own).map(|_| run));
-                    let played = Played { case, how, run };
+                    let played = PlayedCase { case, how, run };
                     done(&played);
                     ended.lock().expect("not poisoned").push((n, played));
                 }
--- a/crates/sparrouter-lab/src/http.rs
+++ b/crates/sparrouter-lab/src/http.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// Method and target, or version and status.
-    pub first: (String, String),
+    pub start_line: (String, String),
     pub id: Option<u64>,
-    pub mark: Option<u64>,
+    pub idempotency_key: Option<u64>,
     pub not_run: bool,
     pub retry_after_s: Option<f64>,
     pub deadline_ms: Option<u64>,
@@ -18,16 +18,18 @@
 }
 
 impl Message {
+    /// Status of a reply; 0 where there is none.
     pub fn status(&self) -> u16 {
-        self.first.1.parse().unwrap_or(0)
+        self.start_line.1.parse().unwrap_or(0)
     }
     /// Last part of the path.
     pub fn key(&self) -> u64 {
-        let last = self.first.1.rsplit('/').next().unwrap_or_default();
+        let last = self.start_line.1.rsplit('/').next().unwrap_or_default();
         u64::from_str_radix(last, 16).unwrap_or(0)
     }
+    /// A request that changes a value.
     pub fn writes(&self) -> bool {
-        self.first.0 == "PUT"
+        self.start_line.0 == "PUT"
     }
 }
 
@@ -36,7 +38,7 @@
 }
 
 /// A whole message at the front of the buffer, taken out of it. Err where it can't be one.
-pub fn take(buffer: &mut BytesMut) -> Result<Option<Message>, &'static str> {
+pub fn parse(buffer: &mut BytesMut) -> Result<Option<Message>, &'static str> {
     let Some(end) = buffer
         .windows(4)
         .position(|w| w == b"\r\n\r\n")
@@ -56,7 +58,7 @@
         words.next().ok_or("a first line of one word")?,
     );
     let mut m = Message {
-        first: (first.0.into(), first.1.into()),
+        start_line: (first.0.into(), first.1.into()),
         ..Message::default()
     };
     let mut length = 0;
@@ -67,7 +69,7 @@
         } else if name.eq_ignore_ascii_case("x-request-id") {
             m.id = hex(value);
         } else if name.eq_ignore_ascii_case("idempotency-key") {
-            m.mark = hex(value);
+            m.idempotency_key = hex(value);
         } else if name.eq_ignore_ascii_case("x-not-run") {
             m.not_run = value == "1";
         } else if name.eq_ignore_ascii_case("retry-after") {
@@ -88,7 +90,7 @@
 
 /// How reading ended without a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum ReadError {
     /// Closed between messages.
     Closed,
     /// Reset between messages: what was sent last was never read.
@@ -104,12 +106,12 @@
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
     mut begun: impl FnMut(),
-) -> Result<Message, Ended> {
+) -> Result<Message, ReadError> {
     if !buffer.is_empty() {
         begun();
     }
     loop {
-        if let Some(message) = take(buffer).map_err(Ended::Bad)? {
+        if let Some(message) = parse(buffer).map_err(ReadError::Bad)? {
             return Ok(message);
         }
         let fresh = buffer.is_empty();
@@ -119,12 +121,19 @@
                     begun();
                 }
             }
-            Ok(_) if fresh => return Err(Ended::Closed),
-            _ => return Err(if fresh { Ended::Reset } else { Ended::Broken }),
+            Ok(_) if fresh => return Err(ReadError::Closed),
+            _ => {
+                return Err(if fresh {
+                    ReadError::Reset
+                } else {
+                    ReadError::Broken
+                });
+            }
         }
     }
 }
 
+/// Writes all of the text; false where the connection broke.
 pub async fn write(stream: &mut TcpStream, text: &[u8]) -> bool {
     stream.write_all(text).await.is_ok()
 }
@@ -142,19 +151,20 @@
 
 /// What a connection holds at this moment, past what the runtime has been told of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Peeked {
+pub enum PeekResult {
     Nothing,
     Bytes,
     Ended,
 }
 
-pub fn peek(stream: &TcpStream) -> Peeked {
+/// Looks at what a connection holds without taking it.
+pub fn probe(stream: &TcpStream) -> PeekResult {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match socket2::SockRef::from(stream).peek(&mut byte) {
-        Ok(0) => Peeked::Ended,
-        Ok(_) => Peeked::Bytes,
-        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => Peeked::Nothing,
-        Err(_) => Peeked::Ended,
+        Ok(0) => PeekResult::Ended,
+        Ok(_) => PeekResult::Bytes,
+        Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => PeekResult::Nothing,
+        Err(_) => PeekResult::Ended,
     }
 }
 
--- a/crates/sparrouter-lab/src/report/plots.rs
+++ b/crates/sparrouter-lab/src/report/plots.rs
@@ -1,5 +1,5 @@
 //! Plots over one time axis, as SVG text. Faults are bands behind the curves.
-use crate::ledger::figures::{Piece, Quantiles};
+use crate::ledger::figures::{Quantiles, TimeSlice};
 use crate::play::{Run, Sample};
 use plotters::coord::ranged1d::{AsRangedCoord, Ranged, ValueFormatter};
 use plotters::prelude::*;
@@ -16,11 +16,13 @@
     RGBColor(127, 127, 127),
 ];
 
+/// Name, and points of time in seconds and value.
 pub type Curve = (String, Vec<(f64, f64)>);
 /// CPU, memory, descriptors.
 type Use = (f64, f64, usize);
 type Drawn = Result<(), Box<dyn std::error::Error>>;
 
+/// A plot with its heading.
 pub struct Plot {
     pub title: &'static str,
     pub svg: String,
@@ -130,7 +132,7 @@
         * 1.08
 }
 
-fn per_s(run: &Run, name: &str, of: impl Fn(&Piece) -> u64) -> Curve {
+fn per_s(run: &Run, name: &str, of: impl Fn(&TimeSlice) -> u64) -> Curve {
     let points = run
         .tally
         .pieces
@@ -249,6 +251,7 @@
     (0..nodes).map(curve).collect()
 }
 
+/// The plots of a report, in their order.
 pub fn all(run: &Run) -> Vec<Plot> {
     let cpu = by_node(run, |a, b, s| 100.0 * (b.0 - a.0).max(0.0) / s.max(0.01));
     let memory = by_node(run, |_, b, _| b.1);
--- a/crates/sparrouter-lab/src/scenario/arrivals.rs
+++ b/crates/sparrouter-lab/src/scenario/arrivals.rs
@@ -18,7 +18,7 @@
     /// Deals clients out to nodes.
     pub draw: u32,
     /// The client closes its connection after this part of its patience.
-    pub leaves: Option<f32>,
+    pub leaves_after: Option<f32>,
 }
 
 /// Id of an invocation: operation, number and which try of its client it is. Cache servers see nothing
@@ -26,6 +26,7 @@
 pub fn id(operation: u8, number: u64, tried: u8) -> u64 {
     u64::from(operation) << 56 | (number & 0xf_ffff_ffff_ffff) << 4 | u64::from(tried & 15)
 }
+/// Index of the operation of an invocation's id.
 pub fn operation_of(id: u64) -> u8 {
     (id >> 56) as u8
 }
@@ -47,13 +48,14 @@
     scramble(seed ^ (rank as u64) << 20)
 }
 
-struct Hot {
+struct HotKeys {
     from: Nanos,
     to: Nanos,
     part: f64,
     keys: u64,
 }
 
+/// The arrivals of a scenario in the order of time: an iterator.
 pub struct Arrivals {
     rng: ChaCha8Rng,
     seed: u64,
@@ -63,7 +65,7 @@
     rate: f64,
     ramp_to: f64,
     bursts: Vec<(f64, f64, f64)>,
-    hot: Vec<Hot>,
+    hot: Vec<HotKeys>,
     operations: WeightedIndex<f64>,
     tenants: WeightedIndex<f64>,
     keys: Zipf<f64>,
@@ -87,7 +89,7 @@
                     length_s,
                     part,
                     keys,
-                } => hot.push(Hot {
+                } => hot.push(HotKeys {
                     from: nanos(at_s),
                     to: nanos(at_s + length_s),
                     part,
@@ -162,7 +164,8 @@
         }
         let operation = self.operations.sample(&mut self.rng) as u8;
         let tenant = self.tenants.sample(&mut self.rng) as u8;
-        let leaves = (self.rng.random::<f64>() < self.leave_part).then(|| self.rng.random::<f32>());
+        let leaves_after =
+            (self.rng.random::<f64>() < self.leave_part).then(|| self.rng.random::<f32>());
         let draw = self.rng.random();
         let key = key(self.seed, rank);
         Some(Arrival {
@@ -172,7 +175,7 @@
             tenant,
             key,
             draw,
-            leaves,
+            leaves_after,
         })
     }
 }
--- a/crates/sparrouter-lab/src/scenario/mod.rs
+++ b/crates/sparrouter-lab/src/scenario/mod.rs
@@ -14,13 +14,14 @@
 
 /// Why a scenario can't be played; one line a problem, each with file, line and field.
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum ScenarioError {
     #[error("{0}: {1}")]
-    Unread(PathBuf, std::io::Error),
+    Unreadable(PathBuf, std::io::Error),
     #[error("{}", .0.join("\n"))]
-    Wrong(Vec<String>),
+    Problem(Vec<String>),
 }
 
+/// A scenario as its TOML file states it; see [`Scenario::read`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -59,6 +60,7 @@
     pub shares: Option<Shares>,
 }
 
+/// How nodes share tenants' quotas.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Shares {
@@ -80,6 +82,7 @@
     }
 }
 
+/// The nodes under test and their limits.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Nodes {
@@ -110,6 +113,7 @@
     }
 }
 
+/// The cache servers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Caches {
@@ -119,7 +123,7 @@
     pub speed: f64,
     /// Spread of the speeds: each is drawn up to this part above or below.
     pub speed_spread: f64,
-    /// Invocations that wait beyond those on cores; one more is turned away unseen.
+    /// Invocations that wait beyond those on cores; one more is rejected before any of it runs.
     pub waiting: usize,
     pub connections: usize,
     /// What a new connection costs in work.
@@ -158,6 +162,7 @@
     }
 }
 
+/// The origin behind the cache servers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Origin {
@@ -184,6 +189,7 @@
     }
 }
 
+/// How fast discovery learns; each span is in seconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
@@ -204,6 +210,7 @@
     }
 }
 
+/// The network between nodes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Peers {
@@ -222,6 +229,7 @@
     }
 }
 
+/// What clients send.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
@@ -269,10 +277,11 @@
     5.0
 }
 
+/// Bounds of the four rules that the audit judges by.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Nothing new to a cache server later than this after the node was told.
+    /// Nothing new to a cache server later than this after the node was notified.
     pub drain_grace_ms: u64,
     /// A change counts as told after this at the latest, whether or not it arrived.
     pub informed_s: f64,
@@ -299,6 +308,7 @@
     }
 }
 
+/// What repeating an operation does.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
@@ -307,6 +317,7 @@
     NonIdempotent,
 }
 
+/// A kind of invocation.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operation {
@@ -328,6 +339,7 @@
     pub window_ms: u64,
 }
 
+/// Who sends, and its quota.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
@@ -338,6 +350,7 @@
     pub quota_per_s: f64,
 }
 
+/// Groups that a link can stand before.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Before {
@@ -360,13 +373,14 @@
 
 impl Scenario {
     /// Reads and checks; all that is wrong comes back at once.
-    pub fn read(path: &Path) -> Result<Scenario, Unusable> {
-        let text = std::fs::read_to_string(path).map_err(|e| Unusable::Unread(path.into(), e))?;
+    pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
+        let text =
+            std::fs::read_to_string(path).map_err(|e| ScenarioError::Unreadable(path.into(), e))?;
         Scenario::parse(&path.display().to_string(), &text)
     }
 
     /// `file` is the name that errors give.
-    pub fn parse(file: &str, text: &str) -> Result<Scenario, Unusable> {
+    pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
         let read: Result<Scenario, toml::de::Error> = toml::from_str(text);
         let scenario = read.map_err(|e| {
             let line = e
@@ -375,7 +389,7 @@
             // The field is the key of that line, where it has one.
             let key = text.lines().nth(line - 1).and_then(|l| l.split_once('='));
             let field = key.map_or(String::new(), |(k, _)| format!("{}: ", k.trim()));
-            Unusable::Wrong(vec![format!(
+            ScenarioError::Problem(vec![format!(
                 "{file}:{line}: {field}{}",
                 e.message().replace('\n', " ")
             )])
@@ -384,15 +398,15 @@
         if wrong.is_empty() {
             return Ok(scenario);
         }
-        let line = |w: &check::Wrong| {
+        let line = |w: &check::Problem| {
             format!(
                 "{file}:{}: {}: {}",
                 check::line(text, &w.field),
                 w.field,
-                w.why
+                w.reason
             )
         };
-        Err(Unusable::Wrong(wrong.iter().map(line).collect()))
+        Err(ScenarioError::Problem(wrong.iter().map(line).collect()))
     }
 
     /// The operations that are played; one plain read where none is named.
@@ -430,7 +444,7 @@
         counts.fold(self.nodes.count, usize::max)
     }
     /// Longest time that any client waits.
-    pub fn longest_ms(&self) -> u64 {
+    pub fn max_client_timeout_ms(&self) -> u64 {
         self.operation
             .iter()
             .map(|o| o.client_timeout_ms)
--- a/crates/sparrouter-lab/src/stand/bad.rs
+++ b/crates/sparrouter-lab/src/stand_ins/bad_node.rs
@@ -15,8 +15,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
+/// What a bad node does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Kind {
+pub enum BadNodeKind {
     /// Keeps all rules, if slowly.
     Sound,
     /// Answers now and then twice.
@@ -31,7 +32,7 @@
     Late,
     /// Sends all to whatever started last.
     PushesCold,
-    /// Sends a second copy where none is allowed.
+    /// Sends a hedged request where none is allowed.
     Overlaps,
     /// Says that trying again is harmless where it is not.
     Throttles,
@@ -54,7 +55,7 @@
 }
 
 struct Bad {
-    kind: Kind,
+    kind: BadNodeKind,
     lab: Arc<Lab>,
     list: RefCell<Vec<Target>>,
     /// All that were ever listed.
@@ -63,7 +64,7 @@
 }
 
 /// What came back for one forward.
-enum Back {
+enum ForwardResult {
     Value(Vec<u8>),
     Miss,
     NeverRan,
@@ -71,7 +72,7 @@
 }
 
 /// Serves at this address, following discovery at the other.
-pub async fn serve(lab: Arc<Lab>, kind: Kind, at: SocketAddr, discovery: SocketAddr) {
+pub async fn serve(lab: Arc<Lab>, kind: BadNodeKind, at: SocketAddr, discovery: SocketAddr) {
     let bad = Bad {
         kind,
         lab,
@@ -92,7 +93,7 @@
         }
     });
     while let Ok((stream, _)) = listener.accept().await {
-        spawn_local(bad.clone().converse(stream));
+        spawn_local(bad.clone().serve_connection(stream));
     }
 }
 
@@ -125,8 +126,8 @@
         let cache = |t: &&Target| t.model == "cache";
         let name = |t: &Target| t.uid.bytes().fold(0, |h, b| scramble(h ^ u64::from(b)));
         let mut all: Vec<Target> = match self.kind {
-            Kind::Drained => self.ever.borrow().iter().filter(cache).cloned().collect(),
-            Kind::PushesCold => self.list.borrow().iter().filter(cache).cloned().collect(),
+            BadNodeKind::Drained => self.ever.borrow().iter().filter(cache).cloned().collect(),
+            BadNodeKind::PushesCold => self.list.borrow().iter().filter(cache).cloned().collect(),
             _ => {
                 let list = self.list.borrow();
                 list.iter()
@@ -137,7 +138,7 @@
             }
         };
         all.sort_by_key(|t| scramble(name(t) ^ key));
-        if self.kind == Kind::PushesCold {
+        if self.kind == BadNodeKind::PushesCold {
             all.sort_by_key(|t| std::cmp::Reverse(t.boot_ms));
         }
         all.iter().map(|t| t.endpoint).collect()
@@ -150,19 +151,19 @@
             .map(|t| t.endpoint)
     }
     /// True for one in so many.
-    fn now_and_then(&self, every: u64) -> bool {
+    fn every_nth(&self, every: u64) -> bool {
         self.count.set(self.count.get() + 1);
         self.count.get().is_multiple_of(every)
     }
 
-    async fn converse(self: Rc<Self>, mut stream: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, mut stream: TcpStream) {
         let mut buffer = BytesMut::new();
         while let Ok(message) = http::read(&mut stream, &mut buffer, || {}).await {
-            if message.first.1 == "/health/ready" {
+            if message.start_line.1 == "/health/ready" {
                 http::write(&mut stream, &http::reply("200 OK", "", b"ready")).await;
                 continue;
             }
-            if self.kind == Kind::Swallows && self.now_and_then(1000) {
+            if self.kind == BadNodeKind::Swallows && self.every_nth(1000) {
                 return;
             }
             let patience = Duration::from_millis(message.deadline_ms.unwrap_or(1000));
@@ -174,13 +175,13 @@
                 }
                 Err(_) => http::reply("502 Bad Gateway", "", b""),
             };
-            if self.kind == Kind::Late && self.now_and_then(200) {
+            if self.kind == BadNodeKind::Late && self.every_nth(200) {
                 sleep(patience + Duration::from_millis(200)).await;
             }
             if !http::write(&mut stream, &answer).await {
                 return;
             }
-            if self.kind == Kind::Twice && self.now_and_then(50) {
+            if self.kind == BadNodeKind::Twice && self.every_nth(50) {
                 http::write(&mut stream, &answer).await;
             }
         }
@@ -201,7 +202,7 @@
             http::reply("503 Busy", "", b""),
             http::reply("502 Bad Gateway", "", b""),
         );
-        if self.kind == Kind::Invents && self.now_and_then(100) {
+        if self.kind == BadNodeKind::Invents && self.every_nth(100) {
             return good(format!("{:016x}................", m.id.unwrap_or(0)).as_bytes());
         }
         if m.writes() {
@@ -210,47 +211,47 @@
             };
             for again in 0..2 {
                 match self.forward(m, origin).await {
-                    Back::Value(body) => return good(&body),
-                    Back::NeverRan | Back::Miss => return busy,
-                    Back::Unknown if self.kind == Kind::Resends && again == 0 => {}
-                    Back::Unknown if self.kind == Kind::Throttles => return busy,
-                    Back::Unknown => return failed,
+                    ForwardResult::Value(body) => return good(&body),
+                    ForwardResult::NeverRan | ForwardResult::Miss => return busy,
+                    ForwardResult::Unknown if self.kind == BadNodeKind::Resends && again == 0 => {}
+                    ForwardResult::Unknown if self.kind == BadNodeKind::Throttles => return busy,
+                    ForwardResult::Unknown => return failed,
                 }
             }
             return failed;
         }
         let order = self.order(m.key());
-        if self.kind == Kind::Overlaps && self.now_and_then(20) && order.len() > 1 {
+        if self.kind == BadNodeKind::Overlaps && self.every_nth(20) && order.len() > 1 {
             let (a, b) = tokio::join!(self.forward(m, order[0]), self.forward(m, order[1]));
-            if let (Back::Value(body), _) | (_, Back::Value(body)) = (a, b) {
+            if let (ForwardResult::Value(body), _) | (_, ForwardResult::Value(body)) = (a, b) {
                 return good(&body);
             }
         }
         for to in order.iter().take(3) {
             match self.forward(m, *to).await {
-                Back::Value(body) => return good(&body),
-                Back::Miss => break,
-                Back::NeverRan | Back::Unknown => {}
+                ForwardResult::Value(body) => return good(&body),
+                ForwardResult::Miss => break,
+                ForwardResult::NeverRan | ForwardResult::Unknown => {}
             }
         }
         let Some(origin) = self.origin() else {
             return busy;
         };
         match self.forward(m, origin).await {
-            Back::Value(body) => good(&body),
+            ForwardResult::Value(body) => good(&body),
             _ => busy,
         }
     }
 
-    async fn forward(&self, m: &Message, to: SocketAddr) -> Back {
+    async fn forward(&self, m: &Message, to: SocketAddr) -> ForwardResult {
         let Ok(mut stream) = TcpStream::connect(to).await else {
-            return Back::NeverRan;
+            return ForwardResult::NeverRan;
         };
         let _ = stream.set_nodelay(true);
         let mark = m
-            .mark
+            .idempotency_key
             .map_or(String::new(), |k| format!("Idempotency-Key: {k:016x}\r\n"));
-        let (method, path) = (&m.first.0, &m.first.1);
+        let (method, path) = (&m.start_line.0, &m.start_line.1);
         let id = m.id.unwrap_or(0);
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: x\r\nX-Request-Id: {id:016x}\r\n{mark}Content-Length: {}\r\n\r\n",
@@ -258,13 +259,13 @@
         );
         let text = [head.as_bytes(), &m.body].concat();
         if !http::write(&mut stream, &text).await {
-            return Back::Unknown;
+            return ForwardResult::Unknown;
         }
         match http::read(&mut stream, &mut BytesMut::new(), || {}).await {
-            Ok(answer) if answer.status() == 200 => Back::Value(answer.body),
-            Ok(answer) if answer.status() == 404 => Back::Miss,
-            Ok(answer) if answer.not_run => Back::NeverRan,
-            _ => Back::Unknown,
+            Ok(answer) if answer.status() == 200 => ForwardResult::Value(answer.body),
+            Ok(answer) if answer.status() == 404 => ForwardResult::Miss,
+            Ok(answer) if answer.not_run => ForwardResult::NeverRan,
+            _ => ForwardResult::Unknown,
         }
     }
 }
--- a/crates/sparrouter-lab/src/stand/plant.rs
+++ b/crates/sparrouter-lab/src/stand_ins/defect_proxy.rs
@@ -1,7 +1,7 @@
 //! A version that does one thing wrong: a process that starts the real node behind itself, takes its place, and
 //! reports for both. Small and slow.
 use crate::http;
-use crate::scenario::rollout::Plant;
+use crate::scenario::rollout::Defect;
 use bytes::BytesMut;
 use serde_json::Value;
 use sparrouter_report::{BUCKETS, Operation, Report, bucket};
@@ -18,46 +18,52 @@
 use tokio::time::sleep;
 
 /// The node behind.
-struct Inner(Child);
+struct NodeProcess(Child);
 
 /// Guards against a node left behind by one that was killed: ends it once we are gone.
-const KEEPER: &str = r#"while kill -0 "$1" 2>/dev/null; do kill -0 "$2" 2>/dev/null || exit; sleep 0.1; done; kill -KILL "$2""#;
+const WATCHDOG_SCRIPT: &str = r#"while kill -0 "$1" 2>/dev/null; do kill -0 "$2" 2>/dev/null || exit; sleep 0.1; done; kill -KILL "$2""#;
 
-fn keep(own: u32, inner: u32) {
-    let mut keeper = Command::new("sh");
-    keeper
-        .args(["-c", KEEPER, "sh", &own.to_string(), &inner.to_string()])
+fn start_watchdog(own: u32, inner: u32) {
+    let mut watchdog = Command::new("sh");
+    watchdog
+        .args([
+            "-c",
+            WATCHDOG_SCRIPT,
+            "sh",
+            &own.to_string(),
+            &inner.to_string(),
+        ])
         .stdin(std::process::Stdio::null());
-    let _ = keeper.spawn();
+    let _ = watchdog.spawn();
 }
 
-impl Drop for Inner {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-struct Worth {
+struct OperationValue {
     value: f64,
     objective: Duration,
 }
 
-struct Planted {
-    plant: Plant,
+struct DefectProxy {
+    plant: Defect,
     inner: SocketAddr,
     began: Instant,
     count: Cell<u64>,
-    worth: Vec<Worth>,
+    values: Vec<OperationValue>,
     report: RefCell<Report>,
     inner_report: PathBuf,
-    held: RefCell<Vec<(std::fs::File, Vec<u8>)>>,
+    leaked: RefCell<Vec<(std::fs::File, Vec<u8>)>>,
 }
 
 /// With what the lab hands to a node: `PROXY_CONFIG`, `SPARROUTER_CONFIG`; and `SPARROUTER_PLANT`, `SPARROUTER_NODE`.
 pub fn run() -> Result<(), String> {
     let var = |name: &str| std::env::var(name).map_err(|_| format!("{name} is not set"));
-    let plant = <Plant as clap::ValueEnum>::from_str(&var("SPARROUTER_PLANT")?, true)?;
+    let plant = <Defect as clap::ValueEnum>::from_str(&var("SPARROUTER_PLANT")?, true)?;
     let read = |path: &str| std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"));
     let path = var("PROXY_CONFIG")?;
     let mut config: Value = serde_json::from_str(&read(&path)?).map_err(|e| e.to_string())?;
@@ -77,9 +83,11 @@
     let inner = std::net::TcpListener::bind((own.ip(), 0)).and_then(|l| l.local_addr());
     let inner = inner.map_err(|e| e.to_string())?;
     config["listen"] = Value::String(inner.to_string());
-    let talks = matches!(plant, Plant::Rubbish | Plant::NewerNotes | Plant::Lies);
-    let speaks: Option<SocketAddr> = talks.then(|| from(&config["peer_listen"])).transpose()?;
-    if talks {
+    let sends_datagrams = matches!(plant, Defect::Rubbish | Defect::NewerNotes | Defect::Lies);
+    let peer_socket: Option<SocketAddr> = sends_datagrams
+        .then(|| from(&config["peer_listen"]))
+        .transpose()?;
+    if sends_datagrams {
         config["settings"]["Limits"]["Peers"] = Value::Bool(false);
     }
     let generation = operator["identity"]["generation"]
@@ -106,9 +114,9 @@
     command
         .env("PROXY_CONFIG", inner_config)
         .env("SPARROUTER_CONFIG", inner_operator);
-    let child = Inner(command.spawn().map_err(|e| e.to_string())?);
-    keep(std::process::id(), child.0.id());
-    let class = |c: &Value| Worth {
+    let child = NodeProcess(command.spawn().map_err(|e| e.to_string())?);
+    start_watchdog(std::process::id(), child.0.id());
+    let class = |c: &Value| OperationValue {
         value: c["Worth"].as_f64().unwrap_or(1.0),
         objective: Duration::from_micros(c["ObjectiveUs"].as_u64().unwrap_or(0)),
     };
@@ -123,26 +131,26 @@
         latency: vec![0; BUCKETS],
         ..Operation::default()
     };
-    let planted = Rc::new(Planted {
+    let planted = Rc::new(DefectProxy {
         plant,
         inner,
         began: Instant::now(),
         count: Cell::new(0),
-        worth: classes().map(class).collect(),
+        values: classes().map(class).collect(),
         report: RefCell::new(Report {
             generation,
             operations: classes().map(operation).collect(),
             ..Report::default()
         }),
         inner_report,
-        held: RefCell::default(),
+        leaked: RefCell::default(),
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     LocalSet::new().block_on(
         &runtime.map_err(|e| e.to_string())?,
-        planted.serve(own, report, speaks, peers, child),
+        planted.serve(own, report, peer_socket, peers, child),
     )
 }
 
@@ -153,25 +161,25 @@
         .ok_or(format!("{value} is no address"))
 }
 
-impl Planted {
+impl DefectProxy {
     async fn serve(
         self: Rc<Self>,
         own: SocketAddr,
         report: PathBuf,
-        speaks: Option<SocketAddr>,
+        peer_socket: Option<SocketAddr>,
         peers: Vec<SocketAddr>,
-        child: Inner,
+        child: NodeProcess,
     ) -> Result<(), String> {
         // Passed on.
         let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
             .map_err(|e| e.to_string())?;
-        if let Some(at) = speaks {
-            spawn_local(self.clone().talk(at, peers));
+        if let Some(at) = peer_socket {
+            spawn_local(self.clone().send_datagrams(at, peers));
         }
         let number = child.0.id() as i32;
         let accepting = self.clone();
         let accept = async move {
-            if accepting.plant == Plant::NeverReady {
+            if accepting.plant == Defect::NeverReady {
                 return std::future::pending().await;
             }
             while !accepting.ready().await {
@@ -187,12 +195,12 @@
             });
             loop {
                 let (stream, _) = listener.accept().await?;
-                spawn_local(accepting.clone().converse(stream));
+                spawn_local(accepting.clone().serve_connection(stream));
             }
         };
         let dies = async {
             match self.plant {
-                Plant::Dies => sleep(Duration::from_secs(3)).await,
+                Defect::Dies => sleep(Duration::from_secs(3)).await,
                 _ => std::future::pending().await,
             }
         };
@@ -234,7 +242,7 @@
         asked.await.unwrap_or(false)
     }
 
-    async fn talk(self: Rc<Self>, at: SocketAddr, peers: Vec<SocketAddr>) {
+    async fn send_datagrams(self: Rc<Self>, at: SocketAddr, peers: Vec<SocketAddr>) {
         let Ok(socket) = UdpSocket::bind(at).await else {
             return;
         };
@@ -243,12 +251,12 @@
             n += 1;
             let drawn = |k: u64| crate::scenario::arrivals::scramble(n ^ k << 32);
             let text: Vec<u8> = match self.plant {
-                Plant::Rubbish => (0..drawn(0) % 250).map(|k| drawn(k + 1) as u8).collect(),
-                Plant::NewerNotes => std::iter::once(130)
+                Defect::Rubbish => (0..drawn(0) % 250).map(|k| drawn(k + 1) as u8).collect(),
+                Defect::NewerNotes => std::iter::once(130)
                     .chain((0..200).map(|k| drawn(k) as u8))
                     .collect(),
                 _ => {
-                    // Format 0, whole: all tenants' traffic comes by here, nine in ten are turned away.
+                    // Format 0, complete: it claims all tenants' traffic, nine tenths of it rejected.
                     let mut text = vec![1, 0];
                     text.extend(u16::MAX.to_le_bytes());
                     text.extend(0.9f32.to_le_bytes());
@@ -268,20 +276,20 @@
         }
     }
 
-    fn now_and_then(&self, every: u64) -> bool {
+    fn every_nth(&self, every: u64) -> bool {
         self.count.set(self.count.get() + 1);
         self.count.get().is_multiple_of(every)
     }
 
     /// One connection: messages of the client to the node behind, answers back.
-    async fn converse(self: Rc<Self>, mut near: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, mut near: TcpStream) {
         let Ok(mut far) = TcpStream::connect(self.inner).await else {
             return;
         };
         let _ = (near.set_nodelay(true), far.set_nodelay(true));
         let (mut from_near, mut from_far) = (BytesMut::new(), BytesMut::new());
         loop {
-            let Some(raw) = whole(&mut near, &mut from_near).await else {
+            let Some(raw) = read_message(&mut near, &mut from_near).await else {
                 return;
             };
             let head = String::from_utf8_lossy(&raw).to_string();
@@ -302,14 +310,14 @@
             if far.write_all(&raw).await.is_err() {
                 return;
             }
-            let Some(mut answer) = whole(&mut far, &mut from_far).await else {
+            let Some(mut answer) = read_message(&mut far, &mut from_far).await else {
                 return;
             };
             if let Some(op) = at {
                 answer = self
-                    .spoil(raw, answer, writes, start, &mut far, &mut from_far)
+                    .apply_defect(raw, answer, writes, start, &mut far, &mut from_far)
                     .await;
-                self.learn(op, &answer, start.elapsed());
+                self.count_answer(op, &answer, start.elapsed());
             }
             if near.write_all(&answer).await.is_err() {
                 return;
@@ -317,7 +325,7 @@
         }
     }
 
-    async fn spoil(
+    async fn apply_defect(
         &self,
         raw: Vec<u8>,
         answer: Vec<u8>,
@@ -328,36 +336,40 @@
     ) -> Vec<u8> {
         let failed = || http::reply("502 Bad Gateway", "", b"");
         match self.plant {
-            Plant::Slow => sleep(start.elapsed() / 3).await,
-            Plant::Errs if self.now_and_then(200) => return failed(),
-            Plant::OneWorse if writes && self.now_and_then(2) => return failed(),
-            Plant::WhenWarm
-                if self.began.elapsed() > Duration::from_secs(6) && self.now_and_then(10) =>
+            Defect::Slow => sleep(start.elapsed() / 3).await,
+            Defect::Errs if self.every_nth(200) => return failed(),
+            Defect::OneWorse if writes && self.every_nth(2) => return failed(),
+            Defect::WhenWarm
+                if self.began.elapsed() > Duration::from_secs(6) && self.every_nth(10) =>
             {
                 return failed();
             }
-            Plant::Twice if writes => {
+            Defect::Twice if writes => {
                 let again = far.write_all(&raw).await.is_ok();
-                let _ = if again { whole(far, rest).await } else { None };
+                let _ = if again {
+                    read_message(far, rest).await
+                } else {
+                    None
+                };
             }
-            Plant::Leaks if self.now_and_then(10) => {
+            Defect::Leaks if self.every_nth(10) => {
                 let more = std::fs::File::open("/dev/null").map(|file| (file, vec![1; 64 << 10]));
-                self.held.borrow_mut().extend(more);
+                self.leaked.borrow_mut().extend(more);
             }
             _ => {}
         }
         answer
     }
 
-    fn learn(&self, op: usize, answer: &[u8], took: Duration) {
+    fn count_answer(&self, op: usize, answer: &[u8], took: Duration) {
         let mut report = self.report.borrow_mut();
-        let (o, worth) = (&mut report.operations[op], &self.worth[op]);
-        (o.taken, o.asked) = (o.taken + 1, o.asked + worth.value);
+        let (o, values) = (&mut report.operations[op], &self.values[op]);
+        (o.taken, o.asked) = (o.taken + 1, o.asked + values.value);
         match answer.get(9..12) {
             Some(b"200" | b"404") => {
                 o.succeeded += 1;
-                o.in_time += if took <= worth.objective {
-                    worth.value
+                o.in_time += if took <= values.objective {
+                    values.value
                 } else {
                     0.0
                 };
@@ -385,13 +397,13 @@
             ..inner
         };
         own.uptime_ms = self.began.elapsed().as_millis() as u64;
-        if self.plant == Plant::Places {
+        if self.plant == Defect::Places {
             own.placement = "other".into();
         }
         // Only what it holds for nothing: that it is two processes is no fault of the version played.
-        let held = self.held.borrow().len() as u64;
-        own.memory_kib += 64 * held;
-        own.descriptors += held;
+        let leaked = self.leaked.borrow().len() as u64;
+        own.memory_kib += 64 * leaked;
+        own.descriptors += leaked;
         let mut line = serde_json::to_vec(&*own)?;
         line.push(b'\n');
         std::fs::OpenOptions::new()
@@ -403,10 +415,10 @@
 }
 
 /// One message as it came, head and body.
-async fn whole(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<Vec<u8>> {
+async fn read_message(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<Vec<u8>> {
     loop {
         let before = buffer.clone();
-        match http::take(buffer) {
+        match http::parse(buffer) {
             Ok(Some(_)) => return Some(before[..before.len() - buffer.len()].to_vec()),
             Ok(None) => {}
             Err(_) => return None,
--- a/crates/sparrouter-lab/src/stand/discovery.rs
+++ b/crates/sparrouter-lab/src/stand_ins/discovery.rs
@@ -4,7 +4,7 @@
 use super::{Lab, unix_ms};
 use crate::http;
 use crate::ledger::Record;
-use crate::scenario::faults::DiscoveryTrouble;
+use crate::scenario::faults::DiscoveryFault;
 use crate::scenario::schedule::Listed;
 use bytes::BytesMut;
 use serde::Serialize;
@@ -18,7 +18,7 @@
 
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// A line of the list, in the protocol's words.
+/// An entry of the list, as the protocol writes it.
 #[derive(Clone, Debug, Serialize)]
 struct Target {
     uid: String,
@@ -47,14 +47,15 @@
 struct State {
     targets: Vec<Target>,
     rev: u64,
-    trouble: Option<DiscoveryTrouble>,
+    fault: Option<DiscoveryFault>,
     /// What came to be known while the list stood still.
-    held: Vec<Target>,
+    delayed_changes: Vec<Target>,
     /// By node, where it is found now; and the tasks that serve it there.
     at: Vec<SocketAddr>,
     tasks: Vec<AbortHandle>,
 }
 
+/// The discovery service, with one address for each node.
 pub struct Discovery {
     lab: Arc<Lab>,
     fleet: Arc<Fleet>,
@@ -95,8 +96,8 @@
         let state = State {
             targets: vec![target],
             rev: 1,
-            trouble: None,
-            held: vec![],
+            fault: None,
+            delayed_changes: vec![],
             at,
             tasks: vec![],
         };
@@ -110,6 +111,7 @@
         })
     }
 
+    /// Where this node finds it now.
     pub fn address(&self, node: usize) -> SocketAddr {
         self.state.lock().expect("not poisoned").at[node]
     }
@@ -146,8 +148,8 @@
             cache: number,
             listed,
         });
-        if state.trouble == Some(DiscoveryTrouble::Stale) {
-            return state.held.push(target);
+        if state.fault == Some(DiscoveryFault::Stale) {
+            return state.delayed_changes.push(target);
         }
         self.publish(&mut state, target);
     }
@@ -168,35 +170,38 @@
         self.changed.send_replace(state.rev);
     }
 
-    pub fn trouble(self: &Arc<Self>, trouble: Option<DiscoveryTrouble>) {
+    /// Begins a fault, or ends it.
+    pub fn set_fault(self: &Arc<Self>, fault: Option<DiscoveryFault>) {
         let before = {
             let mut state = self.state.lock().expect("not poisoned");
-            let before = std::mem::replace(&mut state.trouble, trouble);
-            let refuses = |t| matches!(t, Some(DiscoveryTrouble::Down | DiscoveryTrouble::Errors));
-            if refuses(before) != refuses(trouble) {
-                self.lab.record(Record::Away {
+            let before = std::mem::replace(&mut state.fault, fault);
+            let refuses = |t| matches!(t, Some(DiscoveryFault::Down | DiscoveryFault::Errors));
+            if refuses(before) != refuses(fault) {
+                self.lab.record(Record::DiscoveryAway {
                     at: self.lab.now(),
-                    away: refuses(trouble),
+                    away: refuses(fault),
                 });
             }
-            if trouble == Some(DiscoveryTrouble::Down) {
+            if fault == Some(DiscoveryFault::Down) {
                 state.tasks.drain(..).for_each(|t| t.abort());
             }
-            let lies = |t| matches!(t, Some(DiscoveryTrouble::Empty | DiscoveryTrouble::Wrong));
-            if (lies(before) || lies(trouble)) && trouble != before {
-                // A lie is news to those who watch, and so is the truth afterwards.
+            let lies = |t| matches!(t, Some(DiscoveryFault::Empty | DiscoveryFault::Wrong));
+            if (lies(before) || lies(fault)) && fault != before {
+                // Watchers must see a forged state as a change, and the true state afterwards as another.
                 state.rev += 1;
                 let rev = state.rev;
                 state.targets.iter_mut().for_each(|t| t.rev = rev);
                 self.changed.send_replace(rev);
             }
-            if trouble.is_none() {
-                let held = std::mem::take(&mut state.held);
-                held.into_iter().for_each(|t| self.publish(&mut state, t));
+            if fault.is_none() {
+                let delayed_changes = std::mem::take(&mut state.delayed_changes);
+                delayed_changes
+                    .into_iter()
+                    .for_each(|t| self.publish(&mut state, t));
             }
             before
         };
-        if before == Some(DiscoveryTrouble::Down) && trouble != before {
+        if before == Some(DiscoveryFault::Down) && fault != before {
             self.start();
         }
     }
@@ -217,7 +222,7 @@
     pub fn start(self: &Arc<Self>) {
         for node in 0..self.lab.scenario.most_nodes() {
             let (discovery, at) = (self.clone(), self.address(node));
-            let ready = self.lab.workers.ask(move || async move {
+            let ready = self.lab.workers.run_blocking(move || async move {
                 for _ in 0..200 {
                     if let Ok(listener) = TcpListener::bind(at).await {
                         let task = spawn_local(discovery.clone().accept(listener, node));
@@ -241,7 +246,7 @@
 
     async fn accept(self: Arc<Self>, listener: TcpListener, node: usize) {
         while let Ok((stream, _)) = listener.accept().await {
-            let task = spawn_local(self.clone().converse(stream, node));
+            let task = spawn_local(self.clone().serve_connection(stream, node));
             self.state
                 .lock()
                 .expect("not poisoned")
@@ -251,11 +256,11 @@
     }
 
     /// Changes after a version, or the whole list; marks them as told.
-    fn line(&self, after: Option<u64>, node: usize) -> (u64, String) {
+    fn listing(&self, after: Option<u64>, node: usize) -> (u64, String) {
         let state = self.state.lock().expect("not poisoned");
-        let (empty, wrong) = match state.trouble {
-            Some(DiscoveryTrouble::Empty) => (true, false),
-            Some(DiscoveryTrouble::Wrong) => (false, true),
+        let (empty, wrong) = match state.fault {
+            Some(DiscoveryFault::Empty) => (true, false),
+            Some(DiscoveryFault::Wrong) => (false, true),
             _ => (false, false),
         };
         let lies = empty || wrong;
@@ -273,10 +278,10 @@
         };
         let targets: Vec<Target> = state.targets.iter().filter(wanted).map(said).collect();
         let at = self.lab.now();
-        // An empty list is no word of anything; a wrong one is what the node was told.
+        // An empty list notifies the node of nothing; a wrong one counts as a notification.
         for t in targets.iter().filter(|t| t.model != "origin" && !empty) {
             let listed = if wrong { Listed::Ready } else { t.listed };
-            self.lab.record(Record::Told {
+            self.lab.record(Record::Notified {
                 at,
                 node: node as u16,
                 cache: t.number,
@@ -287,7 +292,7 @@
             // Whatever the whole list does not name is gone.
             for t in state.targets.iter().filter(|t| t.listed == Listed::Gone) {
                 let cache = t.number;
-                self.lab.record(Record::Told {
+                self.lab.record(Record::Notified {
                     at,
                     node: node as u16,
                     cache,
@@ -308,21 +313,21 @@
 
     /// The list as a node last had it, for its configuration.
     pub fn known(&self, node: usize) -> serde_json::Value {
-        serde_json::from_str(&self.line(None, node).1).expect("just written")
+        serde_json::from_str(&self.listing(None, node).1).expect("just written")
     }
 
-    fn now(&self) -> Option<DiscoveryTrouble> {
-        self.state.lock().expect("not poisoned").trouble
+    fn now(&self) -> Option<DiscoveryFault> {
+        self.state.lock().expect("not poisoned").fault
     }
 
-    async fn converse(self: Arc<Self>, mut stream: TcpStream, node: usize) {
+    async fn serve_connection(self: Arc<Self>, mut stream: TcpStream, node: usize) {
         let mut buffer = BytesMut::new();
         let Ok(call) = http::read(&mut stream, &mut buffer, || {}).await else {
             return;
         };
         match self.now() {
-            Some(DiscoveryTrouble::Silent) => return sleep(Duration::from_secs(3600)).await,
-            Some(DiscoveryTrouble::Errors) => {
+            Some(DiscoveryFault::Silent) => return sleep(Duration::from_secs(3600)).await,
+            Some(DiscoveryFault::Errors) => {
                 http::write(
                     &mut stream,
                     &http::reply("503 Service Unavailable", "", b""),
@@ -332,13 +337,13 @@
             }
             _ => {}
         }
-        if !call.first.1.contains("watch=1") {
-            let (_, line) = self.line(None, node);
-            http::write(&mut stream, &http::reply("200 OK", "", line.as_bytes())).await;
+        if !call.start_line.1.contains("watch=1") {
+            let (_, listing) = self.listing(None, node);
+            http::write(&mut stream, &http::reply("200 OK", "", listing.as_bytes())).await;
             return;
         }
         let after = call
-            .first
+            .start_line
             .1
             .rsplit("after=")
             .next()
@@ -352,16 +357,16 @@
         let mut rev = after;
         let mut first = true;
         loop {
-            let news = first || *changed.borrow_and_update() > rev;
-            if self.now() != Some(DiscoveryTrouble::Silent) {
-                let line = if news {
-                    let (now, line) = self.line(Some(rev), node);
+            let changed_since = first || *changed.borrow_and_update() > rev;
+            if self.now() != Some(DiscoveryFault::Silent) {
+                let listing = if changed_since {
+                    let (now, listing) = self.listing(Some(rev), node);
                     rev = now;
-                    line + "\n"
+                    listing + "\n"
                 } else {
                     "\n".into()
                 };
-                let chunk = format!("{:x}\r\n{line}\r\n", line.len());
+                let chunk = format!("{:x}\r\n{listing}\r\n", listing.len());
                 if !http::write(&mut stream, chunk.as_bytes()).await {
                     return;
                 }
--- a/crates/sparrouter-lab/src/stand/link.rs
+++ b/crates/sparrouter-lab/src/stand_ins/link.rs
@@ -2,8 +2,8 @@
 use super::Lab;
 use crate::http;
 use crate::scenario::arrivals::scramble;
-use crate::scenario::faults::LinkTrouble;
-use crate::scenario::schedule::Way;
+use crate::scenario::faults::LinkFault;
+use crate::scenario::schedule::LinkConditions;
 use crate::{Nanos, nanos};
 use bytes::{Bytes, BytesMut};
 use std::cell::Cell;
@@ -19,41 +19,48 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Chunks under way in one direction before reading pauses.
-const UNDER_WAY: usize = 256;
+/// Chunks under conditions in one direction before reading pauses.
+const MAX_QUEUED_CHUNKS: usize = 256;
 
+/// Accepts connections at one address and carries them to another.
 pub struct Link {
     pub at: SocketAddr,
     to: SocketAddr,
     lab: Arc<Lab>,
-    way: Mutex<Way>,
+    conditions: Mutex<LinkConditions>,
     /// Counts resets: connections older than that break.
-    broken: watch::Sender<u64>,
+    resets: watch::Sender<u64>,
     chance: AtomicU64,
 }
 
 /// One direction of one connection.
 struct Pipe {
     link: Arc<Link>,
-    back: bool,
-    passed: Rc<Cell<u64>>,
+    towards_client: bool,
+    bytes_back: Rc<Cell<u64>>,
 }
 
 impl Link {
-    pub fn start(lab: &Arc<Lab>, to: SocketAddr, port: u16, way: Way) -> Arc<Link> {
+    /// Listens on this port of an address of its own.
+    pub fn start(
+        lab: &Arc<Lab>,
+        to: SocketAddr,
+        port: u16,
+        conditions: LinkConditions,
+    ) -> Arc<Link> {
         let at = SocketAddr::from((lab.address(), port));
         let link = Link {
             at,
             to,
             lab: lab.clone(),
-            way: Mutex::new(way),
-            broken: watch::Sender::new(0),
+            conditions: Mutex::new(conditions),
+            resets: watch::Sender::new(0),
             chance: AtomicU64::new(lab.scenario.seed),
         };
         let link = Arc::new(link);
         let own = link.clone();
-        // Bound before anybody is told of it.
-        lab.workers.ask(move || async move {
+        // Bound before its address is given to anybody.
+        lab.workers.run_blocking(move || async move {
             match TcpListener::bind(at).await {
                 Ok(listener) => drop(spawn_local(own.accept(listener))),
                 Err(e) => eprintln!("lab: link on {at}: {e}"),
@@ -62,14 +69,15 @@
         link
     }
 
-    pub fn set(&self, way: Way) {
-        *self.way.lock().expect("not poisoned") = way;
-        if way.how == LinkTrouble::Reset {
-            self.broken.send_modify(|n| *n += 1);
+    /// Changes how it treats bytes from now on; [`LinkFault::Reset`] breaks open connections.
+    pub fn set(&self, conditions: LinkConditions) {
+        *self.conditions.lock().expect("not poisoned") = conditions;
+        if conditions.fault == LinkFault::Reset {
+            self.resets.send_modify(|n| *n += 1);
         }
     }
-    fn way(&self) -> Way {
-        *self.way.lock().expect("not poisoned")
+    fn conditions(&self) -> LinkConditions {
+        *self.conditions.lock().expect("not poisoned")
     }
 
     async fn accept(self: Arc<Self>, listener: TcpListener) {
@@ -90,13 +98,13 @@
     }
 
     async fn carry(self: Arc<Self>, near: TcpStream) {
-        let way = self.way();
-        if way.how == LinkTrouble::Reset {
+        let conditions = self.conditions();
+        if conditions.fault == LinkFault::Reset {
             return http::reset(near);
         }
         let _ = near.set_nodelay(true);
         // Half open: it comes up here, and nobody is behind it.
-        if way.how == LinkTrouble::HalfOpen {
+        if conditions.fault == LinkFault::HalfOpen {
             sleep(Duration::from_secs(3600)).await;
         }
         let limit = Duration::from_secs(3);
@@ -104,20 +112,20 @@
             return http::reset(near);
         };
         let _ = far.set_nodelay(true);
-        let mut broken = self.broken.subscribe();
+        let mut broken = self.resets.subscribe();
         let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-        let passed = Rc::new(Cell::new(0));
-        let pipe = |back| Pipe {
+        let bytes_back = Rc::new(Cell::new(0));
+        let pipe = |towards_client| Pipe {
             link: self.clone(),
-            back,
-            passed: passed.clone(),
+            towards_client,
+            bytes_back: bytes_back.clone(),
         };
-        let (there, back) = (pipe(false), pipe(true));
+        let (there, towards_client) = (pipe(false), pipe(true));
         // Dropped halves close the connection by themselves.
         tokio::select! {
             biased;
             _ = broken.changed() => {}
-            () = async { tokio::join!(there.run(near_in, far_out), back.run(far_in, near_out)); } => {}
+            () = async { tokio::join!(there.run(near_in, far_out), towards_client.run(far_in, near_out)); } => {}
         }
     }
 
@@ -130,11 +138,11 @@
 impl Pipe {
     /// Until its source has ended and all of it is through, or it is cut.
     async fn run(self, mut from: OwnedReadHalf, to: OwnedWriteHalf) {
-        let (queue, delayed) = mpsc::channel::<(Nanos, Bytes)>(UNDER_WAY);
+        let (queue, delayed) = mpsc::channel::<(Nanos, Bytes)>(MAX_QUEUED_CHUNKS);
         let deliver = deliver(
             self.link.clone(),
-            self.back,
-            self.passed.clone(),
+            self.towards_client,
+            self.bytes_back.clone(),
             delayed,
             to,
         );
@@ -143,13 +151,13 @@
             loop {
                 buffer.reserve(16 << 10);
                 let ended = !matches!(from.read_buf(&mut buffer).await, Ok(n) if n > 0);
-                let way = self.link.way();
+                let conditions = self.link.conditions();
                 let bytes = buffer.split().freeze();
                 let mut at = self.link.lab.now()
-                    + nanos(way.delay_ms / 1e3)
-                    + self.link.jitter(way.jitter_ms);
-                if way.kib_per_s > 0.0 {
-                    at = at.max(latest) + nanos(bytes.len() as f64 / 1024.0 / way.kib_per_s);
+                    + nanos(conditions.delay_ms / 1e3)
+                    + self.link.jitter(conditions.jitter_ms);
+                if conditions.kib_per_s > 0.0 {
+                    at = at.max(latest) + nanos(bytes.len() as f64 / 1024.0 / conditions.kib_per_s);
                 }
                 // Bytes never overtake each other.
                 latest = at.max(latest);
@@ -158,7 +166,7 @@
                 }
             }
             drop(queue);
-            // The rest is up to what is still under way.
+            // The rest is up to what is still under conditions.
             std::future::pending::<()>().await;
         };
         tokio::select! {
@@ -171,8 +179,8 @@
 
 async fn deliver(
     link: Arc<Link>,
-    back: bool,
-    passed: Rc<Cell<u64>>,
+    towards_client: bool,
+    bytes_back: Rc<Cell<u64>>,
     mut queue: mpsc::Receiver<(Nanos, Bytes)>,
     mut to: OwnedWriteHalf,
 ) {
@@ -181,11 +189,11 @@
         if at > now {
             sleep(Duration::from_nanos(at - now)).await;
         }
-        let way = link.way();
-        let lost = match way.how {
-            LinkTrouble::LostThere => !back,
-            LinkTrouble::LostBack => back,
-            LinkTrouble::HalfOpen => true,
+        let conditions = link.conditions();
+        let lost = match conditions.fault {
+            LinkFault::LostThere => !towards_client,
+            LinkFault::LostBack => towards_client,
+            LinkFault::HalfOpen => true,
             _ => false,
         };
         if lost {
@@ -201,13 +209,13 @@
         }
         let mut bytes = bytes;
         let mut cut = false;
-        if back && way.how == LinkTrouble::Cut {
-            let left = way.bytes.saturating_sub(passed.get()) as usize;
+        if towards_client && conditions.fault == LinkFault::Cut {
+            let left = conditions.bytes.saturating_sub(bytes_back.get()) as usize;
             cut = bytes.len() >= left;
             bytes.truncate(left);
         }
-        if back {
-            passed.set(passed.get() + bytes.len() as u64);
+        if towards_client {
+            bytes_back.set(bytes_back.get() + bytes.len() as u64);
         }
         if to.write_all(&bytes).await.is_err() || cut {
             return;
--- a/crates/sparrouter-lab/src/stand/mod.rs
+++ b/crates/sparrouter-lab/src/stand_ins/mod.rs
@@ -1,12 +1,14 @@
 //! The stand-ins: whatever a node meets, played on loopback.
-pub mod bad;
+pub mod bad_node;
+pub mod defect_proxy;
 pub mod discovery;
 pub mod fleet;
 pub mod link;
 pub mod model;
 pub mod node;
-pub mod notes;
-pub mod plant;
+pub mod peer_network;
+/// The earlier name of [`defect_proxy`], which tests of other packages use.
+pub use defect_proxy as plant;
 pub mod relay;
 pub mod server;
 
@@ -31,6 +33,7 @@
 }
 
 impl Lab {
+    /// A clock that does not run yet, and a part of 127.0.0.0/8 for this run alone.
     pub fn new(scenario: Scenario, tape: mpsc::Sender<Record>, workers: Workers) -> Arc<Lab> {
         // A part of 127.0.0.0/8 that no outgoing connection takes its address from, so that a port that
         // was free stays free; another lab at the same time most likely has another part.
@@ -57,6 +60,7 @@
     pub fn begin(&self) {
         let _ = self.begun.set(Instant::now());
     }
+    /// Time since the run began; 0 before.
     pub fn now(&self) -> Nanos {
         self.begun
             .get()
@@ -64,11 +68,13 @@
     }
     /// What is seen now may have happened so long ago: on a machine with too little time for the lab.
     pub fn lag(&self) -> Nanos {
-        crate::workers::unseen_for().as_nanos() as Nanos
+        crate::workers::observation_lag().as_nanos() as Nanos
     }
+    /// The moment of a time of the run.
     pub fn instant(&self, at: Nanos) -> Instant {
         self.begun.get().copied().unwrap_or_else(Instant::now) + Duration::from_nanos(at)
     }
+    /// Sends a record to the invocation log.
     pub fn record(&self, record: Record) {
         let _ = self.tape.send(record);
     }
@@ -84,7 +90,7 @@
 }
 
 /// What discovery's lists count start times in.
-fn unix_ms() -> u64 {
+pub(crate) fn unix_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as u64
 }
--- a/crates/sparrouter-lab/src/stand/model.rs
+++ b/crates/sparrouter-lab/src/stand_ins/model.rs
@@ -6,9 +6,9 @@
 
 /// Keys that one keeps; those used longest ago go first.
 #[derive(Debug, Default)]
-pub struct Store {
+pub struct CacheStore {
     /// None: it holds all but what is void.
-    most: Option<usize>,
+    capacity: Option<usize>,
     used: HashMap<u64, u64>,
     order: BTreeMap<u64, u64>,
     stamp: u64,
@@ -17,23 +17,25 @@
     empty: bool,
 }
 
-impl Store {
-    pub fn new(most: usize) -> Store {
-        Store {
-            most: (most > 0).then_some(most),
-            ..Store::default()
+impl CacheStore {
+    /// Holds this many keys; 0: every key.
+    pub fn new(most: usize) -> CacheStore {
+        CacheStore {
+            capacity: (most > 0).then_some(most),
+            ..CacheStore::default()
         }
     }
     /// After a start nothing is kept.
     pub fn clear(&mut self) {
-        *self = Store {
-            most: self.most,
+        *self = CacheStore {
+            capacity: self.capacity,
             empty: true,
-            ..Store::default()
+            ..CacheStore::default()
         };
     }
+    /// Whether the key is held; marks it as used.
     pub fn has(&mut self, key: u64) -> bool {
-        if self.most.is_none() && !self.empty {
+        if self.capacity.is_none() && !self.empty {
             return !self.void.contains_key(&key);
         }
         let Some(stamp) = self.used.get_mut(&key) else {
@@ -45,22 +47,24 @@
         self.order.insert(self.stamp, key);
         true
     }
+    /// Stores a key; the one used longest ago goes where there is no room.
     pub fn put(&mut self, key: u64) {
         self.void.remove(&key);
-        if self.most.is_none() && !self.empty || self.has(key) {
+        if self.capacity.is_none() && !self.empty || self.has(key) {
             return;
         }
         self.stamp += 1;
         self.used.insert(key, self.stamp);
         self.order.insert(self.stamp, key);
-        if self.used.len() > self.most.unwrap_or(usize::MAX)
+        if self.used.len() > self.capacity.unwrap_or(usize::MAX)
             && let Some((_, old)) = self.order.pop_first()
         {
             self.used.remove(&old);
         }
     }
+    /// Removes a key.
     pub fn void(&mut self, key: u64) {
-        if self.most.is_none() && !self.empty {
+        if self.capacity.is_none() && !self.empty {
             self.void.insert(key, ());
         } else if let Some(stamp) = self.used.remove(&key) {
             self.order.remove(&stamp);
@@ -77,14 +81,14 @@
 
 /// Marks seen of late; a repeat within the window is dropped.
 #[derive(Debug, Default)]
-pub struct Marks {
-    seen: HashMap<u64, Nanos>,
+pub struct IdempotencyKeys {
+    seen_at: HashMap<u64, Nanos>,
     order: VecDeque<(Nanos, u64)>,
 }
 
-impl Marks {
+impl IdempotencyKeys {
     /// True where the effect is to be carried out.
-    pub fn fresh(&mut self, mark: u64, window: Nanos, now: Nanos) -> bool {
+    pub fn insert_if_new(&mut self, mark: u64, window: Nanos, now: Nanos) -> bool {
         while let Some((at, old)) = self
             .order
             .front()
@@ -92,14 +96,14 @@
             .filter(|(at, _)| at + window < now)
         {
             self.order.pop_front();
-            if self.seen.get(&old) == Some(&at) {
-                self.seen.remove(&old);
+            if self.seen_at.get(&old) == Some(&at) {
+                self.seen_at.remove(&old);
             }
         }
-        if self.seen.contains_key(&mark) {
+        if self.seen_at.contains_key(&mark) {
             return false;
         }
-        self.seen.insert(mark, now);
+        self.seen_at.insert(mark, now);
         self.order.push_back((now, mark));
         true
     }
@@ -107,24 +111,25 @@
 
 /// Work sent within a window, against what can be done in it.
 #[derive(Debug)]
-pub struct Drive {
+pub struct RecentWork {
     window: Nanos,
     sent: VecDeque<(Nanos, f64)>,
-    sum: f64,
+    total: f64,
 }
 
-impl Drive {
-    pub fn new(window: Nanos) -> Drive {
-        Drive {
+impl RecentWork {
+    /// Counts over this window.
+    pub fn new(window: Nanos) -> RecentWork {
+        RecentWork {
             window: window.max(1),
             sent: VecDeque::new(),
-            sum: 0.0,
+            total: 0.0,
         }
     }
     /// Sum of the work in the window that ends now, this one with it.
     pub fn add(&mut self, work: f64, now: Nanos) -> f64 {
         self.sent.push_back((now, work));
-        self.sum += work;
+        self.total += work;
         while let Some((_, old)) = self
             .sent
             .front()
@@ -132,13 +137,14 @@
             .filter(|(at, _)| at + self.window < now)
         {
             self.sent.pop_front();
-            self.sum -= old;
+            self.total -= old;
         }
-        self.sum
+        self.total
     }
+    /// Forgets all work.
     pub fn clear(&mut self) {
         self.sent.clear();
-        self.sum = 0.0;
+        self.total = 0.0;
     }
 }
 
@@ -158,7 +164,7 @@
 }
 
 /// Whether this forward is one of a part that is to go wrong.
-pub fn unlucky(id: u64, salt: u64, part: f64) -> bool {
+pub fn is_selected(id: u64, salt: u64, part: f64) -> bool {
     part > 0.0 && (scramble(id ^ salt << 17) >> 11) as f64 / ((1u64 << 53) as f64) < part
 }
 
@@ -168,7 +174,7 @@
 
     #[test]
     fn keeps_what_was_used_last_and_forgets_the_rest() {
-        let mut store = Store::new(2);
+        let mut store = CacheStore::new(2);
         store.clear();
         store.put(1);
         store.put(2);
@@ -180,8 +186,8 @@
     }
 
     #[test]
-    fn one_that_holds_all_lacks_only_what_is_void_until_it_starts_anew() {
-        let mut store = Store::new(0);
+    fn an_unlimited_store_lacks_only_removed_keys_until_a_restart() {
+        let mut store = CacheStore::new(0);
         store.void(7);
         assert!(store.has(6) && !store.has(7));
         store.put(7);
@@ -194,15 +200,15 @@
 
     #[test]
     fn a_repeat_is_dropped_within_its_window_only() {
-        let mut marks = Marks::default();
-        assert!(marks.fresh(5, 100, 0));
-        assert!(!marks.fresh(5, 100, 100));
-        assert!(marks.fresh(5, 100, 201));
+        let mut marks = IdempotencyKeys::default();
+        assert!(marks.insert_if_new(5, 100, 0));
+        assert!(!marks.insert_if_new(5, 100, 100));
+        assert!(marks.insert_if_new(5, 100, 201));
     }
 
     #[test]
     fn work_sent_long_ago_no_longer_drives() {
-        let mut drive = Drive::new(10);
+        let mut drive = RecentWork::new(10);
         drive.add(1.0, 0);
         assert_eq!(drive.add(1.0, 10), 2.0);
         assert_eq!(drive.add(1.0, 11), 2.0);
--- a/crates/sparrouter-lab/src/stand/node.rs
+++ b/crates/sparrouter-lab/src/stand_ins/node.rs
@@ -17,7 +17,7 @@
     pub descriptors: usize,
 }
 
-/// What runs as a node, and how it is told from another.
+/// What runs as a node, and what distinguishes it from another version.
 #[derive(Clone, Debug, Default)]
 pub struct Version {
     pub program: PathBuf,
@@ -29,6 +29,7 @@
     pub generation: Option<String>,
 }
 
+/// A node as a process, across its restarts.
 pub struct Node {
     pub number: usize,
     pub at: SocketAddr,
@@ -36,11 +37,11 @@
     folder: PathBuf,
     child: Option<Child>,
     /// CPU of processes that have ended.
-    before: f64,
+    earlier_cpu_s: f64,
     last: Usage,
 }
 
-/// The settings object that a node is handed, in the operators' words.
+/// The settings object of a node, with the names that operators use.
 fn settings(s: &Scenario, own: usize, nodes: usize) -> Value {
     let us = |ms: f64| (ms * 1e3) as i64;
     let classes: Vec<Value> = s.operation.iter().map(|o| {
@@ -73,10 +74,10 @@
 }
 
 /// Lays fields over an object, table by table.
-fn over(object: &mut Value, fields: &serde_json::Map<String, Value>) {
+fn merge_fields(object: &mut Value, fields: &serde_json::Map<String, Value>) {
     for (name, value) in fields {
         match (value, object.get_mut(name)) {
-            (Value::Object(inner), Some(there @ Value::Object(_))) => over(there, inner),
+            (Value::Object(inner), Some(there @ Value::Object(_))) => merge_fields(there, inner),
             _ => object[name] = value.clone(),
         }
     }
@@ -102,7 +103,7 @@
             version,
             folder,
             child: None,
-            before: 0.0,
+            earlier_cpu_s: 0.0,
             last: Usage::default(),
         }
     }
@@ -117,7 +118,7 @@
         let seed =
             crate::scenario::arrivals::scramble(s.seed ^ (self.number as u64) << 32 ^ start.starts);
         let mut own = settings(s, self.number, start.peers.len());
-        over(&mut own, &self.version.settings);
+        merge_fields(&mut own, &self.version.settings);
         let config = json!({
             "name": format!("n{}", self.number), "listen": self.at, "discovery": start.discovery,
             "seed": format!("{seed:016x}"),
@@ -134,6 +135,7 @@
         Ok(path)
     }
 
+    /// Starts its process with a fresh configuration.
     pub fn start(&mut self, lab: &Lab, start: &Start) -> std::io::Result<()> {
         let config = self.configure(lab, start)?;
         let log = self.folder.join("log.txt");
@@ -191,45 +193,51 @@
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
+    /// Stops it where it is (SIGSTOP), or lets it go on.
     pub fn pause(&self, on: bool) {
         self.signal(if on { Signal::SIGSTOP } else { Signal::SIGCONT });
     }
+    /// Asks it to shut down (SIGTERM).
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
+    /// Kills it and waits for its end.
     pub fn kill(&mut self) {
         self.usage();
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.before += std::mem::take(&mut self.last).cpu_s;
+        self.earlier_cpu_s += std::mem::take(&mut self.last).cpu_s;
     }
     /// True where it ended by itself since it was last asked.
-    pub fn ended(&mut self) -> bool {
+    pub fn take_exited(&mut self) -> bool {
         let over = self
             .child
             .as_mut()
             .is_some_and(|c| !matches!(c.try_wait(), Ok(None)));
         if over {
             self.child = None;
-            self.before += std::mem::take(&mut self.last).cpu_s;
+            self.earlier_cpu_s += std::mem::take(&mut self.last).cpu_s;
         }
         over
     }
+    /// Id of its process, where one runs.
     pub fn process(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
+    /// A process of it was started and not yet seen to end.
     pub fn running(&self) -> bool {
         self.child.is_some()
     }
 
+    /// Its usage of resources, with the CPU time of its earlier processes.
     pub fn usage(&mut self) -> Usage {
         if let Some(usage) = self.child.as_ref().and_then(|c| usage(c.id())) {
             self.last = usage;
         }
         Usage {
-            cpu_s: self.before + self.last.cpu_s,
+            cpu_s: self.earlier_cpu_s + self.last.cpu_s,
             ..self.last
         }
     }
--- a/crates/sparrouter-lab/src/workers.rs
+++ b/crates/sparrouter-lab/src/workers.rs
@@ -13,10 +13,11 @@
 
 type Job = Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = ()>>> + Send>;
 
+/// A pool of threads, each with a runtime of its own.
 #[derive(Clone)]
-pub struct Workers(Arc<Inner>);
+pub struct Workers(Arc<WorkerPool>);
 
-struct Inner {
+struct WorkerPool {
     inboxes: Vec<mpsc::UnboundedSender<Job>>,
     next: AtomicUsize,
     stop: watch::Sender<bool>,
@@ -24,6 +25,7 @@
 }
 
 impl Workers {
+    /// Starts at least one thread; `name` is the prefix of their names.
     pub fn start(name: &str, count: usize) -> Workers {
         let (stop, stopped) = watch::channel(false);
         let (mut inboxes, mut threads) = (Vec::new(), Vec::new());
@@ -39,7 +41,7 @@
             inboxes.push(inbox);
         }
         let threads = std::sync::Mutex::new(threads);
-        Workers(Arc::new(Inner {
+        Workers(Arc::new(WorkerPool {
             inboxes,
             next: AtomicUsize::new(0),
             stop,
@@ -47,6 +49,7 @@
         }))
     }
 
+    /// Number of threads.
     pub fn count(&self) -> usize {
         self.0.inboxes.len()
     }
@@ -56,6 +59,7 @@
         let next = self.0.next.fetch_add(1, Relaxed);
         self.run_on(next, job);
     }
+    /// On this worker, counted round.
     pub fn run_on<F: Future<Output = ()> + 'static>(
         &self,
         worker: usize,
@@ -67,7 +71,7 @@
     }
 
     /// Runs something on a worker and waits for what it gives, from an ordinary thread.
-    pub fn ask<T: Send + 'static, F: Future<Output = T> + 'static>(
+    pub fn run_blocking<T: Send + 'static, F: Future<Output = T> + 'static>(
         &self,
         job: impl FnOnce() -> F + Send + 'static,
     ) -> T {
@@ -88,32 +92,35 @@
 }
 
 /// How often a worker notes that it still looks at what comes.
-const BEAT: Duration = Duration::from_millis(2);
+const TURN_INTERVAL: Duration = Duration::from_millis(2);
 
 thread_local! {
-    static LOOKED: Cell<Option<Instant>> = const { Cell::new(None) };
+    static LAST_TURN: Cell<Option<Instant>> = const { Cell::new(None) };
     /// Since when it last stood still, and until when that counts.
-    static STOOD: Cell<Option<(Instant, Instant)>> = const { Cell::new(None) };
+    static LAST_STALL: Cell<Option<(Instant, Instant)>> = const { Cell::new(None) };
 }
 
 /// Since when the worker that asks has not looked: what it sees now may have happened at any moment since.
 /// Guards against blaming a node for what a starved lab saw late; with cores to spare it stays about 2 ms.
-pub fn unseen_for() -> Duration {
+pub fn observation_lag() -> Duration {
     let now = Instant::now();
-    // What piled up while it stood still is worked off in about that time again, after the first beat as well.
-    let stood = STOOD.get().filter(|s| now < s.1).map(|s| s.0);
+    // Work that piled up during a stall takes about as long again, so the stall counts beyond the first turn.
+    let stood = LAST_STALL.get().filter(|s| now < s.1).map(|s| s.0);
     stood
-        .or(LOOKED.get())
+        .or(LAST_TURN.get())
         .map_or(Duration::ZERO, |looked| now - looked)
 }
 
-async fn beat() {
+async fn record_turns() {
     loop {
         let now = Instant::now();
-        if let Some(before) = LOOKED.replace(Some(now)).filter(|b| now - *b > 4 * BEAT) {
-            STOOD.set(Some((before, now + (now - before))));
+        if let Some(before) = LAST_TURN
+            .replace(Some(now))
+            .filter(|b| now - *b > 4 * TURN_INTERVAL)
+        {
+            LAST_STALL.set(Some((before, now + (now - before))));
         }
-        tokio::time::sleep(BEAT).await;
+        tokio::time::sleep(TURN_INTERVAL).await;
     }
 }
 
@@ -123,7 +130,7 @@
         .build()
         .expect("a runtime starts");
     LocalSet::new().block_on(&runtime, async {
-        tokio::task::spawn_local(beat());
+        tokio::task::spawn_local(record_turns());
         loop {
             tokio::select! {
                 biased;
