--- a/crates/sparrouter-quota/src/bucket.rs
+++ b/crates/sparrouter-quota/src/bucket.rs
@@ -1,85 +1,89 @@
-//! One token bucket.
+//! A token bucket.
 use crate::limit::BucketShape;
 use crate::{Nanos, SECOND};
 
-/// Longest time after which whoever was refused is asked to come back.
+/// Longest retry delay that a refused request is told.
 const MAX_RETRY_AFTER: Nanos = 1_000_000_000;
-/// Tokens less than this below a whole one count as whole: sums of fractions are rounded.
-const ROUNDING: f64 = 1e-6;
+/// Rounding tolerance in tokens: a level this little below a whole number counts as that number, because sums of
+/// fractions are rounded.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// A token bucket.
 ///
-/// Invariant: within any span `s` it grants at most `tokens_per_s x s + capacity` tokens, less those that were given back.
+/// Invariant: within any span `s` the bucket grants at most `tokens_per_s x s + capacity` tokens, less the returned
+/// tokens.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     shape: BucketShape,
     /// Tokens at `refilled_at`; from 0 to the capacity.
     level: f64,
     refilled_at: Nanos,
-    /// Since when it has its rate and capacity.
-    shaped_at: Nanos,
-    /// When a token will be free for the next one that is refused.
+    /// When the current rate and capacity were set.
+    shape_set_at: Nanos,
+    /// When the next unreserved token becomes available; [`TokenBucket::retry_after`] reserves it.
     next_free_at: Nanos,
 }
 
 impl TokenBucket {
-    /// A bucket that is empty at `since`, and refills from then on.
+    /// Creates a bucket that is empty at `since` and refills from then on.
     pub fn empty(shape: BucketShape, since: Nanos) -> TokenBucket {
         TokenBucket {
             shape,
             level: 0.0,
             refilled_at: since,
-            shaped_at: since,
+            shape_set_at: since,
             next_free_at: since,
         }
     }
 
-    /// Its rate and capacity.
+    /// The bucket's rate and capacity.
     pub fn shape(&self) -> BucketShape {
         self.shape
     }
 
-    /// Tokens that it holds at `now`.
+    /// Tokens in the bucket at `now`.
     pub fn level(&self, now: Nanos) -> f64 {
-        let gained = self.gained(now.saturating_sub(self.refilled_at));
+        let gained = self.tokens_gained(now.saturating_sub(self.refilled_at));
         (self.level + gained).min(self.shape.capacity)
     }
 
-    /// Changes rate and capacity. What it gained until now it gained at the old rate; what the new capacity does not hold is
-    /// lost.
+    /// Changes rate and capacity. Until `now` the bucket refills at the old rate; tokens above the new capacity are
+    /// dropped.
     pub fn reshape(&mut self, shape: BucketShape, now: Nanos) {
         self.refill(now);
         self.shape = shape;
         self.level = self.level.min(shape.capacity);
-        self.shaped_at = self.shaped_at.max(now);
+        self.shape_set_at = self.shape_set_at.max(now);
         self.next_free_at = self.next_free_at.min(now);
     }
 
-    /// Takes up to `wanted` tokens; returns how many.
+    /// Takes up to `wanted` tokens and returns the number taken.
     pub fn take(&mut self, wanted: u32, now: Nanos) -> u32 {
         self.refill(now);
-        let whole = (self.level + ROUNDING).floor().min(f64::from(wanted));
-        self.level = (self.level - whole).max(0.0);
-        whole as u32
+        let taken = (self.level + ROUNDING_TOLERANCE)
+            .floor()
+            .min(f64::from(wanted));
+        self.level = (self.level - taken).max(0.0);
+        taken as u32
     }
 
-    /// Puts back tokens that were taken at `taken_at` and never spent.
+    /// Returns unspent tokens that were taken at `taken_at`.
     ///
-    /// Counted is only what the bucket has not gained since: had they not been taken it might have been full, and have
-    /// gained nothing. So it never holds more than if they had not been taken. Nothing counts where they were taken before
-    /// the last change of its shape.
+    /// The tokens that the bucket gained since `taken_at` are subtracted from `count`: if the tokens had not been taken,
+    /// the bucket might have been full and have gained none. The bucket therefore never holds more than if the tokens had
+    /// stayed in it. The call has no effect if the tokens were taken before the last change of rate or capacity.
     pub fn give_back(&mut self, count: u32, taken_at: Nanos, now: Nanos) {
         self.refill(now);
-        if taken_at < self.shaped_at {
+        if taken_at < self.shape_set_at {
             return;
         }
-        let gained = self.gained(now.saturating_sub(taken_at));
-        let counted = (f64::from(count) - gained).max(0.0);
-        self.level = (self.level + counted).min(self.shape.capacity);
+        let gained = self.tokens_gained(now.saturating_sub(taken_at));
+        let restored = (f64::from(count) - gained).max(0.0);
+        self.level = (self.level + restored).min(self.shape.capacity);
     }
 
-    /// After which time one that was refused may come back. Each call reserves the next token to become free, so that those
-    /// who come back are spread as the tokens are; nobody is refused because of it.
+    /// The delay after which a refused request may be retried. Each call reserves the next token to become available, so
+    /// that retries are spread at the rate of the tokens. A reservation never causes a refusal.
     pub fn retry_after(&mut self, now: Nanos) -> Nanos {
         let missing = (1.0 - self.level(now)).max(0.0);
         let first_free_at = now.saturating_add(self.time_to_gain(missing));
@@ -96,8 +100,8 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    fn gained(&self, time: Nanos) -> f64 {
-        time as f64 / SECOND * self.shape.tokens_per_s
+    fn tokens_gained(&self, elapsed: Nanos) -> f64 {
+        elapsed as f64 / SECOND * self.shape.tokens_per_s
     }
 
     fn time_to_gain(&self, tokens: f64) -> Nanos {
--- a/crates/sparrouter-quota/src/buckets.rs
+++ b/crates/sparrouter-quota/src/buckets.rs
@@ -1,44 +1,44 @@
-//! The buckets of one shard at its lease holder.
+//! The token buckets of one shard, kept by the shard's lease holder.
 use crate::Nanos;
 use crate::bucket::TokenBucket;
 use crate::limit::BucketShape;
 use std::collections::BTreeMap;
 
-/// A tenant that has a part of its limit in the shard.
+/// A tenant's token bucket in one shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantBucket {
     /// Name of the tenant.
     pub tenant: String,
-    /// The bucket of the part.
+    /// Rate and capacity of the tenant's bucket in this shard.
     pub shape: BucketShape,
 }
 
-/// What came of an attempt to take tokens.
+/// The result of [`BucketTable::take`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeOutcome {
-    /// As many tokens were taken as it says: 1 or more, and no more than were wanted.
+    /// The number of tokens taken, from 1 to the number wanted.
     Granted(u32),
-    /// The bucket is empty; the time after which to come back.
+    /// The bucket is empty; the caller may retry after this time.
     Refused(Nanos),
-    /// The tenant has no part of its limit here, as far as this node knows.
+    /// No part of the tenant's limit is in this shard, according to the configuration that this node has.
     UnknownTenant,
 }
 
-/// Tokens that come back unspent.
+/// Unspent tokens that a node returns to the lease holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReturnedTokens {
     /// Fencing token of the lease under which they were granted.
     pub fencing_token: u64,
-    /// When, by the holder's clock.
+    /// When they were granted, by the lease holder's clock.
     pub granted_at: Nanos,
-    /// How many.
+    /// Number of tokens.
     pub count: u32,
 }
 
-/// The buckets of one shard, from one acquire of its lease on: a process that acquires the lease again makes a new table.
+/// The token buckets of one shard during one lease. A process that acquires the lease again creates a new table.
 ///
-/// Invariant: nothing is granted before `active_from`, and each bucket is empty then, or later where its tenant got its
-/// limit later.
+/// Invariant: no token is granted before `active_from`. Each bucket is empty at `active_from`, or, if the tenant's limit
+/// is set later, at that moment.
 #[derive(Clone, Debug)]
 pub struct BucketTable {
     fencing_token: u64,
@@ -50,7 +50,7 @@
 }
 
 impl BucketTable {
-    /// The table of a lease. `active_from`: when no earlier holder can grant any more.
+    /// Creates the table of a lease. `active_from`: the moment from which no earlier holder can grant tokens.
     pub fn new(fencing_token: u64, active_from: Nanos) -> BucketTable {
         BucketTable {
             fencing_token,
@@ -67,22 +67,22 @@
         self.fencing_token
     }
 
-    /// When no earlier holder can grant any more.
+    /// The moment from which no earlier holder can grant tokens.
     pub fn active_from(&self) -> Nanos {
         self.active_from
     }
 
-    /// Takes over the limits that are in force from `now` on. A tenant that was not there before begins with an empty
-    /// bucket, also one that was removed and comes back.
+    /// Replaces all limits from `now` on. A tenant that is added, or removed and added again, starts with an empty
+    /// bucket.
     pub fn set_limits(&mut self, limits: Vec<TenantBucket>, now: Nanos) {
         let mut buckets = BTreeMap::new();
         for TenantBucket { tenant, shape } in limits {
             let bucket = match self.buckets.remove(&tenant) {
-                Some(mut known) => {
-                    if known.shape() != shape {
-                        known.reshape(shape, now);
+                Some(mut existing) => {
+                    if existing.shape() != shape {
+                        existing.reshape(shape, now);
                     }
-                    known
+                    existing
                 }
                 None => TokenBucket::empty(shape, now.max(self.active_from)),
             };
@@ -91,7 +91,7 @@
         self.buckets = buckets;
     }
 
-    /// Takes up to `wanted` tokens of a tenant's part. The caller has checked that the lease is valid at `now`.
+    /// Takes up to `wanted` tokens from a tenant's bucket. The caller has checked that the lease is valid at `now`.
     pub fn take(&mut self, tenant: &str, wanted: u32, now: Nanos) -> TakeOutcome {
         let active_from = self.active_from;
         let Some(bucket) = self.buckets.get_mut(tenant) else {
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Puts back tokens that were granted under this lease and never spent, as [`TokenBucket::give_back`] does. Those of
-    /// another lease are not known here: its buckets are gone.
+    /// Returns unspent tokens that were granted under this lease, as [`TokenBucket::give_back`] does. Tokens of another
+    /// lease are ignored, because the buckets of that lease no longer exist.
     pub fn give_back(&mut self, tenant: &str, returned: ReturnedTokens, now: Nanos) {
         if returned.fencing_token != self.fencing_token {
             return;
@@ -123,12 +123,12 @@
         }
     }
 
-    /// Tokens that a tenant's part holds at `now`; `None` where it has no part here.
+    /// Tokens in a tenant's bucket at `now`; `None` if no part of the tenant's limit is in this shard.
     pub fn level(&self, tenant: &str, now: Nanos) -> Option<f64> {
         self.buckets.get(tenant).map(|bucket| bucket.level(now))
     }
 
-    /// Number of tenants that have a part here.
+    /// Number of tenants that have a bucket in this shard.
     pub fn tenant_count(&self) -> usize {
         self.buckets.len()
     }
@@ -143,7 +143,7 @@
         self.refused
     }
 
-    /// Tokens that were put back since the lease was acquired.
+    /// Tokens that were returned unspent since the lease was acquired.
     pub fn returned(&self) -> u64 {
         self.returned
     }
--- a/crates/sparrouter-quota/src/limit.rs
+++ b/crates/sparrouter-quota/src/limit.rs
@@ -1,74 +1,74 @@
-//! A tenant's limit, and how it is divided into parts.
+//! A tenant's limit, and its division into parts.
 use crate::{Nanos, SECOND};
 use sparrouter_rendezvous::{hash, order};
 
-/// Fewest tokens that each part of a divided limit can hold: with fewer, requests that come together meet empty parts
-/// while others are full.
+/// Minimum capacity of each part of a divided limit, in tokens: with a smaller one, concurrent requests find some parts
+/// empty while others are full.
 const MIN_PART_CAPACITY: f64 = 3.0;
-/// Fewest tokens that a bucket can hold: a request takes a whole one.
+/// Minimum capacity of a bucket, in tokens: a request takes a whole token.
 const MIN_CAPACITY: f64 = 1.0;
-/// Least part of its rate that a limit with a small burst is served at.
+/// Minimum ratio of the granted rate to the limit's rate if the burst is small.
 const MIN_RATE_RATIO: f64 = 0.5;
 
-/// What a tenant may use, over all nodes together.
+/// A tenant's request limit, over all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaLimit {
-    /// Requests a second; above 0.
+    /// Requests per second; above 0.
     pub rate_per_s: f64,
-    /// Requests beyond the rate that may come together; 0 or more.
+    /// Number of requests above the rate that may arrive at once; 0 or more.
     pub burst_size: f64,
 }
 
-/// How limits are kept in a deployment; the same at all nodes.
+/// Quota settings of a deployment; the same on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaSettings {
-    /// The span in which the requests of a tenant number at most `rate x window + burst`.
+    /// The span within which a tenant sends at most `rate x window + burst` requests.
     pub window: Nanos,
-    /// How long after it was asked for a permit may be spent.
+    /// Lifetime of a permit, counted from the request for it.
     pub permit_lifetime: Nanos,
-    /// Number of shards; they are numbered from 1.
+    /// Number of shards; shard numbers start at 1.
     pub shards: u16,
 }
 
-/// The token bucket of one part of a limit.
+/// Rate and capacity of the token bucket of one part of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BucketShape {
-    /// Tokens that it gains a second.
+    /// Tokens that the bucket gains per second.
     pub tokens_per_s: f64,
-    /// Most tokens that it holds; 1 or more.
+    /// Maximum number of tokens in the bucket; 1 or more.
     pub capacity: f64,
 }
 
-/// A limit in equal parts, each in a shard of its own.
+/// A limit divided into equal parts, each in a different shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Division {
     /// Number of parts, from 1 to [`QuotaSettings::shards`].
     pub parts: u16,
-    /// The bucket of each part.
+    /// Rate and capacity of the bucket of each part.
     pub shape: BucketShape,
 }
 
 impl Division {
-    /// Divides a limit into as many parts as there are shards, or fewer where their buckets would be too small.
+    /// Divides a limit into one part per shard, or into fewer parts if the buckets would otherwise be too small.
     ///
-    /// In any [`QuotaSettings::window`] the parts together let at most `rate x window + burst` requests be sent. Where
-    /// that is less than about two requests it is exceeded by one at most, since a bucket holds a whole token.
+    /// In any [`QuotaSettings::window`] the parts together allow at most `rate x window + burst` requests. If that is less
+    /// than about two requests, it may be exceeded by one request, because a bucket holds at least one whole token.
     pub fn of(limit: QuotaLimit, settings: &QuotaSettings) -> Division {
-        let whole = whole_bucket(limit, settings);
+        let undivided = undivided_bucket(limit, settings);
         let max_parts = f64::from(settings.shards.max(1));
-        let parts = (whole.capacity / MIN_PART_CAPACITY)
+        let parts = (undivided.capacity / MIN_PART_CAPACITY)
             .floor()
             .clamp(1.0, max_parts);
         Division {
             parts: parts as u16,
             shape: BucketShape {
-                tokens_per_s: whole.tokens_per_s / parts,
-                capacity: whole.capacity / parts,
+                tokens_per_s: undivided.tokens_per_s / parts,
+                capacity: undivided.capacity / parts,
             },
         }
     }
 
-    /// The shards that have the parts of a tenant's limit, the same at all nodes.
+    /// The shards in which the parts of a tenant's limit are; all nodes compute the same list.
     pub fn shards(&self, tenant: &str, settings: &QuotaSettings) -> Vec<u16> {
         let shards = (1..=settings.shards).map(|shard| (hash(&shard.to_le_bytes()), shard));
         let mut ranked = order(shards, hash(tenant.as_bytes()));
@@ -77,9 +77,9 @@
     }
 }
 
-/// The bucket that a limit would have in one part: what permits that were granted before the window can add within it is
-/// taken off its capacity, or off its rate where the burst is too small for that.
-fn whole_bucket(limit: QuotaLimit, settings: &QuotaSettings) -> BucketShape {
+/// The bucket of an undivided limit. Permits granted before the window can be spent within it; their number is subtracted
+/// from the capacity, or from the rate if the burst is too small.
+fn undivided_bucket(limit: QuotaLimit, settings: &QuotaSettings) -> BucketShape {
     let window = settings.window as f64 / SECOND;
     let lifetime = settings.permit_lifetime as f64 / SECOND;
     let rate = limit.rate_per_s;
--- a/crates/sparrouter-quota/src/permits.rs
+++ b/crates/sparrouter-quota/src/permits.rs
@@ -1,54 +1,58 @@
-//! What a node that forwards requests knows of quotas: which shards refused a tenant and which do not answer.
+//! A forwarding node's permits, and which shards refused a tenant or are unavailable.
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// Most tenants whose refusals are known. Beyond them, entries without a refusal in force are dropped, and then the one
-/// that ends first: its tenant costs one question more.
+/// Maximum number of tenants whose refusals are stored. Beyond it, first the entries without a current refusal are
+/// dropped, then the entry whose last refusal expires first; that tenant then costs one more request to a lease holder.
 const MAX_TENANTS: usize = 4_096;
 
-/// The right to send one request of a tenant, once.
+/// Permission to send one request of a tenant.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// The shard that granted it.
+    /// The shard whose lease holder granted the permit.
     pub shard: u16,
-    /// Fencing token of the lease under which it was granted.
+    /// Fencing token of the lease under which the permit was granted.
     pub fencing_token: u64,
-    /// When it was granted, by the holder's clock: it says so when it comes back.
+    /// When the permit was granted, by the lease holder's clock; sent back with a returned permit.
     pub granted_at: Nanos,
-    /// Until when it may be spent. Counted from before it was asked for, so that it ends before the holder takes it to.
+    /// When the permit expires. The lifetime counts from before the permit was requested, so that the permit expires no
+    /// later than the lease holder assumes.
     pub expires_at: Nanos,
 }
 
 impl Permit {
-    /// Whether it may still be spent. To be asked immediately before the request is sent: the process may have been frozen
-    /// since any earlier moment.
+    /// Whether the permit may still be spent. Callers must check this immediately before they send the request, since the
+    /// process may have been suspended after any earlier check.
     pub fn is_valid(&self, now: Nanos) -> bool {
         now < self.expires_at
     }
 }
 
-/// What to do next for a request that needs a permit.
+/// The next step of a request that needs a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Ask the holder of this shard.
+    /// Request a permit from the lease holder of this shard.
     Ask(u16),
-    /// All parts of the limit are used up; the time after which the client may come back.
+    /// All parts of the limit are used up; the client may retry after this time.
     LimitReached(Nanos),
-    /// Parts may be left, but their holders cannot be asked; the time after which one may be asked again.
+    /// Tokens may be available, but the lease holders of those parts are unavailable; one of them may be asked again after
+    /// this time.
     Unavailable(Nanos),
 }
 
-/// The refusals that a node knows of, so that a tenant above its limit costs no message a request.
+/// The refusals and unavailable shards that a node remembers, so that a tenant above its limit does not cost a message
+/// per request.
 #[derive(Clone, Debug, Default)]
 pub struct PermitTable {
-    /// By tenant and shard, until when the shard has nothing for the tenant.
+    /// By tenant and shard: the time until which the shard has no token for the tenant.
     refused_until: BTreeMap<String, BTreeMap<u16, Nanos>>,
-    /// By shard, until when its holder is not asked, because it could not be.
+    /// By shard: the time until which its lease holder is not asked, because it was unavailable.
     unavailable_until: BTreeMap<u16, Nanos>,
 }
 
 impl PermitTable {
-    /// The next step of a request of `tenant`, whose parts are in `shards`; `asked` are those that it has asked already.
+    /// The next step of a request of `tenant`, whose parts are in `shards`; the request has already asked the shards in
+    /// `asked`.
     pub fn next_step(&self, tenant: &str, shards: &[u16], asked: &[u16], now: Nanos) -> NextStep {
         let refusals = self.refused_until.get(tenant);
         let mut refused_until: Option<Nanos> = None;
@@ -56,11 +60,12 @@
         for shard in shards {
             let refused = refusals.and_then(|refusals| refusals.get(shard));
             let unavailable = self.unavailable_until.get(shard);
-            let is_in_force = |until: Option<&Nanos>| until.copied().filter(|until| *until > now);
-            if let Some(until) = is_in_force(refused) {
-                refused_until = Some(refused_until.map_or(until, |known| known.min(until)));
-            } else if let Some(until) = is_in_force(unavailable) {
-                unavailable_until = Some(unavailable_until.map_or(until, |known| known.min(until)));
+            let unexpired = |until: Option<&Nanos>| until.copied().filter(|until| *until > now);
+            if let Some(until) = unexpired(refused) {
+                refused_until = Some(refused_until.map_or(until, |earliest| earliest.min(until)));
+            } else if let Some(until) = unexpired(unavailable) {
+                unavailable_until =
+                    Some(unavailable_until.map_or(until, |earliest| earliest.min(until)));
             } else if !asked.contains(shard) {
                 return NextStep::Ask(*shard);
             }
@@ -72,18 +77,18 @@
         }
     }
 
-    /// A holder had no token for a tenant, and will have one after `retry_after`.
+    /// Records that a lease holder had no token for a tenant and expects one after `retry_after`.
     pub fn record_refusal(&mut self, tenant: &str, shard: u16, retry_after: Nanos, now: Nanos) {
         if !self.refused_until.contains_key(tenant) {
-            self.make_room(now);
+            self.evict_if_full(now);
         }
         let until = now.saturating_add(retry_after);
         let shards = self.refused_until.entry(tenant.to_owned()).or_default();
         shards.insert(shard, until);
     }
 
-    /// Makes room for one tenant more.
-    fn make_room(&mut self, now: Nanos) {
+    /// Drops an entry if there is no room for one more tenant.
+    fn evict_if_full(&mut self, now: Nanos) {
         if self.refused_until.len() < MAX_TENANTS {
             return;
         }
@@ -92,28 +97,28 @@
         if self.refused_until.len() < MAX_TENANTS {
             return;
         }
-        let ends_first = self
+        let first_to_expire = self
             .refused_until
             .iter()
             .min_by_key(|(_, shards)| shards.values().max())
             .map(|(tenant, _)| tenant.clone());
-        if let Some(tenant) = ends_first {
+        if let Some(tenant) = first_to_expire {
             self.refused_until.remove(&tenant);
         }
     }
 
-    /// The holder of a shard could not be asked.
+    /// Records that the lease holder of a shard was unavailable, and is to be asked again after `retry_after`.
     pub fn record_unavailable(&mut self, shard: u16, retry_after: Nanos, now: Nanos) {
         self.unavailable_until
             .insert(shard, now.saturating_add(retry_after));
     }
 
-    /// The holder of a shard answered.
+    /// Records that the lease holder of a shard answered.
     pub fn record_answer(&mut self, shard: u16) {
         self.unavailable_until.remove(&shard);
     }
 
-    /// Shards whose holders could not be asked lately.
+    /// Shards whose lease holders are currently recorded as unavailable.
     pub fn unavailable(&self, now: Nanos) -> Vec<u16> {
         self.unavailable_until
             .iter()
