--- a/crates/sparrouter-quota/src/bucket.rs
+++ b/crates/sparrouter-quota/src/bucket.rs
@@ -2,7 +2,7 @@
 use crate::limit::BucketShape;
 use crate::{Nanos, SECOND};
 
-/// Longest retry delay that a refused request is told.
+/// Maximum retry delay of a refused request.
 const MAX_RETRY_AFTER: Nanos = 1_000_000_000;
 /// Rounding tolerance in tokens: a level this little below a whole number counts as that number, because sums of
 /// fractions are rounded.
--- a/crates/sparrouter-quota/tests/bucket.rs
+++ b/crates/sparrouter-quota/tests/bucket.rs
@@ -1,4 +1,4 @@
-//! One token bucket, and the buckets of a shard at its lease holder.
+//! Token buckets, and the bucket table of a shard's lease holder.
 use sparrouter_quota::{
     BucketShape, BucketTable, Nanos, ReturnedTokens, TakeOutcome, TenantBucket, TokenBucket,
 };
@@ -22,9 +22,9 @@
     tenants.iter().map(bucket).collect()
 }
 
-/// Guards against a bucket that starts with tokens.
+/// Guards against a new bucket that holds tokens.
 #[test]
-fn given_a_new_bucket_when_no_time_passed_then_it_grants_nothing() {
+fn given_a_new_bucket_when_no_time_has_passed_then_it_grants_nothing() {
     for rate in RATES {
         let mut bucket = TokenBucket::empty(shape(rate, 50.0 * rate), 7 * SECOND);
         assert_eq!(bucket.take(1, 7 * SECOND), 0);
@@ -32,9 +32,9 @@
     }
 }
 
-/// Guards against a refill above the capacity, and one that loses what it gained.
+/// Guards against a refill above the capacity, and against one that loses tokens.
 #[test]
-fn given_a_long_idle_time_when_tokens_are_taken_then_they_are_the_capacity_and_no_more() {
+fn given_an_idle_bucket_when_tokens_are_taken_then_it_grants_exactly_its_capacity() {
     for rate in RATES {
         for capacity in [1.0, 1.4, 2.0, 50.0] {
             let mut bucket = TokenBucket::empty(shape(rate, capacity), 0);
@@ -45,9 +45,11 @@
     }
 }
 
-/// Guards against rounding that adds up: tokens taken one by one over a long time stay below `rate x s + capacity`.
+/// Guards against rounding errors that add up: tokens taken one by one over a long time stay below
+/// `rate x s + capacity`.
 #[test]
-fn given_takes_at_odd_moments_when_counted_then_they_never_exceed_rate_times_span_plus_capacity() {
+fn given_random_takes_when_granted_tokens_are_summed_then_the_sum_is_at_most_rate_times_span_plus_capacity()
+ {
     for (seed, rate) in (0..).zip(RATES) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let capacity = 1.0 + rng.f64() * 5.0;
@@ -63,9 +65,11 @@
     }
 }
 
-/// Guards against a clock that is read in another order than it is used: an earlier moment gains and loses nothing.
+/// Guards against timestamps that are used in another order than they were read: an earlier timestamp must not add or
+/// remove tokens.
 #[test]
-fn given_an_earlier_moment_than_before_when_used_then_the_level_is_as_it_was() {
+fn given_a_timestamp_before_the_last_refill_when_tokens_are_taken_then_the_bucket_does_not_refill()
+{
     let mut bucket = TokenBucket::empty(shape(10.0, 5.0), 0);
     assert_eq!(bucket.take(1, SECOND), 1);
     assert_eq!(bucket.take(9, SECOND / 2), 4);
@@ -73,24 +77,25 @@
     assert_eq!(bucket.take(1, SECOND), 0);
 }
 
-/// Guards against a change of the limit that fills the bucket, or that counts past time at the new rate.
+/// Guards against a change of the limit that fills the bucket, or that applies the new rate to past time.
 #[test]
-fn given_a_changed_shape_when_raised_lowered_and_set_back_then_the_level_is_kept_and_cut() {
+fn given_a_bucket_when_its_capacity_is_raised_and_lowered_then_its_level_is_kept_up_to_the_capacity()
+ {
     let (small, large) = (shape(2.0, 2.0), shape(100.0, 50.0));
     let mut bucket = TokenBucket::empty(small, 0);
     bucket.reshape(large, SECOND / 2);
-    assert_eq!(bucket.level(SECOND / 2), 1.0, "gained at the old rate");
+    assert_eq!(bucket.level(SECOND / 2), 1.0, "refilled at the old rate");
     assert_eq!(bucket.level(SECOND), 50.0);
     bucket.reshape(small, SECOND);
-    assert_eq!(bucket.level(SECOND), 2.0, "cut to the capacity");
+    assert_eq!(bucket.level(SECOND), 2.0, "limited to the lower capacity");
     bucket.reshape(large, SECOND);
-    assert_eq!(bucket.level(SECOND), 2.0, "what was cut does not come back");
+    assert_eq!(bucket.level(SECOND), 2.0, "dropped tokens are not restored");
     assert_eq!(bucket.shape(), large);
 }
 
-/// Guards against tokens that are given back on top of a full bucket.
+/// Guards against returned tokens that are added to a full bucket.
 #[test]
-fn given_tokens_that_come_back_when_the_bucket_refilled_meanwhile_then_it_is_full_and_not_over() {
+fn given_returned_tokens_when_the_bucket_has_refilled_then_the_level_stays_within_the_capacity() {
     let mut bucket = TokenBucket::empty(shape(8.0, 4.0), 0);
     assert_eq!(bucket.take(4, 10 * SECOND), 4);
     bucket.give_back(3, 10 * SECOND, 10 * SECOND);
@@ -101,9 +106,10 @@
     assert_eq!(bucket.level(11 * SECOND), 4.0);
 }
 
-/// Guards against a token that is spent twice: once by a full bucket that could not gain it, and once when it comes back.
+/// Guards against tokens that are spent twice: a full bucket gains tokens because some were taken, and later those are
+/// returned as well.
 #[test]
-fn given_tokens_that_come_back_after_the_bucket_was_full_when_taken_then_no_span_exceeds_the_capacity()
+fn given_tokens_taken_from_a_full_bucket_when_they_are_returned_then_no_span_grants_more_than_the_capacity()
  {
     for (held_for, capacity) in [(300 * MS, 40), (3 * SECOND, 10)] {
         let mut bucket = TokenBucket::empty(shape(10.0, f64::from(capacity)), 0);
@@ -113,35 +119,38 @@
         let spent = bucket.take(u32::MAX, now);
         bucket.give_back(3, taken_at, now);
         let spent = spent + bucket.take(u32::MAX, now);
-        assert!(spent <= capacity, "{spent} at once of {capacity}");
+        assert!(
+            spent <= capacity,
+            "{spent} tokens spent at once of capacity {capacity}"
+        );
     }
 }
 
-/// Guards against refused ones that all come back together, too late or in the past.
+/// Guards against retry delays that let all refused requests retry together, too late, or in the past.
 #[test]
-fn given_refusals_when_asked_when_to_come_back_then_tokens_are_free_one_after_another_within_a_second()
+fn given_refused_requests_when_their_retry_delays_are_computed_then_they_follow_the_rate_up_to_a_second()
  {
     for rate in RATES {
         let gap = (1e9 / rate) as Nanos;
         let mut bucket = TokenBucket::empty(shape(rate, 3.0), 0);
-        let mut last = 0;
+        let mut previous = 0;
         for index in 0..2_000 {
             let after = bucket.retry_after(0);
             assert!(after <= SECOND);
-            assert!(after >= last, "never earlier than the one before");
+            assert!(after >= previous, "not before the previous reservation");
             let expected = (gap.saturating_mul(index + 1)).min(SECOND);
             assert!(
                 after.abs_diff(expected) <= index + 1,
-                "{rate}: {after} {expected}"
+                "rate {rate}: retry after {after}, expected {expected}"
             );
-            last = after;
+            previous = after;
         }
     }
 }
 
-/// Guards against reservations of old that delay those who come later.
+/// Guards against expired reservations that delay later requests.
 #[test]
-fn given_many_refusals_when_a_second_and_a_token_passed_then_the_next_waits_for_one_token_only() {
+fn given_many_expired_reservations_when_a_request_is_refused_then_it_waits_for_one_token_only() {
     for rate in [8.0, 65.0, 10_000.0] {
         let mut bucket = TokenBucket::empty(shape(rate, 3.0), 0);
         for _ in 0..20_000 {
@@ -154,9 +163,9 @@
     }
 }
 
-/// Guards against a raised limit whose clients still come back as by the lower one.
+/// Guards against retry delays that still follow the lower rate after the limit was raised.
 #[test]
-fn given_reservations_when_the_limit_is_raised_then_the_next_comes_back_by_the_new_rate() {
+fn given_reservations_when_the_limit_is_raised_then_retry_delays_follow_the_new_rate() {
     let mut bucket = TokenBucket::empty(shape(2.0, 2.0), 0);
     for _ in 0..10 {
         bucket.retry_after(0);
@@ -166,19 +175,20 @@
     assert_eq!(bucket.retry_after(0), 20 * MS);
 }
 
-/// Guards against grants while a predecessor's lease may be valid.
+/// Guards against grants while the previous lease holder's lease may still be valid.
 #[test]
-fn given_a_new_lease_when_asked_before_it_is_active_then_it_refuses_until_then_and_starts_empty() {
+fn given_a_new_lease_when_tokens_are_taken_before_active_from_then_they_are_refused_and_buckets_start_empty()
+ {
     let mut table = BucketTable::new(5, 10 * SECOND);
     table.set_limits(limits(&[("a", shape(10.0, 5.0))]), 2 * SECOND);
-    let early = table.take("a", 1, 9 * SECOND);
-    assert_eq!(early, TakeOutcome::Refused(SECOND));
+    let early_take = table.take("a", 1, 9 * SECOND);
+    assert_eq!(early_take, TakeOutcome::Refused(SECOND));
     assert_eq!(
         table.take("a", 1, 10 * SECOND),
         TakeOutcome::Refused(100 * MS)
     );
-    let later = table.take("a", 9, 10 * SECOND + 200 * MS);
-    assert_eq!(later, TakeOutcome::Granted(2));
+    let later_take = table.take("a", 9, 10 * SECOND + 200 * MS);
+    assert_eq!(later_take, TakeOutcome::Granted(2));
     assert_eq!(table.level("a", 10 * SECOND), Some(0.0));
     assert_eq!((table.granted(), table.refused()), (2, 2));
     assert_eq!(
@@ -195,9 +205,9 @@
     }
 }
 
-/// Guards against tokens of an earlier or later lease that fill this one's buckets.
+/// Guards against returned tokens of an earlier or later lease that refill this lease's buckets.
 #[test]
-fn given_tokens_of_another_lease_when_given_back_then_nothing_changes() {
+fn given_tokens_of_another_lease_when_they_are_returned_then_they_are_ignored() {
     let mut table = BucketTable::new(5, 0);
     table.set_limits(limits(&[("a", shape(1.0, 5.0))]), 0);
     for token in [0, 4, 6, u64::MAX] {
@@ -206,39 +216,42 @@
     assert_eq!(table.level("a", 0), Some(0.0));
     assert_eq!(table.returned(), 0);
     table.give_back("b", returned(5, 3), 0);
-    assert_eq!(table.returned(), 0, "a tenant without a part");
+    assert_eq!(table.returned(), 0, "a tenant without a bucket");
     table.give_back("a", returned(5, 3), 0);
     assert_eq!((table.level("a", 0), table.returned()), (Some(3.0), 3));
 }
 
-/// Guards against a fresh burst for a tenant that is removed and comes back.
+/// Guards against a full bucket for a tenant that is removed and added again.
 #[test]
-fn given_a_tenant_that_was_removed_when_it_is_back_then_its_bucket_is_empty_from_then_on() {
-    let part = shape(10.0, 10.0);
+fn given_a_removed_tenant_when_it_is_added_again_then_its_bucket_starts_empty() {
+    let bucket_shape = shape(10.0, 10.0);
     let mut table = BucketTable::new(1, 0);
-    table.set_limits(limits(&[("a", part), ("b", part)]), 0);
-    table.set_limits(limits(&[("b", part)]), 5 * SECOND);
+    table.set_limits(limits(&[("a", bucket_shape), ("b", bucket_shape)]), 0);
+    table.set_limits(limits(&[("b", bucket_shape)]), 5 * SECOND);
     assert_eq!(table.take("a", 1, 5 * SECOND), TakeOutcome::UnknownTenant);
     assert_eq!(
         (table.level("a", 5 * SECOND), table.tenant_count()),
         (None, 1)
     );
-    table.set_limits(limits(&[("a", part), ("b", part)]), 6 * SECOND);
+    table.set_limits(
+        limits(&[("a", bucket_shape), ("b", bucket_shape)]),
+        6 * SECOND,
+    );
     assert_eq!(table.level("a", 6 * SECOND), Some(0.0));
     assert_eq!(
         table.level("b", 6 * SECOND),
         Some(10.0),
-        "the other one kept its"
+        "the other tenant's level is unchanged"
     );
     assert_eq!(table.tenant_count(), 2);
 }
 
-/// Guards against a change of limits, of this tenant's or of another's, that fills a bucket or empties it.
+/// Guards against an update of this or another tenant's limit that fills or empties a bucket whose limit is unchanged.
 #[test]
-fn given_limits_that_are_set_again_when_they_are_the_same_then_levels_and_reservations_stay() {
-    let part = shape(10.0, 10.0);
+fn given_unchanged_limits_when_they_are_set_again_then_the_level_is_unchanged() {
+    let bucket_shape = shape(10.0, 10.0);
     let mut table = BucketTable::new(1, 0);
-    table.set_limits(limits(&[("a", part)]), 0);
+    table.set_limits(limits(&[("a", bucket_shape)]), 0);
     assert_eq!(table.take("a", 3, SECOND / 2), TakeOutcome::Granted(3));
     assert_eq!(
         table.take("a", 1, 510 * MS + SECOND / 10),
@@ -246,15 +259,15 @@
     );
     let level = table.level("a", SECOND);
     for _ in 0..5 {
-        table.set_limits(limits(&[("a", part), ("b", part)]), SECOND);
-        table.set_limits(limits(&[("a", part)]), SECOND);
+        table.set_limits(limits(&[("a", bucket_shape), ("b", bucket_shape)]), SECOND);
+        table.set_limits(limits(&[("a", bucket_shape)]), SECOND);
     }
     assert_eq!(table.level("a", SECOND), level);
 }
 
-/// Guards against a lowered limit that leaves more than its capacity.
+/// Guards against a lowered limit that leaves more tokens than the new capacity.
 #[test]
-fn given_a_lowered_limit_when_it_is_set_then_the_part_grants_its_capacity_at_most() {
+fn given_a_full_bucket_when_its_limit_is_lowered_then_it_grants_at_most_the_new_capacity() {
     let mut table = BucketTable::new(1, 0);
     table.set_limits(limits(&[("a", shape(100.0, 100.0))]), 0);
     table.set_limits(limits(&[("a", shape(2.0, 2.0))]), 10 * SECOND);
--- a/crates/sparrouter-quota/tests/permits.rs
+++ b/crates/sparrouter-quota/tests/permits.rs
@@ -1,29 +1,29 @@
-//! What a forwarding node knows of quotas.
+//! A forwarding node's permit table: refusals, unavailable shards, and the next step of a request.
 use sparrouter_quota::{Nanos, NextStep, Permit, PermitTable};
 
 const MS: Nanos = 1_000_000;
 const NOW: Nanos = 1_000 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Shard {
-    Open,
+enum ShardState {
+    Available,
     Asked,
     Refused(Nanos),
     Unavailable(Nanos),
-    /// The holder answered a refusal, and could not be asked later.
-    Both(Nanos, Nanos),
+    /// The lease holder refused once, and was unavailable later.
+    RefusedThenUnavailable(Nanos, Nanos),
 }
 
-fn table_of(shards: &[Shard]) -> (PermitTable, Vec<u16>) {
+fn table_of(shards: &[ShardState]) -> (PermitTable, Vec<u16>) {
     let mut table = PermitTable::default();
     let mut asked = Vec::new();
     for (shard, state) in (1..).zip(shards) {
         match *state {
-            Shard::Open => {}
-            Shard::Asked => asked.push(shard),
-            Shard::Refused(after) => table.record_refusal("a", shard, after, NOW),
-            Shard::Unavailable(after) => table.record_unavailable(shard, after, NOW),
-            Shard::Both(refused, unavailable) => {
+            ShardState::Available => {}
+            ShardState::Asked => asked.push(shard),
+            ShardState::Refused(after) => table.record_refusal("a", shard, after, NOW),
+            ShardState::Unavailable(after) => table.record_unavailable(shard, after, NOW),
+            ShardState::RefusedThenUnavailable(refused, unavailable) => {
                 table.record_refusal("a", shard, refused, NOW);
                 table.record_unavailable(shard, unavailable, NOW);
             }
@@ -32,18 +32,20 @@
     (table, asked)
 }
 
-/// What the doc of `NextStep` says of such shards.
-fn expected_step(shards: &[Shard]) -> NextStep {
-    let open = shards.iter().position(|shard| *shard == Shard::Open);
-    if let Some(index) = open {
+/// The step that the documentation of `NextStep` requires for shards in these states.
+fn expected_step(shards: &[ShardState]) -> NextStep {
+    let first_available = shards
+        .iter()
+        .position(|shard| *shard == ShardState::Available);
+    if let Some(index) = first_available {
         return NextStep::Ask(index as u16 + 1);
     }
     let refused = shards.iter().filter_map(|shard| match shard {
-        Shard::Refused(after) | Shard::Both(after, _) => Some(*after),
+        ShardState::Refused(after) | ShardState::RefusedThenUnavailable(after, _) => Some(*after),
         _ => None,
     });
     let unavailable = shards.iter().filter_map(|shard| match shard {
-        Shard::Unavailable(after) => Some(*after),
+        ShardState::Unavailable(after) => Some(*after),
         _ => None,
     });
     match (refused.min(), unavailable.min()) {
@@ -53,17 +55,19 @@
     }
 }
 
-/// Guards against a part that is passed over, asked twice, or a wrong reason: each combination of the states of 3 shards.
+/// Guards against a part that is skipped or asked twice, and against a wrong reason: covers each combination of the
+/// states of 3 shards.
 #[test]
-fn given_each_combination_of_shards_when_the_next_step_is_asked_for_then_it_is_as_documented() {
+fn given_each_combination_of_shard_states_when_the_next_step_is_computed_then_it_is_as_documented()
+{
     let states = [
-        Shard::Open,
-        Shard::Asked,
-        Shard::Refused(70 * MS),
-        Shard::Refused(20 * MS),
-        Shard::Unavailable(150 * MS),
-        Shard::Unavailable(10 * MS),
-        Shard::Both(30 * MS, 90 * MS),
+        ShardState::Available,
+        ShardState::Asked,
+        ShardState::Refused(70 * MS),
+        ShardState::Refused(20 * MS),
+        ShardState::Unavailable(150 * MS),
+        ShardState::Unavailable(10 * MS),
+        ShardState::RefusedThenUnavailable(30 * MS, 90 * MS),
     ];
     for a in states {
         for b in states {
@@ -77,9 +81,10 @@
     }
 }
 
-/// Guards against requests that all begin with one part: the order of the caller decides.
+/// Guards against requests that all start with the same part: the caller's order decides.
 #[test]
-fn given_open_shards_in_an_order_when_asked_then_the_first_not_asked_yet_is_next() {
+fn given_available_shards_when_the_next_step_is_computed_then_it_is_the_first_unasked_one_in_order()
+{
     let table = PermitTable::default();
     assert_eq!(table.next_step("a", &[3, 1, 2], &[], NOW), NextStep::Ask(3));
     assert_eq!(
@@ -92,13 +97,13 @@
     );
 }
 
-/// Guards against refusals that outlast their time, or hold for another tenant.
+/// Guards against refusals that outlast their retry delay, or that apply to another tenant.
 #[test]
-fn given_a_refusal_when_its_time_is_over_then_the_shard_is_asked_again() {
+fn given_a_refusal_when_its_retry_delay_is_over_then_the_shard_is_asked_again() {
     let mut table = PermitTable::default();
     table.record_refusal("a", 1, 50 * MS, NOW);
-    let last = table.next_step("a", &[1], &[], NOW + 50 * MS - 1);
-    assert_eq!(last, NextStep::LimitReached(1));
+    let step = table.next_step("a", &[1], &[], NOW + 50 * MS - 1);
+    assert_eq!(step, NextStep::LimitReached(1));
     assert_eq!(
         table.next_step("a", &[1], &[], NOW + 50 * MS),
         NextStep::Ask(1)
@@ -109,9 +114,10 @@
     assert_eq!(step, NextStep::LimitReached(Nanos::MAX - NOW));
 }
 
-/// Guards against holders that stay avoided after they answered, and against one tenant's holder that is another's too.
+/// Guards against lease holders that are still avoided after they answered, and against an unavailability that is
+/// recorded for one tenant only.
 #[test]
-fn given_a_holder_that_could_not_be_asked_when_it_answers_then_it_is_asked_again_for_all_tenants() {
+fn given_an_unavailable_lease_holder_when_it_answers_then_it_is_asked_again_for_all_tenants() {
     let mut table = PermitTable::default();
     table.record_unavailable(1, 150 * MS, NOW);
     table.record_unavailable(2, 50 * MS, NOW);
@@ -126,9 +132,9 @@
     assert_eq!(table.next_step("b", &[1], &[], NOW), NextStep::Ask(1));
 }
 
-/// Guards against a permit that is spent at its end or after it.
+/// Guards against a permit that is spent at or after its expiry.
 #[test]
-fn given_a_permit_when_its_time_is_over_then_it_may_not_be_spent() {
+fn given_a_permit_when_it_expires_then_it_is_no_longer_valid() {
     let permit = Permit {
         shard: 1,
         fencing_token: 1,
@@ -140,34 +146,35 @@
     assert!(!permit.is_valid(Nanos::MAX));
 }
 
-/// Refusals in force that a table knows of, among those of `count` tenants.
-fn known_refusals(table: &PermitTable, count: usize, now: Nanos) -> usize {
-    let is_known = |index: &usize| {
+/// Number of tenants, of the first `count`, whose refusal the table reports as current at `now`.
+fn current_refusals(table: &PermitTable, count: usize, now: Nanos) -> usize {
+    let is_current = |index: &usize| {
         let step = table.next_step(&index.to_string(), &[1], &[], now);
         matches!(step, NextStep::LimitReached(_))
     };
-    (0..count).filter(is_known).count()
+    (0..count).filter(is_current).count()
 }
 
-/// Guards against memory without bound while more tenants than there is room for are refused at once.
+/// Guards against unbounded memory if more tenants than the table's maximum are refused at the same time.
 #[test]
-fn given_more_refused_tenants_than_4096_when_recorded_then_the_table_holds_4096() {
+fn given_more_than_4096_refused_tenants_when_recorded_then_the_table_holds_4096() {
     let mut table = PermitTable::default();
     for index in 0..5_000 {
         table.record_refusal(&index.to_string(), 1, 500 * MS, NOW);
-        let last = table.next_step(&index.to_string(), &[1], &[], NOW);
+        let step = table.next_step(&index.to_string(), &[1], &[], NOW);
         assert_eq!(
-            last,
+            step,
             NextStep::LimitReached(500 * MS),
-            "the newest is known"
+            "the newest refusal is stored"
         );
     }
-    assert_eq!(known_refusals(&table, 5_000, NOW), 4_096);
+    assert_eq!(current_refusals(&table, 5_000, NOW), 4_096);
 }
 
-/// Guards against refusals that are over and keep the room of those in force.
+/// Guards against expired refusals that take the room of current ones.
 #[test]
-fn given_a_full_table_whose_refusals_are_over_when_more_are_recorded_then_all_in_force_are_known() {
+fn given_a_table_full_of_expired_refusals_when_more_are_recorded_then_all_current_ones_are_stored()
+{
     let mut table = PermitTable::default();
     for index in 0..4_096 {
         table.record_refusal(&format!("old-{index}"), 1, 10 * MS, NOW);
@@ -175,5 +182,5 @@
     for index in 0..4_000 {
         table.record_refusal(&index.to_string(), 1, 500 * MS, NOW + 20 * MS);
     }
-    assert_eq!(known_refusals(&table, 4_000, NOW + 20 * MS), 4_000);
+    assert_eq!(current_refusals(&table, 4_000, NOW + 20 * MS), 4_000);
 }
--- a/crates/sparrouter-quota/tests/review.rs
+++ b/crates/sparrouter-quota/tests/review.rs
@@ -1,4 +1,4 @@
-//! Findings of the review of quotas.
+//! Regression tests from the review of quotas.
 use sparrouter_consensus::lease::{LeaseAnswer, LeaseChange, LeaseHolder};
 use sparrouter_consensus::{Applied, Leases, Machine};
 use sparrouter_quota::{BucketShape, TokenBucket};
@@ -6,36 +6,45 @@
 
 const MS: u64 = 1_000_000;
 
-// Guards against permits that come back unspent and count nothing: a tenant at three fifths of its limit is refused.
+// Guards against permits whose unspent return adds no token to the bucket: a tenant at three fifths of its limit is
+// refused.
 #[test]
 fn given_permits_that_lapse_once_before_each_send_when_far_within_the_limit_then_none_is_refused() {
-    // A part of 65 a second and burst 65.
+    // One part of a limit of 65 requests/s with burst 65.
     let shape = BucketShape {
         tokens_per_s: 16.25,
         capacity: 13.0,
     };
     let mut bucket = TokenBucket::empty(shape, 0);
-    let (mut out, mut refused): (VecDeque<u64>, u32) = (VecDeque::new(), 0);
-    // Ten requests a second: the permit of each lapses while a connection comes up for 250 ms, then a second one is spent.
+    let (mut outstanding, mut refused): (VecDeque<u64>, u32) = (VecDeque::new(), 0);
+    // Ten requests a second. Each request's first permit expires during the 250 ms in which a connection is set up, so
+    // that a second permit is spent.
     for step in 0..600 {
         let now = 5_000 * MS + step * 100 * MS;
-        while out.front().is_some_and(|taken| taken + 250 * MS <= now) {
-            let taken = out.pop_front().expect("there is one");
-            let back = taken + 250 * MS;
-            bucket.give_back(1, taken, back);
-            refused += 1 - bucket.take(1, back);
+        while outstanding
+            .front()
+            .is_some_and(|taken_at| taken_at + 250 * MS <= now)
+        {
+            let taken_at = outstanding.pop_front().expect("there is one");
+            let returned_at = taken_at + 250 * MS;
+            bucket.give_back(1, taken_at, returned_at);
+            refused += 1 - bucket.take(1, returned_at);
         }
         match bucket.take(1, now) {
             0 => refused += 1,
-            _ => out.push_back(now),
+            _ => outstanding.push_back(now),
         }
     }
-    assert_eq!(refused, 0, "of 600, at 10 a second where 16.25 are allowed");
+    assert_eq!(
+        refused, 0,
+        "refused of 600 requests, at 10/s where 16.25/s are allowed"
+    );
 }
 
-// Guards against tokens of before a lowered rate: what the bucket gained since at the higher rate would not be taken off.
+// Guards against returned tokens that were taken before the rate was lowered: the tokens gained since at the higher rate
+// would not be subtracted.
 #[test]
-fn given_tokens_taken_before_the_rate_was_lowered_when_they_are_back_then_they_count_nothing() {
+fn given_tokens_taken_before_the_rate_was_lowered_when_they_are_returned_then_they_are_ignored() {
     let shape = |tokens_per_s| BucketShape {
         tokens_per_s,
         capacity: 170.0,
@@ -43,17 +52,19 @@
     let mut bucket = TokenBucket::empty(shape(100.0), 0);
     let start = 5_000 * MS;
     assert_eq!(bucket.take(150, start), 150);
-    let lowered = start + 550 * MS;
-    bucket.reshape(shape(1.0), lowered);
-    let mut spent = bucket.take(200, lowered);
-    bucket.give_back(150, start, lowered);
-    spent += bucket.take(200, lowered);
-    assert!(spent <= 170, "{spent} are spent at one moment");
+    let lowered_at = start + 550 * MS;
+    bucket.reshape(shape(1.0), lowered_at);
+    let mut spent = bucket.take(200, lowered_at);
+    bucket.give_back(150, start, lowered_at);
+    spent += bucket.take(200, lowered_at);
+    assert!(spent <= 170, "{spent} tokens are spent at the same moment");
 }
 
-// Guards against a release before the wait is over that frees the next holder from it: the first one may still grant.
+// Guards against a release before the takeover wait is over that lets the next holder skip the wait: the first holder may
+// still grant tokens.
 #[test]
-fn given_a_successor_that_releases_before_it_waited_when_a_third_acquires_then_it_waits_too() {
+fn given_a_holder_that_releases_during_its_takeover_wait_when_another_acquires_then_that_one_waits_too()
+ {
     let holder = |name: &str| LeaseHolder {
         name: name.to_owned(),
         incarnation: 0,
--- a/crates/sparrouter-quota/tests/sum/explore.rs
+++ b/crates/sparrouter-quota/tests/sum/explore.rs
@@ -1,5 +1,5 @@
-//! Each order of what can happen in a small scope: one tenant, one shard, two possible holders and two nodes. What is never
-//! delivered is lost; who does nothing for a while is frozen.
+//! Exhaustive exploration of all event orders in a small scope: one tenant, one shard, two potential lease holders and two
+//! nodes. An undelivered message models a lost one, and a process without events models a suspended one.
 use crate::holder::{Grant, Rules};
 use crate::ledger::Violation;
 use crate::model::{Clock, Defect, Message, Returns, World};
@@ -7,11 +7,11 @@
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The grid of time.
+/// Step of the simulated time.
 const STEP: Nanos = 100_000_000;
 const TENANT: &str = "a";
 
-/// How often each thing may happen.
+/// Remaining number of times that each action may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub steps: u8,
@@ -20,14 +20,14 @@
     pub renewals: u8,
     pub releases: u8,
     pub restarts: u8,
-    pub doubles: u8,
+    pub duplicates: u8,
 }
 
 #[derive(Clone, Copy)]
 enum Action {
     Step,
     Deliver(usize),
-    Double(usize),
+    Duplicate(usize),
     Acquire(usize),
     Renew(usize),
     Release(usize),
@@ -41,39 +41,41 @@
     world: World,
     network: Vec<Message>,
     budget: Budget,
-    /// Whether questions are asked and answered at once.
-    is_reduced: bool,
+    /// Whether requests for permits are delivered and answered immediately.
+    answers_at_once: bool,
 }
 
-/// What an exploration found.
+/// The result of an exploration.
 #[derive(Debug)]
 pub struct Explored {
     pub states: usize,
     pub violation: Option<Violation>,
-    /// Highest part of what was allowed that was sent in a window.
+    /// Highest ratio of sends to allowed sends over all windows.
     pub highest_ratio: f64,
 }
 
-/// Goes through each state that can be reached, until one violates the invariant.
-pub fn explore(defect: Option<Defect>, budget: Budget, is_reduced: bool) -> Explored {
+/// Visits each reachable state, until one violates the limit.
+pub fn explore(defect: Option<Defect>, budget: Budget, answers_at_once: bool) -> Explored {
     let mut visited = HashSet::new();
-    let mut stack = vec![State::new(defect, budget, is_reduced)];
+    let mut stack = vec![State::new(defect, budget, answers_at_once)];
     let mut highest_ratio = 0.0f64;
     while let Some(state) = stack.pop() {
         for action in state.actions() {
             let mut next = state.clone();
-            let done = next.act(action);
+            let result = next.act(action);
             let ledger = &next.world.ledgers[TENANT];
             highest_ratio = highest_ratio.max(ledger.highest_ratio);
-            if let Err(violation) = done {
+            if let Err(violation) = result {
                 return Explored {
                     states: visited.len(),
                     violation: Some(violation),
                     highest_ratio,
                 };
             }
-            let was_vain = is_reduced && matches!(action, Action::Ask(_)) && next.is_like(&state);
-            if !was_vain && visited.insert(next.fingerprint()) {
+            let was_ineffective = answers_at_once
+                && matches!(action, Action::Ask(_))
+                && next.has_same_permits_and_messages_as(&state);
+            if !was_ineffective && visited.insert(next.fingerprint()) {
                 stack.push(next);
             }
         }
@@ -92,7 +94,7 @@
 }
 
 impl State {
-    fn new(defect: Option<Defect>, budget: Budget, is_reduced: bool) -> State {
+    fn new(defect: Option<Defect>, budget: Budget, answers_at_once: bool) -> State {
         let rules = Rules {
             settings: QuotaSettings {
                 window: STEP,
@@ -108,7 +110,7 @@
             speed: 1.0,
         };
         let mut world = World::new(rules, &[TENANT], &[clock; 2], &[clock; 2]);
-        // One token a step, a bucket of one, and what the lifetime adds: 3.5 in a window.
+        // One token per step, a bucket capacity of one, and what the permit lifetime adds: 3.5 sends allowed in a window.
         let limit = QuotaLimit {
             rate_per_s: 10.0,
             burst_size: 2.5,
@@ -118,9 +120,9 @@
             world,
             network: Vec::new(),
             budget,
-            is_reduced,
+            answers_at_once,
         };
-        // The first of them has the lease.
+        // The first holder has the lease.
         state.world.acquire(0, 1);
         for _ in 0..2 {
             if let Some(message) = state.world.outbox.pop() {
@@ -134,30 +136,30 @@
     fn actions(&self) -> Vec<Action> {
         let budget = &self.budget;
         let mut actions = Vec::new();
-        let mut offer = |is_left: bool, action: Action| {
-            if is_left {
+        let mut add_if = |is_allowed: bool, action: Action| {
+            if is_allowed {
                 actions.push(action);
             }
         };
-        offer(budget.steps > 0, Action::Step);
+        add_if(budget.steps > 0, Action::Step);
         for index in 0..2 {
             let has_lease = self.world.holders[index].shards[0].granting.is_some();
-            offer(budget.acquires[index] > 0, Action::Acquire(index));
-            offer(budget.renewals > 0 && has_lease, Action::Renew(index));
-            offer(budget.releases > 0 && has_lease, Action::Release(index));
-            offer(budget.restarts > 0 && has_lease, Action::Restart(index));
-            offer(budget.asks > 0, Action::Ask(index));
+            add_if(budget.acquires[index] > 0, Action::Acquire(index));
+            add_if(budget.renewals > 0 && has_lease, Action::Renew(index));
+            add_if(budget.releases > 0 && has_lease, Action::Release(index));
+            add_if(budget.restarts > 0 && has_lease, Action::Restart(index));
+            add_if(budget.asks > 0, Action::Ask(index));
         }
         for (index, message) in self.network.iter().enumerate() {
-            offer(true, Action::Deliver(index));
+            add_if(true, Action::Deliver(index));
             let is_change = matches!(message, Message::Change { .. });
-            offer(budget.doubles > 0 && is_change, Action::Double(index));
+            add_if(budget.duplicates > 0 && is_change, Action::Duplicate(index));
         }
         for (index, node) in self.world.nodes.iter().enumerate() {
-            // Of permits that may all be spent now, the one that ends first.
+            // Of a node's permits, only the one that expires first is spent.
             let first = node.held.iter().min_by_key(|held| held.expires_at);
             if let Some(held) = first {
-                offer(true, Action::Spend(index, held.id));
+                add_if(true, Action::Spend(index, held.id));
             }
         }
         actions
@@ -174,8 +176,8 @@
                 let message = self.network.swap_remove(index);
                 self.world.deliver(message);
             }
-            Action::Double(index) => {
-                budget.doubles -= 1;
+            Action::Duplicate(index) => {
+                budget.duplicates -= 1;
                 self.network.push(self.network[index].clone());
             }
             Action::Acquire(index) => {
@@ -209,8 +211,8 @@
         Ok(())
     }
 
-    /// Does at once what loses nothing by it: a permit that is there may be spent later as well, and one that is asked for
-    /// later lasts longer. Drops what can't lead to a send any more.
+    /// Does at once what reduces no possibility of a violation: a permit that has arrived can also be spent later, and one
+    /// that is requested later expires later. Drops messages that can no longer lead to a send.
     fn settle(&mut self) {
         let defect = self.world.rules.defect;
         let counts_from_answer = defect == Some(Defect::PermitFromAnswer);
@@ -221,13 +223,13 @@
                     ..
                 } => {}
                 Message::Grant { .. } if !counts_from_answer => self.world.deliver(message),
-                Message::Ask { .. } if self.is_reduced && !counts_from_answer => {
+                Message::Ask { .. } if self.answers_at_once && !counts_from_answer => {
                     self.world.deliver(message)
                 }
                 message => self.network.push(message),
             }
         }
-        // Buckets fill from the first moment on.
+        // Buckets refill from the first moment on.
         for index in 0..2 {
             self.world.tick(index);
         }
@@ -237,17 +239,18 @@
         let (now, lifetime) = (self.world.now, self.world.rules.settings.permit_lifetime);
         for node in &mut self.world.nodes {
             node.held.retain(|held| held.expires_at > now);
-            node.asked.retain(|_, asked| asked.at + lifetime > now);
+            node.pending_asks
+                .retain(|_, pending| pending.at + lifetime > now);
         }
         let nodes = &self.world.nodes;
         self.network.retain(|message| match message {
-            Message::Ask { from, ask, .. } => nodes[from.index].asked.contains_key(ask),
+            Message::Ask { from, ask, .. } => nodes[from.index].pending_asks.contains_key(ask),
             _ => true,
         });
     }
 
-    /// Whether a question changed nothing: nobody got a permit, and none is under way.
-    fn is_like(&self, before: &State) -> bool {
+    /// Whether a request for a permit changed nothing: no node received a permit, and no message was added.
+    fn has_same_permits_and_messages_as(&self, before: &State) -> bool {
         let held = |state: &State| {
             state
                 .world
@@ -259,7 +262,8 @@
         held(self) == held(before) && self.network.len() == before.network.len()
     }
 
-    /// Equal for states that go on alike: permits and questions have no names, and messages no order.
+    /// Equal for states with the same possible continuations: ids of permits and requests and the order of messages are
+    /// ignored.
     fn fingerprint(&self) -> u64 {
         let world = &self.world;
         let messages = self
@@ -284,8 +288,12 @@
     }
 
     fn message_fingerprint(&self, message: &Message) -> u64 {
-        let asked_at =
-            |node: usize, ask: &u64| self.world.nodes[node].asked.get(ask).map(|asked| asked.at);
+        let asked_at = |node: usize, ask: &u64| {
+            self.world.nodes[node]
+                .pending_asks
+                .get(ask)
+                .map(|pending| pending.at)
+        };
         match message {
             Message::Ask {
                 from, ask, holder, ..
--- a/crates/sparrouter-quota/tests/sum/holder.rs
+++ b/crates/sparrouter-quota/tests/sum/holder.rs
@@ -1,4 +1,4 @@
-//! A lease holder, as the fleet's `control/shard_lease.rs` and `quota/holder.rs` have it.
+//! A lease holder, modelled on the fleet's `control/shard_lease.rs` and `quota/holder.rs`.
 use crate::model::{Clock, Defect, Returns};
 use sparrouter_consensus::lease::{LeaseAnswer, LeaseHolder};
 use sparrouter_quota::{
@@ -7,21 +7,22 @@
 };
 use std::collections::BTreeMap;
 
-/// A lease that this node has, and the time in which it may grant.
+/// A lease that this process holds, and the time within which it may grant permits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Granting {
+pub struct GrantingLease {
     pub fencing_token: u64,
     active_from: Nanos,
     valid_until: Nanos,
-    /// When the last renewal that was confirmed began.
+    /// When the last confirmed renewal was requested.
     pub renewed_at: Nanos,
 }
 
-/// A token that was granted and may be given back: how far the bucket was from full at the fullest since.
+/// A granted token that may be returned, and the smallest distance of the bucket's level from its capacity since the
+/// grant.
 #[derive(Clone, Debug)]
 struct Returnable {
     id: u64,
-    least_gap: f64,
+    min_gap: f64,
 }
 
 /// The buckets of one lease.
@@ -29,20 +30,20 @@
 struct Buckets {
     table: BucketTable,
     config_slot: u64,
-    /// Used where returns are guarded.
+    /// Used with [`Returns::Tracked`].
     returnable: BTreeMap<String, Vec<Returnable>>,
-    /// Injected: tokens that a lowered limit left.
-    kept: BTreeMap<String, u32>,
+    /// Injected defect: by tenant, tokens that remain usable after the limit was lowered.
+    kept_tokens: BTreeMap<String, u32>,
 }
 
-/// One shard at one possible holder.
+/// One shard at one potential lease holder.
 #[derive(Clone, Debug, Default)]
 pub struct HolderShard {
-    pub granting: Option<Granting>,
+    pub granting: Option<GrantingLease>,
     buckets: Option<Buckets>,
 }
 
-/// What an asked node answers.
+/// Answer to a request for a permit.
 #[derive(Clone, Copy, Debug)]
 pub enum Grant {
     Permit {
@@ -59,21 +60,21 @@
 pub struct Holder {
     pub name: String,
     pub clock: Clock,
-    /// Rises with each start of the process.
+    /// Increases with each restart of the process.
     pub generation: u32,
     pub shards: Vec<HolderShard>,
 }
 
-/// What a holder decides by.
+/// Inputs of a lease holder's decisions.
 #[derive(Clone, Copy)]
 pub struct Context<'a> {
-    /// By its own clock.
+    /// Time by the process's own clock.
     pub now: Nanos,
     pub config: &'a Config,
     pub rules: &'a Rules,
 }
 
-/// What all processes go by.
+/// Parameters shared by all processes.
 #[derive(Clone, Debug)]
 pub struct Rules {
     pub settings: QuotaSettings,
@@ -82,7 +83,7 @@
     pub returns: Returns,
 }
 
-/// The configuration: a number that rises, and the limits.
+/// The configuration: an increasing slot number, and the limits.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
     pub slot: u64,
@@ -104,7 +105,7 @@
 }
 
 impl Holder {
-    /// It as a holder in the register: a process that starts again on its machine is the same one.
+    /// The process's identity in the lease register; a restarted process keeps it.
     pub fn identity(&self) -> LeaseHolder {
         LeaseHolder {
             name: self.name.clone(),
@@ -117,12 +118,12 @@
         self.shards.fill(HolderShard::default());
     }
 
-    /// An answer of the register to what began at `began`.
+    /// Handles the register's answer to a request that was sent at `sent_at`.
     pub fn on_answer(
         &mut self,
         shard: u16,
         answer: &LeaseAnswer,
-        began: Nanos,
+        sent_at: Nanos,
         token: u64,
         context: Context,
     ) {
@@ -133,24 +134,24 @@
                 fencing_token,
                 takeover_wait,
             } => {
-                let waits = rules.defect != Some(Defect::NoTakeoverWait);
-                let wait = if waits {
+                let has_takeover_wait = rules.defect != Some(Defect::NoTakeoverWait);
+                let wait = if has_takeover_wait {
                     takeover_wait + takeover_wait / 10
                 } else {
                     0
                 };
-                state.granting = Some(Granting {
+                state.granting = Some(GrantingLease {
                     fencing_token,
                     active_from: now + wait,
-                    valid_until: began + rules.lease,
-                    renewed_at: began,
+                    valid_until: sent_at + rules.lease,
+                    renewed_at: sent_at,
                 });
             }
             LeaseAnswer::Renewed => {
                 if let Some(granting) = state.granting.as_mut().filter(|g| g.fencing_token == token)
                 {
-                    granting.valid_until = granting.valid_until.max(began + rules.lease);
-                    granting.renewed_at = granting.renewed_at.max(began);
+                    granting.valid_until = granting.valid_until.max(sent_at + rules.lease);
+                    granting.renewed_at = granting.renewed_at.max(sent_at);
                 }
             }
             LeaseAnswer::Rejected { .. } => *state = HolderShard::default(),
@@ -158,20 +159,22 @@
         }
     }
 
-    /// Gives a lease up; returns its token and whether its own wait was over.
-    pub fn forget(&mut self, shard: u16, now: Nanos) -> Option<(u64, bool)> {
+    /// Gives up a lease; returns its fencing token and whether its takeover wait was over.
+    pub fn give_up(&mut self, shard: u16, now: Nanos) -> Option<(u64, bool)> {
         let state = std::mem::take(&mut self.shards[usize::from(shard) - 1]);
         let granting = state.granting?;
         Some((granting.fencing_token, now >= granting.active_from))
     }
 
-    /// Grants one permit, named `id`, if it may.
+    /// Grants one permit with this `id`, if the lease and the bucket allow it.
     pub fn grant(&mut self, shard: u16, tenant: &str, id: u64, context: Context) -> Grant {
         let Context { now, rules, .. } = context;
         let is_restart = self.generation > 0;
         let state = &mut self.shards[usize::from(shard) - 1];
-        let checks = rules.defect != Some(Defect::LapsedGrant);
-        let valid = state.granting.filter(|g| now < g.valid_until || !checks);
+        let checks_expiry = rules.defect != Some(Defect::LapsedGrant);
+        let valid = state
+            .granting
+            .filter(|g| now < g.valid_until || !checks_expiry);
         let Some(granting) = valid.filter(|granting| now >= granting.active_from) else {
             return Grant::NotHolder;
         };
@@ -179,10 +182,10 @@
         let Some(buckets) = &mut state.buckets else {
             return Grant::NotHolder;
         };
-        buckets.note_gap(tenant, context);
+        buckets.record_gap(tenant, context);
         match buckets.table.take(tenant, 1, now) {
             TakeOutcome::Granted(_) => {
-                buckets.note_grant(tenant, id, rules);
+                buckets.record_grant(tenant, id, rules);
                 Grant::Permit {
                     fencing_token: granting.fencing_token,
                     granted_at: now,
@@ -190,10 +193,14 @@
                 }
             }
             TakeOutcome::Refused(after) => {
-                let Some(kept) = buckets.kept.get_mut(tenant).filter(|kept| **kept > 0) else {
+                let Some(kept_tokens) = buckets
+                    .kept_tokens
+                    .get_mut(tenant)
+                    .filter(|kept_tokens| **kept_tokens > 0)
+                else {
                     return Grant::Exhausted(after.next_multiple_of(1_000_000));
                 };
-                *kept -= 1;
+                *kept_tokens -= 1;
                 Grant::Permit {
                     fencing_token: granting.fencing_token,
                     granted_at: now,
@@ -204,7 +211,7 @@
         }
     }
 
-    /// What it does each tenth of a second: buckets fill from the moment that it may grant.
+    /// Periodic update, each tenth of a second: buckets refill from the moment that the holder may grant.
     pub fn tick(&mut self, shard: u16, context: Context) {
         let is_restart = self.generation > 0;
         let state = &mut self.shards[usize::from(shard) - 1];
@@ -213,7 +220,7 @@
         }
     }
 
-    /// Takes back a permit.
+    /// Handles a returned permit.
     pub fn take_back(
         &mut self,
         shard: u16,
@@ -229,23 +236,27 @@
         };
         if rules.defect == Some(Defect::ForeignReturn) && token != buckets.table.fencing_token() {
             let own = buckets.table.fencing_token();
-            return buckets.table.give_back(tenant, untouched(own, 1), now);
+            return buckets
+                .table
+                .give_back(tenant, credited_in_full(own, 1), now);
         }
         match rules.returns {
             Returns::Never => {}
-            Returns::Shipped => buckets.table.give_back(tenant, returned, now),
-            Returns::Guarded => {
-                buckets.note_gap(tenant, context);
+            Returns::TokenBucket => buckets.table.give_back(tenant, returned, now),
+            Returns::Tracked => {
+                buckets.record_gap(tenant, context);
                 if buckets.accepts(tenant, token, id, rules) {
-                    buckets.table.give_back(tenant, untouched(token, 1), now);
+                    buckets
+                        .table
+                        .give_back(tenant, credited_in_full(token, 1), now);
                 }
             }
         }
     }
 }
 
-/// Tokens that come back in the moment in which they were taken.
-fn untouched(fencing_token: u64, count: u32) -> ReturnedTokens {
+/// Returned tokens whose grant time is so late that no tokens are subtracted for the refill since.
+fn credited_in_full(fencing_token: u64, count: u32) -> ReturnedTokens {
     ReturnedTokens {
         fencing_token,
         granted_at: Nanos::MAX,
@@ -254,8 +265,8 @@
 }
 
 impl HolderShard {
-    /// Makes the buckets those of the lease and of the configuration.
-    fn update(&mut self, shard: u16, granting: Granting, context: Context, is_restart: bool) {
+    /// Brings the buckets up to date with the lease and the configuration.
+    fn update(&mut self, shard: u16, granting: GrantingLease, context: Context, is_restart: bool) {
         let Context { now, config, rules } = context;
         let token = granting.fencing_token;
         let is_new = self
@@ -268,7 +279,7 @@
                 table: BucketTable::new(token, granting.active_from),
                 config_slot: 0,
                 returnable: BTreeMap::new(),
-                kept: BTreeMap::new(),
+                kept_tokens: BTreeMap::new(),
             }),
         };
         if buckets.config_slot != config.slot {
@@ -283,7 +294,7 @@
             for tenant in config.limits.keys() {
                 buckets
                     .table
-                    .give_back(tenant, untouched(token, u32::MAX), now);
+                    .give_back(tenant, credited_in_full(token, u32::MAX), now);
             }
         }
     }
@@ -301,7 +312,7 @@
             let levels = self.levels(now, config);
             for (tenant, before) in levels_before {
                 let lost = before - levels.get(&tenant).copied().unwrap_or(before);
-                *self.kept.entry(tenant).or_default() += lost.max(0.0) as u32;
+                *self.kept_tokens.entry(tenant).or_default() += lost.max(0.0) as u32;
             }
         }
     }
@@ -311,24 +322,24 @@
         config.limits.keys().filter_map(level).collect()
     }
 
-    fn note_grant(&mut self, tenant: &str, id: u64, rules: &Rules) {
-        if rules.returns != Returns::Guarded {
+    fn record_grant(&mut self, tenant: &str, id: u64, rules: &Rules) {
+        if rules.returns != Returns::Tracked {
             return;
         }
         let returnable = self.returnable.entry(tenant.to_owned()).or_default();
         returnable.push(Returnable {
             id,
-            least_gap: f64::INFINITY,
+            min_gap: f64::INFINITY,
         });
         if returnable.len() > 200 {
             returnable.remove(0);
         }
     }
 
-    /// Notes how far a bucket is from full: it is fullest immediately before a take or a return.
-    fn note_gap(&mut self, tenant: &str, context: Context) {
+    /// Records how far a bucket is from full: it is fullest immediately before a take or a return.
+    fn record_gap(&mut self, tenant: &str, context: Context) {
         let Context { now, config, rules } = context;
-        if rules.returns != Returns::Guarded {
+        if rules.returns != Returns::Tracked {
             return;
         }
         let (Some(limit), Some(level)) = (config.limits.get(tenant), self.table.level(tenant, now))
@@ -337,26 +348,26 @@
         };
         let gap = Division::of(*limit, &rules.settings).shape.capacity - level;
         for returnable in self.returnable.entry(tenant.to_owned()).or_default() {
-            returnable.least_gap = returnable.least_gap.min(gap);
+            returnable.min_gap = returnable.min_gap.min(gap);
         }
     }
 
-    /// Whether a bucket from which the token had not been taken would have it now: it was never too full for it since.
+    /// Whether the token would now be in the bucket had it not been taken: since then the bucket always had room for it.
     fn accepts(&mut self, tenant: &str, token: u64, id: u64, rules: &Rules) -> bool {
         if token != self.table.fencing_token() {
             return false;
         }
         let returnable = self.returnable.entry(tenant.to_owned()).or_default();
-        let Some(index) = returnable.iter().position(|known| known.id == id) else {
+        let Some(index) = returnable.iter().position(|entry| entry.id == id) else {
             return rules.defect == Some(Defect::DoubleReturn);
         };
-        if returnable[index].least_gap < 1.0 {
+        if returnable[index].min_gap < 1.0 {
             return false;
         }
         returnable.remove(index);
-        // The bucket would have been fuller by this one.
-        for other in returnable {
-            other.least_gap -= 1.0;
+        // The bucket would now hold one more token.
+        for remaining in returnable {
+            remaining.min_gap -= 1.0;
         }
         true
     }
--- a/crates/sparrouter-quota/tests/sum/ledger.rs
+++ b/crates/sparrouter-quota/tests/sum/ledger.rs
@@ -1,8 +1,8 @@
-//! What was sent, and whether it is within the limits.
+//! Counts a tenant's sends and checks them against its limits.
 use sparrouter_quota::{Division, Nanos, QuotaLimit, QuotaSettings};
 use std::collections::VecDeque;
 
-/// More was sent than a limit allows.
+/// A window with more sends than its limit allows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     pub at: Nanos,
@@ -10,25 +10,26 @@
     pub allowed: f64,
 }
 
-/// The limits that a tenant had, and what it sent lately, in true time.
+/// A tenant's limits over time and its recent sends, in simulated real time.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     settings: QuotaSettings,
-    /// How much longer than by a true clock the slowest node's permits last; 1 where clocks are true.
-    stretch: f64,
-    /// Each limit and from when it is in force; `None` is no limit.
+    /// Ratio of the longest permit lifetime in real time, by the slowest node clock, to the nominal one; 1 if no clock is
+    /// slow.
+    lifetime_stretch: f64,
+    /// Each limit and the time from which it applies; `None` means no limit.
     limits: Vec<(Nanos, Option<QuotaLimit>)>,
     sends: VecDeque<Nanos>,
-    /// Highest part of what was allowed that was sent in a window.
+    /// Highest ratio of sends to allowed sends over all windows.
     pub highest_ratio: f64,
     pub total: usize,
 }
 
 impl Ledger {
-    pub fn new(settings: QuotaSettings, stretch: f64) -> Ledger {
+    pub fn new(settings: QuotaSettings, lifetime_stretch: f64) -> Ledger {
         Ledger {
             settings,
-            stretch,
+            lifetime_stretch,
             limits: vec![(0, None)],
             sends: VecDeque::new(),
             highest_ratio: 0.0,
@@ -40,24 +41,24 @@
         self.limits.push((now, limit));
     }
 
-    /// Sends of the window that ends now.
+    /// Sends of the window that ends at the last send or prune.
     pub fn recent(&self) -> &VecDeque<Nanos> {
         &self.sends
     }
 
-    /// Forgets what no window that ends now or later contains.
+    /// Drops the sends that are before the window that ends at `now`.
     pub fn prune(&mut self, now: Nanos) {
-        let since = now.saturating_sub(self.settings.window);
-        while self.sends.front().is_some_and(|sent| *sent < since) {
+        let window_start = now.saturating_sub(self.settings.window);
+        while self.sends.front().is_some_and(|sent| *sent < window_start) {
             self.sends.pop_front();
         }
     }
 
-    /// A request was sent.
+    /// Records a send.
     ///
     /// # Errors
     ///
-    /// The window that ends with it contains more than is allowed.
+    /// The window that ends at `now` contains more sends than allowed.
     pub fn send(&mut self, now: Nanos) -> Result<(), Violation> {
         self.total += 1;
         self.sends.push_back(now);
@@ -77,46 +78,48 @@
         Ok(())
     }
 
-    /// What may be sent in the window that ends at `now`; `None` where it was without a limit at some time.
+    /// Number of sends allowed in the window that ends at `now`; `None` if no limit applied at some time within it.
     fn allowed(&self, now: Nanos) -> Option<f64> {
         let lifetime = self.settings.permit_lifetime as f64 / 1e9;
         let window = self.settings.window as f64 / 1e9;
-        let since = now.saturating_sub(self.settings.window + self.lifetime());
-        let first = self.limits.partition_point(|(from, _)| *from <= since);
-        let in_force = &self.limits[first.saturating_sub(1)..];
-        let limits: Option<Vec<QuotaLimit>> = in_force.iter().map(|(_, limit)| *limit).collect();
+        let window_start = now.saturating_sub(self.settings.window + self.lifetime());
+        let first = self
+            .limits
+            .partition_point(|(from, _)| *from <= window_start);
+        let applicable = &self.limits[first.saturating_sub(1)..];
+        let limits: Option<Vec<QuotaLimit>> = applicable.iter().map(|(_, limit)| *limit).collect();
         let limits = limits?;
-        let drift = |rate: f64| rate * lifetime * (self.stretch - 1.0);
+        let drift_allowance = |rate: f64| rate * lifetime * (self.lifetime_stretch - 1.0);
         if let [limit] = limits[..] {
             let allowed = limit.rate_per_s * window + limit.burst_size;
-            let least = if is_promised(limit, &self.settings) {
+            let extra = if limit_is_guaranteed(limit, &self.settings) {
                 0.0
             } else {
                 1.0
             };
-            return Some(allowed + least + drift(limit.rate_per_s));
+            return Some(allowed + extra + drift_allowance(limit.rate_per_s));
         }
-        // Over a change: the highest level that there was, and the highest rate from then on.
-        let wholes = limits.iter().map(|limit| whole(*limit, &self.settings));
+        // If the limit changed within the window: the highest capacity of these limits, and the highest rate.
+        let undivided = limits.iter().map(|limit| undivided(*limit, &self.settings));
         let (rate, capacity) =
-            wholes.fold((0.0, 0.0), |a: (f64, f64), b| (a.0.max(b.0), a.1.max(b.1)));
-        Some(rate * (window + lifetime) + capacity + drift(rate))
+            undivided.fold((0.0, 0.0), |a: (f64, f64), b| (a.0.max(b.0), a.1.max(b.1)));
+        Some(rate * (window + lifetime) + capacity + drift_allowance(rate))
     }
 
     fn lifetime(&self) -> Nanos {
-        (self.settings.permit_lifetime as f64 * self.stretch) as Nanos
+        (self.settings.permit_lifetime as f64 * self.lifetime_stretch) as Nanos
     }
 }
 
 /// Rate and capacity of all parts together.
-fn whole(limit: QuotaLimit, settings: &QuotaSettings) -> (f64, f64) {
+fn undivided(limit: QuotaLimit, settings: &QuotaSettings) -> (f64, f64) {
     let Division { parts, shape } = Division::of(limit, settings);
     let parts = f64::from(parts);
     (shape.tokens_per_s * parts, shape.capacity * parts)
 }
 
-/// Whether `Division::of` promises the limit itself; elsewhere it promises one request more.
-fn is_promised(limit: QuotaLimit, settings: &QuotaSettings) -> bool {
+/// Whether `Division::of` guarantees the limit itself; otherwise it guarantees the limit plus one request.
+fn limit_is_guaranteed(limit: QuotaLimit, settings: &QuotaSettings) -> bool {
     let usable_s = (settings.window as f64 - settings.permit_lifetime as f64) / 1e9;
     limit.rate_per_s * usable_s / 2.0 + limit.burst_size >= 1.0
 }
--- a/crates/sparrouter-quota/tests/sum/model.rs
+++ b/crates/sparrouter-quota/tests/sum/model.rs
@@ -1,4 +1,4 @@
-//! A small model of a fleet that keeps quotas: the real decisions, with time, messages and faults handed in.
+//! A small model of a fleet with quotas: it runs the real decisions; time, messages and faults are inputs.
 use crate::holder::{Config, Context, Grant, Holder, HolderShard, Rules};
 use crate::ledger::{Ledger, Violation};
 use sparrouter_consensus::lease::{Lease, LeaseAnswer, LeaseChange};
@@ -6,38 +6,38 @@
 use sparrouter_quota::{Nanos, Permit, PermitTable, QuotaLimit, ReturnedTokens};
 use std::collections::BTreeMap;
 
-/// A mistake that a test switches on, to show that the invariant finds it.
+/// A defect that a test injects to show that the model detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// A permit's time counts from the answer.
+    /// A permit's lifetime counts from the answer.
     PermitFromAnswer,
-    /// A permit is not checked before the send.
+    /// A permit is spent without a check of its expiry.
     UncheckedSpend,
-    /// A holder grants after its lease.
+    /// A holder grants after its lease has expired.
     LapsedGrant,
-    /// A successor grants at once.
+    /// A new holder grants without waiting for the end of its predecessor's lease.
     NoTakeoverWait,
-    /// A successor starts with full buckets.
+    /// A new holder starts with full buckets.
     FullSuccessor,
-    /// A process that starts again has full buckets.
+    /// A restarted process starts with full buckets.
     FullRestart,
-    /// A return counts as often as it arrives.
+    /// A duplicated return is credited twice.
     DoubleReturn,
-    /// A return counts under another lease than the permit's.
+    /// A return is credited under another lease than the permit's.
     ForeignReturn,
-    /// A lowered limit leaves the level that the higher one had.
+    /// After a limit is lowered, tokens above the new capacity remain usable.
     KeptLevel,
 }
 
-/// What a holder does with permits that are given back.
+/// How a lease holder treats returned permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Returns {
-    /// It ignores them.
+    /// Ignores them.
     Never,
-    /// As `BucketTable::give_back` has it.
-    Shipped,
-    /// It takes those that a bucket from which they had not been taken would still have.
-    Guarded,
+    /// Credits them with `BucketTable::give_back`.
+    TokenBucket,
+    /// Credits those that would still be in the bucket had they not been taken.
+    Tracked,
 }
 
 /// A steady clock.
@@ -56,27 +56,27 @@
     }
 }
 
-/// A process: its place, and which of its starts.
+/// One incarnation of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Process {
     pub index: usize,
     pub generation: u32,
 }
 
-/// What is under way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 pub enum Message {
     Change {
         from: Process,
         shard: u16,
         change: LeaseChange,
-        began: Nanos,
+        sent_at: Nanos,
     },
     Answer {
         to: Process,
         shard: u16,
         answer: LeaseAnswer,
-        began: Nanos,
+        sent_at: Nanos,
         token: u64,
     },
     Ask {
@@ -101,7 +101,7 @@
 }
 
 impl Message {
-    /// The possible holder that it goes to.
+    /// Index of the lease holder that receives the message.
     pub fn holder(&self) -> Option<usize> {
         match self {
             Message::Answer { to, .. } => Some(to.index),
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The node that it goes to.
+    /// Index of the node that receives the message.
     pub fn node(&self) -> Option<usize> {
         match self {
             Message::Grant { to, .. } => Some(to.index),
@@ -119,18 +119,18 @@
     }
 }
 
-/// A question that was not answered yet.
+/// A pending request for a permit.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct PendingAsk {
     pub holder: usize,
     shard: u16,
     tenant: String,
     pub at: Nanos,
 }
 
-/// A permit at a node.
+/// A permit held by a node.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct HeldPermit {
     pub id: u64,
     holder: usize,
     tenant: String,
@@ -146,29 +146,29 @@
     pub clock: Clock,
     pub generation: u32,
     pub permits: PermitTable,
-    pub asked: BTreeMap<u64, Asked>,
-    pub held: Vec<Held>,
+    pub pending_asks: BTreeMap<u64, PendingAsk>,
+    pub held: Vec<HeldPermit>,
 }
 
-/// Everything.
+/// The state of the whole model.
 #[derive(Clone, Debug)]
 pub struct World {
     pub rules: Rules,
-    /// True time.
+    /// Simulated real time.
     pub now: Nanos,
     pub config: Config,
     pub ledgers: BTreeMap<String, Ledger>,
-    /// Bodies of the registers, by shard.
+    /// States of the lease registers, by shard.
     pub registers: Vec<Vec<u8>>,
     pub holders: Vec<Holder>,
     pub nodes: Vec<Node>,
-    /// What was said since the driver looked last.
+    /// Messages sent since the driver last emptied the outbox.
     pub outbox: Vec<Message>,
     next_id: u64,
 }
 
 impl World {
-    /// Processes with these clocks, the holders' first.
+    /// Creates the processes with these clocks.
     pub fn new(rules: Rules, tenants: &[&str], holders: &[Clock], nodes: &[Clock]) -> World {
         let shards = usize::from(rules.settings.shards);
         let slowest = nodes.iter().map(|clock| clock.speed).fold(1.0, f64::min);
@@ -183,7 +183,7 @@
             clock: *clock,
             generation: 0,
             permits: PermitTable::default(),
-            asked: BTreeMap::new(),
+            pending_asks: BTreeMap::new(),
             held: Vec::new(),
         };
         World {
@@ -216,22 +216,22 @@
         }
     }
 
-    /// Whom the register of a shard names as holder.
+    /// Index of the holder that a shard's lease register names.
     pub fn registered(&self, shard: u16) -> Option<usize> {
         let lease = Lease::decode(&self.registers[usize::from(shard) - 1])?;
         let name = lease.holder?.name;
         self.holders.iter().position(|holder| holder.name == name)
     }
 
-    /// A possible holder brings its buckets up to date.
+    /// Brings the buckets of a potential lease holder up to date.
     pub fn tick(&mut self, index: usize) {
         for shard in 1..=self.rules.settings.shards {
-            let (holder, context) = self.at_holder(index);
+            let (holder, context) = self.holder_context(index);
             holder.tick(shard, context);
         }
     }
 
-    fn at_holder(&mut self, index: usize) -> (&mut Holder, Context<'_>) {
+    fn holder_context(&mut self, index: usize) -> (&mut Holder, Context<'_>) {
         let holder = &mut self.holders[index];
         let context = Context {
             now: holder.clock.at(self.now),
@@ -250,7 +250,7 @@
             },
             shard,
             change,
-            began: holder.clock.at(self.now),
+            sent_at: holder.clock.at(self.now),
         });
     }
 
@@ -277,7 +277,7 @@
     pub fn release(&mut self, index: usize, shard: u16) {
         let holder = &mut self.holders[index];
         let now = holder.clock.at(self.now);
-        if let Some((fencing_token, waited)) = holder.forget(shard, now) {
+        if let Some((fencing_token, waited)) = holder.give_up(shard, now) {
             let change = LeaseChange::Release {
                 holder: holder.identity(),
                 fencing_token,
@@ -291,21 +291,21 @@
         let node = &mut self.nodes[index];
         node.generation += 1;
         node.permits = PermitTable::default();
-        node.asked.clear();
+        node.pending_asks.clear();
         node.held.clear();
     }
 
-    /// A node asks for a permit.
+    /// A node requests a permit.
     pub fn ask(&mut self, index: usize, tenant: &str, shard: u16, holder: usize) {
         let node = &mut self.nodes[index];
         self.next_id += 1;
-        let asked = Asked {
+        let pending = PendingAsk {
             holder,
             shard,
             tenant: tenant.to_owned(),
             at: node.clock.at(self.now),
         };
-        node.asked.insert(self.next_id, asked);
+        node.pending_asks.insert(self.next_id, pending);
         self.outbox.push(Message::Ask {
             from: Process {
                 index,
@@ -318,25 +318,25 @@
         });
     }
 
-    /// Brings a message to where it goes.
+    /// Delivers a message to its receiver.
     pub fn deliver(&mut self, message: Message) {
         match message {
             Message::Change {
                 from,
                 shard,
                 change,
-                began,
-            } => self.apply(from, shard, &change, began),
+                sent_at,
+            } => self.apply(from, shard, &change, sent_at),
             Message::Answer {
                 to,
                 shard,
                 answer,
-                began,
+                sent_at,
                 token,
             } => {
-                let (holder, context) = self.at_holder(to.index);
+                let (holder, context) = self.holder_context(to.index);
                 if holder.generation == to.generation {
-                    holder.on_answer(shard, &answer, began, token, context);
+                    holder.on_answer(shard, &answer, sent_at, token, context);
                 }
             }
             Message::Ask {
@@ -348,7 +348,7 @@
             } => {
                 self.next_id += 1;
                 let id = self.next_id;
-                let (holder, context) = self.at_holder(holder);
+                let (holder, context) = self.holder_context(holder);
                 let grant = holder.grant(shard, &tenant, id, context);
                 let to = from;
                 self.outbox.push(Message::Grant { to, ask, grant });
@@ -361,13 +361,13 @@
                 returned,
                 id,
             } => {
-                let (holder, context) = self.at_holder(holder);
+                let (holder, context) = self.holder_context(holder);
                 holder.take_back(shard, &tenant, returned, id, context);
             }
         }
     }
 
-    fn apply(&mut self, from: Process, shard: u16, change: &LeaseChange, began: Nanos) {
+    fn apply(&mut self, from: Process, shard: u16, change: &LeaseChange, sent_at: Nanos) {
         let body = &mut self.registers[usize::from(shard) - 1];
         let answer = match Leases.apply(body, &change.encode()) {
             Applied::Changed {
@@ -390,7 +390,7 @@
                 to: from,
                 shard,
                 answer,
-                began,
+                sent_at,
                 token,
             });
         }
@@ -401,7 +401,7 @@
         if node.generation != to.generation {
             return;
         }
-        let Some(asked) = node.asked.remove(&ask) else {
+        let Some(pending) = node.pending_asks.remove(&ask) else {
             return;
         };
         let now = node.clock.at(self.now);
@@ -411,38 +411,38 @@
                 granted_at,
                 id,
             } => {
-                let is_late = self.rules.defect == Some(Defect::PermitFromAnswer);
-                let from = if is_late { now } else { asked.at };
-                node.held.push(Held {
+                let counts_from_answer = self.rules.defect == Some(Defect::PermitFromAnswer);
+                let start = if counts_from_answer { now } else { pending.at };
+                node.held.push(HeldPermit {
                     id,
-                    holder: asked.holder,
-                    tenant: asked.tenant,
-                    shard: asked.shard,
+                    holder: pending.holder,
+                    tenant: pending.tenant,
+                    shard: pending.shard,
                     fencing_token,
                     granted_at,
-                    expires_at: from + self.rules.settings.permit_lifetime,
+                    expires_at: start + self.rules.settings.permit_lifetime,
                 });
             }
             Grant::Exhausted(after) => {
                 node.permits
-                    .record_refusal(&asked.tenant, asked.shard, after, now)
+                    .record_refusal(&pending.tenant, pending.shard, after, now)
             }
             Grant::NotHolder => {}
         }
     }
 
-    /// Sends a request under a permit, if that may be spent; otherwise it is given back.
+    /// Sends a request with a permit if the permit is valid; otherwise returns the permit.
     ///
     /// # Errors
     ///
-    /// More was sent than is allowed.
+    /// More requests were sent than the limit allows.
     pub fn spend(&mut self, index: usize, id: u64) -> Result<(), Violation> {
         let node = &mut self.nodes[index];
         let now = node.clock.at(self.now);
-        let Some(place) = node.held.iter().position(|held| held.id == id) else {
+        let Some(index_in_held) = node.held.iter().position(|held| held.id == id) else {
             return Ok(());
         };
-        let held = &node.held[place];
+        let held = &node.held[index_in_held];
         let permit = Permit {
             shard: held.shard,
             fencing_token: held.fencing_token,
@@ -454,23 +454,23 @@
             self.give_back(index, id);
             return Ok(());
         }
-        let held = node.held.swap_remove(place);
+        let held = node.held.swap_remove(index_in_held);
         let ledger = self.ledgers.get_mut(&held.tenant);
         ledger.map_or(Ok(()), |ledger| ledger.send(self.now))
     }
 
-    /// Gives a permit back unspent.
+    /// Returns an unspent permit.
     pub fn give_back(&mut self, index: usize, id: u64) {
         let node = &mut self.nodes[index];
-        let Some(place) = node.held.iter().position(|held| held.id == id) else {
+        let Some(index_in_held) = node.held.iter().position(|held| held.id == id) else {
             return;
         };
-        let held = node.held.swap_remove(place);
+        let held = node.held.swap_remove(index_in_held);
         if self.rules.returns == Returns::Never {
             return;
         }
-        let to_another = self.rules.defect == Some(Defect::ForeignReturn);
-        let registered = self.registered(held.shard).filter(|_| to_another);
+        let goes_to_another = self.rules.defect == Some(Defect::ForeignReturn);
+        let registered = self.registered(held.shard).filter(|_| goes_to_another);
         let message = Message::Return {
             holder: registered.unwrap_or(held.holder),
             shard: held.shard,
--- a/crates/sparrouter-quota/tests/sum/random.rs
+++ b/crates/sparrouter-quota/tests/sum/random.rs
@@ -1,4 +1,4 @@
-//! Random runs of the model: what each process does, when, and what goes wrong, all from a seed.
+//! Random runs of the model: the seed determines the processes' actions, their times and the faults.
 use crate::holder::Rules;
 use crate::ledger::Violation;
 use crate::model::{Clock, Defect, Message, Returns, World};
@@ -10,52 +10,53 @@
 const TENANTS: [&str; 2] = ["a", "b"];
 const HOLDERS: usize = 3;
 
-/// What the runs have in common.
+/// Parameters of a set of runs.
 #[derive(Clone, Copy)]
-pub struct Plan {
+pub struct RunConfig {
     pub defect: Option<Defect>,
-    /// The defect that the faults are chosen for, also where it is not injected.
-    pub provoked: Option<Defect>,
+    /// The defect that the faults are chosen for, even if it is not injected.
+    pub provoked_defect: Option<Defect>,
     pub returns: Returns,
-    /// By how much of its speed one clock may be slower than another.
+    /// Maximum difference in clock speed, as a ratio.
     pub drift: f64,
 }
 
-/// What a run showed.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub violation: Option<Violation>,
     pub sends: usize,
-    /// Highest part of what was allowed that was sent in a window.
+    /// Highest ratio of sends to allowed sends over all windows.
     pub highest_ratio: f64,
 }
 
-/// What the clients do for a while.
+/// The load pattern of a period.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
-    /// Nothing: buckets fill.
+    /// No requests: buckets refill.
     Idle,
-    /// A request now and then.
-    Trickle,
+    /// Occasional requests.
+    Occasional,
     /// Many requests; permits are spent at once.
-    Storm,
-    /// Many requests; permits are spent as late as may be.
-    Hoard,
+    Burst,
+    /// Many requests; permits are spent immediately before they expire.
+    SpendLate,
 }
 
-/// How the processes of a run behave.
-struct Habits {
-    /// Part of the permits that are given back unspent.
-    returned: f64,
-    /// Whether nodes ask although they know of a refusal.
-    insists: bool,
-    /// Part of the messages that take up to 1.5 s, that are lost, and that arrive twice.
-    slow: f64,
+/// Behaviour and fault probabilities of a run.
+struct Behaviour {
+    /// Ratio of permits that are returned unspent.
+    return_ratio: f64,
+    /// Whether nodes request permits despite a known refusal.
+    ignores_refusals: bool,
+    /// Ratios of messages that are delayed by up to 1.5 s, lost, and duplicated.
+    delayed: f64,
     lost: f64,
-    doubled: f64,
-    /// Chances a tick: freeze, cut from the registers, restart, release, acquire from another, change of a limit.
-    freeze: f64,
-    cut: f64,
+    duplicated: f64,
+    /// Probabilities per tick: suspension, partition from the registers, restart, release, takeover from another holder,
+    /// change of a limit.
+    suspend: f64,
+    partition: f64,
     restart: f64,
     release: f64,
     takeover: f64,
@@ -63,7 +64,7 @@
 }
 
 enum Event {
-    Arrives(Message),
+    Deliver(Message),
     Spend(usize, u64),
     GiveBack(usize, u64),
     HolderTick(usize),
@@ -75,23 +76,23 @@
 struct Run {
     rng: fastrand::Rng,
     world: World,
-    habits: Habits,
+    behaviour: Behaviour,
     events: BTreeMap<(Nanos, u64), Event>,
     next_event: u64,
-    holders_frozen_until: Vec<Nanos>,
-    nodes_frozen_until: Vec<Nanos>,
-    /// Until when a possible holder reaches no register.
-    holders_cut_until: Vec<Nanos>,
-    /// By node and shard, whom it asks.
+    holders_suspended_until: Vec<Nanos>,
+    nodes_suspended_until: Vec<Nanos>,
+    /// Time until which a potential lease holder is partitioned from the registers.
+    holders_partitioned_until: Vec<Nanos>,
+    /// By node and shard: the lease holder that the node requests permits from.
     known_holders: Vec<Vec<usize>>,
     phase: Phase,
     phase_ends_at: Nanos,
 }
 
-/// Plays the run of a seed.
-pub fn play(seed: u64, plan: Plan) -> Outcome {
-    let mut run = Run::new(seed, plan);
-    let violation = run.play().err();
+/// Simulates the run of a seed.
+pub fn run(seed: u64, config: RunConfig) -> Outcome {
+    let mut run = Run::new(seed, config);
+    let violation = run.run().err();
     let ledgers = run.world.ledgers.values();
     Outcome {
         violation,
@@ -111,50 +112,50 @@
     }
 }
 
-impl Habits {
-    fn random(rng: &mut fastrand::Rng) -> Habits {
-        // In a calm run most goes well, so that the sums come close to the limits.
-        let trouble = [0.0, 0.15, 0.5][rng.usize(..3)];
-        let mut pick = |little: f64, much: f64| {
-            let is_much = rng.bool();
-            match rng.f64() < trouble {
-                true if is_much => much,
-                true => little,
+impl Behaviour {
+    fn random(rng: &mut fastrand::Rng) -> Behaviour {
+        // In a run with few faults the tenants come close to their limits.
+        let fault_ratio = [0.0, 0.15, 0.5][rng.usize(..3)];
+        let mut pick = |low: f64, high: f64| {
+            let is_high = rng.bool();
+            match rng.f64() < fault_ratio {
+                true if is_high => high,
+                true => low,
                 false => 0.0,
             }
         };
-        Habits {
-            slow: pick(0.02, 0.2),
+        Behaviour {
+            delayed: pick(0.02, 0.2),
             lost: pick(0.01, 0.1),
-            doubled: pick(0.05, 0.3),
-            freeze: pick(0.003, 0.02),
-            cut: pick(0.003, 0.02),
+            duplicated: pick(0.05, 0.3),
+            suspend: pick(0.003, 0.02),
+            partition: pick(0.003, 0.02),
             restart: pick(0.003, 0.02),
             release: pick(0.003, 0.02),
             takeover: pick(0.003, 0.02),
             change: pick(0.3, 0.8),
-            returned: [0.0, 0.2, 0.7][rng.usize(..3)],
-            insists: rng.bool(),
+            return_ratio: [0.0, 0.2, 0.7][rng.usize(..3)],
+            ignores_refusals: rng.bool(),
         }
     }
 
-    /// Has what the defect needs happen often.
+    /// Raises the probability of the events that reveal the defect.
     fn provoke(&mut self, defect: Defect) {
         match defect {
-            Defect::PermitFromAnswer => self.slow = 0.2,
-            Defect::UncheckedSpend => self.freeze = 0.02,
-            Defect::LapsedGrant | Defect::NoTakeoverWait => self.cut = 0.02,
+            Defect::PermitFromAnswer => self.delayed = 0.2,
+            Defect::UncheckedSpend => self.suspend = 0.02,
+            Defect::LapsedGrant | Defect::NoTakeoverWait => self.partition = 0.02,
             Defect::FullSuccessor => self.takeover = 0.02,
             Defect::FullRestart => self.restart = 0.02,
-            Defect::DoubleReturn => self.returned = 0.7,
-            Defect::ForeignReturn => (self.returned, self.cut) = (0.7, 0.02),
+            Defect::DoubleReturn => self.return_ratio = 0.7,
+            Defect::ForeignReturn => (self.return_ratio, self.partition) = (0.7, 0.02),
             Defect::KeptLevel => self.change = 0.8,
         }
     }
 }
 
 impl Run {
-    fn new(seed: u64, plan: Plan) -> Run {
+    fn new(seed: u64, config: RunConfig) -> Run {
         let mut rng = fastrand::Rng::with_seed(seed);
         let rules = Rules {
             settings: QuotaSettings {
@@ -163,30 +164,30 @@
                 shards: [1, 2, 4][rng.usize(..3)],
             },
             lease: [500, 1_000, 2_000][rng.usize(..3)] * MS,
-            defect: plan.defect,
-            returns: plan.returns,
+            defect: config.defect,
+            returns: config.returns,
         };
         let mut clock = || Clock {
             start: rng.u64(..SECOND),
-            speed: 1.0 / (1.0 + plan.drift * rng.f64()),
+            speed: 1.0 / (1.0 + config.drift * rng.f64()),
         };
         let holders = [(); HOLDERS].map(|()| clock());
         let nodes = [(); 3].map(|()| clock());
         let world = World::new(rules, &TENANTS, &holders, &nodes);
-        let mut habits = Habits::random(&mut rng);
-        if let Some(defect) = plan.provoked {
-            habits.provoke(defect);
+        let mut behaviour = Behaviour::random(&mut rng);
+        if let Some(defect) = config.provoked_defect {
+            behaviour.provoke(defect);
         }
         let mut run = Run {
-            habits,
+            behaviour,
             known_holders: vec![vec![0; usize::from(world.rules.settings.shards)]; nodes.len()],
             rng,
             world,
             events: BTreeMap::new(),
             next_event: 0,
-            holders_frozen_until: vec![0; HOLDERS],
-            nodes_frozen_until: vec![0; nodes.len()],
-            holders_cut_until: vec![0; HOLDERS],
+            holders_suspended_until: vec![0; HOLDERS],
+            nodes_suspended_until: vec![0; nodes.len()],
+            holders_partitioned_until: vec![0; HOLDERS],
             phase: Phase::Idle,
             phase_ends_at: 0,
         };
@@ -200,30 +201,33 @@
             self.world.set_limit(tenant, Some(limit));
         }
         for holder in 0..HOLDERS {
-            self.after(0, Event::HolderTick(holder));
+            self.schedule(0, Event::HolderTick(holder));
         }
         for node in 0..nodes {
-            self.after(0, Event::NodeTick(node));
+            self.schedule(0, Event::NodeTick(node));
         }
-        self.after(2 * SECOND, Event::Change);
-        self.after(10 * SECOND, Event::End);
+        self.schedule(2 * SECOND, Event::Change);
+        self.schedule(10 * SECOND, Event::End);
     }
 
-    fn after(&mut self, time: Nanos, event: Event) {
+    fn schedule(&mut self, delay: Nanos, event: Event) {
         self.next_event += 1;
         self.events
-            .insert((self.world.now + time, self.next_event), event);
+            .insert((self.world.now + delay, self.next_event), event);
     }
 
-    fn play(&mut self) -> Result<(), Violation> {
+    fn run(&mut self) -> Result<(), Violation> {
         while let Some(((at, _), event)) = self.events.pop_first() {
             self.world.now = at;
-            if let Some(thaws_at) = self.frozen_until(&event).filter(|thaws_at| *thaws_at > at) {
-                self.after(thaws_at - at, event);
+            if let Some(resumes_at) = self
+                .suspended_until(&event)
+                .filter(|resumes_at| *resumes_at > at)
+            {
+                self.schedule(resumes_at - at, event);
                 continue;
             }
             match event {
-                Event::Arrives(message) => self.arrive(message),
+                Event::Deliver(message) => self.deliver(message),
                 Event::Spend(node, id) => self.world.spend(node, id)?,
                 Event::GiveBack(node, id) => self.world.give_back(node, id),
                 Event::HolderTick(holder) => self.tick_holder(holder),
@@ -231,96 +235,96 @@
                 Event::Change => self.change_limit(),
                 Event::End => return Ok(()),
             }
-            self.post();
+            self.send_outbox();
         }
         Ok(())
     }
 
-    fn frozen_until(&self, event: &Event) -> Option<Nanos> {
+    fn suspended_until(&self, event: &Event) -> Option<Nanos> {
         match event {
-            Event::Arrives(message) => match (message.holder(), message.node()) {
-                (Some(holder), _) => Some(self.holders_frozen_until[holder]),
-                (None, Some(node)) => Some(self.nodes_frozen_until[node]),
+            Event::Deliver(message) => match (message.holder(), message.node()) {
+                (Some(holder), _) => Some(self.holders_suspended_until[holder]),
+                (None, Some(node)) => Some(self.nodes_suspended_until[node]),
                 (None, None) => None,
             },
-            Event::HolderTick(holder) => Some(self.holders_frozen_until[*holder]),
+            Event::HolderTick(holder) => Some(self.holders_suspended_until[*holder]),
             Event::Spend(node, _) | Event::GiveBack(node, _) | Event::NodeTick(node) => {
-                Some(self.nodes_frozen_until[*node])
+                Some(self.nodes_suspended_until[*node])
             }
             Event::Change | Event::End => None,
         }
     }
 
-    /// Hands what was said to the network.
-    fn post(&mut self) {
+    /// Moves the messages in the outbox to the network.
+    fn send_outbox(&mut self) {
         for message in std::mem::take(&mut self.world.outbox) {
-            if self.is_cut(&message) || self.rng.f64() < self.habits.lost {
+            if self.is_partitioned(&message) || self.rng.f64() < self.behaviour.lost {
                 continue;
             }
-            // Returns go over a connection, once; the defect has them arrive twice.
+            // Returns are sent over a connection and are not duplicated, except by the injected defect.
             let is_return = matches!(message, Message::Return { .. });
-            if !is_return && self.rng.f64() < self.habits.doubled {
+            if !is_return && self.rng.f64() < self.behaviour.duplicated {
                 let delay = self.delay();
-                self.after(delay, Event::Arrives(message.clone()));
+                self.schedule(delay, Event::Deliver(message.clone()));
             }
             let delay = self.delay();
-            self.after(delay, Event::Arrives(message));
+            self.schedule(delay, Event::Deliver(message));
         }
     }
 
-    /// Whether a message is between a register and a holder that is cut off from it.
-    fn is_cut(&self, message: &Message) -> bool {
+    /// Whether a message is between a register and a holder that is partitioned from it.
+    fn is_partitioned(&self, message: &Message) -> bool {
         let (Message::Change { from: holder, .. } | Message::Answer { to: holder, .. }) = message
         else {
             return false;
         };
-        self.holders_cut_until[holder.index] > self.world.now
+        self.holders_partitioned_until[holder.index] > self.world.now
     }
 
     fn delay(&mut self) -> Nanos {
-        if self.rng.f64() < self.habits.slow {
+        if self.rng.f64() < self.behaviour.delayed {
             self.rng.u64(..1_500 * MS)
         } else {
             self.rng.u64(..4 * MS)
         }
     }
 
-    fn arrive(&mut self, message: Message) {
+    fn deliver(&mut self, message: Message) {
         let node = message.node();
-        let known = node.map_or(0, |node| self.world.nodes[node].held.len());
+        let held_before = node.map_or(0, |node| self.world.nodes[node].held.len());
         self.world.deliver(message);
         let Some(node) = node else { return };
         let held = &self.world.nodes[node].held;
-        if held.len() <= known {
+        if held.len() <= held_before {
             return;
         }
         let Some(newest) = held.last() else { return };
         let (id, expires_at) = (newest.id, newest.expires_at);
-        let left = expires_at.saturating_sub(self.world.nodes[node].clock.at(self.world.now));
-        if self.rng.f64() < self.habits.returned {
+        let remaining = expires_at.saturating_sub(self.world.nodes[node].clock.at(self.world.now));
+        if self.rng.f64() < self.behaviour.return_ratio {
             let delay = [4 * MS, 3 * SECOND][self.rng.usize(..2)];
             let delay = self.rng.u64(..delay);
-            self.after(delay, Event::GiveBack(node, id));
-        } else if self.phase == Phase::Hoard {
-            let delay = left.saturating_sub(self.rng.u64(..2 * MS));
-            self.after(delay, Event::Spend(node, id));
+            self.schedule(delay, Event::GiveBack(node, id));
+        } else if self.phase == Phase::SpendLate {
+            let delay = remaining.saturating_sub(self.rng.u64(..2 * MS));
+            self.schedule(delay, Event::Spend(node, id));
         } else {
             let delay = self.rng.u64(..20 * MS);
-            self.after(delay, Event::Spend(node, id));
+            self.schedule(delay, Event::Spend(node, id));
         }
     }
 
     fn tick_holder(&mut self, index: usize) {
         let next = self.rng.u64(60 * MS..100 * MS);
-        self.after(next, Event::HolderTick(index));
-        if self.rng.f64() < self.habits.freeze {
-            self.holders_frozen_until[index] = self.world.now + self.rng.u64(..4 * SECOND);
+        self.schedule(next, Event::HolderTick(index));
+        if self.rng.f64() < self.behaviour.suspend {
+            self.holders_suspended_until[index] = self.world.now + self.rng.u64(..4 * SECOND);
             return;
         }
-        if self.rng.f64() < self.habits.cut {
-            self.holders_cut_until[index] = self.world.now + self.rng.u64(..5 * SECOND);
+        if self.rng.f64() < self.behaviour.partition {
+            self.holders_partitioned_until[index] = self.world.now + self.rng.u64(..5 * SECOND);
         }
-        if self.rng.f64() < self.habits.restart {
+        if self.rng.f64() < self.behaviour.restart {
             self.world.holders[index].restart();
         }
         self.world.tick(index);
@@ -329,9 +333,10 @@
         }
     }
 
-    fn is_away(&self, holder: usize) -> bool {
-        let until = self.holders_cut_until[holder].max(self.holders_frozen_until[holder]);
-        until > self.world.now
+    fn is_unreachable(&self, holder: usize) -> bool {
+        let unreachable_until =
+            self.holders_partitioned_until[holder].max(self.holders_suspended_until[holder]);
+        unreachable_until > self.world.now
     }
 
     fn tick_lease(&mut self, index: usize, shard: u16) {
@@ -339,7 +344,7 @@
         let now = holder.clock.at(self.world.now);
         let registered = self.world.registered(shard);
         match holder.shards[usize::from(shard) - 1].granting {
-            Some(_) if self.rng.f64() < self.habits.release => self.world.release(index, shard),
+            Some(_) if self.rng.f64() < self.behaviour.release => self.world.release(index, shard),
             Some(granting) => {
                 if now.saturating_sub(granting.renewed_at) >= self.world.rules.lease / 3 {
                     self.world.renew(index, shard);
@@ -348,9 +353,9 @@
             None => {
                 let chance = match registered {
                     None => 0.3,
-                    Some(known) if known == index => 0.7,
-                    Some(known) if self.is_away(known) => 0.1,
-                    Some(_) => self.habits.takeover,
+                    Some(current) if current == index => 0.7,
+                    Some(current) if self.is_unreachable(current) => 0.1,
+                    Some(_) => self.behaviour.takeover,
                 };
                 if self.rng.f64() < chance {
                     self.world.acquire(index, shard);
@@ -361,29 +366,29 @@
 
     fn tick_node(&mut self, index: usize) {
         let next = self.rng.u64(10 * MS..30 * MS);
-        self.after(next, Event::NodeTick(index));
-        if self.rng.f64() < self.habits.freeze / 3.0 {
-            self.nodes_frozen_until[index] = self.world.now + self.rng.u64(..2 * SECOND);
+        self.schedule(next, Event::NodeTick(index));
+        if self.rng.f64() < self.behaviour.suspend / 3.0 {
+            self.nodes_suspended_until[index] = self.world.now + self.rng.u64(..2 * SECOND);
             return;
         }
-        if self.rng.f64() < self.habits.restart / 3.0 {
+        if self.rng.f64() < self.behaviour.restart / 3.0 {
             self.world.restart_node(index);
         }
         if self.phase_ends_at <= self.world.now {
             self.phase = match (self.phase, self.rng.usize(..6)) {
-                (Phase::Idle, 0..3) => Phase::Hoard,
-                (Phase::Hoard, 0..4) | (_, 0) => Phase::Storm,
-                (_, 1) => Phase::Hoard,
-                (_, 2) => Phase::Trickle,
+                (Phase::Idle, 0..3) => Phase::SpendLate,
+                (Phase::SpendLate, 0..4) | (_, 0) => Phase::Burst,
+                (_, 1) => Phase::SpendLate,
+                (_, 2) => Phase::Occasional,
                 _ => Phase::Idle,
             };
-            let longest = self.world.rules.settings.window.min(2 * SECOND) + SECOND;
-            self.phase_ends_at = self.world.now + self.rng.u64(300 * MS..longest);
+            let max_duration = self.world.rules.settings.window.min(2 * SECOND) + SECOND;
+            self.phase_ends_at = self.world.now + self.rng.u64(300 * MS..max_duration);
         }
         let requests = match self.phase {
             Phase::Idle => 0,
-            Phase::Trickle => usize::from(self.rng.f64() < 0.1),
-            Phase::Storm | Phase::Hoard => 2,
+            Phase::Occasional => usize::from(self.rng.f64() < 0.1),
+            Phase::Burst | Phase::SpendLate => 2,
         };
         for tenant in TENANTS {
             self.request(index, tenant, requests);
@@ -393,7 +398,7 @@
     fn request(&mut self, index: usize, tenant: &str, count: usize) {
         let settings = self.world.rules.settings;
         let Some(limit) = self.world.config.limits.get(tenant) else {
-            // Without a limit it needs no permit.
+            // A tenant without a limit needs no permits.
             if let Some(ledger) = self.world.ledgers.get_mut(tenant) {
                 let _ = ledger.send(self.world.now);
             }
@@ -407,7 +412,7 @@
             let now = node.clock.at(self.world.now);
             let shard = match node.permits.next_step(tenant, &shards, &[], now) {
                 NextStep::Ask(shard) => shard,
-                _ if self.habits.insists => shards[0],
+                _ if self.behaviour.ignores_refusals => shards[0],
                 _ => return,
             };
             let holder = self.holder_to_ask(index, shard);
@@ -426,8 +431,8 @@
 
     fn change_limit(&mut self) {
         let next = self.rng.u64(500 * MS..8 * SECOND);
-        self.after(next, Event::Change);
-        if self.rng.f64() < self.habits.change {
+        self.schedule(next, Event::Change);
+        if self.rng.f64() < self.behaviour.change {
             let tenant = TENANTS[self.rng.usize(..2)];
             let limit = (self.rng.f64() < 0.8).then(|| random_limit(&mut self.rng));
             self.world.set_limit(tenant, limit);
--- a/crates/sparrouter-quota/tests/sum/scenario.rs
+++ b/crates/sparrouter-quota/tests/sum/scenario.rs
@@ -1,4 +1,4 @@
-//! A course of events that random runs meet too seldom.
+//! A sequence of events that random runs rarely produce.
 use crate::holder::Rules;
 use crate::ledger::Violation;
 use crate::model::{Clock, Defect, Returns, World};
@@ -7,10 +7,10 @@
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
 const TENANT: &str = "a";
-/// What the bucket of the limit below holds.
+/// Capacity of the bucket of the limit below, in tokens.
 const CAPACITY: usize = 27;
 
-/// Permits of a holder are given back once its successor's bucket is full and was used up.
+/// A holder's permits are returned after its successor's bucket was full and was used up.
 pub fn return_after_takeover(defect: Option<Defect>) -> Result<(), Violation> {
     let rules = Rules {
         settings: QuotaSettings {
@@ -20,7 +20,7 @@
         },
         lease: 500 * MS,
         defect,
-        returns: Returns::Guarded,
+        returns: Returns::Tracked,
     };
     let clock = Clock {
         start: 0,
@@ -46,7 +46,7 @@
     spend_all(&mut world, 1)
 }
 
-/// A holder acquires the lease, waits where it must, and keeps it while its bucket fills.
+/// A process acquires the lease, waits for the takeover if required, and renews the lease while its bucket refills.
 fn hold_for_three_seconds(world: &mut World, holder: usize) {
     world.acquire(holder, 1);
     deliver_all(world);
--- a/crates/sparrouter-quota/tests/usage/fleet.rs
+++ b/crates/sparrouter-quota/tests/usage/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet without faults but for killed holders: 72 nodes that ask as the fleet's `quota/take.rs` does, and clients that
-//! come back when they are told to.
+//! A simulated fleet whose only faults are killed lease holders: 72 nodes request permits as the fleet's `quota/take.rs`
+//! does, and clients retry after the delay that they are told.
 use sparrouter_quota::{
     BucketTable, Division, Nanos, NextStep, PermitTable, QuotaLimit, QuotaSettings, TakeOutcome,
     TenantBucket,
@@ -11,77 +11,77 @@
 pub const NODES: usize = 72;
 const TENANT: &str = "tenant";
 const SHARDS: u16 = 4;
-/// How long a question takes in all, with its answer.
-const CALL: Nanos = 2 * MS;
+/// Round-trip time of a request for a permit.
+const ROUND_TRIP: Nanos = 2 * MS;
 const UNAVAILABLE_FOR: Nanos = 150 * MS;
-const PATIENCE: Nanos = 200 * MS;
+const MAX_UNAVAILABLE_WAIT: Nanos = 200 * MS;
 const RETRY_INTERVAL: Nanos = 40 * MS;
 const MIN_RETRY_AFTER: Nanos = 20 * MS;
 const RETRY_SPREAD: f64 = 0.25;
-/// Buckets are full and clients under way by then.
+/// Time after which buckets are full and retries are in progress; nothing is counted before.
 const WARM_UP: Nanos = 10 * SECOND;
 
-/// How requests come.
+/// The request load.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
-    /// New requests a second.
+    /// New requests per second.
     pub rate_per_s: f64,
-    /// Mean number of new requests that come at one moment.
-    pub clump: f64,
-    /// How often a client comes back that was refused.
-    pub comebacks: u32,
+    /// Mean number of new requests that arrive at the same moment.
+    pub batch_size: f64,
+    /// Maximum number of retries of a refused request.
+    pub retries: u32,
 }
 
-/// What may be tried beside what is shipped.
+/// Parameters that a measurement varies.
 #[derive(Clone, Copy, Debug)]
-pub struct Tuning {
-    /// Longest time for which a node remembers a refusal.
-    pub refusal: Nanos,
-    /// Longest time that a request waits for a token that the holder announced.
-    pub waits: Nanos,
-    /// How long a permit lasts.
-    pub lifetime: Nanos,
+pub struct Parameters {
+    /// Maximum time for which a node remembers a refusal.
+    pub max_refusal_time: Nanos,
+    /// Maximum time for which a request waits for a token that the lease holder announced.
+    pub max_wait: Nanos,
+    /// Lifetime of a permit.
+    pub permit_lifetime: Nanos,
 }
 
-pub const SHIPPED: Tuning = Tuning {
-    refusal: SECOND,
-    waits: 0,
-    lifetime: 300 * MS,
+pub const DEFAULTS: Parameters = Parameters {
+    max_refusal_time: SECOND,
+    max_wait: 0,
+    permit_lifetime: 300 * MS,
 };
 
-/// Holders that are killed, each after an interval, and away for a time.
+/// Kills one random lease holder per `interval`; its shard is unavailable for `downtime`.
 #[derive(Clone, Copy, Debug)]
 pub struct Kills {
     pub interval: Nanos,
-    pub away: Nanos,
+    pub downtime: Nanos,
 }
 
-/// What was counted after the warm-up.
+/// Counts after the warm-up.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub seconds: f64,
-    pub new: u64,
+    pub new_requests: u64,
     pub granted: u64,
     pub refused: u64,
     pub unavailable: u64,
-    /// Calls of nodes to holders, and those to the holder that got most.
+    /// Calls from nodes to all lease holders, and to the lease holder that received most.
     pub calls: u64,
-    pub most_calls: u64,
+    pub max_calls: u64,
 }
 
 struct Request {
     node: usize,
     asked: Vec<u16>,
-    first: usize,
-    began: Nanos,
-    comebacks: u32,
+    first_shard: usize,
+    started_at: Nanos,
+    retries: u32,
 }
 
 enum Event {
-    New,
+    NewRequests,
     Step(Request),
-    /// A question arrives at the holder of a shard.
-    Asked(Request, u16),
+    /// A request for a permit arrives at the lease holder of a shard.
+    PermitRequested(Request, u16),
     Answered(Request, u16, Answer),
     Kill,
 }
@@ -96,16 +96,16 @@
 pub struct Fleet {
     rng: fastrand::Rng,
     now: Nanos,
-    end: Nanos,
+    end_at: Nanos,
     events: BTreeMap<(Nanos, u64), Event>,
     next_event: u64,
     demand: Demand,
-    tuning: Tuning,
+    parameters: Parameters,
     kills: Option<Kills>,
     division: Division,
     shards: Vec<u16>,
     holders: Vec<BucketTable>,
-    away_until: Vec<Nanos>,
+    unavailable_until: Vec<Nanos>,
     nodes: Vec<PermitTable>,
     calls: Vec<u64>,
     counts: Counts,
@@ -116,28 +116,28 @@
         seed: u64,
         limit: QuotaLimit,
         demand: Demand,
-        tuning: Tuning,
+        parameters: Parameters,
         kills: Option<Kills>,
     ) -> Fleet {
         let settings = QuotaSettings {
             window: 5 * SECOND,
-            permit_lifetime: tuning.lifetime,
+            permit_lifetime: parameters.permit_lifetime,
             shards: SHARDS,
         };
         let division = Division::of(limit, &settings);
         let mut fleet = Fleet {
             rng: fastrand::Rng::with_seed(seed),
             now: 0,
-            end: 0,
+            end_at: 0,
             events: BTreeMap::new(),
             next_event: 0,
             demand,
-            tuning,
+            parameters,
             kills,
             division,
             shards: division.shards(TENANT, &settings),
             holders: Vec::new(),
-            away_until: vec![0; usize::from(SHARDS)],
+            unavailable_until: vec![0; usize::from(SHARDS)],
             nodes: vec![PermitTable::default(); NODES],
             calls: vec![0; usize::from(SHARDS)],
             counts: Counts::default(),
@@ -146,7 +146,7 @@
         fleet
     }
 
-    /// The buckets of a new holder.
+    /// The buckets of a new lease holder.
     fn table(&self, active_from: Nanos) -> BucketTable {
         let mut table = BucketTable::new(1, active_from);
         let bucket = TenantBucket {
@@ -157,111 +157,111 @@
         table
     }
 
-    /// Plays so many seconds after the warm-up.
-    pub fn play(mut self, seconds: u64) -> Counts {
-        self.end = WARM_UP + seconds * SECOND;
-        self.after(0, Event::New);
+    /// Runs the simulation until `seconds` after the warm-up.
+    pub fn run(mut self, seconds: u64) -> Counts {
+        self.end_at = WARM_UP + seconds * SECOND;
+        self.schedule(0, Event::NewRequests);
         if let Some(kills) = self.kills {
-            self.after(kills.interval, Event::Kill);
+            self.schedule(kills.interval, Event::Kill);
         }
         while let Some(((at, _), event)) = self.events.pop_first() {
-            if at >= self.end {
+            if at >= self.end_at {
                 break;
             }
             self.now = at;
             match event {
-                Event::New => self.start_clump(),
+                Event::NewRequests => self.start_batch(),
                 Event::Step(request) => self.step(request),
-                Event::Asked(request, shard) => self.ask(request, shard),
+                Event::PermitRequested(request, shard) => self.ask(request, shard),
                 Event::Answered(request, shard, answer) => self.answer(request, shard, answer),
                 Event::Kill => self.kill(),
             }
         }
         self.counts.seconds = seconds as f64;
         self.counts.calls = self.calls.iter().sum();
-        self.counts.most_calls = self.calls.iter().copied().max().unwrap_or(0);
+        self.counts.max_calls = self.calls.iter().copied().max().unwrap_or(0);
         self.counts
     }
 
-    fn after(&mut self, time: Nanos, event: Event) {
+    fn schedule(&mut self, delay: Nanos, event: Event) {
         self.next_event += 1;
         self.events
-            .insert((self.now + time, self.next_event), event);
+            .insert((self.now + delay, self.next_event), event);
     }
 
-    /// 1 once the warm-up is over.
-    fn counted(&self) -> u64 {
+    /// 1 after the warm-up, 0 before.
+    fn after_warm_up(&self) -> u64 {
         u64::from(self.now >= WARM_UP)
     }
 
-    fn start_clump(&mut self) {
-        let clumps_per_s = self.demand.rate_per_s / self.demand.clump;
-        let gap = -(1.0 - self.rng.f64()).ln() / clumps_per_s * 1e9;
-        self.after(gap as Nanos, Event::New);
+    fn start_batch(&mut self) {
+        let batches_per_s = self.demand.rate_per_s / self.demand.batch_size;
+        let gap = -(1.0 - self.rng.f64()).ln() / batches_per_s * 1e9;
+        self.schedule(gap as Nanos, Event::NewRequests);
         loop {
-            self.counts.new += self.counted();
-            let request = self.request(self.demand.comebacks);
+            self.counts.new_requests += self.after_warm_up();
+            let request = self.request(self.demand.retries);
             self.step(request);
-            // Sizes are geometric.
-            if self.rng.f64() >= 1.0 - 1.0 / self.demand.clump {
+            // Batch sizes are geometrically distributed.
+            if self.rng.f64() >= 1.0 - 1.0 / self.demand.batch_size {
                 return;
             }
         }
     }
 
-    fn request(&mut self, comebacks: u32) -> Request {
+    fn request(&mut self, retries: u32) -> Request {
         Request {
             node: self.rng.usize(..NODES),
             asked: Vec::new(),
-            first: self.rng.usize(..self.shards.len()),
-            began: self.now,
-            comebacks,
+            first_shard: self.rng.usize(..self.shards.len()),
+            started_at: self.now,
+            retries,
         }
     }
 
     fn step(&mut self, mut request: Request) {
         let mut shards = self.shards.clone();
-        shards.rotate_left(request.first);
-        let waited = self.now - request.began;
+        shards.rotate_left(request.first_shard);
+        let waited = self.now - request.started_at;
         match self.nodes[request.node].next_step(TENANT, &shards, &request.asked, self.now) {
             NextStep::Ask(shard) => {
                 request.asked.push(shard);
-                self.after(CALL / 2, Event::Asked(request, shard));
+                self.schedule(ROUND_TRIP / 2, Event::PermitRequested(request, shard));
             }
-            NextStep::LimitReached(after) if waited + after <= self.tuning.waits => {
+            NextStep::LimitReached(after) if waited + after <= self.parameters.max_wait => {
                 request.asked.clear();
-                self.after(after, Event::Step(request));
+                self.schedule(after, Event::Step(request));
             }
             NextStep::LimitReached(after) => {
-                self.counts.refused += self.counted();
-                self.come_back(&request, after);
+                self.counts.refused += self.after_warm_up();
+                self.schedule_retry(&request, after);
             }
-            NextStep::Unavailable(_) if waited < PATIENCE => {
+            NextStep::Unavailable(_) if waited < MAX_UNAVAILABLE_WAIT => {
                 request.asked.clear();
-                self.after(RETRY_INTERVAL, Event::Step(request));
+                self.schedule(RETRY_INTERVAL, Event::Step(request));
             }
             NextStep::Unavailable(after) => {
-                self.counts.unavailable += self.counted();
-                self.come_back(&request, after.max(UNAVAILABLE_FOR));
+                self.counts.unavailable += self.after_warm_up();
+                self.schedule_retry(&request, after.max(UNAVAILABLE_FOR));
             }
         }
     }
 
-    fn come_back(&mut self, request: &Request, after: Nanos) {
-        if request.comebacks == 0 {
+    fn schedule_retry(&mut self, request: &Request, after: Nanos) {
+        if request.retries == 0 {
             return;
         }
         let spread = 1.0 + self.rng.f64() * RETRY_SPREAD;
         let after = (after.max(MIN_RETRY_AFTER) as f64 * spread) as Nanos;
-        let mut next = self.request(request.comebacks - 1);
-        next.began = self.now + after;
-        self.after(after, Event::Step(next));
+        let mut next = self.request(request.retries - 1);
+        next.started_at = self.now + after;
+        self.schedule(after, Event::Step(next));
     }
 
     fn ask(&mut self, request: Request, shard: u16) {
         let index = usize::from(shard) - 1;
-        self.calls[index] += self.counted();
-        let answer = if self.now < self.away_until[index] {
+        self.calls[index] += self.after_warm_up();
+        let answer = if self.now < self.unavailable_until[index] {
             Answer::Unavailable
         } else {
             match self.holders[index].take(TENANT, 1, self.now) {
@@ -270,7 +270,7 @@
                 TakeOutcome::UnknownTenant => Answer::Unavailable,
             }
         };
-        self.after(CALL / 2, Event::Answered(request, shard, answer));
+        self.schedule(ROUND_TRIP / 2, Event::Answered(request, shard, answer));
     }
 
     fn answer(&mut self, request: Request, shard: u16, answer: Answer) {
@@ -278,25 +278,30 @@
         match answer {
             Answer::Granted => {
                 node.record_answer(shard);
-                self.counts.granted += self.counted();
+                self.counts.granted += self.after_warm_up();
                 return;
             }
             Answer::Refused(after) => {
                 node.record_answer(shard);
-                node.record_refusal(TENANT, shard, after.min(self.tuning.refusal), self.now);
+                node.record_refusal(
+                    TENANT,
+                    shard,
+                    after.min(self.parameters.max_refusal_time),
+                    self.now,
+                );
             }
             Answer::Unavailable => node.record_unavailable(shard, UNAVAILABLE_FOR, self.now),
         }
         self.step(request);
     }
 
-    /// One of the holders is killed; the next is empty from when it may grant.
+    /// Kills one of the lease holders; its successor starts with empty buckets once the shard is available again.
     fn kill(&mut self) {
         let Some(kills) = self.kills else { return };
         let index = self.rng.usize(..self.holders.len());
-        let back_at = self.now + kills.away;
-        self.away_until[index] = back_at;
-        self.holders[index] = self.table(back_at);
-        self.after(kills.interval, Event::Kill);
+        let available_at = self.now + kills.downtime;
+        self.unavailable_until[index] = available_at;
+        self.holders[index] = self.table(available_at);
+        self.schedule(kills.interval, Event::Kill);
     }
 }
