--- a/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
@@ -266,12 +266,12 @@
     fn reject_without_server(&self, error: SelectionError) -> Response {
         count(&self.node.counters.no_server_ready);
         match error {
-            SelectionError::NoneReady | SelectionError::NoServer
+            SelectionError::NoneEligible | SelectionError::NoServer
                 if !rules::missing_server_is_no_missing_route() =>
             {
                 Response::plain(404, "no route")
             }
-            SelectionError::NoneReady => self.retry_later_unless_run(RETRY_WHILE_LOADING_MS),
+            SelectionError::NoneEligible => self.retry_later_unless_run(RETRY_WHILE_LOADING_MS),
             SelectionError::NoServer => self.retry_later_unless_run(RETRY_WITHOUT_SERVER_MS),
         }
     }
--- a/crates/sparrouter-routing/src/backlog.rs
+++ b/crates/sparrouter-routing/src/backlog.rs
@@ -1,65 +1,65 @@
 //! Estimates how long a prompt would queue at one server, over all nodes.
 //!
-//! A node's own requests are a small part of what a server has to prefill; how long a prompt waits for its first token is
-//! decided by the rest. So one node owns the backlog of each server, and is queried before a prompt is sent there. It
-//! adds up the announced prompts whose generation has not started, and estimates the server's prefill rate from how long
-//! each of them took. Source: Little, "A proof for the queuing formula L = λW", 1961.
+//! A node's own requests are a small part of what a server prefills; the other nodes' requests decide how long a prompt
+//! waits for its first token. Therefore one node owns the backlog of each server, and other nodes query it before they
+//! send a prompt there. The owner adds up the announced prompts that have no first token yet, and estimates the server's
+//! prefill rate from their waits. Source: Little, "A proof for the queuing formula L = λW", 1961.
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// Largest number of prompts in one server's queue; further ones are not counted.
+/// Maximum number of prompts in one server's queue; further ones are not counted.
 const MAX_QUEUED: usize = 4_096;
-/// A prompt whose removal was never reported stops counting after this time.
+/// Time after which a prompt is dropped from the queue if its removal was never reported.
 const MAX_QUEUE_TIME: Nanos = 15_000_000_000;
-/// Prefill rate in tokens per second that is assumed of a server before the first measurement.
+/// Assumed prefill rate of a server before the first measurement, in tokens per second.
 const INITIAL_RATE: f64 = 40_000.0;
 /// Bounds of the estimated prefill rate, in tokens per second.
 const MIN_RATE: f64 = 1_000.0;
 const MAX_RATE: f64 = 2_000_000.0;
 /// Weight of a new measurement in the moving average of the rate.
 const RATE_SMOOTHING: f64 = 0.1;
-/// Seconds that a prompt takes beside its prefill, even with an empty queue.
+/// Time of a prompt in addition to its prefill, in seconds, even with an empty queue.
 const FIXED_OVERHEAD_SECONDS: f64 = 0.04;
-/// Shortest wait in seconds that the rate is measured from: fixed costs dominate shorter ones.
+/// Minimum wait from which the rate is measured, in seconds: fixed costs dominate shorter waits.
 const MIN_MEASURED_SECONDS: f64 = 0.12;
-/// Number of priorities that are distinguished; all above count as the last one.
+/// Number of distinct priorities; all higher numbers count as the last one.
 const PRIORITIES: usize = 16;
-/// Time constant in seconds of the arrivals from which it is estimated how much will overtake a queued prompt.
+/// Time constant of the recent arrivals, in seconds; they predict how many tokens will overtake a queued prompt.
 const ARRIVAL_DECAY_SECONDS: f64 = 2.0;
-/// Largest share of the rate that is assumed to go to overtaking prompts, so that the estimated wait stays finite.
+/// Maximum share of the rate that is assumed to go to overtaking prompts, so that the estimated wait stays finite.
 const MAX_OVERTAKING_SHARE: f64 = 0.9;
 
-/// A prompt whose generation has not started.
+/// A prompt that has no first token yet.
 #[derive(Clone, Copy, Debug)]
 struct QueuedPrompt {
-    /// Tokens to prefill.
+    /// Number of tokens to prefill.
     cost: f64,
-    /// 0 is served first.
+    /// Priority; 0 is served first.
     priority: u32,
     enqueued_at: Nanos,
-    /// Tokens that were served before its own, as of its arrival, and its own.
+    /// Tokens that were to be served before this prompt when it arrived, plus its own.
     tokens_ahead: f64,
-    /// Tokens of higher priority that had arrived in total by its arrival: later ones overtake it.
+    /// Tokens of higher priority that had arrived in total before this prompt; those that arrive later overtake it.
     overtaking_before: f64,
 }
 
-/// The queue of one server. Its tokens are those that are expected to be prefilled: the caller leaves out what it expects
-/// the server to have cached of a prompt.
+/// The prompts queued at one server. Token counts are the expected prefill: callers subtract the tokens that they expect
+/// the server to have cached.
 #[derive(Clone, Debug)]
 pub struct Backlog {
-    /// By the token that the prompt was enqueued under; at most [`MAX_QUEUED`].
+    /// By the identifier that the prompt was enqueued with; at most [`MAX_QUEUED`] entries.
     queue: BTreeMap<u64, QueuedPrompt>,
     /// Estimated prefill rate in tokens per second, within [`MIN_RATE`] and [`MAX_RATE`].
     rate: f64,
     last_used_at: Nanos,
-    /// Tokens that have arrived so far, by priority.
+    /// Tokens that have arrived in total, by priority.
     arrived: [f64; PRIORITIES],
-    /// Tokens that arrived recently, by priority, decayed exponentially up to `decayed_at`.
+    /// Tokens that arrived recently, by priority, decayed exponentially until `decayed_at`.
     arrived_recently: [f64; PRIORITIES],
     decayed_at: Nanos,
 }
 
-/// Sum of the tokens whose priority is higher, that is of lower number.
+/// Sum of the tokens of higher priority, that is with a lower number.
 fn higher_priority_sum(tokens: &[f64; PRIORITIES], priority: u32) -> f64 {
     tokens.iter().take(priority as usize).sum()
 }
@@ -78,8 +78,8 @@
 }
 
 impl Backlog {
-    /// How long a prompt would queue before its prefill starts. Prompts of higher priority (lower number) go first, also
-    /// if they arrive while it waits, and so do earlier ones of the same priority.
+    /// The estimated time that a prompt would queue before its prefill starts. Prompts of higher priority (lower number)
+    /// are served first, even if they arrive while the prompt waits; so are earlier prompts of the same priority.
     pub fn estimate_wait(&mut self, priority: u32, now: Nanos) -> Nanos {
         self.last_used_at = now;
         self.queue
@@ -101,7 +101,7 @@
         self.decayed_at = self.decayed_at.max(now);
     }
 
-    /// Tokens of queued prompts that are served before a new one of this priority.
+    /// Tokens of the queued prompts that are served before a new prompt of this priority.
     fn tokens_ahead(&self, priority: u32) -> f64 {
         self.queue
             .values()
@@ -110,7 +110,7 @@
             .sum()
     }
 
-    /// Adds a prompt of `cost` tokens to prefill. `token` identifies it at this server for [`Backlog::remove`].
+    /// Adds a prompt of `cost` tokens to prefill. `token` identifies the prompt at this server for [`Backlog::remove`].
     pub fn enqueue(&mut self, token: u64, cost: f64, priority: u32, now: Nanos) {
         if self.queue.len() < MAX_QUEUED {
             let queued = QueuedPrompt {
@@ -129,8 +129,8 @@
         self.last_used_at = now;
     }
 
-    /// Removes a prompt. `began`: its first token arrived, so its wait measures the rate; otherwise it ended without one.
-    /// Does nothing if no prompt was enqueued under `token`.
+    /// Removes a prompt. `began`: its first token arrived, so its wait is a measurement of the rate; `false` if the prompt
+    /// ended without a token. Does nothing if no prompt was enqueued with `token`.
     pub fn remove(&mut self, token: u64, began: bool, now: Nanos) {
         let Some(queued) = self.queue.remove(&token) else {
             return;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// When the wait was last estimated or a prompt was last enqueued; unused backlogs may be dropped.
+    /// When a wait was last estimated or a prompt last enqueued; callers may drop unused backlogs.
     pub fn last_used_at(&self) -> Nanos {
         self.last_used_at
     }
--- a/crates/sparrouter-routing/src/candidate.rs
+++ b/crates/sparrouter-routing/src/candidate.rs
@@ -1,7 +1,7 @@
-//! Compares two eligible servers, and finds the best of many in one pass, without a list of them and without sorting.
+//! Compares eligible servers, and finds the best of many in one pass, without collecting or sorting them.
 use crate::{SelectionRequest, Server, ServerIndex};
 
-/// A server that may take the request, with what its rank depends on.
+/// A server that may take the request, with the properties that determine its rank.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub(crate) server: ServerIndex,
@@ -10,7 +10,7 @@
 }
 
 impl Candidate {
-    /// `is_ejected`: the server fails requests that others would serve, and this demotes it.
+    /// `is_ejected`: the server is an outlier, which demotes it.
     pub(crate) fn new(
         request: &SelectionRequest,
         index: ServerIndex,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether it ranks before another one.
+    /// Whether this candidate ranks before `other`.
     pub(crate) fn precedes(&self, other: &Candidate) -> bool {
         self.demotion
             .cmp(&other.demotion)
@@ -36,10 +36,10 @@
     }
 }
 
-/// A server's rendezvous score for a key; the highest wins. Equal scores are ordered by the hash, so that all nodes agree.
+/// A server's rendezvous score for a key; the highest wins. Equal scores are ordered by hash, so that all nodes agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RendezvousScore {
-    /// Bits of a number between 0 and 1, which are in the same order as the number.
+    /// Bits of a floating-point number between 0 and 1; their order is the order of the numbers.
     unit_bits: u64,
     hash: u64,
 }
@@ -53,19 +53,19 @@
     }
 }
 
-/// Why a server ranks behind others whatever its score. The order of the fields is that of their weight.
+/// Reasons to rank a server behind others regardless of its score. Earlier fields take precedence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Demotion {
-    /// Unresponsive servers come last, as they may still answer.
+    /// Unresponsive servers rank last; they may still answer.
     is_unresponsive: bool,
-    /// Before them come outliers, which fail requests that others would serve.
+    /// Outliers fail requests that other servers answer; they rank before unresponsive servers.
     is_ejected: bool,
-    /// Long generations avoid servers that will load new weights soon, because loading waits for them to end.
+    /// Long generations avoid servers that will load new weights soon, because loading waits for the generations to end.
     delays_loading: bool,
 }
 
 impl Demotion {
-    /// All but the ejection, which depends on the other servers of the service.
+    /// All reasons but ejection, which depends on the other servers of the service.
     fn of(request: &SelectionRequest, server: &Server) -> Demotion {
         Demotion {
             is_unresponsive: server.is_unresponsive,
@@ -75,31 +75,31 @@
     }
 }
 
-/// Whether a server ranks behind others whatever its score, ejection apart.
+/// Whether a server ranks behind others regardless of its score, for another reason than ejection.
 pub(crate) fn is_demoted(request: &SelectionRequest, server: &Server) -> bool {
     Demotion::of(request, server) != Demotion::default()
 }
 
-/// Whether this node has more requests in flight at the server than the bound of its service. An unused server counts as
-/// having the mean number in flight.
+/// Whether this node's requests in flight at the server exceed the load bound of the service. An unused server is assumed
+/// to have the mean number in flight.
 pub(crate) fn exceeds_load_bound(server: &Server, load_bound: f64) -> bool {
     server.has_been_used && f64::from(server.in_flight) > load_bound
 }
 
-/// A candidate with this node's requests in flight there.
+/// A candidate with this node's number of requests in flight at the server.
 #[derive(Clone, Copy, Debug)]
 struct LoadedCandidate {
     in_flight: u32,
     candidate: Candidate,
 }
 
-/// The best of the candidates that were considered so far.
+/// The best of the candidates considered so far.
 #[derive(Debug, Default)]
 pub(crate) struct BestCandidates {
     first: Option<Candidate>,
-    /// The first one that does not exceed the load bound.
+    /// The first candidate in order that does not exceed the load bound.
     first_within_bound: Option<Candidate>,
-    /// The one with the fewest requests in flight.
+    /// The candidate with the fewest requests in flight; if equal, the first in order.
     least_loaded: Option<LoadedCandidate>,
 }
 
@@ -112,9 +112,10 @@
         if !exceeds_bound && precedes(self.first_within_bound) {
             self.first_within_bound = Some(candidate);
         }
-        let is_less_loaded = self.least_loaded.is_none_or(|least| {
-            in_flight < least.in_flight
-                || (in_flight == least.in_flight && candidate.precedes(&least.candidate))
+        let is_less_loaded = self.least_loaded.is_none_or(|least_loaded| {
+            in_flight < least_loaded.in_flight
+                || (in_flight == least_loaded.in_flight
+                    && candidate.precedes(&least_loaded.candidate))
         });
         if is_less_loaded {
             self.least_loaded = Some(LoadedCandidate {
@@ -124,13 +125,13 @@
         }
     }
 
-    /// The first within the load bound; where all exceed it, the least loaded.
+    /// The first candidate within the load bound; if all exceed it, the least loaded.
     pub(crate) fn winner(&self) -> Option<Candidate> {
         self.first_within_bound
-            .or(self.least_loaded.map(|least| least.candidate))
+            .or(self.least_loaded.map(|least_loaded| least_loaded.candidate))
     }
 
-    /// Whether no candidate precedes this one.
+    /// Whether no other candidate ranks before this one.
     pub(crate) fn is_first(&self, candidate: &Candidate) -> bool {
         self.first
             .is_some_and(|first| first.server == candidate.server)
--- a/crates/sparrouter-routing/src/decaying_count.rs
+++ b/crates/sparrouter-routing/src/decaying_count.rs
@@ -1,7 +1,7 @@
 //! A count that decays with time.
 use crate::Nanos;
 
-/// Time constant in seconds: after so long a count has decayed to 1/e.
+/// Time constant in seconds, after which a count has decayed to 1/e.
 const DECAY_SECONDS: f64 = 4.0;
 
 /// A count that decays exponentially, to 1/e in 4 seconds.
--- a/crates/sparrouter-routing/src/membership_sync.rs
+++ b/crates/sparrouter-routing/src/membership_sync.rs
@@ -1,36 +1,36 @@
-//! Brings the server table up to date with the membership table. Only servers whose records changed are visited, since a
-//! fleet of thousands of servers has a change every few milliseconds.
+//! Brings the server table up to date with the membership table. Only servers whose records have changed are visited,
+//! because a fleet of thousands of servers has a change every few milliseconds.
 use crate::{EJECTION_PERIOD, Nanos, Server, ServerIndex, ServerTable};
 use sparrouter_membership::{ChangedRecord, LifecycleState, MembershipTable, ServerRecord};
 use std::collections::BTreeSet;
 
-// Server directives have keys `KIND/SERVER/MODEL`. The kinds are on the wire and keep their names.
+// Server directives have keys `KIND/SERVER/MODEL`. The kinds below are sent over the network and must not change.
 
-/// The server loads new weights; withdrawn: it has loaded the version that the directive names.
+/// The server is loading new weights; if withdrawn, it has loaded the version that the directive names.
 const LOADING_DIRECTIVE: &str = "load";
 /// The server will load new weights soon.
 const LOADING_SOON_DIRECTIVE: &str = "soon";
-/// The server is an outlier: it fails requests that others would serve. The model is empty. It applies for
-/// [`EJECTION_PERIOD`] from its arrival, whether withdrawn or not.
+/// The server is an outlier: it fails requests that other servers answer. The model in the key is empty. The directive
+/// applies for [`EJECTION_PERIOD`] after its arrival, whether withdrawn or not.
 const EJECTION_DIRECTIVE: &str = "avoid";
 
-/// Up to where the membership table has been applied, and which servers change without a change of their records.
+/// The state of the membership table at the last sync, and the servers that change without a change of their records.
 #[derive(Debug, Default)]
 pub(crate) struct SyncState {
     /// Identifies the membership table; 0 before the first sync.
     epoch: u64,
     /// The membership table's revision at the last sync.
     revision: u64,
-    /// How many servers the membership table had dropped by the last sync.
+    /// Number of servers that the membership table had dropped by the last sync.
     servers_dropped: u64,
-    /// Servers under a directive to load weights, now or soon, which expires with time.
+    /// Servers with a directive to load weights, now or soon; these directives expire with time.
     under_directive: BTreeSet<ServerIndex>,
-    /// Servers that have left, with requests of this node in flight.
+    /// Servers that have left but still have requests of this node in flight.
     left_with_requests: BTreeSet<ServerIndex>,
 }
 
 impl ServerTable {
-    /// Applies the membership table as it is now. A server that has left stays until its last request has ended.
+    /// Applies the current membership table. A server that has left is kept until this node's last request there has ended.
     pub fn sync(&mut self, membership: &MembershipTable, now: Nanos) {
         let ids = self.ids_to_sync(membership);
         self.sync_state.epoch = membership.epoch();
@@ -41,17 +41,17 @@
         }
     }
 
-    /// Ids of servers whose records or directives changed since the last sync, and of those that change with time.
+    /// Ids of servers whose records or directives have changed since the last sync, and of those that change with time.
     fn ids_to_sync(&self, membership: &MembershipTable) -> BTreeSet<String> {
         let state = &self.sync_state;
-        // Dropped records have no revision of their own.
+        // Dropped records have no revision number.
         let has_revisions_since = state.epoch == membership.epoch()
             && state.revision <= membership.revision()
             && state.servers_dropped == membership.servers_dropped();
         if !has_revisions_since {
-            let known = self.iter().map(|(_, server)| server.id.clone());
+            let in_table = self.iter().map(|(_, server)| server.id.clone());
             let recorded = membership.servers().map(|record| record.id.clone());
-            return recorded.chain(known).collect();
+            return recorded.chain(in_table).collect();
         }
         let changed = membership
             .changed_since(state.revision)
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Applies the directives about one server. The holder of the rollout lease announces that a server will load weights
-    /// soon, then that it loads them; withdrawing the latter names the version that the server runs.
+    /// Applies the directives about one server. The rollout's lease holder announces that a server will load weights soon,
+    /// then that it is loading them. When it withdraws the latter directive, it names the version that the server runs.
     fn apply_directives(
         &mut self,
         membership: &MembershipTable,
@@ -167,14 +167,14 @@
         }
     }
 
-    /// Forgets what is stored here of a server that is removed, before its index is reused.
-    pub(crate) fn forget_sync_state(&mut self, index: ServerIndex) {
+    /// Drops the sync state of a server that is removed, before its index is reused.
+    pub(crate) fn drop_sync_state(&mut self, index: ServerIndex) {
         self.sync_state.under_directive.remove(&index);
         self.sync_state.left_with_requests.remove(&index);
     }
 }
 
-/// The server's id in a directive's key `KIND/SERVER/MODEL`; `None` for other kinds.
+/// The server's id in a directive's key `KIND/SERVER/MODEL`; `None` if the directive is of another kind.
 fn server_of_directive(key: &str) -> Option<&str> {
     let mut segments = key.splitn(3, '/');
     let (kind, id, _model) = (segments.next()?, segments.next()?, segments.next()?);
--- a/crates/sparrouter-routing/src/outliers.rs
+++ b/crates/sparrouter-routing/src/outliers.rs
@@ -1,66 +1,65 @@
-//! Ejects servers that fail requests which others would serve, judged over all nodes.
+//! Ejects servers that fail requests which other servers answer, by the failures that all nodes report.
 //!
-//! A server may fail part of its requests while its health check succeeds. One node sees too few of a server's requests
-//! to tell this from chance, so each failure is reported to one node, the server's owner, which adds them up. Failures
-//! decay within seconds, and so does what follows from them: an ejected server is avoided for [`EJECTION_PERIOD`] after
-//! the last verdict, and then gets requests again, whose failures are the next evidence.
+//! A server may fail part of its requests while its health check succeeds. One node sends too few requests to a server to
+//! tell this from chance, so every failure is reported to one node, the server's owner, which counts them. Failures decay
+//! within seconds, and ejections are short: an ejected server is avoided for [`EJECTION_PERIOD`] after the last decision,
+//! then gets requests again, and further failures can eject it again.
 //!
-//! No server is ejected for requests that would fail anywhere: a request that fails at every server has one key, and a
-//! verdict requires failures under several keys, or requests that another server answered after this one had failed them.
-//! It also requires a minimal failure rate, so that a server with rare failures stays. The number of requests that the
-//! server answered is estimated from what the reporting nodes had answered there, as the same mean is expected at all
-//! nodes.
+//! No server is ejected for requests that would fail at any server: such a request has one key, and an ejection requires
+//! failures of several keys, or requests that failed here and were answered by another server. It also requires a minimum
+//! failure rate, so that a server with rare failures is not ejected. The number of requests that the server answered is
+//! estimated from the counts of the nodes that report failures, assuming the same mean on all nodes.
 //!
 //! Source: outlier detection as in Envoy ("Outlier detection", Envoy documentation), here over a fleet and by failure rate.
 use crate::{DecayingCount, Nanos};
 use std::collections::BTreeMap;
 
-/// How long a server stays ejected after a verdict.
+/// How long a server stays ejected after the decision to eject it.
 pub const EJECTION_PERIOD: Nanos = 3_000_000_000;
 
-/// Smallest decayed count of failures for a verdict: three of them within a second.
+/// Minimum decayed count of failures for an ejection: three failures within a second.
 const MIN_FAILURES: f64 = 2.5;
-/// The same for a server that was ejected within the last [`REPEAT_PERIOD`].
+/// Minimum decayed count of failures for a server that was ejected within the last [`REPEAT_PERIOD`].
 const MIN_FAILURES_REPEATED: f64 = 1.5;
 const REPEAT_PERIOD: Nanos = 10_000_000_000;
-/// Smallest number of different keys among the requests that failed.
+/// Minimum number of distinct keys of failed requests.
 const MIN_KEYS: usize = 3;
-/// Smallest decayed count of requests that another server answered, in place of different keys.
+/// Minimum decayed count of failed requests that another server answered, as an alternative to distinct keys.
 const MIN_SERVED_ELSEWHERE: f64 = 1.5;
-/// Smallest fraction of a server's requests that fail.
+/// Minimum fraction of a server's requests that fail.
 const MIN_FAILURE_RATE: f64 = 0.25;
-/// Largest number of servers whose failures are stored.
+/// Maximum number of servers whose failures are stored.
 const MAX_SERVERS: usize = 4_096;
-/// A decayed count of failures below this is no evidence any more.
-const NEGLIGIBLE: f64 = 0.01;
+/// Decayed count of failures below which earlier failures are ignored.
+const NEGLIGIBLE_FAILURES: f64 = 0.01;
 
-/// A request that failed at a server, as the node reports it that sent it there.
+/// A request that failed at a server, as reported by the node that sent it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Failure {
     /// Hash of the server's id.
     pub server: u64,
-    /// Key that the request's server was selected by.
+    /// The key by which the request's server was selected.
     pub key: u64,
-    /// Decayed count of requests that this server answered to the reporting node; see [`DecayingCount`].
+    /// Decayed count of the reporting node's requests that this server answered; see [`DecayingCount`].
     pub answered: f64,
 }
 
-/// What was reported of one server.
+/// The failures reported of one server.
 #[derive(Debug, Default)]
-struct Evidence {
+struct ServerFailures {
     failures: DecayingCount,
-    /// Sum of what the reporting nodes had answered, one summand per failure.
+    /// Decaying sum of [`Failure::answered`] over the reported failures.
     answered: DecayingCount,
-    /// Requests that failed here and were answered elsewhere.
+    /// Requests that failed at this server and were answered by another one.
     served_elsewhere: DecayingCount,
-    /// The last different keys of failed requests, the newest last; at most [`MIN_KEYS`].
+    /// The most recent distinct keys of failed requests, the newest last; at most [`MIN_KEYS`].
     keys: Vec<u64>,
     ejected_at: Option<Nanos>,
 }
 
-impl Evidence {
+impl ServerFailures {
     fn record_failure(&mut self, failure: Failure, now: Nanos) {
-        if self.failures.value(now) < NEGLIGIBLE {
+        if self.failures.value(now) < NEGLIGIBLE_FAILURES {
             self.keys.clear();
         }
         self.failures.add(1.0, now);
@@ -75,7 +74,7 @@
     /// Estimated fraction of the server's requests that fail, if `nodes` nodes send requests to it.
     fn failure_rate(&self, nodes: usize, now: Nanos) -> f64 {
         let failures = self.failures.value(now);
-        let answered_per_node = self.answered.value(now) / failures.max(NEGLIGIBLE);
+        let answered_per_node = self.answered.value(now) / failures.max(NEGLIGIBLE_FAILURES);
         failures / (failures + answered_per_node * nodes as f64)
     }
 
@@ -98,36 +97,37 @@
     }
 }
 
-/// Failures at the servers that one node owns, by the hash of the server's id; at most 4,096 servers.
+/// Failures at the servers that this node owns, by the hash of the server's id; at most 4,096 servers.
 #[derive(Debug, Default)]
-pub struct Outliers(BTreeMap<u64, Evidence>);
+pub struct Outliers(BTreeMap<u64, ServerFailures>);
 
 impl Outliers {
-    /// Records that a request which failed at this server was answered by another one.
+    /// Records that a request which failed at this server was answered by another server.
     pub fn record_served_elsewhere(&mut self, server: u64, now: Nanos) {
-        if let Some(evidence) = self.0.get_mut(&server) {
-            evidence.served_elsewhere.add(1.0, now);
+        if let Some(server_failures) = self.0.get_mut(&server) {
+            server_failures.served_elsewhere.add(1.0, now);
         }
     }
 
-    /// Records a failure, and returns whether the server is to be ejected now; true at most once in half of
-    /// [`EJECTION_PERIOD`] for a server. `nodes`: how many nodes send requests to the server.
+    /// Records a failure, and returns whether the server is to be ejected now: at most once per half of
+    /// [`EJECTION_PERIOD`] for each server. `nodes`: the number of nodes that send requests to the server.
     pub fn record_failure(&mut self, failure: Failure, nodes: usize, now: Nanos) -> bool {
         if self.0.len() >= MAX_SERVERS && !self.0.contains_key(&failure.server) {
-            self.0
-                .retain(|_, evidence| evidence.failures.value(now) >= NEGLIGIBLE);
+            self.0.retain(|_, server_failures| {
+                server_failures.failures.value(now) >= NEGLIGIBLE_FAILURES
+            });
         }
         if self.0.len() >= MAX_SERVERS {
             return false;
         }
-        let evidence = self.0.entry(failure.server).or_default();
-        evidence.record_failure(failure, now);
-        if evidence.was_ejected_within(EJECTION_PERIOD / 2, now) {
+        let server_failures = self.0.entry(failure.server).or_default();
+        server_failures.record_failure(failure, now);
+        if server_failures.was_ejected_within(EJECTION_PERIOD / 2, now) {
             return false;
         }
-        let is_outlier = evidence.is_outlier(nodes, now);
+        let is_outlier = server_failures.is_outlier(nodes, now);
         if is_outlier {
-            evidence.ejected_at = Some(now);
+            server_failures.ejected_at = Some(now);
         }
         is_outlier
     }
--- a/crates/sparrouter-routing/src/prompt.rs
+++ b/crates/sparrouter-routing/src/prompt.rs
@@ -1,40 +1,40 @@
-//! A prompt as the client describes it: a chain of prefix blocks ("parts" in the header fields), and the key that it is
-//! routed by.
+//! A prompt as the client describes it: a chain of prefix blocks ("parts" in the header fields), and the key by which the
+//! prompt is routed.
 use sparrouter_rendezvous::hash;
 
-/// Largest number of prefix blocks that are parsed; further ones are ignored.
+/// Maximum number of prefix blocks that are parsed; further ones are ignored.
 const MAX_BLOCKS: usize = 64;
 
 /// One prefix block of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrefixBlock {
-    /// Its id in hexadecimal, as sent. It identifies the block together with all blocks before it.
+    /// The block's id in hexadecimal, as sent. It identifies the block together with all blocks before it.
     pub id: String,
-    /// Its length in tokens.
+    /// Length of the block in tokens.
     pub tokens: u64,
 }
 
-/// A prompt.
+/// A prompt's prefix blocks and lengths.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its prefix blocks in order, at most 64; the last one is the request's own.
+    /// Prefix blocks in order, at most 64; the last one belongs to this request alone.
     pub blocks: Vec<PrefixBlock>,
     /// Length of the prompt in tokens, at least the sum over its blocks.
     pub tokens_in: u64,
-    /// Largest number of tokens that are generated; 0 if the client did not say.
+    /// Maximum number of tokens to generate; 0 if the client sent none.
     pub tokens_out: u64,
 }
 
-/// How many tokens requests usually generate at most, as clients say: a moving average. What counts as a long generation
-/// differs between deployments, and clients name bounds that few of their requests reach.
+/// A moving average of the requests' maximum numbers of tokens to generate, as clients send them. A fixed threshold for a
+/// long generation would not fit all deployments, and clients send maxima that few of their requests reach.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TypicalOutput(Option<f64>);
 
 impl TypicalOutput {
-    /// Weight of a new request in the average.
+    /// Weight of a new request in the moving average.
     const SMOOTHING: f64 = 1.0 / 64.0;
 
-    /// Adds a request to the average, and returns whether it generates more than was usual before it.
+    /// Adds a request to the average, and returns whether its maximum is above the previous average.
     pub fn observe(&mut self, tokens_out: u64) -> bool {
         let tokens = tokens_out as f64;
         let usual = self.0.unwrap_or(tokens);
@@ -44,8 +44,8 @@
 }
 
 impl Prompt {
-    /// Parses the header fields. `prefix`: `ID:TOKENS,...`; `usage`: `IN,OUT`. What cannot be parsed is left out, because
-    /// a prompt that is described badly can still be served.
+    /// Parses the header fields. `prefix`: `ID:TOKENS,...`; `usage`: `IN,OUT`. Malformed parts are ignored, because a
+    /// prompt with a malformed description can still be served.
     pub fn parse(prefix: Option<&str>, usage: Option<&str>) -> Prompt {
         let blocks: Vec<PrefixBlock> = prefix
             .unwrap_or_default()
@@ -67,14 +67,14 @@
         }
     }
 
-    /// The blocks that other requests may have in common: all but the last.
+    /// The blocks that other requests may share: all but the last.
     pub fn shared_blocks(&self) -> &[PrefixBlock] {
         &self.blocks[..self.blocks.len().saturating_sub(1)]
     }
 
-    /// The key that servers are scored by: a hash of the deepest shared block, so that its KV cache is used at one server.
-    /// A single block may belong to a session and is its own key. `None` without blocks. `salt` separates the keys of
-    /// different models and tenants.
+    /// The key by which servers are scored: a hash of the deepest shared block, so that its KV cache is used at one server.
+    /// If there is only one block, it may belong to a session and is used as the key. `None` if there are no blocks. `salt`
+    /// separates the keys of different models and tenants.
     pub fn key(&self, salt: &str) -> Option<u64> {
         let block = self.shared_blocks().last().or(self.blocks.last())?;
         Some(hash(format!("{salt}/{}", block.id).as_bytes()))
--- a/crates/sparrouter-routing/src/retry_budget.rs
+++ b/crates/sparrouter-routing/src/retry_budget.rs
@@ -1,17 +1,17 @@
-//! Limits retries to a share of the requests: this node's share of what all nodes may send beyond the first attempt of
-//! each request.
+//! Limits retries to a share of the requests. Each node gets a share of the attempts that all nodes together may make in
+//! addition to the first attempt of each request.
 //!
 //! The shares of all nodes add up to the whole budget: the ratio applies to a node's own requests, and the slack is
-//! divided among the nodes in whole retries, the remainder to those that come first. What is not spent within a window
-//! expires, so that no window exceeds the budget. A share that grows, because nodes came or went, grows a window later:
-//! the node that had that part before may just have spent it.
+//! divided among the nodes in whole retries, with the remainder going to the first nodes. Unspent retries expire with
+//! their window, so that no window exceeds the budget. When a node's share grows because nodes joined or left, the
+//! increase takes effect one window later, since the node that had it before may just have spent it.
 //! Source: "Handling Overload", in Beyer et al., "Site Reliability Engineering", 2016.
 use crate::Nanos;
 
-/// Number of slices that a window is counted in.
+/// Number of slices that a window is divided into.
 const SLICES_PER_WINDOW: usize = 10;
-/// Number of slices that are stored: one more than a window has, so that a window that starts inside a slice does not
-/// exceed the budget either.
+/// Number of stored slices: one more than in a window, so that a window that starts within a slice does not exceed the
+/// budget either.
 const STORED_SLICES: usize = SLICES_PER_WINDOW + 1;
 
 /// The limits of a retry budget.
@@ -19,23 +19,23 @@
 pub struct RetryBudgetSettings {
     /// Retries allowed per request.
     pub ratio: f64,
-    /// Further retries that all nodes together may make in a window.
+    /// Additional retries that all nodes together may make per window.
     pub slack: f64,
     /// Length of the window.
     pub window: Nanos,
 }
 
-/// This node's place among those that divide the slack.
+/// This node's position among the nodes that divide the slack.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlackDivision {
-    /// How many nodes there are, 1 or more.
+    /// Number of nodes, 1 or more.
     pub nodes: usize,
-    /// How many of them come before this one, in an order that all agree on.
+    /// Number of nodes that precede this one, in an order that all nodes agree on.
     pub rank: usize,
 }
 
 impl SlackDivision {
-    /// This node's part of the slack: whole retries, which add up to the whole ones of the slack over all nodes.
+    /// This node's share of the slack in whole retries; the shares of all nodes add up to the slack, rounded down.
     fn share_of(self, slack: f64) -> f64 {
         let nodes = self.nodes.max(1) as u64;
         let slack = slack.max(0.0) as u64;
@@ -44,15 +44,15 @@
     }
 }
 
-/// A larger share of the slack than the one in force.
+/// A larger share of the slack that is not in effect yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingShare {
-    /// The smallest share that this node has had since.
+    /// The smallest share of this node since `since`.
     share: f64,
     since: Nanos,
 }
 
-/// What was counted in one slice of the window.
+/// Requests and retries in one slice of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct WindowSlice {
     requests: f64,
@@ -65,19 +65,19 @@
     settings: RetryBudgetSettings,
     /// Length of a slice, 1 ns or more.
     slice_length: Nanos,
-    /// The slice with number `n` is at `n % STORED_SLICES`.
+    /// Slice number `n` is at index `n % STORED_SLICES`.
     slices: [WindowSlice; STORED_SLICES],
-    /// Number of the newest slice: its start divided by the length of a slice. Never decreases.
+    /// Number of the newest slice: its start time divided by the slice length. Never decreases.
     newest: u64,
-    /// No slack is spent earlier: the process may have spent it before it was restarted.
+    /// No slack is spent before this time, because the process may have spent it before a restart.
     slack_starts_at: Nanos,
-    /// This node's share of the slack that is in force; `None` before the first retry.
+    /// This node's share of the slack that is in effect; `None` before the first retry.
     slack_share: Option<f64>,
     pending_share: Option<PendingShare>,
 }
 
 impl RetryBudget {
-    /// An empty budget. `started`: when the process started.
+    /// Creates an empty budget. `started`: when the process started.
     pub fn new(settings: RetryBudgetSettings, started: Nanos, now: Nanos) -> RetryBudget {
         let slice_length = (settings.window / SLICES_PER_WINDOW as u64).max(1);
         RetryBudget {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Advances to the slice of `now`, emptying those that are used anew; returns its index.
+    /// Advances to the slice of `now`, clears the slices in between, and returns the index of the current slice.
     fn advance(&mut self, now: Nanos) -> usize {
         let stored = self.slices.len() as u64;
         let newest = (now / self.slice_length).max(self.newest);
@@ -103,13 +103,13 @@
         (newest % stored) as usize
     }
 
-    /// Counts a request for the service.
+    /// Counts a request of the service.
     pub fn record_request(&mut self, now: Nanos) {
         let current = self.advance(now);
         self.slices[current].requests += 1.0;
     }
 
-    /// Spends one retry if this node's share of the budget has one left, and returns whether it had.
+    /// Spends one retry if this node's share of the budget allows it; returns whether it does.
     pub fn try_acquire(&mut self, division: SlackDivision, now: Nanos) -> bool {
         let current = self.advance(now);
         let retries: f64 = self.slices.iter().map(|slice| slice.retries).sum();
@@ -127,11 +127,11 @@
         is_allowed
     }
 
-    /// The share of the slack that is in force: a smaller one at once, a larger one after a window.
+    /// The share of the slack that is in effect: a decrease applies at once, an increase after one window.
     fn slack_share(&mut self, division: SlackDivision, now: Nanos) -> f64 {
         let share = division.share_of(self.settings.slack);
-        let in_force = *self.slack_share.get_or_insert(share);
-        if share <= in_force {
+        let current_share = *self.slack_share.get_or_insert(share);
+        if share <= current_share {
             self.pending_share = None;
             self.slack_share = Some(share);
             return share;
@@ -141,15 +141,15 @@
             .get_or_insert(PendingShare { share, since: now });
         pending.share = pending.share.min(share);
         if now.saturating_sub(pending.since) < self.settings.window {
-            return in_force;
+            return current_share;
         }
-        let grown = pending.share;
+        let increased_share = pending.share;
         self.pending_share = None;
-        self.slack_share = Some(grown);
-        grown
+        self.slack_share = Some(increased_share);
+        increased_share
     }
 
-    /// Requests of all slices but the oldest, which may lie outside of the window.
+    /// Number of requests in all slices but the oldest, which may be outside the window.
     fn requests_within_window(&self, current: usize) -> f64 {
         let oldest = (current + 1) % self.slices.len();
         self.slices
--- a/crates/sparrouter-routing/src/rollout_order.rs
+++ b/crates/sparrouter-routing/src/rollout_order.rs
@@ -1,44 +1,44 @@
-//! Which servers load new weights next, and how many at a time.
+//! Decides which servers load new weights next, and how many do so at the same time.
 //!
-//! Servers whose version is allowed for the shortest time go first: once its limit has passed, a server gets no requests
-//! until it has newer weights. So one that runs the version before the newest does not precede one that runs an older.
+//! Servers whose version has the earliest time limit load first, because after its limit a server gets no requests until
+//! it has newer weights. A server on a newer outdated version therefore never precedes one on an older version.
 use crate::{Nanos, Timestamp};
 
-/// Number of servers that may load at a time, however few are ready.
+/// Number of servers that may load at the same time, however few are ready.
 const MIN_CONCURRENT: usize = 2;
-/// Of the ready servers, one in so many may load at a time, unless that is less than [`MIN_CONCURRENT`].
+/// One of this many ready servers may load at the same time, but at least [`MIN_CONCURRENT`] servers.
 const READY_PER_LOADING: usize = 3;
-/// Shortest time in seconds that is assumed to remain until a limit: one that has passed requires the most at once.
+/// Minimum time in seconds that is assumed to remain until a limit, including limits that have passed.
 const MIN_REMAINING_SECONDS: f64 = 0.01;
 
 /// A server that runs an older version than the newest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutdatedServer {
-    /// Its instance id.
+    /// The server's instance id.
     pub id: String,
-    /// Until when a request may begin on the version that it runs.
+    /// Time limit after which no request may start on the server's version.
     pub limit: Timestamp,
-    /// It is loading new weights.
+    /// Whether the server is loading new weights.
     pub is_loading: bool,
-    /// All nodes know that it loads new weights soon, and route long generations to other servers.
+    /// Whether all nodes know that the server will load new weights soon, and route long generations to other servers.
     pub is_announced: bool,
-    /// Requests running and queued there when it last reported them.
+    /// Requests running and queued at the server, by its last report.
     pub load: u32,
-    /// This node's requests in flight there.
+    /// This node's requests in flight at the server.
     pub in_flight: u32,
 }
 
-/// What is to be done about the outdated servers of one service. No server is in both lists.
+/// The next actions for the outdated servers of one service. No server is in both lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RolloutStep {
-    /// Ids of servers that begin to load now.
+    /// Ids of the servers that start loading now.
     pub begin: Vec<String>,
-    /// Ids of servers that load after those.
+    /// Ids of the servers that load after those in `begin`.
     pub announce: Vec<String>,
 }
 
-/// Decides the next step. `ready`: how many servers of the service are ready, outdated or not; `seconds_each`: how long
-/// loading takes per server, in seconds.
+/// Decides the next step. `ready`: the number of ready servers of the service, outdated or not; `seconds_each`: the
+/// loading time per server in seconds.
 pub fn next_step(
     mut outdated: Vec<OutdatedServer>,
     ready: usize,
@@ -48,7 +48,7 @@
     let max_loading = max_concurrent(&outdated, ready, seconds_each, now);
     let loading = outdated.iter().filter(|server| server.is_loading).count();
     outdated.retain(|server| !server.is_loading);
-    // Among those of one version, the least busy are done soonest.
+    // Among servers with the same limit, the least busy ones can start loading soonest.
     outdated.sort_by_key(|server| {
         (
             server.limit,
@@ -65,7 +65,7 @@
     }
 }
 
-/// How many servers load at a time so that each has loaded by its own limit, within the bounds above.
+/// Number of servers that must load at the same time so that each has loaded by its limit, within the bounds above.
 fn max_concurrent(
     outdated: &[OutdatedServer],
     ready: usize,
--- a/crates/sparrouter-routing/src/route_durations.rs
+++ b/crates/sparrouter-routing/src/route_durations.rs
@@ -1,14 +1,15 @@
-//! The longest recent duration of each route's requests, from the complete request to the last byte of its answer.
+//! The longest recent request duration of each route, from the arrival of the complete request to the last byte of its
+//! response.
 //!
-//! The longest duration of each route within the current and the previous window is stored. Memory: one entry for each
+//! Stored is each route's longest duration within the current and within the previous window. Memory: one entry for each
 //! route that was used within two windows.
 use crate::Nanos;
 use std::collections::HashMap;
 
-/// Length of one window: long enough for some hundred requests of a common route, short enough to forget an overload.
+/// Length of a window: long enough for some hundred requests of a common route, short enough to forget an overload.
 const WINDOW: Nanos = 30_000_000_000;
 
-/// The longest recent duration of each route, by the route's name.
+/// The longest recent request duration of each route, by the route's name.
 #[derive(Debug, Default)]
 pub struct RouteDurations {
     window_start: Nanos,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// The longest duration of `route` in the current window and the one before it. `None` if nothing was recorded.
+    /// The longest duration of `route` in the current and the previous window; `None` if none was recorded.
     pub fn longest(&self, route: &str) -> Option<Nanos> {
         let windows = [&self.current, &self.previous];
         windows
--- a/crates/sparrouter-routing/src/selection.rs
+++ b/crates/sparrouter-routing/src/selection.rs
@@ -1,5 +1,5 @@
-//! Selects a server for one request. The rules are those of the crate's page, in this order: score, filter, bounded load,
-//! order; the fallback is another selection that excludes the servers attempted before.
+//! Selects a server for one request, by the steps in the crate's documentation: score, filter, bounded load, order. The
+//! fallback is another selection that excludes the attempted servers.
 use crate::candidate::{
     BestCandidates, Candidate, RendezvousScore, exceeds_load_bound, is_demoted,
 };
@@ -9,42 +9,42 @@
 /// A request that needs a server.
 #[derive(Clone, Debug)]
 pub struct SelectionRequest<'a> {
-    /// The service of its route.
+    /// The service of the request's route.
     pub service: &'a str,
-    /// The key that servers are scored by; requests of one key prefer the same server.
+    /// The key by which servers are scored; requests with the same key prefer the same server.
     pub key: u64,
-    /// The model that must run it; `None`: any server of the service.
+    /// The model that must serve the request; `None` if any server of the service may.
     pub model: Option<&'a str>,
-    /// It generates more tokens than requests usually do; see [`TypicalOutput`](crate::TypicalOutput).
+    /// Whether the request generates more tokens than usual; see [`TypicalOutput`](crate::TypicalOutput).
     pub is_long_generation: bool,
-    /// Servers that it was sent to before, which are excluded.
+    /// Servers that the request was sent to before; they are excluded.
     pub attempted: &'a [ServerIndex],
 }
 
-/// The server that was selected.
+/// The result of a selection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Selection {
-    /// Its index.
+    /// Index of the selected server.
     pub server: ServerIndex,
-    /// The version of the model that it runs, if known.
+    /// The version of the model that the server runs, if known.
     pub version: Option<u64>,
-    /// How many eligible servers rank before it and were skipped for their load; 0 for the first of the order.
+    /// Number of eligible servers that rank before the selected one and were skipped because of their load.
     pub rank: usize,
 }
 
 /// Why no server was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SelectionError {
-    /// No ready server is known, or all were attempted.
+    /// No ready server of the service is known, or all were attempted.
     #[error(
-        "no ready server of the service is left: start one, or wait for one that drains to be replaced"
+        "no ready server of the service remains: start a server, or wait until draining servers are replaced"
     )]
     NoServer,
-    /// Ready servers are left, but each is loading weights, on an outdated version, suspected or full.
+    /// Ready servers remain, but each is loading weights, on an outdated version, suspected or full.
     #[error(
-        "each server left is loading weights, outdated, suspected or full: retry after a backoff"
+        "no remaining server is eligible: each is loading weights, outdated, suspected or full; retry after a backoff"
     )]
-    NoneReady,
+    NoneEligible,
 }
 
 impl ServerTable {
@@ -52,23 +52,27 @@
     ///
     /// # Errors
     ///
-    /// [`SelectionError::NoServer`] if no ready server of the service is left, [`SelectionError::NoneReady`] if none of
-    /// those left is eligible now.
+    /// [`SelectionError::NoServer`] if no ready server of the service remains, [`SelectionError::NoneEligible`] if
+    /// ready servers remain but none of them is eligible now.
     pub fn select(
         &self,
         request: &SelectionRequest,
         now: Nanos,
     ) -> Result<Selection, SelectionError> {
-        match self.unrestricted_best(request, now) {
+        match self.highest_scored_if_unrestricted(request, now) {
             Some(server) => Ok(self.selection(request, server, 0)),
             None => self.select_among_all(request, now),
         }
     }
 
-    /// The usual case in short: the eligible server with the highest score. Looks only at servers that score higher than
-    /// all those before them. `None` if that server is demoted, ejected or exceeds the load bound, or if there is none:
-    /// then all have to be compared.
-    fn unrestricted_best(&self, request: &SelectionRequest, now: Nanos) -> Option<ServerIndex> {
+    /// Fast path for the usual case: the eligible server with the highest score. Only servers that score higher than all
+    /// previous ones are looked up. `None` if that server is demoted, ejected or above the load bound, or if no server is
+    /// eligible; then all servers must be compared.
+    fn highest_scored_if_unrestricted(
+        &self,
+        request: &SelectionRequest,
+        now: Nanos,
+    ) -> Option<ServerIndex> {
         let load_bound = self.by_service.get(request.service)?.load_bound();
         let (mut best, mut best_score) = (None, None);
         for entry in self.entries_of(request.service) {
@@ -135,20 +139,20 @@
         }
     }
 
-    /// The error if no server is eligible.
+    /// The error to return if no server is eligible.
     fn selection_error(&self, request: &SelectionRequest) -> SelectionError {
         let is_ready = |server: &Server| server.state == LifecycleState::Ready;
         if self
             .unattempted(request)
             .any(|(_, server)| is_ready(server))
         {
-            SelectionError::NoneReady
+            SelectionError::NoneEligible
         } else {
             SelectionError::NoServer
         }
     }
 
-    /// Servers of the service that the request was not sent to before.
+    /// The servers of the service that were not attempted.
     fn unattempted<'a>(
         &'a self,
         request: &'a SelectionRequest,
@@ -177,13 +181,13 @@
         };
         match server.version_of(model) {
             Some(version) => self.versions.allows(model, version, now),
-            // A server that reports no models at all may run any.
+            // A server that reports no models at all may run any model.
             None => server.models.is_empty(),
         }
     }
 
-    /// Whether ejected servers rank behind the others: not if half of the ready ones or more are ejected, as the cause is
-    /// hardly theirs then.
+    /// Whether ejected servers rank behind the others. They do not if half or more of the ready servers are ejected,
+    /// because the cause is then unlikely to be at the servers.
     fn applies_ejections(&self, service: &str, now: Nanos) -> bool {
         let (mut ready, mut ejected) = (0, 0);
         for (_, server) in self.of_service(service) {
@@ -195,7 +199,7 @@
         ejected > 0 && ejected * 2 < ready
     }
 
-    /// How many eligible servers rank before the winner, and were skipped.
+    /// Number of eligible servers that rank before the winner and were skipped.
     fn count_preceding(
         &self,
         request: &SelectionRequest,
--- a/crates/sparrouter-routing/src/server.rs
+++ b/crates/sparrouter-routing/src/server.rs
@@ -1,67 +1,67 @@
-//! What this node knows of one server: its membership record, this node's requests in flight there, and how they ended.
+//! One server's membership record, this node's requests in flight there, and the outcomes of requests.
 use crate::suspicion::Suspicion;
 use crate::{DecayingCount, Nanos};
 use sparrouter_membership::{LifecycleState, ServerRecord};
 use std::net::SocketAddr;
 
-/// Index of a server in the server table. It is reused once the server is removed.
+/// Index of a server in the server table. An index is reused after its server is removed.
 pub type ServerIndex = usize;
 
-/// How a request that was sent to a server ended, as far as the server's health is concerned.
+/// How a request that was sent to a server ended, with regard to the server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The server answered, with any status but a failure of its own.
+    /// The server answered with a status that is not a failure of the server.
     Answered,
-    /// The server answered that it failed.
+    /// The server answered with a failure of its own.
     Failed,
-    /// The server declined: it is full or draining.
+    /// The server rejected the request because it is full or draining.
     Declined,
     /// Another server has the address, or the server runs another version.
     Misdirected,
     /// No connection could be established.
     Unreachable,
-    /// The connection broke, or the answer was malformed.
+    /// The connection broke, or the response was malformed.
     ConnectionLost,
-    /// The client disconnected or its deadline passed, which says nothing of the server.
+    /// The client disconnected or its deadline passed; the server's health is unknown.
     Withdrawn,
 }
 
-/// A server, as one node knows it.
+/// A server, as this node sees it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its instance id.
+    /// Instance id of the server.
     pub id: String,
-    /// Name of its service.
+    /// Name of the server's service.
     pub service: String,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// Name of the zone that it is in.
+    /// Name of the server's zone.
     pub zone: String,
-    /// Requests that it works on at a time, 1 or more.
+    /// Number of requests that the server processes at the same time, 1 or more.
     pub slot_count: u32,
     /// Hash of the instance id.
     pub(crate) hash: u64,
-    /// Never goes back: see [`LifecycleState`]'s order.
+    /// Lifecycle state; never returns to an earlier state in the order of [`LifecycleState`].
     pub(crate) state: LifecycleState,
     pub(crate) is_unresponsive: bool,
-    /// It is loading new weights, or will at once: it gets no new requests.
+    /// Whether the server is loading new weights, or is about to: it gets no new requests.
     pub(crate) is_loading: bool,
-    /// It will load new weights soon, which long generations would delay.
+    /// Whether the server will load new weights soon; long generations would delay the loading.
     pub(crate) will_load_soon: bool,
-    /// The models that it runs, each once, with the highest version reported so far.
+    /// The models that the server runs, each once, with the highest version reported so far.
     pub(crate) models: Vec<(String, u64)>,
-    /// Call sequence of the latest heartbeat that `models` includes; answers to requests may have reported newer versions.
+    /// Call sequence of the latest heartbeat included in `models`; responses to requests may have reported newer versions.
     pub(crate) models_call_sequence: u64,
-    /// This node's requests in flight there.
+    /// This node's requests in flight at the server.
     pub(crate) in_flight: u32,
-    /// A request of this node was sent there. Until then the server counts as having the mean number in flight.
+    /// Whether this node has sent a request to the server. An unused server is assumed to have the mean number in flight.
     pub(crate) has_been_used: bool,
     pub(crate) suspicion: Option<Suspicion>,
-    /// It reported that it is full: it gets no requests until then.
+    /// The server reported that it is full, and gets no requests until this time.
     pub(crate) full_until: Nanos,
-    /// Requests of this node that it answered recently.
+    /// Decayed count of this node's requests that the server answered.
     pub(crate) answered: DecayingCount,
-    /// It is an outlier: other servers are preferred until then.
+    /// The server is an outlier, and other servers are preferred until this time.
     pub(crate) ejected_until: Nanos,
 }
 
@@ -93,71 +93,72 @@
         }
     }
 
-    /// Hash of its instance id.
+    /// Hash of the server's instance id.
     pub fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Whether it is ready, draining or has left, by its own heartbeats.
+    /// Whether the server is ready, draining or has left, by its own heartbeats.
     pub fn state(&self) -> LifecycleState {
         self.state
     }
 
-    /// This node's requests in flight there.
+    /// This node's requests in flight at the server.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Whether this node ever sent a request there.
+    /// Whether this node has sent a request to the server.
     pub fn has_been_used(&self) -> bool {
         self.has_been_used
     }
 
-    /// Whether this node could not connect to it, and no health check has connected since.
+    /// Whether this node could not connect to the server, and no health check has connected since.
     pub fn is_suspected(&self) -> bool {
         self.suspicion.is_some()
     }
 
-    /// Whether its heartbeats have stopped.
+    /// Whether the server's heartbeats have stopped.
     pub fn is_unresponsive(&self) -> bool {
         self.is_unresponsive
     }
 
-    /// Whether it will load new weights soon.
+    /// Whether the server will load new weights soon.
     pub fn will_load_soon(&self) -> bool {
         self.will_load_soon
     }
 
-    /// Decayed count of this node's requests that it answered; see [`DecayingCount`].
+    /// Decayed count of this node's requests that the server answered; see [`DecayingCount`].
     pub fn recent_answers(&self, now: Nanos) -> f64 {
         self.answered.value(now)
     }
 
-    /// Whether it is an outlier: it fails requests that others would serve.
+    /// Whether the server is an outlier: it fails requests that other servers answer.
     pub fn is_ejected(&self, now: Nanos) -> bool {
         self.ejected_until > now
     }
 
-    /// Whether it is loading new weights, or will at once.
+    /// Whether the server is loading new weights, or is about to.
     pub fn is_loading(&self) -> bool {
         self.is_loading
     }
 
-    /// The version that it runs of a model, if it reported one.
+    /// The version of a model that the server runs, if reported.
     pub fn version_of(&self, model: &str) -> Option<u64> {
         let (_, version) = self.models.iter().find(|(name, _)| name == model)?;
         Some(*version)
     }
 
-    /// The models that it runs, with their versions.
+    /// The models that the server runs, with their versions.
     pub fn models(&self) -> &[(String, u64)] {
         &self.models
     }
 
-    /// Records the version of a model that it runs. One process never goes back, so the highest version counts.
+    /// Records the version of a model that the server runs. A process never loads an older version, so the highest version
+    /// is kept.
     pub(crate) fn record_version(&mut self, model: &str, version: u64) {
         match self.models.iter_mut().find(|(name, _)| name == model) {
-            Some((_, known)) => *known = version.max(*known),
+            Some((_, highest)) => *highest = version.max(*highest),
             None => self.models.push((model.to_owned(), version)),
         }
     }
--- a/crates/sparrouter-routing/src/server_table.rs
+++ b/crates/sparrouter-routing/src/server_table.rs
@@ -1,4 +1,4 @@
-//! Stores all servers that this node knows, with their indices by id, hash and service, and this node's requests there.
+//! Stores all servers that this node knows, with indices by id, hash and service, and tracks this node's requests there.
 use crate::membership_sync::SyncState;
 use crate::service_servers::{LoadContribution, ServiceEntry, ServiceServers};
 use crate::{Nanos, OutdatedVersionLimits, RequestOutcome, Server, ServerIndex, Versions};
@@ -10,28 +10,28 @@
 pub struct ServerTable {
     /// By [`ServerIndex`]; the slots in `free` are `None`.
     pub(crate) servers: Vec<Option<Server>>,
-    /// By the id; exactly the servers in `servers`, as in the next two.
+    /// By instance id. This map and the next two contain exactly the servers in `servers`.
     by_id: HashMap<String, ServerIndex>,
-    /// By the hash of the id.
+    /// By hash of the instance id.
     by_hash: HashMap<u64, ServerIndex>,
-    /// By the name of the service; none of them is empty.
+    /// By service name; no entry is empty.
     pub(crate) by_service: HashMap<String, ServiceServers>,
-    /// Unused slots of `servers`; the lowest is reused first.
+    /// Unused indices of `servers`; the lowest is reused first.
     free: BTreeSet<ServerIndex>,
-    /// All suspected servers, and some that no longer are: they are dropped when health checks are next scheduled.
+    /// All suspected servers; may contain servers that are no longer suspected, until health checks are next scheduled.
     pub(crate) suspected: BTreeSet<ServerIndex>,
     /// See [`ServerTable::changes`].
     pub(crate) changes: u64,
     /// See [`ServerTable::records_visited`].
     records_visited: Cell<u64>,
     pub(crate) sync_state: SyncState,
-    /// The versions of weights that requests may begin on.
+    /// The versions of weights that requests may start on.
     pub versions: Versions,
     pub(crate) rng: Rng,
 }
 
 impl ServerTable {
-    /// An empty table. `version_limits`: see [`Versions::new`]; `rng` draws the jitter of health checks.
+    /// Creates an empty table. `version_limits`: see [`Versions::new`]; `rng` draws the jitter of health checks.
     pub fn new(version_limits: OutdatedVersionLimits, rng: Rng) -> ServerTable {
         ServerTable {
             servers: Vec::new(),
@@ -53,7 +53,7 @@
         self.servers.get(index)?.as_ref()
     }
 
-    /// The index of a server, by its instance id.
+    /// The index of the server with this instance id.
     pub fn find(&self, id: &str) -> Option<ServerIndex> {
         self.by_id.get(id).copied()
     }
@@ -63,13 +63,13 @@
         self.get(*self.by_hash.get(&hash)?)
     }
 
-    /// Increases when a server is added, removed, becomes unresponsive or responds again: what was derived from the set of
-    /// servers is valid until then.
+    /// Number of changes so far: it increases when a server is added, removed, becomes unresponsive or responds again.
+    /// Values derived from the set of servers are valid while it stays the same.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// All servers, by their index.
+    /// All servers, ordered by index.
     pub fn iter(&self) -> impl Iterator<Item = (ServerIndex, &Server)> {
         self.servers
             .iter()
@@ -87,7 +87,7 @@
             .filter_map(|entry| Some((entry.server, self.get(entry.server)?)))
     }
 
-    /// The servers of a service by hash and index, without access to each.
+    /// The hashes and indices of a service's servers, without a look-up of each server.
     pub(crate) fn entries_of(&self, service: &str) -> impl Iterator<Item = ServiceEntry> {
         let service = self.by_service.get(service);
         let entries = service
@@ -97,8 +97,8 @@
         entries.iter().copied()
     }
 
-    /// How many servers were visited by iterations over all of them, or over those of a service, so far. Tests show with
-    /// it that work does not grow with the size of the fleet.
+    /// Number of servers visited so far by iterations over all servers or over those of a service. Tests use it to check
+    /// that work does not grow with the size of the fleet.
     pub fn records_visited(&self) -> u64 {
         self.records_visited.get()
     }
@@ -108,8 +108,7 @@
             .set(self.records_visited.get() + servers);
     }
 
-    /// Overwrites a server's state even if it goes back: the defect that [`ServerTable::sync`] guards against, injected for
-    /// tests.
+    /// Overwrites a server's state even with an earlier one. Injected defect: [`ServerTable::sync`] prevents this.
     #[cfg(feature = "injected-defects")]
     pub fn overwrite(&mut self, id: &str, state: sparrouter_membership::LifecycleState) {
         if let Some(index) = self.find(id) {
@@ -142,7 +141,7 @@
         self.changes += 1;
         self.free.insert(index);
         self.suspected.remove(&index);
-        self.forget_sync_state(index);
+        self.drop_sync_state(index);
         self.by_id.remove(&server.id);
         self.by_hash.remove(&server.hash);
         if let Some(service) = self.by_service.get_mut(&server.service) {
@@ -154,8 +153,8 @@
         }
     }
 
-    /// Changes a server, and with it the load of its service. Changes of its state, its requests in flight and its first
-    /// use must go through here.
+    /// Modifies a server and updates the load of its service. Changes of a server's state, requests in flight and first use
+    /// must use this method.
     pub(crate) fn update(&mut self, index: ServerIndex, change: impl FnOnce(&mut Server)) {
         let Some(server) = self.servers.get_mut(index).and_then(Option::as_mut) else {
             return;
@@ -178,7 +177,7 @@
         });
     }
 
-    /// Records how a request that [`ServerTable::start_request`] recorded has ended.
+    /// Records the outcome of a request that [`ServerTable::start_request`] recorded.
     pub fn finish_request(&mut self, index: ServerIndex, outcome: RequestOutcome, now: Nanos) {
         self.update(index, |server| {
             server.in_flight = server.in_flight.saturating_sub(1);
@@ -198,14 +197,14 @@
         }
     }
 
-    /// Records that the server answered that it is full: it gets no requests until then.
+    /// Records that the server reported that it is full: it gets no requests until `until`.
     pub fn mark_full(&mut self, index: ServerIndex, until: Nanos) {
         if let Some(Some(server)) = self.servers.get_mut(index) {
             server.full_until = until;
         }
     }
 
-    /// Records the version of a model that the server reported with an answer.
+    /// Records the version of a model that the server reported in a response.
     pub fn record_loaded_version(&mut self, index: ServerIndex, model: &str, version: u64) {
         if let Some(Some(server)) = self.servers.get_mut(index) {
             server.record_version(model, version);
--- a/crates/sparrouter-routing/src/service_servers.rs
+++ b/crates/sparrouter-routing/src/service_servers.rs
@@ -1,9 +1,9 @@
-//! The servers of one service: their hashes side by side, as a selection scores them, and the bound of their load.
+//! The servers of one service: a compact list of their hashes for scoring, and their load bound.
 use crate::{Server, ServerIndex};
 use sparrouter_membership::LifecycleState;
 
-/// A server is skipped while this node's requests in flight there exceed both of these: a multiple of their mean over the
-/// servers in use, and a floor.
+/// A server is skipped while this node's requests in flight there exceed both bounds: this multiple of their mean over the
+/// servers in use, and the floor below.
 const LOAD_BOUND_RATIO: f64 = 2.0;
 const LOAD_BOUND_FLOOR: f64 = 2.0;
 
@@ -14,12 +14,12 @@
     pub(crate) server: ServerIndex,
 }
 
-/// What one server adds to the load of its service; summed over all servers, that load.
+/// One server's contribution to the load of its service, which is the sum over all servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LoadContribution {
-    /// 1 if it is ready and this node has sent requests to it.
+    /// 1 if the server is ready and this node has sent requests to it, otherwise 0.
     servers_in_use: u64,
-    /// This node's requests in flight there, if it is in use.
+    /// This node's requests in flight at the server, if it is in use.
     in_flight: u64,
 }
 
@@ -39,21 +39,21 @@
 /// All servers of one service.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceServers {
-    /// In the order in which they were added.
+    /// Entries in the order in which the servers were added.
     pub(crate) entries: Vec<ServiceEntry>,
-    /// The sum over all entries.
+    /// Sum of the load contributions of all entries.
     load: LoadContribution,
 }
 
 impl ServiceServers {
-    /// Replaces what one server contributes to the load.
+    /// Replaces one server's contribution to the load.
     pub(crate) fn replace_load(&mut self, before: LoadContribution, after: LoadContribution) {
         self.load.servers_in_use =
             self.load.servers_in_use + after.servers_in_use - before.servers_in_use;
         self.load.in_flight = self.load.in_flight + after.in_flight - before.in_flight;
     }
 
-    /// Largest number of this node's requests in flight at a server that is not skipped.
+    /// Maximum number of this node's requests in flight at a server for the server not to be skipped.
     pub(crate) fn load_bound(&self) -> f64 {
         let mean = self.load.in_flight as f64 / self.load.servers_in_use.max(1) as f64;
         f64::max(LOAD_BOUND_RATIO * mean, LOAD_BOUND_FLOOR)
--- a/crates/sparrouter-routing/src/suspicion.rs
+++ b/crates/sparrouter-routing/src/suspicion.rs
@@ -1,39 +1,39 @@
-//! Suspects servers that cannot be reached, and schedules their health checks.
+//! Suspects servers that this node cannot reach, and schedules their health checks.
 //!
-//! A suspected server gets no requests until a health check connects, or a request that was in flight is answered. The
-//! checks of one server back off exponentially, with jitter so that the nodes do not check it all at once.
+//! A suspected server gets no requests until a health check connects, or until a request that was in flight is answered.
+//! The checks of one server back off exponentially, with jitter so that the nodes do not all check it at the same time.
 use crate::{Nanos, Server, ServerIndex, ServerTable};
 use sparrouter_membership::LifecycleState;
 
-/// Mean wait before the first health check; the wait before each further one is twice as long.
-const FIRST_CHECK_WAIT: Nanos = 50_000_000;
-/// Longest wait between two health checks.
-const MAX_CHECK_WAIT: Nanos = 1_000_000_000;
+/// Mean delay before the first health check; each further delay is twice as long.
+const FIRST_CHECK_DELAY: Nanos = 50_000_000;
+/// Maximum delay between two health checks.
+const MAX_CHECK_DELAY: Nanos = 1_000_000_000;
 
-/// A server that this node could not connect to, until a health check connects.
+/// The health check schedule of a server that this node could not connect to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Suspicion {
     /// When the next health check is due.
     next_check_at: Nanos,
-    /// The wait before that health check.
-    wait: Nanos,
+    /// The delay before that health check.
+    delay: Nanos,
 }
 
 impl ServerTable {
-    /// Suspects a server: it gets no requests until a health check connects. A suspicion that stands keeps its schedule.
+    /// Suspects a server: it gets no requests until a health check connects. An existing suspicion keeps its schedule.
     pub fn suspect(&mut self, index: ServerIndex, now: Nanos) {
         let jitter = 0.5 + self.rng.f64();
         if let Some(Some(server)) = self.servers.get_mut(index) {
-            let wait = (FIRST_CHECK_WAIT as f64 * jitter) as Nanos;
+            let delay = (FIRST_CHECK_DELAY as f64 * jitter) as Nanos;
             server.suspicion.get_or_insert(Suspicion {
-                next_check_at: now + wait,
-                wait,
+                next_check_at: now + delay,
+                delay,
             });
             self.suspected.insert(index);
         }
     }
 
-    /// Suspected servers whose health check is due. The next check of each is scheduled with twice the wait.
+    /// Suspected servers whose health check is due. Schedules the next check of each with twice the delay.
     pub fn due_health_checks(&mut self, now: Nanos) -> Vec<ServerIndex> {
         let servers = &mut self.servers;
         self.suspected
@@ -52,14 +52,14 @@
             if suspicion.next_check_at > now {
                 continue;
             }
-            suspicion.wait = (suspicion.wait * 2).min(MAX_CHECK_WAIT);
-            suspicion.next_check_at = now + suspicion.wait;
+            suspicion.delay = (suspicion.delay * 2).min(MAX_CHECK_DELAY);
+            suspicion.next_check_at = now + suspicion.delay;
             to_check.push(index);
         }
         to_check
     }
 
-    /// A health check connected: the server is no longer suspected.
+    /// Records that a health check connected: the server is no longer suspected.
     pub fn mark_reachable(&mut self, index: ServerIndex) {
         if let Some(Some(server)) = self.servers.get_mut(index) {
             server.suspicion = None;
--- a/crates/sparrouter-routing/src/versions.rs
+++ b/crates/sparrouter-routing/src/versions.rs
@@ -1,45 +1,46 @@
-//! Which version of a model's weights a request may begin on.
+//! The versions of a model's weights that a request may start on.
 //!
-//! Each version that is required sets a time limit of its own: a fixed time after it was named, nothing begins on an older
-//! one. A later version adds a limit and leaves the earlier ones as they are. A request may begin on a version while the
-//! limits of all newer ones lie ahead, so the first of them decides.
+//! Each required version has a time limit: a fixed time after the version was announced ("named" in identifiers and
+//! metrics), no request may start on an older
+//! one. A later version adds a limit and leaves the earlier limits unchanged. A request may start on a version until the
+//! first of the limits of all newer versions.
 //!
-//! A change in the core (the nodes that count toward the quorum) restarts all limits: RULES.md, VERSION, counts within one
-//! stretch in which the core is stable. Where a second bound is set, stretches are added up too: since a node cannot tell
-//! exactly when the core was stable, all time since the version was named counts toward that sum, and a change in the core
-//! does not move its limit. A node that starts learns how long ago versions were named, and when the core last changed,
-//! from the node that reports them: its own start is no such change. Timestamps may therefore lie before the start of the
-//! process.
+//! A change in the core (the nodes that count toward the quorum) restarts all limits: RULES.md, VERSION, measures time
+//! within one stretch in which the core is stable. If a total limit is set, it applies to the sum over all stretches. Since
+//! a node cannot tell exactly when the core was stable, all time since the version was announced counts toward that sum,
+//! and a change in the core does not move the total limit. A node that starts learns from other nodes how long ago versions
+//! were announced and when the core last changed; its own start is not a change of the core. Timestamps may therefore be
+//! earlier than the start of the process.
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// Largest number of versions of a model whose limits are stored separately. Those whose limit has passed are one entry,
-/// so this bounds how many are named within one time limit.
+/// Maximum number of versions per model whose limits are stored separately. Versions whose limit has passed are merged
+/// into one entry, so this only bounds the versions announced within one time limit.
 const MAX_PENDING: usize = 16;
 
-/// A moment in nanoseconds on the clock of this process, which starts at 0; negative: before it started.
+/// A point in time in nanoseconds by this process's clock, which starts at 0; negative if it is before the process start.
 pub type Timestamp = i64;
 
-/// A version that was named for a model: from its limit on, requests must not begin on older ones.
+/// A version announced for a model: after its time limit, requests must not start on older versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequiredVersion {
-    /// The version.
+    /// The announced version.
     pub version: u64,
-    /// When it was named.
+    /// When the version was announced.
     pub named_at: Timestamp,
 }
 
-/// How long after a version was named a request may still begin on an older one.
+/// How long a request may still start on an older version after a newer one was announced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutdatedVersionLimits {
-    /// Within one stretch in which the core did not change.
+    /// Time within one stretch in which the core does not change.
     pub per_stretch: Nanos,
-    /// Over all such stretches; `None`: they are not added up.
+    /// Time over all such stretches; `None` if there is no limit on their sum.
     pub total: Option<Nanos>,
 }
 
 impl OutdatedVersionLimits {
-    /// Limits within one stretch only; stretches are not added up.
+    /// Limits the time within one stretch only, not the sum over stretches.
     pub fn per_stretch_only(per_stretch: Nanos) -> OutdatedVersionLimits {
         OutdatedVersionLimits {
             per_stretch,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Until when a request may begin on a version older than this one.
+    /// The time until which a request may start on a version older than `required`.
     fn limit(self, required: RequiredVersion, core_changed_at: Option<Timestamp>) -> Timestamp {
         let stretch_start = core_changed_at.map_or(required.named_at, |changed_at| {
             changed_at.max(required.named_at)
@@ -55,22 +56,22 @@
         let stretch_limit = stretch_start.saturating_add(to_timestamp(self.per_stretch));
         let total_limit = self
             .total
-            .map(|in_total| required.named_at.saturating_add(to_timestamp(in_total)));
+            .map(|total| required.named_at.saturating_add(to_timestamp(total)));
         total_limit.map_or(stretch_limit, |limit| limit.min(stretch_limit))
     }
 }
 
-/// The versions that were named for all models.
+/// The versions that were announced for all models.
 #[derive(Debug, Default)]
 pub struct Versions {
-    /// By model, the lowest version first; at most [`MAX_PENDING`] of a model.
+    /// By model, the lowest version first; at most [`MAX_PENDING`] per model.
     named: BTreeMap<String, Vec<RequiredVersion>>,
     limits: OutdatedVersionLimits,
-    /// When a node of the core last joined, left or became unresponsive; `None` before the first report of it.
+    /// When a node of the core last joined, left or became unresponsive; `None` before the first such report.
     core_changed_at: Option<Timestamp>,
 }
 
-/// The moment that lies `age` before `now`; the earliest timestamp if it lies further back.
+/// The point in time that is `age` before `now`; the earliest timestamp if it is not representable.
 pub fn timestamp_before(now: Nanos, age: Nanos) -> Timestamp {
     to_timestamp(now).saturating_sub(to_timestamp(age))
 }
@@ -80,7 +81,7 @@
 }
 
 impl Versions {
-    /// No versions. `limits`: how long after a version was named a request may still begin on an older one.
+    /// Creates an empty set. `limits`: how long a request may still start on an older version.
     pub fn new(limits: OutdatedVersionLimits) -> Versions {
         Versions {
             named: BTreeMap::new(),
@@ -89,8 +90,8 @@
         }
     }
 
-    /// Records that a version was named `age` ago, by the clock of the node that reports it. Of several reports the
-    /// earliest time counts.
+    /// Records that a version was announced `age` ago, by the clock of the node that reports it. If reports differ, the
+    /// earliest time is kept.
     pub fn record_named(&mut self, model: &str, version: u64, age: Nanos, now: Nanos) {
         let named_at = timestamp_before(now, age);
         let named = self.named.entry(model.to_owned()).or_default();
@@ -101,8 +102,9 @@
         self.merge_expired(model, now);
     }
 
-    /// Stores of the versions whose limit has passed the newest alone, which forbids all that they forbid. Beyond
-    /// [`MAX_PENDING`] the two lowest become one with the earlier limit, so that nothing begins too late.
+    /// Keeps only the newest of the versions whose limit has passed, because it forbids all versions that the others
+    /// forbid. If there are more than [`MAX_PENDING`] entries, the two lowest are merged into one with the earlier limit,
+    /// so that no request starts on a version after its limit.
     fn merge_expired(&mut self, model: &str, now: Nanos) {
         let (limits, core_changed_at) = (self.limits, self.core_changed_at);
         let Some(named) = self.named.get_mut(model) else {
@@ -125,8 +127,7 @@
         }
     }
 
-    /// Forgets the versions before this one with their limits: the defect that [`Versions::record_named`] guards against,
-    /// injected for tests.
+    /// Drops the versions before this one with their limits. Injected defect: [`Versions::record_named`] prevents this.
     #[cfg(feature = "injected-defects")]
     pub fn forget_older(&mut self, model: &str, version: u64) {
         if let Some(named) = self.named.get_mut(model) {
@@ -134,23 +135,23 @@
         }
     }
 
-    /// How long after a version was named a request may still begin on an older one, while the core does not change.
+    /// How long a request may still start on an older version while the core does not change.
     pub fn stretch_limit(&self) -> Nanos {
         self.limits.per_stretch
     }
 
-    /// Records that a node of the core joined, left or became unresponsive. Nodes notice this late, but before the rules
-    /// consider the core stable again.
+    /// Records that a node of the core joined, left or became unresponsive. Nodes detect this late, but before the core
+    /// counts as stable again by the rules.
     pub fn record_core_change(&mut self, now: Nanos) {
         self.record_core_change_at(to_timestamp(now));
     }
 
-    /// Records that the core changed at that moment, as another node reports it. Of several changes the last one counts.
+    /// Records that the core changed at that time, as reported by another node. The latest change is kept.
     pub fn record_core_change_at(&mut self, at: Timestamp) {
         self.core_changed_at = self.core_changed_at.max(Some(at));
     }
 
-    /// When a node of the core last joined, left or became unresponsive; `None` before the first report of it.
+    /// When a node of the core last joined, left or became unresponsive; `None` before the first such report.
     pub fn core_changed_at(&self) -> Option<Timestamp> {
         self.core_changed_at
     }
@@ -162,24 +163,25 @@
             .flat_map(|(model, named)| named.iter().map(|required| (model.as_str(), *required)))
     }
 
-    /// The newest version that was named for each model.
+    /// The newest version announced for each model.
     pub fn newest(&self) -> impl Iterator<Item = (&str, RequiredVersion)> {
         self.named
             .iter()
             .filter_map(|(model, named)| Some((model.as_str(), *named.last()?)))
     }
 
-    /// The newest version that was named for a model.
+    /// The newest version announced for a model.
     pub fn required(&self, model: &str) -> Option<RequiredVersion> {
         self.named.get(model)?.last().copied()
     }
 
-    /// Until when a request may begin on a version older than this one.
+    /// The time until which a request may start on a version older than `required`.
     pub fn limit(&self, required: RequiredVersion) -> Timestamp {
         self.limits.limit(required, self.core_changed_at)
     }
 
-    /// Until when a request may begin on this version: the first limit of the newer ones. `None`: no newer one is known.
+    /// The time until which a request may start on this version: the first limit of the newer versions. `None` if no newer
+    /// version is known.
     pub fn limit_of(&self, model: &str, version: u64) -> Option<Timestamp> {
         let named = self.named.get(model)?;
         named
@@ -189,19 +191,19 @@
             .min()
     }
 
-    /// Whether a limit of any version still lies ahead.
+    /// Whether the limit of any version is in the future.
     pub fn has_pending(&self, now: Nanos) -> bool {
         self.all()
             .any(|(_, required)| self.limit(required) > to_timestamp(now))
     }
 
-    /// Whether a request may begin on this version now.
+    /// Whether a request may start on this version at `now`.
     pub fn allows(&self, model: &str, version: u64, now: Nanos) -> bool {
         self.limit_of(model, version)
             .is_none_or(|limit| to_timestamp(now) < limit)
     }
 
-    /// How long requests may still begin on this version: 0 if its limit has passed, [`Nanos::MAX`] if it has none.
+    /// How long requests may still start on this version: 0 if its limit has passed, [`Nanos::MAX`] if it has no limit.
     pub fn remaining_time(&self, model: &str, version: u64, now: Nanos) -> Nanos {
         match self.limit_of(model, version) {
             Some(limit) => Nanos::try_from(limit.saturating_sub(to_timestamp(now))).unwrap_or(0),
--- a/crates/sparrouter-routing/tests/directives.rs
+++ b/crates/sparrouter-routing/tests/directives.rs
@@ -62,7 +62,7 @@
     server_table.sync(&membership, 0);
     assert_eq!(
         server_table.select(&request(7, 0), 0),
-        Err(SelectionError::NoneReady)
+        Err(SelectionError::NoneEligible)
     );
     // Nobody withdraws the directive: it applies no longer than loading can take.
     server_table.sync(&membership, 13 * SECOND);
@@ -113,7 +113,7 @@
     assert!(server_table.select(&request(7, 0), 6 * SECOND).is_ok());
     assert_eq!(
         server_table.select(&request(7, 0), 8 * SECOND),
-        Err(SelectionError::NoneReady)
+        Err(SelectionError::NoneEligible)
     );
     // A change in the core restarts the time limit, as RULES.md (VERSION) counts it.
     server_table.versions.record_core_change(8 * SECOND);
