--- a/crates/sparrouter-routing/src/versions.rs
+++ b/crates/sparrouter-routing/src/versions.rs
@@ -1,9 +1,8 @@
 //! The versions of a model's weights that a request may start on.
 //!
 //! Each required version has a time limit: a fixed time after the version was announced ("named" in identifiers and
-//! metrics), no request may start on an older
-//! one. A later version adds a limit and leaves the earlier limits unchanged. A request may start on a version until the
-//! first of the limits of all newer versions.
+//! metrics), no request may start on an older one. A later version adds a limit and leaves the earlier limits unchanged.
+//! A request may start on a version until the first of the limits of all newer versions.
 //!
 //! A change in the core (the nodes that count toward the quorum) restarts all limits: RULES.md, VERSION, measures time
 //! within one stretch in which the core is stable. If a total limit is set, it applies to the sum over all stretches. Since
--- a/crates/sparrouter-routing/tests/backlog.rs
+++ b/crates/sparrouter-routing/tests/backlog.rs
@@ -1,10 +1,10 @@
-//! The estimated wait at a server.
+//! The estimated wait of a prompt at a server.
 use sparrouter_routing::Backlog;
 
 const MS: u64 = 1_000_000;
 
-/// Prefills the arrivals `(arrived at ms, cost, priority, id)` by priority at `rate` tokens per ms; returns the ms at which
-/// the prompt `token` has been prefilled.
+/// Simulates a server that prefills the arrivals `(arrived at ms, cost, priority, id)` by priority at `rate` tokens per ms.
+/// Returns the ms at which the prompt `token` has been prefilled.
 fn prefilled_at_ms(arrivals: &[(u64, f64, u32, u64)], rate: f64, token: u64) -> u64 {
     let (mut now, mut queue, mut next) = (0.0, Vec::new(), 0);
     loop {
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn given_an_empty_backlog_then_there_is_no_wait() {
+fn given_an_empty_backlog_then_the_estimated_wait_is_zero() {
     assert_eq!(Backlog::default().estimate_wait(3, 0), 0);
 }
 
 #[test]
-fn given_queued_prompts_then_only_those_of_the_same_or_a_higher_priority_count() {
+fn given_queued_prompts_then_the_estimate_counts_only_those_of_the_same_or_a_higher_priority() {
     let mut backlog = Backlog::default();
     backlog.enqueue(1, 4_000.0, 2, 0);
     backlog.enqueue(2, 8_000.0, 5, 0);
@@ -46,15 +46,16 @@
 }
 
 #[test]
-fn given_high_priority_prompts_that_keep_arriving_then_those_that_will_overtake_a_prompt_count() {
-    // 40 tokens are prefilled per ms, which is the rate that is assumed at first; 15 of them arrive with small prompts.
+fn given_high_priority_prompts_that_keep_arriving_then_the_estimate_includes_those_that_will_overtake()
+ {
+    // 40 tokens are prefilled per ms, the initially assumed rate; 15 tokens per ms arrive with small prompts.
     let mut arrivals: Vec<(u64, f64, u32, u64)> = (0..500).map(|n| (n * 10, 150.0, 0, n)).collect();
     let mut backlog = Backlog::default();
     for (arrived_ms, cost, priority, id) in arrivals.iter().take(300) {
         backlog.enqueue(*id, *cost, *priority, arrived_ms * MS);
         backlog.remove(*id, true, (arrived_ms + 5) * MS);
     }
-    // 24,000 tokens are ahead: 0.6 s of prefill, more with those that overtake.
+    // 24,000 tokens are ahead: 0.6 s of prefill, and more because small prompts overtake.
     (0..4).for_each(|n| backlog.enqueue(1_000 + n, 6_000.0, 4, 3_000 * MS));
     let estimated = backlog.estimate_wait(4, 3_000 * MS) / MS;
     arrivals.extend((0..4).map(|n| (3_000, 6_000.0, 4, 1_000 + n)));
@@ -62,7 +63,7 @@
     let waited = prefilled_at_ms(&arrivals, 40.0, 1_003) - 3_000;
     assert!(
         waited > 800,
-        "600 ms without those that overtake it: {waited}"
+        "600 ms without overtaking prompts, waited {waited} ms"
     );
     assert!(
         estimated.abs_diff(waited) * 5 < waited,
@@ -71,8 +72,9 @@
 }
 
 #[test]
-fn given_prompts_that_were_overtaken_then_the_rate_is_still_measured_right() {
-    // Each large prompt has 3,000 tokens ahead and is overtaken by 3,000 more: at 20 tokens a ms it begins after 300 ms.
+fn given_prompts_that_were_overtaken_then_the_measured_prefill_rate_is_still_correct() {
+    // Each large prompt has 3,000 tokens ahead and is overtaken by 3,000 more. At 20 tokens per ms its prefill ends after
+    // 300 ms.
     let mut backlog = Backlog::default();
     for n in 0..200u64 {
         let enqueued_at = n * 1_000 * MS;
@@ -91,7 +93,7 @@
 }
 
 #[test]
-fn given_prompts_whose_removal_is_never_reported_when_time_passes_then_they_stop_counting() {
+fn given_prompts_whose_removal_is_never_reported_when_they_expire_then_the_queue_is_empty() {
     let mut backlog = Backlog::default();
     (0..10_000).for_each(|n| backlog.enqueue(n, 1_000.0, 1, 0));
     assert!(backlog.queued() <= 4_096);
@@ -100,14 +102,14 @@
 }
 
 #[test]
-fn given_queued_prompts_of_low_priority_then_one_of_high_priority_does_not_wait_for_them() {
+fn given_queued_prompts_of_low_priority_then_a_high_priority_prompt_does_not_wait_for_them() {
     let mut backlog = Backlog::default();
     backlog.enqueue(1, 20_000.0, 4, 0);
     assert_eq!(backlog.estimate_wait(0, 0), 0);
     assert!(backlog.estimate_wait(4, 0) > 400_000_000);
     backlog.remove(1, true, 500 * MS);
     assert_eq!(backlog.estimate_wait(4, 1_000 * MS), 0);
-    // A prompt whose removal is never reported stops counting.
+    // A prompt whose removal is never reported expires.
     backlog.enqueue(2, 20_000.0, 4, 1_000 * MS);
     assert_eq!(backlog.estimate_wait(4, 30_000 * MS), 0);
 }
--- a/crates/sparrouter-routing/tests/directives.rs
+++ b/crates/sparrouter-routing/tests/directives.rs
@@ -1,4 +1,4 @@
-//! Server directives of the rollout's lease holder, and how long they apply.
+//! Server directives of the rollout's lease holder, and their expiry.
 use fastrand::Rng;
 use sparrouter_membership::{LoadedModel, MembershipTable, ServerDirective, ServerRecord};
 use sparrouter_routing::{
@@ -55,7 +55,8 @@
 }
 
 #[test]
-fn given_a_loading_server_when_the_lease_holder_crashes_then_it_is_not_excluded_for_ever() {
+fn given_a_loading_server_when_the_lease_holder_crashes_then_it_becomes_eligible_after_the_expiry()
+{
     let mut membership = membership(&["a"]);
     let mut server_table = server_table();
     membership.merge_directive(directive("load/a/m", 3, 2, false), 0);
@@ -64,7 +65,7 @@
         server_table.select(&request(7, 0), 0),
         Err(SelectionError::NoneEligible)
     );
-    // Nobody withdraws the directive: it applies no longer than loading can take.
+    // No lease holder withdraws the directive; it expires after the maximum loading time.
     server_table.sync(&membership, 13 * SECOND);
     assert!(server_table.select(&request(7, 0), 13 * SECOND).is_ok());
 }
@@ -78,7 +79,7 @@
     membership.merge_directive(directive("load/a/m", 4, 0, true), SECOND);
     server_table.sync(&membership, SECOND);
     assert!(server_table.select(&request(7, 0), SECOND).is_ok());
-    // The earlier holder resumes and repeats it with a lower fencing token.
+    // The earlier lease holder resumes and repeats the directive with a lower fencing token.
     assert!(!membership.merge_directive(
         ServerDirective {
             sequence: 9,
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn given_a_withdrawn_directive_with_a_version_then_the_server_runs_it_and_never_an_older_one() {
+fn given_a_withdrawn_directive_with_a_version_then_the_server_never_reverts_to_an_older_version() {
     let mut membership = membership(&["a"]);
     let mut server_table = server_table();
     membership.merge_directive(directive("load/a/m", 3, 2, true), 0);
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn given_a_newer_version_when_its_time_limit_has_passed_then_nothing_begins_on_older_weights() {
+fn given_a_newer_version_when_its_time_limit_has_passed_then_no_request_starts_on_older_weights() {
     let mut server_table = server_table();
     server_table.sync(&membership(&["a"]), 0);
     server_table.versions.record_named("m", 2, 0, SECOND);
@@ -115,7 +116,7 @@
         server_table.select(&request(7, 0), 8 * SECOND),
         Err(SelectionError::NoneEligible)
     );
-    // A change in the core restarts the time limit, as RULES.md (VERSION) counts it.
+    // A change in the core restarts the time limit, as required by RULES.md (VERSION).
     server_table.versions.record_core_change(8 * SECOND);
     assert!(server_table.select(&request(7, 0), 9 * SECOND).is_ok());
     assert_eq!(
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn given_a_server_that_loads_soon_then_a_long_generation_is_sent_to_another() {
+fn given_a_server_that_will_load_soon_then_a_long_generation_is_sent_to_another_server() {
     let mut membership = membership(&["a", "b"]);
     let mut server_table = server_table();
     server_table.sync(&membership, 0);
--- a/crates/sparrouter-routing/tests/membership_sync.rs
+++ b/crates/sparrouter-routing/tests/membership_sync.rs
@@ -1,5 +1,5 @@
-//! The server table follows the membership table by what changed, and equals a table that reads all records.
-//! Selection over random tables is compared with sorting.
+//! Checks that the server table after incremental syncs equals a table built from all records, and that selections in
+//! random tables equal those by sorting all servers.
 use fastrand::Rng;
 use sparrouter_membership::{
     LifecycleState, LoadedModel, MembershipTable, ServerDirective, ServerRecord,
@@ -48,9 +48,9 @@
     }
 }
 
-/// What a selection depends on, in the order of ids.
-fn state(table: &ServerTable) -> Vec<String> {
-    let mut all: Vec<String> = table
+/// The server properties that a selection depends on, ordered by id.
+fn server_states(table: &ServerTable) -> Vec<String> {
+    let mut states: Vec<String> = table
         .iter()
         .map(|(_, server)| {
             format!(
@@ -64,12 +64,12 @@
             )
         })
         .collect();
-    all.sort();
-    all
+    states.sort();
+    states
 }
 
 /// Applies one random change to the membership table.
-fn change(membership: &mut MembershipTable, rng: &mut Rng, step: u64, now: u64) {
+fn apply_random_change(membership: &mut MembershipTable, rng: &mut Rng, step: u64, now: u64) {
     let number = rng.usize(..12);
     let id = format!("i-{number}");
     match rng.u32(..6) {
@@ -89,26 +89,28 @@
 }
 
 #[test]
-fn given_any_changes_when_synced_by_revision_then_the_table_equals_one_that_reads_all_records() {
+fn given_any_changes_when_synced_by_revision_then_the_table_equals_one_built_from_all_records() {
     for seed in 0..200 {
         let mut rng = Rng::with_seed(seed);
         let (mut membership, mut table) = (empty_membership(), empty_table());
         for step in 1..120 {
             let now = step * SECOND;
-            (0..rng.u32(..3)).for_each(|_| change(&mut membership, &mut rng, step, now));
+            (0..rng.u32(..3))
+                .for_each(|_| apply_random_change(&mut membership, &mut rng, step, now));
             table.sync(&membership, now);
             let mut rebuilt = empty_table();
             rebuilt.sync(&membership, now);
-            // What a server runs stays known when its directive is dropped, as a server never runs an older version again.
-            let without_models = |t: &ServerTable| -> Vec<String> {
-                state(t)
+            // Versions are compared separately: after a directive is dropped, the table still keeps the version that it
+            // recorded, because a server never loads an older version.
+            let states_without_models = |t: &ServerTable| -> Vec<String> {
+                server_states(t)
                     .iter()
                     .map(|s| s.split(" [").next().unwrap_or_default().to_owned())
                     .collect()
             };
             assert_eq!(
-                without_models(&table),
-                without_models(&rebuilt),
+                states_without_models(&table),
+                states_without_models(&rebuilt),
                 "seed {seed}, step {step}"
             );
         }
@@ -116,7 +118,8 @@
 }
 
 #[test]
-fn given_a_server_that_left_with_a_request_in_flight_when_it_ends_then_the_next_sync_removes_it() {
+fn given_a_server_that_left_with_a_request_in_flight_when_that_ends_then_the_next_sync_removes_it()
+{
     let (mut membership, mut table) = (empty_membership(), empty_table());
     membership.merge_server(record(1, 1), 0);
     table.sync(&membership, 0);
@@ -131,7 +134,7 @@
 }
 
 #[test]
-fn given_thousands_of_servers_when_one_changes_then_a_sync_visits_that_one_alone() {
+fn given_thousands_of_servers_when_one_record_changes_then_a_sync_visits_only_that_record() {
     let records_visited = |servers: usize| {
         let (mut membership, mut table) = (empty_membership(), empty_table());
         for number in 0..servers {
@@ -152,7 +155,7 @@
     assert_eq!((records_visited(10), records_visited(5_000)), (1, 1));
 }
 
-/// The order that the selection must agree with: by score, demoted servers last.
+/// The expected order of the selection: by score, with demoted servers last.
 fn sorted_candidates(table: &ServerTable, request: &SelectionRequest) -> Vec<ServerIndex> {
     let eligible = table
         .of_service(SERVICE)
@@ -172,7 +175,7 @@
     order
 }
 
-/// The selection that [`sorted_candidates`] gives: its rank and its server.
+/// The rank and server that the selection must return, computed from [`sorted_candidates`].
 fn expected_selection(
     table: &ServerTable,
     request: &SelectionRequest,
@@ -194,11 +197,11 @@
         .map(|rank| (rank, order[rank]))
 }
 
-/// A table after random changes of the membership, with random requests in flight; and the indices of its servers.
+/// A table after random membership changes with random requests in flight, and the indices of its servers.
 fn random_table(rng: &mut Rng) -> (ServerTable, Vec<ServerIndex>) {
     let (mut membership, mut table) = (empty_membership(), empty_table());
     for step in 1..40 {
-        change(&mut membership, rng, step, SECOND);
+        apply_random_change(&mut membership, rng, step, SECOND);
     }
     table.sync(&membership, SECOND);
     let mut all: Vec<ServerIndex> = table.iter().map(|(index, _)| index).collect();
@@ -207,7 +210,7 @@
             table.start_request(all[rng.usize(..all.len())]);
         }
     }
-    // Loads change with requests that end, and with servers that drain, leave and are removed.
+    // Loads also change when requests end, and when servers drain, leave and are removed.
     for &index in all.iter().filter(|_| rng.u32(..4) == 0) {
         if table
             .get(index)
@@ -217,7 +220,7 @@
         }
     }
     for step in 40..46 {
-        change(&mut membership, rng, step, SECOND);
+        apply_random_change(&mut membership, rng, step, SECOND);
     }
     table.sync(&membership, SECOND);
     all.retain(|&index| table.get(index).is_some());
@@ -225,7 +228,7 @@
 }
 
 #[test]
-fn given_any_servers_when_one_is_selected_then_it_is_the_one_that_sorting_them_gives() {
+fn given_random_servers_when_one_is_selected_then_it_is_the_first_by_sorting_all_servers() {
     for seed in 0..300 {
         let mut rng = Rng::with_seed(seed);
         let (table, all) = random_table(&mut rng);
--- a/crates/sparrouter-routing/tests/outliers.rs
+++ b/crates/sparrouter-routing/tests/outliers.rs
@@ -1,11 +1,11 @@
-//! Ejection of servers that fail requests which others would serve, from the failures that nodes report.
+//! Ejection of servers that fail requests which other servers answer, by the failures that nodes report.
 use fastrand::Rng;
 use sparrouter_routing::{DecayingCount, EJECTION_PERIOD, Failure, Outliers};
 
 const SECOND: u64 = 1_000_000_000;
 const NODES: usize = 90;
 const SERVER: u64 = 7;
-/// Seconds in which a server answers all requests, before it fails some.
+/// Time in seconds during which the server answers all requests, before it starts to fail some.
 const HEALTHY_SECONDS: f64 = 8.0;
 
 fn failure(key: u64, answered: f64) -> Failure {
@@ -16,8 +16,8 @@
     }
 }
 
-/// Number of ejections within ten seconds of a server that gets `rate` requests per second, of which the fraction
-/// `failure_rate` fails once [`HEALTHY_SECONDS`] have passed.
+/// Simulates a server with `rate` requests per second that fails the fraction `failure_rate` of them during the ten
+/// seconds after [`HEALTHY_SECONDS`]. Returns the number of ejections.
 fn ejections(rate: f64, failure_rate: f64, seed: u64) -> usize {
     let mut rng = Rng::with_seed(seed);
     let mut outliers = Outliers::default();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn given_one_request_that_fails_at_each_attempt_then_no_server_is_ejected() {
+fn given_a_request_that_fails_at_each_attempt_then_no_server_is_ejected() {
     let mut outliers = Outliers::default();
     for n in 0..200 {
         let is_ejected = outliers.record_failure(failure(1 + n % 2, 0.0), NODES, n * SECOND / 10);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn given_failures_that_lie_far_apart_then_they_do_not_add_up() {
+fn given_failures_seconds_apart_then_the_server_is_not_ejected() {
     let mut outliers = Outliers::default();
     for n in 0..50 {
         assert!(!outliers.record_failure(failure(n, 0.0), NODES, n * 5 * SECOND));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn given_an_ejected_server_when_it_fails_again_then_fewer_failures_eject_it_and_only_once() {
+fn given_an_ejected_server_when_it_fails_again_then_it_is_ejected_once_and_by_fewer_failures() {
     let mut outliers = Outliers::default();
     let ejections: Vec<bool> = (0..5)
         .map(|n| outliers.record_failure(failure(n, 0.0), NODES, n))
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn given_failures_of_one_key_when_another_server_answers_it_then_the_server_is_ejected() {
+fn given_failures_of_one_key_when_another_server_answers_the_requests_then_the_server_is_ejected() {
     let mut outliers = Outliers::default();
     let mut is_ejected = false;
     for n in 0..6 {
--- a/crates/sparrouter-routing/tests/retry_budget.rs
+++ b/crates/sparrouter-routing/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget over all nodes and all windows.
+//! The retry budget over all nodes and windows.
 use fastrand::Rng;
 use sparrouter_routing::{RetryBudget, RetryBudgetSettings, SlackDivision};
 
@@ -9,9 +9,9 @@
     window: 10 * SECOND,
 };
 
-const ALONE: SlackDivision = SlackDivision { nodes: 1, rank: 0 };
+const SINGLE_NODE: SlackDivision = SlackDivision { nodes: 1, rank: 0 };
 
-/// Checks every window of the budget's length, wherever it starts.
+/// Checks windows of the budget's length from many start times, not only from slice boundaries.
 #[test]
 fn given_many_nodes_that_retry_whenever_allowed_then_no_window_exceeds_the_budget() {
     let mut rng = Rng::with_seed(3);
@@ -32,18 +32,20 @@
             retries.push(now);
         }
     }
-    assert!(retries.len() > 300, "{}", retries.len());
-    for from in (0..50 * SECOND).step_by((SECOND / 7) as usize) {
-        let within = |moments: &[u64]| {
-            moments
+    assert!(retries.len() > 300, "only {} retries", retries.len());
+    for window_start in (0..50 * SECOND).step_by((SECOND / 7) as usize) {
+        let within = |timestamps: &[u64]| {
+            timestamps
                 .iter()
-                .filter(|&&moment| (from..from + SETTINGS.window).contains(&moment))
+                .filter(|&&timestamp| {
+                    (window_start..window_start + SETTINGS.window).contains(&timestamp)
+                })
                 .count() as f64
         };
         let allowed = SETTINGS.ratio * within(&requests) + SETTINGS.slack;
         assert!(
             within(&retries) <= allowed,
-            "{} of {allowed} from {from}",
+            "{} retries of {allowed} allowed in the window from {window_start}",
             within(&retries)
         );
     }
@@ -52,50 +54,51 @@
 #[test]
 fn given_a_restarted_process_then_it_spends_no_slack_within_the_first_window() {
     let mut budget = RetryBudget::new(SETTINGS, 0, 0);
-    assert!(!budget.try_acquire(ALONE, SECOND));
-    assert!(budget.try_acquire(ALONE, 11 * SECOND));
+    assert!(!budget.try_acquire(SINGLE_NODE, SECOND));
+    assert!(budget.try_acquire(SINGLE_NODE, 11 * SECOND));
 }
 
-/// How many retries a budget without requests allows at a moment.
-fn retries_left(budget: &RetryBudget, division: SlackDivision, now: u64) -> usize {
+/// Number of retries that a budget without requests allows at `now`.
+fn allowed_retries(budget: &RetryBudget, division: SlackDivision, now: u64) -> usize {
     let mut budget = budget.clone();
     (0..1_000)
         .take_while(|_| budget.try_acquire(division, now))
         .count()
 }
 
-/// Divided and rounded down, a slack that is smaller than the fleet left nobody a retry.
+/// Guards against a slack smaller than the fleet that is rounded down to zero retries for every node.
 #[test]
 fn given_more_nodes_than_slack_then_the_shares_add_up_to_the_slack() {
     for (nodes, slack) in [(12, 10.0), (300, 64.0), (7, 64.0), (1, 64.9), (5, 0.0)] {
         let settings = RetryBudgetSettings { slack, ..SETTINGS };
         let budget = RetryBudget::new(settings, 0, 0);
         let shares: Vec<usize> = (0..nodes)
-            .map(|rank| retries_left(&budget, SlackDivision { nodes, rank }, 11 * SECOND))
+            .map(|rank| allowed_retries(&budget, SlackDivision { nodes, rank }, 11 * SECOND))
             .collect();
         assert_eq!(
             shares.iter().sum::<usize>(),
             slack as usize,
             "{nodes} nodes"
         );
-        let (most, least) = (shares.iter().max(), shares.iter().min());
+        let (max_share, min_share) = (shares.iter().max(), shares.iter().min());
         assert!(
-            most.zip(least)
-                .is_some_and(|(most, least)| most - least <= 1)
+            max_share
+                .zip(min_share)
+                .is_some_and(|(max_share, min_share)| max_share - min_share <= 1)
         );
     }
 }
 
 #[test]
-fn given_a_share_that_grows_then_it_counts_a_window_later_and_one_that_shrinks_at_once() {
+fn given_a_changed_slack_share_then_an_increase_applies_a_window_later_and_a_decrease_at_once() {
     let mut budget = RetryBudget::new(SETTINGS, 0, 0);
     let halved = SlackDivision { nodes: 2, rank: 0 };
     assert!(budget.try_acquire(halved, 11 * SECOND));
-    assert_eq!(retries_left(&budget, halved, 30 * SECOND), 32);
-    // The other node left, and may just have spent its half.
-    assert!(budget.try_acquire(ALONE, 30 * SECOND));
-    assert_eq!(retries_left(&budget, ALONE, 39 * SECOND), 31);
-    assert_eq!(retries_left(&budget, ALONE, 41 * SECOND), 64);
-    assert!(budget.try_acquire(ALONE, 41 * SECOND));
-    assert_eq!(retries_left(&budget, halved, 42 * SECOND), 31);
+    assert_eq!(allowed_retries(&budget, halved, 30 * SECOND), 32);
+    // The other node left, and may just have spent its half of the slack.
+    assert!(budget.try_acquire(SINGLE_NODE, 30 * SECOND));
+    assert_eq!(allowed_retries(&budget, SINGLE_NODE, 39 * SECOND), 31);
+    assert_eq!(allowed_retries(&budget, SINGLE_NODE, 41 * SECOND), 64);
+    assert!(budget.try_acquire(SINGLE_NODE, 41 * SECOND));
+    assert_eq!(allowed_retries(&budget, halved, 42 * SECOND), 31);
 }
--- a/crates/sparrouter-routing/tests/selection.rs
+++ b/crates/sparrouter-routing/tests/selection.rs
@@ -1,4 +1,4 @@
-//! The selection of a server: rendezvous order, bounded load, fallback, health checks and ejection.
+//! Server selection: rendezvous order, bounded load, fallback, health checks and ejection.
 use fastrand::Rng;
 use sparrouter_membership::{LifecycleState, MembershipTable, ServerDirective, ServerRecord};
 use sparrouter_routing::{
@@ -11,14 +11,14 @@
 fn server_table(servers: usize) -> (ServerTable, MembershipTable) {
     let mut membership = MembershipTable::new(1, 60 * SECOND, 1_000);
     for i in 0..servers {
-        let row = ServerRecord {
+        let record = ServerRecord {
             id: format!("i-{i}"),
             service: "s".into(),
             address: format!("10.0.0.{i}:80"),
             call_sequence: 1,
             ..ServerRecord::default()
         };
-        membership.merge_server(row, 0);
+        membership.merge_server(record, 0);
     }
     let mut server_table = ServerTable::new(
         OutdatedVersionLimits::per_stretch_only(6 * SECOND),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn given_the_same_servers_when_two_nodes_select_then_they_agree() {
+fn given_the_same_servers_when_two_nodes_select_then_they_select_the_same_server() {
     let ((a, _), (b, _)) = (server_table(9), server_table(9));
     for key in 0..500 {
         let id = |server_table: &ServerTable| {
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn given_a_server_over_its_load_bound_then_the_next_in_order_is_selected() {
+fn given_a_server_over_its_load_bound_then_the_next_server_in_order_is_selected() {
     let (mut server_table, _) = server_table(4);
     let winner = server_table.select(&request(1, &[]), 0).unwrap().server;
     let next = server_table
         .select(&request(1, &[winner]), 0)
         .unwrap()
         .server;
-    // The floor of the bound is two in flight: a third request is still sent there.
+    // The floor of the load bound is two in flight, so that a third request is still sent there.
     for _ in 0..3 {
         assert_eq!(
             server_table.select(&request(1, &[]), 0).unwrap().server,
@@ -85,26 +85,26 @@
 }
 
 #[test]
-fn given_a_server_that_drains_or_has_left_then_it_is_not_selected() {
+fn given_a_server_that_is_draining_or_has_left_then_it_is_not_selected() {
     let (mut server_table, mut membership) = server_table(2);
-    let first = server_table.select(&request(5, &[]), 0).unwrap().server;
-    let id = server_table.get(first).unwrap().id.clone();
-    let row = membership.server(&id).unwrap().clone();
+    let preferred = server_table.select(&request(5, &[]), 0).unwrap().server;
+    let id = server_table.get(preferred).unwrap().id.clone();
+    let record = membership.server(&id).unwrap().clone();
     membership.merge_server(
         ServerRecord {
             state: LifecycleState::Draining,
             call_sequence: 2,
-            ..row
+            ..record
         },
         0,
     );
     server_table.sync(&membership, 0);
     assert_ne!(
         server_table.select(&request(5, &[]), 0).unwrap().server,
-        first
+        preferred
     );
-    let other = server_table.get(1 - first).unwrap().id.clone();
-    membership.mark_server_left(&other, 0);
+    let second = server_table.get(1 - preferred).unwrap().id.clone();
+    membership.mark_server_left(&second, 0);
     server_table.sync(&membership, 0);
     assert_eq!(
         server_table.select(&request(5, &[]), 0),
@@ -113,37 +113,37 @@
 }
 
 #[test]
-fn given_an_unreachable_server_when_a_health_check_connects_then_it_is_selected_at_once() {
+fn given_an_unreachable_server_when_a_health_check_connects_then_it_is_selected_again() {
     let (mut server_table, _) = server_table(2);
-    let first = server_table.select(&request(5, &[]), 0).unwrap().server;
-    server_table.start_request(first);
-    server_table.finish_request(first, RequestOutcome::Unreachable, 0);
+    let preferred = server_table.select(&request(5, &[]), 0).unwrap().server;
+    server_table.start_request(preferred);
+    server_table.finish_request(preferred, RequestOutcome::Unreachable, 0);
     assert_ne!(
         server_table.select(&request(5, &[]), 1).unwrap().server,
-        first
+        preferred
     );
-    assert!(server_table.due_health_checks(SECOND).contains(&first));
-    server_table.mark_reachable(first);
+    assert!(server_table.due_health_checks(SECOND).contains(&preferred));
+    server_table.mark_reachable(preferred);
     assert_eq!(
         server_table.select(&request(5, &[]), 1).unwrap().server,
-        first
+        preferred
     );
 }
 
 #[test]
-fn given_a_request_that_breaks_every_connection_then_no_server_is_suspected() {
+fn given_requests_that_end_in_lost_connections_or_rejections_then_no_server_is_suspected() {
     let (mut server_table, _) = server_table(3);
-    for ix in 0..3 {
-        server_table.start_request(ix);
-        server_table.finish_request(ix, RequestOutcome::ConnectionLost, 0);
-        server_table.start_request(ix);
-        server_table.finish_request(ix, RequestOutcome::Declined, 0);
+    for index in 0..3 {
+        server_table.start_request(index);
+        server_table.finish_request(index, RequestOutcome::ConnectionLost, 0);
+        server_table.start_request(index);
+        server_table.finish_request(index, RequestOutcome::Declined, 0);
     }
     assert!(server_table.iter().all(|(_, s)| !s.is_suspected()));
     assert!(server_table.select(&request(1, &[]), 0).is_ok());
 }
 
-/// Ejects servers by directives, as of `now`.
+/// Ejects servers by directives that arrive at `now`.
 fn eject(
     server_table: &mut ServerTable,
     membership: &mut MembershipTable,
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn given_an_ejected_server_then_others_precede_it_for_the_ejection_period() {
+fn given_an_ejected_server_then_other_servers_are_preferred_for_the_ejection_period() {
     let (mut server_table, mut membership) = server_table(4);
     let winner = server_table.select(&request(1, &[]), 0).unwrap().server;
     let next = server_table
@@ -175,8 +175,8 @@
     let selected =
         |server_table: &ServerTable, now: u64| server_table.select(&request(1, &[]), now);
     assert_eq!(selected(&server_table, 2 * SECOND).unwrap().server, next);
-    // It is still the last resort.
-    let others: Vec<usize> = (0..4).filter(|ix| *ix != winner).collect();
+    // The ejected server is still selected if no second server remains.
+    let others: Vec<usize> = (0..4).filter(|index| *index != winner).collect();
     let last = server_table
         .select(&request(1, &others), 2 * SECOND)
         .unwrap();
@@ -192,8 +192,13 @@
 fn given_half_of_the_servers_ejected_then_ejections_are_ignored() {
     let (mut server_table, mut membership) = server_table(4);
     let winner = server_table.select(&request(1, &[]), 0).unwrap().server;
-    let other = (winner + 1) % 4;
-    eject(&mut server_table, &mut membership, &[winner, other], SECOND);
+    let second = (winner + 1) % 4;
+    eject(
+        &mut server_table,
+        &mut membership,
+        &[winner, second],
+        SECOND,
+    );
     let selected = server_table.select(&request(1, &[]), 2 * SECOND).unwrap();
     assert_eq!((selected.server, selected.rank), (winner, 0));
 }
--- a/crates/sparrouter-routing/tests/versions.rs
+++ b/crates/sparrouter-routing/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Time limits of versions of weights.
+//! Time limits of outdated versions of weights.
 use fastrand::Rng;
 use sparrouter_routing::{OutdatedVersionLimits, RequiredVersion, Versions};
 
@@ -10,14 +10,14 @@
 }
 
 #[test]
-fn given_a_later_version_when_named_then_the_limit_of_the_earlier_one_stays() {
+fn given_a_later_version_when_it_is_announced_then_the_limit_of_the_earlier_version_is_unchanged() {
     let mut versions = versions();
     versions.record_named("m", 2, 0, 10 * SECOND);
     versions.record_named("m", 3, 0, 13 * SECOND);
     versions.record_named("m", 4, 0, 15 * SECOND);
     assert!(versions.allows("m", 1, 15 * SECOND));
     assert!(!versions.allows("m", 1, 16 * SECOND));
-    // Version 2 is too old once version 3's limit has passed, and so on; the newest has no limit.
+    // Version 2 is outdated once version 3's limit has passed, and so on; the newest version has no limit.
     assert!(versions.allows("m", 2, 18 * SECOND));
     assert!(!versions.allows("m", 2, 19 * SECOND));
     assert!(!versions.allows("m", 3, 21 * SECOND));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn given_versions_reported_late_and_out_of_order_then_the_first_limit_counts() {
+fn given_versions_reported_late_and_out_of_order_then_the_earliest_limit_applies() {
     let mut versions = versions();
     versions.record_named("m", 3, SECOND, 10 * SECOND);
     versions.record_named("m", 2, 4 * SECOND, 10 * SECOND);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn given_a_process_that_just_started_when_an_old_version_is_reported_then_its_limit_has_passed() {
+fn given_a_restarted_process_when_a_long_announced_version_is_reported_then_its_limit_has_passed() {
     let mut versions = versions();
     versions.record_named("m", 2, 7 * SECOND, SECOND);
     assert!(!versions.allows("m", 1, SECOND));
@@ -57,13 +57,13 @@
     assert!(versions.allows("m", 1, 10 * SECOND));
     assert!(!versions.allows("m", 1, 11 * SECOND));
     assert!(!versions.allows("m", 2, 11 * SECOND));
-    // An older change, reported by another node, moves nothing.
+    // An earlier change, reported by another node, does not move the limits.
     versions.record_core_change_at(-3);
     assert!(!versions.allows("m", 1, 11 * SECOND));
 }
 
 #[test]
-fn given_stretches_that_are_added_up_when_the_core_changes_then_the_total_limit_stays() {
+fn given_a_total_limit_over_stretches_when_the_core_changes_then_the_total_limit_is_unchanged() {
     let mut versions = Versions::new(OutdatedVersionLimits {
         per_stretch: LIMIT,
         total: Some(10 * SECOND),
@@ -75,14 +75,14 @@
     versions.record_core_change(8 * SECOND);
     assert!(versions.allows("m", 1, 9 * SECOND));
     assert!(!versions.allows("m", 1, 10 * SECOND));
-    // A version that is named later has a total limit of its own.
+    // A version that is announced later has its own total limit.
     versions.record_named("m", 3, 0, 9 * SECOND);
     assert!(versions.allows("m", 2, 14 * SECOND));
     assert!(!versions.allows("m", 2, 15 * SECOND));
 }
 
 #[test]
-fn given_hundreds_of_versions_then_state_stays_bounded_and_no_limit_is_extended() {
+fn given_hundreds_of_versions_then_the_state_stays_bounded_and_no_limit_is_extended() {
     for seed in 0..50 {
         let mut rng = Rng::with_seed(seed);
         let mut versions = versions();
@@ -98,11 +98,14 @@
             assert!(versions.all().count() <= 17, "{}", versions.all().count());
             for _ in 0..4 {
                 let (older, later) = (rng.u64(1..=version), now + rng.u64(..LIMIT));
-                let first = named.iter().find(|required| required.version > older);
-                let allowed =
-                    first.is_none_or(|required| (later as i64) < required.named_at + LIMIT as i64);
-                let too_late = versions.allows("m", older, later) && !allowed;
-                assert!(!too_late, "seed {seed}: {older} at {later}");
+                let first_newer = named.iter().find(|required| required.version > older);
+                let allowed = first_newer
+                    .is_none_or(|required| (later as i64) < required.named_at + LIMIT as i64);
+                let is_allowed_after_limit = versions.allows("m", older, later) && !allowed;
+                assert!(
+                    !is_allowed_after_limit,
+                    "seed {seed}: version {older} allowed at {later}"
+                );
             }
         }
     }
