--- a/crates/sparrouter-prefix-index/src/block_entry.rs
+++ b/crates/sparrouter-prefix-index/src/block_entry.rs
@@ -1,13 +1,13 @@
-//! What the index knows of one block: which sources have it cached, and which are about to.
+//! The index entry of one block: the sources that have it cached, and the servers that are about to prefill it.
 use crate::{IndexSettings, Nanos};
 use std::collections::HashSet;
 
-/// Largest number of sources that are stored for a block; the newest are.
+/// Maximum number of sources stored per block; the newest are kept.
 const MAX_SOURCES: usize = 6;
-/// Largest number of servers that are stored as about to prefill a block; the newest are.
+/// Maximum number of prefilling servers stored per block; the newest are kept.
 const MAX_PREFILLING: usize = 3;
 
-/// A server that a prompt with the block was sent to.
+/// A server to which a prompt with the block was sent.
 #[derive(Clone, Copy, Debug)]
 struct PrefillingServer {
     server: u64,
@@ -21,28 +21,28 @@
     sent_at: Nanos,
 }
 
-/// Whether a store should be requested to save a block, and whether it counts as having it cached.
+/// Whether a store should be requested to save a block, and whether it is assumed to have the block cached.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SaveDecision {
     pub(crate) should_save: bool,
-    /// A request to save it was sent recently, and nobody reports whether it had an effect.
+    /// A save request was sent recently, and the store has no follower that could report its effect.
     pub(crate) is_being_saved: bool,
 }
 
-/// What is known of one block. Servers, stores and sources are given by their hashes, each at most once in a list.
+/// The index entry of one block. Servers, stores and sources are identified by their hashes, each at most once per list.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BlockEntry {
-    /// Sources that have it cached, the newest last; at most [`MAX_SOURCES`].
+    /// Sources that have the block cached, the newest last; at most [`MAX_SOURCES`].
     cached_at: Vec<u64>,
-    /// Servers that it was sent to, the newest last; at most [`MAX_PREFILLING`].
+    /// Servers that the block was sent to, the newest last; at most [`MAX_PREFILLING`].
     prefilling: Vec<PrefillingServer>,
-    /// The last request to save it.
+    /// The last request to save the block.
     save_request: Option<SaveRequest>,
     pub(crate) last_used: Nanos,
 }
 
 impl BlockEntry {
-    /// Whether nothing is known of the block.
+    /// Whether the entry contains no information and can be dropped.
     pub(crate) fn is_empty(&self) -> bool {
         self.cached_at.is_empty() && self.prefilling.is_empty() && self.save_request.is_none()
     }
@@ -66,33 +66,36 @@
         self.cached_at.push(source);
     }
 
-    /// Records that the source does not have the block cached, and is not known to prefill it.
+    /// Records that the source does not have the block cached, and removes it from the prefilling servers.
     pub(crate) fn remove_cached(&mut self, source: u64) {
-        self.cached_at.retain(|cached_at| *cached_at != source);
-        self.prefilling.retain(|sent| sent.server != source);
+        self.cached_at
+            .retain(|cached_source| *cached_source != source);
+        self.prefilling
+            .retain(|prefilling| prefilling.server != source);
     }
 
-    /// Records that the block is sent to the server.
+    /// Records that the block was sent to the server.
     pub(crate) fn add_prefilling(&mut self, server: u64, sent_at: Nanos) {
-        self.prefilling.retain(|sent| sent.server != server);
+        self.prefilling
+            .retain(|prefilling| prefilling.server != server);
         if self.prefilling.len() == MAX_PREFILLING {
             self.prefilling.remove(0);
         }
         self.prefilling.push(PrefillingServer { server, sent_at });
     }
 
-    /// Records that the store is requested to save the block.
+    /// Records that the store was requested to save the block.
     pub(crate) fn add_save_request(&mut self, store: u64, sent_at: Nanos) {
         self.save_request = Some(SaveRequest { store, sent_at });
     }
 
-    /// Forgets a request to the store to save the block.
+    /// Drops the save request if it was sent to this store.
     pub(crate) fn remove_save_request(&mut self, store: u64) {
         self.save_request = self.save_request.filter(|request| request.store != store);
     }
 
     /// The newest server other than `server` that the block was sent to and that probably has it cached; 0 if there is
-    /// none. A followed one would have been reported by now if the block was sent there longer ago.
+    /// none. For a followed server, only recent sends count: the follower would have reported an older one by now.
     pub(crate) fn prefilling_server(
         &self,
         server: u64,
@@ -100,20 +103,20 @@
         followed: &HashSet<u64>,
         now: Nanos,
     ) -> u64 {
-        let is_probably_cached = |sent: &&PrefillingServer| {
-            let max_age = if followed.contains(&sent.server) {
+        let is_probably_cached = |prefilling: &&PrefillingServer| {
+            let max_age = if followed.contains(&prefilling.server) {
                 settings.max_report_delay
             } else {
                 settings.assumed_retention
             };
-            sent.server != server && now.saturating_sub(sent.sent_at) < max_age
+            prefilling.server != server && now.saturating_sub(prefilling.sent_at) < max_age
         };
         let newest = self.prefilling.iter().rev().find(is_probably_cached);
-        newest.map_or(0, |sent| sent.server)
+        newest.map_or(0, |prefilling| prefilling.server)
     }
 
-    /// Decides whether the store (0: there is none) should be requested to save the block. A followed store counts as
-    /// having it cached only once its follower has reported it.
+    /// Decides whether the store (0 if there is none) should be requested to save the block. A followed store counts as
+    /// having the block cached only after its follower has reported it.
     pub(crate) fn save_decision(
         &self,
         store: u64,
--- a/crates/sparrouter-prefix-index/src/index.rs
+++ b/crates/sparrouter-prefix-index/src/index.rs
@@ -1,59 +1,60 @@
-//! The blocks that a node owns: which sources have each cached, as their followers report, and which are about to.
+//! The index of the blocks that a node owns: where each block is cached, by the reports of the sources' followers.
 use crate::Nanos;
 use crate::block_entry::BlockEntry;
 use std::collections::{HashMap, HashSet};
 
-/// Smallest number of blocks that an index may be limited to, so that halving it leaves some.
+/// Minimum capacity of an index in blocks, so that some blocks remain after half of them are evicted.
 const MIN_CAPACITY: usize = 16;
 
 /// The capacity and time limits of a [`PrefixIndex`].
 #[derive(Clone, Copy, Debug)]
 pub struct IndexSettings {
-    /// Largest number of blocks that are stored, about 150 bytes each; at least 16.
+    /// Maximum number of blocks in the index, about 150 bytes each; at least 16.
     pub max_blocks: usize,
-    /// How long a block that was sent to a server without a follower counts as cached there.
+    /// How long a block that was sent to a server without a follower is assumed to be cached there.
     pub assumed_retention: Nanos,
-    /// How long until a store without a follower is requested again to save a block.
+    /// Delay before a store without a follower is requested again to save a block.
     pub save_retry_interval: Nanos,
-    /// How long until the follower of a source has reported a block that was sent or saved there.
+    /// Maximum delay until the follower of a source reports a block that was sent or saved there.
     pub max_report_delay: Nanos,
 }
 
-/// A query to the owner of a block: this block, the last one of a prefix, is about to be sent to this server.
+/// A query to the owner of a block, the last one of a prefix, that is about to be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixQuery {
     /// Hash of the salt and the block's id.
     pub key: u64,
-    /// Hash of the server that it is sent to.
+    /// Hash of the server that the block will be sent to.
     pub server: u64,
-    /// Hash of the store that could save it; 0 if there is none.
+    /// Hash of the store that could save the block; 0 if there is none.
     pub store: u64,
 }
 
 /// The answer to a [`PrefixQuery`]: where the block can be fetched, and whether to save it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PrefixLocation {
-    /// The store should be requested to save it.
+    /// Whether the store should be requested to save the block.
     pub save: bool,
-    /// The server of the query has it cached itself.
+    /// Whether the server of the query already has the block cached.
     pub is_cached: bool,
-    /// Hashes of other servers and stores that have it cached, the newest first.
+    /// Hashes of other servers and stores that have the block cached, the newest first.
     pub cached_at: Vec<u64>,
-    /// Hash of a server that it was sent to recently and whose follower has not reported it yet; 0 if there is none.
+    /// Hash of a server that the block was sent to recently and whose follower has not reported it yet; 0 if there is
+    /// none.
     pub prefilling_server: u64,
 }
 
-/// The blocks that one node owns, bounded by [`IndexSettings::max_blocks`].
+/// The index of the blocks that one node owns, bounded by [`IndexSettings::max_blocks`].
 pub struct PrefixIndex {
-    /// By the key of the block.
+    /// Entries by block key.
     entries: HashMap<u64, BlockEntry>,
     settings: IndexSettings,
-    /// Hashes of the sources whose follower has reported to this node; at most as many as blocks.
+    /// Hashes of the sources whose follower has reported to this node; at most [`IndexSettings::max_blocks`].
     followed: HashSet<u64>,
 }
 
 impl PrefixIndex {
-    /// An empty index.
+    /// Creates an empty index.
     pub fn new(settings: IndexSettings) -> PrefixIndex {
         let settings = IndexSettings {
             max_blocks: settings.max_blocks.max(MIN_CAPACITY),
@@ -66,17 +67,17 @@
         }
     }
 
-    /// Number of known blocks.
+    /// Number of blocks in the index.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no block is known.
+    /// Whether the index contains no block.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Records that a source has `tokens` tokens of a block cached now, as its follower reports; 0: none.
+    /// Records a follower's report that a source has `tokens` tokens of a block cached; 0 if the block was evicted.
     pub fn record_cached(&mut self, source: u64, key: u64, tokens: u32, now: Nanos) {
         if self.followed.len() < self.settings.max_blocks {
             self.followed.insert(source);
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Answers a query, and records that the server is about to prefill the block, and the store to save it if the answer
-    /// says so.
+    /// Answers a query. Also records that the server is about to prefill the block and, if the answer requests a save,
+    /// that the store is about to save it.
     pub fn query(&mut self, query: PrefixQuery, now: Nanos) -> PrefixLocation {
         let PrefixQuery { key, server, store } = query;
         self.ensure_capacity(key);
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Forgets a source that restarted empty or has left, or whose cached blocks are not known any more.
+    /// Removes a source that restarted with an empty cache, has left, or whose cached blocks are no longer known.
     pub fn remove_source(&mut self, source: u64) {
         self.entries.retain(|_, entry| {
             entry.remove_cached(source);
@@ -146,7 +147,8 @@
         }
     }
 
-    /// Evicts the half that was unused for the longest time. Sorting once for many keeps the mean cost of a query low.
+    /// Evicts the half of the blocks that was used least recently. Sorting once for many evictions keeps the mean cost of
+    /// a query low.
     fn evict_least_recently_used(&mut self) {
         let mut last_used: Vec<Nanos> =
             self.entries.values().map(|entry| entry.last_used).collect();
--- a/crates/sparrouter-prefix-index/src/source.rs
+++ b/crates/sparrouter-prefix-index/src/source.rs
@@ -1,50 +1,50 @@
-//! One server or store at its follower: which blocks its events say it has cached, and which owners know of that.
+//! One server or store, as seen by its follower: its cached blocks by its events, and the owners to notify of changes.
 use sparrouter_rendezvous::SlotTable;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Largest number of blocks that are stored of one source, some 50 bytes each; further ones are not indexed.
+/// Maximum number of blocks stored per source, some 50 bytes each; further ones are not indexed.
 const MAX_BLOCKS: usize = 200_000;
 
-/// How much of a block a source has cached now.
+/// The current number of cached tokens of a block at a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockChange {
     /// Hash of the salt and the block's id.
     pub key: u64,
-    /// Tokens that are cached; 0: the block is not cached any more.
+    /// Number of cached tokens; 0 if the block is no longer cached.
     pub tokens: u32,
 }
 
-/// One answer of a source to a call for its events.
+/// One response of a source to a request for its events.
 #[derive(Clone, Debug, Default)]
 pub struct EventPage {
-    /// Differs after each start of the source.
+    /// Identifies one run of the source; differs after each restart.
     pub epoch: u64,
-    /// Token with which the next call continues.
+    /// Position from which the next request continues.
     pub next: u64,
-    /// Events between the last answer and this one are missing.
+    /// Whether events between the previous response and this one are missing.
     pub gap: bool,
-    /// The changes since the last answer, in their order.
+    /// The changes since the previous response, in order.
     pub events: Vec<BlockChange>,
 }
 
-/// What one source has cached.
+/// The cached blocks of one source.
 #[derive(Debug, Default)]
 pub struct Source {
-    /// The epoch of the last answer; `None` before the first.
+    /// The epoch of the last response; `None` before the first.
     epoch: Option<u64>,
-    /// The next call for events continues with it.
+    /// Position from which the next request for events continues.
     next: u64,
-    /// Tokens of each cached block, by its key; at most [`MAX_BLOCKS`].
+    /// Number of cached tokens by block key; at most [`MAX_BLOCKS`] entries.
     cached: BTreeMap<u64, u32>,
-    /// Keys of blocks whose owner was not notified of the last change.
+    /// Keys of blocks whose last change was not yet sent to their owner.
     pending: BTreeSet<u64>,
-    /// The owners that changes were last taken for; `None` before the first time.
+    /// The owners at the last call of [`Source::take_changes`]; `None` before the first call.
     owners: Option<Rc<SlotTable>>,
 }
 
 impl Source {
-    /// Token with which the next call for events continues; 0 before the first answer.
+    /// Position from which the next request for events continues; 0 before the first response.
     pub fn next_event(&self) -> u64 {
         self.next
     }
@@ -59,11 +59,11 @@
         self.cached.is_empty()
     }
 
-    /// Applies an answer. Returns whether it invalidates what was known before: the source has restarted, or events are
-    /// missing, so that a block that it evicted meanwhile would never be removed.
+    /// Applies a response. Returns whether it invalidates the earlier state: the source has restarted, or events are
+    /// missing, so that a block evicted in between would never be removed.
     pub fn apply_page(&mut self, page: EventPage) -> bool {
         let has_restarted = self.epoch.is_some_and(|epoch| epoch != page.epoch);
-        // Before the first answer nothing was known that a gap could invalidate.
+        // Before the first response there is no state that a gap could invalidate.
         let invalidates = has_restarted || (page.gap && self.epoch.is_some());
         if invalidates {
             self.cached.clear();
@@ -82,8 +82,8 @@
     }
 
     /// Takes the changes to send, by the owner's index in [`SlotTable::members`]: blocks that changed since the last call,
-    /// and cached blocks whose owner, or the owner's process, is another one than then. Changes are lost while there are no
-    /// owners; the first ones get all cached blocks.
+    /// and cached blocks whose owner, or the owner's process, has changed since then. While there are no owners, changes
+    /// are dropped; the first owners get all cached blocks.
     pub fn take_changes(&mut self, owners: &Rc<SlotTable>) -> BTreeMap<usize, Vec<BlockChange>> {
         let mut keys = std::mem::take(&mut self.pending);
         let previous = self.owners.replace(owners.clone());
--- a/crates/sparrouter-prefix-index/tests/index.rs
+++ b/crates/sparrouter-prefix-index/tests/index.rs
@@ -1,4 +1,4 @@
-//! The answers of a block's owner.
+//! The answers of a block's owner to queries.
 use sparrouter_prefix_index::{IndexSettings, PrefixIndex, PrefixLocation, PrefixQuery};
 
 const SECOND: u64 = 1_000_000_000;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn given_nothing_known_then_the_store_is_requested_to_save_once() {
+fn given_an_unknown_block_when_queried_twice_then_the_store_is_requested_once_to_save_it() {
     let mut index = index();
     assert_eq!(
         index.query(query_for(1, STORE), 0),
@@ -33,35 +33,35 @@
             ..PrefixLocation::default()
         }
     );
-    let second = index.query(query_for(2, STORE), SECOND);
-    assert!(!second.save, "the store was requested a second ago");
+    let second_answer = index.query(query_for(2, STORE), SECOND);
+    assert!(!second_answer.save, "a save was requested a second ago");
     assert_eq!(
-        second.cached_at,
+        second_answer.cached_at,
         [STORE],
-        "the store has no follower, so the request to save counts"
+        "the store has no follower, so the save request counts"
     );
-    assert_eq!(second.prefilling_server, 1);
+    assert_eq!(second_answer.prefilling_server, 1);
     assert!(index.query(query_for(2, STORE), 121 * SECOND).save);
 }
 
 #[test]
-fn given_a_followed_store_that_does_not_report_the_block_then_it_is_requested_again() {
+fn given_a_followed_store_that_does_not_report_the_block_then_the_save_is_requested_again() {
     let mut index = index();
     index.record_cached(STORE, 3, 500, 0);
     assert!(index.query(query_for(1, STORE), 0).save);
-    let early = index.query(query_for(2, STORE), SECOND);
+    let early_answer = index.query(query_for(2, STORE), SECOND);
     assert!(
-        !early.save && early.cached_at.is_empty(),
-        "being saved, but not reported yet: {early:?}"
+        !early_answer.save && early_answer.cached_at.is_empty(),
+        "the save is in progress and not reported yet: {early_answer:?}"
     );
     assert!(
         index.query(query_for(2, STORE), 5 * SECOND).save,
-        "the request to save had no effect"
+        "the save request had no effect"
     );
     index.record_cached(STORE, BLOCK, 500, 5 * SECOND);
-    let reported = index.query(query_for(2, STORE), 20 * SECOND);
-    assert!(!reported.save);
-    assert_eq!(reported.cached_at, [STORE]);
+    let answer_after_report = index.query(query_for(2, STORE), 20 * SECOND);
+    assert!(!answer_after_report.save);
+    assert_eq!(answer_after_report.cached_at, [STORE]);
 }
 
 #[test]
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn given_a_source_that_evicted_the_block_then_it_is_not_located_there() {
+fn given_a_source_that_evicted_the_block_then_the_source_is_not_returned() {
     let mut index = index();
     index.record_cached(10, BLOCK, 800, 0);
     index.record_cached(10, BLOCK, 0, SECOND);
@@ -87,7 +87,8 @@
 }
 
 #[test]
-fn given_a_prefilling_server_that_is_not_reported_then_it_counts_for_the_report_delay_only() {
+fn given_a_followed_prefilling_server_without_a_report_then_it_is_returned_for_the_report_delay_only()
+ {
     let mut index = index();
     index.record_cached(10, 3, 500, 0);
     index.query(query_for(10, 0), 0);
@@ -98,9 +99,9 @@
     assert_ne!(
         index.query(query_for(12, 0), 5 * SECOND).prefilling_server,
         10,
-        "its follower would have reported the block by now"
+        "the server's follower would have reported the block by now"
     );
-    // Nobody reports for a server without a follower.
+    // A server without a follower is assumed to cache the block for the assumed retention.
     let unfollowed = PrefixQuery {
         key: 8,
         server: 13,
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn given_a_removed_source_then_no_block_is_located_there() {
+fn given_a_removed_source_then_it_is_returned_for_no_block() {
     let mut index = index();
     index.record_cached(STORE, BLOCK, 800, 0);
     index.record_cached(10, BLOCK, 800, 0);
@@ -144,7 +145,8 @@
 }
 
 #[test]
-fn given_more_blocks_than_the_capacity_then_the_index_stays_bounded_and_used_blocks_stay() {
+fn given_more_blocks_than_the_capacity_then_the_index_stays_bounded_and_keeps_recently_used_blocks()
+{
     let mut index = index();
     for key in 0..10_000 {
         index.record_cached(10, key + 100, 800, key * SECOND / 1_000);
@@ -168,7 +170,7 @@
 }
 
 #[test]
-fn given_a_block_at_many_sources_then_the_newest_few_are_stored() {
+fn given_a_block_cached_at_many_sources_then_only_the_newest_few_are_stored() {
     let mut index = index();
     (1..=50).for_each(|source| index.record_cached(source, BLOCK, 800, source));
     let location = index.query(query_for(1_000, 0), SECOND);
--- a/crates/sparrouter-routing/src/rollout_order.rs
+++ b/crates/sparrouter-routing/src/rollout_order.rs
@@ -8,7 +8,8 @@
 const MIN_CONCURRENT: usize = 2;
 /// One of this many ready servers may load at the same time, but at least [`MIN_CONCURRENT`] servers.
 const READY_PER_LOADING: usize = 3;
-/// Minimum time in seconds that is assumed to remain until a limit, including limits that have passed.
+/// Minimum time in seconds that is assumed to remain until a limit. A limit that has passed therefore requires the most
+/// servers at once.
 const MIN_REMAINING_SECONDS: f64 = 0.01;
 
 /// A server that runs an older version than the newest.
