--- a/crates/sparrouter-quota/src/permits.rs
+++ b/crates/sparrouter-quota/src/permits.rs
@@ -58,21 +58,21 @@
         let mut refused_until: Option<Nanos> = None;
         let mut unavailable_until: Option<Nanos> = None;
         for shard in shards {
-            let refused = refusals.and_then(|refusals| refusals.get(shard));
-            let unavailable = self.unavailable_until.get(shard);
-            let unexpired = |until: Option<&Nanos>| until.copied().filter(|until| *until > now);
-            if let Some(until) = unexpired(refused) {
-                refused_until = Some(refused_until.map_or(until, |earliest| earliest.min(until)));
-            } else if let Some(until) = unexpired(unavailable) {
+            let refusal_expiry = refusals.and_then(|refusals| refusals.get(shard));
+            let unavailability_expiry = self.unavailable_until.get(shard);
+            let unexpired = |expiry: Option<&Nanos>| expiry.copied().filter(|expiry| *expiry > now);
+            if let Some(expiry) = unexpired(refusal_expiry) {
+                refused_until = Some(refused_until.map_or(expiry, |earliest| earliest.min(expiry)));
+            } else if let Some(expiry) = unexpired(unavailability_expiry) {
                 unavailable_until =
-                    Some(unavailable_until.map_or(until, |earliest| earliest.min(until)));
+                    Some(unavailable_until.map_or(expiry, |earliest| earliest.min(expiry)));
             } else if !asked.contains(shard) {
                 return NextStep::Ask(*shard);
             }
         }
         match (refused_until, unavailable_until) {
-            (Some(until), _) => NextStep::LimitReached(until - now),
-            (None, Some(until)) => NextStep::Unavailable(until - now),
+            (Some(expiry), _) => NextStep::LimitReached(expiry - now),
+            (None, Some(expiry)) => NextStep::Unavailable(expiry - now),
             (None, None) => NextStep::Unavailable(0),
         }
     }
@@ -82,9 +82,9 @@
         if !self.refused_until.contains_key(tenant) {
             self.evict_if_full(now);
         }
-        let until = now.saturating_add(retry_after);
+        let refused_until = now.saturating_add(retry_after);
         let shards = self.refused_until.entry(tenant.to_owned()).or_default();
-        shards.insert(shard, until);
+        shards.insert(shard, refused_until);
     }
 
     /// Drops an entry if there is no room for one more tenant.
@@ -93,7 +93,7 @@
             return;
         }
         self.refused_until
-            .retain(|_, shards| shards.values().any(|until| *until > now));
+            .retain(|_, shards| shards.values().any(|expiry| *expiry > now));
         if self.refused_until.len() < MAX_TENANTS {
             return;
         }
@@ -122,7 +122,7 @@
     pub fn unavailable(&self, now: Nanos) -> Vec<u16> {
         self.unavailable_until
             .iter()
-            .filter(|(_, until)| **until > now)
+            .filter(|(_, expiry)| **expiry > now)
             .map(|(shard, _)| *shard)
             .collect()
     }
--- a/crates/sparrouter-quota/tests/sum/explore.rs
+++ b/crates/sparrouter-quota/tests/sum/explore.rs
@@ -240,7 +240,7 @@
         for node in &mut self.world.nodes {
             node.held.retain(|held| held.expires_at > now);
             node.pending_asks
-                .retain(|_, pending| pending.at + lifetime > now);
+                .retain(|_, pending| pending.sent_at + lifetime > now);
         }
         let nodes = &self.world.nodes;
         self.network.retain(|message| match message {
@@ -292,7 +292,7 @@
             self.world.nodes[node]
                 .pending_asks
                 .get(ask)
-                .map(|pending| pending.at)
+                .map(|pending| pending.sent_at)
         };
         match message {
             Message::Ask {
@@ -305,7 +305,7 @@
                 };
                 hash_of(&(2, asked_at(to.index, ask), token))
             }
-            other => hash_of(&format!("{other:?}")),
+            message => hash_of(&format!("{message:?}")),
         }
     }
 }
--- a/crates/sparrouter-quota/tests/sum/ledger.rs
+++ b/crates/sparrouter-quota/tests/sum/ledger.rs
@@ -2,10 +2,10 @@
 use sparrouter_quota::{Division, Nanos, QuotaLimit, QuotaSettings};
 use std::collections::VecDeque;
 
-/// A window with more sends than its limit allows.
+/// A window with more sends than its limit allows; the window ends at `ends_at`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    pub at: Nanos,
+    pub ends_at: Nanos,
     pub sent: usize,
     pub allowed: f64,
 }
@@ -70,7 +70,7 @@
         self.highest_ratio = self.highest_ratio.max(sent as f64 / allowed);
         if sent as f64 > allowed + 1e-6 * (sent + 1) as f64 {
             return Err(Violation {
-                at: now,
+                ends_at: now,
                 sent,
                 allowed,
             });
--- a/crates/sparrouter-quota/tests/sum/model.rs
+++ b/crates/sparrouter-quota/tests/sum/model.rs
@@ -125,7 +125,7 @@
     pub holder: usize,
     shard: u16,
     tenant: String,
-    pub at: Nanos,
+    pub sent_at: Nanos,
 }
 
 /// A permit held by a node.
@@ -303,7 +303,7 @@
             holder,
             shard,
             tenant: tenant.to_owned(),
-            at: node.clock.at(self.now),
+            sent_at: node.clock.at(self.now),
         };
         node.pending_asks.insert(self.next_id, pending);
         self.outbox.push(Message::Ask {
@@ -412,7 +412,11 @@
                 id,
             } => {
                 let counts_from_answer = self.rules.defect == Some(Defect::PermitFromAnswer);
-                let start = if counts_from_answer { now } else { pending.at };
+                let start = if counts_from_answer {
+                    now
+                } else {
+                    pending.sent_at
+                };
                 node.held.push(HeldPermit {
                     id,
                     holder: pending.holder,
--- a/crates/sparrouter-quota/tests/sum/random.rs
+++ b/crates/sparrouter-quota/tests/sum/random.rs
@@ -424,9 +424,9 @@
         let chance = self.rng.f64();
         let registered = self.world.registered(shard).filter(|_| chance < 0.1);
         let random = (chance > 0.98).then(|| self.rng.usize(..HOLDERS));
-        let known = &mut self.known_holders[node][usize::from(shard) - 1];
-        *known = registered.or(random).unwrap_or(*known);
-        *known
+        let known_holder = &mut self.known_holders[node][usize::from(shard) - 1];
+        *known_holder = registered.or(random).unwrap_or(*known_holder);
+        *known_holder
     }
 
     fn change_limit(&mut self) {
--- a/crates/sparrouter-routing/src/server_table.rs
+++ b/crates/sparrouter-routing/src/server_table.rs
@@ -197,10 +197,10 @@
         }
     }
 
-    /// Records that the server reported that it is full: it gets no requests until `until`.
-    pub fn mark_full(&mut self, index: ServerIndex, until: Nanos) {
+    /// Records that the server reported that it is full: it gets no requests until `full_until`.
+    pub fn mark_full(&mut self, index: ServerIndex, full_until: Nanos) {
         if let Some(Some(server)) = self.servers.get_mut(index) {
-            server.full_until = until;
+            server.full_until = full_until;
         }
     }
 
--- a/crates/sparrouter-routing/src/versions.rs
+++ b/crates/sparrouter-routing/src/versions.rs
@@ -145,9 +145,9 @@
         self.record_core_change_at(to_timestamp(now));
     }
 
-    /// Records that the core changed at that time, as reported by another node. The latest change is kept.
-    pub fn record_core_change_at(&mut self, at: Timestamp) {
-        self.core_changed_at = self.core_changed_at.max(Some(at));
+    /// Records that the core changed at `changed_at`, as reported by another node. The latest change is kept.
+    pub fn record_core_change_at(&mut self, changed_at: Timestamp) {
+        self.core_changed_at = self.core_changed_at.max(Some(changed_at));
     }
 
     /// When a node of the core last joined, left or became unresponsive; `None` before the first such report.
--- a/crates/sparrouter-routing/tests/membership_sync.rs
+++ b/crates/sparrouter-routing/tests/membership_sync.rs
@@ -204,14 +204,14 @@
         apply_random_change(&mut membership, rng, step, SECOND);
     }
     table.sync(&membership, SECOND);
-    let mut all: Vec<ServerIndex> = table.iter().map(|(index, _)| index).collect();
+    let mut indices: Vec<ServerIndex> = table.iter().map(|(index, _)| index).collect();
     for _ in 0..rng.usize(..40) {
-        if !all.is_empty() {
-            table.start_request(all[rng.usize(..all.len())]);
+        if !indices.is_empty() {
+            table.start_request(indices[rng.usize(..indices.len())]);
         }
     }
     // Loads also change when requests end, and when servers drain, leave and are removed.
-    for &index in all.iter().filter(|_| rng.u32(..4) == 0) {
+    for &index in indices.iter().filter(|_| rng.u32(..4) == 0) {
         if table
             .get(index)
             .is_some_and(|server| server.in_flight() > 0)
@@ -223,18 +223,21 @@
         apply_random_change(&mut membership, rng, step, SECOND);
     }
     table.sync(&membership, SECOND);
-    all.retain(|&index| table.get(index).is_some());
-    (table, all)
+    indices.retain(|&index| table.get(index).is_some());
+    (table, indices)
 }
 
 #[test]
-fn given_random_servers_when_one_is_selected_then_it_is_the_first_by_sorting_all_servers() {
+fn given_random_servers_when_one_is_selected_then_it_equals_the_selection_by_sorting_all_servers() {
     for seed in 0..300 {
         let mut rng = Rng::with_seed(seed);
-        let (table, all) = random_table(&mut rng);
+        let (table, indices) = random_table(&mut rng);
         for key in 0..20 {
-            let attempted: Vec<ServerIndex> =
-                all.iter().copied().filter(|_| rng.u32(..6) == 0).collect();
+            let attempted: Vec<ServerIndex> = indices
+                .iter()
+                .copied()
+                .filter(|_| rng.u32(..6) == 0)
+                .collect();
             let request = SelectionRequest {
                 service: SERVICE,
                 key,
