--- a/crates/sparrouter-quota/src/bucket.rs
+++ b/crates/sparrouter-quota/src/bucket.rs
@@ -4,7 +4,7 @@
 
 /// Maximum retry delay of a refused request.
 const MAX_RETRY_AFTER: Nanos = 1_000_000_000;
-/// Rounding tolerance in tokens: a level this little below a whole number counts as that number, because sums of
+/// Rounding tolerance in tokens: a level at most this far below a whole number counts as that number, because sums of
 /// fractions are rounded.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
--- a/crates/sparrouter-quota/src/permits.rs
+++ b/crates/sparrouter-quota/src/permits.rs
@@ -87,7 +87,7 @@
         shards.insert(shard, refused_until);
     }
 
-    /// Drops an entry if there is no room for one more tenant.
+    /// Makes room for one more tenant if the table is full; see [`MAX_TENANTS`].
     fn evict_if_full(&mut self, now: Nanos) {
         if self.refused_until.len() < MAX_TENANTS {
             return;
--- a/crates/sparrouter-quota/tests/division.rs
+++ b/crates/sparrouter-quota/tests/division.rs
@@ -54,7 +54,7 @@
 
 /// Whether buckets of whole tokens, at no less than half the rate, can stay within the limit. If so, `Division::of`
 /// guarantees the limit itself, and otherwise the limit plus one request. Among limits of two requests or more, this is
-/// `false` only if permits last for most of the window.
+/// `false` only if the permit lifetime is more than 3/10 of the window.
 fn limit_is_guaranteed(limit: QuotaLimit, settings: &QuotaSettings) -> bool {
     let usable_s = (settings.window - settings.permit_lifetime) as f64 / 1e9;
     let permits_are_short = settings.permit_lifetime * 10 <= settings.window * 3;
--- a/crates/sparrouter-quota/tests/review.rs
+++ b/crates/sparrouter-quota/tests/review.rs
@@ -1,4 +1,4 @@
-//! Regression tests from the review of quotas.
+//! Regression tests of returned tokens and of the takeover wait of a lease.
 use sparrouter_consensus::lease::{LeaseAnswer, LeaseChange, LeaseHolder};
 use sparrouter_consensus::{Applied, Leases, Machine};
 use sparrouter_quota::{BucketShape, TokenBucket};
@@ -6,7 +6,7 @@
 
 const MS: u64 = 1_000_000;
 
-// Guards against permits whose unspent return adds no token to the bucket: a tenant at three fifths of its limit is
+// Guards against unspent permits whose return adds no token to the bucket: a tenant at three fifths of its limit would be
 // refused.
 #[test]
 fn given_permits_that_lapse_once_before_each_send_when_far_within_the_limit_then_none_is_refused() {
@@ -17,8 +17,8 @@
     };
     let mut bucket = TokenBucket::empty(shape, 0);
     let (mut outstanding, mut refused): (VecDeque<u64>, u32) = (VecDeque::new(), 0);
-    // Ten requests a second. Each request's first permit expires during the 250 ms in which a connection is set up, so
-    // that a second permit is spent.
+    // Ten requests per second. Each request's first permit expires unspent during the 250 ms in which a connection is set
+    // up; the request then takes and spends a second permit.
     for step in 0..600 {
         let now = 5_000 * MS + step * 100 * MS;
         while outstanding
--- a/crates/sparrouter-quota/tests/sum/explore.rs
+++ b/crates/sparrouter-quota/tests/sum/explore.rs
@@ -110,7 +110,8 @@
             speed: 1.0,
         };
         let mut world = World::new(rules, &[TENANT], &[clock; 2], &[clock; 2]);
-        // One token per step, a bucket capacity of one, and what the permit lifetime adds: 3.5 sends allowed in a window.
+        // 3.5 sends are allowed in a window: one token is gained per step, the bucket's capacity is one token, and the
+        // other 1.5 cover the permits granted within a permit lifetime before the window.
         let limit = QuotaLimit {
             rate_per_s: 10.0,
             burst_size: 2.5,
@@ -211,8 +212,9 @@
         Ok(())
     }
 
-    /// Does at once what reduces no possibility of a violation: a permit that has arrived can also be spent later, and one
-    /// that is requested later expires later. Drops messages that can no longer lead to a send.
+    /// Delivers grants at once, and requests for permits as well if `answers_at_once` is set. This hides no violation: a
+    /// permit can still be spent later than it arrives, and a request that is made later, instead of delayed, yields a
+    /// permit that expires later. Drops messages that can no longer lead to a send.
     fn settle(&mut self) {
         let defect = self.world.rules.defect;
         let counts_from_answer = defect == Some(Defect::PermitFromAnswer);
@@ -229,7 +231,7 @@
                 message => self.network.push(message),
             }
         }
-        // Buckets refill from the first moment on.
+        // Buckets of a new lease start to refill at once, not only after the next tick.
         for index in 0..2 {
             self.world.tick(index);
         }
--- a/crates/sparrouter-quota/tests/sum/holder.rs
+++ b/crates/sparrouter-quota/tests/sum/holder.rs
@@ -30,7 +30,7 @@
 struct Buckets {
     table: BucketTable,
     config_slot: u64,
-    /// Used with [`Returns::Tracked`].
+    /// By tenant: the granted tokens that may be returned; recorded only with [`Returns::Tracked`].
     returnable: BTreeMap<String, Vec<Returnable>>,
     /// Injected defect: by tenant, tokens that remain usable after the limit was lowered.
     kept_tokens: BTreeMap<String, u32>,
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Periodic update, each tenth of a second: buckets refill from the moment that the holder may grant.
+    /// Periodic update, at least each tenth of a second: buckets refill from the moment that the holder may grant.
     pub fn tick(&mut self, shard: u16, context: Context) {
         let is_restart = self.generation > 0;
         let state = &mut self.shards[usize::from(shard) - 1];
--- a/crates/sparrouter-quota/tests/sum/ledger.rs
+++ b/crates/sparrouter-quota/tests/sum/ledger.rs
@@ -99,7 +99,7 @@
             };
             return Some(allowed + extra + drift_allowance(limit.rate_per_s));
         }
-        // If the limit changed within the window: the highest capacity of these limits, and the highest rate.
+        // If the limit changed within the window, the highest capacity and the highest rate of these limits apply.
         let undivided = limits.iter().map(|limit| undivided(*limit, &self.settings));
         let (rate, capacity) =
             undivided.fold((0.0, 0.0), |a: (f64, f64), b| (a.0.max(b.0), a.1.max(b.1)));
--- a/crates/sparrouter-quota/tests/sum/main.rs
+++ b/crates/sparrouter-quota/tests/sum/main.rs
@@ -69,7 +69,8 @@
 /// Guards against overlapping leases if clocks differ in speed. The division does not account for the longer permit
 /// lifetime by a slower clock; the ledger therefore allows for it.
 #[test]
-fn given_clocks_that_differ_by_a_twentieth_when_permits_are_spent_then_only_their_lifetime_grows() {
+fn given_clock_speeds_5_percent_apart_when_permits_are_spent_then_only_longer_lifetimes_add_sends()
+{
     let config = RunConfig {
         drift: 0.05,
         ..NO_DEFECT
@@ -102,49 +103,53 @@
 
 /// Checks that the model detects permits whose lifetime counts from the answer.
 #[test]
-fn given_permit_lifetimes_that_count_from_the_answer_when_runs_are_simulated_then_it_is_detected() {
+fn given_permit_lifetimes_that_count_from_the_answer_when_runs_are_simulated_then_the_defect_is_detected()
+ {
     assert_detected(Defect::PermitFromAnswer, 0..600);
 }
 
 /// Checks that the model detects an expired permit that is spent by a process that was suspended.
 #[test]
-fn given_permits_spent_without_an_expiry_check_when_runs_are_simulated_then_it_is_detected() {
+fn given_permits_spent_without_an_expiry_check_when_runs_are_simulated_then_the_defect_is_detected()
+{
     assert_detected(Defect::UncheckedSpend, 0..600);
 }
 
 /// Checks that the model detects grants of a holder whose lease has expired.
 #[test]
-fn given_grants_after_lease_expiry_when_runs_are_simulated_then_it_is_detected() {
+fn given_grants_after_lease_expiry_when_runs_are_simulated_then_the_defect_is_detected() {
     assert_detected(Defect::LapsedGrant, 0..600);
 }
 
 /// Checks that the model detects a new holder that grants without waiting for the end of its predecessor's lease.
 #[test]
-fn given_a_new_holder_without_takeover_wait_when_runs_are_simulated_then_it_is_detected() {
+fn given_a_new_holder_without_takeover_wait_when_runs_are_simulated_then_the_defect_is_detected() {
     assert_detected(Defect::NoTakeoverWait, 0..600);
 }
 
 /// Checks that the model detects a new holder that starts with full buckets.
 #[test]
-fn given_a_new_holder_with_full_buckets_when_runs_are_simulated_then_it_is_detected() {
+fn given_a_new_holder_with_full_buckets_when_runs_are_simulated_then_the_defect_is_detected() {
     assert_detected(Defect::FullSuccessor, 0..600);
 }
 
 /// Checks that the model detects a restarted process that starts with full buckets.
 #[test]
-fn given_a_restarted_process_with_full_buckets_when_runs_are_simulated_then_it_is_detected() {
+fn given_a_restarted_process_with_full_buckets_when_runs_are_simulated_then_the_defect_is_detected()
+{
     assert_detected(Defect::FullRestart, 0..600);
 }
 
 /// Checks that the model detects a duplicated return that is credited twice.
 #[test]
-fn given_duplicated_returns_credited_twice_when_runs_are_simulated_then_it_is_detected() {
+fn given_duplicated_returns_credited_twice_when_runs_are_simulated_then_the_defect_is_detected() {
     assert_detected(Defect::DoubleReturn, 0..600);
 }
 
 /// Checks that the model detects a return that is credited under another lease than the permit's.
 #[test]
-fn given_a_return_credited_under_a_later_lease_when_the_holder_changes_then_it_is_detected() {
+fn given_a_return_credited_under_a_later_lease_when_the_holder_changes_then_the_defect_is_detected()
+{
     let without_defect = scenario::return_after_takeover(None);
     assert_eq!(without_defect, Ok(()));
     let with_defect = scenario::return_after_takeover(Some(Defect::ForeignReturn));
@@ -153,7 +158,8 @@
 
 /// Checks that the model detects a lowered limit whose buckets keep tokens above the new capacity.
 #[test]
-fn given_a_lowered_limit_that_keeps_the_old_level_when_runs_are_simulated_then_it_is_detected() {
+fn given_a_lowered_limit_that_keeps_the_old_level_when_runs_are_simulated_then_the_defect_is_detected()
+ {
     assert_detected(Defect::KeptLevel, 0..600);
 }
 
@@ -168,7 +174,7 @@
     duplicates: 0,
 };
 
-/// Explores all states; the maximum must include three sends of the 3.5 that are allowed.
+/// Explores all states. At least one window must contain three sends of the 3.5 that are allowed.
 fn assert_explored(budget: Budget, answers_at_once: bool) {
     let explored = explore(None, budget, answers_at_once);
     println!("{budget:?}: {explored:?}");
--- a/crates/sparrouter-quota/tests/sum/model.rs
+++ b/crates/sparrouter-quota/tests/sum/model.rs
@@ -1,4 +1,4 @@
-//! A small model of a fleet with quotas: it runs the real decisions; time, messages and faults are inputs.
+//! A small model of a fleet with quotas: it runs the real code for decisions; time, messages and faults are inputs.
 use crate::holder::{Config, Context, Grant, Holder, HolderShard, Rules};
 use crate::ledger::{Ledger, Violation};
 use sparrouter_consensus::lease::{Lease, LeaseAnswer, LeaseChange};
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Index of the holder that a shard's lease register names.
+    /// Index of the current lease holder by a shard's lease register.
     pub fn registered(&self, shard: u16) -> Option<usize> {
         let lease = Lease::decode(&self.registers[usize::from(shard) - 1])?;
         let name = lease.holder?.name;
--- a/crates/sparrouter-quota/tests/sum/random.rs
+++ b/crates/sparrouter-quota/tests/sum/random.rs
@@ -53,13 +53,14 @@
     delayed: f64,
     lost: f64,
     duplicated: f64,
-    /// Probabilities per tick: suspension, partition from the registers, restart, release, takeover from another holder,
-    /// change of a limit.
+    /// Probabilities per tick of a process: suspension, partition from the registers, restart, release, and takeover from
+    /// another holder.
     suspend: f64,
     partition: f64,
     restart: f64,
     release: f64,
     takeover: f64,
+    /// Probability that an [`Event::Change`] changes a limit.
     change: f64,
 }
 
--- a/crates/sparrouter-quota/tests/sum/scenario.rs
+++ b/crates/sparrouter-quota/tests/sum/scenario.rs
@@ -7,7 +7,7 @@
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
 const TENANT: &str = "a";
-/// Capacity of the bucket of the limit below, in tokens.
+/// Capacity, in tokens, of the only bucket of the limit in [`return_after_takeover`].
 const CAPACITY: usize = 27;
 
 /// A holder's permits are returned after its successor's bucket was full and was used up.
@@ -33,9 +33,9 @@
     };
     world.set_limit(TENANT, Some(limit));
     world.now = 10 * SECOND;
-    hold_for_three_seconds(&mut world, 0);
+    hold_for_four_seconds(&mut world, 0);
     take_all(&mut world, 0, 0);
-    hold_for_three_seconds(&mut world, 1);
+    hold_for_four_seconds(&mut world, 1);
     take_all(&mut world, 1, 1);
     spend_all(&mut world, 1)?;
     for id in held(&world, 0) {
@@ -47,7 +47,7 @@
 }
 
 /// A process acquires the lease, waits for the takeover if required, and renews the lease while its bucket refills.
-fn hold_for_three_seconds(world: &mut World, holder: usize) {
+fn hold_for_four_seconds(world: &mut World, holder: usize) {
     world.acquire(holder, 1);
     deliver_all(world);
     for _ in 0..40 {
--- a/crates/sparrouter-quota/tests/usage/fleet.rs
+++ b/crates/sparrouter-quota/tests/usage/fleet.rs
@@ -1,5 +1,5 @@
 //! A simulated fleet whose only faults are killed lease holders: 72 nodes request permits as the fleet's `quota/take.rs`
-//! does, and clients retry after the delay that they are told.
+//! does, and clients of refused requests retry after the delay in the response.
 use sparrouter_quota::{
     BucketTable, Division, Nanos, NextStep, PermitTable, QuotaLimit, QuotaSettings, TakeOutcome,
     TenantBucket,
@@ -13,10 +13,15 @@
 const SHARDS: u16 = 4;
 /// Round-trip time of a request for a permit.
 const ROUND_TRIP: Nanos = 2 * MS;
+/// Time for which a node does not ask a lease holder again that was unavailable.
 const UNAVAILABLE_FOR: Nanos = 150 * MS;
+/// Maximum time for which a request waits for an unavailable lease holder.
 const MAX_UNAVAILABLE_WAIT: Nanos = 200 * MS;
+/// Interval at which a waiting request tries again to get a permit.
 const RETRY_INTERVAL: Nanos = 40 * MS;
+/// Minimum delay of a client's retry.
 const MIN_RETRY_AFTER: Nanos = 20 * MS;
+/// Maximum random increase of a client's retry delay, as a ratio.
 const RETRY_SPREAD: f64 = 0.25;
 /// Time after which buckets are full and retries are in progress; nothing is counted before.
 const WARM_UP: Nanos = 10 * SECOND;
@@ -64,8 +69,9 @@
     pub granted: u64,
     pub refused: u64,
     pub unavailable: u64,
-    /// Calls from nodes to all lease holders, and to the lease holder that received most.
+    /// Calls from nodes to all lease holders.
     pub calls: u64,
+    /// Calls from nodes to the lease holder that received the most.
     pub max_calls: u64,
 }
 
--- a/crates/sparrouter-quota/tests/usage/main.rs
+++ b/crates/sparrouter-quota/tests/usage/main.rs
@@ -204,7 +204,7 @@
 
 /// Guards against a killed lease holder that costs a tenant more than that holder's part of the limit while it is down.
 #[test]
-fn given_a_holder_killed_every_five_seconds_when_it_is_down_for_one_then_over_93_percent_is_used() {
+fn given_a_holder_killed_every_5_s_when_its_shard_is_down_for_1_s_then_over_93_percent_is_used() {
     let kills = Kills {
         interval: 5 * SECOND,
         downtime: SECOND,
