--- a/crates/sparrouter-routing/src/backlog.rs
+++ b/crates/sparrouter-routing/src/backlog.rs
@@ -37,8 +37,8 @@
     /// Priority; 0 is served first.
     priority: u32,
     enqueued_at: Nanos,
-    /// Tokens that were to be served before this prompt when it arrived, plus its own.
-    tokens_ahead: f64,
+    /// Tokens to prefill until this prompt is prefilled, as of its arrival: the tokens ahead of it plus its own.
+    tokens_until_prefilled: f64,
     /// Tokens of higher priority that had arrived in total before this prompt; those that arrive later overtake it.
     overtaking_before: f64,
 }
@@ -47,7 +47,7 @@
 /// the server to have cached.
 #[derive(Clone, Debug)]
 pub struct Backlog {
-    /// By the identifier that the prompt was enqueued with; at most [`MAX_QUEUED`] entries.
+    /// By the prompt's id; at most [`MAX_QUEUED`] entries.
     queue: BTreeMap<u64, QueuedPrompt>,
     /// Estimated prefill rate in tokens per second, within [`MIN_RATE`] and [`MAX_RATE`].
     rate: f64,
@@ -110,17 +110,17 @@
             .sum()
     }
 
-    /// Adds a prompt of `cost` tokens to prefill. `token` identifies the prompt at this server for [`Backlog::remove`].
-    pub fn enqueue(&mut self, token: u64, cost: f64, priority: u32, now: Nanos) {
+    /// Adds a prompt of `cost` tokens to prefill. `prompt_id` identifies the prompt at this server for [`Backlog::remove`].
+    pub fn enqueue(&mut self, prompt_id: u64, cost: f64, priority: u32, now: Nanos) {
         if self.queue.len() < MAX_QUEUED {
             let queued = QueuedPrompt {
                 cost,
                 priority,
                 enqueued_at: now,
-                tokens_ahead: self.tokens_ahead(priority) + cost,
+                tokens_until_prefilled: self.tokens_ahead(priority) + cost,
                 overtaking_before: higher_priority_sum(&self.arrived, priority),
             };
-            self.queue.insert(token, queued);
+            self.queue.insert(prompt_id, queued);
         }
         self.decay_arrivals(now);
         let level = (priority as usize).min(PRIORITIES - 1);
@@ -129,18 +129,18 @@
         self.last_used_at = now;
     }
 
-    /// Removes a prompt. `began`: its first token arrived, so its wait is a measurement of the rate; `false` if the prompt
-    /// ended without a token. Does nothing if no prompt was enqueued with `token`.
-    pub fn remove(&mut self, token: u64, began: bool, now: Nanos) {
-        let Some(queued) = self.queue.remove(&token) else {
+    /// Removes a prompt; does nothing if no prompt was enqueued with `prompt_id`. `has_first_token`: whether its first token
+    /// arrived, in which case its wait is a measurement of the rate.
+    pub fn remove(&mut self, prompt_id: u64, has_first_token: bool, now: Nanos) {
+        let Some(queued) = self.queue.remove(&prompt_id) else {
             return;
         };
         let waited_seconds =
             now.saturating_sub(queued.enqueued_at) as f64 / 1e9 - FIXED_OVERHEAD_SECONDS;
-        if began && waited_seconds > MIN_MEASURED_SECONDS {
+        if has_first_token && waited_seconds > MIN_MEASURED_SECONDS {
             let overtaken_by =
                 higher_priority_sum(&self.arrived, queued.priority) - queued.overtaking_before;
-            let measured = (queued.tokens_ahead + overtaken_by) / waited_seconds;
+            let measured = (queued.tokens_until_prefilled + overtaken_by) / waited_seconds;
             let average = self.rate * (1.0 - RATE_SMOOTHING) + measured * RATE_SMOOTHING;
             self.rate = average.clamp(MIN_RATE, MAX_RATE);
         }
--- a/crates/sparrouter-routing/src/membership_sync.rs
+++ b/crates/sparrouter-routing/src/membership_sync.rs
@@ -44,7 +44,7 @@
     /// Ids of servers whose records or directives have changed since the last sync, and of those that change with time.
     fn ids_to_sync(&self, membership: &MembershipTable) -> BTreeSet<String> {
         let state = &self.sync_state;
-        // Dropped records have no revision number.
+        // If servers were dropped since then, all servers are synced: dropped records have no revision number.
         let has_revisions_since = state.epoch == membership.epoch()
             && state.revision <= membership.revision()
             && state.servers_dropped == membership.servers_dropped();
--- a/crates/sparrouter-routing/src/prompt.rs
+++ b/crates/sparrouter-routing/src/prompt.rs
@@ -37,9 +37,9 @@
     /// Adds a request to the average, and returns whether its maximum is above the previous average.
     pub fn observe(&mut self, tokens_out: u64) -> bool {
         let tokens = tokens_out as f64;
-        let usual = self.0.unwrap_or(tokens);
-        self.0 = Some(usual + (tokens - usual) * Self::SMOOTHING);
-        tokens > usual
+        let average_tokens = self.0.unwrap_or(tokens);
+        self.0 = Some(average_tokens + (tokens - average_tokens) * Self::SMOOTHING);
+        tokens > average_tokens
     }
 }
 
--- a/crates/sparrouter-routing/src/retry_budget.rs
+++ b/crates/sparrouter-routing/src/retry_budget.rs
@@ -109,7 +109,7 @@
         self.slices[current].requests += 1.0;
     }
 
-    /// Spends one retry if this node's share of the budget allows it; returns whether it does.
+    /// Spends one retry if this node's share of the budget allows it. Returns whether the retry is allowed.
     pub fn try_acquire(&mut self, division: SlackDivision, now: Nanos) -> bool {
         let current = self.advance(now);
         let retries: f64 = self.slices.iter().map(|slice| slice.retries).sum();
--- a/crates/sparrouter-routing/src/rollout_order.rs
+++ b/crates/sparrouter-routing/src/rollout_order.rs
@@ -6,7 +6,8 @@
 
 /// Number of servers that may load at the same time, however few are ready.
 const MIN_CONCURRENT: usize = 2;
-/// One of this many ready servers may load at the same time, but at least [`MIN_CONCURRENT`] servers.
+/// One server per this many ready servers, rounded up, may load at the same time, but at least
+/// [`MIN_CONCURRENT`] servers.
 const READY_PER_LOADING: usize = 3;
 /// Minimum time in seconds that is assumed to remain until a limit. A limit that has passed therefore requires the most
 /// servers at once.
@@ -49,7 +50,8 @@
     let max_loading = max_concurrent(&outdated, ready, seconds_each, now);
     let loading = outdated.iter().filter(|server| server.is_loading).count();
     outdated.retain(|server| !server.is_loading);
-    // Among servers with the same limit, the least busy ones can start loading soonest.
+    // Among servers with the same limit, announced ones load first, and then the least busy ones: loading waits for the
+    // requests at a server to end.
     outdated.sort_by_key(|server| {
         (
             server.limit,
--- a/crates/sparrouter-routing/src/route_durations.rs
+++ b/crates/sparrouter-routing/src/route_durations.rs
@@ -1,8 +1,8 @@
 //! The longest recent request duration of each route, from the arrival of the complete request to the last byte of its
 //! response.
 //!
-//! Stored is each route's longest duration within the current and within the previous window. Memory: one entry for each
-//! route that was used within two windows.
+//! Each route's longest duration is stored for the current and for the previous window. Memory: at most one entry per
+//! window for each route used in it.
 use crate::Nanos;
 use std::collections::HashMap;
 
--- a/crates/sparrouter-routing/src/server_table.rs
+++ b/crates/sparrouter-routing/src/server_table.rs
@@ -108,7 +108,7 @@
             .set(self.records_visited.get() + servers);
     }
 
-    /// Overwrites a server's state even with an earlier one. Injected defect: [`ServerTable::sync`] prevents this.
+    /// Injected defect: overwrites a server's state, even with an earlier one, which [`ServerTable::sync`] never does.
     #[cfg(feature = "injected-defects")]
     pub fn overwrite(&mut self, id: &str, state: sparrouter_membership::LifecycleState) {
         if let Some(index) = self.find(id) {
--- a/crates/sparrouter-routing/src/versions.rs
+++ b/crates/sparrouter-routing/src/versions.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Drops the versions before this one with their limits. Injected defect: [`Versions::record_named`] prevents this.
+    /// Injected defect: drops the versions older than `version` with their limits, which [`Versions::record_named`] keeps.
     #[cfg(feature = "injected-defects")]
     pub fn forget_older(&mut self, model: &str, version: u64) {
         if let Some(named) = self.named.get_mut(model) {
--- a/crates/sparrouter-routing/tests/backlog.rs
+++ b/crates/sparrouter-routing/tests/backlog.rs
@@ -4,8 +4,8 @@
 const MS: u64 = 1_000_000;
 
 /// Simulates a server that prefills the arrivals `(arrived at ms, cost, priority, id)` by priority at `rate` tokens per ms.
-/// Returns the ms at which the prompt `token` has been prefilled.
-fn prefilled_at_ms(arrivals: &[(u64, f64, u32, u64)], rate: f64, token: u64) -> u64 {
+/// Returns the ms at which the prompt `prompt_id` has been prefilled.
+fn prefilled_at_ms(arrivals: &[(u64, f64, u32, u64)], rate: f64, prompt_id: u64) -> u64 {
     let (mut now, mut queue, mut next) = (0.0, Vec::new(), 0);
     loop {
         while next < arrivals.len() && arrivals[next].0 as f64 <= now {
@@ -18,7 +18,7 @@
         };
         let (_, cost, _, id) = queue.remove(index);
         now += cost / rate;
-        if id == token {
+        if id == prompt_id {
             return now as u64;
         }
     }
@@ -73,8 +73,8 @@
 
 #[test]
 fn given_prompts_that_were_overtaken_then_the_measured_prefill_rate_is_still_correct() {
-    // Each large prompt has 3,000 tokens ahead and is overtaken by 3,000 more. At 20 tokens per ms its prefill ends after
-    // 300 ms.
+    // Each prompt of priority 5 has 3,000 tokens and is overtaken by 3,000 tokens of priority 0. At 20 tokens per ms its
+    // prefill ends 300 ms after its arrival; the fixed overhead delays its first token by 40 ms more.
     let mut backlog = Backlog::default();
     for n in 0..200u64 {
         let enqueued_at = n * 1_000 * MS;
--- a/crates/sparrouter-routing/tests/membership_sync.rs
+++ b/crates/sparrouter-routing/tests/membership_sync.rs
@@ -100,7 +100,7 @@
             table.sync(&membership, now);
             let mut rebuilt = empty_table();
             rebuilt.sync(&membership, now);
-            // Versions are compared separately: after a directive is dropped, the table still keeps the version that it
+            // Versions are not compared: after a directive is dropped, the table still keeps the version that it
             // recorded, because a server never loads an older version.
             let states_without_models = |t: &ServerTable| -> Vec<String> {
                 server_states(t)
--- a/crates/sparrouter-routing/tests/outliers.rs
+++ b/crates/sparrouter-routing/tests/outliers.rs
@@ -58,8 +58,9 @@
     }
 }
 
+/// Requests that fail at any server, each of which has one key, eject no server.
 #[test]
-fn given_a_request_that_fails_at_each_attempt_then_no_server_is_ejected() {
+fn given_failures_of_only_two_keys_then_the_server_is_not_ejected() {
     let mut outliers = Outliers::default();
     for n in 0..200 {
         let is_ejected = outliers.record_failure(failure(1 + n % 2, 0.0), NODES, n * SECOND / 10);
@@ -76,7 +77,8 @@
 }
 
 #[test]
-fn given_an_ejected_server_when_it_fails_again_then_it_is_ejected_once_and_by_fewer_failures() {
+fn given_an_ejected_server_when_it_fails_again_then_fewer_failures_eject_it_but_only_after_a_pause()
+{
     let mut outliers = Outliers::default();
     let ejections: Vec<bool> = (0..5)
         .map(|n| outliers.record_failure(failure(n, 0.0), NODES, n))
