--- a/crates/sparrouter-prefix-index/src/block_entry.rs
+++ b/crates/sparrouter-prefix-index/src/block_entry.rs
@@ -95,7 +95,8 @@
     }
 
     /// The newest server other than `server` that the block was sent to and that probably has it cached; 0 if there is
-    /// none. For a followed server, only recent sends count: the follower would have reported an older one by now.
+    /// none. For a followed server, only sends within [`IndexSettings::max_report_delay`] count: the follower would have
+    /// reported the effect of an older one by now.
     pub(crate) fn prefilling_server(
         &self,
         server: u64,
--- a/crates/sparrouter-prefix-index/src/index.rs
+++ b/crates/sparrouter-prefix-index/src/index.rs
@@ -19,12 +19,12 @@
     pub max_report_delay: Nanos,
 }
 
-/// A query to the owner of a block, the last one of a prefix, that is about to be sent to a server.
+/// A query to the owner of a prefix's last block, before a prompt with the prefix is sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixQuery {
     /// Hash of the salt and the block's id.
     pub key: u64,
-    /// Hash of the server that the block will be sent to.
+    /// Hash of the server that the prompt will be sent to.
     pub server: u64,
     /// Hash of the store that could save the block; 0 if there is none.
     pub store: u64,
@@ -39,8 +39,8 @@
     pub is_cached: bool,
     /// Hashes of other servers and stores that have the block cached, the newest first.
     pub cached_at: Vec<u64>,
-    /// Hash of a server that the block was sent to recently and whose follower has not reported it yet; 0 if there is
-    /// none.
+    /// Hash of another server that the block was sent to recently, and that probably has it cached although no follower
+    /// has reported it; 0 if there is none.
     pub prefilling_server: u64,
 }
 
