--- a/crates/sparrouter-routing/tests/selection.rs
+++ b/crates/sparrouter-routing/tests/selection.rs
@@ -130,6 +130,7 @@
     );
 }
 
+/// Guards against a request that breaks every connection, and whose retries would make each server suspected.
 #[test]
 fn given_requests_that_end_in_lost_connections_or_rejections_then_no_server_is_suspected() {
     let (mut server_table, _) = server_table(3);
