--- a/crates/sparrouter-consensus/src/acceptor.rs
+++ b/crates/sparrouter-consensus/src/acceptor.rs
@@ -1,27 +1,31 @@
-//! The acceptor: promises and accepted votes of this node for one shard; none is acknowledged before it is on disk.
+//! The Paxos acceptor of one shard at this node. It acknowledges a promise or an accepted vote only once the record
+//! with it is on disk.
 //!
-//! One store is in flight at a time. What comes meanwhile changes the record in memory and goes with the next store. A
-//! store that fails or hangs delays only the replies that need it: what is on disk can still be asked for.
+//! At most one store is in flight. Requests that arrive during a store change the record in memory, and the next store
+//! writes these changes. A store that fails or hangs delays only the replies that depend on it; a `Query` is still
+//! answered from the record on disk.
 //!
-//! Why a node without a record may promise: its disk id is as old as its data folder and no record is ever removed, so
-//! that no record means no vote under this id. A wiped or damaged folder gets another id, which is in no group.
+//! A node without a record may promise: the disk id is created with the data folder and records are never removed, so
+//! that a missing record means that no vote was cast under this id. A wiped or damaged folder gets a new disk id, which
+//! is in no group.
 use crate::message::{Message, Outgoing, RejectReason};
 use crate::record::Record;
 use crate::settings::Settings;
 use crate::time::{MILLISECOND, Nanos};
 use crate::vote::{Member, ProposalNumber, SharedVote, VoteId};
 
-/// Replies that wait for one store; more are dropped, as if lost on the way.
+/// Maximum number of replies that wait for a store; further replies are dropped, as if the network had lost them.
 const MAX_PENDING_REPLIES: usize = 256;
 
-/// A reply that may be sent once a version of the record is on disk.
+/// A reply that waits for the record to be stored.
 #[derive(Clone, Debug)]
 struct PendingReply {
+    /// The reply may be sent once this version of the record is on disk.
     version: u64,
     reply: Outgoing,
 }
 
-/// A store to be started.
+/// A request to the caller to store the record.
 #[derive(Clone, Debug)]
 pub(crate) struct StoreRequest {
     pub token: u64,
@@ -37,30 +41,30 @@
     vote: Option<SharedVote>,
 }
 
-/// The record in memory, how much of it is on disk, and the replies that wait for the rest.
+/// The record in memory, its version on disk, and the replies that wait for a store.
 #[derive(Clone, Debug)]
 pub(crate) struct Acceptor {
-    /// Ahead of the disk by the changes `stored_version..version`. No other node relies on those.
+    /// The record in memory. No other node relies on the changes that are not on disk yet (`stored_version..version`).
     record: Record,
-    /// The newest vote that is on disk; never newer than `record.accepted`.
+    /// The newest vote on disk; never newer than `record.accepted`.
     stored_vote: Option<SharedVote>,
-    /// Counts changes of the record.
+    /// Version of the record in memory; each change increments it.
     version: u64,
-    /// The version on disk; never above `version`.
+    /// Version of the record on disk; at most `version`.
     stored_version: u64,
     store_in_flight: Option<StoreInFlight>,
-    /// When a failed store may be repeated.
+    /// Earliest time of the next store after a failed store; `None` if the last store succeeded.
     retry_at: Option<Nanos>,
-    /// Stores that failed since the last one that succeeded.
+    /// Number of failed stores since the last successful store.
     consecutive_failures: u32,
-    /// The token of the last store that was started.
+    /// Token of the most recently started store.
     last_token: u64,
-    /// In the order in which they are sent. A reply leaves only once its version is on disk.
+    /// Replies in sending order. A reply is sent only once its version of the record is on disk.
     pending_replies: Vec<PendingReply>,
 }
 
 impl Acceptor {
-    /// `record`: what is on disk.
+    /// Creates the acceptor from the record on disk.
     pub fn new(record: Record) -> Acceptor {
         Acceptor {
             stored_vote: record.accepted.clone(),
@@ -75,7 +79,7 @@
         }
     }
 
-    /// The newest vote, on disk or about to be.
+    /// The newest accepted vote, which may not be on disk yet.
     pub fn accepted(&self) -> Option<&SharedVote> {
         self.record.accepted.as_ref()
     }
@@ -85,7 +89,7 @@
         self.stored_vote.as_ref()
     }
 
-    /// Promises to accept nothing below `number`, unless more was promised already.
+    /// Promises to accept no proposal below `number`, or rejects `number` if a higher number was promised.
     pub fn on_prepare(
         &mut self,
         from: &Member,
@@ -117,10 +121,10 @@
         }
         let vote_id = vote.id();
         let accepted = self.accepted().map(|vote| vote.id());
-        let is_outrun = vote.number < self.record.promised;
-        // An older slot is decided, whatever this proposer assumes.
+        let is_below_promise = vote.number < self.record.promised;
+        // A vote for a later slot is only proposed once all earlier slots are decided.
         let is_older_slot = accepted.is_some_and(|accepted| accepted.slot > vote_id.slot);
-        if (is_outrun && !settings.defects.accept_below_promise) || is_older_slot {
+        if (is_below_promise && !settings.defects.accept_below_promise) || is_older_slot {
             return self.reject(from, vote.number, RejectReason::Superseded);
         }
         if accepted != Some(vote_id) {
@@ -129,11 +133,11 @@
         self.reply_once_stored(from, Message::Accepted { vote_id });
     }
 
-    /// Takes over a chosen vote, given without a previous group. No promise stands against it, since every proposal with
-    /// a higher number finds it.
+    /// Stores a chosen vote, which the caller passes without its previous group. A promise of a higher number doesn't
+    /// prevent this, because every proposal with a higher number adopts the chosen vote.
     pub fn learn(&mut self, vote: &SharedVote) {
         let is_newer = self.accepted().is_none_or(|accepted| {
-            // Once a vote is known to be chosen, the record needs the previous group no more.
+            // Once a vote is known to be chosen, the record no longer needs the previous group.
             let drops_previous_members =
                 accepted.id() == vote.id() && accepted.previous_members.is_some();
             vote.id() > accepted.id() || drops_previous_members
@@ -149,7 +153,7 @@
         self.version += 1;
     }
 
-    /// Reports what is on disk. Nothing is promised, so that no store need be waited for.
+    /// Reports the newest vote on disk. The report promises nothing and therefore waits for no store.
     pub fn on_query(&mut self, from: &Member, nonce: u64, known: Option<VoteId>) {
         let report = Message::Report {
             nonce,
@@ -169,13 +173,13 @@
         self.reply_now(to, reject);
     }
 
-    /// Sends a reply that needs no store.
+    /// Queues a reply that waits for no store.
     fn reply_now(&mut self, to: &Member, message: Message) {
         self.push_reply(to, message, 0);
     }
 
-    /// Sends a reply once the record as it is now is on disk. A repeat of a reply that waits already is dropped, and so
-    /// is one beyond the limit.
+    /// Queues a reply that is sent once the current version of the record is on disk. A duplicate of a pending reply is
+    /// dropped, and so is every reply beyond `MAX_PENDING_REPLIES`.
     fn reply_once_stored(&mut self, to: &Member, message: Message) {
         let is_repeat = self
             .pending_replies
@@ -194,7 +198,7 @@
         self.pending_replies.push(PendingReply { version, reply });
     }
 
-    /// The replies that may be sent now.
+    /// Removes and returns the replies whose version of the record is on disk.
     pub fn take_replies(&mut self, settings: &Settings) -> Vec<Outgoing> {
         let stored_version = self.stored_version;
         let is_stored = |pending: &mut PendingReply| {
@@ -206,7 +210,7 @@
             .collect()
     }
 
-    /// The store that the pending replies need, if none is in flight.
+    /// Starts a store if the record in memory has changed, no store is in flight and no retry delay is running.
     pub fn next_store(&mut self, now: Nanos, settings: &Settings) -> Option<StoreRequest> {
         let may_start = self.retry_at.is_none_or(|retry_at| retry_at <= now);
         if self.version == self.stored_version || self.store_in_flight.is_some() || !may_start {
@@ -238,7 +242,7 @@
         .encode()
     }
 
-    /// The store `token` ended. A failed one may have written anything; it is repeated after a backoff.
+    /// Handles the end of the store `token`. A failed store may have written any bytes; it is retried after a backoff.
     pub fn on_store_ended(&mut self, token: u64, ok: bool, now: Nanos, settings: &Settings) {
         let Some(store) = self.store_in_flight.take_if(|store| store.token == token) else {
             return;
@@ -255,8 +259,8 @@
         self.reject_pending_acknowledgements();
     }
 
-    /// Replaces the acknowledgements that wait for a failed store by rejections. The record in memory stays ahead of
-    /// the disk, which harms nobody, as nobody relies on it.
+    /// Replaces the acknowledgements that wait for a failed store by rejections. The record in memory stays newer than
+    /// the record on disk, which is safe because no other node relies on the difference.
     fn reject_pending_acknowledgements(&mut self) {
         for pending in std::mem::take(&mut self.pending_replies) {
             let to = &pending.reply.to;
@@ -270,14 +274,14 @@
         }
     }
 
-    /// When a failed store is to be repeated.
+    /// When a failed store is to be retried.
     pub fn next_wake(&self) -> Option<Nanos> {
         self.retry_at
             .filter(|_| self.version > self.stored_version && self.store_in_flight.is_none())
     }
 }
 
-/// The vote, if it is above the one that the receiver knows.
+/// The vote, if it is newer than `known`, the newest vote that the receiver has.
 fn newer_than(vote: Option<&SharedVote>, known: Option<VoteId>) -> Option<SharedVote> {
     vote.filter(|vote| known.is_none_or(|known| vote.id() > known))
         .cloned()
--- a/crates/sparrouter-consensus/src/anti_entropy.rs
+++ b/crates/sparrouter-consensus/src/anti_entropy.rs
@@ -1,30 +1,30 @@
-//! Anti-entropy: when this node compares what it has with another one, and with which.
+//! Anti-entropy: when and with which peer this node compares its progress.
 //!
-//! It guards against lost messages: a member that missed a chosen state, or that doesn't know whether its newest vote is
-//! chosen, finds out without any call.
+//! Anti-entropy repairs the effect of lost messages: a member that missed a chosen state, or that doesn't know whether
+//! its newest vote is chosen, finds out without waiting for a call.
 use crate::settings::Settings;
 use crate::time::Nanos;
 use crate::vote::Member;
 use fastrand::Rng;
 
-/// Of this many anti-entropy messages one goes to a node that may be outside of the group.
+/// One in this many anti-entropy messages goes to a node that may be outside the group.
 const OUTSIDE_PEER_INTERVAL: usize = 4;
 
 /// Timers and peers of anti-entropy.
 #[derive(Clone, Debug)]
 pub(crate) struct AntiEntropy {
-    /// When the next peer is asked.
+    /// When this node next compares its progress with a peer.
     next_comparison: Nanos,
-    /// Some live node, in the group or not, by the last observation of the nodes.
+    /// A random node that was live at the last observation, in the group or not.
     outside_peer: Option<Member>,
-    /// When to find out whether the newest vote is chosen; `None` while nothing made that necessary.
+    /// When to find out whether the newest vote is chosen; `None` if no confirmation is scheduled.
     next_confirmation: Option<Nanos>,
-    /// The slot that this node, outside the group, last reported to the members to be on its disk.
+    /// The slot on disk that this node, while outside the group, last announced to the members.
     announced_slot: Option<u64>,
 }
 
 impl AntiEntropy {
-    /// Starts with a first comparison within one interval from now.
+    /// Schedules the first comparison within one interval from now.
     pub fn new(rng: &mut Rng, settings: &Settings, now: Nanos) -> AntiEntropy {
         AntiEntropy {
             next_comparison: now + rng.u64(0..=settings.anti_entropy_interval),
@@ -40,13 +40,14 @@
             .map_or(self.next_comparison, |time| time.min(self.next_comparison))
     }
 
-    /// Chooses one of the live nodes to ask now and then, in case the group was replaced altogether.
+    /// Chooses one of the live nodes as the outside peer, which is asked in case all members of the known group were
+    /// replaced.
     pub fn choose_outside_peer(&mut self, live: &[&Member], rng: &mut Rng) {
         let index = rng.usize(..live.len().max(1));
         self.outside_peer = live.get(index).map(|member| (*member).clone());
     }
 
-    /// Whether a peer is to be asked now, which sets the time of the next comparison.
+    /// Whether a comparison is due now. If so, schedules the next comparison.
     pub fn start_comparison(&mut self, rng: &mut Rng, settings: &Settings, now: Nanos) -> bool {
         if self.next_comparison > now {
             return false;
@@ -55,8 +56,8 @@
         true
     }
 
-    /// The peer to ask: mostly a member, at times the outside peer. A group that was replaced altogether has nobody left
-    /// to say so.
+    /// The peer of the next comparison: a member, or in one of `OUTSIDE_PEER_INTERVAL` cases the outside peer. If all
+    /// members of the known group were replaced, only an outside peer can report the new group.
     pub fn choose_peer<'a>(
         &'a self,
         other_members: &[&'a Member],
@@ -72,27 +73,28 @@
         other_members.get(index).copied()
     }
 
-    /// The newest vote may be chosen without this node's knowledge: it is confirmed after about one interval.
+    /// Schedules a confirmation after about one interval, because the newest vote may be chosen without this node's
+    /// knowledge.
     pub fn schedule_confirmation(&mut self, rng: &mut Rng, settings: &Settings, now: Nanos) {
         if self.next_confirmation.is_none() {
             self.next_confirmation = Some(now + jittered(settings.anti_entropy_interval, rng));
         }
     }
 
-    /// Whether the newest vote is to be confirmed now.
+    /// Whether a confirmation of the newest vote is due now. If so, it is no longer scheduled.
     pub fn start_confirmation(&mut self, now: Nanos) -> bool {
         self.next_confirmation
             .take_if(|time| *time <= now)
             .is_some()
     }
 
-    /// Whether this slot has not been announced last.
+    /// Whether `slot` differs from the last announced slot. Records `slot` as announced.
     pub fn should_announce(&mut self, slot: u64) -> bool {
         self.announced_slot.replace(slot) != Some(slot)
     }
 }
 
-/// Half of a span to one and a half of it, so that nodes don't fall into step.
+/// A random span between 0.5 and 1.5 times `span`, so that the timers of several nodes don't synchronize.
 fn jittered(span: Nanos, rng: &mut Rng) -> Nanos {
     span / 2 + rng.u64(0..=span)
 }
--- a/crates/sparrouter-consensus/src/body.rs
+++ b/crates/sparrouter-consensus/src/body.rs
@@ -1,19 +1,20 @@
-//! Names of large bodies by content, and the chunks in which they travel.
+//! Content-addressed references to large bodies, and the chunks in which bodies are transferred.
 use crate::codec::{read_bytes, write_bytes};
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use sha2::{Digest, Sha256};
 
-/// Names a body by its content. Invariant: two bodies with one reference are equal, but for a collision of SHA-256.
+/// Identifies a body by its content. Invariant: two bodies with equal references are equal, barring a SHA-256
+/// collision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub struct BodyReference {
-    /// Length in bytes.
+    /// Length of the body in bytes.
     pub length: u32,
-    /// SHA-256 of the body.
+    /// SHA-256 digest of the body.
     pub digest: [u8; 32],
 }
 
 impl BodyReference {
-    /// The reference of these bytes.
+    /// The reference to the body with these bytes.
     pub fn of(body: &[u8]) -> BodyReference {
         BodyReference {
             length: body.len() as u32,
@@ -22,7 +23,7 @@
     }
 }
 
-/// Consecutive bytes of a body, encoded as one block.
+/// Consecutive bytes of a body, encoded as a length and the bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk(pub Vec<u8>);
 
--- a/crates/sparrouter-consensus/src/body_cache.rs
+++ b/crates/sparrouter-consensus/src/body_cache.rs
@@ -1,12 +1,13 @@
-//! The bodies that a register has at hand: for others to fetch, and to complete outlines.
+//! LRU cache of bodies: other members fetch bodies from it, and this node completes outlines from it.
 use crate::body::BodyReference;
 use crate::vote::SharedVote;
 use std::sync::Arc;
 
-/// Bodies in the cache: one that is being fetched stays although a few newer ones came.
+/// Maximum number of cached bodies. More than one, so that a body that a peer is fetching stays cached while newer
+/// bodies are added.
 const MAX_BODIES: usize = 4;
 
-/// Shared with the vote or the fetch that the body came from: neither is copied.
+/// The bytes of a cached body, shared with the vote or the fetch that they came from, so that they are not copied.
 #[derive(Clone, Debug)]
 pub(crate) enum CachedBytes {
     Vote(SharedVote),
@@ -29,15 +30,15 @@
     bytes: CachedBytes,
 }
 
-/// The bodies used last.
+/// The most recently used bodies.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BodyCache {
-    /// In order of their last use; at most `MAX_BODIES`, each reference once.
+    /// Cached bodies, least recently used first; at most `MAX_BODIES`, each reference once.
     entries: Vec<CachedBody>,
 }
 
 impl BodyCache {
-    /// Adds a body, or marks it as used.
+    /// Adds a body, or marks a cached body as most recently used.
     pub fn insert(&mut self, body: BodyReference, bytes: CachedBytes) {
         self.entries.retain(|entry| entry.body != body);
         self.entries.push(CachedBody { body, bytes });
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Adds a vote's body; its reference. The digest of a vote that is here already is not computed again.
+    /// Adds a vote's body and returns its reference. The digest of a vote that is already cached is not computed again.
     pub fn insert_vote(&mut self, vote: &SharedVote) -> BodyReference {
         let cached = self.entries.iter().find(|entry| match &entry.bytes {
             CachedBytes::Vote(cached) => Arc::ptr_eq(&cached.0, &vote.0),
@@ -60,14 +61,14 @@
         body
     }
 
-    /// A body, which counts as used.
+    /// Looks up a body and marks it as most recently used.
     pub fn get(&mut self, body: BodyReference) -> Option<CachedBytes> {
         let bytes = self.peek(body)?.clone();
         self.insert(body, bytes.clone());
         Some(bytes)
     }
 
-    /// A body, without a mark that it was used.
+    /// Looks up a body without marking it as used.
     pub fn peek(&self, body: BodyReference) -> Option<&CachedBytes> {
         self.entries
             .iter()
--- a/crates/sparrouter-consensus/src/candidate.rs
+++ b/crates/sparrouter-consensus/src/candidate.rs
@@ -1,37 +1,38 @@
-//! Nodes outside a group that may join it: which of them have the group's state on their own disk.
+//! Candidates: nodes outside a group that may join it, and which of them have the group's state on disk.
 //!
-//! A candidate is sent `Progress` and answers `Stored` once its disk has what it was asked for. Only that answer makes
-//! it eligible: an entry in a membership table says nothing about its disk.
+//! A member sends `Progress` to a candidate, which answers `Stored` once its disk has the state. Only that answer makes
+//! the candidate eligible: an entry in a membership table says nothing about the node's disk.
 use crate::time::Nanos;
 use crate::vote::{Member, contains_disk};
 use std::collections::BTreeMap;
 
-/// Candidates that are asked at one time.
+/// Maximum number of candidates that are asked at the same time.
 const MAX_CANDIDATES: usize = 3;
 
-/// A confirmation is asked for again once it is older than this fraction (one third) of its validity.
+/// A confirmation is refreshed once its age exceeds its validity divided by this number (one third).
 const REFRESHES_PER_VALIDITY: Nanos = 3;
 
 #[derive(Clone, Debug)]
 struct Confirmation {
-    /// The slot that the candidate's disk must have. While no answer came it stays the same, or a group that changes
-    /// often would never get one.
+    /// The slot that the candidate's disk must have. It stays fixed until the candidate confirms it; if it followed
+    /// every change, a candidate of a group that changes often could never confirm it.
     required_slot: u64,
-    /// When the candidate last answered that its disk has that slot.
+    /// When the candidate last confirmed that its disk has `required_slot`; `None` if it never did.
     confirmed_at: Option<Nanos>,
 }
 
-/// What is known of the candidates' disks.
+/// The confirmations of the candidates of one group.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Candidates {
-    /// By disk id; at most `MAX_CANDIDATES`, all of them candidates at the last call of `choose_questions`.
+    /// Confirmations by disk id: at most `MAX_CANDIDATES`, all of them candidates at the last call of
+    /// `choose_candidates_to_ask`.
     confirmations: BTreeMap<u64, Confirmation>,
 }
 
 impl Candidates {
-    /// Chooses whom to ask now whether its disk has slot `chosen_slot`, and forgets all who are no candidates any more.
-    /// An answer is valid for `valid_for`.
-    pub fn choose_questions(
+    /// Chooses the candidates to ask now whether their disks have slot `chosen_slot`, and removes the confirmations of
+    /// nodes that are no longer candidates. A confirmation is valid for `valid_for`.
+    pub fn choose_candidates_to_ask(
         &mut self,
         candidates: &[Member],
         chosen_slot: u64,
@@ -41,7 +42,7 @@
         let candidates = &candidates[..candidates.len().min(MAX_CANDIDATES)];
         self.confirmations
             .retain(|&disk_id, _| contains_disk(candidates, disk_id));
-        let mut questions = Vec::new();
+        let mut candidates_to_ask = Vec::new();
         for candidate in candidates {
             let confirmation =
                 self.confirmations
@@ -57,12 +58,12 @@
                 }
                 confirmation.required_slot = chosen_slot;
             }
-            questions.push(candidate.clone());
+            candidates_to_ask.push(candidate.clone());
         }
-        questions
+        candidates_to_ask
     }
 
-    /// A node reported that its disk has the chosen slots up to `stored_slot`.
+    /// Records a node's report that `stored_slot` is the newest chosen slot on its disk.
     pub fn on_stored(&mut self, disk_id: u64, stored_slot: u64, now: Nanos) {
         if let Some(confirmation) = self.confirmations.get_mut(&disk_id)
             && stored_slot >= confirmation.required_slot
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Whether the disk was confirmed within `valid_for` to have the slot that was asked for.
+    /// Whether the candidate with this disk confirmed its required slot less than `valid_for` ago.
     pub fn is_confirmed(&self, disk_id: u64, valid_for: Nanos, now: Nanos) -> bool {
         self.confirmations
             .get(&disk_id)
--- a/crates/sparrouter-consensus/src/codec.rs
+++ b/crates/sparrouter-consensus/src/codec.rs
@@ -1,19 +1,21 @@
-//! Binary encoding of records and messages; no input makes the decoder panic, loop or allocate beyond its own length.
+//! Binary encoding of records and messages. No input makes the decoder panic, loop for ever, or allocate more than the
+//! length of the input.
 //!
-//! `nanoserde` allocates whatever length the input states, so lists and strings are read here; the rest is derived.
+//! Lists and strings are decoded here, because `nanoserde` allocates the length that the input states without checking
+//! it; the rest is derived.
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-/// First byte of every encoded value; a decoder refuses any other.
+/// The first byte of every encoded value. The decoder rejects any other first byte.
 pub const FORMAT: u8 = 1;
-/// Longest name or address, in bytes.
+/// Maximum length of a name or an address, in bytes.
 pub const MAX_TEXT_BYTES: usize = 256;
 
-/// Why bytes could not be decoded.
+/// The reason why decoding failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
     /// The input is longer than the caller allows.
     #[error(
-        "{length} bytes where at most {max} are taken: raise the limit at the receiver or send less"
+        "the input has {length} bytes, at most {max} are allowed: raise the limit at the receiver or send less"
     )]
     TooLong {
         /// Length of the input in bytes.
@@ -22,32 +24,34 @@
         max: usize,
     },
     /// The input was written in another format.
-    #[error("format {found}, this release reads {FORMAT}: bring both ends to one release")]
+    #[error(
+        "the input has format {found}, this release reads format {FORMAT}: bring both ends to one release"
+    )]
     Format {
         /// The format byte of the input.
         found: u8,
     },
-    /// The input has the right format byte and is no value of the expected type, or has bytes left over.
+    /// The input has the right format byte but is not a value of the expected type, or has trailing bytes.
     #[error(
-        "bytes that are no record or message of this format, at {offset}: drop them and look at their sender"
+        "the input is not a valid record or message of this format, at byte {offset}: drop it and check its sender"
     )]
     Malformed {
-        /// Where decoding stopped, in bytes from the start.
+        /// Offset at which decoding stopped, in bytes from the start of the input.
         offset: usize,
     },
 }
 
-/// Encodes a value, format byte first.
+/// Encodes a value, preceded by the format byte.
 pub fn encode<T: SerBin>(value: &T) -> Vec<u8> {
     let mut bytes = vec![FORMAT];
     value.ser_bin(&mut bytes);
     bytes
 }
 
-/// Decodes a value that takes up all of `bytes`, of which there may be `max_bytes`, format byte included.
+/// Decodes a value that takes up all of `bytes`, whose length is at most `max_bytes` including the format byte.
 ///
 /// # Errors
-/// The input is too long, of another format, or no value of this type.
+/// The input is too long, has another format, or is not a value of this type.
 pub fn decode<T: DeBin>(bytes: &[u8], max_bytes: usize) -> Result<T, CodecError> {
     if bytes.len() > max_bytes {
         return Err(CodecError::TooLong {
@@ -111,7 +115,7 @@
     if length > max_items {
         return Err(DeBinErr::new(start, length, max_items));
     }
-    // The list grows with what is really there: a stated length alone reserves nothing.
+    // Nothing is reserved for the stated length: the list grows as its items are decoded.
     let mut list = Vec::new();
     for _ in 0..length {
         list.push(T::de_bin(offset, input)?);
--- a/crates/sparrouter-consensus/src/evaluation.rs
+++ b/crates/sparrouter-consensus/src/evaluation.rs
@@ -1,8 +1,8 @@
-//! Evaluation of the waiting operations on a chosen state: first what became of those that were proposed before, then
-//! the next proposal.
+//! Evaluation of the pending operations on a chosen state: first the results of earlier proposals, then the next
+//! proposal.
 //!
-//! Invariant: an operation takes effect at most once. It is evaluated again only after each slot that it was proposed
-//! for went to another proposal, which a chosen state shows by `State::recent_proposals`.
+//! Invariant: an operation takes effect at most once. It is evaluated again only after another proposal was chosen for
+//! each slot that it was proposed for, which `State::recent_proposals` of a chosen state shows.
 use crate::machine::{Applied, Machine};
 use crate::operation::{Operation, OperationKind, Outcome, Rejection, Sequence};
 use crate::settings::Settings;
@@ -10,28 +10,28 @@
     MAX_MEMBERS, MAX_RECENT_PROPOSALS, Member, ProposalNumber, State, Vote, contains_disk,
 };
 
-/// Proposals of one operation that may be open at once; beyond them its outcome is unknown.
+/// Maximum number of unresolved proposals of one operation; at the limit its outcome is unknown.
 const MAX_SENT_PROPOSALS: usize = 16;
 
-/// What a chosen state says about an operation that may have been proposed before.
+/// The result of an operation's earlier proposals, as a chosen state shows it.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Resolution {
-    /// It is in no chosen state up to this one: it may be evaluated on it.
+    /// The operation is not part of any chosen state up to this one, so that it may be evaluated on this state.
     Pending,
-    /// One of its proposals was chosen; its answer.
+    /// One of the operation's proposals was chosen. Contains the operation's answer.
     Chosen(Vec<u8>),
-    /// One of its slots is too far back to see who won it.
+    /// `recent_proposals` doesn't reach back to one of the slots that the operation was proposed for.
     Unknown,
 }
 
-/// Resolves an operation and forgets its proposals that lost their slots. One whose slot is open stays: some acceptor
-/// may have it.
+/// Resolves an operation and removes its proposals that lost their slots. Proposals for undecided slots are kept,
+/// because an acceptor may have accepted them.
 pub(crate) fn resolve(
     operation: &mut Operation,
     chosen: &State,
     settings: &Settings,
 ) -> Resolution {
-    if settings.defects.forget_sent {
+    if settings.defects.forget_sent_proposals {
         operation.sent.clear();
     }
     let winner = operation
@@ -58,23 +58,23 @@
     }
 }
 
-/// An operation with the outcome that it has once the batch is confirmed.
+/// An evaluated operation with its outcome, which is valid once the batch is confirmed.
 #[derive(Clone, Debug)]
 pub(crate) struct Evaluated {
     pub sequence: Sequence,
     pub outcome: Outcome,
-    /// Whether the proposal carries the operation's effect; otherwise its answer describes the state before.
+    /// Whether the proposal contains the operation's effect. If not, the operation changes nothing.
     pub is_proposed: bool,
 }
 
-/// The first waiting operations, and the vote that they make if there is anything to propose.
+/// The evaluated operations at the head of the queue, and the vote to propose; `None` if there is nothing to propose.
 #[derive(Debug)]
 pub(crate) struct Batch {
     pub evaluated: Vec<Evaluated>,
     pub vote: Option<Vote>,
 }
 
-/// Evaluates operations in their order on a chosen vote. `number` and `proposal_id` are those of the proposal.
+/// Evaluates operations in order on a chosen vote. `number` and `proposal_id` identify the resulting proposal.
 pub(crate) fn evaluate<M: Machine>(
     machine: &M,
     operations: &[Operation],
@@ -102,8 +102,8 @@
             break;
         }
     }
-    // A caller may be refused here although an open proposal still carries its operation: nothing may be answered
-    // before that slot has gone to another proposal, be it one that changes nothing.
+    // An operation may be rejected here although one of its earlier proposals is unresolved and may still be chosen.
+    // Callers are answered only once another proposal is chosen for that slot, if need be one that changes nothing.
     let has_open_proposal = operations
         .iter()
         .take(evaluated.len())
@@ -112,7 +112,7 @@
     Batch { evaluated, vote }
 }
 
-/// What an operation comes to when it is added to a draft.
+/// The result of adding an operation to a draft.
 struct Addition {
     outcome: Outcome,
     changes_state: bool,
@@ -127,10 +127,10 @@
     }
 }
 
-/// The next state while operations are added to it.
+/// The draft of the next state, to which operations are added.
 ///
-/// Invariant: `body` and `members` are never both set. A change of the group is proposed alone, so that the two groups
-/// of a slot differ by that change only.
+/// Invariant: `body` and `members` are never both set. A change of the group is proposed alone, so that the old and the
+/// new group of a slot differ by that change only.
 struct Draft<'a> {
     chosen: &'a State,
     body: Option<Vec<u8>>,
@@ -138,7 +138,7 @@
 }
 
 impl Draft<'_> {
-    /// Adds an operation. `None` if it has to wait for the next slot.
+    /// Adds an operation. Returns `None` if the operation has to wait for the next slot.
     fn add<M: Machine>(
         &mut self,
         machine: &M,
@@ -222,7 +222,7 @@
     }
 }
 
-/// Whether two groups differ by one member added, removed or replaced.
+/// Whether the new group differs from the old one by exactly one member added, removed or replaced.
 fn is_single_member_change(old: &[Member], new: &[Member]) -> bool {
     let removed = count_missing(old, new);
     let added = count_missing(new, old);
@@ -233,7 +233,7 @@
         && has_distinct_disks(new)
 }
 
-/// How many members of one group are not in the other.
+/// Number of members of `group` that are not in `other`.
 fn count_missing(group: &[Member], other: &[Member]) -> usize {
     group
         .iter()
--- a/crates/sparrouter-consensus/src/fetch.rs
+++ b/crates/sparrouter-consensus/src/fetch.rs
@@ -1,4 +1,4 @@
-//! The fetch of one body, chunk by chunk, from the members that offered it.
+//! The fetch of one body in chunks from the members that offered it.
 use crate::body::BodyReference;
 use crate::message::{Message, Outgoing};
 use crate::settings::Settings;
@@ -6,32 +6,33 @@
 use crate::vote::{Member, contains_disk};
 use std::collections::BTreeMap;
 
-/// Chunks of one fetch that may be in flight: at 10 Mbit/s and a round trip of 20 ms two chunks of 32 KiB fill the
-/// link, and a small message waits behind no more than these.
-const WINDOW: usize = 2;
-/// Time-outs in a row until a fetch is paused.
+/// Maximum number of chunks of one fetch in flight. Two chunks of 32 KiB fill a link of 10 Mbit/s with a round trip of
+/// 20 ms, and a small message waits behind at most these chunks.
+const MAX_CHUNKS_IN_FLIGHT: usize = 2;
+/// Number of consecutive time-outs after which a fetch is paused.
 const MAX_TIMEOUTS: u32 = 5;
 
-/// A fetch in progress, late or paused.
+/// A fetch of one body, which is active, delayed or paused.
 #[derive(Clone, Debug)]
 pub(crate) struct Fetch {
     pub body: BodyReference,
-    /// Members that offered the body, each once; not empty.
+    /// The members that offered the body, each once; not empty.
     pub sources: Vec<Member>,
-    /// Index of the source that was asked last after a time-out.
+    /// Index in `sources` of the member that was asked after the last time-out.
     current_source: usize,
-    /// By offset. Each is one of the chunks that the body is cut into, so that together they never exceed its length.
+    /// The received chunks by offset. Only valid chunks of the body are added, so that their total length never exceeds
+    /// the body's length.
     chunks: BTreeMap<u32, Vec<u8>>,
-    /// Offset of the first chunk that was not requested since the last resumption.
+    /// Offset of the first chunk that was not requested since the fetch was last resumed.
     next_offset: u32,
-    /// Time-outs since the last chunk.
+    /// Number of time-outs since the last received chunk.
     timeouts: u32,
-    /// When the missing chunks are requested again; `None` while paused.
+    /// When the missing chunks are requested again; `None` if the fetch is paused.
     pub retry_at: Option<Nanos>,
 }
 
 impl Fetch {
-    /// A fetch that has requested nothing yet.
+    /// Creates a fetch that has not requested any chunk yet.
     pub fn new(body: BodyReference, source: Member) -> Fetch {
         Fetch {
             body,
@@ -44,27 +45,27 @@
         }
     }
 
-    /// A member offers the body.
+    /// Adds a member that offers the body.
     pub fn add_source(&mut self, member: Member) {
         if !contains_disk(&self.sources, member.disk_id) {
             self.sources.push(member);
         }
     }
 
-    /// Adds the members that offered the body before it was fetched.
+    /// Adds the members that offered the body before the fetch began.
     pub fn add_earlier_offers(&mut self, offers: impl Iterator<Item = Member>) {
         for member in offers {
             self.add_source(member);
         }
     }
 
-    /// Whether chunks may be in flight. Once they were late, whoever offers a body anew is there for certain, and is
-    /// asked at once.
+    /// Whether chunks may be in flight, which is not the case after a time-out: a member that then offers a body is
+    /// known to be reachable and is asked at once.
     pub fn is_active(&self) -> bool {
         self.retry_at.is_some() && self.timeouts == 0
     }
 
-    /// Whether these bytes are one of the chunks that the body is cut into.
+    /// Whether a chunk of this length at this offset is one of the chunks that the body is split into.
     pub fn is_chunk(&self, offset: u32, length: usize, settings: &Settings) -> bool {
         let offset = offset as usize;
         let remaining = (self.body.length as usize).saturating_sub(offset);
@@ -73,19 +74,19 @@
             && length == remaining.min(settings.chunk_bytes)
     }
 
-    /// Adds a chunk; whether it was missing.
+    /// Adds a chunk. Returns whether the chunk was missing.
     pub fn add_chunk(&mut self, offset: u32, bytes: Vec<u8>) -> bool {
         self.timeouts = 0;
         self.chunks.insert(offset, bytes).is_none()
     }
 
-    /// Whether all chunks are here.
+    /// Whether all chunks have arrived.
     pub fn is_complete(&self) -> bool {
         let received: usize = self.chunks.values().map(Vec::len).sum();
         received >= self.body.length as usize
     }
 
-    /// The body, once all chunks are here.
+    /// The body, assembled from its chunks; call this once the fetch is complete.
     pub fn into_bytes(self) -> Vec<u8> {
         self.chunks.into_values().flatten().collect()
     }
@@ -93,7 +94,7 @@
     /// Requests the first missing chunks.
     pub fn resume(&mut self, source: &Member, settings: &Settings, now: Nanos) -> Vec<Outgoing> {
         self.next_offset = 0;
-        self.request_chunks(source, WINDOW, settings, now)
+        self.request_chunks(source, MAX_CHUNKS_IN_FLIGHT, settings, now)
     }
 
     /// Requests the next missing chunk.
@@ -133,7 +134,8 @@
         sends
     }
 
-    /// No chunk came in time: asks the next source, or pauses and returns `None` after too many time-outs in a row.
+    /// Handles a time-out: requests the missing chunks from the next source, or after `MAX_TIMEOUTS` consecutive
+    /// time-outs pauses the fetch and returns `None`.
     pub fn on_timeout(&mut self, settings: &Settings, now: Nanos) -> Option<Vec<Outgoing>> {
         self.timeouts += 1;
         if settings.defects.fetch_from_start {
--- a/crates/sparrouter-consensus/src/handover.rs
+++ b/crates/sparrouter-consensus/src/handover.rs
@@ -1,39 +1,41 @@
-//! A member that leaves: whether the others have on disk what it has, and can act without it.
+//! Hand-over at a graceful shutdown: whether the other members have this node's state on disk and form a quorum without
+//! this node.
 //!
-//! | this node | handed over once |
+//! | this node | hand-over is complete when |
 //! | --- | --- |
-//! | outside the group | a majority of the group has the slot that excluded it on disk |
-//! | a member, another node could take its place | that has happened, see above |
-//! | the only member, no node could take its place | at once: there is nobody to hand over to |
-//! | a member, no node could | without it a majority of the group reports the newest chosen state on disk |
+//! | is outside the group | a majority of the group has the slot that excluded this node on disk |
+//! | is a member, and another node can replace it | this node was replaced, and the row above applies |
+//! | is the only member, and no node can replace it | at once: there is no node to hand over to |
+//! | is a member, and no node can replace it | a majority of the group without this node has the newest chosen state on disk |
 //!
-//! The others are asked with `Query`, which promises nothing and is answered from the disk.
+//! The other members are asked with `Query`, which promises nothing and is answered from disk.
 use crate::message::Message;
 use crate::quorum::is_majority;
 use crate::time::Nanos;
 use crate::vote::{SharedVote, VoteId};
 use std::collections::BTreeMap;
 
-/// An answer is valid for this many anti-entropy intervals.
+/// How long a member's answer is valid, in anti-entropy intervals.
 pub(crate) const ANSWER_VALID_INTERVALS: Nanos = 2;
 
-/// The other members' answers about one chosen vote.
+/// A check of which other members have one chosen vote on disk.
 #[derive(Clone, Debug)]
 struct Check {
-    /// Ties the answers to this check.
+    /// Identifies the answers to this check.
     nonce: u64,
     vote: SharedVote,
-    /// When each disk last answered that it has the vote.
+    /// When each disk last confirmed that it has the vote, by disk id.
     confirmed_at: BTreeMap<u64, Nanos>,
 }
 
 impl Check {
-    /// Whether a disk that has `accepted` has the vote of this check; `newer_vote` is that vote if it is newer.
+    /// Whether a disk whose newest vote is `accepted` has the vote of this check. `newer_vote` is the disk's newest
+    /// vote if it is newer than the vote of this check.
     fn is_confirmed_by(&self, accepted: Option<VoteId>, newer_vote: Option<&SharedVote>) -> bool {
         if accepted == Some(self.vote.id()) {
             return true;
         }
-        // A later slot is proposed on top of a chosen one only; the same slot may be stored under a later number.
+        // A later slot is proposed only after this one is chosen. The same state may be stored under a higher number.
         let state = &self.vote.state;
         newer_vote.is_some_and(|newer| {
             let is_same_state = newer.state.slot == state.slot
@@ -43,18 +45,19 @@
     }
 }
 
-/// How far a leaving member has handed over.
+/// The state of the hand-over of a node that shuts down.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Handover {
-    /// The check under way, while this node leaves as a member.
+    /// The check in progress; `None` if this node is not shutting down as a member.
     check: Option<Check>,
-    /// Whether a node that may join the group was there at the last observation.
+    /// Whether a node that may replace this one was live at the last observation.
     pub has_successor: bool,
 }
 
 impl Handover {
-    /// The question to the other members whether they have this chosen vote. `nonce` names a new check.
-    pub fn question(&mut self, chosen: &SharedVote, nonce: impl FnOnce() -> u64) -> Message {
+    /// The query to the other members whether they have this chosen vote. Starts a new check, identified by a new
+    /// `nonce`, unless the check in progress is about the same vote.
+    pub fn query(&mut self, chosen: &SharedVote, nonce: impl FnOnce() -> u64) -> Message {
         let check = match self.check.take() {
             Some(check) if check.vote.id() == chosen.id() => check,
             _ => Check {
@@ -71,12 +74,12 @@
         query
     }
 
-    /// Whether a report with this nonce answers the check under way.
+    /// Whether a report with this nonce belongs to the check in progress.
     pub fn awaits(&self, nonce: u64) -> bool {
         self.check.as_ref().is_some_and(|c| c.nonce == nonce)
     }
 
-    /// A disk reported what it has.
+    /// Records a member's report of the newest vote on its disk.
     pub fn on_report(
         &mut self,
         disk_id: u64,
@@ -91,7 +94,8 @@
         }
     }
 
-    /// Whether a majority of the group without `disk_id` confirmed within `valid_for` that it has this chosen vote.
+    /// Whether a majority of the group, not counting `disk_id`, confirmed less than `valid_for` ago that it has this
+    /// chosen vote on disk.
     pub fn is_confirmed(
         &self,
         chosen: &SharedVote,
--- a/crates/sparrouter-consensus/src/learner.rs
+++ b/crates/sparrouter-consensus/src/learner.rs
@@ -1,26 +1,27 @@
-//! The learner: what is known to be chosen, and which members have it on disk.
+//! The Paxos learner: the newest vote known to be chosen, and which members have it on disk.
 use crate::message::Message;
 use crate::quorum::is_majority;
 use crate::vote::{SharedVote, VoteId, contains_disk};
 use std::collections::BTreeMap;
 
-/// What one node knows to be chosen.
+/// The newest vote that this node knows to be chosen.
 #[derive(Clone, Debug)]
 pub(crate) struct Learner {
-    /// This node's disk.
+    /// Disk id of this node.
     disk_id: u64,
-    /// The newest chosen vote, without a previous group. Its slot only rises.
+    /// The newest chosen vote, without its previous group. Its slot never decreases.
     chosen: Option<SharedVote>,
-    /// The first known slot whose group is without this node, since it last was in one.
+    /// The first known slot whose group excludes this node, counted since this node was last a member; `None` if this
+    /// node is a member.
     excluded_since: Option<u64>,
-    /// By member of the newest group: the newest chosen slot on its disk, as it reported.
+    /// The newest chosen slot on the disk of each member of the newest group, by disk id, as the members reported it.
     stored_slots: BTreeMap<u64, u64>,
-    /// Slots of which two states were called chosen: 0 while all nodes keep to the protocol.
+    /// Number of times that a second state of a slot was reported as chosen; 0 if all nodes follow the protocol.
     conflicts: u64,
 }
 
 impl Learner {
-    /// A learner that knows of no chosen vote; `disk_id` is this node's.
+    /// Creates a learner that knows no chosen vote. `disk_id` is the disk id of this node.
     pub fn new(disk_id: u64) -> Learner {
         Learner {
             disk_id,
@@ -31,7 +32,7 @@
         }
     }
 
-    /// The newest chosen vote, without a previous group.
+    /// The newest chosen vote, without its previous group.
     pub fn chosen(&self) -> Option<&SharedVote> {
         self.chosen.as_ref()
     }
@@ -41,7 +42,7 @@
         self.chosen.as_ref().map(|vote| vote.state.slot)
     }
 
-    /// Slots of which two states were called chosen.
+    /// Number of times that a second state of a slot was reported as chosen.
     pub fn conflicts(&self) -> u64 {
         self.conflicts
     }
@@ -53,8 +54,8 @@
             .is_some_and(|vote| contains_disk(&vote.state.members, disk_id))
     }
 
-    /// Learns that a vote is chosen; whether its slot is newer than all before. A slot is published once, under
-    /// whichever number came first: all votes chosen for it have one value.
+    /// Learns that a vote is chosen. Returns whether its slot is newer than all chosen slots known before. Each slot is
+    /// published once, under the first number known to be chosen, because all votes chosen for a slot have one value.
     pub fn learn(&mut self, vote: &SharedVote) -> bool {
         self.check_agreement(vote);
         if self.chosen_slot() >= Some(vote.state.slot) {
@@ -79,20 +80,21 @@
         });
         debug_assert!(
             !is_conflict,
-            "two states of slot {} are called chosen",
+            "two states of slot {} were reported as chosen",
             vote.state.slot
         );
         self.conflicts += u64::from(is_conflict);
     }
 
-    /// A node reported the newest chosen slot on its disk.
+    /// Records a node's report of the newest chosen slot on its disk.
     pub fn on_stored(&mut self, disk_id: u64, chosen_slot: u64) {
         if self.is_member(disk_id) {
             self.stored_slots.insert(disk_id, chosen_slot);
         }
     }
 
-    /// Whether this node is out of the group, and a majority of the newest group has a state without it on disk.
+    /// Whether this node is outside the newest group and a majority of that group has a state that excludes this node
+    /// on disk.
     pub fn is_exclusion_stored(&self) -> bool {
         let (Some(vote), Some(excluded_since)) = (&self.chosen, self.excluded_since) else {
             return false;
@@ -104,7 +106,7 @@
         })
     }
 
-    /// What to send to a node with this progress, if this node knows a newer chosen slot.
+    /// The message that brings a node with this progress up to date; `None` if this node knows no newer chosen slot.
     pub fn catch_up_message(
         &self,
         accepted: Option<VoteId>,
--- a/crates/sparrouter-consensus/src/lease.rs
+++ b/crates/sparrouter-consensus/src/lease.rs
@@ -1,15 +1,15 @@
-//! Leases with fencing tokens: a machine whose body hands out rising tokens, each to one holder.
+//! Leases with fencing tokens: a state machine that issues strictly increasing tokens, each to one holder.
 //!
-//! The replicated state has no clock: it carries durations, and each node counts them by its own steady clock. A holder
-//! may act until the *start* of its last successful acquire or renew plus the duration. A new holder waits
-//! `takeover_wait` from the *end* of its acquire: the last renewal that the old holder could get was chosen before that
-//! acquire, so that it started before.
+//! The replicated state contains durations but no times, and each node measures durations on its own monotonic clock. A
+//! holder may act until the *start* of its last successful acquire or renew plus the lease's duration. A new holder
+//! waits `takeover_wait` from the *end* of its acquire: the previous holder's last successful renewal was chosen, and
+//! therefore started, before that acquire.
 //!
 //! | change | by | effect |
 //! | --- | --- | --- |
-//! | acquire | anybody | token plus one; another holder's successor waits out that holder's duration |
-//! | renew | the holder under its token | none on the body: it only shows that nobody has acquired since |
-//! | release | the holder under its token | no holder; a wait that was not over passes on to the next holder |
+//! | acquire | any node | the token is incremented; a new holder waits out the previous holder's duration |
+//! | renew | the holder with its token | the body stays; the answer confirms that no other node has acquired the lease |
+//! | release | the holder with its token | the lease has no holder; the next holder takes over a wait that is not over |
 //!
 //! Sources: Gray and Cheriton, "Leases", SOSP 1989; Burrows, "The Chubby lock service", OSDI 2006 (sequencers).
 use crate::codec::{self, read_text, write_bytes};
@@ -17,56 +17,57 @@
 use crate::time::Nanos;
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-/// Longest body, change or answer, in bytes.
+/// Maximum length of a body, change or answer, in bytes.
 const MAX_BYTES: usize = 4 * codec::MAX_TEXT_BYTES;
 
-/// Who holds a lease: one start of a node. Another start of the same node is another holder.
+/// The holder of a lease: one incarnation of a node. Another incarnation of the same node is another holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseHolder {
     /// The node's name.
     pub name: String,
-    /// Random number of the node's start.
+    /// Random number drawn at the node's start.
     pub incarnation: u64,
 }
 
 /// The body of a lease's register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Lease {
-    /// The highest token that was handed out; 0 if none was. Strictly rises with each acquire, so that no two acquires
-    /// get one token.
+    /// The highest token that was issued; 0 if none was. Each acquire increments it, so that every acquire gets a
+    /// unique token.
     pub fencing_token: u64,
-    /// The holder of that token, unless it released the lease.
+    /// The holder of `fencing_token`; `None` if it released the lease or the lease was never acquired.
     pub holder: Option<LeaseHolder>,
-    /// How long the holder may act from the start of each acquire or renew; 0 without a holder.
+    /// How long the holder may act, counted from the start of each acquire or renew; 0 if there is no holder.
     pub duration: Nanos,
-    /// What the holder had to wait out before it acts, and its successor must if it releases before it has.
+    /// How long the holder waits after its acquire before it acts. The next holder waits as long if this holder
+    /// releases the lease before the wait is over.
     pub takeover_wait: Nanos,
 }
 
 /// A change of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum LeaseChange {
-    /// Takes the lease, from whoever has it.
+    /// Acquires the lease, also if another node holds it.
     Acquire {
-        /// Who takes it.
+        /// The new holder.
         holder: LeaseHolder,
-        /// How long it may act from the start of each acquire or renew.
+        /// How long the new holder may act, counted from the start of each acquire or renew.
         duration: Nanos,
     },
-    /// Asks whether the lease is still held under this token.
+    /// Renews the lease if the caller still holds it under this token.
     Renew {
-        /// Who asks.
+        /// The caller.
         holder: LeaseHolder,
-        /// Its token.
+        /// The caller's token.
         fencing_token: u64,
     },
-    /// Gives the lease back.
+    /// Releases the lease if the caller still holds it under this token.
     Release {
-        /// Who gives it back.
+        /// The caller.
         holder: LeaseHolder,
-        /// Its token.
+        /// The caller's token.
         fencing_token: u64,
-        /// Whether the holder's own wait was over, so that no earlier holder can act any more.
+        /// Whether the caller's `takeover_wait` was over, so that no earlier holder can act any more.
         waited: bool,
     },
 }
@@ -74,20 +75,21 @@
 /// Answer to a `LeaseChange`.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum LeaseAnswer {
-    /// The caller has the lease: it waits `takeover_wait` from now, then acts under the token.
+    /// The caller holds the lease. It waits `takeover_wait` from the receipt of this answer and then acts under the
+    /// token.
     Acquired {
-        /// Its token, above all tokens before.
+        /// The caller's token, higher than all earlier tokens.
         fencing_token: u64,
-        /// Until no earlier holder can act any more.
+        /// How long the caller waits, so that no earlier holder can act any more.
         takeover_wait: Nanos,
     },
-    /// The caller still had the lease when the renewal was evaluated.
+    /// The caller still held the lease when the renewal was evaluated.
     Renewed,
-    /// The caller's lease is free.
+    /// The caller released the lease.
     Released,
-    /// The caller does not hold the lease under that token.
+    /// The caller doesn't hold the lease under its token, or an acquire found that no token is left.
     Rejected {
-        /// The highest token that was handed out.
+        /// The highest token that was issued.
         fencing_token: u64,
     },
     /// The change or the body could not be decoded.
@@ -95,7 +97,7 @@
 }
 
 impl Lease {
-    /// Reads a body; the empty one is a lease that nobody ever had. `None` if it is malformed.
+    /// Decodes a body. An empty body is a lease that was never acquired. `None` if the body is malformed.
     pub fn decode(body: &[u8]) -> Option<Lease> {
         if body.is_empty() {
             Some(Lease::default())
@@ -108,10 +110,10 @@
         self.holder.as_ref() == Some(holder) && self.fencing_token == fencing_token
     }
 
-    /// The lease after an acquire; `None` if there are no more tokens.
+    /// The lease after an acquire; `None` if no token is left.
     fn acquired_by(&self, holder: LeaseHolder, duration: Nanos) -> Option<Lease> {
         let fencing_token = self.fencing_token.checked_add(1)?;
-        // A holder that acquires again waits for nobody but those that it had to wait for itself.
+        // The current holder doesn't wait for itself when it acquires again, only for the holders before it.
         let is_free_or_own = self
             .holder
             .as_ref()
@@ -129,7 +131,7 @@
         })
     }
 
-    /// The lease after its release.
+    /// The lease after a release.
     fn released(&self, waited: bool) -> Lease {
         Lease {
             fencing_token: self.fencing_token,
@@ -146,20 +148,20 @@
 }
 
 impl LeaseChange {
-    /// The change for `Register::propose`.
+    /// Encodes the change for `Register::propose`.
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 }
 
 impl LeaseAnswer {
-    /// Reads an answer; `None` if it is malformed.
+    /// Decodes an answer; `None` if it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<LeaseAnswer> {
         codec::decode(bytes, MAX_BYTES).ok()
     }
 }
 
-/// The machine of a lease's register; the first body is empty.
+/// The state machine of a register that holds one lease. The initial body is empty.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Leases;
 
--- a/crates/sparrouter-consensus/src/lib.rs
+++ b/crates/sparrouter-consensus/src/lib.rs
@@ -1,67 +1,73 @@
 //! Control state in shards. Each shard is a *register*: one value with its own replica group, changed by
 //! compare-and-set under quorum.
 //!
-//! There is no log and no standing leader. The value of a *slot* (`State`) replaces the one before it, and the group
-//! that a chosen state names governs the next slot. Whoever has a change proposes it; proposers that compete for a slot
-//! are ordered by their proposal numbers. It is single-decree Paxos, slot after slot.
+//! There is no log and no stable leader. The value of a *slot* (`State`) replaces the value of the slot before it, and
+//! the group that a chosen state names governs the next slot. Any node with a pending change may propose it; proposers
+//! that compete for a slot are ordered by their proposal numbers. The protocol is single-decree Paxos, one instance per
+//! slot.
 //!
-//! # What is stored, and when
+//! # Durability
 //!
-//! A node keeps one `Record` a shard: the highest number that it promised, and its newest vote. The record is synced
-//! before a promise or an acceptance of it is sent (`acceptor`), so that a restart forgets nothing that another node
-//! relies on. A failed store turns the replies that waited for it into rejections. Nothing else is on disk: proposer,
-//! learner and operations begin anew at a start, under a new incarnation.
+//! A node stores one `Record` per shard: the highest proposal number that it promised, and its newest vote. The record
+//! is synced before a promise or an acceptance is sent (`acceptor`), so that a restarted node still has everything that
+//! other nodes rely on. If a store fails, the replies that waited for it become rejections. Nothing else is on disk:
+//! the proposer, the learner and the pending operations are lost at a restart, which has a new incarnation.
 //!
-//! # What is promised to callers
+//! # Guarantees to callers
 //!
-//! * `Register::propose` applies a change to the newest state. `Outcome::Answered`: a quorum has a state with the change
-//!   on disk (or the machine left the body as it was, and a quorum confirmed that body after the call came).
-//!   `Outcome::Rejected`: the change is not in force by this call and never will be. `Outcome::Unknown`: it was
-//!   proposed, and no quorum reported what became of it by the deadline.
-//! * `Register::read` is answered from a state that a quorum confirmed after the call came. Together with the first
-//!   point the calls of a shard are linearizable.
-//! * `Action::Chosen` reports chosen states, their slots rising. `Register::unconfirmed` reports what this node accepted,
-//!   which may never come into force.
-//! * A `Lease` in a register hands out fencing tokens: each acquire gets a token above all tokens before it, and a
-//!   holder that follows the waits of `lease` acts alone. A token that is in a read of `unconfirmed` proves nothing.
+//! * `Register::propose` applies a change to the newest state. `Outcome::Answered`: a quorum has a state with the
+//!   change on disk, or the change left the body unchanged and a quorum confirmed that body after the call began.
+//!   `Outcome::Rejected`: this call did not and will not apply the change. `Outcome::Unknown`: the change was proposed,
+//!   and no quorum reported by the deadline whether it was chosen.
+//! * `Register::read` is answered from a state that a quorum confirmed after the call began. Together with the first
+//!   guarantee this makes the calls of a shard linearizable.
+//! * `Action::Chosen` reports chosen states in ascending order of slots. `Register::unconfirmed` reports the state that
+//!   this node accepted, which may never be chosen.
+//! * A `Lease` in a register issues fencing tokens: each acquire gets a token higher than all earlier tokens, and a
+//!   holder that observes the waits of `lease` is the only one that acts. A token in the result of `unconfirmed` proves
+//!   nothing.
 //!
 //! # Why the invariants hold
 //!
-//! 1. *One value a proposal number.* A number names its proposer's disk and incarnation, and a proposer never proposes
-//!    two values for a slot under one number: once an `Accept` is sent, its number is not prepared any more until that
-//!    vote is chosen (`proposer`).
-//! 2. *One value chosen a slot.* An acceptor accepts nothing below its promise (`acceptor`), a proposer goes on with the
-//!    newest vote that a quorum of promises reports (`register::proposal`), and any two quorums of a slot share a member
-//!    (`quorum`). A proposer proposes a slot only on top of a vote of the slot before that is known to be chosen.
+//! 1. *At most one value per proposal number.* A number contains its proposer's disk id and incarnation, and a proposer
+//!    never proposes two values for a slot under one number: once an `Accept` is sent, its number no longer counts as
+//!    prepared until that vote is chosen (`proposer`).
+//! 2. *At most one chosen value per slot.* An acceptor accepts nothing below its promise (`acceptor`), a proposer
+//!    adopts the newest vote that a quorum of promises reports (`register::proposal`), and any two quorums of a slot
+//!    share a member (`quorum`). A proposer proposes a slot only on top of a vote for the previous slot that is known
+//!    to be chosen.
 //! 3. *Reconfiguration.* A state may change the group by one member. It is chosen by a majority of the group that
-//!    governs its slot and one of the group that it names; a vote carries both, so that whoever recovers it asks both.
-//!    A node becomes a member only once its own disk has confirmed the group's state (`candidate`, `reconfiguration`).
-//! 4. *Disks.* A member is a disk id, drawn with the data folder and lost with it. A node without a record therefore has
-//!    promised nothing under its id. A wiped machine is another member, in no group until a reconfiguration takes it in.
-//! 5. *An operation takes effect at most once.* A state names the proposals that were chosen for the last slots. An
-//!    operation that was proposed is evaluated again only after each of its slots went to another proposal; where that
-//!    can't be seen any more its outcome is `Unknown` (`evaluation`).
-//! 6. *Large bodies change no rule.* A body that is fetched in chunks delays its message, nothing else: a promise counts
-//!    only once the state that it reports is here, and no body is used unless its digest matches (`transfer`).
+//!    governs its slot and a majority of the group that it names; a vote carries both groups, so that a proposer that
+//!    recovers the vote asks both. A node becomes a member only once it has confirmed that the group's state is on its
+//!    own disk (`candidate`, `reconfiguration`).
+//! 4. *Disks.* A member is identified by a disk id, which is drawn when the data folder is created and is lost with it.
+//!    A node without a record has therefore promised nothing under its id. A wiped machine is a new member, which is in
+//!    no group until a reconfiguration adds it.
+//! 5. *An operation takes effect at most once.* A state names the proposals that were chosen for the most recent slots.
+//!    A proposed operation is evaluated again only after another proposal was chosen for each of its slots; if the
+//!    state no longer shows that, the operation's outcome is `Unknown` (`evaluation`).
+//! 6. *The transfer of large bodies affects no rule.* Fetching a body in chunks only delays its message: a promise
+//!    counts only once the reported state has arrived, and a body is used only if its digest matches (`transfer`).
 //!
-//! Members compare their progress now and then (`anti_entropy`), so that who is behind by any number of slots is sent
-//! one state. Liveness rests on that, on backoffs and on time-outs; safety rests on no clock. Only leases count time,
-//! each holder by its own steady clock.
+//! Members periodically compare their progress (`anti_entropy`), so that a member that is any number of slots behind
+//! receives the newest state. Liveness depends on anti-entropy, backoffs and time-outs; safety depends on no clock.
+//! Only leases measure time, each holder by its own monotonic clock.
 //!
-//! # Modules, lower before upper
+//! # Modules, lower layers first
 //!
 //! | modules | job |
 //! | --- | --- |
-//! | `time`, `codec`, `vote`, `record`, `body`, `message` | values, their bytes, and the messages that carry them |
-//! | `settings`, `defects`, `quorum`, `owner`, `machine`, `operation` | limits, majorities, and what callers hand in |
-//! | `evaluation`, `request`, `proposer` | proposer: what to propose, and asking a group until a quorum answers |
-//! | `acceptor`, `learner` | acceptor: promises and votes; learner: what is chosen |
-//! | `candidate`, `reconfiguration`, `handover` | who joins and who leaves the group |
-//! | `anti_entropy`, `body_cache`, `fetch`, `transfer` | catch-up: comparing members, moving large bodies |
-//! | `lease` | a machine whose body is a lease with a fencing token |
-//! | `register` | joins them; begin with the way of a proposal in `register::proposal` |
+//! | `time`, `codec`, `vote`, `record`, `body`, `message` | values, their encoding, and the messages that carry them |
+//! | `settings`, `defects`, `quorum`, `owner`, `machine`, `operation` | limits, majorities, and the callers' operations |
+//! | `evaluation`, `request`, `proposer` | proposer: evaluating operations, and requests that a quorum has to answer |
+//! | `acceptor`, `learner` | acceptor: promises and votes; learner: chosen votes |
+//! | `candidate`, `reconfiguration`, `handover` | nodes that join or leave the group |
+//! | `anti_entropy`, `body_cache`, `fetch`, `transfer` | catch-up: comparing progress, transferring large bodies |
+//! | `lease` | a state machine whose body is a lease with a fencing token |
+//! | `register` | combines the modules; `register::proposal` is the best starting point |
 //!
-//! No I/O, threads or global state; the caller hands in the time, and all chance is drawn from one seeded generator.
+//! This crate has no I/O, threads or global state. The caller passes in the time, and all random numbers come from one
+//! seeded generator.
 //!
 //! # Sources
 //!
--- a/crates/sparrouter-consensus/src/machine.rs
+++ b/crates/sparrouter-consensus/src/machine.rs
@@ -1,25 +1,25 @@
-//! The replicated state machine: what a change means to a body. The caller supplies it.
+//! The replicated state machine, which applies changes to a body. The register's caller implements it.
 
-/// What a change makes of a body.
+/// The result of applying a change to a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// The change is in force once the new body is chosen.
+    /// The change replaces the body. It takes effect once the new body is chosen.
     Changed {
         /// The new body.
         body: Vec<u8>,
-        /// What the caller is answered then.
+        /// The answer to the caller once the new body is chosen.
         answer: Vec<u8>,
     },
-    /// A refusal, or a question: the answer holds for the body that it was evaluated on.
+    /// The change was rejected or only asks for information. The answer is valid for the body that it was evaluated on.
     Unchanged {
-        /// What the caller is answered.
+        /// The answer to the caller.
         answer: Vec<u8>,
     },
 }
 
-/// A pure function of body and change, computed alike at every node.
+/// A deterministic state machine: a pure function of body and change, with the same result at every node.
 pub trait Machine {
-    /// Applies a change to a body. The change's bytes come from a caller: malformed ones must give an `Unchanged`
-    /// answer, not a panic.
+    /// Applies a change to a body. The change's bytes come from a caller and may be malformed: the result is then
+    /// `Unchanged`, never a panic.
     fn apply(&self, body: &[u8], change: &[u8]) -> Applied;
 }
--- a/crates/sparrouter-consensus/src/message.rs
+++ b/crates/sparrouter-consensus/src/message.rs
@@ -1,18 +1,18 @@
-//! Messages between the nodes of one shard. Each carries state, not a change of state: lost, late, repeated or out of
-//! order, none does harm.
+//! Messages between the nodes of one shard. Messages carry states, not changes of states, so that it is safe to lose,
+//! delay, duplicate or reorder them.
 //!
-//! The order of variants and fields is the encoding; a variant is added at the end only.
+//! The encoding depends on the order of variants and fields; new variants are added only at the end.
 use crate::body::{BodyReference, Chunk};
 use crate::codec::{self, CodecError};
 use crate::vote::{Member, ProposalNumber, SharedVote, VoteId};
 use nanoserde::{DeBin, SerBin};
 
-/// Why an acceptor rejects a proposal.
+/// The reason why an acceptor rejects a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum RejectReason {
-    /// A higher number was promised, or a newer slot accepted: the proposer may come back with a higher number.
+    /// A higher number was promised or a vote for a later slot accepted. The proposer may retry with a higher number.
     Superseded,
-    /// The acceptor's disk failed, or the record is too large for it; nothing was promised or accepted.
+    /// The acceptor's disk failed or the vote's body is too large. Nothing was promised or accepted.
     Disk,
 }
 
@@ -23,21 +23,22 @@
     Prepare {
         /// The number that the proposer wants to use.
         number: ProposalNumber,
-        /// The newest vote that the proposer has, which need not be sent to it.
+        /// The newest vote that the proposer has; the reply contains only a newer vote.
         known: Option<VoteId>,
     },
-    /// Phase 1 of Paxos, answer: the acceptor accepts nothing below `number` from now on. On the sender's disk.
+    /// Phase 1 of Paxos, answer: the acceptor accepts no proposal below `number` any more. The promise is on the
+    /// sender's disk.
     Promise {
         /// The number of the `Prepare`.
         number: ProposalNumber,
         /// The acceptor's newest vote.
         accepted: Option<VoteId>,
-        /// That vote, if it is above the `known` of the `Prepare`.
+        /// The vote `accepted` with its state, if it is newer than `known` of the `Prepare`.
         newer_vote: Option<SharedVote>,
     },
     /// Phase 2 of Paxos, request.
     Accept {
-        /// The value, its slot and its number.
+        /// The proposed state and its proposal number.
         vote: SharedVote,
     },
     /// Phase 2 of Paxos, answer: the vote is on the sender's disk.
@@ -45,50 +46,50 @@
         /// The accepted vote.
         vote_id: VoteId,
     },
-    /// The acceptor refuses a `Prepare` or an `Accept`.
+    /// The acceptor rejects a `Prepare` or an `Accept`.
     Reject {
-        /// The number that is refused.
+        /// The rejected proposal number.
         number: ProposalNumber,
-        /// The acceptor's promise.
+        /// The highest number that the acceptor promised.
         promised: ProposalNumber,
-        /// Why it is refused.
+        /// The reason of the rejection.
         reason: RejectReason,
     },
-    /// Asks for the newest vote on disk. Promises nothing, so that a read disturbs no proposer.
+    /// Asks for the newest vote on disk. The receiver promises nothing, so that reads don't disturb proposers.
     Query {
-        /// Ties the answer to this very question.
+        /// Identifies the answer to this query.
         nonce: u64,
-        /// The newest vote that the sender has, which need not be sent to it.
+        /// The newest vote that the sender has; the answer contains only a newer vote.
         known: Option<VoteId>,
     },
     /// Answer to `Query`.
     Report {
-        /// The nonce of the question.
+        /// The nonce of the `Query`.
         nonce: u64,
-        /// The acceptor's promise, which may not be on disk yet.
+        /// The highest number that the acceptor promised, which may not be on disk yet.
         promised: ProposalNumber,
         /// The newest vote on the sender's disk.
         accepted: Option<VoteId>,
-        /// That vote, if it is above the `known` of the `Query`.
+        /// The vote `accepted` with its state, if it is newer than `known` of the `Query`.
         newer_vote: Option<SharedVote>,
     },
-    /// This vote is chosen; a receiver that has it may publish it.
+    /// This vote is chosen. A receiver that has accepted the vote may publish it.
     Chosen {
         /// The chosen vote.
         vote_id: VoteId,
     },
-    /// Anti-entropy: what the sender has. A receiver that knows more answers with it.
+    /// Anti-entropy: the sender's progress. A receiver with a newer chosen state answers with that state.
     Progress {
         /// The newest vote of the sender, chosen or not.
         accepted: Option<VoteId>,
         /// The newest slot that the sender knows to be chosen.
         chosen_slot: Option<u64>,
     },
-    /// The sender's disk has the chosen state of this slot or a later one, without a previous group. From a member to a
-    /// node outside of its group, or the other way round. Never answered, or two nodes that each take the other for an
-    /// outsider would go on for ever.
+    /// The sender's disk has the chosen state of this slot or a later one, without a previous group. Sent by a member
+    /// to a node outside its group, or by such a node to a member. The message is never answered; otherwise two nodes
+    /// that both consider the other to be outside the group would exchange it for ever.
     Stored {
-        /// The newest chosen slot on disk.
+        /// The newest chosen slot on the sender's disk.
         chosen_slot: u64,
     },
     /// A chosen vote with its state.
@@ -96,46 +97,46 @@
         /// The chosen vote.
         vote: SharedVote,
     },
-    /// A message of those above without the large body of its vote.
+    /// A `Promise`, `Accept`, `Report` or `Learn` without the large body of its vote.
     Outline(Outline),
-    /// Asks for one chunk of a body.
+    /// Requests one chunk of a body.
     FetchChunk {
         /// The body.
         body: BodyReference,
-        /// Where the chunk begins, in bytes.
+        /// Offset of the chunk in the body, in bytes.
         offset: u32,
     },
     /// One chunk of a body.
     BodyChunk {
         /// The body.
         body: BodyReference,
-        /// Where the chunk begins, in bytes.
+        /// Offset of the chunk in the body, in bytes.
         offset: u32,
-        /// The bytes.
+        /// The bytes of the chunk.
         chunk: Chunk,
     },
-    /// The sender no longer has this body, as newer ones replaced it.
+    /// The sender no longer has this body, because newer bodies replaced it.
     BodyUnavailable {
-        /// The body.
+        /// The requested body.
         body: BodyReference,
     },
 }
 
 impl Message {
-    /// The bytes that go over the wire.
+    /// Encodes the message for the network.
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 
-    /// Reads a message of at most `max_bytes`; see `Settings::max_message_bytes`.
+    /// Decodes a message of at most `max_bytes`; see `Settings::max_message_bytes`.
     ///
     /// # Errors
-    /// The bytes are too long, of another format, or no message.
+    /// The input is too long, has another format, or is not a message.
     pub fn decode(bytes: &[u8], max_bytes: usize) -> Result<Message, CodecError> {
         codec::decode(bytes, max_bytes)
     }
 
-    /// The vote that this message carries, and what else it says.
+    /// The vote that this message carries, and the kind of message with its other fields; `None` if it carries no vote.
     pub(crate) fn carried_vote(&self) -> Option<(OutlinedMessage, &SharedVote)> {
         match self {
             Message::Promise {
@@ -165,16 +166,16 @@
 /// A message whose vote has a large body, without that body.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub struct Outline {
-    /// Which message it is, with the fields beside the vote.
+    /// The kind of message, with its fields other than the vote.
     pub message: OutlinedMessage,
-    /// The vote; its body is empty here.
+    /// The vote, with an empty body.
     pub vote: SharedVote,
-    /// The vote's body.
+    /// Reference to the vote's body.
     pub body: BodyReference,
 }
 
 impl Outline {
-    /// The message with its body.
+    /// The complete message with this body.
     pub(crate) fn complete(&self, body: &[u8]) -> Message {
         let vote: SharedVote = self.vote.with_body(body.to_vec()).into();
         let accepted = Some(vote.id());
@@ -196,24 +197,24 @@
     }
 }
 
-/// Which message an outline is, with its fields beside the vote.
+/// The kind of message that an outline stands for, with its fields other than the vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum OutlinedMessage {
-    /// `Message::Promise` for this number.
+    /// A `Message::Promise`.
     Promise {
         /// The number of the `Prepare`.
         number: ProposalNumber,
     },
-    /// `Message::Accept`.
+    /// A `Message::Accept`.
     Accept,
-    /// `Message::Report` to the question with this nonce.
+    /// A `Message::Report`.
     Report {
-        /// The nonce of the question.
+        /// The nonce of the `Query`.
         nonce: u64,
-        /// The acceptor's promise.
+        /// The highest number that the acceptor promised.
         promised: ProposalNumber,
     },
-    /// `Message::Learn`.
+    /// A `Message::Learn`.
     Learn,
 }
 
@@ -224,7 +225,7 @@
     pub message: Message,
 }
 
-/// A message that arrived, under the disk id that its sender has now.
+/// A received message with its sender, identified by the sender's current disk id.
 #[derive(Clone, Debug)]
 pub(crate) struct Received {
     pub from: Member,
--- a/crates/sparrouter-consensus/src/operation.rs
+++ b/crates/sparrouter-consensus/src/operation.rs
@@ -1,60 +1,64 @@
-//! Operations that wait at this node: callers' changes and reads, and the register's own.
+//! Pending operations of this node: callers' changes and reads, and the register's internal operations.
 //!
-//! An operation ends once, with an `Outcome`. Whether it may be evaluated again depends on the proposals by which it
-//! has left this node: see `evaluation`.
+//! An operation completes exactly once, with an `Outcome`. Whether it may be evaluated again depends on its earlier
+//! proposals: see `evaluation`.
 use crate::time::Nanos;
 use crate::vote::Member;
 
-/// How an operation ended.
+/// The result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered from a state that a quorum confirmed after the call came.
+    /// The operation was answered from a state that a quorum confirmed after the operation was submitted.
     Answered(Vec<u8>),
-    /// It is not in force and never will be by this call.
+    /// The operation did not take effect and never will.
     Rejected(Rejection),
-    /// It was proposed, and no quorum reported what became of it: it is in force, or will be, or never.
+    /// The operation was proposed, but no quorum reported whether it was chosen. It may have taken effect, may do so
+    /// later, or never will.
     Unknown,
 }
 
-/// Why an operation was rejected.
+/// The reason why an operation was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// `Settings::max_pending` operations wait already.
-    #[error("too many calls wait for this part: repeat after those before it")]
+    /// `Settings::max_pending` operations are pending already.
+    #[error(
+        "too many operations are pending for this shard: retry once some of them have completed"
+    )]
     Busy,
-    /// No quorum answered by the deadline, and the operation was in no proposal.
-    #[error("no quorum of the part's group answered in time: see which members are down")]
+    /// No quorum answered by the deadline, and the operation was part of no proposal.
+    #[error("no quorum of the shard's group answered in time: check which members are down")]
     NoQuorum,
-    /// This node knows no state of the shard, so that it doesn't know its group.
-    #[error("this node knows no group for the part yet: ask another one")]
+    /// This node knows no state of the shard and therefore doesn't know its group.
+    #[error("this node knows no group for the shard yet: ask another node")]
     NoGroup,
-    /// The change or the body that it makes is above its limit.
-    #[error("the change, or what it makes of the part, is larger than the limit: split it")]
+    /// The change, or the body that results from it, exceeds its size limit.
+    #[error("the change, or the state of the shard after it, exceeds the size limit: split it")]
     TooLarge,
 }
 
-/// A position in the order in which this register's operations came and its requests began. What was asked before an
-/// operation came proves nothing for it.
+/// Position in the common order of this register's operations (by submission) and requests (by start). A request
+/// confirms only operations that were submitted before it started.
 pub(crate) type Sequence = u64;
 
-/// What an operation does.
+/// The kind of an operation.
 #[derive(Clone, Debug)]
 pub(crate) enum OperationKind {
     /// A caller's change.
     Change(Vec<u8>),
     /// A caller's read.
     Read,
-    /// Reconfiguration.
+    /// A change of the group's members.
     ChangeMembers {
-        /// Disk ids of the group that it was decided for; it is dropped where another group is in force.
+        /// Disk ids of the group that the change was decided for. The change has no effect if another group is in
+        /// force.
         from: Vec<u64>,
         to: Vec<Member>,
     },
-    /// A read of the register's own, which finds out whether the newest vote is chosen.
+    /// An internal read of the register, which finds out whether the newest vote is chosen.
     ConfirmNewest,
 }
 
-/// A proposal by which an operation left this node.
+/// A proposal that contains an operation and was sent to acceptors.
 #[derive(Clone, Debug)]
 pub(crate) struct SentProposal {
     pub slot: u64,
@@ -65,19 +69,21 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Operation {
-    /// The caller's name for it; `None` for the register's own and for those whose caller is answered.
+    /// The caller's id of the operation; `None` for internal operations of the register and for operations whose caller
+    /// was already answered.
     pub id: Option<u64>,
     pub kind: OperationKind,
-    /// When it ends whatever is known of it.
+    /// When the operation completes at the latest, if need be with an unknown outcome.
     pub deadline: Nanos,
-    /// When it came. Unique within the register.
+    /// Position in the order of submission. Unique within the register.
     pub sequence: Sequence,
-    /// All proposals of it whose fate is not known: after a duel several may be at acceptors for one slot.
+    /// The operation's unresolved proposals. If several proposers competed, acceptors may have several of them for one
+    /// slot.
     pub sent: Vec<SentProposal>,
 }
 
 impl Operation {
-    /// Whether it changes nothing.
+    /// Whether the operation is a read.
     pub fn is_read(&self) -> bool {
         matches!(
             self.kind,
@@ -85,7 +91,7 @@
         )
     }
 
-    /// The outcome at the deadline.
+    /// The outcome of an operation that reached its deadline.
     pub fn expired_outcome(&self) -> Outcome {
         if self.sent.is_empty() {
             Outcome::Rejected(Rejection::NoQuorum)
@@ -95,23 +101,23 @@
     }
 }
 
-/// The operations that wait, in the order in which they came.
+/// The pending operations in the order in which they were submitted.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OperationQueue {
     /// Ordered by `sequence`.
     operations: Vec<Operation>,
-    /// The last sequence that was given out.
+    /// The last assigned sequence.
     sequence: Sequence,
 }
 
 impl OperationQueue {
-    /// The sequence of an operation or a request that begins now.
+    /// Assigns the sequence of an operation that is submitted now or of a request that starts now.
     pub fn next_sequence(&mut self) -> Sequence {
         self.sequence += 1;
         self.sequence
     }
 
-    /// Adds an operation that came now.
+    /// Adds an operation that is submitted now.
     pub fn push(&mut self, id: Option<u64>, kind: OperationKind, deadline: Nanos) {
         let sequence = self.next_sequence();
         self.operations.push(Operation {
@@ -123,56 +129,56 @@
         });
     }
 
-    /// All operations, in the order in which they came.
+    /// All pending operations, in the order in which they were submitted.
     pub fn as_slice(&self) -> &[Operation] {
         &self.operations
     }
 
-    /// How many operations wait.
+    /// Number of pending operations.
     pub fn len(&self) -> usize {
         self.operations.len()
     }
 
-    /// Whether no operation waits.
+    /// Whether no operation is pending.
     pub fn is_empty(&self) -> bool {
         self.operations.is_empty()
     }
 
-    /// Whether none of them changes anything.
+    /// Whether all pending operations are reads.
     pub fn has_reads_only(&self) -> bool {
         self.operations.iter().all(Operation::is_read)
     }
 
-    /// Whether one of them is a read.
+    /// Whether a read is pending.
     pub fn has_read(&self) -> bool {
         self.operations.iter().any(Operation::is_read)
     }
 
-    /// Whether a change of the group waits.
+    /// Whether a change of the group is pending.
     pub fn has_member_change(&self) -> bool {
         self.operations
             .iter()
             .any(|o| matches!(o.kind, OperationKind::ChangeMembers { .. }))
     }
 
-    /// Whether a read of the register's own waits.
+    /// Whether an internal read that confirms the newest vote is pending.
     pub fn has_confirmation(&self) -> bool {
         self.operations
             .iter()
             .any(|o| matches!(o.kind, OperationKind::ConfirmNewest))
     }
 
-    /// The first deadline.
+    /// The earliest deadline of the pending operations.
     pub fn next_deadline(&self) -> Option<Nanos> {
         self.operations.iter().map(|o| o.deadline).min()
     }
 
-    /// The operation that came at `sequence`, if it still waits.
+    /// The operation with this sequence, if it is still pending.
     pub fn get_mut(&mut self, sequence: Sequence) -> Option<&mut Operation> {
         self.operations.iter_mut().find(|o| o.sequence == sequence)
     }
 
-    /// Removes the operation that came at `sequence`, if it still waits.
+    /// Removes the operation with this sequence, if it is still pending.
     pub fn remove(&mut self, sequence: Sequence) -> Option<Operation> {
         let index = self
             .operations
@@ -181,7 +187,7 @@
         Some(self.operations.remove(index))
     }
 
-    /// Removes the operations that `should_take` accepts.
+    /// Removes and returns the operations for which `should_take` is true.
     pub fn take(&mut self, should_take: impl FnMut(&mut Operation) -> bool) -> Vec<Operation> {
         self.operations.extract_if(.., should_take).collect()
     }
--- a/crates/sparrouter-consensus/src/owner.rs
+++ b/crates/sparrouter-consensus/src/owner.rs
@@ -1,10 +1,10 @@
-//! Which members a shard's changes are forwarded to first, so that two proposers seldom compete. No safety property
-//! depends on it.
+//! The order in which a shard's changes are forwarded to the members, so that two proposers rarely compete. No safety
+//! property depends on the order.
 use crate::vote::Member;
 use sparrouter_rendezvous::{hash, order};
 
-/// Members by preference for a shard, the same at every node. The order is by name, so that a wiped machine keeps its
-/// rank.
+/// Members in order of preference for a shard: rendezvous hashing by member name, with the same result at every node. A
+/// wiped machine keeps its name and therefore its rank.
 pub fn ranked(shard: u16, members: &[Member]) -> Vec<&Member> {
     order(
         members.iter().map(|m| (hash(m.name.as_bytes()), m)),
--- a/crates/sparrouter-consensus/src/proposer.rs
+++ b/crates/sparrouter-consensus/src/proposer.rs
@@ -1,14 +1,15 @@
-//! The proposer: its proposal numbers, the request in progress, and the right to propose the next slot at once.
+//! The Paxos proposer: its proposal numbers, the request in progress, and the prepared number, which allows it to
+//! propose the next slot without a prepare phase.
 //!
-//! | phase | asks for | ends when | then |
+//! | phase | requests | ends when | result |
 //! | --- | --- | --- | --- |
-//! | query | the newest votes on disk | a quorum has the same vote | it is chosen: reads are answered |
-//! | prepare | promises | a quorum promised | the newest vote reported is proposed again, unless the quorum has it |
-//! | accept | acceptance of a vote | a quorum accepted | it is chosen: its operations are answered; the number stays prepared |
-//! | backoff | nothing | its time is up | prepare, with a higher number |
+//! | query | the newest votes on disk | a quorum has the same vote | the vote is chosen, reads are answered |
+//! | prepare | promises | a quorum has promised | the newest reported vote is proposed again, unless the quorum has it |
+//! | accept | acceptance of a vote | a quorum has accepted | the vote is chosen, its operations are answered, the number stays prepared |
+//! | backoff | nothing | the delay is over | prepare phase with a higher number |
 //!
-//! One request is in progress at a time, for all operations that wait. How the phases follow each other is in
-//! `register::proposal` and `register::read`.
+//! At most one request is in progress, on behalf of all pending operations. `register::proposal` and `register::read`
+//! implement the transitions between the phases.
 use crate::message::Outgoing;
 use crate::operation::Sequence;
 use crate::request::{QuorumRequest, Reply, RequestKind};
@@ -17,45 +18,47 @@
 use crate::vote::{Member, ProposalNumber, SharedVote};
 use fastrand::Rng;
 
-/// The right to propose the slot after `chosen` under `number` without a prepare phase: a quorum of its group has just
-/// promised or accepted that number with `chosen` as its newest vote, and can have nothing newer (Multi-Paxos).
+/// A number under which the slot after `chosen` may be proposed without a prepare phase (Multi-Paxos): a quorum of the
+/// group has promised or accepted the number with `chosen` as its newest vote, so that no newer vote can be chosen.
 #[derive(Clone, Debug)]
 pub(crate) struct PreparedNumber {
     pub number: ProposalNumber,
     pub chosen: SharedVote,
-    /// When the last request that confirmed `chosen` as newest began: operations that came before may be answered by it.
+    /// Start of the last request that confirmed `chosen` as the newest vote. Operations that were submitted before it
+    /// may be answered from `chosen`.
     pub confirmed: Sequence,
 }
 
-/// What the proposer is doing.
+/// The phase of the proposer.
 #[derive(Clone, Debug)]
 enum Phase {
     Idle,
-    Backoff { until: Nanos },
+    Backoff { ends_at: Nanos },
     Request(QuorumRequest),
 }
 
-/// The proposer's state, which is lost with the process.
+/// The state of the proposer. It is kept in memory only and lost at a restart.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposer {
     /// Disk id of this node.
     disk_id: u64,
-    /// Drawn at random at each start, so that no number of an earlier start is used for a second value.
+    /// Drawn at random at each start, so that a number used before a restart is never used for a second value.
     incarnation: u64,
-    /// The highest term of any number that this node observed or used. Never decreases, so that one start uses no
-    /// number twice.
+    /// The highest term that this node observed or used. It never decreases, so that an incarnation uses no number
+    /// twice.
     term: u64,
     phase: Phase,
-    /// `None` while an `Accept` is in progress: a vote that was sent is never replaced by another under its number.
+    /// The prepared number; `None` if a prepare phase is needed or an `Accept` is in progress. A vote that was sent is
+    /// never replaced by another vote under the same number.
     prepared: Option<PreparedNumber>,
-    /// Moving average of a message to a peer, its sync and the answer.
+    /// Moving average of the time for a message to a peer, the peer's sync and its answer.
     round_trip: Nanos,
-    /// Backoffs since the last vote of this proposer that was chosen.
+    /// Number of backoffs since a vote of this proposer was last chosen.
     consecutive_backoffs: u32,
 }
 
 impl Proposer {
-    /// An idle proposer that has observed terms up to `term`.
+    /// Creates an idle proposer that has observed terms up to `term`.
     pub fn new(disk_id: u64, incarnation: u64, term: u64, round_trip: Nanos) -> Proposer {
         Proposer {
             disk_id,
@@ -68,15 +71,15 @@
         }
     }
 
-    /// Another proposer's number was seen.
+    /// Records the term of a proposal number that this node has seen.
     pub fn observe_term(&mut self, number: ProposalNumber) {
         self.term = self.term.max(number.term);
     }
 
-    /// A number above all that this node observed.
+    /// A number higher than all numbers that this node has observed.
     pub fn next_number(&mut self, settings: &Settings) -> ProposalNumber {
         self.term += 1;
-        if settings.defects.ballots_shared {
+        if settings.defects.shared_proposal_numbers {
             return ProposalNumber {
                 term: self.term,
                 ..ProposalNumber::default()
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Estimate of a message to a peer, its sync and the answer.
+    /// Estimated time for a message to a peer, the peer's sync and its answer.
     pub fn round_trip(&self) -> Nanos {
         self.round_trip
     }
@@ -99,11 +102,11 @@
         matches!(self.phase, Phase::Idle)
     }
 
-    /// When the request is to be repeated, or the backoff ends.
+    /// When the request is to be repeated or the backoff ends; `None` if the proposer is idle.
     pub fn next_wake(&self) -> Option<Nanos> {
         match &self.phase {
             Phase::Idle => None,
-            Phase::Backoff { until } => Some(*until),
+            Phase::Backoff { ends_at } => Some(*ends_at),
             Phase::Request(request) => Some(request.repeat_at),
         }
     }
@@ -124,14 +127,14 @@
         }
     }
 
-    /// Puts a request in progress, in place of what was.
+    /// Makes `request` the request in progress and ends the previous phase.
     pub fn start(&mut self, request: QuorumRequest) {
         let is_accept = matches!(request.kind, RequestKind::Accept { .. });
         debug_assert!(!is_accept || self.prepared.is_none());
         self.phase = Phase::Request(request);
     }
 
-    /// Ends the phase, without a result of its own; the request, if there was one.
+    /// Ends the current phase and returns its request; `None` if no request was in progress.
     pub fn end_phase(&mut self) -> Option<QuorumRequest> {
         match std::mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Request(request) => Some(request),
@@ -139,42 +142,43 @@
         }
     }
 
-    /// The prepared number, if there is one.
+    /// The prepared number; `None` if a prepare phase is needed.
     pub fn prepared_mut(&mut self) -> Option<&mut PreparedNumber> {
         self.prepared.as_mut()
     }
 
-    /// Takes the prepared number, to propose under it.
+    /// Removes the prepared number and returns it, so that the caller proposes under it.
     pub fn take_prepared(&mut self) -> Option<PreparedNumber> {
         self.prepared.take()
     }
 
-    /// The next slot may be proposed under this number at once.
+    /// Sets the number under which the next slot may be proposed without a prepare phase.
     pub fn set_prepared(&mut self, prepared: PreparedNumber) {
         self.prepared = Some(prepared);
     }
 
-    /// The next slot may be taken: a number has to be prepared again.
+    /// Drops the prepared number, because another proposer may have taken the next slot.
     pub fn drop_prepared(&mut self) {
         self.prepared = None;
     }
 
-    /// A vote of this proposer was chosen.
+    /// Resets the backoff after a vote of this proposer was chosen.
     pub fn reset_backoff(&mut self) {
         self.consecutive_backoffs = 0;
     }
 
-    /// Waits for a random time before it prepares again. Two proposers that raise their numbers against each other in
-    /// step would go on for ever.
+    /// Starts a backoff of random length before the next prepare phase. Without the random delay two proposers could
+    /// outbid each other's numbers for ever (livelock).
     pub fn back_off(&mut self, rng: &mut Rng, now: Nanos) {
         self.prepared = None;
         let max_delay = self.round_trip << self.consecutive_backoffs.min(6);
         self.consecutive_backoffs += 1;
-        let until = now + rng.u64(0..=max_delay);
-        self.phase = Phase::Backoff { until };
+        let ends_at = now + rng.u64(0..=max_delay);
+        self.phase = Phase::Backoff { ends_at };
     }
 
-    /// Records a reply. `None` if no request awaits it; otherwise what to send to members that the reply made known.
+    /// Records a reply and returns the messages to members that the reply made known. `None` if no request awaits the
+    /// reply.
     pub fn on_reply(
         &mut self,
         from: &Member,
@@ -193,7 +197,7 @@
         request.record_reply(from.disk_id, reply.accepted);
         let mut sends = Vec::new();
         if let Some(vote) = reply.newer_vote {
-            let may_adopt = is_first || !settings.defects.any_promise;
+            let may_adopt = is_first || !settings.defects.adopt_first_vote;
             if vote.id() > request.vote.id() && may_adopt {
                 sends = self.adopt_newer_vote(vote);
             } else {
@@ -206,7 +210,8 @@
         Some(sends)
     }
 
-    /// Goes on with a newer vote in a query or prepare phase; what to send to its electors that were not asked yet.
+    /// Continues a query or prepare phase with a newer vote. Returns the messages to electors of that vote that were
+    /// not asked yet.
     pub fn adopt_newer_vote(&mut self, vote: SharedVote) -> Vec<Outgoing> {
         let Some(request) = self.request_mut() else {
             return Vec::new();
@@ -220,7 +225,7 @@
         added.into_iter().map(to_member).collect()
     }
 
-    /// Records a rejection of the number in use; whether there was a request under it.
+    /// Records a rejection. Returns whether the request in progress uses the rejected number.
     pub fn on_reject(&mut self, disk_id: u64, number: ProposalNumber) -> bool {
         let Some(request) = self
             .request_mut()
--- a/crates/sparrouter-consensus/src/quorum.rs
+++ b/crates/sparrouter-consensus/src/quorum.rs
@@ -1,17 +1,17 @@
-//! Majorities, and joint majorities where a state changes the group.
+//! Majorities, and joint majorities for states that change the group.
 //!
-//! Invariant: any two quorums for one slot share a member, and so do a quorum for a slot and one for the next, because
-//! the group that governs a slot is the one that the chosen state before it names.
+//! Invariant: any two quorums of one slot share a member, and so do a quorum of a slot and a quorum of the next slot,
+//! because the group that governs a slot is named by the chosen state of the slot before it.
 use crate::defects::Defects;
 use crate::vote::{Member, Vote};
 
-/// Whether more than half of the members have a disk that `has` accepts. An empty group has no majority.
+/// Whether `has` is true for the disks of more than half of the members. An empty group has no majority.
 pub fn is_majority(members: &[Member], has: impl Fn(u64) -> bool) -> bool {
     2 * count(members, has) > members.len()
 }
 
-/// Whether the disks that `has` accepts choose this vote, or may go on from it: a majority of the group that governs its
-/// slot, and one of the group that its state names.
+/// Whether the disks for which `has` is true include a majority of the group that governs the vote's slot and a
+/// majority of the group that the vote's state names.
 fn is_joint_majority(vote: &Vote, has: impl Fn(u64) -> bool + Copy) -> bool {
     is_majority(vote.governing(), has) && is_majority(&vote.state.members, has)
 }
@@ -20,16 +20,16 @@
     members.iter().filter(|member| has(member.disk_id)).count()
 }
 
-/// Decides what is a quorum: a joint majority, unless a test injects a defect.
+/// Decides whether a set of disks is a quorum: it has to be a joint majority, unless a test injects a defect.
 #[derive(Clone, Debug)]
 pub(crate) struct QuorumRule {
     defects: Defects,
-    /// The first group that this node knew; only the defect `old_group_only` looks at it.
+    /// The first group that this node knew; used only by the defect `old_group_only`.
     first_group: Vec<Member>,
 }
 
 impl QuorumRule {
-    /// `first_group`: the group of the record on disk; empty if there is none.
+    /// Creates the rule. `first_group` is the group of the record on disk; it is empty if there is no record.
     pub fn new(first_group: Vec<Member>, defects: Defects) -> QuorumRule {
         QuorumRule {
             defects,
@@ -37,20 +37,20 @@
         }
     }
 
-    /// A group became known.
+    /// Records a group that became known.
     pub fn observe_group(&mut self, members: &[Member]) {
         if self.first_group.is_empty() {
             self.first_group = members.to_vec();
         }
     }
 
-    /// Whether the disks that `has` accepts are a quorum for this vote.
+    /// Whether the disks for which `has` is true are a quorum for this vote.
     pub fn is_quorum(&self, vote: &Vote, has: impl Fn(u64) -> bool + Copy) -> bool {
         self.defective_quorum(vote, has)
             .unwrap_or_else(|| is_joint_majority(vote, has))
     }
 
-    /// What an injected defect says; `None` without one.
+    /// The decision of an injected defect; `None` if no defect of quorums is injected.
     fn defective_quorum(&self, vote: &Vote, has: impl Fn(u64) -> bool + Copy) -> Option<bool> {
         let is_enough = |members: &[Member]| match self.defects.half_is_majority {
             true => 2 * count(members, has) >= members.len(),
--- a/crates/sparrouter-consensus/src/reconfiguration.rs
+++ b/crates/sparrouter-consensus/src/reconfiguration.rs
@@ -1,57 +1,61 @@
-//! Who belongs to a shard's group: one member added, removed or replaced at a time, by what is observed of the nodes.
+//! Reconfiguration of a shard's group: adds, removes or replaces one member at a time, based on observations of the
+//! nodes.
 //!
-//! | observed | change |
+//! | observation | change of the group |
 //! | --- | --- |
-//! | a node at a member's address under another disk | replaced at once: the old disk is gone |
-//! | a member unresponsive for `contact_timeout` or leaving, and a candidate | replaced |
-//! | a member unresponsive for `contact_timeout` or leaving, group above its initial size | removed |
-//! | for `contact_timeout` every member heard from within half of it, a candidate, fewer than nine members | added |
+//! | a node with another disk id at a member's address | the member is replaced at once: its old disk is lost |
+//! | a member is leaving or unresponsive for `contact_timeout`, and there is a candidate | the member is replaced |
+//! | a member is leaving or unresponsive for `contact_timeout`, and the group exceeds its initial size | the member is removed |
+//! | for `contact_timeout`: each member was heard from within half of it, there is a candidate, and the group has fewer than nine members | the candidate is added |
 //!
-//! A node is added, or put in a member's place, only after its own disk has confirmed the group's state (`candidate`).
-//! Until then the old group stays: with a member whose disk is empty or stalled the next loss would leave no majority.
+//! A node is added, or replaces a member, only after it has confirmed that the group's state is on its own disk
+//! (`candidate`). Until then the old group stays, because after adding a member whose disk is empty or stalled the next
+//! loss of a member could leave no majority.
 //!
-//! The first of the live members in the shard's order proposes; each behind it waits a further tenth of
-//! `contact_timeout`. Safety doesn't depend on that: a change carries the group that it was decided for.
+//! The first live member in the shard's order of preference proposes the change; each following member waits a further
+//! tenth of `contact_timeout`. Safety doesn't depend on this order, because a change names the group that it was
+//! decided for.
 use crate::candidate::Candidates;
 use crate::owner::ranked;
 use crate::settings::Settings;
 use crate::time::Nanos;
 use crate::vote::{MAX_MEMBERS, Member, State, contains_disk};
 
-/// A node as discovery has it.
+/// An observation of a node, as the membership protocol reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeObservation {
-    /// The node under the disk id that it has now.
+    /// The node with its current disk id.
     pub member: Member,
-    /// Whether it may belong to a group.
+    /// Whether the node may be a member of a group.
     pub counts_toward_quorum: bool,
-    /// Time since it was last heard from; `None` if it never was.
+    /// Time since the node was last heard from; `None` if it never was.
     pub since_last_contact: Option<Nanos>,
-    /// Whether it announced that it shuts down.
+    /// Whether the node announced its shutdown.
     pub leaving: bool,
 }
 
-/// A change of the group that this node would make.
+/// A change of the group that this node intends to propose.
 #[derive(Clone, Debug)]
 struct IntendedChange {
+    /// The group after the change.
     members: Vec<Member>,
-    /// Since when each decision has come to the same change.
+    /// When the change was first decided; every later decision had the same result.
     since: Nanos,
 }
 
-/// Decides on changes of one shard's group, from observation to observation.
+/// Decides on changes of one shard's group, and keeps the state between observations.
 #[derive(Clone, Debug, Default)]
 pub struct Reconfiguration {
-    /// What the last decision came to; `None` if the group may stay as it is or this node is not in it.
+    /// The result of the last decision; `None` if the group needs no change or this node is not a member.
     intended: Option<IntendedChange>,
-    /// Time of the first decision: a member not heard from by then may only not have been heard from yet.
+    /// Time of the first decision. A member that was never heard from counts as unresponsive only since this time.
     observing_since: Option<Nanos>,
-    /// Only nodes whose disks are confirmed here become members.
+    /// Confirmations of the candidates. Only a node whose disk is confirmed becomes a member.
     candidates: Candidates,
 }
 
 impl Reconfiguration {
-    /// The group to propose now, if it is this node's turn.
+    /// The group to propose now; `None` if the group needs no change or it is not this node's turn.
     pub fn decide(
         &mut self,
         shard: u16,
@@ -85,7 +89,7 @@
         (now - intended_since >= delay).then_some(members)
     }
 
-    /// Notes the change that a decision came to; since when it has been the same.
+    /// Records the change that a decision resulted in. Returns since when the result has been the same.
     fn intend(&mut self, members: &[Member], now: Nanos) -> Nanos {
         match &self.intended {
             Some(intended) if intended.members == members => intended.since,
@@ -99,7 +103,7 @@
         }
     }
 
-    /// The nodes that may join the group, if their disks confirm that they have its state.
+    /// The nodes that may join the group once they confirm that their disks have its state.
     pub(crate) fn candidates(
         shard: u16,
         me: &Member,
@@ -118,8 +122,8 @@
         view.joinable_nodes(shard)
     }
 
-    /// The candidates to be asked now whether their disks have slot `chosen_slot`.
-    pub(crate) fn choose_questions(
+    /// The candidates to ask now whether their disks have slot `chosen_slot`.
+    pub(crate) fn choose_candidates_to_ask(
         &mut self,
         candidates: &[Member],
         chosen_slot: u64,
@@ -128,30 +132,30 @@
     ) -> Vec<Member> {
         let valid_for = confirmation_valid_for(settings);
         self.candidates
-            .choose_questions(candidates, chosen_slot, valid_for, now)
+            .choose_candidates_to_ask(candidates, chosen_slot, valid_for, now)
     }
 
-    /// A node reported that its disk has the chosen slots up to `stored_slot`.
+    /// Records a node's report that `stored_slot` is the newest chosen slot on its disk.
     pub(crate) fn on_stored(&mut self, disk_id: u64, stored_slot: u64, now: Nanos) {
         self.candidates.on_stored(disk_id, stored_slot, now);
     }
 }
 
-/// How long a candidate's confirmation is valid: a proposal that lets in a node that has gone meanwhile may block the
-/// group.
+/// How long a candidate's confirmation is valid. It is short, because adding a node that has failed in the meantime may
+/// block the group.
 fn confirmation_valid_for(settings: &Settings) -> Nanos {
     settings.contact_timeout / 2
 }
 
-/// The group and the nodes as one decision sees them.
+/// The group and the observations that one decision is based on.
 struct View<'a> {
     me: &'a Member,
     state: &'a State,
     observations: &'a [NodeObservation],
     contact_timeout: Nanos,
-    /// How long this node has been observing.
+    /// Time since this node's first decision.
     observed_for: Nanos,
-    /// Whether this disk is confirmed to have the group's state.
+    /// Whether the disk with this id is confirmed to have the group's state.
     is_eligible: &'a dyn Fn(u64) -> bool,
 }
 
@@ -162,7 +166,7 @@
             .find(|observation| observation.member.disk_id == member.disk_id)
     }
 
-    /// Time since the member was heard from, or since this node observes.
+    /// Time since the member was last heard from, or since this node's first decision if it never was.
     fn unresponsive_for(&self, member: &Member) -> Nanos {
         if member.disk_id == self.me.disk_id {
             return 0;
@@ -172,8 +176,9 @@
             .unwrap_or(self.observed_for)
     }
 
-    /// Whether a member can be counted on by a group that needs one more vote. Half of `contact_timeout`, since a
-    /// proposal to a member that has just been cut off blocks the group until it is back.
+    /// Whether the member was heard from recently enough to add a member to the group, which raises the majority. The
+    /// limit is half of `contact_timeout`, because adding a member while another one has just become unreachable blocks
+    /// the group until that one returns.
     fn is_present(&self, member: &Member) -> bool {
         let since_last_contact = self.find(member).and_then(|o| o.since_last_contact);
         member.disk_id == self.me.disk_id
@@ -188,8 +193,8 @@
         !self.is_lost(member) && self.find(member).is_none_or(|o| !o.leaving)
     }
 
-    /// Nodes outside the group that could join it, in the order in which they are taken: first those at a member's
-    /// address, which take its place at once, then by the shard's preference.
+    /// Nodes outside the group that may join it, in order of preference: first nodes at a member's address, which
+    /// replace that member at once, then all others by the shard's order.
     fn joinable_nodes(&self, shard: u16) -> Vec<Member> {
         let nodes: Vec<Member> = self
             .observations
@@ -208,7 +213,7 @@
         let is_live = observation
             .since_last_contact
             .is_some_and(|since| since < self.contact_timeout);
-        // An observation of a disk that was wiped may circulate for longer than the disk existed.
+        // Observations of a disk may still circulate after the disk was wiped.
         let is_newest_at_address = self
             .member_at(&node.address)
             .is_none_or(|member| self.unresponsive_for(member) > self.unresponsive_for(node));
@@ -226,14 +231,14 @@
             .find(|member| member.address == address)
     }
 
-    /// The group after the next change; `None` if the group may stay as it is.
+    /// The group after the next change; `None` if the group needs no change.
     fn next_group(&self, shard: u16) -> Option<Vec<Member>> {
         let members = &self.state.members;
         let joinable = self.joinable_nodes(shard);
         if let Some(members) = self.group_with_wiped_member_replaced(&joinable) {
             return Some(members);
         }
-        // A leaving member is replaced last: it still votes.
+        // Lost members are replaced before leaving members, which still vote.
         let lost = members.iter().position(|member| self.is_lost(member));
         let departing = lost.or_else(|| members.iter().position(|member| !self.may_stay(member)));
         match (departing, joinable.first()) {
@@ -241,7 +246,7 @@
             (Some(index), None) if members.len() > usize::from(self.state.initial_size) => {
                 Some(self.group_with(Some(index), None))
             }
-            // One more member beside a lost one would leave fewer to spare than before.
+            // No member is added while another one is lost: the larger majority would reduce the fault tolerance.
             (None, Some(node))
                 if members.len() < MAX_MEMBERS
                     && members.iter().all(|member| self.is_present(member)) =>
@@ -273,7 +278,7 @@
     /// How long a change has to be intended before this node proposes it.
     fn proposal_delay(&self, shard: u16, next_group: &[Member]) -> Nanos {
         let members = &self.state.members;
-        // A new node may replace a member whose loss nobody has noticed yet: then it is no addition.
+        // The new node may be meant to replace a member whose loss is not detected yet, so that an addition waits.
         let addition_delay = if next_group.len() > members.len() {
             self.contact_timeout
         } else {
--- a/crates/sparrouter-consensus/src/record.rs
+++ b/crates/sparrouter-consensus/src/record.rs
@@ -1,20 +1,20 @@
-//! What an acceptor has on disk: its promise and its newest vote.
+//! The record that an acceptor has on disk: its promise and its newest vote.
 use crate::codec::{self, CodecError};
 use crate::vote::{MAX_MEMBERS, Member, ProposalNumber, SharedVote, State, Vote};
 use nanoserde::{DeBin, SerBin};
 
-/// The durable state of one shard at one node. A node without a record has promised and accepted nothing.
+/// The durable state of one shard on one node. A node without a record has neither promised nor accepted anything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Record {
-    /// No proposal below this number is promised or accepted any more. Never decreases.
+    /// The highest promised number: the acceptor rejects all proposals with lower numbers. Never decreases.
     pub promised: ProposalNumber,
-    /// The newest vote by id; it is replaced, never removed.
+    /// The newest accepted vote, by id. It is replaced by newer votes and never removed.
     pub accepted: Option<SharedVote>,
 }
 
 impl Record {
-    /// The first record of a shard's first group, whose state counts as chosen. Every member has these same bytes on
-    /// disk before it takes part.
+    /// The initial record of a shard's first group, whose state counts as chosen. Every member has the same bytes on
+    /// disk before it starts its register.
     pub fn bootstrap(mut members: Vec<Member>, body: Vec<u8>) -> Record {
         members.sort_unstable();
         let initial_size = members.len().min(MAX_MEMBERS) as u8;
@@ -36,15 +36,15 @@
         }
     }
 
-    /// The bytes that go to disk.
+    /// Encodes the record for the disk.
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 
-    /// Reads a record of at most `max_bytes`; see `Settings::max_message_bytes`.
+    /// Decodes a record of at most `max_bytes`; see `Settings::max_message_bytes`.
     ///
     /// # Errors
-    /// The bytes are too long, of another format, or no record.
+    /// The input is too long, has another format, or is not a record.
     pub fn decode(bytes: &[u8], max_bytes: usize) -> Result<Record, CodecError> {
         codec::decode(bytes, max_bytes)
     }
--- a/crates/sparrouter-consensus/src/register/catch_up.rs
+++ b/crates/sparrouter-consensus/src/register/catch_up.rs
@@ -1,4 +1,4 @@
-//! Catch-up: members compare their progress, and who is behind is sent the newest chosen state.
+//! Catch-up: members compare their progress, and a member that is behind receives the newest chosen state.
 use super::Register;
 use crate::machine::Machine;
 use crate::message::{Message, Outline};
@@ -7,13 +7,14 @@
 use crate::transfer::TransferStep;
 use crate::vote::{Member, VoteId};
 
-/// Deadline of the register's own read that confirms the newest vote, in anti-entropy intervals.
+/// Time limit of the internal read that confirms the newest vote, in anti-entropy intervals.
 const CONFIRMATION_INTERVALS: Nanos = 8;
 
 impl<M: Machine> Register<M> {
-    /// Asks a node, which may know the shard's group, for what it knows.
-    pub fn request_state(&mut self, of: Member, now: Nanos) {
-        self.send(of, self.progress());
+    /// Sends this node's progress to a node that may know the shard's group, which answers with its newest chosen
+    /// state.
+    pub fn request_state(&mut self, peer: Member, now: Nanos) {
+        self.send(peer, self.progress());
         self.make_progress(now);
     }
 
@@ -24,7 +25,8 @@
         }
     }
 
-    /// Sends a node what it lacks, asks it for what this node lacks, or reports what this node's disk has.
+    /// Answers a peer's progress: sends the newest chosen state if the peer is behind, sends this node's progress if
+    /// this node is behind, and otherwise reports the newest chosen slot on disk.
     pub(super) fn on_progress(
         &mut self,
         from: Member,
@@ -41,8 +43,9 @@
         }
     }
 
-    /// What this disk has, where just one of the two nodes is in the group: a node that leaves waits to hear whether it
-    /// is missed, a member whether the other node may join.
+    /// The report of the newest chosen slot on disk; `None` if both or neither of the two nodes are members. A node
+    /// that leaves the group needs the members' reports to shut down, and a member needs a candidate's report to add
+    /// it.
     fn stored_report(&self, from: &Member) -> Option<Message> {
         let is_member = self.learner.is_member(self.me.disk_id);
         if is_member == self.learner.is_member(from.disk_id) {
@@ -52,7 +55,7 @@
         Some(Message::Stored { chosen_slot })
     }
 
-    /// Outside the group, reports to its members a chosen slot that is on disk now.
+    /// If this node is outside the group, announces the newest chosen slot on its disk to the members.
     pub(super) fn announce_stored_slot(&mut self) {
         if self.learner.is_member(self.me.disk_id) {
             return;
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Compares this node's progress with another node's, if it is time.
+    /// Sends this node's progress to a peer if a comparison is due.
     pub(super) fn run_anti_entropy(&mut self, now: Nanos) {
         if !self
             .anti_entropy
@@ -96,7 +99,8 @@
         }
     }
 
-    /// Finds out whether the newest vote is chosen, if it is time and nobody has yet.
+    /// Starts an internal read that finds out whether the newest vote is chosen, if a confirmation is due and the vote
+    /// is still not known to be chosen.
     pub(super) fn run_confirmation(&mut self, now: Nanos) {
         if self.anti_entropy.start_confirmation(now)
             && self.is_newest_uncommitted()
--- a/crates/sparrouter-consensus/src/register/delivery.rs
+++ b/crates/sparrouter-consensus/src/register/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of messages: which role handles each.
+//! Dispatch of received messages to the Paxos roles that handle them.
 use super::Register;
 use crate::machine::Machine;
 use crate::message::{Message, Received};
@@ -9,7 +9,7 @@
 impl<M: Machine> Register<M> {
     #[expect(
         clippy::too_many_lines,
-        reason = "one arm a message, each of which hands over to a role"
+        reason = "one arm for each message, which calls the role that handles it"
     )]
     pub(super) fn deliver(&mut self, received: Received, now: Nanos) {
         let Received { from, message } = received;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// A report answers a read, or the check of a member that leaves.
+    /// Handles a report, which answers either a read or the hand-over check of a leaving member.
     fn on_report(&mut self, from: Member, nonce: u64, reply: Reply, now: Nanos) {
         if self.handover.awaits(nonce) {
             self.on_handover_report(from, &reply, now);
--- a/crates/sparrouter-consensus/src/register/membership.rs
+++ b/crates/sparrouter-consensus/src/register/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the group by what is observed of the nodes, and the departure of this node.
+//! Changes of the group based on observations of the nodes, and this node's graceful shutdown.
 use super::Register;
 use crate::handover::ANSWER_VALID_INTERVALS;
 use crate::machine::Machine;
@@ -9,14 +9,14 @@
 use crate::vote::{Member, SharedVote, contains_disk};
 
 impl<M: Machine> Register<M> {
-    /// Takes in what is known of all nodes, and changes the group by at most one member. To be called at each change of
-    /// what is known, and now and then.
+    /// Processes the observations of all nodes, and proposes a change of the group by at most one member if one is
+    /// needed. The caller calls this whenever an observation changes, and periodically.
     pub fn observe_nodes(&mut self, observations: &[NodeObservation], now: Nanos) {
         self.choose_outside_peer(observations);
         let Some(chosen) = self.learner.chosen().cloned() else {
             return;
         };
-        self.question_candidates(&chosen, observations, now);
+        self.ask_candidates(&chosen, observations, now);
         let next_group = self.reconfiguration.decide(
             self.shard,
             &self.me,
@@ -49,7 +49,7 @@
     }
 
     /// Asks the nodes that may join the group whether their disks have its state.
-    fn question_candidates(
+    fn ask_candidates(
         &mut self,
         chosen: &SharedVote,
         observations: &[NodeObservation],
@@ -63,13 +63,13 @@
             &self.settings,
         );
         self.handover.has_successor = !candidates.is_empty();
-        let questions = self.reconfiguration.choose_questions(
+        let candidates_to_ask = self.reconfiguration.choose_candidates_to_ask(
             &candidates,
             chosen.state.slot,
             &self.settings,
             now,
         );
-        for candidate in questions {
+        for candidate in candidates_to_ask {
             self.send(candidate, self.progress());
         }
     }
@@ -85,28 +85,28 @@
         self.make_progress(now);
     }
 
-    /// Whether a node outside the group may end without being missed: a majority of the group has a state without it on
-    /// disk. Until then its own vote may be needed to find that state.
+    /// Whether a node outside the group may shut down: a majority of the group has a state that excludes this node on
+    /// disk. Until then this node's vote may be needed to recover that state.
     pub fn may_leave(&self) -> bool {
         self.accepted().is_none_or(|vote| {
             !vote.is_elector(self.me.disk_id) && self.learner.is_exclusion_stored()
         })
     }
 
-    /// Asks the other members for what a node that leaves has to know; to be called again and again until
-    /// `is_handed_over`.
+    /// Asks the other members which state they have on disk. A node that shuts down calls this repeatedly until
+    /// `is_handed_over` returns true.
     pub fn continue_handover(&mut self, now: Nanos) {
         let Some(chosen) = self.learner.chosen().cloned() else {
             return;
         };
-        let question = if self.learner.is_member(self.me.disk_id) {
-            self.handover.question(&chosen, || self.rng.u64(..))
+        let message = if self.learner.is_member(self.me.disk_id) {
+            self.handover.query(&chosen, || self.rng.u64(..))
         } else {
             self.progress()
         };
         for member in &chosen.state.members {
             if member.disk_id != self.me.disk_id {
-                self.send(member.clone(), question.clone());
+                self.send(member.clone(), message.clone());
             }
         }
         self.make_progress(now);
@@ -119,7 +119,7 @@
         self.notify_if_behind(from, reply.accepted);
     }
 
-    /// Whether this node may end: nothing is on its disk alone, and its vote is not needed.
+    /// Whether this node may shut down: its state is also on other disks, and its vote is not needed for a quorum.
     pub fn is_handed_over(&self, now: Nanos) -> bool {
         let Some(chosen) = self.learner.chosen() else {
             return self.accepted().is_none();
@@ -129,7 +129,7 @@
         }
         let is_newest_committed = self.accepted_vote() == Some(chosen.id());
         if let [_] = chosen.state.members.as_slice() {
-            // There is nobody to hand over to, and nobody who could miss this node's vote.
+            // The group has no other member that this node could hand over to or that needs this node's vote.
             return is_newest_committed && !self.handover.has_successor;
         }
         let valid_for = ANSWER_VALID_INTERVALS * self.settings.anti_entropy_interval;
--- a/crates/sparrouter-consensus/src/register/mod.rs
+++ b/crates/sparrouter-consensus/src/register/mod.rs
@@ -1,9 +1,10 @@
-//! The register: one shard's replicated value at one node, which joins the roles of Paxos and its reconfiguration.
+//! The register: one shard's replicated value at one node. It combines the Paxos roles and reconfiguration.
 //!
-//! Calls, messages and ends of stores go in; `Action`s come out (`Register::take_actions`). It does no I/O, has no
-//! clock and no threads: the caller says what time it is, sends, stores, and calls `tick` at `next_wake`.
+//! Inputs are calls, messages and completed stores; outputs are `Action`s (`Register::take_actions`). The register does
+//! no I/O and has no clock and no threads: the caller passes in the time, sends messages, stores records, and calls
+//! `tick` at `next_wake`.
 //!
-//! | part | state | submodule that drives it |
+//! | part | state | submodule |
 //! | --- | --- | --- |
 //! | proposer | `proposer`, `operations` | `proposal` (changes), `read` (quorum reads) |
 //! | acceptor | `acceptor` | `delivery` |
@@ -36,45 +37,45 @@
 use fastrand::Rng;
 use std::collections::VecDeque;
 
-/// What the caller has to do for a register.
+/// An action that the caller has to carry out for a register.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message to the node at this member's address; it may be lost.
+    /// Send a message to the node at this member's address. The message may be lost.
     Send {
         /// The receiver.
         to: Member,
         /// The message.
         message: Message,
     },
-    /// Replace this shard's record on disk by these bytes, sync, then call `Register::stored`.
+    /// Replace this shard's record on disk by these bytes, sync the disk, then call `Register::stored`.
     Store {
-        /// Names the store.
+        /// Identifies the store.
         token: u64,
         /// The encoded `Record`.
         bytes: Vec<u8>,
     },
-    /// This state is chosen. Slots rise strictly from one such action to the next; some may be left out.
+    /// This state is chosen. The slots of consecutive `Chosen` actions strictly increase; slots may be skipped.
     Chosen(State),
-    /// A call ended. There is one such action for each call.
+    /// An operation completed. There is exactly one such action for each call of `propose` or `read`.
     Completed {
-        /// The caller's name for the call.
+        /// The caller's id of the operation.
         op: u64,
-        /// How it ended.
+        /// The result of the operation.
         outcome: Outcome,
     },
 }
 
-/// Why a register could not be started.
+/// The reason why a register could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum RegisterError {
-    /// The record on disk can't be decoded.
+    /// The record on disk could not be decoded.
     #[error(
         "the record of shard {shard} can't be read: {source}; treat the disk as wiped, so that it joins under a new id"
     )]
     Record {
         /// The register's shard.
         shard: u16,
-        /// What is wrong with the record.
+        /// The decoding error.
         source: CodecError,
     },
 }
@@ -83,37 +84,37 @@
 #[derive(Clone, Debug)]
 pub struct Register<M: Machine> {
     shard: u16,
-    /// This node under its disk's id. Neither changes: a wiped disk gets a register of its own.
+    /// This node with its disk id. Both are fixed: a wiped disk gets a new register.
     me: Member,
-    /// What a change means to the body.
+    /// The state machine that applies changes to the body.
     machine: M,
     settings: Settings,
-    /// Draws incarnation, proposal ids, nonces and delays.
+    /// Source of the incarnation, proposal ids, nonces and random delays.
     rng: Rng,
     acceptor: Acceptor,
     learner: Learner,
     proposer: Proposer,
-    /// What counts as a quorum, for proposals and reads alike.
+    /// Decides whether a set of disks is a quorum, for proposals and reads.
     quorum: QuorumRule,
-    /// Operations that have not completed; each ends in one `Action::Completed`, or in none if it is the register's own.
+    /// Pending operations. Each results in one `Action::Completed`, internal operations of the register in none.
     operations: OperationQueue,
     reconfiguration: Reconfiguration,
     handover: Handover,
     transfers: Transfers,
     anti_entropy: AntiEntropy,
-    /// Messages that are not handled yet: empty between two calls of the register.
+    /// Received messages that are not handled yet. The inbox is empty between two calls of the register.
     inbox: VecDeque<Received>,
-    /// For the caller, in the order in which they have to be carried out.
+    /// Actions for the caller, in the order in which it has to carry them out.
     actions: Vec<Action>,
 }
 
 impl<M: Machine> Register<M> {
-    /// Starts a register from `record`, the bytes of the last `Action::Store` that ended well, or `None` if there never
-    /// was one. A group's first record is `Record::bootstrap`. `rng` must differ from start to start of a machine: it
-    /// draws the incarnation of this start's proposal numbers.
+    /// Starts a register from `record`, the bytes of the last successful `Action::Store`, or `None` if there was none.
+    /// A group's initial record is `Record::bootstrap`. `rng` needs a different seed at each start of a node, because
+    /// the incarnation in its proposal numbers is drawn from it.
     ///
     /// # Errors
-    /// The record can't be decoded: the disk has to count as wiped.
+    /// The record can't be decoded. The caller then has to treat the disk as wiped.
     pub fn new(
         shard: u16,
         me: Member,
@@ -155,43 +156,44 @@
         })
     }
 
-    /// The shard that this register belongs to.
+    /// The shard whose value this register holds.
     pub fn shard(&self) -> u16 {
         self.shard
     }
 
-    /// The newest state known to be chosen.
+    /// The newest state that this node knows to be chosen.
     pub fn chosen(&self) -> Option<&State> {
         self.learner.chosen().map(|vote| &vote.state)
     }
 
-    /// The newest state that this node accepted, chosen or not: it may never have been in force, and what is in force
-    /// may be newer by any number of slots. Only `read` and `propose` confirm a state.
+    /// The newest state that this node accepted. It may not be chosen, and the newest chosen state may be any number of
+    /// slots newer. Only `read` and `propose` return a confirmed state.
     pub fn unconfirmed(&self) -> Option<&State> {
         self.accepted().map(|vote| &vote.state)
     }
 
-    /// Slots of which two states were reported to be chosen: anything but 0 is a violation of agreement, to be logged as such.
+    /// Number of times that a second state of a slot was reported as chosen. Any value but 0 is a violation of
+    /// agreement, which the caller should log.
     pub fn conflicts(&self) -> u64 {
         self.learner.conflicts()
     }
 
-    /// What became of the large bodies that this node fetched.
+    /// Counts of the large bodies that this node fetched.
     pub fn transfer_counts(&self) -> TransferCounts {
         self.transfers.counts
     }
 
-    /// The group, as far as this node knows; empty if it knows none.
+    /// The newest group that this node knows; empty if it knows none.
     pub fn members(&self) -> &[Member] {
         self.accepted().map_or(&[], |vote| &vote.state.members)
     }
 
-    /// The newest vote that this node accepted, on disk or about to be.
+    /// The newest vote that this node accepted, which may not be on disk yet.
     pub fn accepted_vote(&self) -> Option<VoteId> {
         self.accepted().map(|vote| vote.id())
     }
 
-    /// Whether this node's vote counts in the newest group that it knows.
+    /// Whether this node is a member of the newest group that it knows.
     pub fn is_member(&self) -> bool {
         contains_disk(self.members(), self.me.disk_id)
     }
@@ -200,8 +202,8 @@
         self.acceptor.accepted()
     }
 
-    /// Applies `change` to the newest state; ends in `Action::Completed` by `deadline`. `op` names the call for the
-    /// caller.
+    /// Applies `change` to the newest state. Results in `Action::Completed` by `deadline`, with the caller's operation
+    /// id `op`.
     pub fn propose(&mut self, op: u64, change: Vec<u8>, deadline: Nanos, now: Nanos) {
         if change.len() > self.settings.max_change_bytes {
             return self.complete(Some(op), Outcome::Rejected(Rejection::TooLarge));
@@ -209,8 +211,8 @@
         self.submit(op, OperationKind::Change(change), deadline, now);
     }
 
-    /// Asks for the body that is in force; ends in `Action::Completed` by `deadline`. Nothing is stored while the group
-    /// agrees.
+    /// Reads the body of the newest chosen state. Results in `Action::Completed` by `deadline`, with the caller's
+    /// operation id `op`. A read stores nothing unless the members disagree about the newest vote.
     pub fn read(&mut self, op: u64, deadline: Nanos, now: Nanos) {
         self.submit(op, OperationKind::Read, deadline, now);
     }
@@ -223,24 +225,25 @@
         self.make_progress(now);
     }
 
-    /// A message arrived. `from`: the node at the other end, under the disk id that it has now.
+    /// Handles a message from the node `from`, which the caller identifies by the node's current disk id.
     pub fn handle(&mut self, from: Member, message: Message, now: Nanos) {
         self.inbox.push_back(Received { from, message });
         self.make_progress(now);
     }
 
-    /// The store `token` ended. After `ok == false` its bytes may be on disk all the same; it is repeated later.
+    /// Handles the end of the store `token`. If it failed (`ok == false`), its bytes may still be on disk, and the
+    /// store is retried later.
     pub fn stored(&mut self, token: u64, ok: bool, now: Nanos) {
         self.acceptor.on_store_ended(token, ok, now, &self.settings);
         self.announce_stored_slot();
         self.make_progress(now);
     }
 
-    /// Time passed: operations reach their deadlines, requests are repeated, members compared.
+    /// Handles all timers that are due: deadlines of operations, repeats of requests, and anti-entropy.
     pub fn tick(&mut self, now: Nanos) {
         self.complete_expired(now);
         if self.operations.is_empty() {
-            // Nobody waits for what is in progress.
+            // No operation waits for the result of the request in progress.
             self.proposer.end_phase();
         }
         self.on_proposer_timer(now);
@@ -251,7 +254,7 @@
         self.make_progress(now);
     }
 
-    /// When `tick` has something to do.
+    /// When the caller has to call `tick` next.
     pub fn next_wake(&self) -> Option<Nanos> {
         let timers = [
             self.operations.next_deadline(),
@@ -263,13 +266,14 @@
         timers.into_iter().flatten().min()
     }
 
-    /// What the caller has to do, in this order. Empty only if nothing came up since the last call.
+    /// Removes and returns the actions that the caller has to carry out, in this order. The list is empty if there were
+    /// no new actions since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Handles messages and operations until nothing is left to do now, then sends the replies that are on disk and
-    /// starts the store that the others need.
+    /// Handles received messages and pending operations until there are no more, sends the replies whose record is on
+    /// disk, and starts a store if the record has changed.
     fn make_progress(&mut self, now: Nanos) {
         loop {
             while let Some(received) = self.inbox.pop_front() {
@@ -292,7 +296,7 @@
         }
     }
 
-    /// Sends a message; one to this node itself is handled before the call of the register returns.
+    /// Sends a message. A message to this node itself is handled before the current call of the register returns.
     fn send(&mut self, to: Member, message: Message) {
         if to.disk_id == self.me.disk_id {
             self.inbox.push_back(Received { from: to, message });
@@ -308,7 +312,7 @@
         }
     }
 
-    /// Ends an operation; without an id nobody waits for its outcome.
+    /// Reports the outcome of an operation to the caller; without an id there is no caller to report to.
     fn complete(&mut self, id: Option<u64>, outcome: Outcome) {
         if let Some(op) = id {
             self.actions.push(Action::Completed { op, outcome });
--- a/crates/sparrouter-consensus/src/register/proposal.rs
+++ b/crates/sparrouter-consensus/src/register/proposal.rs
@@ -1,14 +1,14 @@
-//! The way of a proposal, from the waiting operations to their answers:
+//! The phases of a proposal, from the pending operations to their answers:
 //!
-//! 1. `drive_operations` finds the proposer idle and operations waiting.
-//! 2. `start_prepare`: without a prepared number, promises are asked for. `on_promise` counts them, and
-//!    `continue_prepare` either finds the newest reported vote chosen, or has it accepted again first.
-//! 3. `propose_next_slot`: on a chosen vote under a prepared number, the operations are evaluated.
-//! 4. `start_accept`: the vote that they make is sent to its electorate.
-//! 5. `on_accepted`: a quorum has it on disk, so that it is chosen. It is published, the operations are answered, and
-//!    the number stays prepared for the next slot: step 3 follows at once.
+//! 1. `drive_operations` starts if the proposer is idle and operations are pending.
+//! 2. `start_prepare` requests promises if there is no prepared number. `on_promise` counts the promises, and
+//!    `continue_prepare` either finds that the newest reported vote is chosen, or proposes that vote again first.
+//! 3. `propose_next_slot` evaluates the operations on a chosen vote under a prepared number.
+//! 4. `start_accept` sends the resulting vote to its electorate.
+//! 5. `on_accepted`: once a quorum has the vote on disk, it is chosen. It is published, the operations are answered,
+//!    and the number stays prepared for the next slot, so that step 3 follows at once.
 //!
-//! `on_reject` and `on_proposer_timer` end in a backoff, then step 2 follows with a higher number.
+//! `on_reject` and `on_proposer_timer` may start a backoff, after which step 2 follows with a higher number.
 use super::Register;
 use crate::evaluation::{self, Evaluated, Resolution};
 use crate::machine::Machine;
@@ -19,11 +19,12 @@
 use crate::time::Nanos;
 use crate::vote::{Member, ProposalNumber, SharedVote, VoteId};
 
-/// Queries without agreement before a number is prepared: mostly a vote is just in flight.
+/// Number of queries without agreement after which a number is prepared. Queries mostly disagree only because a vote is
+/// in flight, so that another query suffices.
 const MAX_QUERY_ATTEMPTS: u32 = 3;
 
 impl<M: Machine> Register<M> {
-    /// Starts what the waiting operations need, if nothing is in progress.
+    /// Starts the phase that the pending operations need, if the proposer is idle.
     pub(super) fn drive_operations(&mut self, now: Nanos) {
         while self.proposer.is_idle() && !self.operations.is_empty() {
             let Some(accepted) = self.accepted().cloned() else {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The defect `read_locally`.
+    /// Implements the injected defect `read_locally`.
     fn answer_reads_locally(&mut self, accepted: &SharedVote) {
         for operation in self.operations.take(|o| o.is_read()) {
             let body = accepted.state.body.clone();
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Evaluates the waiting operations on the chosen vote of a prepared number, and proposes what they make of it.
+    /// Evaluates the pending operations on the chosen vote of a prepared number, and proposes the resulting vote.
     fn propose_next_slot(&mut self, prepared: PreparedNumber, now: Nanos) {
         self.resolve_sent_proposals(&prepared.chosen);
         let proposal_id = self.rng.u64(1..);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Ends the operations whose proposals were chosen, and those whose fate can no longer be found out.
+    /// Completes the operations whose proposals were chosen or can no longer be resolved.
     fn resolve_sent_proposals(&mut self, chosen: &SharedVote) {
         let settings = &self.settings;
         let mut outcomes = Vec::new();
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Notes with each operation that a proposal carries that it leaves this node by it.
+    /// Records the proposal in each operation that it contains.
     fn record_sent_proposals(&mut self, evaluated: &[Evaluated], slot: u64, proposal_id: u64) {
         for evaluated in evaluated.iter().filter(|e| e.is_proposed) {
             if let Outcome::Answered(answer) = &evaluated.outcome
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Records a reply; whether a request awaits it. Members that it made known are asked too.
+    /// Records a reply, and sends the request to members that the reply made known. Returns whether a request awaits
+    /// the reply.
     pub(super) fn record_reply(&mut self, from: &Member, reply: Reply, now: Nanos) -> bool {
         match self.proposer.on_reply(from, reply, &self.settings, now) {
             Some(sends) => {
@@ -149,8 +151,8 @@
         }
     }
 
-    /// Once a quorum has promised, goes on with the newest vote that it reported: any vote that may be chosen is that
-    /// one or an older one.
+    /// Once a quorum has promised, continues with the newest vote that the quorum reported. No vote that may be chosen
+    /// is newer than that vote.
     pub(super) fn continue_prepare(&mut self, now: Nanos) {
         let Some(request) = self.proposer.request() else {
             return;
@@ -166,7 +168,7 @@
         let is_chosen = self
             .quorum
             .is_quorum(&vote, |disk| request.has_vote(disk, vote.id()));
-        if is_chosen || self.settings.defects.judge_unchosen {
+        if is_chosen || self.settings.defects.evaluate_on_unchosen {
             self.proposer.end_phase();
             let chosen = self.publish(&vote, now);
             self.proposer.set_prepared(PreparedNumber {
@@ -186,7 +188,7 @@
         self.start_request(RequestKind::Accept { evaluated }, vote, now);
     }
 
-    /// The defect `answer_unchosen`.
+    /// Implements the injected defect `answer_before_chosen`.
     fn answer_before_chosen(&mut self, evaluated: &[Evaluated]) {
         for evaluated in evaluated {
             if let Some(operation) = self.operations.get_mut(evaluated.sequence) {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Once a quorum has accepted, the vote is chosen: its operations are answered.
+    /// Records an acceptance. Once a quorum has accepted the vote, it is chosen and its operations are answered.
     pub(super) fn on_accepted(&mut self, from: &Member, vote_id: VoteId, now: Nanos) {
         let reply = Reply {
             to: ReplyTo::Accept(vote_id),
@@ -233,7 +235,7 @@
         })
     }
 
-    /// Ends operations with the outcomes of their evaluation, which are confirmed now.
+    /// Completes operations with the outcomes of their evaluation, which is confirmed now.
     pub(super) fn complete_evaluated(&mut self, evaluated: Vec<Evaluated>) {
         for evaluated in evaluated {
             if let Some(operation) = self.operations.remove(evaluated.sequence) {
@@ -255,7 +257,7 @@
         }
     }
 
-    /// The backoff is over, or the request in progress had no quorum in time.
+    /// Handles the proposer's timer: the backoff is over, or no quorum answered the request in time.
     pub(super) fn on_proposer_timer(&mut self, now: Nanos) {
         if self.proposer.next_wake().is_none_or(|wake| wake > now) {
             return;
@@ -265,7 +267,7 @@
             return;
         };
         if let RequestKind::Query { attempt, .. } = request.kind {
-            // A quorum that answered did not agree.
+            // A quorum answered, but its newest votes differ.
             if self.has_quorum_of_replies() {
                 return self.retry_query(attempt, request.vote.clone(), now);
             }
@@ -296,8 +298,8 @@
         }
     }
 
-    /// A vote became known to be chosen while a request is in progress: the request may be waiting for a group that has
-    /// no more say, or for acceptance of a slot that is decided.
+    /// Adapts the request in progress to a vote that became known to be chosen: the request may be waiting for a group
+    /// that was replaced, or for acceptance of a slot that is already decided.
     pub(super) fn on_vote_chosen(&mut self, vote: &SharedVote, now: Nanos) {
         let Some(request) = self.proposer.request() else {
             return;
@@ -321,7 +323,7 @@
         }
     }
 
-    /// Answers the reads that came before a request began, with the body that it confirmed.
+    /// Answers the reads that were submitted before the request `sequence` started, with the body that it confirmed.
     pub(super) fn answer_reads_before(&mut self, sequence: u64, chosen: &SharedVote) {
         let is_confirmed =
             |operation: &mut Operation| operation.is_read() && operation.sequence < sequence;
--- a/crates/sparrouter-consensus/src/register/publication.rs
+++ b/crates/sparrouter-consensus/src/register/publication.rs
@@ -1,4 +1,4 @@
-//! Publication of chosen votes, and what this node's disk has of them.
+//! Publication of chosen votes, and the newest chosen slot on this node's disk.
 use super::{Action, Register};
 use crate::machine::Machine;
 use crate::message::Message;
@@ -6,7 +6,7 @@
 use crate::vote::{Member, SharedVote, VoteId};
 
 impl<M: Machine> Register<M> {
-    /// A vote is known to be chosen. Returns it without the previous group, which has no more say.
+    /// Publishes a vote that is known to be chosen. Returns the vote without its previous group, which no longer votes.
     pub(super) fn publish(&mut self, vote: &SharedVote, now: Nanos) -> SharedVote {
         let vote = vote.without_previous_members();
         self.proposer.observe_term(vote.number);
@@ -14,7 +14,8 @@
         self.quorum.observe_group(&vote.state.members);
         if self.learner.learn(&vote) {
             self.actions.push(Action::Chosen(vote.state.clone()));
-            // The slot after the prepared number's vote is decided. Whoever just won it sets the number anew.
+            // The slot that the prepared number was for is decided. If this node proposed the chosen vote, the caller
+            // sets the prepared number again.
             self.proposer.drop_prepared();
         }
         self.on_vote_chosen(&vote, now);
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Sends a member whose disk has an older vote the id of the newest chosen one.
+    /// Sends the id of the newest chosen vote to a member whose newest vote is older.
     pub(super) fn notify_if_behind(&mut self, member: Member, accepted: Option<VoteId>) {
         if let Some(vote_id) = self.learner.chosen().map(|vote| vote.id())
             && accepted < Some(vote_id)
@@ -42,19 +43,20 @@
         }
     }
 
-    /// Whether the newest vote here may be chosen without this node's knowledge: its proposer may be gone.
+    /// Whether this node's newest vote may be chosen without this node's knowledge, for example because its proposer
+    /// failed.
     pub(super) fn is_newest_uncommitted(&self) -> bool {
         self.accepted().is_some_and(|vote| {
             self.learner.chosen_slot() < Some(vote.state.slot) && vote.is_elector(self.me.disk_id)
         })
     }
 
-    /// The newest chosen slot, if it is on disk without a previous group.
+    /// The newest chosen slot, if its state is on disk without a previous group.
     pub(super) fn stored_chosen_slot(&self) -> Option<u64> {
         let chosen_slot = self.learner.chosen_slot()?;
         let stored = self.acceptor.stored_vote()?;
         let is_stored = match stored.previous_members {
-            // A later slot on disk shows that this one was chosen.
+            // A vote for a later slot on disk shows that this slot was chosen.
             Some(_) => stored.state.slot > chosen_slot,
             None => stored.state.slot >= chosen_slot,
         };
--- a/crates/sparrouter-consensus/src/register/read.rs
+++ b/crates/sparrouter-consensus/src/register/read.rs
@@ -1,7 +1,9 @@
-//! Quorum reads: a vote that a quorum reports as the newest on its disks is chosen, and in force at that moment.
+//! Quorum reads: a vote that every member of a quorum reports as the newest vote on its disk is chosen, and no later
+//! slot was chosen before the query.
 //!
-//! Nothing is promised or stored. A read is answered by a query that began after it came (as in ReadIndex), so that it
-//! sees every change that was answered before. Queries that don't agree end in a prepare phase.
+//! Reads promise and store nothing. A read is answered by a query that started after the read was submitted (as in
+//! ReadIndex), so that it observes every change that was answered before. If the members of a quorum keep reporting
+//! different votes, a prepare phase follows.
 use super::Register;
 use crate::machine::Machine;
 use crate::message::Message;
@@ -21,7 +23,8 @@
         }
     }
 
-    /// Looks for a reported vote that a quorum has. Where all have answered without agreement, it soon asks again.
+    /// Finishes the query if a quorum has the same vote. If all recipients have answered without agreement, the query
+    /// is repeated after one round trip.
     pub(super) fn continue_query(&mut self, now: Nanos) {
         let round_trip = self.proposer.round_trip();
         let Some(request) = self.proposer.request_mut() else {
@@ -48,12 +51,13 @@
             self.send(member, Message::Chosen { vote_id });
         }
         match self.proposer.prepared_mut() {
-            // The number is still prepared: its next evaluation answers what came before this query.
+            // The number is still prepared: the next evaluation under it answers the operations that were submitted
+            // before this query.
             Some(prepared) if prepared.chosen.id() == vote_id => {
                 prepared.confirmed = prepared.confirmed.max(request.sequence);
             }
             _ => {
-                // Another proposer went on from here, or there was none.
+                // Another proposer has proposed a later slot, or there is no prepared number.
                 self.proposer.drop_prepared();
                 self.answer_reads_before(request.sequence, chosen);
             }
--- a/crates/sparrouter-consensus/src/request.rs
+++ b/crates/sparrouter-consensus/src/request.rs
@@ -1,4 +1,4 @@
-//! A request to everybody whose vote counts, repeated until a quorum has answered: a round of messages of the proposer.
+//! A request of the proposer to all members whose votes count, which is repeated until a quorum has answered.
 use crate::evaluation::Evaluated;
 use crate::message::Message;
 use crate::operation::Sequence;
@@ -6,21 +6,21 @@
 use crate::vote::{Member, ProposalNumber, SharedVote, VoteId, contains_disk};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Repeats to members that don't answer before the proposal starts anew.
+/// Number of repeats of a request after which the proposer backs off and prepares a new number.
 const MAX_REPEATS: u32 = 6;
 
-/// What a request asks for.
+/// The kind of a request.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestKind {
-    /// The newest votes on disk. `attempt` counts from 1.
+    /// Asks for the newest votes on disk. `attempt` counts from 1.
     Query { nonce: u64, attempt: u32 },
-    /// Promises for a number.
+    /// Asks for promises for a number.
     Prepare { number: ProposalNumber },
-    /// Acceptance of `QuorumRequest::vote`; the operations that it completes.
+    /// Asks for acceptance of `QuorumRequest::vote`, which completes the operations in `evaluated`.
     Accept { evaluated: Vec<Evaluated> },
 }
 
-/// Which request a reply answers.
+/// Identifies the request that a reply answers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ReplyTo {
     Query(u64),
@@ -34,7 +34,7 @@
     pub to: ReplyTo,
     /// The newest vote that the acceptor has.
     pub accepted: Option<VoteId>,
-    /// That vote, if the request named an older one.
+    /// The vote `accepted` with its state, if it is newer than the vote that the request named.
     pub newer_vote: Option<SharedVote>,
 }
 
@@ -42,26 +42,26 @@
 #[derive(Clone, Debug)]
 pub(crate) struct QuorumRequest {
     pub kind: RequestKind,
-    /// When it began: operations that came before are answered by its result.
+    /// Position in the order of operations and requests. The request's result answers the operations before it.
     pub sequence: Sequence,
-    /// Every elector of `vote` and of the votes that it was before; members are only added.
+    /// All electors of `vote` and of its earlier values; members are only added.
     pub recipients: Vec<Member>,
-    /// By disk id of a recipient: the newest vote that it has, by its last reply.
+    /// The newest vote of each recipient that replied, by disk id.
     replies: BTreeMap<u64, Option<VoteId>>,
-    /// Disk ids of recipients that rejected it.
+    /// Disk ids of the recipients that rejected the request.
     rejections: BTreeSet<u64>,
-    /// The vote that is proposed by an `Accept`; otherwise the newest vote reported, whose groups have to answer.
+    /// The proposed vote of an `Accept`; otherwise the newest reported vote, whose groups have to answer.
     pub vote: SharedVote,
-    /// All votes that replies brought and the one that the request began with: the candidates of a `Query`.
+    /// The initial vote of the request and all votes in replies. A `Query` looks for a chosen vote among them.
     pub reported_votes: Vec<SharedVote>,
     started_at: Nanos,
     repeats: u32,
-    /// When it is repeated to those that did not answer.
+    /// When the request is repeated to the recipients that have not replied.
     pub repeat_at: Nanos,
 }
 
 impl QuorumRequest {
-    /// A request to the electorate of `vote` that begins now.
+    /// Creates a request to the electorate of `vote` that starts now.
     pub fn new(
         kind: RequestKind,
         vote: SharedVote,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The number under which it proposes; a query has none.
+    /// The proposal number of the request; `None` if it is a query.
     pub fn number(&self) -> Option<ProposalNumber> {
         match self.kind {
             RequestKind::Query { .. } => None,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Whether a reply from this disk answers this very request.
+    /// Whether a reply from this disk answers this request.
     pub fn awaits(&self, disk_id: u64, reply_to: ReplyTo) -> bool {
         let is_answer = match (&self.kind, reply_to) {
             (RequestKind::Query { nonce, .. }, ReplyTo::Query(answered)) => *nonce == answered,
@@ -121,22 +121,23 @@
         is_answer && contains_disk(&self.recipients, disk_id)
     }
 
-    /// How long the answer took; `None` once the request was repeated, as the answer may be to any of its copies.
+    /// Time since the request started; `None` if the request was repeated, because a reply may then answer any of its
+    /// copies.
     pub fn measured_round_trip(&self, now: Nanos) -> Option<Nanos> {
         (self.repeats == 0).then(|| now.saturating_sub(self.started_at))
     }
 
-    /// Whether nobody has replied.
+    /// Whether no recipient has replied.
     pub fn has_no_reply(&self) -> bool {
         self.replies.is_empty()
     }
 
-    /// A recipient replied with its newest vote.
+    /// Records a recipient's reply with its newest vote.
     pub fn record_reply(&mut self, disk_id: u64, accepted: Option<VoteId>) {
         self.replies.insert(disk_id, accepted);
     }
 
-    /// A recipient rejected it.
+    /// Records a recipient's rejection of the request.
     pub fn record_rejection(&mut self, disk_id: u64) {
         self.rejections.insert(disk_id);
     }
@@ -146,12 +147,12 @@
         self.replies.contains_key(&disk_id)
     }
 
-    /// Whether the disk may still answer, or has.
+    /// Whether the disk has replied or may still do so.
     pub fn may_have_reply(&self, disk_id: u64) -> bool {
         !self.rejections.contains(&disk_id) || self.has_reply(disk_id)
     }
 
-    /// Whether the disk replied that this is its newest vote.
+    /// Whether the disk replied that `vote_id` is its newest vote.
     pub fn has_vote(&self, disk_id: u64, vote_id: VoteId) -> bool {
         self.replies.get(&disk_id) == Some(&Some(vote_id))
     }
@@ -161,7 +162,7 @@
         self.recipients.iter().all(|m| self.has_reply(m.disk_id))
     }
 
-    /// Recipients that replied with another vote than this one.
+    /// The recipients whose reply contains another vote than `vote_id`.
     pub fn recipients_without(&self, vote_id: VoteId) -> Vec<Member> {
         self.recipients
             .iter()
@@ -170,7 +171,7 @@
             .collect()
     }
 
-    /// Goes on with a newer vote; its electors that are not recipients yet become so, and are returned.
+    /// Continues the request with a newer vote. Adds the vote's electors to the recipients and returns the added ones.
     pub fn adopt_newer_vote(&mut self, vote: SharedVote) -> Vec<Member> {
         let mut added = vote.electorate();
         added.retain(|member| !contains_disk(&self.recipients, member.disk_id));
@@ -182,12 +183,12 @@
         added
     }
 
-    /// Whether what it asks for, or whom, may be out of date: `newest` is this node's newest vote.
+    /// Whether the request or its recipients may be out of date. `newest` is this node's newest vote.
     pub fn may_be_outdated(&self, newest: Option<VoteId>) -> bool {
         !self.rejections.is_empty() || newest > Some(self.vote.id()) || self.repeats >= MAX_REPEATS
     }
 
-    /// Counts a repeat and sets the time of the next; the recipients that have not answered.
+    /// Counts a repeat, schedules the next one, and returns the recipients that have not replied.
     pub fn repeat(&mut self, round_trip: Nanos, max_interval: Nanos, now: Nanos) -> Vec<Member> {
         self.repeats += 1;
         let backoff = (4 * round_trip) << self.repeats.min(4);
--- a/crates/sparrouter-consensus/src/settings.rs
+++ b/crates/sparrouter-consensus/src/settings.rs
@@ -1,27 +1,28 @@
-//! The limits and intervals of a register, and the defects that a test injects.
+//! Settings of a register: limits, intervals, and the defects that a test injects.
 use crate::codec::MAX_TEXT_BYTES;
 use crate::defects::Defects;
 use crate::time::{MILLISECOND, Nanos};
 use crate::vote::MAX_MEMBERS;
 
-/// Settings of one register; equal at all nodes of a shard, though no safety property depends on that.
+/// Settings of one register. All nodes of a shard should have equal settings, but no safety property depends on that.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// A member that was not heard from for so long may be replaced (`bounds.contact_ms`).
+    /// Time without contact after which a member may be replaced (`bounds.contact_ms`).
     pub contact_timeout: Nanos,
-    /// Between two anti-entropy messages of a node; each interval is drawn between half of it and one and a half of it.
+    /// Mean interval between two anti-entropy messages of a node. Each interval is drawn between 0.5 and 1.5 times this
+    /// value.
     pub anti_entropy_interval: Nanos,
-    /// Estimate of a message to a peer, its sync and the answer, until it is measured.
+    /// Initial estimate of the time for a message to a peer, the peer's sync and its answer, used until it is measured.
     pub round_trip: Nanos,
-    /// Most operations that wait at one register; further ones are rejected as `Busy`.
+    /// Maximum number of pending operations of one register; further operations are rejected as `Busy`.
     pub max_pending: usize,
-    /// Largest body, in bytes.
+    /// Maximum length of a body, in bytes.
     pub max_body_bytes: usize,
-    /// Largest change, in bytes.
+    /// Maximum length of a change, in bytes.
     pub max_change_bytes: usize,
-    /// Largest body that goes with the messages that carry its vote, in bytes; larger ones are fetched in chunks.
+    /// Maximum length of a body that is sent inline with its vote, in bytes; larger bodies are fetched in chunks.
     pub max_inline_body_bytes: usize,
-    /// Length of a chunk, in bytes. A small message on the same connection waits behind a few chunks at most.
+    /// Length of a chunk of a body, in bytes. A small message on the same connection waits behind at most a few chunks.
     pub chunk_bytes: usize,
     /// Defects that a test injects.
     pub defects: Defects,
@@ -44,7 +45,8 @@
 }
 
 impl Settings {
-    /// Longest encoded message or record, in bytes: a body, the texts of the members of two groups, and a header.
+    /// Maximum length of an encoded message or record, in bytes: a body, names and addresses of two groups, and a
+    /// header.
     pub fn max_message_bytes(&self) -> usize {
         self.max_body_bytes + MAX_MEMBERS * 4 * (MAX_TEXT_BYTES + 16) + 1024
     }
--- a/crates/sparrouter-consensus/src/time.rs
+++ b/crates/sparrouter-consensus/src/time.rs
@@ -1,7 +1,7 @@
-//! Time: spans and moments of a steady clock, which the caller reads and hands in.
+//! Durations and points in time of a monotonic clock, which the caller reads and passes in.
 
-/// A span, or a moment counted from the start of some steady clock, in nanoseconds. Moments of two processes are never
-/// compared.
+/// A duration, or a point in time on a monotonic clock, in nanoseconds. Points in time of two processes are never
+/// compared, because their clocks have different origins.
 pub type Nanos = u64;
 /// One second.
 pub const SECOND: Nanos = 1_000_000_000;
--- a/crates/sparrouter-consensus/src/transfer.rs
+++ b/crates/sparrouter-consensus/src/transfer.rs
@@ -1,20 +1,22 @@
-//! Transfer of large bodies between members: left out of messages, fetched once in chunks, checked by a digest.
+//! Transfer of large bodies between members: bodies are left out of messages, fetched once in chunks, and checked
+//! against a digest.
 //!
-//! A message whose vote has a body above `Settings::max_inline_body_bytes` leaves as an `Outline`: all but the body, and
-//! the body's reference. A receiver that has this body already, under whatever number or slot, fills it in. Any other
-//! parks the outline and fetches the body from whoever offered it, a few chunks at a time; then the message is handled
-//! as if it had only now arrived. To the protocol an outline is therefore a message that was in flight for long.
+//! A message whose vote has a body above `Settings::max_inline_body_bytes` is sent as an `Outline`, which contains the
+//! body's reference instead of the body. A receiver that already has the body, from a vote with any number and slot,
+//! completes the message. Any other receiver parks the outline and fetches the body in chunks from the members that
+//! offered it; it handles the message once the body has arrived. To the protocol, a parked outline is therefore a
+//! message with a long network delay.
 //!
-//! | state of the fetch | event | next |
+//! | state of the fetch | event | action |
 //! | --- | --- | --- |
-//! | none | outline of an unknown body | its first chunks are requested |
-//! | active | chunk | the next one is requested; after the last one the digest is checked, parked messages go on |
-//! | active | no chunk in time | the missing ones are requested again, from the next member that offered the body |
-//! | active | too many time-outs in a row | paused: what has arrived is kept until another body is wanted |
-//! | late or paused | outline of the same body | its sender is asked, from where the fetch stopped |
-//! | late or paused | outline of another body | that one is fetched |
-//! | active | outline of another body | parked: the newest one is fetched next, so that no change overtakes for ever |
-//! | active | the source no longer has the body | the next member that offered it, or the newest parked outline |
+//! | none | outline of an unknown body | requests the first chunks of the body |
+//! | active | chunk | requests the next chunk; after the last chunk, checks the digest and delivers the parked messages |
+//! | active | time-out of the requested chunks | requests the missing chunks from the next member that offered the body |
+//! | active | too many consecutive time-outs | pauses the fetch; keeps the received chunks until another body is fetched |
+//! | delayed or paused | outline of the same body | requests the missing chunks from the sender |
+//! | delayed or paused | outline of another body | fetches the other body instead |
+//! | active | outline of another body | parks the outline; the newest parked body is fetched next, so that frequent changes can't starve a fetch |
+//! | active | the source no longer has the body | asks the next member that offered it, or fetches the newest parked body |
 use crate::body::{BodyReference, Chunk};
 use crate::body_cache::{BodyCache, CachedBytes};
 use crate::fetch::Fetch;
@@ -25,22 +27,22 @@
 use std::mem::discriminant;
 use std::sync::Arc;
 
-/// Outlines that wait for a body; beyond them the oldest is dropped, as if lost on the way.
+/// Maximum number of parked outlines; beyond it the oldest one is dropped, as if the network had lost it.
 const MAX_PARKED: usize = 32;
 
-/// Counts since the start, for tests and metrics.
+/// Counts of fetched bodies since the start of the register, for tests and metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransferCounts {
-    /// Bodies that arrived complete and matched their digest.
+    /// Number of completely received bodies that matched their digest.
     pub fetched: u64,
-    /// Bodies that arrived complete and did not match their digest.
+    /// Number of completely received bodies that did not match their digest.
     pub damaged: u64,
 }
 
-/// What a step of a transfer leads to.
+/// The result of an event of a transfer.
 #[derive(Debug, Default)]
 pub(crate) struct TransferStep {
-    /// Messages whose bodies are here, to be handled now.
+    /// Messages whose bodies have arrived, which are to be handled now.
     pub ready: Vec<Received>,
     pub sends: Vec<Outgoing>,
 }
@@ -49,10 +51,10 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Transfers {
     cache: BodyCache,
-    /// Outlines whose bodies are not here, oldest first: at most `MAX_PARKED`, and one of a kind from one member, as a
-    /// newer message of that kind makes the older one useless.
+    /// Outlines whose bodies have not arrived, oldest first: at most `MAX_PARKED`, and at most one of each kind from
+    /// each member, because a newer message of a kind supersedes the older one.
     parked: Vec<ParkedOutline>,
-    /// At most one fetch at a time, so that a member that is behind receives each body once.
+    /// The fetch in progress or paused. There is at most one, so that a member that is behind receives each body once.
     fetch: Option<Fetch>,
     pub counts: TransferCounts,
 }
@@ -64,13 +66,13 @@
 }
 
 impl Transfers {
-    /// The message as it leaves: as it is, or without its vote's body.
+    /// The message to send: unchanged if it carries no large body, otherwise an outline.
     pub fn outline(&mut self, message: Message, settings: &Settings) -> Message {
         let Some((outlined, vote)) = message.carried_vote() else {
             return message;
         };
         let is_small = vote.state.body.len() <= settings.max_inline_body_bytes;
-        if is_small || settings.defects.bodies_pushed {
+        if is_small || settings.defects.always_inline_bodies {
             return message;
         }
         Message::Outline(Outline {
@@ -80,7 +82,7 @@
         })
     }
 
-    /// An outline arrived; `accepted` is this node's newest vote.
+    /// Handles a received outline. `accepted` is this node's newest vote.
     pub fn on_outline(
         &mut self,
         from: Member,
@@ -111,7 +113,7 @@
             return TransferStep::ready(from, message);
         }
         self.park(from.clone(), outline);
-        TransferStep::sends(self.want(&from, body, settings, now))
+        TransferStep::sends(self.request_body(&from, body, settings, now))
     }
 
     fn park(&mut self, from: Member, outline: Outline) {
@@ -125,8 +127,8 @@
         self.parked.push(ParkedOutline { from, outline });
     }
 
-    /// Requests a body that a member offers, unless it or another one is being fetched.
-    fn want(
+    /// Requests a body that a member offers, unless a fetch of this or another body is active.
+    fn request_body(
         &mut self,
         from: &Member,
         body: BodyReference,
@@ -138,7 +140,7 @@
             if is_same_body {
                 fetch.add_source(from.clone());
             }
-            if fetch.is_active() && (is_same_body || !settings.defects.fetch_overtaken) {
+            if fetch.is_active() && (is_same_body || !settings.defects.abandon_active_fetch) {
                 return Vec::new();
             }
             if is_same_body {
@@ -151,7 +153,7 @@
         sends
     }
 
-    /// The answer to a request for a chunk.
+    /// Answers a request for a chunk.
     pub fn on_fetch_chunk(
         &mut self,
         body: BodyReference,
@@ -171,7 +173,7 @@
         }
     }
 
-    /// A chunk arrived.
+    /// Handles a received chunk.
     pub fn on_chunk(
         &mut self,
         from: &Member,
@@ -198,7 +200,8 @@
         TransferStep::sends(sends)
     }
 
-    /// All chunks are here: the parked messages that the body completes, and what to fetch next.
+    /// Handles a fetch whose chunks have all arrived. Returns the parked messages that the body completes, and the
+    /// requests for the next body.
     fn finish_fetch(
         &mut self,
         from: &Member,
@@ -208,13 +211,13 @@
     ) -> TransferStep {
         let body = fetch.body;
         let bytes = fetch.into_bytes();
-        if BodyReference::of(&bytes) == body || settings.defects.body_unchecked {
+        if BodyReference::of(&bytes) == body || settings.defects.skip_digest_check {
             self.counts.fetched += 1;
             self.cache
                 .insert(body, CachedBytes::Fetched(Arc::new(bytes)));
         } else {
-            // Whatever damaged it, none of these bytes can be trusted. Other members that offered it are asked, or it
-            // is offered again.
+            // Any chunk may be the damaged one, so that all are discarded. The body is fetched from another member that
+            // offered it, or when it is offered again.
             self.counts.damaged += 1;
             self.parked
                 .retain(|p| p.outline.body != body || p.from.disk_id != from.disk_id);
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Parked messages whose bodies are here.
+    /// Removes the parked outlines whose bodies have arrived, and returns the completed messages.
     fn take_ready(&mut self) -> Vec<Received> {
         let cache = &self.cache;
         self.parked
@@ -240,13 +243,13 @@
             .collect()
     }
 
-    /// Fetches the body of the newest vote that waits.
+    /// Requests the body of the newest parked vote.
     fn fetch_newest_parked(&mut self, settings: &Settings, now: Nanos) -> Vec<Outgoing> {
         let newest = self.parked.iter().max_by_key(|p| p.outline.vote.id());
         let Some((from, body)) = newest.map(|p| (p.from.clone(), p.outline.body)) else {
             return Vec::new();
         };
-        let sends = self.want(&from, body, settings, now);
+        let sends = self.request_body(&from, body, settings, now);
         if let Some(fetch) = &mut self.fetch {
             let offers = self.parked.iter().filter(|p| p.outline.body == body);
             fetch.add_earlier_offers(offers.map(|parked| parked.from.clone()));
@@ -254,7 +257,7 @@
         sends
     }
 
-    /// A member no longer has a body: what it offered is out of date.
+    /// Handles a member's answer that it no longer has a body: its offers of that body are out of date.
     pub fn on_body_unavailable(
         &mut self,
         from: &Member,
@@ -262,7 +265,7 @@
         settings: &Settings,
         now: Nanos,
     ) -> Vec<Outgoing> {
-        // By address: after a wipe the same node answers under another disk.
+        // Offers are matched by address, because after a wipe the same node answers with another disk id.
         self.parked
             .retain(|p| p.outline.body != body || p.from.address != from.address);
         let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.body == body) else {
@@ -272,23 +275,24 @@
         fetch
             .sources
             .retain(|source| source.address != from.address);
-        // Only the first of the answers to a window makes a new request: their number would grow without end.
+        // Only the first such answer of a source starts new requests. If the answer to every outstanding chunk did, the
+        // number of requests would grow without bound.
         if fetch.sources.len() == sources_before {
             return Vec::new();
         }
-        if let Some(other) = fetch.sources.first().cloned() {
-            return fetch.resume(&other, settings, now);
+        if let Some(next_source) = fetch.sources.first().cloned() {
+            return fetch.resume(&next_source, settings, now);
         }
         self.fetch = None;
         self.fetch_newest_parked(settings, now)
     }
 
-    /// When `tick` has something to do.
+    /// When `tick` has to be called next; `None` if no chunk is awaited.
     pub fn next_wake(&self) -> Option<Nanos> {
         self.fetch.as_ref()?.retry_at
     }
 
-    /// Requests chunks again that did not come in time.
+    /// Requests chunks again that did not arrive in time.
     pub fn tick(&mut self, settings: &Settings, now: Nanos) -> Vec<Outgoing> {
         let Some(fetch) = self
             .fetch
--- a/crates/sparrouter-consensus/src/vote.rs
+++ b/crates/sparrouter-consensus/src/vote.rs
@@ -1,43 +1,45 @@
-//! What the members of a group vote on: proposal numbers, states, and a state proposed under a number (a vote).
+//! The values that the members of a group vote on: proposal numbers, states, and votes (a state proposed under a
+//! number).
 //!
-//! The encodings are written by hand where a list or a text is part of them; their bytes are on disks and on the wire.
+//! The encodings of types with lists or strings are written by hand. Encoded values are stored on disk and sent over
+//! the network.
 use crate::codec::{read_bytes, read_list, read_text, write_bytes, write_list};
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use std::ops::Deref;
 use std::sync::Arc;
 
-/// Largest group; further nodes that count toward a quorum wait as spares.
+/// Maximum number of members of a group; further nodes that count toward a quorum are spares.
 pub const MAX_MEMBERS: usize = 9;
-/// Number of preceding slots for which a state names the proposal that was chosen.
+/// Maximum number of slots, up to a state's own, for which the state names the chosen proposal.
 pub const MAX_RECENT_PROPOSALS: usize = 8;
 
-/// A member of a replica group. Identity is `disk_id` alone: two members with one name and two disks are two members.
+/// A member of a replica group, identified by `disk_id` alone: the same node with another disk is another member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Member {
-    /// Random id of the data folder, made with it and lost with it, so that a wiped machine comes back as another
+    /// Random id of the data folder, created and lost together with it, so that a wiped machine returns as another
     /// member, which has promised nothing.
     pub disk_id: u64,
-    /// The node's name, which outlives its disk.
+    /// The node's name, which stays the same if its disk is replaced.
     pub name: String,
-    /// Internal address, ip:port.
+    /// The node's internal address, as ip:port.
     pub address: String,
 }
 
-/// Orders the proposals for one slot: by term, then by who proposes.
+/// The number of a proposal. Numbers are ordered by term, then by proposer.
 ///
-/// Invariant: one number is used for one value a slot. `replica` is the proposer's disk id; `incarnation` is drawn anew
-/// at each start, so that a restarted proposer, whose term may repeat, never reuses a number.
+/// Invariant: a number is used for at most one value in each slot. `incarnation` is drawn at random at each start, so
+/// that a restarted proposer, which may use a term again, never reuses a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct ProposalNumber {
-    /// Raised by a proposer above every term that it has observed.
+    /// The term, which a proposer raises above every term that it has observed.
     pub term: u64,
     /// Disk id of the proposer.
     pub replica: u64,
-    /// Random number of the proposer's start.
+    /// Random number drawn at the proposer's start.
     pub incarnation: u64,
 }
 
-/// Identifies a vote: by slot, then by number. Equal ids mean equal values.
+/// Identifies a vote. Ids are ordered by slot, then by number; votes with equal ids have equal values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct VoteId {
     /// The slot voted on.
@@ -46,36 +48,36 @@
     pub number: ProposalNumber,
 }
 
-/// The value of a slot: the register's content and the group that decides on the next one.
+/// The value of a slot: the register's content, and the group that decides on the next slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct State {
-    /// Position in the sequence of states; the first group's is 0.
+    /// Position of the state in the sequence of states; the initial state has slot 0.
     pub slot: u64,
     /// The group that governs slot `slot + 1`, ordered by disk id.
     pub members: Vec<Member>,
-    /// Size of the first group: reconfiguration shrinks no group below it.
+    /// Size of the first group. Reconfiguration never makes the group smaller.
     pub initial_size: u8,
-    /// Random ids of the proposals that were chosen for this slot and the ones before it, newest first, at most
-    /// `MAX_RECENT_PROPOSALS`. A proposer that was cut off learns from them whether its own proposal was chosen.
+    /// Random ids of the proposals that were chosen for this slot and the slots before it, newest first, at most
+    /// `MAX_RECENT_PROPOSALS`. A proposer that was partitioned learns from them whether its own proposal was chosen.
     pub recent_proposals: Vec<u64>,
-    /// What the register holds, in the machine's own encoding.
+    /// The register's content, in the encoding of the state machine.
     pub body: Vec<u8>,
 }
 
 /// A state proposed under a number, with the groups whose majorities choose it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vote {
-    /// The number under which it was proposed.
+    /// The number under which the state was proposed.
     pub number: ProposalNumber,
-    /// The group of the state before, if this state changes the group. It travels along because a reader may never
-    /// have seen the state before.
+    /// The group of the previous state, if this state changes the group; otherwise `None`. It is part of the vote
+    /// because a reader may never have received the previous state.
     pub previous_members: Option<Vec<Member>>,
     /// The proposed value.
     pub state: State,
 }
 
 impl Vote {
-    /// Slot and number of this vote.
+    /// The id of this vote: its slot and number.
     pub fn id(&self) -> VoteId {
         VoteId {
             slot: self.state.slot,
@@ -83,14 +85,16 @@
         }
     }
 
-    /// The group whose majority chooses this slot, together with a majority of `state.members`.
+    /// The group that governs this slot. A vote is chosen by a majority of this group and a majority of
+    /// `state.members`.
     pub fn governing(&self) -> &[Member] {
         self.previous_members
             .as_ref()
             .unwrap_or(&self.state.members)
     }
 
-    /// Every member whose vote counts for this slot, each once: the new group, then those of the old one only.
+    /// All members whose votes count for this slot, each once: the new group, then the members of the previous group
+    /// only.
     pub fn electorate(&self) -> Vec<Member> {
         let mut electorate = self.state.members.clone();
         for member in self.previous_members.iter().flatten() {
@@ -101,12 +105,12 @@
         electorate
     }
 
-    /// Whether this disk's vote counts for this slot.
+    /// Whether the vote of the member with this disk counts for this slot.
     pub(crate) fn is_elector(&self, disk_id: u64) -> bool {
         contains_disk(&self.state.members, disk_id) || contains_disk(self.governing(), disk_id)
     }
 
-    /// The same value under another number.
+    /// The same state under another number.
     pub(crate) fn with_number(&self, number: ProposalNumber) -> Vote {
         Vote {
             number,
@@ -114,7 +118,7 @@
         }
     }
 
-    /// The same vote with another body. The body of this one is not copied.
+    /// The same vote with another body. The body of this vote is not copied.
     pub(crate) fn with_body(&self, body: Vec<u8>) -> Vote {
         Vote {
             number: self.number,
@@ -135,12 +139,12 @@
     members.iter().any(|member| member.disk_id == disk_id)
 }
 
-/// A vote with shared ownership: bodies are large, and most messages and records refer to the same one.
+/// A vote with shared ownership, because bodies are large and most messages and records refer to the same vote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SharedVote(pub Arc<Vote>);
 
 impl SharedVote {
-    /// The vote as it stands once it is chosen: the previous group has no more say and may be gone.
+    /// The vote without its previous group, which no longer votes once the vote is chosen and whose nodes may be lost.
     pub(crate) fn without_previous_members(&self) -> SharedVote {
         if self.previous_members.is_none() {
             return self.clone();
--- a/crates/sparrouter-consensus/tests/catch_up.rs
+++ b/crates/sparrouter-consensus/tests/catch_up.rs
@@ -66,7 +66,7 @@
 #[test]
 fn given_bodies_pushed_with_each_message_then_the_bound_on_copies_finds_it() {
     let defects = Defects {
-        bodies_pushed: true,
+        always_inline_bodies: true,
         ..Defects::default()
     };
     assert!(!catches_up_with_one_body(10, defects));
@@ -199,7 +199,7 @@
 #[test]
 fn given_bodies_that_are_not_checked_then_a_garbled_one_is_found() {
     let mut lagging = LaggingMember::new(Defects {
-        body_unchecked: true,
+        skip_digest_check: true,
         ..Defects::default()
     });
     let outline = lagging.outlines[1].clone();
@@ -355,7 +355,7 @@
 #[test]
 fn given_fetches_given_up_for_each_newer_state_then_it_is_found() {
     let offer = offer_midway(Defects {
-        fetch_overtaken: true,
+        abandon_active_fetch: true,
         ..Defects::default()
     });
     assert!(!offer.requested.is_empty() && offer.slot.is_none());
--- a/crates/sparrouter-consensus/tests/exhaustive.rs
+++ b/crates/sparrouter-consensus/tests/exhaustive.rs
@@ -91,13 +91,13 @@
     given_votes_below_the_promise_then_it_is_found: "accept_below_promise";
     given_majorities_of_the_old_group_only_then_it_is_found: "old_group_only";
     given_majorities_of_the_new_group_only_then_it_is_found: "skip_joint";
-    given_answers_on_a_vote_that_is_not_chosen_then_it_is_found: "judge_unchosen";
-    given_answers_before_the_votes_then_it_is_found: "answer_unchosen";
+    given_answers_on_a_vote_that_is_not_chosen_then_it_is_found: "evaluate_on_unchosen";
+    given_answers_before_the_votes_then_it_is_found: "answer_before_chosen";
     given_half_of_a_group_as_its_majority_then_it_is_found: "half_is_majority";
-    given_ballots_that_two_proposers_share_then_it_is_found: "ballots_shared";
+    given_ballots_that_two_proposers_share_then_it_is_found: "shared_proposal_numbers";
     given_accepted_votes_that_are_published_then_it_is_found: "publish_accepted";
     given_reads_of_one_node_alone_then_it_is_found: "read_locally";
-    given_a_wiped_disk_under_its_old_id_then_it_is_found: "wiped_keeps_id";
-    given_the_first_vote_in_place_of_the_newest_then_it_is_found: "any_promise";
-    given_a_sent_change_that_is_judged_again_then_it_is_found: "forget_sent";
+    given_a_wiped_disk_under_its_old_id_then_it_is_found: "wiped_disk_keeps_id";
+    given_the_first_vote_in_place_of_the_newest_then_it_is_found: "adopt_first_vote";
+    given_a_sent_change_that_is_judged_again_then_it_is_found: "forget_sent_proposals";
 }
--- a/crates/sparrouter-consensus/tests/explore/node.rs
+++ b/crates/sparrouter-consensus/tests/explore/node.rs
@@ -159,7 +159,7 @@
             Input::Restart { .. } => self.restart(scope, self.member.clone(), self.disk.clone()),
             Input::Wipe => {
                 let mut member = self.member.clone();
-                if !scope.defects.wiped_keeps_id {
+                if !scope.defects.wiped_disk_keeps_id {
                     member.disk_id += DISK_ID_STEP;
                 }
                 self.restart(scope, member, None);
--- a/crates/sparrouter-consensus/tests/explore/scenarios.rs
+++ b/crates/sparrouter-consensus/tests/explore/scenarios.rs
@@ -400,14 +400,14 @@
             swap_of_spare,
         ),
         with_defect(
-            "judge_unchosen",
+            "evaluate_on_unchosen",
             14,
-            |d| d.judge_unchosen = true,
+            |d| d.evaluate_on_unchosen = true,
             &[],
             race_of(3),
         ),
         with_defect(
-            "answer_unchosen",
+            "answer_before_chosen",
             8,
             |d| d.answer_before_chosen = true,
             &[],
@@ -421,9 +421,9 @@
             race_of(2),
         ),
         with_defect(
-            "ballots_shared",
+            "shared_proposal_numbers",
             12,
-            |d| d.ballots_shared = true,
+            |d| d.shared_proposal_numbers = true,
             &[],
             race_of(3),
         ),
@@ -442,9 +442,9 @@
             one_change_and_read,
         ),
         with_defect(
-            "wiped_keeps_id",
+            "wiped_disk_keeps_id",
             14,
-            |d| d.wiped_keeps_id = true,
+            |d| d.wiped_disk_keeps_id = true,
             &[
                 Preparation::Calls {
                     calls: &[0],
@@ -455,16 +455,16 @@
             wipe_once,
         ),
         with_defect(
-            "any_promise",
+            "adopt_first_vote",
             10,
-            |d| d.any_promise = true,
+            |d| d.adopt_first_vote = true,
             &TWO_VALUES_ACCEPTED,
             later_call,
         ),
         with_defect(
-            "forget_sent",
+            "forget_sent_proposals",
             12,
-            |d| d.forget_sent = true,
+            |d| d.forget_sent_proposals = true,
             &CHOSEN_BY_ANOTHER,
             race_of(3),
         ),
--- a/crates/sparrouter-consensus/tests/fleet/defects.rs
+++ b/crates/sparrouter-consensus/tests/fleet/defects.rs
@@ -50,16 +50,20 @@
     ),
     case("skip_joint", |d| d.skip_joint = true, FaultMix::Departures),
     case(
-        "judge_unchosen",
-        |d| d.judge_unchosen = true,
+        "evaluate_on_unchosen",
+        |d| d.evaluate_on_unchosen = true,
         FaultMix::Mixed,
     ),
     case(
-        "answer_unchosen",
+        "answer_before_chosen",
         |d| d.answer_before_chosen = true,
         FaultMix::Mixed,
     ),
-    case("any_promise", |d| d.any_promise = true, FaultMix::Mixed),
+    case(
+        "adopt_first_vote",
+        |d| d.adopt_first_vote = true,
+        FaultMix::Mixed,
+    ),
     DefectCase {
         name: "half_is_majority",
         inject: |d| d.half_is_majority = true,
@@ -67,8 +71,8 @@
         nodes: 4,
     },
     case(
-        "ballots_shared",
-        |d| d.ballots_shared = true,
+        "shared_proposal_numbers",
+        |d| d.shared_proposal_numbers = true,
         FaultMix::Mixed,
     ),
     case(
@@ -77,10 +81,14 @@
         FaultMix::Mixed,
     ),
     case("read_locally", |d| d.read_locally = true, FaultMix::Mixed),
-    case("forget_sent", |d| d.forget_sent = true, FaultMix::Mixed),
     case(
-        "wiped_keeps_id",
-        |d| d.wiped_keeps_id = true,
+        "forget_sent_proposals",
+        |d| d.forget_sent_proposals = true,
+        FaultMix::Mixed,
+    ),
+    case(
+        "wiped_disk_keeps_id",
+        |d| d.wiped_disk_keeps_id = true,
         FaultMix::Wipes,
     ),
     case(
--- a/crates/sparrouter-consensus/tests/fleet/faults.rs
+++ b/crates/sparrouter-consensus/tests/fleet/faults.rs
@@ -274,7 +274,7 @@
         self.nodes[node].store = None;
         self.record_lost_disk(node);
         // From now on nobody has this disk any more, also while its machine is down.
-        if !self.defects.wiped_keeps_id {
+        if !self.defects.wiped_disk_keeps_id {
             self.nodes[node].member.disk_id = 0;
         }
         if was_running {
--- a/crates/sparrouter-consensus/tests/fleet/node.rs
+++ b/crates/sparrouter-consensus/tests/fleet/node.rs
@@ -152,7 +152,7 @@
         if node.is_gone || node.register.is_some() {
             return;
         }
-        let record = node.open_store(new_disk_id, self.defects.wiped_keeps_id);
+        let record = node.open_store(new_disk_id, self.defects.wiped_disk_keeps_id);
         let register = Register::new(
             SHARD,
             node.member.clone(),
