--- a/crates/sparrouter-consensus/examples/catch_up.rs
+++ b/crates/sparrouter-consensus/examples/catch_up.rs
@@ -1,4 +1,5 @@
-//! What a change costs by members, and what catching up costs by changes missed, over links of 10 Mbit/s.
+//! Measures the cost of a change by group size, and of catch-up by the number of missed changes, over links of 10
+//! Mbit/s.
 //!
 //! `cargo run --release -p sparrouter-consensus --example catch_up`
 #[path = "../tests/narrow_links/mod.rs"]
@@ -19,32 +20,37 @@
 fn confirmed_group(members: usize) -> Group {
     let mut group = Group::new(members, BODY, BYTES_PER_SECOND, Settings::default());
     let all = |g: &Group| (0..members).all(|i| g.is_confirmed(i));
-    assert!(group.run(60 * SECOND, all), "the group starts");
+    assert!(
+        group.run(60 * SECOND, all),
+        "all members read a confirmed state"
+    );
     group
 }
 
 fn changes() {
-    println!("members | messages a change | KB a change | ms a change | slowest small message, ms");
+    println!(
+        "members | messages per change | KB per change | ms per change | slowest small message, ms"
+    );
     for members in [3, 5, 7] {
         let mut group = confirmed_group(members);
         group.reset_traffic();
-        let (mut made, mut spent) = (0, 0);
+        let (mut completed, mut total_duration) = (0, 0);
         for _ in 0..CHANGES {
             let start = group.now;
-            made += u64::from(
+            completed += u64::from(
                 group
                     .change(0, TIMEOUT)
                     .is_some_and(|o| matches!(o, sparrouter_consensus::Outcome::Answered(_))),
             );
-            spent += group.now - start;
+            total_duration += group.now - start;
             group.run_for(2 * SECOND);
         }
         let traffic = group.traffic;
         println!(
-            "{members} | {} | {} | {} | {} ({made} of {CHANGES} made)",
+            "{members} | {} | {} | {} | {} ({completed} of {CHANGES} changes completed)",
             traffic.messages / CHANGES,
             traffic.bytes / CHANGES / 1_000,
-            milliseconds(spent / CHANGES),
+            milliseconds(total_duration / CHANGES),
             milliseconds(traffic.slowest_probe),
         );
     }
@@ -91,7 +97,7 @@
     changes();
     println!();
     println!(
-        "changes missed | changes beside | caught up | ms | messages | KB | slowest small message, ms"
+        "missed changes | concurrent changes | caught up | ms | messages | KB | slowest small message, ms"
     );
     for missed in [0, 1, 10, 100, 500] {
         catch_up(missed, None);
--- a/crates/sparrouter-consensus/examples/explore.rs
+++ b/crates/sparrouter-consensus/examples/explore.rs
@@ -1,20 +1,24 @@
 //! Exhaustive exploration of small groups.
 //!
-//! `cargo run --release -p sparrouter-consensus --example explore -- sound STATES`: each scope of the sound code as deep
-//! as so many states go; `-- planted`: each injected defect, and the same scope without it to the same depth; `-- trace
-//! DEFECT`: a shortest way to a violation. Prints rows of the page's tables.
+//! `cargo run --release -p sparrouter-consensus --example explore -- ARGUMENTS` prints tables in Markdown. The
+//! arguments:
+//!
+//! * `sound STATES`: explores each scenario of the correct code until `STATES` states are visited.
+//! * `planted`: explores a scenario with each injected defect, and the same scenario without the defect to the same
+//!   depth.
+//! * `trace DEFECT`: prints a shortest trace to a violation.
 #[path = "../tests/explore/mod.rs"]
 mod explore;
 
-use explore::scenarios::{Scenario, all_defects, all_sound};
+use explore::scenarios::{Scenario, all_defects, all_without_defects};
 use explore::search::{Explored, Limits, explore};
 use std::time::Instant;
 
 const USAGE: &str = "explore sound STATES, explore planted, or explore trace DEFECT";
-/// Deeper than any search goes.
-const NO_DEPTH: usize = 1_000;
-/// States visited for a defect.
-const STATES: usize = 6_000_000;
+/// A depth that no search reaches.
+const UNLIMITED_DEPTH: usize = 1_000;
+/// Maximum number of visited states in the search for a defect.
+const MAX_STATES_FOR_DEFECT: usize = 6_000_000;
 
 fn timed(scenario: &Scenario, limits: Limits) -> (Explored, f64) {
     let root = scenario.root();
@@ -23,12 +27,14 @@
     (explored, start.elapsed().as_secs_f64())
 }
 
-fn sound(states: usize) {
-    println!("| scope | states | steps tried | every state to depth | all | chosen in | seconds |");
+fn explore_without_defects(states: usize) {
+    println!(
+        "| scenario | states | steps | complete to depth | all states visited | states with a new slot | seconds |"
+    );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for scenario in all_sound() {
+    for scenario in all_without_defects() {
         let limits = Limits {
-            depth: NO_DEPTH,
+            depth: UNLIMITED_DEPTH,
             states,
         };
         let (explored, seconds) = timed(&scenario, limits);
@@ -37,16 +43,16 @@
             transitions,
             depth,
             is_complete,
-            with_choice,
+            states_with_new_slot,
             ..
         } = explored;
         let name = scenario.name;
         println!(
-            "| {name} | {states} | {transitions} | {depth} | {is_complete} | {with_choice} | {seconds:.1} |"
+            "| {name} | {states} | {transitions} | {depth} | {is_complete} | {states_with_new_slot} | {seconds:.1} |"
         );
         if let Some(found) = explored.counterexample {
             println!(
-                "BROKEN: {}\n  {}",
+                "VIOLATION: {}\n  {}",
                 found.violation,
                 found.trace.join("\n  ")
             );
@@ -54,34 +60,36 @@
     }
 }
 
-fn defects() {
+fn explore_defects() {
     println!(
-        "| planted | found at depth | states | seconds | broken | without it, to that depth |"
+        "| defect | detected at depth | states | seconds | violation | without the defect, to that depth |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
     for scenario in all_defects() {
         let limits = Limits {
             depth: scenario.depth,
-            states: STATES,
+            states: MAX_STATES_FOR_DEFECT,
         };
         let (explored, seconds) = timed(&scenario, limits);
         let name = scenario.name;
         let Some(found) = explored.counterexample else {
             let (states, depth) = (explored.states, explored.depth);
-            println!("| {name} | not to depth {depth} | {states} | {seconds:.1} | | |");
+            println!("| {name} | not detected to depth {depth} | {states} | {seconds:.1} | | |");
             continue;
         };
         let same_depth = Limits {
             depth: found.depth,
             ..limits
         };
-        let (sound, _) = timed(&scenario.sound(), same_depth);
-        let verdict = sound
+        let (without_defect, _) = timed(&scenario.without_defects(), same_depth);
+        let verdict = without_defect
             .counterexample
-            .map_or("nothing".to_owned(), |found| found.violation.to_string());
+            .map_or("no violation".to_owned(), |found| {
+                found.violation.to_string()
+            });
         println!(
             "| {name} | {} | {} | {seconds:.1} | {} | {verdict}, {} states |",
-            found.depth, explored.states, found.violation, sound.states
+            found.depth, explored.states, found.violation, without_defect.states
         );
     }
 }
@@ -91,22 +99,22 @@
     let scenario = scenarios.iter().find(|s| s.name == name).expect(USAGE);
     let limits = Limits {
         depth: scenario.depth,
-        states: STATES,
+        states: MAX_STATES_FOR_DEFECT,
     };
     match timed(scenario, limits).0.counterexample {
         Some(found) => println!("{}\n  {}", found.violation, found.trace.join("\n  ")),
-        None => println!("not found to depth {}", scenario.depth),
+        None => println!("no violation found to depth {}", scenario.depth),
     }
 }
 
 fn main() {
-    // A violation may be an assertion of the register: it is reported as such, without its message.
+    // A violation may be a failed assertion of the register, which is reported without the panic message.
     std::panic::set_hook(Box::new(|_| {}));
     let strings: Vec<String> = std::env::args().skip(1).collect();
     let arguments: Vec<&str> = strings.iter().map(String::as_str).collect();
     match arguments[..] {
-        ["sound", states] => sound(states.parse().expect(USAGE)),
-        ["planted"] => defects(),
+        ["sound", states] => explore_without_defects(states.parse().expect(USAGE)),
+        ["planted"] => explore_defects(),
         ["trace", name] => trace(name),
         _ => println!("{USAGE}"),
     }
--- a/crates/sparrouter-consensus/examples/hunt.rs
+++ b/crates/sparrouter-consensus/examples/hunt.rs
@@ -1,12 +1,12 @@
-//! Plays the fleet under thousands of seeds and prints the first that fails, with its events; or the seed that finds
-//! each injected defect.
+//! Simulates the fleet with many seeds and prints the first seed that violates a rule, with its events; or prints for
+//! each injected defect the first seed that detects it.
 //!
 //! `cargo run --release -p sparrouter-consensus --example hunt -- SEEDS [FIRST] [EVENTS]`, or `hunt -- defects SEEDS`
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
 
-use fleet::defects::{DEFECTS, first_finding, plan};
-use fleet::{Plan, play};
+use fleet::defects::{DEFECTS, first_detection, plan};
+use fleet::{Plan, simulate};
 
 const USAGE: &str = "hunt SEEDS [FIRST] [EVENTS], or hunt defects SEEDS; whole numbers";
 
@@ -18,31 +18,31 @@
     if hunts_defects {
         for case in DEFECTS {
             let name = case.name;
-            match first_finding(&case, seeds) {
+            match first_detection(&case, seeds) {
                 Some(found) => println!("{name}: seed {}, {}", found.seed, found.violation),
-                None => println!("{name}: not found by {seeds} seeds"),
+                None => println!("{name}: not detected with {seeds} seeds"),
             }
         }
         return;
     }
-    let (first, shown) = (
+    let (first_seed, max_events) = (
         numbers.next().unwrap_or(0),
         numbers.next().unwrap_or(400) as usize,
     );
     let (mut acknowledged, mut steps) = (0, 0);
-    for seed in first..first + seeds {
-        match play(&plan(seed)) {
-            Ok(played) => {
-                acknowledged += played.acknowledgements;
-                steps += played.steps;
+    for seed in first_seed..first_seed + seeds {
+        match simulate(&plan(seed)) {
+            Ok(run_summary) => {
+                acknowledged += run_summary.acknowledgements;
+                steps += run_summary.steps;
             }
             Err(_) => {
-                let failure = play(&Plan {
+                let failure = simulate(&Plan {
                     trace: true,
                     ..plan(seed)
                 })
                 .expect_err("same seed, same run");
-                let skip = failure.events.len().saturating_sub(shown);
+                let skip = failure.events.len().saturating_sub(max_events);
                 failure.events[skip..]
                     .iter()
                     .for_each(|event| println!("{event}"));
@@ -56,6 +56,6 @@
         }
     }
     println!(
-        "{seeds} seeds from {first}: no rule broken, {acknowledged} changes acknowledged, {steps} steps"
+        "{seeds} seeds from {first_seed}: no rule violated, {acknowledged} changes acknowledged, {steps} steps"
     );
 }
--- a/crates/sparrouter-consensus/examples/messages.rs
+++ b/crates/sparrouter-consensus/examples/messages.rs
@@ -1,9 +1,9 @@
-//! Counts messages and stores of a change and a read in calm groups of 3, 5 and 7, on the real registers.
+//! Counts the messages and stores of a change and a read in groups of 3, 5 and 7 real registers without faults.
 //!
 //! `cargo run --release -p sparrouter-consensus --example messages`
 use sparrouter_consensus::{Action, Applied, Machine, Member, Record, Register, SECOND, Settings};
 
-/// A body that each change overwrites.
+/// A state machine in which each change replaces the body.
 struct Overwrite;
 
 impl Machine for Overwrite {
@@ -35,12 +35,12 @@
         let rng = fastrand::Rng::with_seed(node as u64);
         let settings = Settings::default();
         Register::new(7, member(node), Some(&record), Overwrite, rng, settings, 0)
-            .expect("a record just written can be read")
+            .expect("a valid record")
     };
     (0..size).map(start).collect()
 }
 
-/// Carries everything out at once until nothing is left to do.
+/// Carries out all actions without delay until no action is pending.
 fn run_to_quiescence(nodes: &mut [Register<Overwrite>]) -> Counts {
     let mut counts = Counts::default();
     loop {
@@ -69,7 +69,7 @@
 
 fn main() {
     println!(
-        "| members | first change of a proposer | next one | read | stores of the first, next |"
+        "| members | messages of the first change | next change | read | stores of the first, next change |"
     );
     println!("| --- | --- | --- | --- | --- |");
     for size in [3, 5, 7] {
--- a/crates/sparrouter-consensus/tests/catch_up.rs
+++ b/crates/sparrouter-consensus/tests/catch_up.rs
@@ -1,4 +1,5 @@
-//! Large states over slow links: a member that is behind receives each body once, complete and checked, at a bounded cost.
+//! Catch-up with large states over slow links: a member that is behind receives each body once, complete and checked,
+//! at a bounded cost.
 mod lagging_member;
 mod narrow_links;
 
@@ -11,21 +12,24 @@
     BodyReference, Chunk, Defects, MILLISECOND, Message, Nanos, Outcome, SECOND,
 };
 
-/// Of each link: a body takes some 0.4 s, as 500 KB do at 10 Mbit/s.
+/// Bandwidth of each link. A body takes about 0.4 s, like 500 KB at 10 Mbit/s.
 const BYTES_PER_SECOND: u64 = 300_000;
 const TIMEOUT: Nanos = 10 * SECOND;
-/// A body with the messages around it.
+/// Maximum traffic in bytes of the transfer of one body, including all other messages.
 const MAX_BYTES_FOR_ONE_BODY: u64 = BODY as u64 * 11 / 10;
 
 fn confirmed_group(members: usize, defects: Defects) -> Group {
     let mut group = Group::new(members, BODY, BYTES_PER_SECOND, settings(defects));
     let all = |g: &Group| (0..members).all(|i| g.is_confirmed(i));
-    assert!(group.run(20 * SECOND, all), "the group starts");
+    assert!(
+        group.run(20 * SECOND, all),
+        "all members read a confirmed state"
+    );
     group
 }
 
-/// A group whose third member was down while so many changes were made.
-fn with_one_behind(missed: u64, defects: Defects) -> Group {
+/// A group whose third member was down during the last `missed` changes.
+fn group_with_lagging_member(missed: u64, defects: Defects) -> Group {
     let mut group = confirmed_group(3, defects);
     group.kill(2);
     for _ in 0..missed {
@@ -37,16 +41,16 @@
     group
 }
 
-fn caught_up(group: &Group) -> bool {
+fn has_caught_up(group: &Group) -> bool {
     group.is_confirmed(2) && group.count_on_disk(2) == group.count(0)
 }
 
 fn catches_up_with_one_body(missed: u64, defects: Defects) -> bool {
-    let mut group = with_one_behind(missed, defects);
+    let mut group = group_with_lagging_member(missed, defects);
     group.start(2);
     let end = group.now + 2 * SECOND;
-    let is_caught_up = group.run(end, caught_up);
-    // What was requested beyond it is still in flight.
+    let is_caught_up = group.run(end, has_caught_up);
+    // Counts chunks that were requested unnecessarily and are still in flight.
     group.run_for(2 * SECOND);
     is_caught_up
         && group.traffic.bytes <= MAX_BYTES_FOR_ONE_BODY
@@ -54,17 +58,19 @@
 }
 
 #[test]
-fn given_a_member_that_missed_any_number_of_changes_when_it_restarts_then_one_copy_suffices() {
+fn given_a_member_that_missed_1_to_100_changes_when_it_restarts_then_it_receives_one_copy_of_the_body()
+ {
     for missed in [1, 10, 100] {
         assert!(
             catches_up_with_one_body(missed, Defects::default()),
-            "{missed} missed"
+            "{missed} missed changes"
         );
     }
 }
 
 #[test]
-fn given_bodies_pushed_with_each_message_then_the_bound_on_copies_finds_it() {
+fn given_the_defect_that_always_inlines_bodies_when_a_member_catches_up_then_the_traffic_limit_is_exceeded()
+ {
     let defects = Defects {
         always_inline_bodies: true,
         ..Defects::default()
@@ -73,47 +79,51 @@
 }
 
 #[test]
-fn given_changes_without_a_pause_when_a_member_restarts_then_it_catches_up_beside_them() {
-    let mut group = with_one_behind(10, Defects::default());
+fn given_continuous_changes_when_a_member_restarts_then_it_catches_up() {
+    let mut group = group_with_lagging_member(10, Defects::default());
     group.start(2);
     let start = group.now;
-    let mut open = group.propose(0, TIMEOUT);
-    let mut made = 0;
+    let mut pending = group.propose(0, TIMEOUT);
+    let mut completed = 0;
     while group.now < start + 20 * SECOND {
         group.run_for(10 * MILLISECOND);
-        if let Some(outcome) = group.take_outcome(open) {
+        if let Some(outcome) = group.take_outcome(pending) {
             assert!(matches!(outcome, Outcome::Answered(_)), "{outcome:?}");
-            made += 1;
-            open = group.propose(0, TIMEOUT);
+            completed += 1;
+            pending = group.propose(0, TIMEOUT);
         }
-        let is_late = group.now > start + 4 * SECOND;
+        let must_be_close = group.now > start + 4 * SECOND;
         assert!(
-            !is_late || group.count(0) - group.count(2) <= 3,
-            "{} of {}",
+            !must_be_close || group.count(0) - group.count(2) <= 3,
+            "the restarted member has {} of {} changes",
             group.count(2),
             group.count(0)
         );
     }
-    assert!(made >= 10, "{made} changes in 20 s");
+    assert!(completed >= 10, "{completed} changes in 20 s");
     assert!(group.is_confirmed(2));
 }
 
-/// Bytes from the restart of a member to its end, with the connection broken after most of the body came.
-fn bytes_with_a_break(defects: Defects) -> u64 {
-    let mut group = with_one_behind(5, defects);
+/// Traffic in bytes from the restart of a member until it has caught up, with a partition after most of the body has
+/// arrived.
+fn bytes_with_partition(defects: Defects) -> u64 {
+    let mut group = group_with_lagging_member(5, defects);
     group.start(2);
     group.run_for(350 * MILLISECOND);
     group.isolate(2);
     group.run_for(1_500 * MILLISECOND);
     group.heal();
     let end = group.now + 20 * SECOND;
-    assert!(group.run(end, caught_up), "it ends after the break");
+    assert!(
+        group.run(end, has_caught_up),
+        "the member catches up after the partition"
+    );
     group.traffic.bytes
 }
 
 #[test]
-fn given_a_break_in_a_fetch_when_it_heals_then_it_goes_on_where_it_stopped() {
-    let bytes = bytes_with_a_break(Defects::default());
+fn given_a_partition_during_a_fetch_when_it_heals_then_only_the_missing_chunks_are_requested() {
+    let bytes = bytes_with_partition(Defects::default());
     assert!(
         bytes <= MAX_BYTES_FOR_ONE_BODY + 4 * CHUNK as u64,
         "{bytes}"
@@ -121,8 +131,9 @@
 }
 
 #[test]
-fn given_fetches_that_begin_anew_after_a_break_then_the_bound_on_bytes_finds_it() {
-    let bytes = bytes_with_a_break(Defects {
+fn given_the_defect_that_restarts_interrupted_fetches_when_a_partition_heals_then_the_traffic_limit_is_exceeded()
+ {
+    let bytes = bytes_with_partition(Defects {
         fetch_from_start: true,
         ..Defects::default()
     });
@@ -130,7 +141,8 @@
 }
 
 #[test]
-fn given_three_five_and_seven_members_when_a_change_is_made_then_each_gets_one_copy() {
+fn given_groups_of_3_5_and_7_when_a_change_is_made_then_each_other_member_receives_one_copy_of_the_body()
+ {
     for members in [3, 5, 7] {
         let mut group = confirmed_group(members, Defects::default());
         group.reset_traffic();
@@ -153,7 +165,7 @@
 }
 
 #[test]
-fn given_an_older_and_a_newer_state_offered_by_two_when_fetched_then_the_newest_wins() {
+fn given_two_members_that_offer_different_states_when_fetched_then_the_newer_state_is_learned() {
     for first in [0, 1] {
         let mut lagging = LaggingMember::new(Defects::default());
         let outlines = lagging.outlines.clone();
@@ -171,7 +183,7 @@
 }
 
 #[test]
-fn given_the_same_state_offered_by_two_when_fetched_then_each_piece_is_asked_for_once() {
+fn given_two_members_that_offer_the_same_state_when_fetched_then_each_chunk_is_requested_once() {
     let mut lagging = LaggingMember::new(Defects::default());
     let outline = lagging.outlines[1].clone();
     lagging.register.handle(member(2), outline.clone(), 0);
@@ -182,7 +194,7 @@
 }
 
 #[test]
-fn given_garbled_pieces_when_the_last_has_come_then_the_body_is_not_taken() {
+fn given_corrupted_chunks_when_all_chunks_have_arrived_then_the_body_is_discarded() {
     let mut lagging = LaggingMember::new(Defects::default());
     let outline = lagging.outlines[1].clone();
     lagging.register.handle(member(2), outline.clone(), 0);
@@ -190,14 +202,15 @@
     assert_eq!(lagging.slot(), None);
     let counts = lagging.register.transfer_counts();
     assert_eq!((counts.fetched, counts.damaged), (0, 1));
-    // Offered again, it is fetched anew.
+    // The body is fetched again when it is offered again.
     lagging.register.handle(member(2), outline, 0);
     lagging.serve(|_| ());
     assert_eq!(lagging.slot(), Some(9));
 }
 
 #[test]
-fn given_bodies_that_are_not_checked_then_a_garbled_one_is_found() {
+fn given_the_defect_that_skips_the_digest_check_when_chunks_are_corrupted_then_a_wrong_body_is_learned()
+ {
     let mut lagging = LaggingMember::new(Defects {
         skip_digest_check: true,
         ..Defects::default()
@@ -205,12 +218,12 @@
     let outline = lagging.outlines[1].clone();
     lagging.register.handle(member(2), outline, 0);
     lagging.serve(|bytes| bytes[0] ^= 1);
-    let state = lagging.register.chosen().expect("it is taken");
+    let state = lagging.register.chosen().expect("a learned state");
     assert_ne!(state.body, lagging.bodies[1]);
 }
 
 #[test]
-fn given_pieces_that_were_not_asked_for_or_are_no_pieces_then_nothing_is_kept() {
+fn given_unrequested_or_malformed_chunks_when_received_then_they_are_ignored() {
     let mut lagging = LaggingMember::new(Defects::default());
     let body = BodyReference::of(&lagging.bodies[1]);
     let chunk = |offset: u32, length: usize| Message::BodyChunk {
@@ -230,7 +243,8 @@
 }
 
 #[test]
-fn given_a_holder_that_has_the_body_no_more_when_another_offered_it_then_that_one_is_asked() {
+fn given_a_source_that_no_longer_has_the_body_when_another_member_offered_it_then_that_member_is_asked()
+ {
     let mut lagging = LaggingMember::new(Defects::default());
     let outline = lagging.outlines[1].clone();
     let body = BodyReference::of(&lagging.bodies[1]);
@@ -240,7 +254,7 @@
     lagging
         .register
         .handle(member(2), Message::BodyUnavailable { body }, 0);
-    // The answer comes once for each chunk of the window; one of them counts.
+    // The source answers once for each chunk in flight; only the first answer has an effect.
     lagging
         .register
         .handle(member(2), Message::BodyUnavailable { body }, 0);
@@ -249,7 +263,7 @@
 }
 
 #[test]
-fn given_a_body_that_was_offered_when_it_is_longer_than_any_may_be_then_it_is_not_asked_for() {
+fn given_an_offered_body_when_its_length_exceeds_the_limit_then_it_is_not_fetched() {
     let mut lagging = LaggingMember::new(Defects::default());
     let Message::Outline(mut outline) = lagging.outlines[1].clone() else {
         panic!("an outline");
@@ -261,11 +275,11 @@
     assert_eq!(lagging.serve(|_| ()), 0);
 }
 
-/// Slots that a member with an old state proposes once a majority promised, where one of the promises reports a newer
-/// state.
+/// The slots that a member with an old state proposes after promises of a majority, one of which reports a newer state.
 struct ProposedSlots {
-    /// Before the body of that newer state is here.
+    /// Slots proposed before the body of the newer state has arrived.
     before_the_body: Vec<u64>,
+    /// Slots proposed after the body of the newer state has arrived.
     after_the_body: Vec<u64>,
 }
 
@@ -298,7 +312,8 @@
 }
 
 #[test]
-fn given_a_promise_of_a_newer_state_when_its_body_is_not_here_then_nothing_is_proposed() {
+fn given_a_promise_that_reports_a_newer_state_when_its_body_has_not_arrived_then_nothing_is_proposed()
+ {
     let slots = proposed_slots(Defects::default());
     assert_eq!(slots.before_the_body, []);
     let after = slots.after_the_body;
@@ -309,7 +324,8 @@
 }
 
 #[test]
-fn given_promises_that_count_without_the_body_then_a_vote_for_the_old_state_is_found() {
+fn given_the_defect_that_counts_promises_without_bodies_when_promised_then_a_slot_is_proposed_too_early()
+ {
     let slots = proposed_slots(Defects {
         promise_without_body: true,
         ..Defects::default()
@@ -317,15 +333,15 @@
     assert!(!slots.before_the_body.is_empty());
 }
 
-/// What happens when a newer body is offered in the middle of a fetch.
-struct OfferMidway {
-    /// Bodies requested for that offer.
+/// The effect of a newer body that is offered during a fetch.
+struct OfferDuringFetch {
+    /// Bodies requested because of the offer.
     requested: Vec<BodyReference>,
-    /// The slot reached when all chunks of the first body have come.
+    /// The newest chosen slot known after all chunks of the first body have arrived.
     slot: Option<u64>,
 }
 
-fn offer_midway(defects: Defects) -> OfferMidway {
+fn offer_during_fetch(defects: Defects) -> OfferDuringFetch {
     let mut lagging = LaggingMember::new(defects);
     let [older, newer] = lagging.outlines.clone();
     let first = BodyReference::of(&lagging.bodies[0]);
@@ -339,22 +355,23 @@
         let chunk = chunk_of(&lagging.bodies[0], first, offset as u32);
         lagging.register.handle(member(2), chunk, 1);
     }
-    OfferMidway {
+    OfferDuringFetch {
         requested,
         slot: lagging.slot(),
     }
 }
 
 #[test]
-fn given_a_newer_state_offered_in_the_middle_of_a_fetch_then_the_fetch_is_finished_first() {
-    let offer = offer_midway(Defects::default());
+fn given_an_active_fetch_when_a_newer_state_is_offered_then_the_fetch_is_completed_first() {
+    let offer = offer_during_fetch(Defects::default());
     assert!(offer.requested.is_empty(), "{:?}", offer.requested);
     assert_eq!(offer.slot, Some(5));
 }
 
 #[test]
-fn given_fetches_given_up_for_each_newer_state_then_it_is_found() {
-    let offer = offer_midway(Defects {
+fn given_the_defect_that_abandons_active_fetches_when_a_newer_state_is_offered_then_the_fetch_never_completes()
+ {
+    let offer = offer_during_fetch(Defects {
         abandon_active_fetch: true,
         ..Defects::default()
     });
--- a/crates/sparrouter-consensus/tests/exhaustive.rs
+++ b/crates/sparrouter-consensus/tests/exhaustive.rs
@@ -1,17 +1,21 @@
-//! Every order of events at small scope, on the real registers: nothing is broken; and each injected defect is found.
+//! Explores all orders of events of small groups of real registers up to a depth: the correct code violates no rule,
+//! and each injected defect is detected.
 //!
-//! The example `explore` goes deeper.
+//! The example `explore` searches to a greater depth.
 mod explore;
 
-use explore::scenarios::{all_defects, all_sound};
+use explore::scenarios::{all_defects, all_without_defects};
 use explore::search::{Limits, explore};
 
-/// More than any of these searches visits: each one ends by its depth.
+/// Limit of visited states, which none of these searches reaches: each search ends at its depth.
 const STATES: usize = 2_000_000;
 
-fn assert_sound(name: &str) {
-    let scenarios = all_sound();
-    let scenario = scenarios.iter().find(|s| s.name == name).expect("a scope");
+fn assert_no_violation(name: &str) {
+    let scenarios = all_without_defects();
+    let scenario = scenarios
+        .iter()
+        .find(|s| s.name == name)
+        .expect("a scenario with this name");
     let limits = Limits {
         depth: scenario.depth,
         states: STATES,
@@ -22,12 +26,18 @@
         "{:#?}",
         explored.counterexample
     );
-    assert_eq!(explored.depth, scenario.depth, "every state to that depth");
+    assert_eq!(
+        explored.depth, scenario.depth,
+        "every state up to this depth is visited"
+    );
 }
 
 fn assert_defect_is_found(name: &str) {
     let scenarios = all_defects();
-    let scenario = scenarios.iter().find(|s| s.name == name).expect("a defect");
+    let scenario = scenarios
+        .iter()
+        .find(|s| s.name == name)
+        .expect("a defect with this name");
     let limits = Limits {
         depth: scenario.depth,
         states: STATES,
@@ -35,26 +45,26 @@
     let explored = explore(&scenario.root(), limits);
     let counterexample = explored
         .counterexample
-        .expect("the injected defect breaks a rule");
+        .expect("the injected defect violates a rule");
     let same_depth = Limits {
         depth: counterexample.depth,
         ..limits
     };
-    let sound = explore(&scenario.sound().root(), same_depth);
+    let without_defect = explore(&scenario.without_defects().root(), same_depth);
     assert!(
-        sound.counterexample.is_none(),
+        without_defect.counterexample.is_none(),
         "{:#?}",
-        sound.counterexample
+        without_defect.counterexample
     );
 }
 
-macro_rules! sound {
+macro_rules! without_defects {
     ($($test:ident: $name:literal;)*) => {
-        $(#[test] fn $test() { assert_sound($name); })*
+        $(#[test] fn $test() { assert_no_violation($name); })*
 
         #[test]
-        fn every_scope_has_its_test() {
-            let names: Vec<&str> = all_sound().iter().map(|s| s.name).collect();
+        fn given_all_scenarios_without_defects_when_listed_then_each_has_a_test() {
+            let names: Vec<&str> = all_without_defects().iter().map(|s| s.name).collect();
             assert_eq!(names, [$($name),*]);
         }
     };
@@ -65,39 +75,39 @@
         $(#[test] fn $test() { assert_defect_is_found($name); })*
 
         #[test]
-        fn every_injected_defect_has_its_test() {
+        fn given_all_injected_defects_when_listed_then_each_has_a_test() {
             let names: Vec<&str> = all_defects().iter().map(|s| s.name).collect();
             assert_eq!(names, [$($name),*]);
         }
     };
 }
 
-sound! {
-    given_a_proposer_and_a_reader_then_no_order_of_events_breaks_a_rule: "a proposer and a read";
-    given_a_proposer_and_a_crash_then_no_order_at_all_breaks_a_rule: "a proposer and a crash";
-    given_two_proposers_then_no_order_of_events_breaks_a_rule: "two proposers";
-    given_two_proposers_and_a_reader_then_no_order_of_events_breaks_a_rule: "two proposers, a read";
-    given_a_crash_as_well_then_no_order_breaks_a_rule: "and a crash";
-    given_two_timers_as_well_then_no_order_breaks_a_rule: "and two timers";
-    given_a_failing_store_as_well_then_no_order_breaks_a_rule: "and a failing store";
-    given_a_message_twice_as_well_then_no_order_breaks_a_rule: "and a message twice";
-    given_a_swap_for_a_spare_then_no_order_breaks_a_rule: "a proposer, a read, a swap for a spare";
-    given_a_wipe_and_its_swap_then_no_order_breaks_a_rule: "a proposer, a read, a wipe and its swap";
+without_defects! {
+    given_a_proposer_and_a_read_when_all_orders_are_explored_then_no_rule_is_violated: "a proposer and a read";
+    given_a_proposer_and_a_crash_when_all_orders_are_explored_then_no_rule_is_violated: "a proposer and a crash";
+    given_two_proposers_when_all_orders_are_explored_then_no_rule_is_violated: "two proposers";
+    given_two_proposers_and_a_read_when_all_orders_are_explored_then_no_rule_is_violated: "two proposers, a read";
+    given_two_proposers_a_read_and_a_crash_when_all_orders_are_explored_then_no_rule_is_violated: "two proposers, a read, a crash";
+    given_two_proposers_a_read_and_two_timers_when_all_orders_are_explored_then_no_rule_is_violated: "two proposers, a read, two timers";
+    given_two_proposers_a_read_and_a_failed_store_when_all_orders_are_explored_then_no_rule_is_violated: "two proposers, a read, a failed store";
+    given_two_proposers_a_read_and_a_duplicate_when_all_orders_are_explored_then_no_rule_is_violated: "two proposers, a read, a duplicated message";
+    given_a_member_replaced_by_a_spare_when_all_orders_are_explored_then_no_rule_is_violated: "a proposer, a read, a member replaced by a spare";
+    given_a_wiped_member_replaced_when_all_orders_are_explored_then_no_rule_is_violated: "a proposer, a read, a wiped member replaced";
 }
 
 defects! {
-    given_answers_before_the_sync_then_it_is_found: "ack_before_sync";
-    given_promises_that_are_not_stored_then_it_is_found: "promise_not_stored";
-    given_votes_below_the_promise_then_it_is_found: "accept_below_promise";
-    given_majorities_of_the_old_group_only_then_it_is_found: "old_group_only";
-    given_majorities_of_the_new_group_only_then_it_is_found: "skip_joint";
-    given_answers_on_a_vote_that_is_not_chosen_then_it_is_found: "evaluate_on_unchosen";
-    given_answers_before_the_votes_then_it_is_found: "answer_before_chosen";
-    given_half_of_a_group_as_its_majority_then_it_is_found: "half_is_majority";
-    given_ballots_that_two_proposers_share_then_it_is_found: "shared_proposal_numbers";
-    given_accepted_votes_that_are_published_then_it_is_found: "publish_accepted";
-    given_reads_of_one_node_alone_then_it_is_found: "read_locally";
-    given_a_wiped_disk_under_its_old_id_then_it_is_found: "wiped_disk_keeps_id";
-    given_the_first_vote_in_place_of_the_newest_then_it_is_found: "adopt_first_vote";
-    given_a_sent_change_that_is_judged_again_then_it_is_found: "forget_sent_proposals";
+    given_acknowledgements_before_the_sync_when_explored_then_a_violation_is_found: "ack_before_sync";
+    given_promises_that_are_not_stored_when_explored_then_a_violation_is_found: "promise_not_stored";
+    given_votes_accepted_below_the_promise_when_explored_then_a_violation_is_found: "accept_below_promise";
+    given_majorities_of_the_old_group_only_when_explored_then_a_violation_is_found: "old_group_only";
+    given_majorities_of_the_new_group_only_when_explored_then_a_violation_is_found: "skip_joint";
+    given_evaluation_on_an_unchosen_vote_when_explored_then_a_violation_is_found: "evaluate_on_unchosen";
+    given_answers_before_the_vote_is_chosen_when_explored_then_a_violation_is_found: "answer_before_chosen";
+    given_half_of_a_group_as_majority_when_explored_then_a_violation_is_found: "half_is_majority";
+    given_proposal_numbers_shared_by_proposers_when_explored_then_a_violation_is_found: "shared_proposal_numbers";
+    given_accepted_votes_published_as_chosen_when_explored_then_a_violation_is_found: "publish_accepted";
+    given_reads_without_a_quorum_when_explored_then_a_violation_is_found: "read_locally";
+    given_a_wiped_disk_that_keeps_its_id_when_explored_then_a_violation_is_found: "wiped_disk_keeps_id";
+    given_the_first_reported_vote_adopted_when_explored_then_a_violation_is_found: "adopt_first_vote";
+    given_proposed_operations_evaluated_again_when_explored_then_a_violation_is_found: "forget_sent_proposals";
 }
--- a/crates/sparrouter-consensus/tests/explore/body.rs
+++ b/crates/sparrouter-consensus/tests/explore/body.rs
@@ -1,14 +1,14 @@
 //! The replicated value of an exploration: one byte, changed by compare-and-set.
 use sparrouter_consensus::{Applied, Machine};
 
-/// Answer to a change whose expected value was in force.
+/// Answer to a change whose expected value was the current one.
 pub const APPLIED: &[u8] = b"taken";
 /// Answer to a change that expected another value.
 pub const MISMATCH: &[u8] = b"mismatch";
-/// The value that is in force before any change.
+/// The initial value.
 pub const INITIAL: &[u8] = b"a";
 
-/// A change is two bytes: the expected value and the new one.
+/// A compare-and-set register. A change consists of two bytes: the expected and the new value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CompareAndSet;
 
--- a/crates/sparrouter-consensus/tests/explore/digest.rs
+++ b/crates/sparrouter-consensus/tests/explore/digest.rs
@@ -1,9 +1,9 @@
-//! Digests of states, so that each is visited once and none is kept as text.
+//! Digests of states, by which the search recognizes visited states without keeping them.
 use std::collections::hash_map::DefaultHasher;
 use std::fmt::{self, Debug, Write};
 use std::hash::Hasher;
 
-/// Hashes what is written to it, so that no text of a state is ever kept.
+/// Hashes the text that is written to it, so that the text of a state is never stored.
 struct DigestWriter {
     low: DefaultHasher,
     high: DefaultHasher,
@@ -17,13 +17,13 @@
     }
 }
 
-/// 128 bits of all that `Debug` shows of a value.
+/// A 128-bit digest of the `Debug` output of a value.
 pub fn digest_of(value: &impl Debug) -> u128 {
     let mut writer = DigestWriter {
         low: DefaultHasher::new(),
         high: DefaultHasher::new(),
     };
     writer.high.write_u8(1);
-    write!(writer, "{value:?}").expect("a hasher takes any text");
+    write!(writer, "{value:?}").expect("hashing text never fails");
     u128::from(writer.low.finish()) | u128::from(writer.high.finish()) << 64
 }
--- a/crates/sparrouter-consensus/tests/explore/history.rs
+++ b/crates/sparrouter-consensus/tests/explore/history.rs
@@ -1,7 +1,7 @@
-//! Calls and answers in the order in which they happened, checked against one value that is changed by compare-and-set.
+//! The history of calls and answers, checked for linearizability as a compare-and-set register.
 //!
-//! Source: Wing and Gong, "Testing and verifying concurrent objects", JPDC 1993: try each call that no other one
-//! finished before, and go on with the rest.
+//! Source: Wing and Gong, "Testing and verifying concurrent objects", JPDC 1993: try each call that started before any
+//! other pending call finished as the first one, and continue with the remaining calls.
 use super::body::{APPLIED, INITIAL, MISMATCH};
 use super::digest::digest_of;
 use super::scope::{Call, CallKind};
@@ -21,15 +21,15 @@
 
 struct Operation<'a> {
     call: &'a Call,
-    /// Index of the event.
+    /// Index of the `Invoked` event.
     invoked: usize,
-    /// Index of the event; `None` if there is none.
+    /// Index of the `Completed` event; `None` if the call is pending.
     completed: Option<usize>,
     outcome: Option<&'a Outcome>,
 }
 
 impl Operation<'_> {
-    /// Whether it must have taken effect by the end of the history.
+    /// Whether the operation must have taken effect by the end of the history.
     fn must_take_effect(&self) -> bool {
         matches!(self.outcome, Some(Outcome::Answered(_)))
     }
@@ -38,7 +38,7 @@
         !matches!(self.outcome, Some(Outcome::Rejected(_)))
     }
 
-    /// The value after it, if it can happen on this one.
+    /// The value after the operation; `None` if its answer is impossible on this value.
     fn apply(&self, value: &[u8]) -> Option<Vec<u8>> {
         let (next, answer) = match self.call.kind {
             CallKind::Read => (value.to_vec(), value.to_vec()),
@@ -48,7 +48,7 @@
             CallKind::Change { .. } => (value.to_vec(), MISMATCH.to_vec()),
         };
         match self.outcome {
-            Some(Outcome::Answered(given)) => (*given == answer).then_some(next),
+            Some(Outcome::Answered(actual)) => (*actual == answer).then_some(next),
             _ => Some(next),
         }
     }
@@ -69,22 +69,22 @@
         self.events.push(event);
     }
 
-    /// Of all events in their order.
+    /// Digest of all events and their order.
     pub fn digest(&self) -> u128 {
         self.digest
     }
 
-    /// Whether some order of the calls, in keeping with their times, gives the answers that were given.
+    /// Whether the answers are possible for some sequential order of the calls that respects their real-time order.
     pub fn is_linearizable(&self, calls: &[Call]) -> bool {
         let operations = self.operations(calls);
         let open: Vec<usize> = (0..operations.len()).collect();
         can_linearize(&operations, &open, INITIAL)
     }
 
-    /// Calls and answers in their order, for a reader of a violation.
+    /// The calls and answers in order, as text for the report of a violation.
     pub fn summary(&self) -> String {
         let lines = self.events.iter().map(|event| match event {
-            Event::Invoked { call } => format!("call {call} begins"),
+            Event::Invoked { call } => format!("call {call} starts"),
             Event::Completed {
                 call,
                 outcome: Outcome::Answered(answer),
@@ -125,7 +125,7 @@
     }
 }
 
-/// Whether the open operations can take effect in some order on this value.
+/// Whether the pending operations can take effect in some order on this value.
 fn can_linearize(operations: &[Operation], open: &[usize], value: &[u8]) -> bool {
     if open.iter().all(|&i| !operations[i].must_take_effect()) {
         return true;
--- a/crates/sparrouter-consensus/tests/explore/mod.rs
+++ b/crates/sparrouter-consensus/tests/explore/mod.rs
@@ -1,23 +1,27 @@
-//! Exhaustive exploration of small replica groups: the real registers, every order of events up to a depth.
+//! Exhaustive exploration of small replica groups: runs the real registers through all orders of events up to a depth.
 //!
-//! | module | its one job |
+//! | module | job |
 //! | --- | --- |
 //! | `body` | the replicated value: a byte changed by compare-and-set |
-//! | `violation` | the rules that can be broken |
-//! | `scope` | what may happen in an exploration, and how often |
+//! | `violation` | the rules and their violations |
+//! | `scope` | the events of an exploration, and their maximum numbers |
 //! | `node` | a node: its register, its disk, and the store between them |
 //! | `step` | the steps of an exploration |
-//! | `system` | one state of the whole system and the steps out of it |
+//! | `system` | one state of the whole system and its possible steps |
 //! | `trace` | short summaries of messages |
-//! | `votes` | which votes are on disk, and so which are chosen, counted apart from the code under test |
+//! | `votes` | the votes on disk and the chosen votes, counted independently of the code under test |
 //! | `history` | calls and answers, checked for linearizability |
-//! | `digest` | which states are the same |
-//! | `search` | breadth-first search over states, each visited once |
-//! | `scenarios` | the scopes that the test and the example explore, and those that find each injected defect |
+//! | `digest` | digests that identify equal states |
+//! | `search` | breadth-first search that visits each state once |
+//! | `scenarios` | the scenarios that the test and the example explore, and a scenario for each injected defect |
 //!
-//! Sources: Lamport, "Specifying systems", 2002 (TLC: states visited once, breadth first, a shortest trace); Killian et
-//! al., "Life, death, and the critical transition", NSDI 2007 (the real code in place of a model of it).
-#![allow(dead_code, reason = "the test and the example each use a part")]
+//! Sources: Lamport, "Specifying systems", 2002 (TLC: breadth-first search that visits each state once and reports a
+//! shortest trace); Killian et al., "Life, death, and the critical transition", NSDI 2007 (explores the real code
+//! instead of a model).
+#![allow(
+    dead_code,
+    reason = "the test and the example each use only some of the items"
+)]
 pub mod body;
 pub mod digest;
 pub mod history;
--- a/crates/sparrouter-consensus/tests/explore/node.rs
+++ b/crates/sparrouter-consensus/tests/explore/node.rs
@@ -1,7 +1,7 @@
-//! A node of an exploration: its process, its disk, and the store between them.
+//! A node of an exploration: its process, its disk, and the store in flight.
 //!
-//! Each node has its own clock, which only its timers move. Its reaction depends on nothing but its state and its
-//! input.
+//! Each node has its own clock, which advances only when its timers fire. A node's reaction depends only on its state
+//! and its input.
 use super::body::CompareAndSet;
 use super::digest::digest_of;
 use super::scope::{CallKind, Scope};
@@ -10,19 +10,19 @@
     Action, Member, Message, Nanos, NodeObservation, Record, Register, Settings, VoteId,
 };
 
-/// The register's shard; any number does.
+/// Shard of the register; an arbitrary number.
 const SHARD: u16 = 7;
 
-/// No call ends by its deadline within an exploration.
+/// A deadline that no call reaches within an exploration.
 const NO_DEADLINE: Nanos = Nanos::MAX / 4;
 
-/// Difference between the id of a disk and that of the empty one that replaces it.
+/// Difference between the id of a wiped disk and the id of the empty disk that replaces it.
 const DISK_ID_STEP: u64 = 100;
 
-/// Longest record or message that is decoded.
+/// Maximum length of a decoded record or message, in bytes.
 const MAX_BYTES: usize = 1 << 16;
 
-/// A node: its process, its disk, and what is between them.
+/// A node: its process, its disk, and the store in flight.
 #[derive(Clone)]
 pub struct Node {
     pub member: Member,
@@ -31,7 +31,7 @@
     disk: Option<Vec<u8>>,
     /// The store in flight.
     pub pending: Option<PendingStore>,
-    /// Votes accepted in memory since the last store began.
+    /// Votes accepted in memory that are not part of a store yet.
     unsaved: Vec<VoteId>,
     now: Nanos,
     /// The vote on disk.
@@ -39,7 +39,7 @@
     pub digest: u128,
 }
 
-/// What a node reacts to.
+/// An input of a node.
 #[derive(Debug)]
 pub enum Input {
     Message {
@@ -50,7 +50,7 @@
         op: u64,
         kind: CallKind,
     },
-    /// The store in flight ends; `written`: its bytes are on disk.
+    /// The store in flight ends. `written` is whether its bytes are on disk.
     Stored {
         written: bool,
         ok: bool,
@@ -123,7 +123,7 @@
         node
     }
 
-    /// The store in flight reaches the disk.
+    /// Writes the store in flight to the disk.
     fn write(&mut self) {
         if let Some(pending) = &self.pending {
             self.disk = Some(pending.bytes.clone());
@@ -131,24 +131,24 @@
         }
     }
 
-    /// The store in flight ended.
+    /// Ends the store in flight.
     fn end_store(&mut self, ok: bool) {
         let Some(pending) = self.pending.take() else {
             return;
         };
         if !ok {
-            // They are still in memory and go with the next store.
+            // The votes are still in memory and become part of the next store.
             self.unsaved.splice(0..0, pending.votes);
         }
         self.register.stored(pending.token, ok, self.now);
     }
 
-    /// Starts anew under a member's name, with this disk.
+    /// Restarts the node as `member`, with this disk.
     fn restart(&mut self, scope: &Scope, member: Member, disk: Option<Vec<u8>>) {
         *self = Node::start(scope, member, self.incarnation + 1, disk);
     }
 
-    /// Handles an input; the actions of the register but for its store, which becomes `pending`.
+    /// Handles an input. Returns the register's actions except its store, which becomes `pending`.
     pub fn react(&mut self, scope: &Scope, input: Input) -> Vec<Action> {
         if let Input::Stored { written: true, .. } | Input::Restart { written: true } = input {
             self.write();
@@ -180,8 +180,9 @@
                 observations,
                 contact_timeout,
             } => {
-                // Twice, as whoever is not the first in turn waits a tenth of `contact_timeout` for each before it. A candidate's
-                // confirmation is valid for half of `contact_timeout`.
+                // The node observes twice, because a member that is not the first in the order of proposers waits a
+                // tenth of `contact_timeout` for each member before it. A candidate's confirmation is valid for half of
+                // `contact_timeout`.
                 register.observe_nodes(&observations, self.now);
                 self.now += contact_timeout * 2 / 5;
                 register.observe_nodes(&observations, self.now);
@@ -203,7 +204,8 @@
         others
     }
 
-    /// A store may begin before the last vote that the same step accepted: that one goes with the next store.
+    /// Starts a store. It may not contain the last vote that the same step accepted, which becomes part of the next
+    /// store.
     fn begin_store(&mut self, store: Action) {
         if let Action::Store { token, bytes } = store {
             let stored = decoded(&bytes).accepted.map(|vote| vote.id());
--- a/crates/sparrouter-consensus/tests/explore/scenarios.rs
+++ b/crates/sparrouter-consensus/tests/explore/scenarios.rs
@@ -1,41 +1,41 @@
-//! The scopes that are explored: those of the sound code, and for each injected defect one that finds it.
-use super::scope::{Call, Scope, Swap};
+//! The scenarios to explore: scenarios of the correct code, and one for each injected defect that detects it.
+use super::scope::{Call, Replacement, Scope};
 use super::step::Step;
 use super::system::System;
 use sparrouter_consensus::Defects;
 
-const NO_VIOLATION_YET: &str = "no rule is broken before the search begins";
+const NO_VIOLATION_YET: &str = "no rule is violated before the search begins";
 
-/// What happens before the search begins, for violations that lie too deep from the first state.
+/// A step before the search begins, for violations that are too deep to be found from the initial state.
 #[derive(Clone, Copy, Debug)]
 pub enum Preparation {
-    /// These calls are made, and all messages and stores among these nodes are carried out.
+    /// The calls are made, and all messages and stores among the nodes `among` are carried out.
     Calls {
         calls: &'static [usize],
         among: &'static [usize],
     },
-    /// The proposer of the scope's swap observes the nodes and asks the candidate, and all messages and stores among these
-    /// nodes are carried out: a node joins only once its own disk has the group's state.
+    /// The proposer of the scope's replacement observes the nodes and asks the candidate, and all messages and stores
+    /// among the nodes `among` are carried out: a node joins only once the group's state is on its own disk.
     ConfirmCandidate { among: &'static [usize] },
     /// All messages in flight are lost.
     Loss,
-    /// The node restarts; what it was storing is lost.
+    /// The node restarts; its store in flight is lost.
     Crash { node: usize },
     /// The node restarts with an empty disk.
     Wipe { node: usize },
-    /// The store in flight at a node ends.
+    /// The store in flight at a node succeeds.
     Sync { node: usize },
-    /// One message of this link arrives; there must be just one.
+    /// The message in flight from one node to the other arrives. There must be exactly one.
     Deliver { from: usize, to: usize },
 }
 
-/// A scope with what comes before it.
+/// A scope and the steps before the search.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: &'static str,
     pub scope: Scope,
     pub preparations: &'static [Preparation],
-    /// Depth to which the test explores the sound code, or within which the defect is found.
+    /// Depth to which the test explores the correct code, or within which the defect is detected.
     pub depth: usize,
 }
 
@@ -43,7 +43,7 @@
     /// The state in which the search begins.
     ///
     /// # Panics
-    /// If a rule is broken on the way there.
+    /// If a rule is violated before the search begins.
     pub fn root(&self) -> System {
         let mut system = System::new(self.scope.clone());
         for preparation in self.preparations {
@@ -52,8 +52,8 @@
         system
     }
 
-    /// The same with the defect taken out.
-    pub fn sound(&self) -> Scenario {
+    /// The same scenario without injected defects.
+    pub fn without_defects(&self) -> Scenario {
         let scope = Scope {
             defects: Defects::default(),
             ..self.scope.clone()
@@ -102,14 +102,14 @@
         }
         Preparation::Wipe { node } => system = step(system, Step::Wipe { node }),
         Preparation::ConfirmCandidate { among } => {
-            system = all_steps_among(step(system, Step::Swap), among);
-            system.allow_another_swap();
+            system = all_steps_among(step(system, Step::ReplaceMember), among);
+            system.allow_another_replacement();
         }
     }
     system
 }
 
-/// Node 0 has promises of itself and of node 2, and asks for acceptance.
+/// Node 0 has promises from itself and from node 2, and has sent `Accept`.
 const PREPARED: [Preparation; 4] = [
     ACCEPTED_ALONE[0],
     ACCEPTED_ALONE[1],
@@ -117,7 +117,7 @@
     ACCEPTED_ALONE[3],
 ];
 
-/// Node 0 has its change accepted by nobody but itself.
+/// Node 0 has proposed a change that only node 0 itself has accepted.
 const ACCEPTED_ALONE: [Preparation; 6] = [
     Preparation::Calls {
         calls: &[0],
@@ -130,7 +130,7 @@
     Preparation::Loss,
 ];
 
-/// Then node 1 has another one chosen with node 2, and node 0 restarts.
+/// As `ACCEPTED_ALONE`; then another change of node 1 is chosen by nodes 1 and 2, and node 0 restarts.
 const TWO_VALUES_ACCEPTED: [Preparation; 9] = [
     ACCEPTED_ALONE[0],
     ACCEPTED_ALONE[1],
@@ -146,7 +146,8 @@
     Preparation::Crash { node: 0 },
 ];
 
-/// Node 2 accepts the change of node 0, which learns nothing of it; node 1 finds that vote and has it chosen.
+/// Node 2 accepts a change of node 0, but node 0 doesn't receive the acceptance; node 1 adopts that vote, and it is
+/// chosen.
 const CHOSEN_BY_ANOTHER: [Preparation; 9] = [
     ACCEPTED_ALONE[0],
     ACCEPTED_ALONE[1],
@@ -162,13 +163,13 @@
     },
 ];
 
-/// Node 0 reads, so that it knows the group.
+/// Node 0 performs a read, so that it knows the group.
 const GROUP_KNOWN: Preparation = Preparation::Calls {
     calls: &[0],
     among: &[0, 1, 2],
 };
 
-/// Then the disk of a spare, node 3, has confirmed that it holds the group's state.
+/// As `GROUP_KNOWN`; then a spare, node 3, has confirmed that the group's state is on its disk.
 const SPARE_CONFIRMED: [Preparation; 2] = [
     GROUP_KNOWN,
     Preparation::ConfirmCandidate {
@@ -176,25 +177,25 @@
     },
 ];
 
-/// Then node 2 has lost its disk, and the new one has confirmed that it holds the group's state.
+/// As `GROUP_KNOWN`; then node 2 has lost its disk and has confirmed that the group's state is on its new disk.
 const WIPED_CONFIRMED: [Preparation; 3] = [
     GROUP_KNOWN,
     Preparation::Wipe { node: 2 },
     Preparation::ConfirmCandidate { among: &[0, 1, 2] },
 ];
 
-/// Two proposers of competing changes.
-fn race() -> Vec<Call> {
+/// Competing changes of two proposers.
+fn competing_changes() -> Vec<Call> {
     vec![Call::change(0, b'a', b'b'), Call::change(1, b'a', b'c')]
 }
 
-fn race_and_read() -> Vec<Call> {
-    let mut calls = race();
+fn competing_changes_and_read() -> Vec<Call> {
+    let mut calls = competing_changes();
     calls.push(Call::read(2));
     calls
 }
 
-fn sound(
+fn without_defects(
     name: &'static str,
     depth: usize,
     preparations: &'static [Preparation],
@@ -208,54 +209,54 @@
     }
 }
 
-/// What is explored of the sound code; the depth is the test's, the example goes deeper.
+/// The scenarios of the correct code, with the depths of the test. The example searches to a greater depth.
 #[allow(clippy::too_many_lines, reason = "a table of scopes")]
-pub fn all_sound() -> Vec<Scenario> {
+pub fn all_without_defects() -> Vec<Scenario> {
     let group = Scope {
-        calls: race_and_read(),
-        ..Scope::calm(3)
+        calls: competing_changes_and_read(),
+        ..Scope::without_faults(3)
     };
-    let swap = Swap {
+    let replacement = Replacement {
         proposer: 0,
         replaced: 2,
     };
-    let swapped = Scope {
+    let with_replacement = Scope {
         calls: vec![Call::read(0), Call::change(1, b'a', b'b'), Call::read(0)],
-        swap: Some(swap),
-        ..Scope::calm(3)
+        replacement: Some(replacement),
+        ..Scope::without_faults(3)
     };
     vec![
-        sound(
+        without_defects(
             "a proposer and a read",
             10,
             &[],
             Scope {
                 calls: vec![Call::change(0, b'a', b'b'), Call::read(2)],
-                ..Scope::calm(3)
+                ..Scope::without_faults(3)
             },
         ),
-        sound(
+        without_defects(
             "a proposer and a crash",
             20,
             &[],
             Scope {
                 calls: vec![Call::change(0, b'a', b'b')],
                 crashes: 1,
-                ..Scope::calm(3)
+                ..Scope::without_faults(3)
             },
         ),
-        sound(
+        without_defects(
             "two proposers",
             10,
             &[],
             Scope {
-                calls: race(),
-                ..Scope::calm(3)
+                calls: competing_changes(),
+                ..Scope::without_faults(3)
             },
         ),
-        sound("two proposers, a read", 8, &[], group.clone()),
-        sound(
-            "and a crash",
+        without_defects("two proposers, a read", 8, &[], group.clone()),
+        without_defects(
+            "two proposers, a read, a crash",
             7,
             &[],
             Scope {
@@ -263,8 +264,8 @@
                 ..group.clone()
             },
         ),
-        sound(
-            "and two timers",
+        without_defects(
+            "two proposers, a read, two timers",
             6,
             &[],
             Scope {
@@ -272,8 +273,8 @@
                 ..group.clone()
             },
         ),
-        sound(
-            "and a failing store",
+        without_defects(
+            "two proposers, a read, a failed store",
             7,
             &[],
             Scope {
@@ -281,8 +282,8 @@
                 ..group.clone()
             },
         ),
-        sound(
-            "and a message twice",
+        without_defects(
+            "two proposers, a read, a duplicated message",
             7,
             &[],
             Scope {
@@ -290,22 +291,22 @@
                 ..group.clone()
             },
         ),
-        sound(
-            "a proposer, a read, a swap for a spare",
+        without_defects(
+            "a proposer, a read, a member replaced by a spare",
             7,
             &SPARE_CONFIRMED,
             Scope {
                 spares: 1,
-                ..swapped.clone()
+                ..with_replacement.clone()
             },
         ),
-        sound(
-            "a proposer, a read, a wipe and its swap",
+        without_defects(
+            "a proposer, a read, a wiped member replaced",
             7,
             &WIPED_CONFIRMED,
             Scope {
                 wipes: 1,
-                ..swapped
+                ..with_replacement
             },
         ),
     ]
@@ -327,33 +328,33 @@
     }
 }
 
-/// Each injected defect with a scope that finds it.
+/// For each injected defect, a scenario that detects it.
 #[allow(clippy::too_many_lines, reason = "a table of defects")]
 pub fn all_defects() -> Vec<Scenario> {
-    let race_of = |members| Scope {
-        calls: race(),
-        ..Scope::calm(members)
+    let competing_changes_in = |members| Scope {
+        calls: competing_changes(),
+        ..Scope::without_faults(members)
     };
-    let swap_of_spare = Scope {
+    let replacement_by_spare = Scope {
         spares: 1,
-        swap: Some(Swap {
+        replacement: Some(Replacement {
             proposer: 0,
             replaced: 2,
         }),
         calls: vec![Call::read(0)],
-        ..Scope::calm(3)
+        ..Scope::without_faults(3)
     };
     let one_change_and_read = Scope {
         calls: vec![Call::change(0, b'a', b'b'), Call::read(2)],
-        ..Scope::calm(3)
+        ..Scope::without_faults(3)
     };
     let crash_once = Scope {
         crashes: 1,
-        ..race_of(3)
+        ..competing_changes_in(3)
     };
     let wipe_once = Scope {
         wipes: 1,
-        ..race_of(3)
+        ..competing_changes_in(3)
     };
     let later_call = Scope {
         calls: vec![
@@ -361,7 +362,7 @@
             Call::change(1, b'a', b'c'),
             Call::change(0, b'a', b'd'),
         ],
-        ..Scope::calm(3)
+        ..Scope::without_faults(3)
     };
     vec![
         with_defect(
@@ -369,7 +370,7 @@
             8,
             |d| d.ack_before_sync = true,
             &[],
-            race_of(3),
+            competing_changes_in(3),
         ),
         with_defect(
             "promise_not_stored",
@@ -383,56 +384,56 @@
             12,
             |d| d.accept_below_promise = true,
             &PREPARED,
-            race_of(3),
+            competing_changes_in(3),
         ),
         with_defect(
             "old_group_only",
             12,
             |d| d.old_group_only = true,
             &SPARE_CONFIRMED,
-            swap_of_spare.clone(),
+            replacement_by_spare.clone(),
         ),
         with_defect(
             "skip_joint",
             12,
             |d| d.skip_joint = true,
             &SPARE_CONFIRMED,
-            swap_of_spare,
+            replacement_by_spare,
         ),
         with_defect(
             "evaluate_on_unchosen",
             14,
             |d| d.evaluate_on_unchosen = true,
             &[],
-            race_of(3),
+            competing_changes_in(3),
         ),
         with_defect(
             "answer_before_chosen",
             8,
             |d| d.answer_before_chosen = true,
             &[],
-            race_of(3),
+            competing_changes_in(3),
         ),
         with_defect(
             "half_is_majority",
             8,
             |d| d.half_is_majority = true,
             &[],
-            race_of(2),
+            competing_changes_in(2),
         ),
         with_defect(
             "shared_proposal_numbers",
             12,
             |d| d.shared_proposal_numbers = true,
             &[],
-            race_of(3),
+            competing_changes_in(3),
         ),
         with_defect(
             "publish_accepted",
             8,
             |d| d.publish_accepted = true,
             &[],
-            race_of(3),
+            competing_changes_in(3),
         ),
         with_defect(
             "read_locally",
@@ -466,7 +467,7 @@
             12,
             |d| d.forget_sent_proposals = true,
             &CHOSEN_BY_ANOTHER,
-            race_of(3),
+            competing_changes_in(3),
         ),
     ]
 }
--- a/crates/sparrouter-consensus/tests/explore/scope.rs
+++ b/crates/sparrouter-consensus/tests/explore/scope.rs
@@ -1,9 +1,9 @@
-//! What may happen in an exploration, and how often: everything else is left out, and the page says so.
+//! The scope of an exploration: its calls and faults, and their maximum numbers.
 use sparrouter_consensus::Defects;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// Replaces one value by another.
+    /// Replaces the expected value by a new one.
     Change {
         expected: u8,
         new: u8,
@@ -11,10 +11,10 @@
     Read,
 }
 
-/// A call that a client makes at some moment of the exploration.
+/// A call that a client makes at any step of the exploration.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Index of the node that it is made at.
+    /// Index of the node that receives the call.
     pub node: usize,
     pub kind: CallKind,
 }
@@ -35,40 +35,40 @@
     }
 }
 
-/// A member that counts as unresponsive, and the spare node that may replace it.
+/// The replacement of a member that one node observes as unresponsive.
 #[derive(Clone, Copy, Debug)]
-pub struct Swap {
+pub struct Replacement {
     /// Index of the node that observes the member as unresponsive and proposes the new group.
     pub proposer: usize,
-    /// Index of the member that is replaced. It still runs: only `by` observes it as unresponsive.
+    /// Index of the replaced member. It still runs: only `proposer` observes it as unresponsive.
     pub replaced: usize,
 }
 
 #[derive(Clone, Debug)]
 pub struct Scope {
     pub seed: u64,
-    /// Members of the first group.
+    /// Number of members of the first group.
     pub members: usize,
-    /// Nodes outside of it, with empty disks.
+    /// Number of nodes outside the group, with empty disks.
     pub spares: usize,
     pub calls: Vec<Call>,
-    /// Restarts with the loss of everything that is not on disk, over all nodes.
+    /// Maximum number of restarts that lose everything that is not on disk, over all nodes.
     pub crashes: u8,
-    /// Nodes whose crash loses the disk as well.
+    /// Maximum number of restarts that also lose the disk, over all nodes.
     pub wipes: u8,
-    pub swap: Option<Swap>,
-    /// Times that a node's next timer may fire, over all nodes.
+    pub replacement: Option<Replacement>,
+    /// Maximum number of times that a timer fires, over all nodes.
     pub timers: u8,
-    /// Stores that fail, over all nodes.
+    /// Maximum number of failed stores, over all nodes.
     pub store_failures: u8,
-    /// Messages that are delivered once more, over all links.
+    /// Maximum number of messages that are delivered twice, over all links.
     pub duplicates: u8,
     pub defects: Defects,
 }
 
 impl Scope {
-    /// A group in which nothing fails, and nobody calls.
-    pub fn calm(members: usize) -> Scope {
+    /// A group without faults and without calls.
+    pub fn without_faults(members: usize) -> Scope {
         Scope {
             seed: 1,
             members,
@@ -76,7 +76,7 @@
             calls: Vec::new(),
             crashes: 0,
             wipes: 0,
-            swap: None,
+            replacement: None,
             timers: 0,
             store_failures: 0,
             duplicates: 0,
--- a/crates/sparrouter-consensus/tests/explore/search.rs
+++ b/crates/sparrouter-consensus/tests/explore/search.rs
@@ -1,43 +1,43 @@
-//! Breadth-first search over all states, each visited once: the first violation is one by as few steps as can be.
+//! Breadth-first search over all states, each visited once, so that the first violation found has a shortest trace.
 use super::step::Step;
 use super::system::System;
 use super::violation::Violation;
 use std::collections::HashSet;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Where a search ends if nothing is found.
+/// Limits at which a search ends if it finds no violation.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Steps from the root.
+    /// Maximum number of steps from the root.
     pub depth: usize,
-    /// States visited; a search that meets this limit has not finished its last depth.
+    /// Maximum number of visited states. A search that reaches this limit has not completed its last depth.
     pub states: usize,
 }
 
-/// A violation and a shortest way to it.
+/// A violation and a shortest trace to it.
 #[derive(Debug)]
 pub struct Counterexample {
     pub violation: Violation,
     pub depth: usize,
-    /// One line a step.
+    /// One line per step.
     pub trace: Vec<String>,
 }
 
-/// What a search visited.
+/// The result of a search.
 #[derive(Debug, Default)]
 pub struct Explored {
     pub states: usize,
     pub transitions: usize,
-    /// Every state that takes so many steps or fewer was visited.
+    /// All states that can be reached with at most this number of steps were visited.
     pub depth: usize,
-    /// Nothing is left to explore at any depth.
+    /// Whether all reachable states were visited.
     pub is_complete: bool,
     pub counterexample: Option<Counterexample>,
-    /// States in which a slot beyond the first was chosen: a search that reaches none shows nothing.
-    pub with_choice: usize,
+    /// Number of states with a slot that was chosen after the root; without such states a search proves nothing.
+    pub states_with_new_slot: usize,
 }
 
-/// How a state was reached.
+/// The step by which a state was reached.
 struct Visit {
     parent: usize,
     step: Step,
@@ -47,15 +47,15 @@
     root: &'a System,
     limits: Limits,
     visits: Vec<Visit>,
-    /// Digests of the states visited.
+    /// Digests of the visited states.
     visited: HashSet<u128>,
     explored: Explored,
 }
 
-/// A state whose steps are to be tried, with the index of its visit.
+/// The states whose steps are to be explored, each with the index of its visit.
 type Frontier = Vec<(usize, System)>;
 
-/// Visits all states within the limits, or ends at the first violation.
+/// Visits all states within the limits; stops at the first violation.
 pub fn explore(root: &System, limits: Limits) -> Explored {
     let mut search = Search {
         root,
@@ -80,13 +80,13 @@
     search.explored
 }
 
-/// The state after a step; an assertion of the code under test counts as a violation.
+/// The state after a step. A failed assertion of the code under test counts as a violation.
 fn after(system: &System, step: Step) -> Result<System, Violation> {
     catch_unwind(AssertUnwindSafe(|| system.after(step))).unwrap_or(Err(Violation::AssertionFailed))
 }
 
 impl Search<'_> {
-    /// Tries all steps out of the states of one depth; the states of the next one, or `None` if the search ends.
+    /// Tries all steps of the states of one depth. Returns the states of the next depth, or `None` if the search ends.
     fn explore_depth(&mut self, frontier: Frontier, depth: usize) -> Option<Frontier> {
         let mut next = Vec::new();
         for (visit, system) in frontier {
@@ -112,18 +112,19 @@
         Some(next)
     }
 
-    /// Notes a state; `None` if it was visited before.
+    /// Records a state and returns it with the index of its visit; `None` if it was visited before.
     fn visit(&mut self, parent: usize, step: Step, state: System) -> Option<(usize, System)> {
         if !self.visited.insert(state.digest()) {
             return None;
         }
-        let has_choice = state.chosen_slots() > self.root.chosen_slots();
-        self.explored.with_choice += usize::from(has_choice);
+        let has_new_slot = state.chosen_slots() > self.root.chosen_slots();
+        self.explored.states_with_new_slot += usize::from(has_new_slot);
         self.visits.push(Visit { parent, step });
         Some((self.visits.len() - 1, state))
     }
 
-    /// Descriptions of the steps from the root. They are played once more, as a visit has only the step's indexes.
+    /// Descriptions of the steps from the root. The steps are executed again, because a visit contains only indexes of
+    /// messages, calls and nodes.
     fn trace(&self, visit: usize, last: Step) -> Vec<String> {
         let mut steps = vec![last];
         let mut index = visit;
--- a/crates/sparrouter-consensus/tests/explore/step.rs
+++ b/crates/sparrouter-consensus/tests/explore/step.rs
@@ -1,13 +1,13 @@
-//! The steps of an exploration, and how many of them are used up.
+//! The steps of an exploration, and the counts of executed steps that the scope limits.
 
 /// One step of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A message arrives: by its index among those in flight.
+    /// The message with this index among the messages in flight arrives.
     Deliver {
         message: usize,
     },
-    /// It arrives, and stays in flight as well.
+    /// The message with this index arrives and also stays in flight.
     DeliverDuplicate {
         message: usize,
     },
@@ -18,7 +18,7 @@
     Sync {
         node: usize,
     },
-    /// It fails; `written` says whether its bytes are on disk all the same.
+    /// The store in flight at a node fails. `written` is whether its bytes are on disk nevertheless.
     FailSync {
         node: usize,
         written: bool,
@@ -27,27 +27,27 @@
     Timer {
         node: usize,
     },
-    /// The node starts anew from its disk; `written`: whether the store in flight had reached it.
+    /// The node crashes and restarts from its disk. `written` is whether the store in flight had reached the disk.
     Crash {
         node: usize,
         written: bool,
     },
-    /// The node starts anew with an empty disk.
+    /// The node restarts with an empty disk.
     Wipe {
         node: usize,
     },
-    /// The node proposes the scope's swap, or one for a disk that is gone.
-    Swap,
+    /// The proposer of the scope's replacement observes the nodes and may propose to replace a member.
+    ReplaceMember,
 }
 
-/// How much of what the scope allows has happened.
+/// The numbers of executed steps that the scope limits.
 #[derive(Clone, Copy, Debug, Default, Hash)]
 pub struct Used {
-    /// Bit by call.
+    /// Bit mask of the calls that were made.
     pub calls: u32,
     pub crashes: u8,
     pub wipes: u8,
-    pub swaps: u8,
+    pub replacements: u8,
     pub timers: u8,
     pub store_failures: u8,
     pub duplicates: u8,
--- a/crates/sparrouter-consensus/tests/explore/system.rs
+++ b/crates/sparrouter-consensus/tests/explore/system.rs
@@ -1,9 +1,9 @@
-//! One state of the whole system and the steps out of it.
+//! One state of the whole system and its possible steps.
 //!
-//! Each node has its own clock, which only its timers move: a timer fires when the search chooses so, never because time
-//! passed elsewhere. A message that is never chosen for delivery is a lost one.
+//! Each node has its own clock, which advances only when its timers fire: a timer fires whenever the search chooses so,
+//! independently of the other nodes' clocks. A message that is never chosen for delivery is lost.
 //!
-//! A node's reaction depends on nothing but its own state and its input, so each pair of the two is run once and
+//! A node's reaction depends only on its state and its input, so that the reaction to each pair is computed once and
 //! cached.
 use super::body::{APPLIED, INITIAL};
 use super::digest::digest_of;
@@ -23,7 +23,7 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-/// The node after an input, and the effects outside of it.
+/// A node after an input, and the effects of the input outside the node.
 struct Reaction {
     node: Rc<Node>,
     effects: Vec<Effect>,
@@ -56,18 +56,21 @@
     wiped: BTreeSet<u64>,
     votes: Rc<Votes>,
     history: Rc<History>,
-    /// Where each address is.
+    /// The address of each node, by its index.
     addresses: Rc<Vec<String>>,
     reactions: Rc<Reactions>,
 }
 
 impl System {
-    /// All nodes run; the members have the group's first record on disk.
+    /// Creates a system in which all nodes run and the members have the group's initial record on disk.
     pub fn new(scope: Scope) -> System {
         let members: Vec<Member> = (0..scope.members).map(first_member).collect();
         let first = Record::bootstrap(members, INITIAL.to_vec());
         let mut votes = Votes::default();
-        let vote = first.accepted.clone().expect("a first record has a vote");
+        let vote = first
+            .accepted
+            .clone()
+            .expect("the initial record has a vote");
         votes.bootstrap((*vote.0).clone());
         let nodes = (0..scope.members + scope.spares).map(|node| {
             let disk = (node < scope.members).then(|| first.encode());
@@ -90,7 +93,8 @@
         }
     }
 
-    /// Equal for two states only if all steps lead to equal states, but for a collision of 128 bits.
+    /// Digest of the state: two states with equal digests have the same future behavior, barring a collision of 128
+    /// bits.
     pub fn digest(&self) -> u128 {
         let (mut low, mut high) = (DefaultHasher::new(), DefaultHasher::new());
         high.write_u8(1);
@@ -107,7 +111,7 @@
         u128::from(low.finish()) | u128::from(high.finish()) << 64
     }
 
-    /// Every step that the scope allows here; of equal messages one.
+    /// All steps that the scope allows in this state. Of several equal messages, only one is delivered.
     pub fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         let scope = &*self.scope;
@@ -120,13 +124,13 @@
                 steps.push(Step::DeliverDuplicate { message });
             }
         }
-        let open = (0..scope.calls.len()).filter(|call| self.used.calls >> call & 1 == 0);
-        steps.extend(open.map(|call| Step::Call { call }));
+        let remaining = (0..scope.calls.len()).filter(|call| self.used.calls >> call & 1 == 0);
+        steps.extend(remaining.map(|call| Step::Call { call }));
         for node in 0..self.nodes.len() {
             self.steps_of(node, &mut steps);
         }
-        if self.swap_proposer().is_some() {
-            steps.push(Step::Swap);
+        if self.replacement_proposer().is_some() {
+            steps.push(Step::ReplaceMember);
         }
         steps
     }
@@ -167,18 +171,18 @@
         }
     }
 
-    /// The observation so far led to no proposal: the scope's swap is still to come.
-    pub fn allow_another_swap(&mut self) {
-        self.used.swaps = 0;
+    /// Allows another observation, because the first one only confirmed the candidate and led to no proposal.
+    pub fn allow_another_replacement(&mut self) {
+        self.used.replacements = 0;
     }
 
-    /// Who may propose a swap now.
-    fn swap_proposer(&self) -> Option<usize> {
-        let swap = self.scope.swap?;
-        (self.used.swaps == 0).then_some(swap.proposer)
+    /// The node that may propose a replacement now; `None` if the scope allows no further replacement.
+    fn replacement_proposer(&self) -> Option<usize> {
+        let replacement = self.scope.replacement?;
+        (self.used.replacements == 0).then_some(replacement.proposer)
     }
 
-    /// What a step is, for a reader of a trace.
+    /// A description of a step for a trace.
     pub fn describe(&self, step: Step) -> String {
         match step {
             Step::Deliver { message } | Step::DeliverDuplicate { message } => {
@@ -204,14 +208,14 @@
                 )
             }
             Step::Wipe { node } => format!("node-{} restarts with an empty disk", node + 1),
-            Step::Swap => format!("swap {:?}", self.scope.swap),
+            Step::ReplaceMember => format!("replacement {:?}", self.scope.replacement),
         }
     }
 
     /// The state after a step.
     ///
     /// # Errors
-    /// The rule that it broke.
+    /// The violation of a rule by the step.
     pub fn after(&self, step: Step) -> Result<System, Violation> {
         let mut next = self.clone();
         next.apply(step)?;
@@ -236,17 +240,17 @@
             Step::Timer { node } => self.fire_timer(node),
             Step::Crash { node, written } => self.crash(node, written),
             Step::Wipe { node } => self.wipe(node),
-            Step::Swap => self.swap(),
+            Step::ReplaceMember => self.replace_member(),
         }
     }
 
-    /// Gives a node an input and carries out its effects.
+    /// Passes an input to a node and carries out the effects.
     fn run(&mut self, node: usize, input: Input) -> Result<(), Violation> {
         let key = (self.nodes[node].digest, digest_of(&input));
         self.run_keyed(node, key.1, || input)
     }
 
-    /// The same by the input's digest, so that an input that was run before need not be made.
+    /// As `run`, but identifies the input by its digest and creates it only if the node's reaction is not cached.
     fn run_keyed(
         &mut self,
         node: usize,
@@ -334,14 +338,14 @@
 
     fn complete_call(&mut self, call: usize, outcome: Outcome) -> Result<(), Violation> {
         if let Outcome::Answered(answer) = &outcome {
-            let in_force = match self.scope.calls[call].kind {
+            let is_chosen = match self.scope.calls[call].kind {
                 CallKind::Read => self.votes.is_chosen_body(answer),
                 CallKind::Change { new, .. } if answer == APPLIED => {
                     self.votes.is_chosen_body(&[new])
                 }
                 CallKind::Change { .. } => true,
             };
-            if !in_force {
+            if !is_chosen {
                 return Err(Violation::AnsweredUnchosen(call));
             }
         }
@@ -352,7 +356,7 @@
         Err(Violation::NotLinearizable(self.history.summary()))
     }
 
-    /// Counts the votes of the store in flight as synced.
+    /// Records the votes of the store in flight as synced.
     fn count_synced(&mut self, node: usize) -> Result<(), Violation> {
         let node = self.nodes[node].clone();
         let votes = Rc::make_mut(&mut self.votes);
@@ -398,12 +402,13 @@
         self.run(node, Input::Wipe)
     }
 
-    /// One node observes the others: the member to be replaced and wiped disks are unresponsive, all others are there.
-    fn swap(&mut self) -> Result<(), Violation> {
-        let Some(swap) = self.scope.swap else {
+    /// The proposer of the replacement observes all nodes: the member to replace and wiped disks are unresponsive, all
+    /// other nodes are live.
+    fn replace_member(&mut self) -> Result<(), Violation> {
+        let Some(replacement) = self.scope.replacement else {
             return Ok(());
         };
-        self.used.swaps += 1;
+        self.used.replacements += 1;
         let contact_timeout = settings(&self.scope).contact_timeout;
         let observation = |member: Member, since_last_contact: Nanos| NodeObservation {
             member,
@@ -414,7 +419,7 @@
         let mut observations: Vec<NodeObservation> = Vec::new();
         for (index, node) in self.nodes.iter().enumerate() {
             let has_first_disk = node.member.disk_id == first_member(index).disk_id;
-            let since_last_contact = if index == swap.replaced && has_first_disk {
+            let since_last_contact = if index == replacement.replaced && has_first_disk {
                 contact_timeout
             } else {
                 0
@@ -427,7 +432,7 @@
             }
         }
         self.run(
-            swap.proposer,
+            replacement.proposer,
             Input::Observe {
                 observations,
                 contact_timeout,
@@ -443,7 +448,7 @@
         self.votes.check_disks(vote_on_disk, &self.wiped)
     }
 
-    /// Steps of these nodes alone: their stores, and the messages between them.
+    /// The possible steps of these nodes without other nodes: their stores, and the messages between them.
     pub fn steps_among(&self, among: &[usize]) -> Vec<Step> {
         let both = |e: &Envelope| among.contains(&e.from) && among.contains(&e.to);
         let in_flight = self.network.iter().enumerate().filter(|(_, e)| both(e));
--- a/crates/sparrouter-consensus/tests/explore/trace.rs
+++ b/crates/sparrouter-consensus/tests/explore/trace.rs
@@ -1,7 +1,7 @@
 //! Short summaries of messages, for the traces of violations.
 use sparrouter_consensus::{Message, ProposalNumber, VoteId};
 
-/// One line that says what a message is about.
+/// A summary of a message in one line.
 pub fn summary(message: &Message) -> String {
     match message {
         Message::Accept { vote } => {
--- a/crates/sparrouter-consensus/tests/explore/violation.rs
+++ b/crates/sparrouter-consensus/tests/explore/violation.rs
@@ -1,7 +1,7 @@
-//! The rules that an exploration checks, as the ways in which they are broken.
+//! The rules that an exploration checks, as their possible violations.
 use sparrouter_consensus::VoteId;
 
-/// A rule that a step broke.
+/// A violation of a rule by a step.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     #[error("two values proposed under {0:?}")]
@@ -14,17 +14,17 @@
         first: Vec<u8>,
         second: Vec<u8>,
     },
-    #[error("another state than the chosen one published at slot {0}")]
+    #[error("a state other than the chosen one was published at slot {0}")]
     OtherStatePublished(u64),
-    #[error("slot {0} published before a state was chosen")]
+    #[error("slot {0} was published before a state was chosen")]
     PublishedBeforeChosen(u64),
-    #[error("slot {0} is chosen and on no majority of its group's disks")]
+    #[error("slot {0} is chosen but not on a majority of its group's disks")]
     OnNoMajority(u64),
-    #[error("call {0} was answered by a value not chosen")]
+    #[error("call {0} was answered with a value that is not chosen")]
     AnsweredUnchosen(usize),
-    /// With the history's summary.
+    /// Contains the summary of the history.
     #[error("not linearizable: {0}")]
     NotLinearizable(String),
-    #[error("an assertion of the register")]
+    #[error("an assertion of the register failed")]
     AssertionFailed,
 }
--- a/crates/sparrouter-consensus/tests/explore/votes.rs
+++ b/crates/sparrouter-consensus/tests/explore/votes.rs
@@ -1,18 +1,18 @@
-//! Which votes are on which disks, and so which states are chosen: counted from what is proposed and what is synced,
-//! with majorities of its own, apart from the code under test.
+//! Tracks which votes are on which disks, and which states are therefore chosen. The counts are based on proposed and
+//! synced votes, with a separate implementation of majorities that is independent of the code under test.
 use super::digest::digest_of;
 use super::violation::Violation;
 use sparrouter_consensus::{Member, State, Vote, VoteId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// All votes of an exploration so far.
+/// All votes of an exploration.
 #[derive(Clone, Debug, Default)]
 pub struct Votes {
     proposed: BTreeMap<VoteId, Rc<Vote>>,
-    /// Disks that ever had a vote, or a later one after it, synced.
+    /// The disks on which a vote, or a later vote that replaced it, was ever synced.
     synced: BTreeMap<VoteId, BTreeSet<u64>>,
-    /// By slot. Never changes once it is there.
+    /// The chosen vote of each slot. An entry never changes.
     chosen: BTreeMap<u64, Rc<Vote>>,
     digest: u128,
 }
@@ -22,20 +22,20 @@
     2 * count > members.len()
 }
 
-/// Same slot and same value: the numbers may differ.
+/// Whether two votes have the same slot and value; their numbers may differ.
 fn has_same_value(first: &Vote, second: &Vote) -> bool {
     first.state == second.state
 }
 
 impl Votes {
-    /// The first record of a group is chosen by definition.
+    /// Records the vote of the group's initial record, which is chosen by definition.
     pub fn bootstrap(&mut self, first: Vote) {
         let first = Rc::new(first);
         self.proposed.insert(first.id(), first.clone());
         self.chosen.insert(first.state.slot, first);
     }
 
-    /// A proposer asks for acceptance of this vote.
+    /// Records that a proposer has sent an `Accept` for this vote.
     ///
     /// # Errors
     /// Another value was proposed under the same number.
@@ -51,10 +51,10 @@
         }
     }
 
-    /// A disk has this vote, or has a later one that replaced it before the sync.
+    /// Records that this vote, or a later vote that replaced it before the sync, was synced to a disk.
     ///
     /// # Errors
-    /// The vote was proposed by nobody, or two values of one slot are chosen now.
+    /// The vote was never proposed, or two values of one slot are chosen now.
     pub fn sync(&mut self, vote_id: VoteId, disk: u64) -> Result<(), Violation> {
         let Some(vote) = self.proposed.get(&vote_id).cloned() else {
             return Err(Violation::NeverProposed { vote_id, disk });
@@ -89,10 +89,10 @@
         })
     }
 
-    /// A node publishes this state.
+    /// Checks a state that a node publishes.
     ///
     /// # Errors
-    /// It is not chosen.
+    /// The state is not chosen.
     pub fn check_published(&self, state: &State) -> Result<(), Violation> {
         match self.chosen.get(&state.slot) {
             Some(chosen) if chosen.state == *state => Ok(()),
@@ -105,11 +105,11 @@
         self.chosen.values().any(|vote| vote.state.body == body)
     }
 
-    /// The newest chosen state must be on a majority of its group's disks; a disk that was wiped in between counts as
-    /// the loss that is tolerated.
+    /// Checks that the newest chosen state is on a majority of its group's disks. Wiped disks count as if they had it,
+    /// because their loss is tolerated.
     ///
     /// # Errors
-    /// Fewer disks have it.
+    /// The state is on fewer disks.
     pub fn check_disks(
         &self,
         vote_on_disk: impl Fn(u64) -> Option<VoteId>,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether a disk with this vote has the chosen state, or a later one on top of it.
+    /// Whether a disk with this vote has the chosen state or a later state based on it.
     fn includes(&self, vote_id: VoteId, chosen: &Vote) -> bool {
         if vote_id.slot != chosen.state.slot {
             return vote_id.slot > chosen.state.slot;
@@ -138,7 +138,7 @@
         vote.is_some_and(|vote| has_same_value(vote, chosen))
     }
 
-    /// Of all votes that were proposed and synced, in whatever order.
+    /// Digest of all proposed and synced votes, independent of their order.
     pub fn digest(&self) -> u128 {
         self.digest
     }
--- a/crates/sparrouter-consensus/tests/fleet/clients.rs
+++ b/crates/sparrouter-consensus/tests/fleet/clients.rs
@@ -1,22 +1,23 @@
-//! Operators that race on versions and repeat what was not answered, readers, and lease holders.
+//! Clients of the registers: operators that compete for versions and retry unanswered changes, readers, and lease
+//! holders.
 use super::event::Event;
 use super::machine::{Answer, Change, Config};
 use super::{Fleet, MILLISECOND, Nanos};
 use sparrouter_consensus::lease::{LeaseAnswer, LeaseChange, LeaseHolder};
 use sparrouter_consensus::{Outcome, Rejection};
 
-/// Deadline of a call.
+/// Time limit of a call.
 const CALL_TIMEOUT: Nanos = 1_000 * MILLISECOND;
 /// How long a lease holder may act.
 const LEASE_DURATION: Nanos = 900 * MILLISECOND;
-/// Calls with the same change.
+/// Maximum number of calls with the same change.
 const MAX_CALLS: u32 = 5;
 
 #[derive(Debug)]
 pub enum Client {
     /// Sends changes of the configuration.
     Operator {
-        /// The newest version that an answer named.
+        /// The newest version that an answer contained.
         version: u64,
         put: Option<Put>,
     },
@@ -25,29 +26,29 @@
     Lessee {
         id: u64,
         incarnation: u64,
-        lease: Option<OwnedLease>,
+        lease: Option<HeldLease>,
     },
 }
 
-/// A change that an operator has sent, perhaps several times.
+/// A change that an operator has sent at least once.
 #[derive(Debug)]
 pub struct Put {
     if_match: u64,
     id: u64,
     calls: u32,
-    /// Whether any call of it may have taken effect without an answer.
+    /// Whether an unanswered call may have applied the change.
     may_have_applied: bool,
 }
 
-/// A lease as its owner knows it.
+/// A lease as its holder knows it.
 #[derive(Debug)]
-pub struct OwnedLease {
+pub struct HeldLease {
     fencing_token: u64,
     usable_from: Nanos,
     usable_until: Nanos,
 }
 
-impl OwnedLease {
+impl HeldLease {
     fn is_usable(&self, now: Nanos) -> bool {
         now >= self.usable_from && now < self.usable_until
     }
@@ -59,13 +60,13 @@
     pub client: usize,
     pub node: usize,
     pub started_at: Nanos,
-    /// The newest version acknowledged when it started.
+    /// The newest version that was acknowledged when the call started.
     pub acknowledged: u64,
     pub is_renewal: bool,
 }
 
 impl Client {
-    /// The clients of a run.
+    /// The clients of a simulation.
     pub fn all() -> Vec<Client> {
         let operator = || Client::Operator {
             version: 0,
@@ -86,7 +87,7 @@
         ]
     }
 
-    /// The change that it sends next; `None` for a read. `draw` is random.
+    /// The change that the client sends next; `None` for a read. `draw` is a random number.
     fn next_change(&mut self, draw: u64, now: Nanos) -> Option<Change> {
         match self {
             Client::Reader => None,
@@ -106,7 +107,7 @@
     }
 }
 
-/// Sends a change again that was not answered, up to a limit.
+/// The next change of an operator: the unanswered one again, up to `MAX_CALLS` times, otherwise a new one.
 fn next_put(version: u64, put: &mut Option<Put>, draw: u64) -> Change {
     put.take_if(|put| put.calls >= MAX_CALLS);
     let put = put.get_or_insert(Put {
@@ -125,47 +126,47 @@
 fn next_lease_change(
     id: u64,
     incarnation: &mut u64,
-    lease: &mut Option<OwnedLease>,
+    lease: &mut Option<HeldLease>,
     draw: u64,
     now: Nanos,
 ) -> LeaseChange {
-    let mut owner = LeaseHolder {
+    let mut holder = LeaseHolder {
         name: format!("holder-{id}"),
         incarnation: *incarnation,
     };
     lease.take_if(|lease| now >= lease.usable_until);
     let Some(owned) = lease else {
-        // Now and then it is another incarnation of the same name.
+        // Sometimes the holder acquires the lease as a new incarnation with the same name.
         *incarnation += u64::from(draw.is_multiple_of(5));
-        owner.incarnation = *incarnation;
+        holder.incarnation = *incarnation;
         return LeaseChange::Acquire {
-            holder: owner,
+            holder,
             duration: LEASE_DURATION,
         };
     };
     let fencing_token = owned.fencing_token;
     if !draw.is_multiple_of(12) {
         return LeaseChange::Renew {
-            holder: owner,
+            holder,
             fencing_token,
         };
     }
     let waited = now >= owned.usable_from;
-    // It acts no more, whatever becomes of the call.
+    // The holder stops using the lease before it sends the release, whose outcome may be unknown.
     *lease = None;
     LeaseChange::Release {
-        holder: owner,
+        holder,
         fencing_token,
         waited,
     }
 }
 
 impl Fleet {
-    /// A client's turn: it calls some node that runs, if it waits for none.
+    /// A client without a pending call calls a random running node.
     pub fn client_turn(&mut self, client: usize) {
         let delay = self.rng.u64(20..300) * MILLISECOND;
         self.schedule(delay, Event::ClientTurn { client });
-        if self.is_waiting(client) {
+        if self.has_pending_call(client) {
             return;
         }
         let running: Vec<usize> = (0..self.nodes.len())
@@ -180,8 +181,9 @@
         self.call(client, node, change);
     }
 
-    /// Whether a client waits for an answer. It gives up a call whose node died or is frozen.
-    fn is_waiting(&mut self, client: usize) -> bool {
+    /// Whether a client has a pending call. A call that stays unanswered after its time limit, because its node crashed
+    /// or is frozen, is abandoned.
+    fn has_pending_call(&mut self, client: usize) -> bool {
         let call = self.calls.iter().find(|(_, call)| call.client == client);
         let Some((op, started_at)) = call.map(|(&op, call)| (op, call.started_at)) else {
             return false;
@@ -218,8 +220,8 @@
         self.carry_out_actions(node);
     }
 
-    /// Lease holders act whenever they may by their own clock.
-    pub fn act_as_lease_holders(&mut self) {
+    /// Reports the use of all leases that their holders may use according to their own clocks.
+    pub fn use_held_leases(&mut self) {
         for client in &self.clients {
             if let Client::Lessee {
                 lease: Some(lease), ..
@@ -259,18 +261,18 @@
         match outcome {
             Outcome::Answered(answer) => {
                 match Answer::decode(&answer) {
-                    Answer::Applied { version: made } => {
-                        self.monitor.on_acknowledged(made, sent.id);
-                        *version = made.max(*version);
+                    Answer::Applied { version: applied } => {
+                        self.monitor.on_acknowledged(applied, sent.id);
+                        *version = applied.max(*version);
                         self.acknowledgements += 1;
                     }
                     Answer::Mismatch { version: current } => {
-                        self.monitor.on_refused(sent.id);
+                        self.monitor.on_rejected(sent.id);
                         *version = current;
                     }
                     other => self
                         .monitor
-                        .report(format!("an operator was told {other:?}")),
+                        .report(format!("an operator received the answer {other:?}")),
                 }
                 *put = None;
             }
@@ -278,7 +280,7 @@
             Outcome::Rejected(Rejection::NoQuorum | Rejection::NoGroup | Rejection::Busy)
                 if !sent.may_have_applied =>
             {
-                self.monitor.on_refused(sent.id);
+                self.monitor.on_rejected(sent.id);
                 *put = None;
             }
             Outcome::Rejected(_) => {}
@@ -296,7 +298,7 @@
                 takeover_wait,
             }) => {
                 self.monitor.on_token(fencing_token, *id, op);
-                *lease = Some(OwnedLease {
+                *lease = Some(HeldLease {
                     fencing_token,
                     usable_from: self.now + takeover_wait,
                     usable_until,
@@ -309,7 +311,9 @@
             }
             Answer::Lease(LeaseAnswer::Rejected { .. }) => *lease = None,
             Answer::Lease(_) => {}
-            other => self.monitor.report(format!("a holder was told {other:?}")),
+            other => self
+                .monitor
+                .report(format!("a lease holder received the answer {other:?}")),
         }
     }
 }
--- a/crates/sparrouter-consensus/tests/fleet/defects.rs
+++ b/crates/sparrouter-consensus/tests/fleet/defects.rs
@@ -1,9 +1,9 @@
-//! Injected defects by name, and the first seed that finds each.
+//! Injected defects by name, and the search for the first seed that detects a defect.
 use super::monitor::Violation;
-use super::{FaultMix, Plan, SECOND, play};
+use super::{FaultMix, Plan, SECOND, simulate};
 use sparrouter_consensus::Defects;
 
-/// A defect, with the plan that shows it soonest.
+/// An injected defect, with the faults and group size that detect it with few seeds.
 pub struct DefectCase {
     pub name: &'static str,
     pub inject: fn(&mut Defects),
@@ -11,8 +11,8 @@
     pub nodes: usize,
 }
 
-/// A run that found a defect.
-pub struct Finding {
+/// A simulation that detected a defect.
+pub struct Detection {
     pub seed: u64,
     pub violation: Violation,
 }
@@ -26,7 +26,7 @@
     }
 }
 
-/// All defects that the fleet finds.
+/// All defects that the simulation detects.
 pub const DEFECTS: [DefectCase; 15] = [
     case(
         "ack_before_sync",
@@ -98,7 +98,7 @@
     ),
 ];
 
-/// The plan of a seed: group sizes and mixes of faults alternate.
+/// The plan of a seed. Group sizes and mixes of faults alternate.
 pub fn plan(seed: u64) -> Plan {
     let nodes = [3, 5, 3, 6, 4, 7, 2, 1][seed as usize % 8];
     let fault_mix = match seed / 8 % 7 {
@@ -119,8 +119,8 @@
     }
 }
 
-/// The first of `seeds` seeds that breaks a rule with this defect.
-pub fn first_finding(case: &DefectCase, seeds: u64) -> Option<Finding> {
+/// The first of `seeds` seeds that violates a rule with this defect; `None` if none does.
+pub fn first_detection(case: &DefectCase, seeds: u64) -> Option<Detection> {
     let mut defects = Defects::default();
     (case.inject)(&mut defects);
     (0..seeds).find_map(|seed| {
@@ -131,11 +131,11 @@
             fetch_bodies: false,
             ..plan(seed)
         };
-        // In a debug build the register may find a violation itself, by an assertion.
-        let violation = match std::panic::catch_unwind(|| play(&plan)) {
-            Ok(played) => played.err()?.violation,
-            Err(_) => Violation("an assertion".to_owned()),
+        // In a debug build, an assertion of the register may fail before the monitor detects a violation.
+        let violation = match std::panic::catch_unwind(|| simulate(&plan)) {
+            Ok(result) => result.err()?.violation,
+            Err(_) => Violation("an assertion of the register failed".to_owned()),
         };
-        Some(Finding { seed, violation })
+        Some(Detection { seed, violation })
     })
 }
--- a/crates/sparrouter-consensus/tests/fleet/event.rs
+++ b/crates/sparrouter-consensus/tests/fleet/event.rs
@@ -6,10 +6,10 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Steps after which a run counts as one that doesn't end.
+/// Maximum number of steps of a simulation; a simulation with more steps is reported as a livelock.
 const MAX_STEPS: u64 = 200_000;
 
-/// Something that happens at its time.
+/// A scheduled event.
 #[derive(Debug)]
 pub enum Event {
     Deliver {
@@ -31,17 +31,17 @@
     ClientTurn {
         client: usize,
     },
-    /// A leaving node looks whether it may end.
+    /// A leaving node checks whether it may shut down.
     TryToLeave {
         node: usize,
     },
-    /// A node that flaps is killed once more.
+    /// A flapping node is killed again.
     Flap {
         node: usize,
     },
 }
 
-/// Events by time, those of one time in the order in which they were scheduled.
+/// Queue of events, ordered by time. Events with the same time are handled in the order in which they were scheduled.
 #[derive(Default)]
 pub struct EventQueue {
     order: BinaryHeap<Reverse<(Nanos, u64)>>,
@@ -67,7 +67,7 @@
 }
 
 impl Fleet {
-    /// Schedules an event so long from now.
+    /// Schedules an event after a delay.
     pub fn schedule(&mut self, delay: Nanos, event: Event) {
         self.queue.push(self.now + delay, event);
     }
@@ -76,7 +76,7 @@
         self.schedule(delay, Event::Start { node });
     }
 
-    /// Heartbeats, faults and all clients.
+    /// Schedules the first heartbeat, the first fault and the first turn of each client.
     pub fn schedule_first_events(&mut self) {
         for client in 0..self.clients.len() {
             self.schedule(300 * MILLISECOND, Event::ClientTurn { client });
@@ -85,7 +85,7 @@
         self.schedule(400 * MILLISECOND, Event::InjectFault);
     }
 
-    /// Plays all that happens before `end`.
+    /// Handles all events and timers before `end`.
     pub fn run(&mut self, end: Nanos) -> Result<(), Violation> {
         loop {
             if let Some(Violation(text)) = self.monitor.violation() {
@@ -104,7 +104,7 @@
             }
             self.steps += 1;
             if self.steps > MAX_STEPS {
-                return Err(Violation("it runs away: 200,000 steps".to_owned()));
+                return Err(Violation("livelock: more than 200,000 steps".to_owned()));
             }
             self.now = self.now.max(next);
             self.digest = mix(self.digest ^ self.now ^ self.last_op);
@@ -117,7 +117,7 @@
                     self.handle_event(event);
                 }
             }
-            self.act_as_lease_holders();
+            self.use_held_leases();
             if std::mem::take(&mut self.replicas_changed) {
                 self.check_replicas();
             }
@@ -154,7 +154,7 @@
         let Some(register) = &mut self.nodes[to].register else {
             return;
         };
-        let message = Message::decode(bytes, MAX_BYTES).expect("what was encoded is decoded");
+        let message = Message::decode(bytes, MAX_BYTES).expect("an encoded message");
         register.handle(sender, message, self.now);
         self.carry_out_actions(to);
     }
--- a/crates/sparrouter-consensus/tests/fleet/faults.rs
+++ b/crates/sparrouter-consensus/tests/fleet/faults.rs
@@ -1,40 +1,40 @@
-//! Faults by seed: losses of power and disks, partitions, freezes, slow or failing disks, machines replaced.
+//! Faults drawn by seed: power losses, lost disks, partitions, freezes, slow or failing disks, and replaced machines.
 use super::event::Event;
 use super::network::{NetworkConditions, Partition};
 use super::node::{DiskState, LostDisk};
 use super::replicas::synced_vote;
 use super::{CONTACT_TIMEOUT, Fleet, MILLISECOND, Nanos};
 
-/// A disk that was lost counts as lost for so long.
-const CATCH_UP: Nanos = 4 * CONTACT_TIMEOUT;
+/// Duration for which a lost disk counts toward the tolerated losses, so that the group can catch up.
+const LOST_DISK_PERIOD: Nanos = 4 * CONTACT_TIMEOUT;
 
-/// Between two looks of a leaving machine whether it may end.
+/// Interval between two checks of a leaving node whether it may shut down.
 const LEAVE_INTERVAL: Nanos = CONTACT_TIMEOUT / 4;
 
-/// Kills of a node that flaps.
+/// Number of times that a flapping node is killed.
 const FLAPS: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     Kill,
     PowerLoss,
-    /// Power of all at once.
+    /// All machines lose power at once.
     SitePowerLoss,
     Wipe,
     Replace,
     Leave,
-    /// One machine fails again and again, each time back before its last messages have arrived.
+    /// One machine crashes repeatedly and restarts each time before its last messages have arrived.
     Flap,
-    /// One link.
+    /// One link is partitioned.
     LinkPartition,
-    /// The nodes in two halves.
+    /// The nodes are partitioned into two sides.
     SitePartition,
     Freeze,
     Disk,
     Network,
 }
 
-/// Which faults are injected: all, or few and many of them.
+/// The mix of injected faults: all kinds of faults, or many faults of a few kinds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FaultMix {
     #[default]
@@ -42,7 +42,7 @@
     Flaps,
     Departures,
     Wipes,
-    /// Members leave while disks stall.
+    /// Members leave and are replaced while disks have faults.
     Joins,
 }
 
@@ -81,7 +81,7 @@
 }
 
 impl Fleet {
-    /// Injects one fault, and schedules the next.
+    /// Injects a fault and schedules the next one.
     pub fn inject_fault(&mut self) {
         if self.now >= self.faults_end {
             return;
@@ -91,7 +91,7 @@
         let present = self.present_nodes();
         let node = present[self.rng.usize(..present.len())];
         let span = self.rng.u64(20..1_500) * MILLISECOND;
-        // Now and then it is back before its last messages have arrived.
+        // In half of the cases the node restarts before its last messages have arrived.
         let restart_delay = if span.is_multiple_of(2) {
             span / 100
         } else {
@@ -107,17 +107,17 @@
             Fault::Leave => self.leave(node),
             Fault::Flap => self.flap(node),
             Fault::LinkPartition => {
-                let other = present[self.rng.usize(..present.len())];
-                self.partition_link(node, other, span);
+                let peer = present[self.rng.usize(..present.len())];
+                self.partition_link(node, peer, span);
             }
             Fault::SitePartition => self.partition_site(span),
             Fault::Freeze => self.freeze(node, span),
-            Fault::Disk => self.disturb_disk(node, span),
-            Fault::Network => self.disturb_network(),
+            Fault::Disk => self.inject_disk_fault(node, span),
+            Fault::Network => self.inject_network_fault(),
         }
     }
 
-    /// By weight.
+    /// Draws a fault according to the weights of the mix.
     fn draw_fault(&mut self) -> Fault {
         let weights = self.fault_mix.weights();
         let sum: u16 = weights.iter().map(|(_, weight)| weight).sum();
@@ -145,15 +145,17 @@
         }
     }
 
-    fn partition_link(&mut self, node: usize, other: usize, span: Nanos) {
+    fn partition_link(&mut self, node: usize, peer: usize, span: Nanos) {
         let both_ways = self.rng.bool();
         let milliseconds = span / MILLISECOND;
         self.log(|| {
-            format!("partition {node} to {other}, both ways {both_ways}, {milliseconds} ms")
+            format!(
+                "partition from node {node} to node {peer}, both ways: {both_ways}, {milliseconds} ms"
+            )
         });
-        self.partition(node, other, span);
+        self.partition(node, peer, span);
         if both_ways {
-            self.partition(other, node, span);
+            self.partition(peer, node, span);
         }
     }
 
@@ -178,11 +180,11 @@
     }
 
     fn freeze(&mut self, node: usize, span: Nanos) {
-        self.log(|| format!("freeze {node}, {} ms", span / MILLISECOND));
+        self.log(|| format!("node {node} is frozen for {} ms", span / MILLISECOND));
         self.nodes[node].frozen_until = self.now + span;
     }
 
-    fn disturb_disk(&mut self, node: usize, span: Nanos) {
+    fn inject_disk_fault(&mut self, node: usize, span: Nanos) {
         let states = [
             DiskState::Slow,
             DiskState::Stalled,
@@ -190,29 +192,35 @@
             DiskState::Full,
         ];
         let disk_state = states[self.rng.usize(..states.len())];
-        self.log(|| format!("disk of {node} {disk_state:?}, {} ms", span / MILLISECOND));
+        self.log(|| {
+            format!(
+                "disk of node {node}: {disk_state:?} for {} ms",
+                span / MILLISECOND
+            )
+        });
         self.nodes[node].disk_state = disk_state;
-        self.nodes[node].disk_recovery = self.now + span;
+        self.nodes[node].disk_recovers_at = self.now + span;
     }
 
-    fn disturb_network(&mut self) {
+    fn inject_network_fault(&mut self) {
         let conditions = NetworkConditions {
             loss: self.rng.u8(..90),
             duplication: self.rng.u8(..60),
-            straying: self.rng.u8(..40),
+            long_delay: self.rng.u8(..40),
             max_delay: self.rng.u64(1..120) * MILLISECOND,
         };
         self.log(|| format!("{conditions:?}"));
         self.network = conditions;
     }
 
-    /// Only as many disks as the first group can spare may be lost at one time, spares' too. Until every disk that is
-    /// left has a group without the lost ones, they still count: this is what `catch_up_s` is for.
+    /// Whether another disk may be lost. At most as many disks as the first group tolerates may be lost at the same
+    /// time, including the disks of spares. A lost disk counts until every remaining disk has a group without it, which
+    /// is the purpose of the setting `catch_up_s`.
     fn may_lose_disk(&self) -> bool {
-        self.lost_disk_ids().len() < self.tolerated()
+        self.lost_disk_ids().len() < self.max_lost_disks()
     }
 
-    /// Disks that count as lost at the moment.
+    /// Ids of the disks that currently count as lost.
     pub fn lost_disk_ids(&self) -> Vec<u64> {
         let newest = self.monitor.newest_state();
         let newest_slot = newest.map_or(0, |state| state.slot);
@@ -220,7 +228,7 @@
         let electors = self
             .nodes
             .iter()
-            .filter(|node| !node.is_gone)
+            .filter(|node| !node.is_removed)
             .filter_map(synced_vote)
             .filter(|vote| vote.state.slot >= newest_slot)
             .flat_map(|vote| vote.electorate());
@@ -232,7 +240,7 @@
         let recently_lost = self
             .lost_disks
             .iter()
-            .filter(|disk| disk.lost_at + CATCH_UP > self.now);
+            .filter(|disk| disk.lost_at + LOST_DISK_PERIOD > self.now);
         lost.extend(recently_lost.map(|disk| disk.disk_id));
         lost.sort_unstable();
         lost.dedup();
@@ -251,7 +259,7 @@
         if self.nodes[node].register.take().is_none() {
             return;
         }
-        self.log(|| format!("kill {node}"));
+        self.log(|| format!("kill node {node}"));
         self.interrupt_store(node);
         self.nodes[node].files.clear_failure();
         self.schedule_start(node, restart_delay);
@@ -259,7 +267,7 @@
 
     pub fn lose_power(&mut self, node: usize, restart_delay: Nanos) {
         let was_running = self.nodes[node].register.take().is_some();
-        self.log(|| format!("power of {node} lost"));
+        self.log(|| format!("node {node} loses power"));
         if was_running {
             self.interrupt_store(node);
             self.schedule_start(node, restart_delay);
@@ -268,12 +276,12 @@
     }
 
     pub fn wipe(&mut self, node: usize, restart_delay: Nanos) {
-        self.log(|| format!("wipe {node}"));
+        self.log(|| format!("wipe node {node}"));
         let was_running = self.nodes[node].register.take().is_some();
         self.nodes[node].files.wipe();
         self.nodes[node].store = None;
         self.record_lost_disk(node);
-        // From now on nobody has this disk any more, also while its machine is down.
+        // The disk id no longer exists, also while the machine is down.
         if !self.defects.wiped_disk_keeps_id {
             self.nodes[node].member.disk_id = 0;
         }
@@ -284,25 +292,25 @@
 
     fn replace(&mut self, node: usize) {
         self.nodes[node].register = None;
-        self.nodes[node].is_gone = true;
+        self.nodes[node].is_removed = true;
         self.record_lost_disk(node);
         if self.nodes[node].is_leaving {
-            // Its successor came when it began to leave.
-            return self.log(|| format!("{node} is lost while it leaves"));
+            // The node's successor was added when the node began to leave.
+            return self.log(|| format!("node {node} is lost while it leaves"));
         }
         let successor = self.add_node();
-        self.log(|| format!("replace {node} by {successor}"));
+        self.log(|| format!("node {node} is replaced by node {successor}"));
         self.schedule_start(successor, 100 * MILLISECOND);
     }
 
-    /// It announces that it leaves, another one comes; it ends when it is in no group any more.
+    /// The node announces that it leaves, and a successor starts. The node shuts down once it is in no group.
     fn leave(&mut self, node: usize) {
-        let is_another_leaving = self.nodes.iter().any(|n| n.is_leaving && !n.is_gone);
+        let is_another_leaving = self.nodes.iter().any(|n| n.is_leaving && !n.is_removed);
         if self.nodes[node].is_leaving || is_another_leaving {
             return;
         }
         let successor = self.add_node();
-        self.log(|| format!("{node} leaves, {successor} comes"));
+        self.log(|| format!("node {node} leaves, its successor is node {successor}"));
         self.nodes[node].is_leaving = true;
         self.schedule_start(successor, 0);
         self.schedule(LEAVE_INTERVAL, Event::TryToLeave { node });
@@ -310,7 +318,7 @@
 
     pub fn try_to_leave(&mut self, index: usize) {
         let node = &self.nodes[index];
-        if node.is_gone {
+        if node.is_removed {
             return;
         }
         let may_leave = node.register.as_ref().is_some_and(|r| r.may_leave());
@@ -318,19 +326,19 @@
             return self.schedule(LEAVE_INTERVAL, Event::TryToLeave { node: index });
         }
         self.replicas_changed = true;
-        self.log(|| format!("{index} is gone"));
+        self.log(|| format!("node {index} has left"));
         self.nodes[index].register = None;
-        self.nodes[index].is_gone = true;
+        self.nodes[index].is_removed = true;
     }
 
     pub fn end_all_faults(&mut self) {
         self.log(|| "all faults end".to_owned());
-        self.network = NetworkConditions::calm();
+        self.network = NetworkConditions::reliable();
         self.partitions.clear();
         for node in &mut self.nodes {
             node.frozen_until = 0;
             node.disk_state = DiskState::Healthy;
-            node.disk_recovery = 0;
+            node.disk_recovers_at = 0;
         }
     }
 }
--- a/crates/sparrouter-consensus/tests/fleet/machine.rs
+++ b/crates/sparrouter-consensus/tests/fleet/machine.rs
@@ -1,16 +1,16 @@
-//! The replicated value of the fleet: a configuration's version and ids, and beside it a lease.
+//! The replicated value of the fleet: a configuration with a version and the ids of its changes, and a lease.
 use nanoserde::{DeBin, SerBin};
 use sparrouter_consensus::codec::{decode, encode};
 use sparrouter_consensus::lease::{LeaseAnswer, LeaseChange};
 use sparrouter_consensus::{Applied, Leases, Machine};
 
-/// Ids in the body: a repeat of one of these changes is answered as applied.
+/// Maximum number of change ids in the body. A repeated change whose id is in the body is answered as applied.
 const MAX_IDS: usize = 64;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Config {
     pub version: u64,
-    /// Changes applied last, newest last: the newest made `version`.
+    /// Ids of the most recently applied changes, newest last. The newest change created `version`.
     pub ids: Vec<u64>,
     pub lease: Vec<u8>,
 }
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Versions and the ids that made them, newest first, as far as this body has them.
+    /// The versions whose changes are in this body, with the ids of the changes, newest first.
     pub fn changes(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
         self.ids
             .iter()
             .rev()
             .enumerate()
-            .map(|(back, &id)| (self.version - back as u64, id))
+            .map(|(distance, &id)| (self.version - distance as u64, id))
     }
 }
 
--- a/crates/sparrouter-consensus/tests/fleet/mod.rs
+++ b/crates/sparrouter-consensus/tests/fleet/mod.rs
@@ -1,18 +1,22 @@
-//! Many registers of one shard under one seeded scheduler: the real registers, the real codec, simulated disks.
+//! Simulation of the registers of one shard under a seeded scheduler, with the real registers and codec and simulated
+//! disks.
 //!
-//! | module | its one job |
+//! | module | job |
 //! | --- | --- |
-//! | `scenario` | a plan from its first fault to its last check |
+//! | `scenario` | the phases of a simulation, from the first fault to the last check |
 //! | `event` | the queue of events, and virtual time |
-//! | `node` | a node: its process, its disk, and what its register wants done |
+//! | `node` | a node: its process, its disk, and the actions of its register |
 //! | `network` | messages between nodes, and partitions |
-//! | `faults` | faults by seed |
+//! | `faults` | faults drawn by seed |
 //! | `clients` | operators, readers and lease holders that call the registers |
 //! | `machine` | the replicated value: a configuration and a lease |
 //! | `monitor` | the rules that must hold after every step |
-//! | `replicas` | whether the newest state survives any further loss that is tolerated |
-//! | `defects` | injected defects, and the first seed that finds each |
-#![allow(dead_code, reason = "the test and the example each use a part")]
+//! | `replicas` | whether the newest state survives any further tolerated loss |
+//! | `defects` | injected defects, and the search for the seeds that detect them |
+#![allow(
+    dead_code,
+    reason = "the test and the example each use only some of the items"
+)]
 pub mod clients;
 pub mod defects;
 pub mod event;
@@ -39,25 +43,25 @@
 const SHARD: u16 = 7;
 /// Name of the shard's record on disk.
 const RECORD: &str = "part-7";
-/// Name of the record of the disk's id.
+/// Name of the record with the disk id.
 const DISK_RECORD: &str = "disk";
 const CONTACT_TIMEOUT: Nanos = 600 * MILLISECOND;
-/// A version and a few ids, in bytes.
+/// Length of a body with a version and a few change ids, in bytes; longer bodies are fetched if the plan says so.
 const MIN_BODY_BYTES: usize = 32;
-/// Longest record or message.
+/// Maximum length of a record or message, in bytes.
 const MAX_BYTES: usize = 1 << 20;
 
-/// What is played.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
     /// Size of the first group.
     pub nodes: usize,
-    /// For how long faults are injected.
+    /// When the injection of faults ends.
     pub faults_end: Nanos,
     pub fault_mix: FaultMix,
     pub defects: Defects,
-    /// Nearly all bodies are fetched in chunks, instead of going with the messages.
+    /// Whether nearly all bodies are fetched in chunks instead of being sent inline.
     pub fetch_bodies: bool,
     pub trace: bool,
 }
@@ -72,27 +76,27 @@
     }
 }
 
-/// A run that broke a rule.
+/// The result of a simulation that violated a rule.
 #[derive(Debug)]
 pub struct Failure {
     pub violation: Violation,
-    /// One line an event, if the plan asked for a trace.
+    /// One line per event; empty if the plan has no trace.
     pub events: Vec<String>,
 }
 
-/// A run that broke no rule.
+/// The result of a simulation that violated no rule.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Played {
-    /// Changes that were acknowledged.
+pub struct RunSummary {
+    /// Number of acknowledged changes.
     pub acknowledgements: u64,
-    /// The newest slot.
+    /// The newest chosen slot.
     pub slots: u64,
     pub steps: u64,
-    /// Of all that happened, in order.
+    /// Digest of all events in order.
     pub digest: u64,
 }
 
-/// All nodes and clients, and everything between them.
+/// The state of a simulation: nodes, clients, network and monitor.
 pub struct Fleet {
     pub now: Nanos,
     pub rng: Rng,
@@ -100,7 +104,7 @@
     pub clients: Vec<Client>,
     /// Calls in progress.
     pub calls: BTreeMap<u64, Call>,
-    /// The id of the last call.
+    /// Operation id of the last call.
     pub last_op: u64,
     pub monitor: Monitor,
     pub network: NetworkConditions,
@@ -109,38 +113,38 @@
     /// Size of the first group.
     pub initial_size: usize,
     pub fault_mix: FaultMix,
-    /// Disks that are gone.
+    /// The disks that were lost.
     pub lost_disks: Vec<LostDisk>,
     pub defects: Defects,
-    /// Bodies above it are fetched in chunks.
+    /// Longer bodies are fetched in chunks.
     pub max_inline_body_bytes: usize,
     pub acknowledgements: u64,
     pub queue: EventQueue,
     pub steps: u64,
-    /// A slot was chosen or a disk was lost since the replicas were counted.
+    /// Whether a slot was chosen or a disk was lost since the last check of the replicas.
     pub replicas_changed: bool,
     pub digest: u64,
     trace: Option<Vec<String>>,
 }
 
-/// Plays a plan to its end.
-pub fn play(plan: &Plan) -> Result<Played, Failure> {
+/// Runs the simulation of a plan.
+pub fn simulate(plan: &Plan) -> Result<RunSummary, Failure> {
     let mut fleet = Fleet::new(plan);
     let outcome = fleet.run_scenario();
-    let played = Played {
+    let run_summary = RunSummary {
         acknowledgements: fleet.acknowledgements,
         slots: fleet.monitor.newest_state().map_or(0, |s| s.slot),
         steps: fleet.steps,
         digest: fleet.digest,
     };
-    outcome.map(|()| played).map_err(|violation| Failure {
+    outcome.map(|()| run_summary).map_err(|violation| Failure {
         violation,
         events: fleet.trace.unwrap_or_default(),
     })
 }
 
 impl Fleet {
-    /// The first group's disks have its first record; nothing runs yet.
+    /// Creates a fleet whose first group has the initial record on disk and whose nodes are scheduled to start.
     pub fn new(plan: &Plan) -> Fleet {
         let mut fleet = Fleet {
             now: 0,
@@ -150,7 +154,7 @@
             calls: BTreeMap::new(),
             last_op: 0,
             monitor: Monitor::default(),
-            network: NetworkConditions::calm(),
+            network: NetworkConditions::reliable(),
             partitions: Vec::new(),
             faults_end: plan.faults_end,
             initial_size: plan.nodes,
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Notes what happens, if the plan asked for a trace.
+    /// Adds a line to the trace, if the plan has one.
     pub fn log(&mut self, line: impl FnOnce() -> String) {
         if let Some(trace) = &mut self.trace {
             trace.push(format!("{:9.3} ms {}", self.now as f64 / 1e6, line()));
--- a/crates/sparrouter-consensus/tests/fleet/monitor.rs
+++ b/crates/sparrouter-consensus/tests/fleet/monitor.rs
@@ -1,31 +1,31 @@
-//! The rules that must hold after every step, whatever the faults.
+//! The rules that must hold after every step in spite of faults.
 use super::machine::Config;
 use sparrouter_consensus::State;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A rule that was broken, and how.
+/// A description of the violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct Violation(pub String);
 
-/// All that was published, acknowledged or handed out so far.
+/// Records published states, acknowledgements and fencing tokens, and checks the rules.
 #[derive(Debug, Default)]
 pub struct Monitor {
-    /// By slot: one state, whoever publishes it.
+    /// The chosen state of each slot; all nodes publish the same state.
     chosen: BTreeMap<u64, State>,
-    /// By version: the one change that made it, wherever it is read.
+    /// The id of the change that created each version; all bodies agree.
     changes: BTreeMap<u64, u64>,
-    /// Changes that are or were in force.
-    in_force: BTreeSet<u64>,
-    /// Changes whose callers were refused; never in force.
-    refused: BTreeSet<u64>,
-    /// By version: the change that was acknowledged with it.
+    /// Ids of the changes that took effect.
+    applied: BTreeSet<u64>,
+    /// Ids of the changes that were rejected; they never take effect.
+    rejected: BTreeSet<u64>,
+    /// The id of the change that was acknowledged with each version.
     acknowledged: BTreeMap<u64, u64>,
-    /// By fencing token: the client and the call that got it.
+    /// The client and the call that received each fencing token.
     tokens: BTreeMap<u64, (u64, u64)>,
-    /// The highest token that was used.
+    /// The highest fencing token that was used.
     highest_used_token: u64,
-    /// The first rule that was broken.
+    /// The first violation.
     violation: Option<Violation>,
 }
 
@@ -44,54 +44,56 @@
         }
     }
 
-    /// A node publishes a state; `before` is the slot that its incarnation published last.
-    pub fn on_chosen(&mut self, node: usize, before: Option<u64>, state: &State) {
+    /// Checks a state that a node publishes. `previous_slot` is the slot that the node's incarnation published before.
+    pub fn on_chosen(&mut self, node: usize, previous_slot: Option<u64>, state: &State) {
         let slot = state.slot;
-        self.require(before < Some(slot), || {
-            format!("node {node} published {slot} after {before:?}")
+        self.require(previous_slot < Some(slot), || {
+            format!("node {node} published slot {slot} after slot {previous_slot:?}")
         });
         let chosen = self.chosen.entry(slot).or_insert_with(|| state.clone());
         let is_same = chosen == state;
         self.require(is_same, || {
-            format!("two states at slot {slot}: node {node} published another")
+            format!("two states were published at slot {slot}, the second one by node {node}")
         });
         self.on_body(&state.body);
     }
 
-    /// A body was published or read.
+    /// Checks a published or read body.
     fn on_body(&mut self, body: &[u8]) {
         for (version, id) in Config::decode(body).changes() {
             let known = *self.changes.entry(version).or_insert(id);
             self.require(known == id, || {
-                format!("version {version} was made by {known} and by {id}")
+                format!("version {version} was created by change {known} and by change {id}")
             });
-            self.in_force.insert(id);
-            let is_refused = self.refused.contains(&id);
-            self.require(!is_refused, || {
-                format!("id {id} was refused and is in force as version {version}")
+            self.applied.insert(id);
+            let is_rejected = self.rejected.contains(&id);
+            self.require(!is_rejected, || {
+                format!("change {id} was rejected but took effect as version {version}")
             });
         }
     }
 
-    /// A caller was answered that its change made a version.
+    /// Checks the acknowledgement that a change created a version.
     pub fn on_acknowledged(&mut self, version: u64, id: u64) {
         let known = *self.changes.entry(version).or_insert(id);
         self.require(known == id, || {
-            format!("version {version} of {id} acknowledged, it was made by {known}")
+            format!(
+                "version {version} was acknowledged for change {id} but created by change {known}"
+            )
         });
         self.acknowledged.insert(version, id);
     }
 
-    /// A caller was answered that its change never comes into force.
-    pub fn on_refused(&mut self, id: u64) {
-        let is_in_force = self.in_force.contains(&id);
-        self.require(!is_in_force, || {
-            format!("id {id} is in force and was refused")
+    /// Checks the rejection of a change, which must never take effect.
+    pub fn on_rejected(&mut self, id: u64) {
+        let is_applied = self.applied.contains(&id);
+        self.require(!is_applied, || {
+            format!("change {id} took effect but was rejected")
         });
-        self.refused.insert(id);
+        self.rejected.insert(id);
     }
 
-    /// A read returned a body; it began when `acknowledged` was the newest version acknowledged.
+    /// Checks the result of a read. `acknowledged` is the newest version that was acknowledged before the read started.
     pub fn on_read(&mut self, acknowledged: u64, body: &[u8]) {
         let version = Config::decode(body).version;
         self.require(version >= acknowledged, || {
@@ -108,22 +110,22 @@
         self.chosen.values().next_back()
     }
 
-    /// A call of a client got a token: no two calls get one.
+    /// Checks that a fencing token that a call received is unique.
     pub fn on_token(&mut self, token: u64, client: u64, op: u64) {
         let known = *self.tokens.entry(token).or_insert((client, op));
         self.require(known == (client, op), || {
             format!(
-                "fence {token} was handed to {known:?} and to {:?}",
+                "fencing token {token} was issued to {known:?} and to {:?}",
                 (client, op)
             )
         });
     }
 
-    /// A lease holder acts under its token.
+    /// Checks that no lease holder acts under a fencing token lower than one that was used before.
     pub fn on_token_used(&mut self, token: u64) {
         let highest = self.highest_used_token;
         self.require(token >= highest, || {
-            format!("fence {token} acted after {highest}")
+            format!("fencing token {token} was used after token {highest}")
         });
         self.highest_used_token = highest.max(token);
     }
--- a/crates/sparrouter-consensus/tests/fleet/network.rs
+++ b/crates/sparrouter-consensus/tests/fleet/network.rs
@@ -1,24 +1,24 @@
-//! Messages between nodes: what is lost, late or repeated, partitions, and heartbeats.
+//! Messages between nodes, which may be lost, delayed or duplicated; partitions; and heartbeats.
 use super::event::Event;
 use super::node::Node;
 use super::{Fleet, MILLISECOND, Nanos};
 use sparrouter_consensus::{Member, Message, NodeObservation};
 
-/// How the network is at the moment; shares are in parts of 256.
+/// The current conditions of the network. Shares of messages are in units of 1/256.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkConditions {
-    /// Messages that are lost.
+    /// Share of messages that are lost.
     pub loss: u8,
-    /// Messages that arrive twice.
+    /// Share of messages that arrive twice.
     pub duplication: u8,
-    /// Messages that are late by a second or two.
-    pub straying: u8,
-    /// Longest delay of the others.
+    /// Share of messages with an additional delay of up to two seconds.
+    pub long_delay: u8,
+    /// Maximum delay of all other messages.
     pub max_delay: Nanos,
 }
 
 impl NetworkConditions {
-    pub fn calm() -> NetworkConditions {
+    pub fn reliable() -> NetworkConditions {
         NetworkConditions {
             max_delay: 4 * MILLISECOND,
             ..NetworkConditions::default()
@@ -26,7 +26,7 @@
     }
 }
 
-/// A link that carries nothing in one direction for some time.
+/// A link that temporarily loses all messages in one direction.
 #[derive(Clone, Copy, Debug)]
 pub struct Partition {
     pub from: usize,
@@ -43,8 +43,8 @@
     }
 
     pub fn send(&mut self, from: usize, to: &Member, message: &Message) {
-        // A machine that lost its disk answers at its old address: what was meant for the other one reaches it.
-        let is_receiver = |node: &Node| node.member.address == to.address && !node.is_gone;
+        // A machine that lost its disk keeps its address and receives messages to its former disk id.
+        let is_receiver = |node: &Node| node.member.address == to.address && !node.is_removed;
         let Some(receiver) = self.nodes.iter().position(is_receiver) else {
             return;
         };
@@ -54,13 +54,13 @@
         }
         let deliveries = 1 + u8::from(self.rng.u8(..) < self.network.duplication);
         for _ in 0..deliveries {
-            let straying = if self.rng.u8(..) < self.network.straying {
+            let long_delay = if self.rng.u8(..) < self.network.long_delay {
                 self.rng.u64(..2_000) * MILLISECOND
             } else {
                 0
             };
             let max_delay = self.network.max_delay.max(200_001);
-            let delay = straying + self.rng.u64(200_000..=max_delay);
+            let delay = long_delay + self.rng.u64(200_000..=max_delay);
             let deliver = Event::Deliver {
                 sender: self.nodes[from].member.clone(),
                 to: receiver,
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Discovery: each node notes who runs and reaches it, looks after its group, and asks for one if it knows none.
+    /// Each node records the nodes whose heartbeats reach it and passes the observations to its register; a node that
+    /// knows no group requests a state.
     pub fn exchange_heartbeats(&mut self) {
         self.schedule(100 * MILLISECOND, Event::Heartbeat);
         let now = self.now;
@@ -123,7 +124,7 @@
     }
 }
 
-/// One line that says what a message is about.
+/// A summary of a message in one line.
 fn summary(message: &Message) -> String {
     match message {
         Message::Accept { vote } => {
--- a/crates/sparrouter-consensus/tests/fleet/node.rs
+++ b/crates/sparrouter-consensus/tests/fleet/node.rs
@@ -1,4 +1,4 @@
-//! A node: its process, its disk, and what its register wants done.
+//! A node: its process, its disk, and the actions of its register.
 use super::event::Event;
 use super::machine::Configs;
 use super::{CONTACT_TIMEOUT, DISK_RECORD, Fleet, MILLISECOND, Nanos, RECORD, SHARD};
@@ -7,7 +7,7 @@
 use sparrouter_storage::{Opened, SimulatedFiles, Store, simulated::DiskFailure};
 use std::collections::BTreeMap;
 
-/// How a disk behaves.
+/// The state of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskState {
     Healthy,
@@ -17,7 +17,7 @@
     Full,
 }
 
-/// A disk that is gone.
+/// A disk that was lost.
 #[derive(Clone, Copy, Debug)]
 pub struct LostDisk {
     pub disk_id: u64,
@@ -36,15 +36,15 @@
     /// The bytes of the store in flight.
     pub bytes_in_flight: Option<Vec<u8>>,
     pub frozen_until: Nanos,
-    /// How the disk behaves before `disk_recovery`.
+    /// The state of the disk before `disk_recovers_at`; afterwards the disk is healthy.
     pub disk_state: DiskState,
-    pub disk_recovery: Nanos,
-    /// The machine is gone for good.
-    pub is_gone: bool,
+    pub disk_recovers_at: Nanos,
+    /// Whether the machine was lost or has left permanently.
+    pub is_removed: bool,
     pub is_leaving: bool,
-    /// The slot that this incarnation published last.
+    /// The last slot that this incarnation published.
     published_slot: Option<u64>,
-    /// By disk id: who was heard from, and when.
+    /// The nodes that were heard from, with the time of the last contact, by disk id.
     pub contacts: BTreeMap<u64, (Member, Nanos)>,
 }
 
@@ -59,15 +59,15 @@
             bytes_in_flight: None,
             frozen_until: 0,
             disk_state: DiskState::Healthy,
-            disk_recovery: 0,
-            is_gone: false,
+            disk_recovers_at: 0,
+            is_removed: false,
             is_leaving: false,
             published_slot: None,
             contacts: BTreeMap::new(),
         }
     }
 
-    /// Writes the disk id and the first record of the group.
+    /// Writes the disk id and the group's initial record.
     pub fn write_first_records(&self, record: &[u8]) {
         let (mut store, _) = Store::open(self.files.clone()).unwrap();
         let disk_id = self.member.disk_id.to_le_bytes();
@@ -76,17 +76,17 @@
     }
 
     fn disk_state_at(&self, now: Nanos) -> DiskState {
-        if self.disk_recovery > now {
+        if self.disk_recovers_at > now {
             self.disk_state
         } else {
             DiskState::Healthy
         }
     }
 
-    /// Opens the store, under a new disk id if it is empty; the shard's record.
+    /// Opens the store and returns the shard's record. An empty disk gets a new disk id, unless `keeps_disk_id` is set.
     fn open_store(&mut self, new_disk_id: u64, keeps_disk_id: bool) -> Option<Vec<u8>> {
         let (mut store, opened) =
-            Store::open(self.files.clone()).expect("no crash damages a record");
+            Store::open(self.files.clone()).expect("crashes don't damage records");
         let record = match opened {
             Opened::Fresh => {
                 if self.member.disk_id == 0 || !keeps_disk_id {
@@ -94,7 +94,7 @@
                 }
                 store
                     .save(DISK_RECORD, &self.member.disk_id.to_le_bytes())
-                    .expect("the disk is healthy at a start");
+                    .expect("the disk accepts writes when a node starts");
                 None
             }
             Opened::Existing(mut records) => records.remove(RECORD),
@@ -105,7 +105,7 @@
 }
 
 impl Fleet {
-    /// Adds a machine with an empty disk; its index.
+    /// Adds a machine with an empty disk and returns its index.
     pub fn add_node(&mut self) -> usize {
         let index = self.nodes.len();
         let member = Member {
@@ -120,15 +120,15 @@
 
     pub fn present_nodes(&self) -> Vec<usize> {
         (0..self.nodes.len())
-            .filter(|&node| !self.nodes[node].is_gone)
+            .filter(|&node| !self.nodes[node].is_removed)
             .collect()
     }
 
-    /// The present node with this disk.
+    /// The node with this disk; `None` if the disk was lost.
     pub fn node_with_disk(&self, disk_id: u64) -> Option<&Node> {
         self.nodes
             .iter()
-            .find(|node| !node.is_gone && node.member.disk_id == disk_id)
+            .find(|node| !node.is_removed && node.member.disk_id == disk_id)
     }
 
     /// When the register's next timer fires.
@@ -149,7 +149,7 @@
         let (seed, new_disk_id) = (self.rng.u64(..), self.rng.u64(1..));
         let settings = self.settings();
         let node = &mut self.nodes[index];
-        if node.is_gone || node.register.is_some() {
+        if node.is_removed || node.register.is_some() {
             return;
         }
         let record = node.open_store(new_disk_id, self.defects.wiped_disk_keeps_id);
@@ -162,14 +162,14 @@
             settings,
             self.now,
         );
-        node.register = Some(register.expect("a good record"));
+        node.register = Some(register.expect("a valid record"));
         node.incarnation += 1;
         node.published_slot = None;
         node.bytes_in_flight = None;
         node.frozen_until = 0;
         node.contacts.clear();
         let disk_id = node.member.disk_id;
-        self.log(|| format!("start {index} as disk {disk_id:x}"));
+        self.log(|| format!("start node {index} with disk {disk_id:x}"));
     }
 
     fn settings(&self) -> Settings {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// The store in flight reaches the disk, which may fail.
+    /// Writes the store in flight to the disk, which may fail.
     pub fn store(&mut self, index: usize, incarnation: u64, token: u64, bytes: &[u8]) {
         let (now, draw) = (self.now, self.rng.u64(..));
         let node = &mut self.nodes[index];
@@ -211,7 +211,7 @@
         self.carry_out_actions(index);
     }
 
-    /// A process that dies during a store leaves any beginning of it on disk.
+    /// Interrupts the store of a process that crashes: any prefix of its writes may be on disk.
     pub fn interrupt_store(&mut self, node: usize) {
         let (operation, kind) = (self.rng.u64(..6), self.rng.usize(..3));
         let torn_at = self.rng.usize(..200);
@@ -219,12 +219,12 @@
         if let (Some(bytes), Some(mut store)) = (node.bytes_in_flight.take(), node.store.take()) {
             node.files
                 .schedule_failure(operation, disk_failure(kind, torn_at));
-            // Whether it fails depends on how many operations the store takes.
+            // The store fails only if it takes more operations than `operation`.
             let _ = store.save(RECORD, &bytes);
         }
     }
 
-    /// Does what a register wants done.
+    /// Carries out the pending actions of a node's register.
     pub fn carry_out_actions(&mut self, node: usize) {
         let Some(register) = &mut self.nodes[node].register else {
             return;
@@ -235,8 +235,8 @@
                 Action::Store { token, bytes } => self.begin_store(node, token, bytes),
                 Action::Chosen(state) => {
                     self.log(|| format!("node {node} publishes slot {}", state.slot));
-                    let before = self.nodes[node].published_slot.replace(state.slot);
-                    self.monitor.on_chosen(node, before, &state);
+                    let previous_slot = self.nodes[node].published_slot.replace(state.slot);
+                    self.monitor.on_chosen(node, previous_slot, &state);
                     self.replicas_changed = true;
                 }
                 Action::Completed { op, outcome } => self.complete_call(op, outcome),
@@ -249,7 +249,7 @@
         node.bytes_in_flight = Some(bytes.clone());
         let duration = match node.disk_state_at(self.now) {
             DiskState::Slow => self.rng.u64(20..200) * MILLISECOND,
-            DiskState::Stalled => node.disk_recovery - self.now,
+            DiskState::Stalled => node.disk_recovers_at - self.now,
             _ => self.rng.u64(100..8_000) * 1_000,
         };
         let stored = Event::Stored {
@@ -262,7 +262,7 @@
     }
 }
 
-/// One of three failures: before the operation, after it, or in the middle.
+/// A failure before, after or during the operation, depending on `kind`.
 fn disk_failure(kind: usize, torn_at: usize) -> DiskFailure {
     match kind % 3 {
         0 => DiskFailure::NotExecuted,
--- a/crates/sparrouter-consensus/tests/fleet/replicas.rs
+++ b/crates/sparrouter-consensus/tests/fleet/replicas.rs
@@ -1,18 +1,20 @@
-//! Whether a group is left that can act and has what was chosen, after any loss that the tolerance still allows.
+//! Checks that after any further tolerated loss of disks the group has a quorum and the newest chosen state.
 use super::node::Node;
 use super::{Fleet, MAX_BYTES, RECORD};
 use sparrouter_consensus::{Record, SharedVote, State};
 use sparrouter_storage::{Opened, Store};
 
 impl Fleet {
-    /// Checks the newest state that any node published against every further loss of disks that is allowed now.
+    /// Checks the newest published state against all further losses of disks that are tolerated now.
     ///
-    /// It is enough to count: the worst loss takes members that have the state first.
+    /// It is sufficient to count disks, because the worst case is the loss of members that have the state.
     pub fn check_replicas(&mut self) {
         let Some(state) = self.monitor.newest_state().cloned() else {
             return;
         };
-        let spare = self.tolerated().saturating_sub(self.lost_disk_ids().len());
+        let spare = self
+            .max_lost_disks()
+            .saturating_sub(self.lost_disk_ids().len());
         let votes: Vec<SharedVote> = state
             .members
             .iter()
@@ -23,26 +25,26 @@
         let majority = state.members.len() / 2 + 1;
         if replicas <= spare {
             self.monitor.report(format!(
-                "slot {} is on {replicas} disks and {spare} more may be lost",
+                "slot {} is on {replicas} disks, {spare} more of which may be lost",
                 state.slot
             ));
         }
         if votes.len() < majority + spare {
             self.monitor.report(format!(
-                "{} members of the group of slot {} have a copy, {majority} must vote, {spare} more may be lost",
+                "{} members of the group of slot {} have a vote on disk, a majority needs {majority}, {spare} more may be lost",
                 votes.len(),
                 state.slot
             ));
         }
     }
 
-    /// Disks that may be lost at one time.
-    pub fn tolerated(&self) -> usize {
+    /// Maximum number of disks that may be lost at the same time.
+    pub fn max_lost_disks(&self) -> usize {
         (self.initial_size - 1) / 2
     }
 }
 
-/// What a node would find on its disk after a loss of power.
+/// The vote that a node would find on its disk after a power loss.
 pub fn synced_vote(node: &Node) -> Option<SharedVote> {
     let (_, opened) = Store::open(node.files.synced_snapshot()).ok()?;
     let Opened::Existing(records) = opened else {
@@ -53,7 +55,7 @@
         .accepted
 }
 
-/// Whether a vote is of this chosen state, or of a later slot, which is only proposed on top of it.
+/// Whether a vote contains this chosen state or a later slot, which is proposed only after this slot is chosen.
 fn includes(vote: &SharedVote, state: &State) -> bool {
     let is_same_state =
         vote.state.slot == state.slot && vote.state.recent_proposals == state.recent_proposals;
--- a/crates/sparrouter-consensus/tests/lagging_member/mod.rs
+++ b/crates/sparrouter-consensus/tests/lagging_member/mod.rs
@@ -1,4 +1,4 @@
-//! A member that is behind, alone: the test offers it states and answers what it fetches.
+//! A single member that is behind. The test plays the other members: it offers states and answers requests for chunks.
 use super::narrow_links::Counter;
 use sparrouter_consensus::message::{Outline, OutlinedMessage};
 use sparrouter_consensus::{
@@ -6,9 +6,9 @@
     Settings,
 };
 
-/// Length of a body.
+/// Length of a body in bytes.
 pub const BODY: usize = 120_000;
-/// Length of a chunk.
+/// Length of a chunk in bytes.
 pub const CHUNK: usize = 8 << 10;
 
 /// Settings with short chunks.
@@ -20,7 +20,7 @@
     }
 }
 
-/// A member of its group, by disk id.
+/// The member of the group with this disk id.
 pub fn member(disk_id: u64) -> Member {
     Member {
         disk_id,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A register, and the outlines of two votes after its own: an older and a newer one.
+/// A register, and the outlines of two votes that are newer than its own: first the older, then the newer of the two.
 pub struct LaggingMember {
     pub register: Register<Counter>,
     pub bodies: [Vec<u8>; 2],
@@ -37,7 +37,7 @@
 }
 
 impl LaggingMember {
-    /// A group of three, with its first state on disk.
+    /// Creates a member of a group of three, with the initial state on disk.
     pub fn new(defects: Defects) -> LaggingMember {
         let all: Vec<Member> = (1..=3).map(member).collect();
         let record = Record::bootstrap(all, vec![0; BODY]);
@@ -46,7 +46,7 @@
             let mut vote = record
                 .accepted
                 .as_ref()
-                .expect("a first vote")
+                .expect("the initial vote")
                 .0
                 .as_ref()
                 .clone();
@@ -71,13 +71,13 @@
             0,
         );
         LaggingMember {
-            register: register.expect("a good record"),
+            register: register.expect("a valid record"),
             bodies,
             outlines,
         }
     }
 
-    /// Stores what the register wants stored; the number that it prepares.
+    /// Completes the register's stores and returns the proposal number that it prepares.
     pub fn prepare_and_store(&mut self) -> ProposalNumber {
         let mut prepared = None;
         for action in self.register.take_actions() {
@@ -90,10 +90,11 @@
                 _ => {}
             }
         }
-        prepared.expect("a number")
+        prepared.expect("a Prepare message")
     }
 
-    /// Answers what the register fetches, damaged by `damage`, until it fetches nothing more; the number of chunks.
+    /// Answers the register's requests for chunks, modified by `damage`, until there are no more. Returns the number of
+    /// chunks.
     pub fn serve(&mut self, damage: impl Fn(&mut Vec<u8>)) -> usize {
         let mut served = 0;
         for _ in 0..1_000 {
@@ -108,7 +109,7 @@
                     continue;
                 };
                 let offered = self.bodies.iter().find(|b| BodyReference::of(b) == body);
-                let offered = offered.expect("a body that was offered");
+                let offered = offered.expect("an offered body");
                 let mut message = chunk_of(offered, body, offset);
                 if let Message::BodyChunk { chunk, .. } = &mut message {
                     damage(&mut chunk.0);
@@ -123,13 +124,13 @@
         served
     }
 
-    /// The newest slot that it knows to be chosen.
+    /// The newest slot that the member knows to be chosen.
     pub fn slot(&self) -> Option<u64> {
         self.register.chosen().map(|state| state.slot)
     }
 }
 
-/// The slot of the vote whose acceptance this action asks for.
+/// The slot of the vote that this action proposes; `None` if the action is no `Accept`.
 pub fn proposed_slot(action: &Action) -> Option<u64> {
     let Action::Send { message, .. } = action else {
         return None;
@@ -143,7 +144,7 @@
     }
 }
 
-/// The chunk that this action requests.
+/// The body and offset of the chunk that this action requests; `None` if the action is no `FetchChunk`.
 pub fn fetched(action: &Action) -> Option<(BodyReference, u32)> {
     match action {
         Action::Send {
--- a/crates/sparrouter-consensus/tests/narrow_links/mod.rs
+++ b/crates/sparrouter-consensus/tests/narrow_links/mod.rs
@@ -1,8 +1,11 @@
-//! Registers of one shard whose links carry few bytes a second: what changes and catching up cost, in virtual time.
+//! Simulates the registers of one shard over slow links in virtual time, to measure the cost of changes and catch-up.
 //!
-//! Each node has one uplink and one downlink, first come first served, so that a large message delays all behind it:
-//! worse than TCP, which shares a link between connections. The registers and the encoding are the real ones.
-#![allow(dead_code, reason = "the test and the example each use a part")]
+//! Each node has one uplink and one downlink, which are FIFO queues, so that a large message delays all messages behind
+//! it. This is worse than TCP, which shares a link between connections. The registers and the encoding are real.
+#![allow(
+    dead_code,
+    reason = "the test and the example each use only some of the items"
+)]
 
 use fastrand::Rng;
 use sparrouter_consensus::{
@@ -12,22 +15,23 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Between any two nodes, one way.
+/// One-way latency between two nodes.
 const LATENCY: Nanos = 5 * MILLISECOND;
-/// Until a record is on disk.
-const SYNC: Nanos = 5 * MILLISECOND;
-/// How long a restarted member waits for one confirmed read before it asks anew, as the fleet's nodes do.
+/// Duration of a store.
+const SYNC_DURATION: Nanos = 5 * MILLISECOND;
+/// Time limit of the confirmed read of a restarted member, which repeats the read after a time-out as the fleet's nodes
+/// do.
 const READ_TIMEOUT: Nanos = 500 * MILLISECOND;
-/// Between two probes of how long a small message takes.
+/// Interval between two probes, which measure the latency of a small message.
 const PROBE_INTERVAL: Nanos = 50 * MILLISECOND;
-/// A small message, such as a heartbeat.
+/// Length of a probe in bytes, like a small message such as a heartbeat.
 const PROBE_BYTES: usize = 128;
-/// Frame, shard and sender's address around a register's message.
+/// Length of the frame, shard and sender's address around a register's message, in bytes.
 const ENVELOPE_BYTES: usize = 64;
-/// Longest message or record.
+/// Maximum length of a message or record, in bytes.
 const MAX_BYTES: usize = 16 << 20;
 
-/// The body is a counter and filler; a change adds one to it.
+/// A state machine whose body is a counter followed by padding; each change increments the counter.
 pub struct Counter;
 
 impl Machine for Counter {
@@ -64,14 +68,14 @@
     },
 }
 
-/// What was sent since the last `reset_traffic`.
+/// Traffic since the last `reset_traffic`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     pub messages: u64,
     pub bytes: u64,
-    /// Longest encoded message.
+    /// Length of the longest encoded message, in bytes.
     pub longest: usize,
-    /// The longest that a small message was in flight.
+    /// Maximum latency of a probe.
     pub slowest_probe: Nanos,
 }
 
@@ -82,9 +86,9 @@
     incarnation: u64,
     uplink_free_at: Nanos,
     downlink_free_at: Nanos,
-    /// The read in progress.
+    /// The operation id of the read in progress.
     read_op: Option<u64>,
-    /// Whether a quorum confirmed to this incarnation what is in force.
+    /// Whether a read of this incarnation was answered, so that a quorum has confirmed its state.
     is_confirmed: bool,
 }
 
@@ -108,7 +112,7 @@
     pub now: Nanos,
     pub traffic: Traffic,
     pub settings: Settings,
-    /// Of each uplink and downlink.
+    /// Bandwidth of each uplink and downlink.
     bytes_per_second: u64,
     nodes: Vec<Node>,
     events: BTreeMap<(Nanos, u64), Event>,
@@ -116,13 +120,13 @@
     last_event: u64,
     next_op: u64,
     outcomes: BTreeMap<u64, Outcome>,
-    /// No message to or from this node arrives.
+    /// The node that is partitioned from all others.
     isolated: Option<usize>,
     rng: Rng,
 }
 
 impl Group {
-    /// `body`: length of the state in bytes; `bytes_per_second`: of each link.
+    /// Creates a group with a body of `body` bytes and links with a bandwidth of `bytes_per_second`.
     pub fn new(members: usize, body: usize, bytes_per_second: u64, settings: Settings) -> Group {
         let member = |index: usize| Member {
             disk_id: 1 + index as u64,
@@ -156,7 +160,7 @@
         group
     }
 
-    /// Starts a process over what its disk has.
+    /// Starts the process of a node from the record on its disk.
     pub fn start(&mut self, node: usize) {
         let rng = self.rng.fork();
         let node = &mut self.nodes[node];
@@ -171,16 +175,16 @@
             self.settings.clone(),
             self.now,
         );
-        node.register = Some(register.expect("its own record"));
+        node.register = Some(register.expect("a record of this register"));
     }
 
-    /// Ends a process.
+    /// Kills the process of a node.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].register = None;
         self.nodes[node].incarnation += 1;
     }
 
-    /// Partitions a node from all others, whatever is in flight to or from it included.
+    /// Partitions a node from all others. Messages in flight to or from the node are lost too.
     pub fn isolate(&mut self, node: usize) {
         self.isolated = Some(node);
     }
@@ -194,23 +198,24 @@
         self.traffic = Traffic::default();
     }
 
-    /// How many changes this node knows to be chosen.
+    /// Number of changes that this node knows to be chosen.
     pub fn count(&self, node: usize) -> u64 {
         let chosen = self.nodes[node].register.as_ref().and_then(|r| r.chosen());
         chosen.map_or(0, |state| counter_of(&state.body))
     }
 
-    /// How many changes this node has on disk.
+    /// Number of changes that this node has on disk.
     pub fn count_on_disk(&self, node: usize) -> u64 {
-        let record = Record::decode(&self.nodes[node].record, MAX_BYTES).expect("its own record");
-        counter_of(&record.accepted.expect("a first vote").state.body)
+        let record =
+            Record::decode(&self.nodes[node].record, MAX_BYTES).expect("a record of this register");
+        counter_of(&record.accepted.expect("the initial vote").state.body)
     }
 
     pub fn is_confirmed(&self, node: usize) -> bool {
         self.nodes[node].is_confirmed
     }
 
-    /// Starts a change at a node; its id.
+    /// Proposes a change at a node and returns its operation id.
     pub fn propose(&mut self, node: usize, timeout: Nanos) -> u64 {
         let op = self.next_op();
         let (now, deadline) = (self.now, self.now + timeout);
@@ -226,7 +231,7 @@
         op
     }
 
-    /// Makes one change and waits for its end.
+    /// Proposes a change and runs until it completes. Returns its outcome; `None` if it doesn't complete.
     pub fn change(&mut self, node: usize, timeout: Nanos) -> Option<Outcome> {
         let op = self.propose(node, timeout);
         let end = self.now + timeout + SECOND;
@@ -234,17 +239,17 @@
         self.take_outcome(op)
     }
 
-    /// The outcome of a change that ended.
+    /// Removes and returns the outcome of a completed change.
     pub fn take_outcome(&mut self, op: u64) -> Option<Outcome> {
         self.outcomes.remove(&op)
     }
 
-    /// Runs for a span of time.
+    /// Runs for a duration.
     pub fn run_for(&mut self, span: Nanos) {
         self.run(self.now + span, |_| false);
     }
 
-    /// Runs to `end`, or to the first moment at which `is_reached` is true; whether it was.
+    /// Runs until `is_reached` is true or until `end`. Returns whether `is_reached` was true.
     pub fn run(&mut self, end: Nanos, is_reached: impl Fn(&Group) -> bool) -> bool {
         loop {
             self.read_where_unconfirmed();
@@ -283,7 +288,7 @@
         }
     }
 
-    /// Keeps one read in progress at each node that has no confirmed state.
+    /// Keeps one read in progress at each node whose state is not confirmed.
     fn read_where_unconfirmed(&mut self) {
         for index in 0..self.nodes.len() {
             let node = &mut self.nodes[index];
@@ -334,7 +339,7 @@
                     token,
                     bytes,
                 };
-                self.schedule(self.now + SYNC, stored);
+                self.schedule(self.now + SYNC_DURATION, stored);
             }
             Action::Completed { op, outcome } => {
                 self.outcomes.insert(op, outcome);
@@ -360,7 +365,7 @@
         self.schedule(arrival, Event::Deliver { to, from, bytes });
     }
 
-    /// Occupies the sender's uplink, then the receiver's downlink; when the last byte arrives.
+    /// Occupies the sender's uplink, then the receiver's downlink. Returns when the last byte arrives.
     fn arrival(&mut self, from: usize, to: usize, bytes: usize) -> Nanos {
         let span = bytes as u64 * SECOND / self.bytes_per_second;
         let sender = &mut self.nodes[from];
@@ -410,7 +415,7 @@
         }
     }
 
-    /// Each node sends a small message to the next one.
+    /// Sends a probe from each node to the next node.
     fn send_probes(&mut self) {
         let now = self.now;
         for from in 0..self.nodes.len() {
--- a/crates/sparrouter-consensus/tests/recorded_bytes.rs
+++ b/crates/sparrouter-consensus/tests/recorded_bytes.rs
@@ -1,5 +1,6 @@
-//! Bytes of every record and message, as the release of 2026-12-02 wrote them: stored records must stay readable, and
-//! nodes of two releases exchange these messages. Each line of the fixture is a name and the bytes in hexadecimal.
+//! Checks the encoding of every record and message against the bytes that the release of 2026-12-02 wrote: stored
+//! records must stay readable, and nodes of two releases exchange these messages. Each line of the fixture contains a
+//! name and the bytes in hexadecimal.
 use nanoserde::{DeBin, SerBin};
 use sparrouter_consensus::codec::{decode, encode};
 use sparrouter_consensus::lease::{Lease, LeaseAnswer, LeaseChange, LeaseHolder};
@@ -68,7 +69,7 @@
         number: number(8),
         known: Some(vote_id()),
     };
-    let reply = Message::Promise {
+    let promise = Message::Promise {
         number: number(8),
         accepted: Some(vote_id()),
         newer_vote: Some(vote(None)),
@@ -84,7 +85,7 @@
     };
     vec![
         ("prepare", prepare),
-        ("promise", reply),
+        ("promise", promise),
         ("accept", accept),
         ("accepted", accepted),
         ("reject-outrun", reject(RejectReason::Superseded)),
@@ -92,7 +93,7 @@
     ]
 }
 
-/// The messages by which nodes compare what they have.
+/// The messages of reads and anti-entropy.
 fn learner_messages() -> Vec<(&'static str, Message)> {
     let query = Message::Query {
         nonce: 77,
@@ -118,9 +119,9 @@
     ]
 }
 
-/// The messages that carry large bodies.
+/// The messages of the transfer of large bodies.
 fn transfer_messages() -> Vec<(&'static str, Message)> {
-    let prepared = OutlinedMessage::Promise { number: number(8) };
+    let promise = OutlinedMessage::Promise { number: number(8) };
     let report = OutlinedMessage::Report {
         nonce: 77,
         promised: number(9),
@@ -135,7 +136,7 @@
         chunk: Chunk(b"a piece".to_vec()),
     };
     vec![
-        ("outline-promise", outline(prepared)),
+        ("outline-promise", outline(promise)),
         ("outline-accept", outline(OutlinedMessage::Accept)),
         ("outline-report", outline(report)),
         ("outline-learn", outline(OutlinedMessage::Learn)),
@@ -162,36 +163,36 @@
     ]
 }
 
-fn leases(owner: &LeaseHolder) -> Vec<(&'static str, Lease)> {
+fn leases(holder: &LeaseHolder) -> Vec<(&'static str, Lease)> {
     let lease = Lease {
         fencing_token: 12,
-        holder: owner.clone().into(),
+        holder: holder.clone().into(),
         duration: 3_000_000_000,
         takeover_wait: 4_000_000_000,
     };
     vec![("lease-held", lease), ("lease-free", Lease::default())]
 }
 
-fn lease_changes(owner: &LeaseHolder) -> Vec<(&'static str, LeaseChange)> {
+fn lease_changes(holder: &LeaseHolder) -> Vec<(&'static str, LeaseChange)> {
     vec![
         (
             "lease-acquire",
             LeaseChange::Acquire {
-                holder: owner.clone(),
+                holder: holder.clone(),
                 duration: 3_000_000_000,
             },
         ),
         (
             "lease-renew",
             LeaseChange::Renew {
-                holder: owner.clone(),
+                holder: holder.clone(),
                 fencing_token: 12,
             },
         ),
         (
             "lease-release",
             LeaseChange::Release {
-                holder: owner.clone(),
+                holder: holder.clone(),
                 fencing_token: 12,
                 waited: true,
             },
@@ -226,28 +227,29 @@
     let digits = RECORDED
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    let digits = digits.unwrap_or_else(|| panic!("the fixture has no `{name}`"));
+    let digits = digits.unwrap_or_else(|| panic!("the fixture has no line `{name}`"));
     (0..digits.len())
         .step_by(2)
         .map(|index| u8::from_str_radix(&digits[index..index + 2], 16).expect("hexadecimal"))
         .collect()
 }
 
-/// Each value is written as recorded, and what was recorded is read as that value.
+/// Checks that each value is encoded to its recorded bytes, and that the recorded bytes are decoded to the value.
+/// Returns the number of values.
 fn check<T: SerBin + DeBin + PartialEq + Debug>(values: Vec<(&'static str, T)>) -> usize {
     let count = values.len();
     for (name, value) in values {
-        let written = encode(&value);
-        assert_eq!(hex(&written), hex(&recorded(name)), "bytes of {name}");
-        let read: T = decode(&recorded(name), MAX_BYTES).expect(name);
-        assert_eq!(read, value, "value of {name}");
+        let encoded = encode(&value);
+        assert_eq!(hex(&encoded), hex(&recorded(name)), "bytes of {name}");
+        let decoded: T = decode(&recorded(name), MAX_BYTES).expect(name);
+        assert_eq!(decoded, value, "value of {name}");
     }
     count
 }
 
 #[test]
-fn given_recorded_bytes_when_read_and_written_then_they_are_the_same() {
-    let owner = LeaseHolder {
+fn given_recorded_bytes_when_decoded_and_encoded_then_they_are_unchanged() {
+    let holder = LeaseHolder {
         name: "n1".to_owned(),
         incarnation: 0x1122,
     };
@@ -255,8 +257,12 @@
         + check(learner_messages())
         + check(transfer_messages())
         + check(records())
-        + check(leases(&owner))
-        + check(lease_changes(&owner))
+        + check(leases(&holder))
+        + check(lease_changes(&holder))
         + check(lease_answers());
-    assert_eq!(checked, RECORDED.lines().count(), "every line is checked");
+    assert_eq!(
+        checked,
+        RECORDED.lines().count(),
+        "every line of the fixture is checked"
+    );
 }
--- a/crates/sparrouter-consensus/tests/register.rs
+++ b/crates/sparrouter-consensus/tests/register.rs
@@ -1,4 +1,4 @@
-//! The calls of a few registers, with messages and stores carried out by the test.
+//! Calls of a few registers, whose messages and stores the test carries out.
 use sparrouter_consensus::message::{Message, RejectReason};
 use sparrouter_consensus::{
     Action, Applied, Machine, Member, Outcome, ProposalNumber, Record, Register, Rejection, SECOND,
@@ -6,10 +6,10 @@
 };
 use std::collections::VecDeque;
 
-/// A body that is overwritten by `new` where it is `old`.
-struct Swap;
+/// A compare-and-set register: replaces the body by `new` if the body is `old`.
+struct CompareAndSet;
 
-impl Machine for Swap {
+impl Machine for CompareAndSet {
     fn apply(&self, body: &[u8], change: &[u8]) -> Applied {
         let (old, new) = change.split_at(change.len() / 2);
         match body == old {
@@ -32,14 +32,14 @@
     }
 }
 
-fn register(n: u64, group: u64) -> Register<Swap> {
+fn register(n: u64, group: u64) -> Register<CompareAndSet> {
     let record = Record::bootstrap((1..=group).map(member).collect(), b"a".to_vec()).encode();
     let rng = fastrand::Rng::with_seed(n);
     Register::new(
         7,
         member(n),
         Some(&record),
-        Swap,
+        CompareAndSet,
         rng,
         Settings::default(),
         0,
@@ -47,7 +47,7 @@
     .unwrap()
 }
 
-/// What the registers did until nothing was left to do.
+/// The results of running the registers until no action is pending.
 #[derive(Default)]
 struct Activity {
     completed: Vec<(u64, Outcome)>,
@@ -55,8 +55,8 @@
     stores: usize,
 }
 
-/// Carries all messages and stores out until nothing is left; nodes that are missing in `nodes` receive nothing.
-fn run_to_quiescence(nodes: &mut [Register<Swap>], now: u64) -> Activity {
+/// Carries out all messages and stores until no action is pending. Messages to nodes that are not in `nodes` are lost.
+fn run_to_quiescence(nodes: &mut [Register<CompareAndSet>], now: u64) -> Activity {
     let mut activity = Activity::default();
     loop {
         let mut is_quiet = true;
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn given_three_nodes_when_one_proposes_then_all_publish_and_the_caller_is_answered() {
+fn given_three_nodes_when_one_proposes_then_all_learn_the_state_and_the_caller_is_answered() {
     let mut nodes: Vec<_> = (1..=3).map(|n| register(n, 3)).collect();
     nodes[0].propose(1, b"ab".to_vec(), SECOND, 0);
     let activity = run_to_quiescence(&mut nodes, 1);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn given_a_proposer_that_leads_when_it_proposes_again_then_one_vote_and_one_store_a_node_do() {
+fn given_a_prepared_number_when_the_proposer_proposes_again_then_each_node_stores_once() {
     let mut nodes: Vec<_> = (1..=3).map(|n| register(n, 3)).collect();
     nodes[0].propose(1, b"ab".to_vec(), SECOND, 0);
     run_to_quiescence(&mut nodes, 1);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn given_a_group_that_agrees_when_read_then_nothing_is_stored() {
+fn given_members_with_the_same_vote_when_read_then_nothing_is_stored() {
     let mut nodes: Vec<_> = (1..=3).map(|n| register(n, 3)).collect();
     nodes[2].read(1, SECOND, 0);
     let activity = run_to_quiescence(&mut nodes, 1);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn given_a_minority_when_it_proposes_then_it_is_refused_only_if_no_vote_was_asked_for() {
+fn given_no_quorum_when_a_change_expires_then_it_is_rejected_only_if_it_was_never_proposed() {
     let mut nodes: Vec<_> = (1..=3).map(|n| register(n, 3)).collect();
     nodes[0].propose(1, b"ab".to_vec(), SECOND, 0);
     run_to_quiescence(&mut nodes, 1);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn given_too_many_or_too_large_calls_then_they_are_refused_at_once() {
+fn given_too_many_or_too_large_changes_when_proposed_then_they_are_rejected_at_once() {
     let mut node = vec![register(1, 3)];
     for op in 0..=Settings::default().max_pending as u64 {
         node[0].propose(op, b"ab".to_vec(), SECOND, 0);
@@ -169,16 +169,16 @@
     );
 }
 
-/// The token of the store among these actions.
+/// The token of the store that these actions contain.
 fn store_token(actions: Vec<Action>) -> u64 {
     let token = actions.into_iter().find_map(|action| match action {
         Action::Store { token, .. } => Some(token),
         _ => None,
     });
-    token.expect("a store")
+    token.expect("a Store action")
 }
 
-/// The only message among these actions, which have nothing else.
+/// The message of the only action.
 fn only_message(actions: &[Action]) -> Message {
     match actions {
         [Action::Send { message, .. }] => message.clone(),
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn given_a_store_that_fails_when_a_promise_waits_for_it_then_it_is_rejected_with_its_reason_and_the_store_is_repeated()
+fn given_a_promise_that_waits_for_a_store_when_the_store_fails_then_it_is_rejected_and_the_store_is_retried()
  {
     let mut node = register(1, 3);
     let number = ProposalNumber {
@@ -201,7 +201,7 @@
     let actions = node.take_actions();
     assert!(matches!(actions[0], Action::Store { .. }), "{actions:?}");
     let token = store_token(actions);
-    // What was on disk before can be asked for meanwhile.
+    // A query is answered from the record on disk while the store is in flight.
     node.handle(member(3), Message::Query { nonce: 3, known }, 0);
     let report = only_message(&node.take_actions());
     assert!(matches!(report, Message::Report { nonce: 3, .. }));
--- a/crates/sparrouter-consensus/tests/scenarios.rs
+++ b/crates/sparrouter-consensus/tests/scenarios.rs
@@ -1,32 +1,32 @@
-//! The fleet under faults, by seed; and each injected defect, which it must find.
+//! Simulates the fleet with faults drawn by seed, and checks that the simulation detects each injected defect.
 mod fleet;
 
-use fleet::defects::{DEFECTS, first_finding, plan};
-use fleet::play;
+use fleet::defects::{DEFECTS, first_detection, plan};
+use fleet::simulate;
 
-/// Seeds within which each injected defect is found.
+/// Number of seeds within which each injected defect is detected.
 const SEEDS: u64 = 24;
 
 #[test]
-fn given_faults_by_seed_when_they_end_then_every_rule_held_and_all_works_again() {
+fn given_random_faults_when_they_end_then_no_rule_was_violated_and_all_nodes_recover() {
     for seed in 0..16 {
-        if let Err(failure) = play(&plan(seed)) {
+        if let Err(failure) = simulate(&plan(seed)) {
             panic!("seed {seed}: {}", failure.violation);
         }
     }
 }
 
 #[test]
-fn given_one_seed_when_played_twice_then_the_run_is_the_same() {
-    assert_eq!(play(&plan(3)).unwrap(), play(&plan(3)).unwrap());
+fn given_one_seed_when_simulated_twice_then_the_runs_are_equal() {
+    assert_eq!(simulate(&plan(3)).unwrap(), simulate(&plan(3)).unwrap());
 }
 
 #[test]
-fn given_each_injected_defect_when_faults_are_played_then_it_is_found() {
+fn given_each_injected_defect_when_faults_are_simulated_then_a_violation_is_detected() {
     for case in DEFECTS {
         assert!(
-            first_finding(&case, SEEDS).is_some(),
-            "{} was not found by {SEEDS} seeds",
+            first_detection(&case, SEEDS).is_some(),
+            "the defect {} was not detected with {SEEDS} seeds",
             case.name
         );
     }
