--- a/crates/sparrouter-simulation/tests/state_files.rs
+++ b/crates/sparrouter-simulation/tests/state_files.rs
@@ -180,7 +180,7 @@
 #[test]
 fn given_a_damaged_file_when_opened_then_the_machine_joins_as_a_new_one() {
     for (name, bytes) in RECORDED {
-        let truncated = [0, 1, frame::HEAD, bytes.len() / 2, bytes.len() - 1];
+        let truncated = [0, 1, frame::HEADER_LENGTH, bytes.len() / 2, bytes.len() - 1];
         let damaged = truncated.iter().map(|&at| bytes[..at].to_vec());
         let flipped = (0..bytes.len()).step_by(7).map(|at| {
             let mut bytes = bytes.to_vec();
--- a/crates/sparrouter-storage/src/error.rs
+++ b/crates/sparrouter-storage/src/error.rs
@@ -1,8 +1,8 @@
-//! What can go wrong with a record on disk. Each message names the remedy.
+//! Errors of reading and saving records. Each message names a remedy.
 use std::fmt;
 use std::io;
 
-/// An operation on the data directory, as the message of [`StorageError::Io`] names it.
+/// An operation on the data directory, which the message of [`StorageError::Io`] names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Listing the files of the directory.
@@ -29,25 +29,25 @@
     }
 }
 
-/// Why a record could not be read or saved.
+/// The reason why a record could not be read or saved.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// The disk or the quota is full.
+    /// The disk or its quota is full, or a file would be too large.
     #[error(
         "data directory is full: free {needed} bytes or more under {folder}; nothing else is needed"
     )]
     Full {
         /// The data directory.
         folder: String,
-        /// Bytes that the file of the record takes.
+        /// Size of the record's file in bytes.
         needed: u64,
     },
     /// A file was written by a newer release.
     #[error(
-        "{name} was written by a newer release (format {format}, this one knows {newest_known}): start that release again, or empty the folder so that the machine joins as a new one"
+        "{name} was written by a newer release (format {format}, this release reads up to {newest_known}): start that release again, or empty the folder so that the machine joins as a new one"
     )]
     Newer {
-        /// The file.
+        /// Name of the file.
         name: String,
         /// Format version of the file.
         format: u16,
@@ -59,35 +59,37 @@
         "{name} is damaged and an older version must not be served: empty the folder so that the machine joins as a new one"
     )]
     Damaged {
-        /// The file.
+        /// Name of the file.
         name: String,
     },
     /// The name is not allowed for a record.
-    #[error("{name:?} can't name a record: use 1 to 64 of a-z, 0-9, '-' and '_'")]
+    #[error("{name:?} is not a valid record name: use 1 to 64 characters of a-z, 0-9, '-' and '_'")]
     InvalidName {
-        /// The name that was rejected.
+        /// The rejected name.
         name: String,
     },
     /// The record is larger than [`crate::store::MAX_RECORD_BYTES`].
-    #[error("record {name} has {length} bytes, at most {limit} are allowed: make it smaller")]
+    #[error(
+        "record {name} has {length} bytes, at most {limit} are allowed: make the record smaller"
+    )]
     TooLarge {
-        /// The record.
+        /// Name of the record.
         name: String,
-        /// Its size in bytes.
+        /// Length of the record in bytes.
         length: usize,
-        /// Largest allowed size in bytes.
+        /// Maximum length of a record in bytes.
         limit: usize,
     },
-    /// The operating system refused an operation.
+    /// An operation on the directory failed.
     #[error(
-        "disk under {folder} refused to {operation} {name}: {source}; check the disk, the next save tries again"
+        "failed to {operation} {name} in {folder}: {source}; check the disk, the next save tries again"
     )]
     Io {
         /// The data directory.
         folder: String,
         /// The operation that failed.
         operation: Operation,
-        /// The file, or `.` for the directory.
+        /// Name of the file, or `.` for the directory.
         name: String,
         /// The error of the operating system.
         source: io::Error,
@@ -95,7 +97,8 @@
 }
 
 impl StorageError {
-    /// The error for a failed operation on the file `name`; `needed` bytes were to be written.
+    /// The error for a failed operation on the file `name`. `needed` is the number of bytes to write, 0 if the
+    /// operation writes nothing.
     pub(crate) fn from_io(
         folder: &str,
         operation: Operation,
--- a/crates/sparrouter-storage/src/file_name.rs
+++ b/crates/sparrouter-storage/src/file_name.rs
@@ -1,10 +1,10 @@
-//! Names of files: the record's name, its version, and a suffix while the file is being written.
+//! Names of files: the record's name, the record's version, and a suffix while the file is being written.
 use std::fmt;
 
-/// Longest name of a record in bytes.
+/// Maximum length of a record's name in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// Ends the name of a file that is still being written.
+/// Suffix of the name of a file that is still being written.
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
 /// The name of a file, such as `part-1.8` or `part-1.8.tmp`.
@@ -14,7 +14,7 @@
     pub record: &'a str,
     /// Version of the record.
     pub version: u64,
-    /// The file may be incomplete.
+    /// Whether the file may be incomplete.
     pub is_temporary: bool,
 }
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The name of the same file while it is being written.
+    /// The name of this file while it is being written.
     pub fn temporary(self) -> FileName<'a> {
         FileName {
             is_temporary: true,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// `None` for files that this package did not write, which are left alone.
+    /// Parses a file name; `None` if this package did not write the file, which the store then ignores.
     pub fn parse(file: &'a str) -> Option<FileName<'a>> {
         let without_suffix = file.strip_suffix(TEMPORARY_SUFFIX);
         let (record, version) = without_suffix.unwrap_or(file).split_once('.')?;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whether a record may have this name: it is safe as part of a file's name.
+/// Whether `name` is a valid record name, which is safe as part of a file name.
 pub(crate) fn is_record_name(name: &str) -> bool {
     let is_allowed = |byte: u8| {
         byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-' || byte == b'_'
--- a/crates/sparrouter-storage/src/frame.rs
+++ b/crates/sparrouter-storage/src/frame.rs
@@ -1,43 +1,43 @@
-//! The byte format of one file: a header, then the record. Numbers are little-endian.
+//! The byte format of one file: a header followed by the record. Numbers are little-endian.
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 0..8 | `cellar\r\n`; the line end shows whether a transfer converted line ends |
+//! | 0..8 | `cellar\r\n`; the line ending reveals whether a file transfer converted line endings |
 //! | 8..10 | format version |
-//! | 10..18 | version of the record, as in the file's name |
+//! | 10..18 | version of the record, as in the file name |
 //! | 18..22 | length of the record in bytes |
 //! | 22..26 | CRC-32 (IEEE) of bytes 8..22 and the record |
 //! | 26.. | the record |
 use std::ops::Range;
 
-/// The first bytes of each file. Data directories of older releases hold them, so they stay.
+/// The first bytes of each file. They never change, because data directories of older releases contain them.
 pub const MAGIC: [u8; 8] = *b"cellar\r\n";
 /// The newest format version that this release reads and writes.
 pub const FORMAT: u16 = 1;
 /// Length of the header in bytes.
-pub const HEAD: usize = 26;
+pub const HEADER_LENGTH: usize = 26;
 
-// Where the fields of the header stand in it.
+// Positions of the fields in the header.
 const VERSION_BYTES: Range<usize> = 10..18;
 const LENGTH_BYTES: Range<usize> = 18..22;
 const CHECKSUM_BYTES: Range<usize> = 22..26;
 /// The bytes of the header that the checksum covers.
 const CHECKED_BYTES: Range<usize> = 8..22;
 
-/// The content of a file.
+/// The decoded content of a file.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DecodedFile {
     /// A complete record.
     Record(Vec<u8>),
-    /// A file of a newer release, with its format version.
+    /// A file of a newer release. Contains the file's format version.
     Newer(u16),
-    /// Anything else.
+    /// A file that is incomplete, corrupted, or belongs to another version of the record.
     Damaged,
 }
 
-/// The bytes of the file for a record. Records are smaller than 4 GiB (see [`crate::store::MAX_RECORD_BYTES`]).
+/// Encodes the file of a record. Records are smaller than 4 GiB (see [`crate::store::MAX_RECORD_BYTES`]).
 pub fn write(version: u64, record: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEAD + record.len());
+    let mut bytes = Vec::with_capacity(HEADER_LENGTH + record.len());
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&FORMAT.to_le_bytes());
     bytes.extend_from_slice(&version.to_le_bytes());
@@ -48,15 +48,15 @@
     bytes
 }
 
-/// Checks the bytes of a file whose name gives this version.
+/// Decodes and checks the bytes of a file. `version` is the record's version according to the file name.
 pub fn read(version: u64, bytes: &[u8]) -> DecodedFile {
-    let Some((header, record)) = bytes.split_at_checked(HEAD) else {
+    let Some((header, record)) = bytes.split_at_checked(HEADER_LENGTH) else {
         return DecodedFile::Damaged;
     };
     if !header.starts_with(&MAGIC) {
         return DecodedFile::Damaged;
     }
-    // The format is checked before the checksum, because a newer release may compute that differently.
+    // The format is checked before the checksum, because a newer release may compute the checksum differently.
     let format = u16::from_le_bytes([header[8], header[9]]);
     if format > FORMAT {
         return DecodedFile::Newer(format);
@@ -73,7 +73,7 @@
     }
 }
 
-/// A little-endian number of at most eight bytes.
+/// Decodes a little-endian number of at most eight bytes.
 fn read_number(bytes: &[u8]) -> u64 {
     bytes
         .iter()
--- a/crates/sparrouter-storage/src/real_files.rs
+++ b/crates/sparrouter-storage/src/real_files.rs
@@ -11,11 +11,11 @@
 }
 
 impl RealFiles {
-    /// Opens a directory. One that is missing is created, and its name synced.
+    /// Opens a directory. If the directory doesn't exist, it is created and its parent directory is synced.
     ///
     /// # Errors
     ///
-    /// What the operating system reports where a missing directory can't be created or its name can't be synced.
+    /// The error of the operating system if the directory can't be created or its parent can't be synced.
     pub fn open(folder: impl AsRef<Path>) -> io::Result<RealFiles> {
         let folder = folder.as_ref().to_path_buf();
         if !folder.is_dir() {
@@ -51,7 +51,7 @@
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
-            // Other names are not of this package, which writes only names in UTF-8.
+            // This package writes only names in UTF-8, so that all other files are ignored.
             if let Ok(name) = entry?.file_name().into_string() {
                 names.push(name);
             }
--- a/crates/sparrouter-storage/src/simulated.rs
+++ b/crates/sparrouter-storage/src/simulated.rs
@@ -1,8 +1,8 @@
-//! A directory in memory that fails as disks do, for tests of this package and others.
+//! A directory in memory that simulates failures of disks, for tests of this package and others.
 //!
-//! After a power loss a write that was not synced is there, torn or missing, and each name that was created, renamed or
-//! removed since the directory's last sync is as before or as after; which of these follows from the seed. The disk may
-//! also fill up, be wiped, or fail at the nth operation, before or after that has happened.
+//! A power loss keeps, tears or loses each write that was not synced, and keeps or reverts each creation, renaming or
+//! removal of a file since the last sync of the directory; the seed determines which. The disk may also fill up, be
+//! wiped, or fail at the nth operation, before or after the operation has its effect.
 mod disk;
 
 use crate::files::Files;
@@ -10,26 +10,27 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How an operation fails. All operations after it fail too, until [`SimulatedFiles::clear_failure`] or
-/// [`SimulatedFiles::lose_power`].
+/// The way in which an operation fails. All later operations fail too, until [`SimulatedFiles::clear_failure`],
+/// [`SimulatedFiles::wipe`] or [`SimulatedFiles::lose_power`] is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFailure {
-    /// The operation has no effect, and reports an error.
+    /// The operation reports an error and has no effect.
     NotExecuted,
-    /// The operation has its effect, but reports an error.
+    /// The operation reports an error although it has its effect.
     ExecutedWithError,
-    /// A write or its sync ends after so many bytes; any other operation has its effect. Both report an error.
+    /// The operation reports an error. A write or its sync stops after this number of bytes; any other operation has
+    /// its effect.
     Torn(usize),
 }
 
-/// A simulated directory. Clones share one disk, as a process and its successor do.
+/// A simulated directory. Clones share one disk, like a process and the process after its restart.
 #[derive(Clone, Debug)]
 pub struct SimulatedFiles {
     disk: Arc<Mutex<Disk>>,
 }
 
 impl SimulatedFiles {
-    /// An empty directory; what its failures leave follows from the seed.
+    /// Creates an empty directory. The seed determines which unsynced data survives a power loss.
     pub fn new(seed: u64) -> SimulatedFiles {
         SimulatedFiles {
             disk: Arc::new(Mutex::new(Disk::new(seed))),
@@ -40,39 +41,39 @@
         self.disk.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Operations so far: a write and its sync count as two. Reading and listing do not count.
+    /// Number of operations so far. A write and its sync count as two operations; reading and listing don't count.
     pub fn operations(&self) -> u64 {
         self.disk().operations
     }
 
-    /// Lets the nth operation from now (0 is the next) fail, and all that follow.
+    /// Makes the nth operation from now (0 is the next one) and all later operations fail.
     pub fn schedule_failure(&self, nth: u64, failure: DiskFailure) {
         let mut disk = self.disk();
         let operation = disk.operations + nth;
         disk.scheduled_failure = Some(ScheduledFailure { operation, failure });
     }
 
-    /// Limits the bytes of all files together; `None`: no limit.
+    /// Limits the total size of all files in bytes; `None` means no limit.
     pub fn set_capacity(&self, capacity: Option<usize>) {
         self.disk().capacity = capacity;
     }
 
-    /// Lets operations succeed again. What the failed ones left stays as it is.
+    /// Makes operations succeed again. The effects of failed operations remain.
     pub fn clear_failure(&self) {
         self.disk().clear_failure();
     }
 
-    /// Removes all files, as when the disk is replaced. Operations succeed again.
+    /// Removes all files, like a replacement of the disk. Operations succeed again.
     pub fn wipe(&self) {
         self.disk().wipe();
     }
 
-    /// Loses power: what was not synced is there, torn or missing. Operations succeed again.
+    /// Simulates a power loss: unsynced data is kept, torn or lost. Operations succeed again.
     pub fn lose_power(&self) {
         self.disk().lose_power();
     }
 
-    /// A disk of its own with what the worst power loss would leave of this one: nothing that was not synced.
+    /// A separate copy of the disk after the worst power loss, which contains only synced data.
     pub fn synced_snapshot(&self) -> SimulatedFiles {
         let disk = self.disk();
         let snapshot = SimulatedFiles::new(0);
@@ -85,7 +86,7 @@
         snapshot
     }
 
-    /// Flips a bit of the byte at `offset` in a file, for good. No crash does this, but a failing disk may.
+    /// Permanently flips a bit of the byte at `offset` in a file. A failing disk may do this, a crash can't.
     pub fn damage(&self, name: &str, offset: usize) {
         let mut disk = self.disk();
         let Some(&id) = disk.visible.get(name) else {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Writes a file past all failures and limits, synced.
+    /// Writes and syncs a file regardless of scheduled failures and the capacity.
     pub fn put(&self, name: &str, bytes: &[u8]) {
         let mut disk = self.disk();
         let id = disk.add_content(Content {
@@ -144,7 +145,7 @@
                     .min(content.bytes.len());
                 content.synced = Some(content.bytes[..length].to_vec());
             }
-            // As on the common file systems, syncing a new file syncs its name too.
+            // As on common file systems, syncing a new file also syncs its name.
             disk.durable.insert(name.to_owned(), id);
             Ok(())
         })
--- a/crates/sparrouter-storage/src/simulated/disk.rs
+++ b/crates/sparrouter-storage/src/simulated/disk.rs
@@ -1,14 +1,14 @@
-//! The state of a simulated disk, and what a power loss leaves of it.
+//! The state of a simulated disk, and the effects of a power loss.
 use super::DiskFailure;
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use std::io;
 
-/// Identifies the content of a file, whatever its name.
+/// Identifies the content of a file independently of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ContentId(u64);
 
-/// A change of a name that was not synced yet.
+/// A creation, renaming or removal of a file that is not synced yet.
 #[derive(Clone, Debug)]
 pub(super) enum NameChange {
     Created { name: String },
@@ -16,12 +16,12 @@
     Removed { name: String },
 }
 
-/// The bytes of a file.
+/// The content of a file.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Content {
     /// The bytes as the process sees them.
     pub bytes: Vec<u8>,
-    /// The bytes that survive a power loss; `None`: there were none before the ones that were not synced.
+    /// The bytes that survive a power loss; `None` if the content was never synced.
     pub synced: Option<Vec<u8>>,
 }
 
@@ -30,7 +30,8 @@
         self.synced.as_ref() == Some(&self.bytes)
     }
 
-    /// The bytes after a power loss: those that were synced, the beginning of the new ones, or all of them.
+    /// Simulates a power loss, after which the content consists of the synced bytes, of a prefix of the written bytes,
+    /// or of all written bytes. `loses_all` selects the synced bytes.
     fn lose_power(&mut self, loses_all: bool, rng: &mut Rng) {
         let outcome = if loses_all { 0 } else { rng.u8(..3) };
         match outcome {
@@ -42,10 +43,10 @@
     }
 }
 
-/// The operation that is to fail.
+/// A failure that is scheduled for an operation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScheduledFailure {
-    /// Its number, counted as in [`Disk::operations`].
+    /// Number of the failing operation, as counted by [`Disk::operations`].
     pub operation: u64,
     pub failure: DiskFailure,
 }
@@ -53,27 +54,27 @@
 /// A disk with one directory.
 #[derive(Debug)]
 pub(super) struct Disk {
-    /// Contents by id, since two names may lead to one while a rename is not synced.
+    /// Contents by id. Two names may refer to the same content while a rename is not synced.
     pub contents: BTreeMap<ContentId, Content>,
-    /// Names as the process sees them.
+    /// File names as the process sees them.
     pub visible: BTreeMap<String, ContentId>,
-    /// Names that survive a power loss.
+    /// File names that survive a power loss.
     pub durable: BTreeMap<String, ContentId>,
-    /// Changes of names since the last sync of the directory, in order.
+    /// Creations, renamings and removals since the last sync of the directory, in order.
     pub unsynced_changes: Vec<NameChange>,
     next_content: u64,
-    /// Bytes that fit in all files together; `None`: no limit.
+    /// Maximum total size of all files in bytes; `None` if there is no limit.
     pub capacity: Option<usize>,
     /// Number of operations so far.
     pub operations: u64,
     pub scheduled_failure: Option<ScheduledFailure>,
-    /// The scheduled failure has happened: all operations fail.
+    /// Whether the scheduled failure has happened, after which all operations fail.
     is_down: bool,
     rng: Rng,
 }
 
 impl Disk {
-    /// An empty disk. What a power loss leaves follows from the seed.
+    /// Creates an empty disk. The seed determines which unsynced data survives a power loss.
     pub fn new(seed: u64) -> Disk {
         Disk {
             contents: BTreeMap::new(),
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Runs an operation unless it is to fail. `run` gets the length in bytes after which a torn write ends.
+    /// Runs an operation, or makes it fail if a failure is scheduled. `run` receives the length in bytes at which a
+    /// torn write stops; `None` if the write is not torn.
     pub fn operate<T>(
         &mut self,
         run: impl FnOnce(&mut Disk, Option<usize>) -> io::Result<T>,
@@ -115,7 +117,7 @@
         Err(disk_failed())
     }
 
-    /// Lets operations succeed again.
+    /// Makes operations succeed again.
     pub fn clear_failure(&mut self) {
         self.scheduled_failure = None;
         self.is_down = false;
@@ -130,7 +132,7 @@
         self.clear_failure();
     }
 
-    /// Stores a content that has no name yet.
+    /// Adds the content of a file that has no name yet.
     pub fn add_content(&mut self, content: Content) -> ContentId {
         let id = ContentId(self.next_content);
         self.next_content += 1;
@@ -143,7 +145,7 @@
         self.contents.get(self.visible.get(name)?)
     }
 
-    /// Bytes that can still be written.
+    /// Number of bytes that can still be written; `usize::MAX` if there is no limit.
     pub fn free_bytes(&self) -> usize {
         let used: usize = self
             .visible
@@ -155,9 +157,10 @@
             .map_or(usize::MAX, |capacity| capacity.saturating_sub(used))
     }
 
-    /// Keeps what was synced. Of the rest, each change of a name and the bytes of each file are lost or survive.
+    /// Simulates a power loss. Synced data survives; each unsynced change of a name and unsynced content of a file is
+    /// kept or lost at random.
     pub fn lose_power(&mut self) {
-        // Some power losses lose all that was not synced.
+        // One in four power losses loses all unsynced data.
         let loses_all = self.rng.u8(..4) == 0;
         for change in std::mem::take(&mut self.unsynced_changes) {
             let is_lost = loses_all || self.rng.bool();
@@ -176,7 +179,7 @@
         self.clear_failure();
     }
 
-    /// Lets a change of a name survive, as far as the changes before it did.
+    /// Applies a change of a name to the durable names, as far as the changes that it depends on survived.
     fn make_durable(&mut self, change: NameChange) {
         match change {
             NameChange::Created { name } => {
--- a/crates/sparrouter-storage/src/store.rs
+++ b/crates/sparrouter-storage/src/store.rs
@@ -1,30 +1,32 @@
-//! Records by name: opening finds the newest intact version of each, saving leaves either the old version or the new one.
+//! The store of records by name. Opening reads the newest version of each record; a save that is interrupted leaves
+//! either the old or the new version.
 //!
-//! A record `n` in its version 8 is the file `n.8`, and `n.8.tmp` until it is complete.
+//! Version 8 of the record `n` is the file `n.8`, which has the name `n.8.tmp` until it is complete.
 //!
-//! | after a crash | files found | version opened |
+//! | time of a crash | files found | version opened |
 //! | --- | --- | --- |
-//! | before the rename was synced | `n.7`, perhaps a torn `n.8.tmp` | 7 |
+//! | before the rename was synced | `n.7`, possibly an incomplete `n.8.tmp` | 7 |
 //! | after the rename, before older files were removed | `n.7`, `n.8` | 8 |
-//! | after that | `n.8` | 8 |
+//! | after older files were removed | `n.8` | 8 |
 //!
-//! Only bytes that were synced get a name without `.tmp`, so a crash cannot tear such a file. If the newest one is damaged,
-//! the disk has lost what it acknowledged. That is [`StorageError::Damaged`], and the version before is not opened in its
-//! place, because others may rely on what the lost one promised; the caller then treats the disk as wiped. A damaged
-//! older version beside an intact newer one is ignored and removed.
+//! Files are synced before they get a name without `.tmp`, so that a crash can't tear such a file. If the newest file
+//! of a record is damaged, the disk has lost acknowledged data. The store then reports [`StorageError::Damaged`] and
+//! doesn't open the previous version, because other nodes may rely on promises in the lost version; the caller treats
+//! the disk as wiped. A damaged older version is ignored and removed if the newest version is intact.
 use crate::error::{Operation, StorageError};
 use crate::file_name::{FileName, is_record_name};
 use crate::files::Files;
 use crate::frame;
 use std::collections::BTreeMap;
 
-/// Largest record in bytes: bounds what opening reads into memory, far above any record of the control state.
+/// Maximum length of a record in bytes, far above the length of any record of the control state. It limits the memory
+/// that opening a directory needs.
 pub const MAX_RECORD_BYTES: usize = 64 << 20;
 
-/// What a directory contained when it was opened.
+/// The records of a directory when it was opened.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Opened {
-    /// No record: a new disk, or one whose first save never finished.
+    /// The directory has no record: the disk is new, or its first save never completed.
     Fresh,
     /// The newest version of each record, by name.
     Existing(BTreeMap<String, Vec<u8>>),
@@ -33,16 +35,16 @@
 /// The files of one record.
 #[derive(Debug, Default)]
 struct RecordFiles {
-    /// Highest version that any save has used, successful or not. None is used twice, since a failed save may have left
-    /// anything under its name.
+    /// Highest version that any save has used, successful or not. No version is used twice, because a failed save may
+    /// have left a file of that version with any content.
     newest_version: u64,
-    /// The file that holds the current version.
+    /// Name of the file with the current version; `None` if there is none.
     current: Option<String>,
-    /// Files that can be removed: older versions, and what failed saves and removals left.
+    /// Names of files to remove: older versions, and files that failed saves or removals left.
     stale: Vec<String>,
 }
 
-/// The records of one directory. One process at a time may open a directory.
+/// The records of one directory. Only one process at a time may open a directory.
 #[derive(Debug)]
 pub struct Store<F: Files> {
     files: F,
@@ -50,18 +52,18 @@
 }
 
 impl<F: Files> Store<F> {
-    /// Opens a directory and reads the newest version of each record. Changes no file.
+    /// Opens a directory and reads the newest version of each record. Opening changes no file.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Newer`] and [`StorageError::Damaged`] with the file's name, [`StorageError::Io`] if the directory
-    /// cannot be read or synced.
+    /// [`StorageError::Newer`] or [`StorageError::Damaged`] if the newest file of a record can't be opened, and
+    /// [`StorageError::Io`] if the directory can't be read or synced.
     pub fn open(mut files: F) -> Result<(Store<F>, Opened), StorageError> {
         let folder = files.folder();
         let folder_error =
             |operation, error| StorageError::from_io(&folder, operation, ".", 0, error);
-        // A process that died between rename and sync left a name that is visible now and could be gone after a power
-        // loss. It must survive before anybody relies on what was read from it.
+        // After a crash between rename and sync, the new name of a file is visible but may be lost in a power loss. The
+        // name has to be durable before a caller relies on the record.
         files
             .sync_folder()
             .map_err(|error| folder_error(Operation::Sync, error))?;
@@ -86,7 +88,7 @@
         Ok((store, opened))
     }
 
-    /// Adds the files of each record, all of them as stale, and gives the newest version of each that is not temporary.
+    /// Adds the files of each record as stale. Returns the newest version of each record that is not temporary.
     fn add_files(&mut self, names: Vec<String>) -> BTreeMap<String, u64> {
         let mut newest_versions: BTreeMap<String, u64> = BTreeMap::new();
         for file in names {
@@ -104,7 +106,7 @@
         newest_versions
     }
 
-    /// Reads a version of a record, and makes its file the current one.
+    /// Reads a version of a record and makes its file the current one.
     fn open_version(&mut self, name: &str, version: u64) -> Result<Vec<u8>, StorageError> {
         let file = FileName::complete(name, version).to_string();
         let value = read_version(&self.files, &file, version)?;
@@ -115,17 +117,18 @@
         Ok(value)
     }
 
-    /// Saves a new version of a record. Blocks until it would survive a power loss.
+    /// Saves a new version of a record. Blocks until the new version is durable.
     ///
     /// # Errors
     ///
-    /// [`StorageError::InvalidName`] and [`StorageError::TooLarge`] without any effect. After [`StorageError::Full`] and
-    /// [`StorageError::Io`] the next start may find the old or the new version; a later save may succeed.
+    /// [`StorageError::InvalidName`] or [`StorageError::TooLarge`] if the record is invalid; nothing is changed then.
+    /// After [`StorageError::Full`] or [`StorageError::Io`] the next opening may find the old or the new version; a
+    /// later save may succeed.
     pub fn save(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         check_record(name, bytes)?;
         let files = &mut self.files;
         let record = self.records.entry(name.to_owned()).or_default();
-        // Before the write: on a full disk the stale files may be what takes the space.
+        // Stale files are removed before the write, because they may be the reason why the disk is full.
         remove_stale(files, &mut record.stale);
         record.newest_version += 1;
         let file_name = FileName::complete(name, record.newest_version);
@@ -144,7 +147,7 @@
         }
         if let Err(error) = files.rename(&temporary, &file) {
             let error = file_error(Operation::Rename, &temporary, error);
-            // It may have either name now.
+            // After a failed rename, the file may have either name.
             record.stale.extend([temporary, file]);
             return Err(error);
         }
@@ -158,7 +161,7 @@
         Ok(())
     }
 
-    /// Gives the directory back, for tests that open it again.
+    /// Returns the directory, for tests that open it again.
     pub fn into_files(self) -> F {
         self.files
     }
@@ -197,8 +200,7 @@
     Ok(())
 }
 
-/// Removes files that are not needed any more. A removal that fails is repeated at the next save; until then the file only
-/// takes space.
+/// Removes stale files. A failed removal is retried at the next save; until then the file only occupies space.
 fn remove_stale<F: Files>(files: &mut F, stale: &mut Vec<String>) {
     stale.retain(|file| {
         files
--- a/crates/sparrouter-storage/tests/saves.rs
+++ b/crates/sparrouter-storage/tests/saves.rs
@@ -1,11 +1,12 @@
-//! Records on a simulated disk: every crash point of a save, damage, a full disk, names and newer releases.
+//! Tests records on a simulated disk: all crash points of a save, damaged files, a full disk, invalid names, and files
+//! of newer releases.
 use sparrouter_storage::simulated::DiskFailure;
 use sparrouter_storage::{Files, Opened, RealFiles, SimulatedFiles, StorageError, Store};
 
 const OLD: &[u8] = b"the old record";
 const NEW: &[u8] = b"a new record, longer than the old";
 
-/// The record that a restart reads.
+/// The record that a restarted process reads; `None` if there is none.
 fn reopen<F: Files>(files: F, name: &str) -> Option<Vec<u8>> {
     match Store::open(files).unwrap().1 {
         Opened::Fresh => None,
@@ -13,7 +14,7 @@
     }
 }
 
-/// Operations of one save over an older version.
+/// Number of operations of a save that replaces an older version.
 fn operations_of_a_save() -> u64 {
     let (files, mut store) = store_with_old(0);
     let before = files.operations();
@@ -27,22 +28,25 @@
         .chain((0..NEW.len() + 26).map(DiskFailure::Torn))
 }
 
-/// A crash during a save: the operation that fails, how, and the seed of what a power loss leaves.
+/// A crash during a save.
 #[derive(Clone, Copy, Debug)]
 struct Crash {
+    /// Index of the failing operation of the save.
     nth: u64,
+    /// The way in which the operation fails.
     failure: DiskFailure,
+    /// Seed of the simulated disk, which determines the effects of a power loss.
     seed: u64,
 }
 
-/// Every crash during a save of so many operations, with several seeds each.
+/// All crashes during a save with this number of operations, each with eight seeds.
 fn crashes(operations: u64) -> impl Iterator<Item = Crash> {
     (0..operations).flat_map(|nth| {
         failures().flat_map(move |failure| (0..8).map(move |seed| Crash { nth, failure, seed }))
     })
 }
 
-/// A directory with `OLD` as `part-1`, and its store.
+/// A directory with the record `OLD` under the name `part-1`, and its store.
 fn store_with_old(seed: u64) -> (SimulatedFiles, Store<SimulatedFiles>) {
     let files = SimulatedFiles::new(seed);
     let (mut store, _) = Store::open(files.clone()).unwrap();
@@ -50,7 +54,7 @@
     (files, store)
 }
 
-/// Saves `OLD`, then `NEW` with a crash; gives the directory, and whether the second save was acknowledged.
+/// Saves `OLD`, then `NEW` with a crash. Returns the directory and whether the second save was acknowledged.
 fn crash_while_replacing(crash: Crash) -> (SimulatedFiles, bool) {
     let (files, mut store) = store_with_old(crash.seed);
     files.schedule_failure(crash.nth, crash.failure);
@@ -59,7 +63,7 @@
 }
 
 #[test]
-fn given_any_crash_point_of_a_save_when_power_is_lost_then_the_old_or_the_new_record_is_read() {
+fn given_any_crash_point_of_a_save_when_power_is_lost_then_the_old_or_the_new_record_is_opened() {
     for crash in crashes(operations_of_a_save()) {
         let (files, is_saved) = crash_while_replacing(crash);
         files.lose_power();
@@ -76,18 +80,20 @@
 }
 
 #[test]
-fn given_any_crash_point_when_power_is_lost_after_the_restart_then_what_the_restart_read_stays() {
+fn given_any_crash_point_of_a_save_when_power_is_lost_after_a_restart_then_the_opened_record_is_durable()
+ {
     for crash in crashes(operations_of_a_save()) {
         let (files, _) = crash_while_replacing(crash);
         files.clear_failure();
-        let read = reopen(files.clone(), "part-1").unwrap();
+        let opened = reopen(files.clone(), "part-1").unwrap();
         files.lose_power();
-        assert_eq!(reopen(files, "part-1").unwrap(), read, "{crash:?}");
+        assert_eq!(reopen(files, "part-1").unwrap(), opened, "{crash:?}");
     }
 }
 
 #[test]
-fn given_any_crash_point_of_the_first_save_when_power_is_lost_then_nothing_or_the_record_is_read() {
+fn given_any_crash_point_of_the_first_save_when_power_is_lost_then_no_record_or_the_new_one_is_opened()
+ {
     for crash in crashes(4) {
         let files = SimulatedFiles::new(crash.seed);
         let (mut store, opened) = Store::open(files.clone()).unwrap();
@@ -124,7 +130,7 @@
 }
 
 #[test]
-fn given_a_full_disk_when_space_is_freed_then_saves_succeed_and_the_old_record_was_not_lost() {
+fn given_a_full_disk_when_space_is_freed_then_saves_succeed_and_the_old_record_is_not_lost() {
     let (files, mut store) = store_with_old(1);
     files.set_capacity(Some(60));
     let error = store.save("part-1", NEW).unwrap_err();
@@ -147,14 +153,14 @@
 }
 
 #[test]
-fn given_a_damaged_newest_file_when_opened_then_it_is_rejected_and_no_older_one_is_served() {
+fn given_a_damaged_newest_file_when_opened_then_it_is_rejected_and_no_older_version_is_opened() {
     let (files, mut store) = store_with_old(1);
     let older = files.read("part-1.1").unwrap();
     store.save("part-1", NEW).unwrap();
     files.put("part-1.1", &older);
     for offset in 0..26 + NEW.len() {
         if offset == 9 {
-            continue; // the high byte of the format: a newer release, see below
+            continue; // the high byte of the format version, which a separate test covers
         }
         files.damage("part-1.2", offset);
         let error = Store::open(files.clone()).unwrap_err();
@@ -171,7 +177,8 @@
 }
 
 #[test]
-fn given_a_damaged_older_file_when_a_newer_one_is_good_then_it_is_ignored_and_removed() {
+fn given_a_damaged_older_file_when_the_newest_file_is_intact_then_the_older_one_is_ignored_and_removed()
+ {
     let (files, mut store) = store_with_old(1);
     store.save("part-1", NEW).unwrap();
     files.put("part-1.1", b"torn");
@@ -184,7 +191,7 @@
 }
 
 #[test]
-fn given_a_file_of_a_newer_release_when_opened_then_the_message_names_the_remedy() {
+fn given_a_file_of_a_newer_release_when_opened_then_the_error_names_the_remedy() {
     let files = SimulatedFiles::new(1);
     let mut bytes = sparrouter_storage::frame::write(1, OLD);
     bytes[8] = 2;
@@ -205,7 +212,7 @@
 }
 
 #[test]
-fn given_names_that_could_leave_the_directory_when_saved_then_they_are_rejected() {
+fn given_record_names_that_are_unsafe_in_paths_when_saved_then_they_are_rejected() {
     let (mut store, _) = Store::open(SimulatedFiles::new(1)).unwrap();
     for name in ["", "..", "a/b", "a.b", "A", &"x".repeat(65)] {
         assert!(
@@ -216,7 +223,7 @@
 }
 
 #[test]
-fn given_a_real_directory_when_saved_and_opened_again_then_records_are_there() {
+fn given_a_real_directory_when_saved_and_reopened_then_the_newest_records_are_opened() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("data");
     let (mut store, opened) = Store::open(RealFiles::open(&path).unwrap()).unwrap();
