--- a/crates/sparrouter-consensus/src/codec.rs
+++ b/crates/sparrouter-consensus/src/codec.rs
@@ -15,7 +15,7 @@
 pub enum CodecError {
     /// The input is longer than the caller allows.
     #[error(
-        "the input has {length} bytes, at most {max} are allowed: raise the limit at the receiver or send less"
+        "the input has {length} bytes, at most {max} are allowed: raise the limit at the receiver or send a smaller value"
     )]
     TooLong {
         /// Length of the input in bytes.
@@ -33,7 +33,7 @@
     },
     /// The input has the right format byte but is not a value of the expected type, or has trailing bytes.
     #[error(
-        "the input is not a valid record or message of this format, at byte {offset}: drop it and check its sender"
+        "decoding failed at byte {offset}, the input is not a valid record or message of this format: drop the input and check its sender"
     )]
     Malformed {
         /// Offset at which decoding stopped, in bytes from the start of the input.
--- a/crates/sparrouter-consensus/src/evaluation.rs
+++ b/crates/sparrouter-consensus/src/evaluation.rs
@@ -63,7 +63,8 @@
 pub(crate) struct Evaluated {
     pub sequence: Sequence,
     pub outcome: Outcome,
-    /// Whether the proposal contains the operation's effect. If not, the operation changes nothing.
+    /// Whether the proposal contains the operation's effect. If not, the operation changes nothing, and its answer
+    /// describes the state that it was evaluated on.
     pub is_proposed: bool,
 }
 
--- a/crates/sparrouter-consensus/src/fetch.rs
+++ b/crates/sparrouter-consensus/src/fetch.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Whether chunks may be in flight, which is not the case after a time-out: a member that then offers a body is
-    /// known to be reachable and is asked at once.
+    /// Whether the fetch is active: it is not paused, and no request timed out since the last received chunk. While a
+    /// fetch is inactive, a member that offers a body is asked at once, because that member is known to be reachable.
     pub fn is_active(&self) -> bool {
         self.retry_at.is_some() && self.timeouts == 0
     }
--- a/crates/sparrouter-consensus/src/lib.rs
+++ b/crates/sparrouter-consensus/src/lib.rs
@@ -1,5 +1,5 @@
-//! Control state in shards. Each shard is a *register*: one value with its own replica group, changed by
-//! compare-and-set under quorum.
+//! Sharded control state. Each shard is a *register*: one value with its own replica group, which is changed by
+//! compare-and-set with the acceptance of a quorum.
 //!
 //! There is no log and no stable leader. The value of a *slot* (`State`) replaces the value of the slot before it, and
 //! the group that a chosen state names governs the next slot. Any node with a pending change may propose it; proposers
--- a/crates/sparrouter-consensus/src/operation.rs
+++ b/crates/sparrouter-consensus/src/operation.rs
@@ -104,7 +104,7 @@
 /// The pending operations in the order in which they were submitted.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OperationQueue {
-    /// Ordered by `sequence`.
+    /// The pending operations, ordered by `sequence`.
     operations: Vec<Operation>,
     /// The last assigned sequence.
     sequence: Sequence,
--- a/crates/sparrouter-consensus/src/proposer.rs
+++ b/crates/sparrouter-consensus/src/proposer.rs
@@ -19,7 +19,8 @@
 use fastrand::Rng;
 
 /// A number under which the slot after `chosen` may be proposed without a prepare phase (Multi-Paxos): a quorum of the
-/// group has promised or accepted the number with `chosen` as its newest vote, so that no newer vote can be chosen.
+/// group has promised or accepted the number with `chosen` as its newest vote, so that no newer vote under a lower
+/// number can be chosen.
 #[derive(Clone, Debug)]
 pub(crate) struct PreparedNumber {
     pub number: ProposalNumber,
@@ -167,8 +168,8 @@
         self.consecutive_backoffs = 0;
     }
 
-    /// Starts a backoff of random length before the next prepare phase. Without the random delay two proposers could
-    /// outbid each other's numbers for ever (livelock).
+    /// Starts a backoff of random length before the next prepare phase. Without the random length, two proposers could
+    /// reject each other's numbers by preparing higher ones for ever (livelock).
     pub fn back_off(&mut self, rng: &mut Rng, now: Nanos) {
         self.prepared = None;
         let max_delay = self.round_trip << self.consecutive_backoffs.min(6);
--- a/crates/sparrouter-consensus/src/reconfiguration.rs
+++ b/crates/sparrouter-consensus/src/reconfiguration.rs
@@ -278,7 +278,8 @@
     /// How long a change has to be intended before this node proposes it.
     fn proposal_delay(&self, shard: u16, next_group: &[Member]) -> Nanos {
         let members = &self.state.members;
-        // The new node may be meant to replace a member whose loss is not detected yet, so that an addition waits.
+        // An addition is delayed, because the new node may be the replacement of a member whose loss is not detected
+        // yet.
         let addition_delay = if next_group.len() > members.len() {
             self.contact_timeout
         } else {
--- a/crates/sparrouter-consensus/src/register/mod.rs
+++ b/crates/sparrouter-consensus/src/register/mod.rs
@@ -70,7 +70,7 @@
 pub enum RegisterError {
     /// The record on disk could not be decoded.
     #[error(
-        "the record of shard {shard} can't be read: {source}; treat the disk as wiped, so that it joins under a new id"
+        "the record of shard {shard} can't be decoded: {source}; treat the disk as wiped, so that the node joins under a new disk id"
     )]
     Record {
         /// The register's shard.
--- a/crates/sparrouter-consensus/src/settings.rs
+++ b/crates/sparrouter-consensus/src/settings.rs
@@ -24,7 +24,7 @@
     pub max_inline_body_bytes: usize,
     /// Length of a chunk of a body, in bytes. A small message on the same connection waits behind at most a few chunks.
     pub chunk_bytes: usize,
-    /// Defects that a test injects.
+    /// The defects that a test injects; none outside of tests.
     pub defects: Defects,
 }
 
--- a/crates/sparrouter-consensus/tests/catch_up.rs
+++ b/crates/sparrouter-consensus/tests/catch_up.rs
@@ -266,7 +266,7 @@
 fn given_an_offered_body_when_its_length_exceeds_the_limit_then_it_is_not_fetched() {
     let mut lagging = LaggingMember::new(Defects::default());
     let Message::Outline(mut outline) = lagging.outlines[1].clone() else {
-        panic!("an outline");
+        panic!("expected an outline");
     };
     outline.body.length = u32::MAX;
     lagging
@@ -288,7 +288,7 @@
     lagging.register.propose(1, vec![1], TIMEOUT, 0);
     let number = lagging.prepare_and_store();
     let Message::Outline(mut promise) = lagging.outlines[0].clone() else {
-        panic!("an outline");
+        panic!("expected an outline");
     };
     promise.message = OutlinedMessage::Promise { number };
     lagging
--- a/crates/sparrouter-consensus/tests/explore/mod.rs
+++ b/crates/sparrouter-consensus/tests/explore/mod.rs
@@ -5,7 +5,7 @@
 //! | `body` | the replicated value: a byte changed by compare-and-set |
 //! | `violation` | the rules and their violations |
 //! | `scope` | the events of an exploration, and their maximum numbers |
-//! | `node` | a node: its register, its disk, and the store between them |
+//! | `node` | a node: its process, its disk, and the store in flight |
 //! | `step` | the steps of an exploration |
 //! | `system` | one state of the whole system and its possible steps |
 //! | `trace` | short summaries of messages |
--- a/crates/sparrouter-consensus/tests/explore/node.rs
+++ b/crates/sparrouter-consensus/tests/explore/node.rs
@@ -34,7 +34,7 @@
     /// Votes accepted in memory that are not part of a store yet.
     unsaved: Vec<VoteId>,
     now: Nanos,
-    /// The vote on disk.
+    /// Id of the newest vote on disk.
     pub vote_on_disk: Option<VoteId>,
     pub digest: u128,
 }
--- a/crates/sparrouter-consensus/tests/explore/system.rs
+++ b/crates/sparrouter-consensus/tests/explore/system.rs
@@ -200,7 +200,7 @@
             Step::FailSync { node, written } => {
                 format!("node-{} fails to sync, bytes written: {written}", node + 1)
             }
-            Step::Timer { node } => format!("timer of node-{}", node + 1),
+            Step::Timer { node } => format!("a timer of node-{} fires", node + 1),
             Step::Crash { node, written } => {
                 format!(
                     "node-{} crashes and restarts, pending store on disk: {written}",
--- a/crates/sparrouter-consensus/tests/explore/votes.rs
+++ b/crates/sparrouter-consensus/tests/explore/votes.rs
@@ -38,7 +38,7 @@
     /// Records that a proposer has sent an `Accept` for this vote.
     ///
     /// # Errors
-    /// Another value was proposed under the same number.
+    /// Another value was proposed under the vote's number.
     pub fn propose(&mut self, vote: &Vote) -> Result<(), Violation> {
         match self.proposed.get(&vote.id()) {
             Some(known) if has_same_value(known, vote) => Ok(()),
--- a/crates/sparrouter-consensus/tests/fleet/network.rs
+++ b/crates/sparrouter-consensus/tests/fleet/network.rs
@@ -48,7 +48,7 @@
         let Some(receiver) = self.nodes.iter().position(is_receiver) else {
             return;
         };
-        self.log(|| format!("{from} to {receiver}: {}", summary(message)));
+        self.log(|| format!("node {from} to node {receiver}: {}", summary(message)));
         if !self.is_connected(from, receiver) || self.rng.u8(..) < self.network.loss {
             return;
         }
--- a/crates/sparrouter-consensus/tests/fleet/replicas.rs
+++ b/crates/sparrouter-consensus/tests/fleet/replicas.rs
@@ -25,13 +25,13 @@
         let majority = state.members.len() / 2 + 1;
         if replicas <= spare {
             self.monitor.report(format!(
-                "slot {} is on {replicas} disks, {spare} more of which may be lost",
+                "slot {} is on {replicas} disks, and {spare} more disks may be lost",
                 state.slot
             ));
         }
         if votes.len() < majority + spare {
             self.monitor.report(format!(
-                "{} members of the group of slot {} have a vote on disk, a majority needs {majority}, {spare} more may be lost",
+                "{} members of the group of slot {} have a vote on disk, a majority needs {majority}, and {spare} more disks may be lost",
                 votes.len(),
                 state.slot
             ));
--- a/crates/sparrouter-storage/src/error.rs
+++ b/crates/sparrouter-storage/src/error.rs
@@ -62,7 +62,7 @@
         /// Name of the file.
         name: String,
     },
-    /// The name is not allowed for a record.
+    /// The name is not a valid record name.
     #[error("{name:?} is not a valid record name: use 1 to 64 characters of a-z, 0-9, '-' and '_'")]
     InvalidName {
         /// The rejected name.
--- a/crates/sparrouter-storage/src/simulated/disk.rs
+++ b/crates/sparrouter-storage/src/simulated/disk.rs
@@ -19,7 +19,7 @@
 /// The content of a file.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Content {
-    /// The bytes as the process sees them.
+    /// The bytes that a process reads.
     pub bytes: Vec<u8>,
     /// The bytes that survive a power loss; `None` if the content was never synced.
     pub synced: Option<Vec<u8>>,
@@ -56,7 +56,7 @@
 pub(super) struct Disk {
     /// Contents by id. Two names may refer to the same content while a rename is not synced.
     pub contents: BTreeMap<ContentId, Content>,
-    /// File names as the process sees them.
+    /// File names that a process sees.
     pub visible: BTreeMap<String, ContentId>,
     /// File names that survive a power loss.
     pub durable: BTreeMap<String, ContentId>,
