--- a/crates/sparrouter-consensus/src/evaluation.rs
+++ b/crates/sparrouter-consensus/src/evaluation.rs
@@ -153,10 +153,13 @@
             }
             OperationKind::Change(change) => Some(self.add_change(machine, change, settings)),
             OperationKind::ChangeMembers { .. } if self.body.is_some() => None,
-            OperationKind::ChangeMembers { from, to } => {
-                let is_applicable =
-                    self.is_governed_by(from) && is_single_member_change(&self.chosen.members, to);
-                self.members = is_applicable.then(|| to.clone());
+            OperationKind::ChangeMembers {
+                old_disk_ids,
+                new_members,
+            } => {
+                let is_applicable = self.is_governed_by(old_disk_ids)
+                    && is_single_member_change(&self.chosen.members, new_members);
+                self.members = is_applicable.then(|| new_members.clone());
                 Some(Addition {
                     outcome: Outcome::Answered(Vec::new()),
                     changes_state: is_applicable,
@@ -234,11 +237,11 @@
         && has_distinct_disks(new)
 }
 
-/// Number of members of `group` that are not in `other`.
-fn count_missing(group: &[Member], other: &[Member]) -> usize {
+/// Number of members of `group` that are not in `other_group`.
+fn count_missing(group: &[Member], other_group: &[Member]) -> usize {
     group
         .iter()
-        .filter(|member| !contains_disk(other, member.disk_id))
+        .filter(|member| !contains_disk(other_group, member.disk_id))
         .count()
 }
 
--- a/crates/sparrouter-consensus/src/operation.rs
+++ b/crates/sparrouter-consensus/src/operation.rs
@@ -51,8 +51,8 @@
     ChangeMembers {
         /// Disk ids of the group that the change was decided for. The change has no effect if another group is in
         /// force.
-        from: Vec<u64>,
-        to: Vec<Member>,
+        old_disk_ids: Vec<u64>,
+        new_members: Vec<Member>,
     },
     /// An internal read of the register, which finds out whether the newest vote is chosen.
     ConfirmNewest,
--- a/crates/sparrouter-consensus/src/reconfiguration.rs
+++ b/crates/sparrouter-consensus/src/reconfiguration.rs
@@ -59,7 +59,7 @@
     pub fn decide(
         &mut self,
         shard: u16,
-        me: &Member,
+        own_member: &Member,
         state: &State,
         observations: &[NodeObservation],
         settings: &Settings,
@@ -72,14 +72,14 @@
                 || self.candidates.is_confirmed(disk_id, valid_for, now)
         };
         let view = View {
-            me,
+            own_member,
             state,
             observations,
             contact_timeout: settings.contact_timeout,
             observed_for: now - observing_since,
             is_eligible: &is_eligible,
         };
-        let is_member = contains_disk(&state.members, me.disk_id);
+        let is_member = contains_disk(&state.members, own_member.disk_id);
         let Some(members) = view.next_group(shard).filter(|_| is_member) else {
             self.intended = None;
             return None;
@@ -106,13 +106,13 @@
     /// The nodes that may join the group once they confirm that their disks have its state.
     pub(crate) fn candidates(
         shard: u16,
-        me: &Member,
+        own_member: &Member,
         state: &State,
         observations: &[NodeObservation],
         settings: &Settings,
     ) -> Vec<Member> {
         let view = View {
-            me,
+            own_member,
             state,
             observations,
             contact_timeout: settings.contact_timeout,
@@ -149,7 +149,7 @@
 
 /// The group and the observations that one decision is based on.
 struct View<'a> {
-    me: &'a Member,
+    own_member: &'a Member,
     state: &'a State,
     observations: &'a [NodeObservation],
     contact_timeout: Nanos,
@@ -168,7 +168,7 @@
 
     /// Time since the member was last heard from, or since this node's first decision if it never was.
     fn unresponsive_for(&self, member: &Member) -> Nanos {
-        if member.disk_id == self.me.disk_id {
+        if member.disk_id == self.own_member.disk_id {
             return 0;
         }
         self.find(member)
@@ -181,7 +181,7 @@
     /// the group until that one returns.
     fn is_present(&self, member: &Member) -> bool {
         let since_last_contact = self.find(member).and_then(|o| o.since_last_contact);
-        member.disk_id == self.me.disk_id
+        member.disk_id == self.own_member.disk_id
             || since_last_contact.is_some_and(|since| since < self.contact_timeout / 2)
     }
 
@@ -285,11 +285,11 @@
         } else {
             0
         };
-        let live_members_before_me = ranked(shard, members)
+        let live_members_before_own = ranked(shard, members)
             .into_iter()
-            .filter(|member| member.disk_id == self.me.disk_id || self.may_stay(member))
-            .take_while(|member| member.disk_id != self.me.disk_id)
+            .filter(|member| member.disk_id == self.own_member.disk_id || self.may_stay(member))
+            .take_while(|member| member.disk_id != self.own_member.disk_id)
             .count() as u64;
-        addition_delay + live_members_before_me * self.contact_timeout / 10
+        addition_delay + live_members_before_own * self.contact_timeout / 10
     }
 }
--- a/crates/sparrouter-consensus/src/register/catch_up.rs
+++ b/crates/sparrouter-consensus/src/register/catch_up.rs
@@ -47,7 +47,7 @@
     /// that leaves the group needs the members' reports to shut down, and a member needs a candidate's report to add
     /// it.
     fn stored_report(&self, from: &Member) -> Option<Message> {
-        let is_member = self.learner.is_member(self.me.disk_id);
+        let is_member = self.learner.is_member(self.own_member.disk_id);
         if is_member == self.learner.is_member(from.disk_id) {
             return None;
         }
@@ -57,7 +57,7 @@
 
     /// If this node is outside the group, announces the newest chosen slot on its disk to the members.
     pub(super) fn announce_stored_slot(&mut self) {
-        if self.learner.is_member(self.me.disk_id) {
+        if self.learner.is_member(self.own_member.disk_id) {
             return;
         }
         let Some(chosen_slot) = self.stored_chosen_slot() else {
@@ -88,7 +88,7 @@
             .map_or(&[][..], |vote| &vote.state.members);
         let other_members: Vec<&Member> = members
             .iter()
-            .filter(|member| member.disk_id != self.me.disk_id)
+            .filter(|member| member.disk_id != self.own_member.disk_id)
             .collect();
         let peer = self
             .anti_entropy
--- a/crates/sparrouter-consensus/src/register/membership.rs
+++ b/crates/sparrouter-consensus/src/register/membership.rs
@@ -19,7 +19,7 @@
         self.ask_candidates(&chosen, observations, now);
         let next_group = self.reconfiguration.decide(
             self.shard,
-            &self.me,
+            &self.own_member,
             &chosen.state,
             observations,
             &self.settings,
@@ -43,7 +43,7 @@
             .iter()
             .filter(is_live)
             .map(|observation| &observation.member)
-            .filter(|member| member.disk_id != self.me.disk_id)
+            .filter(|member| member.disk_id != self.own_member.disk_id)
             .collect();
         self.anti_entropy.choose_outside_peer(&live, &mut self.rng);
     }
@@ -57,7 +57,7 @@
     ) {
         let candidates = Reconfiguration::candidates(
             self.shard,
-            &self.me,
+            &self.own_member,
             &chosen.state,
             observations,
             &self.settings,
@@ -77,8 +77,8 @@
     fn propose_group(&mut self, chosen: &SharedVote, next_group: Vec<Member>, now: Nanos) {
         let members = chosen.state.members.iter();
         let change = OperationKind::ChangeMembers {
-            from: members.map(|member| member.disk_id).collect(),
-            to: next_group,
+            old_disk_ids: members.map(|member| member.disk_id).collect(),
+            new_members: next_group,
         };
         let deadline = now + self.settings.contact_timeout;
         self.operations.push(None, change, deadline);
@@ -89,7 +89,7 @@
     /// disk. Until then this node's vote may be needed to recover that state.
     pub fn may_leave(&self) -> bool {
         self.accepted().is_none_or(|vote| {
-            !vote.is_elector(self.me.disk_id) && self.learner.is_exclusion_stored()
+            !vote.is_elector(self.own_member.disk_id) && self.learner.is_exclusion_stored()
         })
     }
 
@@ -99,13 +99,13 @@
         let Some(chosen) = self.learner.chosen().cloned() else {
             return;
         };
-        let message = if self.learner.is_member(self.me.disk_id) {
+        let message = if self.learner.is_member(self.own_member.disk_id) {
             self.handover.query(&chosen, || self.rng.u64(..))
         } else {
             self.progress()
         };
         for member in &chosen.state.members {
-            if member.disk_id != self.me.disk_id {
+            if member.disk_id != self.own_member.disk_id {
                 self.send(member.clone(), message.clone());
             }
         }
@@ -124,7 +124,7 @@
         let Some(chosen) = self.learner.chosen() else {
             return self.accepted().is_none();
         };
-        if !contains_disk(&chosen.state.members, self.me.disk_id) {
+        if !contains_disk(&chosen.state.members, self.own_member.disk_id) {
             return self.may_leave();
         }
         let is_newest_committed = self.accepted_vote() == Some(chosen.id());
@@ -137,6 +137,6 @@
             && !self.handover.has_successor
             && self
                 .handover
-                .is_confirmed(chosen, self.me.disk_id, valid_for, now)
+                .is_confirmed(chosen, self.own_member.disk_id, valid_for, now)
     }
 }
--- a/crates/sparrouter-consensus/src/register/mod.rs
+++ b/crates/sparrouter-consensus/src/register/mod.rs
@@ -85,7 +85,7 @@
 pub struct Register<M: Machine> {
     shard: u16,
     /// This node with its disk id. Both are fixed: a wiped disk gets a new register.
-    me: Member,
+    own_member: Member,
     /// The state machine that applies changes to the body.
     machine: M,
     settings: Settings,
@@ -117,7 +117,7 @@
     /// The record can't be decoded. The caller then has to treat the disk as wiped.
     pub fn new(
         shard: u16,
-        me: Member,
+        own_member: Member,
         record: Option<&[u8]>,
         machine: M,
         mut rng: Rng,
@@ -138,9 +138,9 @@
             .map_or_else(Vec::new, |vote| vote.state.members.clone());
         Ok(Register {
             shard,
-            proposer: Proposer::new(me.disk_id, incarnation, term, settings.round_trip),
+            proposer: Proposer::new(own_member.disk_id, incarnation, term, settings.round_trip),
             acceptor: Acceptor::new(record),
-            learner: Learner::new(me.disk_id),
+            learner: Learner::new(own_member.disk_id),
             quorum: QuorumRule::new(first_group, settings.defects.clone()),
             operations: OperationQueue::default(),
             reconfiguration: Reconfiguration::default(),
@@ -149,7 +149,7 @@
             anti_entropy: AntiEntropy::new(&mut rng, &settings, now),
             inbox: VecDeque::new(),
             actions: Vec::new(),
-            me,
+            own_member,
             machine,
             rng,
             settings,
@@ -195,7 +195,7 @@
 
     /// Whether this node is a member of the newest group that it knows.
     pub fn is_member(&self) -> bool {
-        contains_disk(self.members(), self.me.disk_id)
+        contains_disk(self.members(), self.own_member.disk_id)
     }
 
     fn accepted(&self) -> Option<&SharedVote> {
@@ -298,7 +298,7 @@
 
     /// Sends a message. A message to this node itself is handled before the current call of the register returns.
     fn send(&mut self, to: Member, message: Message) {
-        if to.disk_id == self.me.disk_id {
+        if to.disk_id == self.own_member.disk_id {
             self.inbox.push_back(Received { from: to, message });
         } else {
             let message = self.transfers.outline(message, &self.settings);
--- a/crates/sparrouter-consensus/src/register/proposal.rs
+++ b/crates/sparrouter-consensus/src/register/proposal.rs
@@ -214,7 +214,7 @@
         self.proposer.reset_backoff();
         let chosen = self.publish(&request.vote, now);
         for member in request.recipients {
-            if member.disk_id != self.me.disk_id {
+            if member.disk_id != self.own_member.disk_id {
                 self.send(member, Message::Chosen { vote_id });
             }
         }
--- a/crates/sparrouter-consensus/src/register/publication.rs
+++ b/crates/sparrouter-consensus/src/register/publication.rs
@@ -47,7 +47,8 @@
     /// failed.
     pub(super) fn is_newest_uncommitted(&self) -> bool {
         self.accepted().is_some_and(|vote| {
-            self.learner.chosen_slot() < Some(vote.state.slot) && vote.is_elector(self.me.disk_id)
+            self.learner.chosen_slot() < Some(vote.state.slot)
+                && vote.is_elector(self.own_member.disk_id)
         })
     }
 
