--- a/crates/sparrouter-consensus/src/quorum.rs
+++ b/crates/sparrouter-consensus/src/quorum.rs
@@ -13,7 +13,7 @@
 /// Whether the disks for which `has` is true include a majority of the group that governs the vote's slot and a
 /// majority of the group that the vote's state names.
 fn is_joint_majority(vote: &Vote, has: impl Fn(u64) -> bool + Copy) -> bool {
-    is_majority(vote.governing(), has) && is_majority(&vote.state.members, has)
+    is_majority(vote.governing_members(), has) && is_majority(&vote.state.members, has)
 }
 
 fn count(members: &[Member], has: impl Fn(u64) -> bool) -> usize {
@@ -64,6 +64,6 @@
         }
         self.defects
             .half_is_majority
-            .then(|| is_enough(vote.governing()) && is_enough(&vote.state.members))
+            .then(|| is_enough(vote.governing_members()) && is_enough(&vote.state.members))
     }
 }
--- a/crates/sparrouter-consensus/src/vote.rs
+++ b/crates/sparrouter-consensus/src/vote.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of members of a group; further nodes that count toward a quorum are spares.
 pub const MAX_MEMBERS: usize = 9;
-/// Maximum number of slots, up to a state's own, for which the state names the chosen proposal.
+/// Maximum length of `State::recent_proposals`: the state's own slot and the slots before it.
 pub const MAX_RECENT_PROPOSALS: usize = 8;
 
 /// A member of a replica group, identified by `disk_id` alone: the same node with another disk is another member.
@@ -87,7 +87,7 @@
 
     /// The group that governs this slot. A vote is chosen by a majority of this group and a majority of
     /// `state.members`.
-    pub fn governing(&self) -> &[Member] {
+    pub fn governing_members(&self) -> &[Member] {
         self.previous_members
             .as_ref()
             .unwrap_or(&self.state.members)
@@ -107,7 +107,8 @@
 
     /// Whether the vote of the member with this disk counts for this slot.
     pub(crate) fn is_elector(&self, disk_id: u64) -> bool {
-        contains_disk(&self.state.members, disk_id) || contains_disk(self.governing(), disk_id)
+        contains_disk(&self.state.members, disk_id)
+            || contains_disk(self.governing_members(), disk_id)
     }
 
     /// The same state under another number.
--- a/crates/sparrouter-consensus/tests/fleet/network.rs
+++ b/crates/sparrouter-consensus/tests/fleet/network.rs
@@ -128,7 +128,10 @@
 fn summary(message: &Message) -> String {
     match message {
         Message::Accept { vote } => {
-            let (old, new) = (labels(vote.governing()), labels(&vote.state.members));
+            let (old, new) = (
+                labels(vote.governing_members()),
+                labels(&vote.state.members),
+            );
             let change = if old == new {
                 String::new()
             } else {
--- a/crates/sparrouter-simulation/src/durability.rs
+++ b/crates/sparrouter-simulation/src/durability.rs
@@ -193,7 +193,7 @@
     };
     let has_majority =
         |members: &[Member]| members.iter().filter(accepted).count() > members.len() / 2;
-    has_majority(vote.governing()) && has_majority(&vote.state.members)
+    has_majority(vote.governing_members()) && has_majority(&vote.state.members)
 }
 
 /// What a machine would find on its disk after a loss of power.
