--- a/crates/sparrouter-consensus/src/acceptor.rs
+++ b/crates/sparrouter-consensus/src/acceptor.rs
@@ -5,9 +5,9 @@
 //! writes these changes. A store that fails or hangs delays only the replies that depend on it; a `Query` is still
 //! answered from the record on disk.
 //!
-//! A node without a record may promise: the disk id is created with the data folder and records are never removed, so
-//! that a missing record means that no vote was cast under this id. A wiped or damaged folder gets a new disk id, which
-//! is in no group.
+//! A node without a record may promise: the disk id is created with the data folder and records are never removed.
+//! Therefore a missing record means that no vote was cast under this id. A wiped or damaged folder gets a new disk id,
+//! which is in no group.
 use crate::message::{Message, Outgoing, RejectReason};
 use crate::record::Record;
 use crate::settings::Settings;
@@ -274,7 +274,7 @@
         }
     }
 
-    /// When a failed store is to be retried.
+    /// When a failed store is retried; `None` if no retry is scheduled.
     pub fn next_wake(&self) -> Option<Nanos> {
         self.retry_at
             .filter(|_| self.version > self.stored_version && self.store_in_flight.is_none())
--- a/crates/sparrouter-consensus/src/anti_entropy.rs
+++ b/crates/sparrouter-consensus/src/anti_entropy.rs
@@ -7,7 +7,7 @@
 use crate::vote::Member;
 use fastrand::Rng;
 
-/// One in this many anti-entropy messages goes to a node that may be outside the group.
+/// Average number of comparisons for each comparison with the outside peer, which may not be a member of the group.
 const OUTSIDE_PEER_INTERVAL: usize = 4;
 
 /// Timers and peers of anti-entropy.
@@ -15,7 +15,8 @@
 pub(crate) struct AntiEntropy {
     /// When this node next compares its progress with a peer.
     next_comparison: Nanos,
-    /// A random node that was live at the last observation, in the group or not.
+    /// A node that may be outside the group, drawn from the nodes that were live at the last observation; `None` before
+    /// the first observation and if no other node was live.
     outside_peer: Option<Member>,
     /// When to find out whether the newest vote is chosen; `None` if no confirmation is scheduled.
     next_confirmation: Option<Nanos>,
@@ -56,8 +57,9 @@
         true
     }
 
-    /// The peer of the next comparison: a member, or in one of `OUTSIDE_PEER_INTERVAL` cases the outside peer. If all
-    /// members of the known group were replaced, only an outside peer can report the new group.
+    /// The peer of the next comparison: on average one of `OUTSIDE_PEER_INTERVAL` comparisons is with the outside peer,
+    /// all others are with members. If all members of the known group were replaced, only an outside peer can report
+    /// the new group.
     pub fn choose_peer<'a>(
         &'a self,
         other_members: &[&'a Member],
--- a/crates/sparrouter-consensus/src/body_cache.rs
+++ b/crates/sparrouter-consensus/src/body_cache.rs
@@ -3,8 +3,8 @@
 use crate::vote::SharedVote;
 use std::sync::Arc;
 
-/// Maximum number of cached bodies. More than one, so that a body that a peer is fetching stays cached while newer
-/// bodies are added.
+/// Maximum number of cached bodies. The cache holds more than one body, so that a body that a peer is fetching stays
+/// cached while newer bodies are added.
 const MAX_BODIES: usize = 4;
 
 /// The bytes of a cached body, shared with the vote or the fetch that they came from, so that they are not copied.
--- a/crates/sparrouter-consensus/src/candidate.rs
+++ b/crates/sparrouter-consensus/src/candidate.rs
@@ -14,8 +14,8 @@
 
 #[derive(Clone, Debug)]
 struct Confirmation {
-    /// The slot that the candidate's disk must have. It stays fixed until the candidate confirms it; if it followed
-    /// every change, a candidate of a group that changes often could never confirm it.
+    /// The slot that the candidate's disk must have. It stays fixed until the candidate confirms it. If it were raised
+    /// with every chosen slot, a candidate of a group that changes often could never confirm it.
     required_slot: u64,
     /// When the candidate last confirmed that its disk has `required_slot`; `None` if it never did.
     confirmed_at: Option<Nanos>,
--- a/crates/sparrouter-consensus/src/evaluation.rs
+++ b/crates/sparrouter-consensus/src/evaluation.rs
@@ -20,7 +20,8 @@
     Pending,
     /// One of the operation's proposals was chosen. Contains the operation's answer.
     Chosen(Vec<u8>),
-    /// `recent_proposals` doesn't reach back to one of the slots that the operation was proposed for.
+    /// `recent_proposals` doesn't reach back to one of the slots that the operation was proposed for, or the operation
+    /// has `MAX_SENT_PROPOSALS` unresolved proposals.
     Unknown,
 }
 
@@ -68,10 +69,11 @@
     pub is_proposed: bool,
 }
 
-/// The evaluated operations at the head of the queue, and the vote to propose; `None` if there is nothing to propose.
+/// The evaluated operations at the head of the queue, and the resulting proposal.
 #[derive(Debug)]
 pub(crate) struct Batch {
     pub evaluated: Vec<Evaluated>,
+    /// The vote to propose; `None` if there is nothing to propose.
     pub vote: Option<Vote>,
 }
 
@@ -104,12 +106,13 @@
         }
     }
     // An operation may be rejected here although one of its earlier proposals is unresolved and may still be chosen.
-    // Callers are answered only once another proposal is chosen for that slot, if need be one that changes nothing.
-    let has_open_proposal = operations
+    // Its caller is answered only once another proposal is chosen for that slot, possibly one that changes nothing.
+    let has_unresolved_proposal = operations
         .iter()
         .take(evaluated.len())
         .any(|operation| !operation.sent.is_empty());
-    let vote = (draft.is_changed() || has_open_proposal).then(|| draft.vote(number, proposal_id));
+    let vote =
+        (draft.is_changed() || has_unresolved_proposal).then(|| draft.vote(number, proposal_id));
     Batch { evaluated, vote }
 }
 
--- a/crates/sparrouter-consensus/src/fetch.rs
+++ b/crates/sparrouter-consensus/src/fetch.rs
@@ -12,7 +12,8 @@
 /// Number of consecutive time-outs after which a fetch is paused.
 const MAX_TIMEOUTS: u32 = 5;
 
-/// A fetch of one body, which is active, delayed or paused.
+/// A fetch of one body. The fetch is active, delayed (a request timed out and no chunk has arrived since) or paused
+/// (after `MAX_TIMEOUTS` consecutive time-outs).
 #[derive(Clone, Debug)]
 pub(crate) struct Fetch {
     pub body: BodyReference,
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Whether the fetch is active: it is not paused, and no request timed out since the last received chunk. While a
-    /// fetch is inactive, a member that offers a body is asked at once, because that member is known to be reachable.
+    /// Whether the fetch is active: it is not paused, and no request timed out since the last received chunk. While the
+    /// fetch is delayed or paused, a member that offers a body is asked at once, because that member is reachable.
     pub fn is_active(&self) -> bool {
         self.retry_at.is_some() && self.timeouts == 0
     }
--- a/crates/sparrouter-consensus/src/learner.rs
+++ b/crates/sparrouter-consensus/src/learner.rs
@@ -11,8 +11,8 @@
     disk_id: u64,
     /// The newest chosen vote, without its previous group. Its slot never decreases.
     chosen: Option<SharedVote>,
-    /// The first known slot whose group excludes this node, counted since this node was last a member; `None` if this
-    /// node is a member.
+    /// The first learned slot whose group excludes this node, after the last learned slot whose group includes it;
+    /// `None` if the newest group includes this node or no chosen vote is known.
     excluded_since: Option<u64>,
     /// The newest chosen slot on the disk of each member of the newest group, by disk id, as the members reported it.
     stored_slots: BTreeMap<u64, u64>,
--- a/crates/sparrouter-consensus/src/lease.rs
+++ b/crates/sparrouter-consensus/src/lease.rs
@@ -9,7 +9,7 @@
 //! | --- | --- | --- |
 //! | acquire | any node | the token is incremented; a new holder waits out the previous holder's duration |
 //! | renew | the holder with its token | the body stays; the answer confirms that no other node has acquired the lease |
-//! | release | the holder with its token | the lease has no holder; the next holder takes over a wait that is not over |
+//! | release | the holder with its token | the lease has no holder; if the `takeover_wait` has not ended, it applies to the next holder |
 //!
 //! Sources: Gray and Cheriton, "Leases", SOSP 1989; Burrows, "The Chubby lock service", OSDI 2006 (sequencers).
 use crate::codec::{self, read_text, write_bytes};
@@ -97,7 +97,7 @@
 }
 
 impl Lease {
-    /// Decodes a body. An empty body is a lease that was never acquired. `None` if the body is malformed.
+    /// Decodes a body; `None` if it is malformed. An empty body is a lease that was never acquired.
     pub fn decode(body: &[u8]) -> Option<Lease> {
         if body.is_empty() {
             Some(Lease::default())
--- a/crates/sparrouter-consensus/src/lib.rs
+++ b/crates/sparrouter-consensus/src/lib.rs
@@ -46,8 +46,9 @@
 //! 5. *An operation takes effect at most once.* A state names the proposals that were chosen for the most recent slots.
 //!    A proposed operation is evaluated again only after another proposal was chosen for each of its slots; if the
 //!    state no longer shows that, the operation's outcome is `Unknown` (`evaluation`).
-//! 6. *The transfer of large bodies affects no rule.* Fetching a body in chunks only delays its message: a promise
-//!    counts only once the reported state has arrived, and a body is used only if its digest matches (`transfer`).
+//! 6. *The transfer of large bodies affects none of these invariants.* Fetching a body in chunks only delays its
+//!    message: a promise counts only once the reported state has arrived, and a body is used only if its digest matches
+//!    (`transfer`).
 //!
 //! Members periodically compare their progress (`anti_entropy`), so that a member that is any number of slots behind
 //! receives the newest state. Liveness depends on anti-entropy, backoffs and time-outs; safety depends on no clock.
--- a/crates/sparrouter-consensus/src/message.rs
+++ b/crates/sparrouter-consensus/src/message.rs
@@ -85,9 +85,9 @@
         /// The newest slot that the sender knows to be chosen.
         chosen_slot: Option<u64>,
     },
-    /// The sender's disk has the chosen state of this slot or a later one, without a previous group. Sent by a member
-    /// to a node outside its group, or by such a node to a member. The message is never answered; otherwise two nodes
-    /// that both consider the other to be outside the group would exchange it for ever.
+    /// The sender's disk has the chosen state of this slot, in a vote without `previous_members`, or a vote for a later
+    /// slot. Sent by a member to a node outside its group, or by such a node to a member. The message is never
+    /// answered; otherwise two nodes that each consider the other to be outside the group would exchange it for ever.
     Stored {
         /// The newest chosen slot on the sender's disk.
         chosen_slot: u64,
--- a/crates/sparrouter-consensus/src/operation.rs
+++ b/crates/sparrouter-consensus/src/operation.rs
@@ -73,7 +73,7 @@
     /// was already answered.
     pub id: Option<u64>,
     pub kind: OperationKind,
-    /// When the operation completes at the latest, if need be with an unknown outcome.
+    /// Time at which the operation completes at the latest: as `Unknown` if it was proposed, otherwise as `Rejected`.
     pub deadline: Nanos,
     /// Position in the order of submission. Unique within the register.
     pub sequence: Sequence,
--- a/crates/sparrouter-consensus/src/reconfiguration.rs
+++ b/crates/sparrouter-consensus/src/reconfiguration.rs
@@ -5,8 +5,8 @@
 //! | --- | --- |
 //! | a node with another disk id at a member's address | the member is replaced at once: its old disk is lost |
 //! | a member is leaving or unresponsive for `contact_timeout`, and there is a candidate | the member is replaced |
-//! | a member is leaving or unresponsive for `contact_timeout`, and the group exceeds its initial size | the member is removed |
-//! | for `contact_timeout`: each member was heard from within half of it, there is a candidate, and the group has fewer than nine members | the candidate is added |
+//! | a member is leaving or unresponsive for `contact_timeout`, there is no candidate, and the group exceeds its initial size | the member is removed |
+//! | no member is leaving, all were heard from within half of `contact_timeout`, there is a candidate, and the group has fewer than nine members; all this lasts for `contact_timeout` | the candidate is added |
 //!
 //! A node is added, or replaces a member, only after it has confirmed that the group's state is on its own disk
 //! (`candidate`). Until then the old group stays, because after adding a member whose disk is empty or stalled the next
@@ -55,7 +55,8 @@
 }
 
 impl Reconfiguration {
-    /// The group to propose now; `None` if the group needs no change or it is not this node's turn.
+    /// The group to propose now; `None` if the group needs no change, or this node is not a member or has to wait
+    /// longer before it proposes.
     pub fn decide(
         &mut self,
         shard: u16,
@@ -178,7 +179,7 @@
 
     /// Whether the member was heard from recently enough to add a member to the group, which raises the majority. The
     /// limit is half of `contact_timeout`, because adding a member while another one has just become unreachable blocks
-    /// the group until that one returns.
+    /// the group until the unreachable member returns.
     fn is_present(&self, member: &Member) -> bool {
         let since_last_contact = self.find(member).and_then(|o| o.since_last_contact);
         member.disk_id == self.own_member.disk_id
--- a/crates/sparrouter-consensus/src/register/catch_up.rs
+++ b/crates/sparrouter-consensus/src/register/catch_up.rs
@@ -103,7 +103,7 @@
     /// is still not known to be chosen.
     pub(super) fn run_confirmation(&mut self, now: Nanos) {
         if self.anti_entropy.start_confirmation(now)
-            && self.is_newest_uncommitted()
+            && self.needs_confirmation()
             && !self.operations.has_confirmation()
         {
             let deadline = now + CONFIRMATION_INTERVALS * self.settings.anti_entropy_interval;
--- a/crates/sparrouter-consensus/src/register/membership.rs
+++ b/crates/sparrouter-consensus/src/register/membership.rs
@@ -127,13 +127,13 @@
         if !contains_disk(&chosen.state.members, self.own_member.disk_id) {
             return self.may_leave();
         }
-        let is_newest_committed = self.accepted_vote() == Some(chosen.id());
+        let is_newest_chosen = self.accepted_vote() == Some(chosen.id());
         if let [_] = chosen.state.members.as_slice() {
-            // The group has no other member that this node could hand over to or that needs this node's vote.
-            return is_newest_committed && !self.handover.has_successor;
+            // The group has no other member, so there is no node to hand over to and no quorum to keep.
+            return is_newest_chosen && !self.handover.has_successor;
         }
         let valid_for = ANSWER_VALID_INTERVALS * self.settings.anti_entropy_interval;
-        is_newest_committed
+        is_newest_chosen
             && !self.handover.has_successor
             && self
                 .handover
--- a/crates/sparrouter-consensus/src/register/mod.rs
+++ b/crates/sparrouter-consensus/src/register/mod.rs
@@ -110,8 +110,8 @@
 
 impl<M: Machine> Register<M> {
     /// Starts a register from `record`, the bytes of the last successful `Action::Store`, or `None` if there was none.
-    /// A group's initial record is `Record::bootstrap`. `rng` needs a different seed at each start of a node, because
-    /// the incarnation in its proposal numbers is drawn from it.
+    /// The initial record of a shard's first group is created by `Record::bootstrap`. `rng` needs a different seed at
+    /// each start of a node, because the incarnation in the node's proposal numbers is drawn from it.
     ///
     /// # Errors
     /// The record can't be decoded. The caller then has to treat the disk as wiped.
@@ -272,7 +272,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Handles received messages and pending operations until there are no more, sends the replies whose record is on
+    /// Handles received messages and pending operations until the inbox is empty, sends the replies whose record is on
     /// disk, and starts a store if the record has changed.
     fn make_progress(&mut self, now: Nanos) {
         loop {
@@ -290,7 +290,7 @@
                 break;
             }
         }
-        if self.is_newest_uncommitted() {
+        if self.needs_confirmation() {
             self.anti_entropy
                 .schedule_confirmation(&mut self.rng, &self.settings, now);
         }
--- a/crates/sparrouter-consensus/src/register/proposal.rs
+++ b/crates/sparrouter-consensus/src/register/proposal.rs
@@ -1,6 +1,6 @@
 //! The phases of a proposal, from the pending operations to their answers:
 //!
-//! 1. `drive_operations` starts if the proposer is idle and operations are pending.
+//! 1. `drive_operations` starts the next phase if the proposer is idle and operations are pending.
 //! 2. `start_prepare` requests promises if there is no prepared number. `on_promise` counts the promises, and
 //!    `continue_prepare` either finds that the newest reported vote is chosen, or proposes that vote again first.
 //! 3. `propose_next_slot` evaluates the operations on a chosen vote under a prepared number.
@@ -19,8 +19,8 @@
 use crate::time::Nanos;
 use crate::vote::{Member, ProposalNumber, SharedVote, VoteId};
 
-/// Number of queries without agreement after which a number is prepared. Queries mostly disagree only because a vote is
-/// in flight, so that another query suffices.
+/// Number of queries without agreement after which a number is prepared. The members mostly report different votes only
+/// because a vote is in flight; another query then suffices.
 const MAX_QUERY_ATTEMPTS: u32 = 3;
 
 impl<M: Machine> Register<M> {
--- a/crates/sparrouter-consensus/src/register/publication.rs
+++ b/crates/sparrouter-consensus/src/register/publication.rs
@@ -45,19 +45,20 @@
 
     /// Whether this node's newest vote may be chosen without this node's knowledge, for example because its proposer
     /// failed.
-    pub(super) fn is_newest_uncommitted(&self) -> bool {
+    pub(super) fn needs_confirmation(&self) -> bool {
         self.accepted().is_some_and(|vote| {
             self.learner.chosen_slot() < Some(vote.state.slot)
                 && vote.is_elector(self.own_member.disk_id)
         })
     }
 
-    /// The newest chosen slot, if its state is on disk without a previous group.
+    /// The newest chosen slot, if this node's disk has its state in a vote without `previous_members`, or a vote for a
+    /// later slot.
     pub(super) fn stored_chosen_slot(&self) -> Option<u64> {
         let chosen_slot = self.learner.chosen_slot()?;
         let stored = self.acceptor.stored_vote()?;
         let is_stored = match stored.previous_members {
-            // A vote for a later slot on disk shows that this slot was chosen.
+            // A vote for a later slot was only proposed once this slot was chosen.
             Some(_) => stored.state.slot > chosen_slot,
             None => stored.state.slot >= chosen_slot,
         };
--- a/crates/sparrouter-consensus/src/settings.rs
+++ b/crates/sparrouter-consensus/src/settings.rs
@@ -7,7 +7,7 @@
 /// Settings of one register. All nodes of a shard should have equal settings, but no safety property depends on that.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Time without contact after which a member may be replaced (`bounds.contact_ms`).
+    /// Time without contact after which a member may be replaced (setting `bounds.contact_ms`).
     pub contact_timeout: Nanos,
     /// Mean interval between two anti-entropy messages of a node. Each interval is drawn between 0.5 and 1.5 times this
     /// value.
--- a/crates/sparrouter-consensus/src/transfer.rs
+++ b/crates/sparrouter-consensus/src/transfer.rs
@@ -216,8 +216,8 @@
             self.cache
                 .insert(body, CachedBytes::Fetched(Arc::new(bytes)));
         } else {
-            // Any chunk may be the damaged one, so that all are discarded. The body is fetched from another member that
-            // offered it, or when it is offered again.
+            // All chunks are discarded, because any of them may be damaged. The body is fetched from another member
+            // that offered it, or when it is offered again.
             self.counts.damaged += 1;
             self.parked
                 .retain(|p| p.outline.body != body || p.from.disk_id != from.disk_id);
@@ -292,7 +292,7 @@
         self.fetch.as_ref()?.retry_at
     }
 
-    /// Requests chunks again that did not arrive in time.
+    /// Requests the missing chunks again if their time-out has expired.
     pub fn tick(&mut self, settings: &Settings, now: Nanos) -> Vec<Outgoing> {
         let Some(fetch) = self
             .fetch
