--- a/crates/sparrouter-consensus/examples/catch_up.rs
+++ b/crates/sparrouter-consensus/examples/catch_up.rs
@@ -8,7 +8,7 @@
 use narrow_links::Group;
 use sparrouter_consensus::{MILLISECOND, Nanos, SECOND, Settings};
 
-const BODY: usize = 500_000;
+const BODY_BYTES: usize = 500_000;
 const BYTES_PER_SECOND: u64 = 10_000_000 / 8;
 const TIMEOUT: Nanos = 10 * SECOND;
 const CHANGES: u64 = 20;
@@ -18,11 +18,11 @@
 }
 
 fn confirmed_group(members: usize) -> Group {
-    let mut group = Group::new(members, BODY, BYTES_PER_SECOND, Settings::default());
+    let mut group = Group::new(members, BODY_BYTES, BYTES_PER_SECOND, Settings::default());
     let all = |g: &Group| (0..members).all(|i| g.is_confirmed(i));
     assert!(
         group.run(60 * SECOND, all),
-        "all members read a confirmed state"
+        "not all members read a confirmed state within 60 s"
     );
     group
 }
--- a/crates/sparrouter-consensus/examples/explore.rs
+++ b/crates/sparrouter-consensus/examples/explore.rs
@@ -50,11 +50,11 @@
         println!(
             "| {name} | {states} | {transitions} | {depth} | {is_complete} | {states_with_new_slot} | {seconds:.1} |"
         );
-        if let Some(found) = explored.counterexample {
+        if let Some(counterexample) = explored.counterexample {
             println!(
                 "VIOLATION: {}\n  {}",
-                found.violation,
-                found.trace.join("\n  ")
+                counterexample.violation,
+                counterexample.trace.join("\n  ")
             );
         }
     }
@@ -72,24 +72,24 @@
         };
         let (explored, seconds) = timed(&scenario, limits);
         let name = scenario.name;
-        let Some(found) = explored.counterexample else {
+        let Some(counterexample) = explored.counterexample else {
             let (states, depth) = (explored.states, explored.depth);
             println!("| {name} | not detected to depth {depth} | {states} | {seconds:.1} | | |");
             continue;
         };
         let same_depth = Limits {
-            depth: found.depth,
+            depth: counterexample.depth,
             ..limits
         };
         let (without_defect, _) = timed(&scenario.without_defects(), same_depth);
-        let verdict = without_defect
+        let result_without_defect = without_defect
             .counterexample
-            .map_or("no violation".to_owned(), |found| {
-                found.violation.to_string()
+            .map_or("no violation".to_owned(), |counterexample| {
+                counterexample.violation.to_string()
             });
         println!(
-            "| {name} | {} | {} | {seconds:.1} | {} | {verdict}, {} states |",
-            found.depth, explored.states, found.violation, without_defect.states
+            "| {name} | {} | {} | {seconds:.1} | {} | {result_without_defect}, {} states |",
+            counterexample.depth, explored.states, counterexample.violation, without_defect.states
         );
     }
 }
@@ -102,7 +102,11 @@
         states: MAX_STATES_FOR_DEFECT,
     };
     match timed(scenario, limits).0.counterexample {
-        Some(found) => println!("{}\n  {}", found.violation, found.trace.join("\n  ")),
+        Some(counterexample) => println!(
+            "{}\n  {}",
+            counterexample.violation,
+            counterexample.trace.join("\n  ")
+        ),
         None => println!("no violation found to depth {}", scenario.depth),
     }
 }
--- a/crates/sparrouter-consensus/examples/hunt.rs
+++ b/crates/sparrouter-consensus/examples/hunt.rs
@@ -19,7 +19,9 @@
         for case in DEFECTS {
             let name = case.name;
             match first_detection(&case, seeds) {
-                Some(found) => println!("{name}: seed {}, {}", found.seed, found.violation),
+                Some(detection) => {
+                    println!("{name}: seed {}, {}", detection.seed, detection.violation)
+                }
                 None => println!("{name}: not detected with {seeds} seeds"),
             }
         }
--- a/crates/sparrouter-consensus/tests/catch_up.rs
+++ b/crates/sparrouter-consensus/tests/catch_up.rs
@@ -4,7 +4,7 @@
 mod narrow_links;
 
 use lagging_member::{
-    BODY, CHUNK, LaggingMember, chunk_of, fetched, member, proposed_slot, settings,
+    BODY_BYTES, CHUNK_BYTES, LaggingMember, chunk_of, fetched, member, proposed_slot, settings,
 };
 use narrow_links::Group;
 use sparrouter_consensus::message::OutlinedMessage;
@@ -16,14 +16,14 @@
 const BYTES_PER_SECOND: u64 = 300_000;
 const TIMEOUT: Nanos = 10 * SECOND;
 /// Maximum traffic in bytes of the transfer of one body, including all other messages.
-const MAX_BYTES_FOR_ONE_BODY: u64 = BODY as u64 * 11 / 10;
+const MAX_BYTES_FOR_ONE_BODY: u64 = BODY_BYTES as u64 * 11 / 10;
 
 fn confirmed_group(members: usize, defects: Defects) -> Group {
-    let mut group = Group::new(members, BODY, BYTES_PER_SECOND, settings(defects));
+    let mut group = Group::new(members, BODY_BYTES, BYTES_PER_SECOND, settings(defects));
     let all = |g: &Group| (0..members).all(|i| g.is_confirmed(i));
     assert!(
         group.run(20 * SECOND, all),
-        "all members read a confirmed state"
+        "not all members read a confirmed state within 20 s"
     );
     group
 }
@@ -92,9 +92,9 @@
             completed += 1;
             pending = group.propose(0, TIMEOUT);
         }
-        let must_be_close = group.now > start + 4 * SECOND;
+        let must_have_caught_up = group.now > start + 4 * SECOND;
         assert!(
-            !must_be_close || group.count(0) - group.count(2) <= 3,
+            !must_have_caught_up || group.count(0) - group.count(2) <= 3,
             "the restarted member has {} of {} changes",
             group.count(2),
             group.count(0)
@@ -116,7 +116,7 @@
     let end = group.now + 20 * SECOND;
     assert!(
         group.run(end, has_caught_up),
-        "the member catches up after the partition"
+        "the member did not catch up within 20 s after the partition"
     );
     group.traffic.bytes
 }
@@ -125,7 +125,7 @@
 fn given_a_partition_during_a_fetch_when_it_heals_then_only_the_missing_chunks_are_requested() {
     let bytes = bytes_with_partition(Defects::default());
     assert!(
-        bytes <= MAX_BYTES_FOR_ONE_BODY + 4 * CHUNK as u64,
+        bytes <= MAX_BYTES_FOR_ONE_BODY + 4 * CHUNK_BYTES as u64,
         "{bytes}"
     );
 }
@@ -137,7 +137,10 @@
         fetch_from_start: true,
         ..Defects::default()
     });
-    assert!(bytes > MAX_BYTES_FOR_ONE_BODY + 4 * CHUNK as u64, "{bytes}");
+    assert!(
+        bytes > MAX_BYTES_FOR_ONE_BODY + 4 * CHUNK_BYTES as u64,
+        "{bytes}"
+    );
 }
 
 #[test]
@@ -189,7 +192,7 @@
     lagging.register.handle(member(2), outline.clone(), 0);
     lagging.register.handle(member(3), outline.clone(), 0);
     lagging.register.handle(member(3), outline, 0);
-    assert_eq!(lagging.serve(|_| ()), BODY.div_ceil(CHUNK));
+    assert_eq!(lagging.serve(|_| ()), BODY_BYTES.div_ceil(CHUNK_BYTES));
     assert_eq!(lagging.slot(), Some(9));
 }
 
@@ -231,14 +234,19 @@
         offset,
         chunk: Chunk(vec![2; length]),
     };
-    lagging.register.handle(member(2), chunk(0, CHUNK), 0);
+    lagging.register.handle(member(2), chunk(0, CHUNK_BYTES), 0);
     lagging
         .register
         .handle(member(2), lagging.outlines[1].clone(), 0);
-    for (offset, length) in [(0, 1), (1, CHUNK), (BODY as u32, CHUNK), (u32::MAX, 0)] {
+    for (offset, length) in [
+        (0, 1),
+        (1, CHUNK_BYTES),
+        (BODY_BYTES as u32, CHUNK_BYTES),
+        (u32::MAX, 0),
+    ] {
         lagging.register.handle(member(2), chunk(offset, length), 0);
     }
-    assert_eq!(lagging.serve(|_| ()), BODY.div_ceil(CHUNK));
+    assert_eq!(lagging.serve(|_| ()), BODY_BYTES.div_ceil(CHUNK_BYTES));
     assert_eq!(lagging.slot(), Some(9));
 }
 
@@ -258,7 +266,7 @@
     lagging
         .register
         .handle(member(2), Message::BodyUnavailable { body }, 0);
-    assert_eq!(lagging.serve(|_| ()), BODY.div_ceil(CHUNK));
+    assert_eq!(lagging.serve(|_| ()), BODY_BYTES.div_ceil(CHUNK_BYTES));
     assert_eq!(lagging.slot(), Some(9));
 }
 
@@ -319,7 +327,7 @@
     let after = slots.after_the_body;
     assert!(
         !after.is_empty() && after.iter().all(|slot| *slot == 5),
-        "the newer state is proposed again first: {after:?}"
+        "expected only proposals of the newer state's slot 5, got slots {after:?}"
     );
 }
 
@@ -351,7 +359,7 @@
     let actions = lagging.register.take_actions();
     let requested = actions.iter().filter_map(fetched).map(|(body, _)| body);
     let requested = requested.collect();
-    for offset in (0..BODY).step_by(CHUNK) {
+    for offset in (0..BODY_BYTES).step_by(CHUNK_BYTES) {
         let chunk = chunk_of(&lagging.bodies[0], first, offset as u32);
         lagging.register.handle(member(2), chunk, 1);
     }
--- a/crates/sparrouter-consensus/tests/exhaustive.rs
+++ b/crates/sparrouter-consensus/tests/exhaustive.rs
@@ -28,7 +28,7 @@
     );
     assert_eq!(
         explored.depth, scenario.depth,
-        "every state up to this depth is visited"
+        "the search of {name} did not reach its depth"
     );
 }
 
--- a/crates/sparrouter-consensus/tests/explore/history.rs
+++ b/crates/sparrouter-consensus/tests/explore/history.rs
@@ -1,7 +1,7 @@
 //! The history of calls and answers, checked for linearizability as a compare-and-set register.
 //!
 //! Source: Wing and Gong, "Testing and verifying concurrent objects", JPDC 1993: try each call that started before any
-//! other pending call finished as the first one, and continue with the remaining calls.
+//! other remaining call finished as the first one, and continue with the remaining calls.
 use super::body::{APPLIED, INITIAL, MISMATCH};
 use super::digest::digest_of;
 use super::scope::{Call, CallKind};
@@ -77,8 +77,8 @@
     /// Whether the answers are possible for some sequential order of the calls that respects their real-time order.
     pub fn is_linearizable(&self, calls: &[Call]) -> bool {
         let operations = self.operations(calls);
-        let open: Vec<usize> = (0..operations.len()).collect();
-        can_linearize(&operations, &open, INITIAL)
+        let unordered: Vec<usize> = (0..operations.len()).collect();
+        can_linearize(&operations, &unordered, INITIAL)
     }
 
     /// The calls and answers in order, as text for the report of a violation.
@@ -125,21 +125,28 @@
     }
 }
 
-/// Whether the pending operations can take effect in some order on this value.
-fn can_linearize(operations: &[Operation], open: &[usize], value: &[u8]) -> bool {
-    if open.iter().all(|&i| !operations[i].must_take_effect()) {
+/// Whether the operations with the indexes `unordered` can take effect in some order on this value.
+fn can_linearize(operations: &[Operation], unordered: &[usize], value: &[u8]) -> bool {
+    if unordered.iter().all(|&i| !operations[i].must_take_effect()) {
         return true;
     }
-    let first_end = open.iter().filter_map(|&i| operations[i].completed).min();
-    open.iter().any(|&candidate| {
+    let first_completion = unordered
+        .iter()
+        .filter_map(|&i| operations[i].completed)
+        .min();
+    unordered.iter().any(|&candidate| {
         let operation = &operations[candidate];
-        if first_end.is_some_and(|end| end < operation.invoked) {
+        if first_completion.is_some_and(|completion| completion < operation.invoked) {
             return false;
         }
         let Some(next) = operation.apply(value) else {
             return false;
         };
-        let rest: Vec<usize> = open.iter().copied().filter(|&i| i != candidate).collect();
-        can_linearize(operations, &rest, &next)
+        let remaining: Vec<usize> = unordered
+            .iter()
+            .copied()
+            .filter(|&i| i != candidate)
+            .collect();
+        can_linearize(operations, &remaining, &next)
     })
 }
--- a/crates/sparrouter-consensus/tests/explore/node.rs
+++ b/crates/sparrouter-consensus/tests/explore/node.rs
@@ -181,8 +181,8 @@
                 contact_timeout,
             } => {
                 // The node observes twice, because a member that is not the first in the order of proposers waits a
-                // tenth of `contact_timeout` for each member before it. A candidate's confirmation is valid for half of
-                // `contact_timeout`.
+                // tenth of `contact_timeout` for each member before it. The second observation comes before half of
+                // `contact_timeout`, while a candidate's confirmation is still valid.
                 register.observe_nodes(&observations, self.now);
                 self.now += contact_timeout * 2 / 5;
                 register.observe_nodes(&observations, self.now);
--- a/crates/sparrouter-consensus/tests/explore/system.rs
+++ b/crates/sparrouter-consensus/tests/explore/system.rs
@@ -3,8 +3,8 @@
 //! Each node has its own clock, which advances only when its timers fire: a timer fires whenever the search chooses so,
 //! independently of the other nodes' clocks. A message that is never chosen for delivery is lost.
 //!
-//! A node's reaction depends only on its state and its input, so that the reaction to each pair is computed once and
-//! cached.
+//! A node's reaction depends only on its state and its input. The reaction to each pair of state and input is therefore
+//! computed once and cached.
 use super::body::{APPLIED, INITIAL};
 use super::digest::digest_of;
 use super::history::History;
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Digest of the state: two states with equal digests have the same future behavior, barring a collision of 128
-    /// bits.
+    /// Digest of the state: two states with equal digests have the same future behavior, barring a collision of
+    /// the 128-bit digest.
     pub fn digest(&self) -> u128 {
         let (mut low, mut high) = (DefaultHasher::new(), DefaultHasher::new());
         high.write_u8(1);
--- a/crates/sparrouter-consensus/tests/fleet/mod.rs
+++ b/crates/sparrouter-consensus/tests/fleet/mod.rs
@@ -46,8 +46,9 @@
 /// Name of the record with the disk id.
 const DISK_RECORD: &str = "disk";
 const CONTACT_TIMEOUT: Nanos = 600 * MILLISECOND;
-/// Length of a body with a version and a few change ids, in bytes; longer bodies are fetched if the plan says so.
-const MIN_BODY_BYTES: usize = 32;
+/// Maximum length of an inline body if `Plan::fetch_bodies` is set, in bytes; a body with a version and a few change
+/// ids has this length.
+const SHORT_BODY_BYTES: usize = 32;
 /// Maximum length of a record or message, in bytes.
 const MAX_BYTES: usize = 1 << 20;
 
@@ -69,7 +70,7 @@
 impl Plan {
     fn max_inline_body_bytes(&self) -> usize {
         if self.fetch_bodies {
-            MIN_BODY_BYTES
+            SHORT_BODY_BYTES
         } else {
             Settings::default().max_inline_body_bytes
         }
@@ -116,7 +117,7 @@
     /// The disks that were lost.
     pub lost_disks: Vec<LostDisk>,
     pub defects: Defects,
-    /// Longer bodies are fetched in chunks.
+    /// Maximum length of a body that is sent inline, in bytes; longer bodies are fetched in chunks.
     pub max_inline_body_bytes: usize,
     pub acknowledgements: u64,
     pub queue: EventQueue,
--- a/crates/sparrouter-consensus/tests/fleet/replicas.rs
+++ b/crates/sparrouter-consensus/tests/fleet/replicas.rs
@@ -12,7 +12,7 @@
         let Some(state) = self.monitor.newest_state().cloned() else {
             return;
         };
-        let spare = self
+        let tolerated_losses = self
             .max_lost_disks()
             .saturating_sub(self.lost_disk_ids().len());
         let votes: Vec<SharedVote> = state
@@ -23,15 +23,15 @@
             .collect();
         let replicas = votes.iter().filter(|vote| includes(vote, &state)).count();
         let majority = state.members.len() / 2 + 1;
-        if replicas <= spare {
+        if replicas <= tolerated_losses {
             self.monitor.report(format!(
-                "slot {} is on {replicas} disks, and {spare} more disks may be lost",
+                "slot {} is on {replicas} disks, and {tolerated_losses} more disks may be lost",
                 state.slot
             ));
         }
-        if votes.len() < majority + spare {
+        if votes.len() < majority + tolerated_losses {
             self.monitor.report(format!(
-                "{} members of the group of slot {} have a vote on disk, a majority needs {majority}, and {spare} more disks may be lost",
+                "{} members of the group of slot {} have a vote on disk, a majority needs {majority}, and {tolerated_losses} more disks may be lost",
                 votes.len(),
                 state.slot
             ));
--- a/crates/sparrouter-consensus/tests/fleet/scenario.rs
+++ b/crates/sparrouter-consensus/tests/fleet/scenario.rs
@@ -1,5 +1,5 @@
-//! The phases of a simulation: random faults, a recovery without faults, the maximum tolerated loss of disks, and
-//! another recovery.
+//! The phases of a simulation: random faults, a recovery without faults, an acknowledged change on a lossy network, the
+//! maximum tolerated loss of disks, and another recovery.
 use super::monitor::Violation;
 use super::network::NetworkConditions;
 use super::node::Node;
@@ -38,12 +38,12 @@
     /// Wipes as many disks as the group tolerates, while all other nodes lose power.
     fn lose_max_tolerated_disks(&mut self) {
         let group_size = self.monitor.newest_state().map_or(0, |s| s.members.len());
-        let spare = group_size.saturating_sub(1) / 2;
+        let tolerated_losses = group_size.saturating_sub(1) / 2;
         let mut order = self.present_nodes();
         self.rng.shuffle(&mut order);
         for (rank, &node) in order.iter().enumerate() {
             let delay = self.rng.u64(..1_000) * MILLISECOND;
-            if rank < spare {
+            if rank < tolerated_losses {
                 self.wipe(node, delay);
             } else {
                 self.lose_power(node, delay);
--- a/crates/sparrouter-consensus/tests/lagging_member/mod.rs
+++ b/crates/sparrouter-consensus/tests/lagging_member/mod.rs
@@ -1,4 +1,5 @@
-//! A single member that is behind. The test plays the other members: it offers states and answers requests for chunks.
+//! A single member that is behind. The test acts as the other members: it offers states and answers requests for
+//! chunks.
 use super::narrow_links::Counter;
 use sparrouter_consensus::message::{Outline, OutlinedMessage};
 use sparrouter_consensus::{
@@ -7,14 +8,14 @@
 };
 
 /// Length of a body in bytes.
-pub const BODY: usize = 120_000;
+pub const BODY_BYTES: usize = 120_000;
 /// Length of a chunk in bytes.
-pub const CHUNK: usize = 8 << 10;
+pub const CHUNK_BYTES: usize = 8 << 10;
 
 /// Settings with short chunks.
 pub fn settings(defects: Defects) -> Settings {
     Settings {
-        chunk_bytes: CHUNK,
+        chunk_bytes: CHUNK_BYTES,
         defects,
         ..Settings::default()
     }
@@ -40,8 +41,8 @@
     /// Creates a member of a group of three, with the initial state on disk.
     pub fn new(defects: Defects) -> LaggingMember {
         let all: Vec<Member> = (1..=3).map(member).collect();
-        let record = Record::bootstrap(all, vec![0; BODY]);
-        let bodies = [1u8, 2].map(|fill| vec![fill; BODY]);
+        let record = Record::bootstrap(all, vec![0; BODY_BYTES]);
+        let bodies = [1u8, 2].map(|fill| vec![fill; BODY_BYTES]);
         let outline = |slot: u64, body: &[u8]| {
             let mut vote = record
                 .accepted
@@ -158,7 +159,7 @@
 /// The chunk of `bytes` at `offset`.
 pub fn chunk_of(bytes: &[u8], body: BodyReference, offset: u32) -> Message {
     let start = offset as usize;
-    let end = (start + CHUNK).min(bytes.len());
+    let end = (start + CHUNK_BYTES).min(bytes.len());
     Message::BodyChunk {
         body,
         offset,
--- a/crates/sparrouter-consensus/tests/narrow_links/mod.rs
+++ b/crates/sparrouter-consensus/tests/narrow_links/mod.rs
@@ -135,9 +135,9 @@
         };
         let all: Vec<Member> = (0..members).map(member).collect();
         let mut rng = Rng::with_seed(members as u64);
-        let mut first = vec![0; 8];
-        first.extend(std::iter::repeat_with(|| rng.u8(..)).take(body.saturating_sub(8)));
-        let record = Record::bootstrap(all.clone(), first).encode();
+        let mut initial_body = vec![0; 8];
+        initial_body.extend(std::iter::repeat_with(|| rng.u8(..)).take(body.saturating_sub(8)));
+        let record = Record::bootstrap(all.clone(), initial_body).encode();
         let nodes = all
             .into_iter()
             .map(|member| Node::new(member, record.clone()));
--- a/crates/sparrouter-consensus/tests/recorded_bytes.rs
+++ b/crates/sparrouter-consensus/tests/recorded_bytes.rs
@@ -263,6 +263,6 @@
     assert_eq!(
         checked,
         RECORDED.lines().count(),
-        "every line of the fixture is checked"
+        "the number of checked values differs from the number of lines of the fixture"
     );
 }
--- a/crates/sparrouter-consensus/tests/register.rs
+++ b/crates/sparrouter-consensus/tests/register.rs
@@ -1,4 +1,4 @@
-//! Calls of a few registers, whose messages and stores the test carries out.
+//! Tests calls of a few registers. The tests deliver the messages and complete the stores themselves.
 use sparrouter_consensus::message::{Message, RejectReason};
 use sparrouter_consensus::{
     Action, Applied, Machine, Member, Outcome, ProposalNumber, Record, Register, Rejection, SECOND,
