--- a/crates/sparrouter-storage/src/real_files.rs
+++ b/crates/sparrouter-storage/src/real_files.rs
@@ -51,7 +51,7 @@
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
-            // This package writes only names in UTF-8, so that all other files are ignored.
+            // Files whose names are not UTF-8 are ignored, because this package did not write them.
             if let Ok(name) = entry?.file_name().into_string() {
                 names.push(name);
             }
--- a/crates/sparrouter-storage/src/store.rs
+++ b/crates/sparrouter-storage/src/store.rs
@@ -5,8 +5,9 @@
 //!
 //! | time of a crash | files found | version opened |
 //! | --- | --- | --- |
-//! | before the rename was synced | `n.7`, possibly an incomplete `n.8.tmp` | 7 |
-//! | after the rename, before older files were removed | `n.7`, `n.8` | 8 |
+//! | before the rename | `n.7`, possibly an incomplete `n.8.tmp` | 7 |
+//! | after the rename, before the directory was synced | `n.7`, possibly `n.8.tmp` or `n.8` | 7, or 8 if `n.8` is found |
+//! | after the sync, before older files were removed | `n.7`, `n.8` | 8 |
 //! | after older files were removed | `n.8` | 8 |
 //!
 //! Files are synced before they get a name without `.tmp`, so that a crash can't tear such a file. If the newest file
@@ -88,7 +89,8 @@
         Ok((store, opened))
     }
 
-    /// Adds the files of each record as stale. Returns the newest version of each record that is not temporary.
+    /// Adds all files of the records as stale; `open_version` then makes the newest file of each record its current
+    /// file. Returns the newest version of each record, not counting temporary files.
     fn add_files(&mut self, names: Vec<String>) -> BTreeMap<String, u64> {
         let mut newest_versions: BTreeMap<String, u64> = BTreeMap::new();
         for file in names {
