--- a/crates/sparrouter-consensus/tests/explore/system.rs
+++ b/crates/sparrouter-consensus/tests/explore/system.rs
@@ -450,8 +450,12 @@
 
     /// The possible steps of these nodes without other nodes: their stores, and the messages between them.
     pub fn steps_among(&self, among: &[usize]) -> Vec<Step> {
-        let both = |e: &Envelope| among.contains(&e.from) && among.contains(&e.to);
-        let in_flight = self.network.iter().enumerate().filter(|(_, e)| both(e));
+        let is_internal = |e: &Envelope| among.contains(&e.from) && among.contains(&e.to);
+        let in_flight = self
+            .network
+            .iter()
+            .enumerate()
+            .filter(|(_, e)| is_internal(e));
         let syncing = among.iter().filter(|&&n| self.nodes[n].pending.is_some());
         let syncs = syncing.map(|&node| Step::Sync { node });
         let deliveries = in_flight.map(|(message, _)| Step::Deliver { message });
@@ -460,8 +464,12 @@
 
     /// Deliveries of the messages in flight from one node to another.
     pub fn steps_between(&self, from: usize, to: usize) -> Vec<Step> {
-        let link = |e: &Envelope| e.from == from && e.to == to;
-        let in_flight = self.network.iter().enumerate().filter(|(_, e)| link(e));
+        let is_on_link = |e: &Envelope| e.from == from && e.to == to;
+        let in_flight = self
+            .network
+            .iter()
+            .enumerate()
+            .filter(|(_, e)| is_on_link(e));
         in_flight
             .map(|(message, _)| Step::Deliver { message })
             .collect()
--- a/crates/sparrouter-consensus/tests/lagging_member/mod.rs
+++ b/crates/sparrouter-consensus/tests/lagging_member/mod.rs
@@ -40,8 +40,8 @@
 impl LaggingMember {
     /// Creates a member of a group of three, with the initial state on disk.
     pub fn new(defects: Defects) -> LaggingMember {
-        let all: Vec<Member> = (1..=3).map(member).collect();
-        let record = Record::bootstrap(all, vec![0; BODY_BYTES]);
+        let members: Vec<Member> = (1..=3).map(member).collect();
+        let record = Record::bootstrap(members, vec![0; BODY_BYTES]);
         let bodies = [1u8, 2].map(|fill| vec![fill; BODY_BYTES]);
         let outline = |slot: u64, body: &[u8]| {
             let mut vote = record
--- a/crates/sparrouter-consensus/tests/narrow_links/mod.rs
+++ b/crates/sparrouter-consensus/tests/narrow_links/mod.rs
@@ -133,12 +133,12 @@
             name: format!("node-{index}"),
             address: format!("10.0.0.{index}:8689"),
         };
-        let all: Vec<Member> = (0..members).map(member).collect();
+        let group_members: Vec<Member> = (0..members).map(member).collect();
         let mut rng = Rng::with_seed(members as u64);
         let mut initial_body = vec![0; 8];
         initial_body.extend(std::iter::repeat_with(|| rng.u8(..)).take(body.saturating_sub(8)));
-        let record = Record::bootstrap(all.clone(), initial_body).encode();
-        let nodes = all
+        let record = Record::bootstrap(group_members.clone(), initial_body).encode();
+        let nodes = group_members
             .into_iter()
             .map(|member| Node::new(member, record.clone()));
         let mut group = Group {
--- a/crates/sparrouter-storage/src/files.rs
+++ b/crates/sparrouter-storage/src/files.rs
@@ -1,4 +1,4 @@
-//! The trait with the operations on a directory that a [`crate::Store`] needs. Tests implement it by a simulated disk.
+//! The trait for the directory operations that a [`crate::Store`] needs. Tests implement it with a simulated disk.
 use std::io;
 
 /// A directory without subdirectories. When a call returns, its effect is visible to other processes. The effect
