--- a/crates/sparrouter-fleet/src/proxy/backlogs.rs
+++ b/crates/sparrouter-fleet/src/proxy/backlogs.rs
@@ -1,31 +1,31 @@
-//! How long prompts wait at servers: each server's backlog is counted by the node that owns the server.
+//! Estimates of how long prompts wait at servers. The node that owns a server counts that server's backlog.
 use crate::node::{Node, PREFIX_RETENTION};
 use crate::peer::messages::{Call, Reply};
 use sparrouter_routing::Nanos;
 use std::time::Duration;
 
-/// Beyond this many backlogs, those that were not used lately are dropped.
+/// Number of backlogs above which those unused for [`PREFIX_RETENTION`] are dropped.
 const MAX_BACKLOGS: usize = 4_096;
-/// How long an owner's reply is awaited: its estimate is worth less than the time.
+/// Time-out of a call to a server's owner. Waiting longer would cost more time than the estimate saves.
 const ESTIMATE_TIMEOUT: Duration = Duration::from_millis(25);
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// A prompt that waits at a server until its first token.
+/// A prompt that waits at a server for its first token.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitingPrompt {
     /// Hash of the server's id.
     pub server: u64,
-    /// By which the prompt is known: a random number.
+    /// Random number that identifies the prompt.
     pub token: u64,
-    /// Tokens to prefill.
+    /// Number of tokens to prefill.
     pub cost: u32,
-    /// Class of urgency, 0 for the most urgent.
+    /// Urgency class; 0 is the most urgent.
     pub urgency: u8,
 }
 
 impl Node {
-    /// Counts a prompt at a server that this node owns, unless it would wait longer than `max_wait`. Returns how long it
-    /// would wait.
+    /// Adds a prompt to the backlog of a server that this node owns, unless its estimated wait exceeds `max_wait`.
+    /// Returns the estimated wait in nanoseconds.
     pub fn enqueue_here(&self, prompt: WaitingPrompt, max_wait: Nanos) -> Nanos {
         let now = self.now();
         let mut backlogs = self.owned_keys.backlogs.borrow_mut();
@@ -41,7 +41,8 @@
         wait
     }
 
-    /// Ends the wait of a prompt at a server that this node owns. `began`: its first token came; false: it ended without.
+    /// Removes a prompt from the backlog of a server that this node owns. `began`: whether the prompt's first token has
+    /// arrived; false if the request ended without one.
     pub fn dequeue_here(&self, server: u64, token: u64, began: bool) {
         let mut backlogs = self.owned_keys.backlogs.borrow_mut();
         if let Some(backlog) = backlogs.get_mut(&server) {
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Counts a prompt at the server's owner as [`Node::enqueue_here`] does. `None` if the owner did not answer in time:
-    /// then nothing is known.
+    /// Adds a prompt to the backlog at the server's owner, as [`Node::enqueue_here`] does. Returns the estimated wait
+    /// in nanoseconds, or `None` if the owner did not reply in time.
     pub async fn enqueue(&self, prompt: WaitingPrompt, max_wait: Nanos) -> Option<Nanos> {
         let Some(owner) = self.owner(prompt.server) else {
             return Some(self.enqueue_here(prompt, max_wait));
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Ends the wait of a prompt at the server's owner.
+    /// Removes a prompt from the backlog at the server's owner, as [`Node::dequeue_here`] does.
     pub fn dequeue(&self, server: u64, token: u64, began: bool) {
         let Some(owner) = self.owner(server) else {
             return self.dequeue_here(server, token, began);
