--- a/crates/sparrouter-fleet/src/proxy/event_stream.rs
+++ b/crates/sparrouter-fleet/src/proxy/event_stream.rs
@@ -1,23 +1,25 @@
-//! Where the events of a stream end, and the id of the last one, after which a resumed stream continues. No I/O.
+//! Splits a server-sent event stream into events and records the id of the last event, after which a stream can be
+//! resumed. No I/O.
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is buffered until it is complete, in bytes.
+/// Maximum size of an incomplete event that is buffered, in bytes.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
 /// Splits a stream into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    /// The event that is not complete yet.
+    /// Bytes received of the incomplete event.
     partial: BytesMut,
     last_id: Option<String>,
 }
 
 impl EventSplitter {
-    /// Adds a chunk of the stream; returns the events that are complete by it, unchanged. `None` if an event is too long.
+    /// Adds a chunk of the stream and returns the events that it completes, unchanged. `None` if an event exceeds
+    /// [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, chunk: &[u8]) -> Option<Bytes> {
         let searched = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(chunk);
-        let Some(end) = last_end(&self.partial, searched) else {
+        let Some(end) = end_of_last_event(&self.partial, searched) else {
             return (self.partial.len() <= MAX_EVENT_BYTES).then(Bytes::new);
         };
         let complete = self.partial.split_to(end).freeze();
@@ -38,24 +40,24 @@
         }
     }
 
-    /// What follows the last complete event.
+    /// Takes the bytes after the last complete event.
     pub fn take_partial(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 
-    /// Drops the incomplete event of a stream that broke: the stream that resumes it begins with a complete one.
+    /// Drops the incomplete event of a broken stream. The stream that resumes it starts with a complete event.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// The id of the last complete event that has one.
+    /// The id of the last complete event that has an id.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 }
 
-/// The offset behind the last empty line, searched from offset `from` on.
-fn last_end(text: &[u8], from: usize) -> Option<usize> {
+/// Offset just after the last empty line that ends at or after offset `from`; `None` if there is none.
+fn end_of_last_event(text: &[u8], from: usize) -> Option<usize> {
     let end = |of: &[u8]| {
         text[from..]
             .windows(of.len())
