--- a/crates/sparrouter-fleet/src/proxy/frontend.rs
+++ b/crates/sparrouter-fleet/src/proxy/frontend.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: one request at a time on each, within the limits of the configuration.
+//! Client connections: accepts them, serves one request at a time on each, and enforces the configured limits.
 use crate::node::{Node, OpenRequest};
 use crate::platform::defects::rules;
 use crate::platform::http::{self, ReadLimits, Request, RequestReadError, Response};
@@ -16,40 +16,40 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// The limits before a configuration is known.
+/// Limits that apply until a configuration is known.
 const DEFAULT_LIMITS: Limits = Limits {
     max_header_bytes: 16 << 10,
     max_body_bytes: 4 << 20,
     header_timeout_ms: 3_000,
     idle_timeout_ms: 15_000,
 };
-/// Longest time for a request, as a multiple of that for its head.
+/// Time-out for reading a complete request, as a multiple of the header time-out.
 const REQUEST_TIMEOUT_RATIO: u32 = 4;
-/// Fewest connections that are served at a time, whatever the descriptors allow.
+/// Minimum of the connection limit, even if fewer file descriptors are available.
 const MIN_CONNECTIONS: usize = 16;
-/// How long the first request of a new connection is awaited while connections are being closed.
+/// How long a new connection is kept open for its first request during shutdown.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a client may take to read a response of our own.
+/// Time-out for writing a response that the node itself produced.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time between two sweeps of the pool.
+/// Interval at which the connection pool is swept.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Bytes that are read at once before an idle connection is closed.
+/// Number of bytes that are read in a final check before an idle connection is closed.
 const LAST_READ_BYTES: usize = 4096;
 
-/// How far the shutdown of the process has come.
+/// Stage of the graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 pub enum Stage {
-    /// None has begun.
+    /// No shutdown has begun.
     Serving,
-    /// The node is not ready any more, but accepts all connections and requests.
+    /// The node is no longer ready, but still accepts all connections and requests.
     Leaving,
-    /// No connection is accepted, and those between requests are closed.
+    /// No connection is accepted, and idle connections are closed.
     Closing,
 }
 
-/// Accepts clients until the stage is [`Stage::Closing`]: from then on a client that is still sent here finds no listener
-/// and asks another node at once. Connections are served by tasks of their own, which end by themselves.
-/// `max_connections`: connections at a time.
+/// Accepts client connections until the stage is [`Stage::Closing`]. Later clients find no listener and try another
+/// node at once. Each connection is served by its own task, which ends with the connection. `max_connections`: maximum
+/// number of concurrent connections.
 pub async fn listen(
     node: Rc<Node>,
     listener: Box<dyn Listener>,
@@ -60,7 +60,7 @@
     let permits = Arc::new(Semaphore::new(max_connections.max(MIN_CONNECTIONS)));
     spawn_local(sweep_pool(node.clone(), pool.clone()));
     loop {
-        // Beyond its connections the node leaves clients waiting to be accepted: other nodes have capacity.
+        // At the limit, further clients wait to be accepted: other nodes have capacity.
         let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
@@ -84,7 +84,7 @@
     }
 }
 
-/// Closes pooled connections that are too old or lead to servers that are gone, until the process ends.
+/// Closes pooled connections that are too old or whose server no longer exists. Runs until the process ends.
 async fn sweep_pool(node: Rc<Node>, pool: Rc<Pool>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
@@ -93,25 +93,25 @@
     }
 }
 
-/// Whether a connection carries another request.
+/// Whether a connection can carry another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
     Open,
     Closed,
 }
 
-/// One connection of a client.
+/// One client connection.
 struct ClientConnection {
     stream: Stream,
-    /// Bytes that were read ahead of the request that they belong to.
+    /// Bytes that have been read ahead of the next request.
     buffer: BytesMut,
     stage: watch::Receiver<Stage>,
-    /// No request has arrived on it yet.
+    /// Whether no request has arrived on the connection yet.
     is_new: bool,
 }
 
 impl ClientConnection {
-    /// Serves one request after the other until the connection is closed.
+    /// Serves requests one after another until the connection is closed.
     async fn serve(mut self, node: &Rc<Node>, pool: &Pool) {
         loop {
             let limits = limits(node);
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Serves a request of which a byte has arrived. It counts as open until the connection is ready for the next or
-    /// closed.
+    /// Serves a request whose first byte has arrived. The request counts as open until the connection is ready for the
+    /// next request or closed.
     async fn serve_request(
         &mut self,
         node: &Rc<Node>,
@@ -133,7 +133,7 @@
         limits: &Limits,
     ) -> ConnectionState {
         let _open = OpenRequest::begin(&node.traffic);
-        // The client's time runs from its first byte, not from the end of a long body.
+        // The client's time-out runs from the request's first byte, not from the end of a long body.
         let first_byte_at = Instant::now();
         let request = match self.read_request(limits, first_byte_at).await {
             Ok(request) => request,
@@ -178,14 +178,14 @@
         http::read_request(&mut self.stream, &mut self.buffer, read_limits, deadline).await
     }
 
-    /// Answers a request that cannot be read.
+    /// Sends an error response to a request that cannot be read.
     async fn refuse(&mut self, response: &Response) -> ConnectionState {
-        // The client may have left meanwhile.
+        // The client may already have disconnected.
         let _ = self.stream.write_all(&response.bytes(false)).await;
         self.drain().await
     }
 
-    /// Writes a response of our own.
+    /// Writes a response that the node itself produced.
     async fn respond(&mut self, response: &Response, keep_alive: bool) -> ConnectionState {
         let stays_open = keep_alive && response.status < 500;
         let bytes = response.bytes(stays_open);
@@ -205,9 +205,9 @@
         ConnectionState::Closed
     }
 
-    /// Waits for the first byte of a request; false if the connection is to be closed.
+    /// Waits for the first byte of a request. Returns false if the connection is to be closed.
     async fn await_request(&mut self, limits: &Limits) -> bool {
-        // An idle connection holds no memory.
+        // An idle connection keeps no buffer.
         self.buffer = BytesMut::new();
         let idle_timeout = Duration::from_millis(limits.idle_timeout_ms.max(1));
         tokio::select! {
@@ -219,7 +219,8 @@
         self.read_available()
     }
 
-    /// Reads what has arrived since the runtime last looked, so that the connection is not closed over a request.
+    /// Reads bytes that have arrived since the runtime last polled the socket, so that the connection is not closed
+    /// while a request is pending. Returns false if there are none.
     fn read_available(&mut self) -> bool {
         let mut chunk = [0; LAST_READ_BYTES];
         match self.stream.read_available(&mut chunk) {
@@ -232,15 +233,15 @@
     }
 }
 
-/// The limits of the configuration in force.
+/// The limits of the active configuration.
 fn limits(node: &Node) -> Limits {
     let config = node.active_configuration();
     let table = config.table.as_ref();
     table.map_or(DEFAULT_LIMITS, |table| table.limits.clone())
 }
 
-/// Ends once connections between requests are closed. On a new connection the first request follows the handshake: it is
-/// awaited for a moment, so that it is answered and not cut off.
+/// Completes once idle connections are to be closed. On a new connection the first request follows shortly after the
+/// handshake, so it is awaited for up to `FIRST_REQUEST_TIMEOUT` and then answered instead of being cut off.
 async fn closing(stage: &mut watch::Receiver<Stage>, is_new: bool) {
     let accepted_at = Instant::now();
     // An error means that the process ends.
