--- a/crates/sparrouter-fleet/src/quota/holder.rs
+++ b/crates/sparrouter-fleet/src/quota/holder.rs
@@ -1,4 +1,4 @@
-//! This node as a lease holder: what it grants, and the renewal of its leases.
+//! This node as a lease holder: grants permits and renews its leases.
 use super::limits::{any_limits, buckets_of, quota_settings};
 use crate::control::shard_lease::ShardLease;
 use crate::node::Node;
@@ -12,27 +12,28 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Time between two checks of a lease and its buckets.
+/// Interval at which a lease and its buckets are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A lease is renewed once this part of its granting time is over, so that two renewals may fail before it is.
+/// A lease is renewed after its granting time divided by this, so that two renewals may fail before the granting time
+/// ends.
 const RENEWAL_DIVISOR: u32 = 4;
 
-/// What a node that was asked for permits gives.
+/// A node's reply to a request for permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Grant {
-    /// As many permits as it says, under the lease with this fencing token.
+    /// `count` permits, granted under the lease with this fencing token.
     Permits {
         fencing_token: u64,
         granted_at: Nanos,
         count: u32,
     },
-    /// The part of the quota is used up; the time after which to come back.
+    /// The shard's part of the quota is used up; a permit may be available after `retry_after` nanoseconds.
     Exhausted { retry_after: Nanos },
-    /// It has no valid lease, or may not grant yet: then after which time it may.
+    /// The node has no valid lease (`None`), or it may grant only after `active_in` nanoseconds.
     NotHolder { active_in: Option<Nanos> },
 }
 
-/// Starts the tasks that keep this node's leases renewed while the configuration limits any tenant. They run until the
+/// Starts the tasks that renew this node's leases while the configuration limits any tenant. The tasks run until the
 /// process ends.
 pub(crate) fn start(node: &Rc<Node>, leases: &[Rc<ShardLease>]) {
     for lease in leases {
@@ -54,7 +55,7 @@
         if lease.since_renewal() >= interval {
             lease.renew(active).await;
         }
-        // From here on the buckets fill: the first request that asks finds tokens.
+        // The buckets fill from now on, so that the first request finds permits.
         if let Some(granting) = node.quotas.lease(lease.shard()) {
             node.update_buckets(lease.shard(), granting);
         }
@@ -62,7 +63,7 @@
 }
 
 impl Node {
-    /// Grants up to `wanted` permits of a tenant's quota, if this node holds the shard's lease now.
+    /// Grants up to `wanted` permits of a tenant's quota, if this node currently holds the shard's lease.
     pub(crate) fn grant_permits(&self, shard: u16, tenant: &str, wanted: u32) -> Grant {
         let now = self.now();
         let valid = self
@@ -88,14 +89,14 @@
                 count,
             },
             TakeOutcome::Refused(retry_after) => Grant::Exhausted { retry_after },
-            // The asker has a configuration that this node has not, or the other way round.
+            // The requesting node and this one have different configurations, of which only one has this tenant.
             TakeOutcome::UnknownTenant => Grant::Exhausted {
                 retry_after: nanos(CHECK_INTERVAL),
             },
         }
     }
 
-    /// Takes back permits that were granted here and not spent.
+    /// Accepts the return of permits that were granted by this node and not spent.
     pub(crate) fn take_back_permits(&self, shard: u16, tenant: &str, returned: ReturnedTokens) {
         let now = self.now();
         if let Some(granting) = self.quotas.shards.borrow_mut().get_mut(&shard) {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Makes the buckets of a shard those of its lease and of the configuration in force.
+    /// Updates the buckets of a shard to its current lease and the active configuration.
     fn update_buckets(&self, shard: u16, lease: GrantingLease) {
         let active = self.active_configuration();
         let Some(table) = &active.table else { return };
@@ -117,14 +118,14 @@
         if granting.config_slot != active.slot {
             let limits = buckets_of(table, shard, &quota_settings(self));
             granting.buckets.set_limits(limits, self.now());
-            granting.inject_full(table, self.now());
+            granting.inject_full_buckets(table, self.now());
             granting.config_slot = active.slot;
         }
     }
 }
 
 impl GrantingShard {
-    /// No buckets yet.
+    /// A shard without buckets, under this lease.
     fn under(lease: GrantingLease) -> GrantingShard {
         GrantingShard {
             buckets: BucketTable::new(lease.fencing_token, lease.active_from),
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Injected: the buckets that a lease begins with are full.
-    fn inject_full(&mut self, table: &RouteTable, now: Nanos) {
+    /// Injected fault: the buckets are full when a lease begins.
+    fn inject_full_buckets(&mut self, table: &RouteTable, now: Nanos) {
         let is_takeover = self.buckets.active_from() > now;
         let starts_empty = if is_takeover {
             rules::takeovers_start_empty()
--- a/crates/sparrouter-fleet/src/quota/limits.rs
+++ b/crates/sparrouter-fleet/src/quota/limits.rs
@@ -1,4 +1,4 @@
-//! The limits of the configuration in force, as they are divided.
+//! The limits of the active configuration, divided among shards.
 use crate::control::LEASE_SHARDS;
 use crate::node::Node;
 use crate::settings::nanos;
@@ -6,11 +6,11 @@
 use sparrouter_quota::{Division, QuotaLimit, QuotaSettings, TenantBucket};
 use std::time::Duration;
 
-/// How long after it was asked for a permit may be spent. Long enough for a connection to a server to come up; what is
-/// granted before a window and spent within it is taken off the burst.
+/// How long after its request a permit may be spent. This is long enough to establish a connection to a server. The
+/// burst is reduced by the permits that may be granted before a window and spent within it.
 pub(super) const PERMIT_LIFETIME: Duration = Duration::from_millis(200);
 
-/// How limits are divided in this deployment.
+/// The settings by which limits are divided in this deployment.
 pub(super) fn quota_settings(node: &Node) -> QuotaSettings {
     QuotaSettings {
         window: nanos(node.settings.borrow().bounds.quota_window),
@@ -19,7 +19,7 @@
     }
 }
 
-/// A quota, divided.
+/// The division of a quota among shards.
 pub(super) fn division_of(quota: TenantQuota, settings: &QuotaSettings) -> Division {
     let limit = QuotaLimit {
         rate_per_s: quota.rate_per_s,
@@ -28,7 +28,7 @@
     Division::of(limit, settings)
 }
 
-/// The buckets that a shard has by a configuration.
+/// The buckets of a shard according to a configuration.
 pub(super) fn buckets_of(
     table: &RouteTable,
     shard: u16,
@@ -45,7 +45,7 @@
     table.tenants.iter().filter_map(bucket).collect()
 }
 
-/// Whether the configuration in force limits any tenant.
+/// Whether the active configuration limits any tenant.
 pub(super) fn any_limits(node: &Node) -> bool {
     let active = node.active_configuration();
     let table = active.table.as_deref();
--- a/crates/sparrouter-fleet/src/quota/mod.rs
+++ b/crates/sparrouter-fleet/src/quota/mod.rs
@@ -1,15 +1,15 @@
-//! Quotas of tenants, counted as one over all nodes: permits that a node needs before it sends a request, and the grants
-//! of lease holders. `docs/design/quotas.md` says why the sum holds.
+//! Tenant quotas that apply to the whole fleet: a node takes a permit before it sends a request, and lease holders
+//! grant the permits. `docs/design/quotas.md` explains why the sum of all grants stays within the quota.
 //!
 //! | module | its job |
 //! | --- | --- |
-//! | `holder` | this node as a lease holder: what it grants, and the renewal of its leases |
-//! | `limits` | the limits of the configuration in force, as they are divided |
-//! | `permit` | a permit from the asking to its use or return |
-//! | `report` | what operators are shown of limits, their parts and what is granted here |
-//! | `take` | a permit from one of the holders of a tenant's quota |
+//! | `holder` | this node as a lease holder: the permits that it grants, and the renewal of its leases |
+//! | `limits` | the limits of the active configuration, divided among shards |
+//! | `permit` | a permit from its grant to its use or return |
+//! | `report` | status for operators: limits, their parts, and the grants of this node |
+//! | `take` | requests for permits to the lease holders of a tenant's quota |
 //!
-//! Owns nothing: its state is `node::quotas`. Uses `control` for the leases.
+//! Owns no state: the state is in `node::quotas`. Uses `control` for the leases.
 mod holder;
 mod limits;
 mod permit;
--- a/crates/sparrouter-fleet/src/quota/permit.rs
+++ b/crates/sparrouter-fleet/src/quota/permit.rs
@@ -1,4 +1,4 @@
-//! A permit from the asking to its use or return.
+//! A permit from its grant to its use or return.
 use crate::node::Node;
 use crate::node::counters::count;
 use crate::peer::messages::Call;
@@ -6,7 +6,7 @@
 use sparrouter_quota::{Permit, ReturnedTokens};
 use std::rc::Rc;
 
-/// A permit of a request. What is unspent in the end is given back to the holder that granted it.
+/// A permit that is held for a request. On drop, an unspent permit is returned to the lease holder that granted it.
 pub(crate) struct HeldPermit {
     node: Rc<Node>,
     tenant: String,
@@ -24,13 +24,14 @@
         }
     }
 
-    /// Whether a request may be sent under it now.
+    /// Whether the permit is unspent and still valid.
     pub(crate) fn is_usable(&self) -> bool {
         let is_valid = self.permit.is_valid(self.node.now());
         !self.is_spent && (is_valid || !rules::permits_checked_before_send())
     }
 
-    /// Spends it on a request whose bytes leave next; false if it is over or spent already.
+    /// Spends the permit immediately before a request's bytes are sent. Returns false if the permit has expired or was
+    /// already spent.
     pub(crate) fn spend(&mut self) -> bool {
         if !self.is_usable() {
             if !self.is_spent {
@@ -43,7 +44,8 @@
         true
     }
 
-    /// It is proved that the request for which it was spent never ran: it may be spent again while it lasts.
+    /// Makes a spent permit usable again until it expires, because the request for which it was spent was certainly not
+    /// run.
     pub(crate) fn undo_spend(&mut self) {
         self.is_spent = false;
     }
@@ -59,7 +61,7 @@
 }
 
 impl Node {
-    /// Gives an unspent permit back. Where that is lost, so is the permit.
+    /// Returns an unspent permit to its holder. If the message is lost, so is the permit.
     fn return_permit(&self, tenant: &str, permit: &Permit) {
         let Permit {
             shard,
--- a/crates/sparrouter-fleet/src/quota/report.rs
+++ b/crates/sparrouter-fleet/src/quota/report.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of limits, their parts and what is granted here. It changes nothing.
+//! Status for operators: limits, their parts, and the permits granted by this node. Read-only.
 use super::limits::{division_of, quota_settings};
 use crate::control::LEASE_SHARDS;
 use crate::node::Node;
@@ -6,37 +6,37 @@
 use sparrouter_config::TenantQuota;
 use std::time::Duration;
 
-/// A shard without a holder that answers is shown for this long after it was last asked in vain: it is asked only while
-/// requests need it.
+/// How long a shard stays in the report after no holder answered for it. Shards are asked only when a request needs a
+/// permit, so the failure may not be repeated.
 const UNAVAILABLE_SHOWN_FOR: Duration = Duration::from_secs(5);
 
-/// A shard whose lease this node has, valid or not.
+/// A shard whose lease this node has acquired, whether or not the lease is still valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HeldShard {
     pub(crate) shard: u16,
     pub(crate) fencing_token: u64,
-    /// Whether it may grant now.
+    /// Whether this node may currently grant permits of the shard.
     pub(crate) is_active: bool,
-    /// Tenants with a part there.
+    /// Number of tenants that have a part of their quota in this shard.
     pub(crate) tenant_count: usize,
-    /// Since the lease was acquired.
+    /// Number of permits granted since the lease was acquired.
     pub(crate) granted: u64,
     pub(crate) refused: u64,
     pub(crate) returned: u64,
 }
 
-/// A part of a tenant's limit at this node.
+/// A part of a tenant's limit that this node grants.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct HeldPart {
     pub(crate) shard: u16,
-    /// Permits that it has now.
+    /// Permits that are currently available.
     pub(crate) level: f64,
-    /// Most permits that it holds.
+    /// Maximum number of available permits.
     pub(crate) capacity: f64,
 }
 
 impl Node {
-    /// The shards whose leases this node has.
+    /// The shards whose leases this node has acquired.
     pub(crate) fn held_shards(&self) -> Vec<HeldShard> {
         (1..=LEASE_SHARDS)
             .filter_map(|shard| self.held_shard(shard))
@@ -60,7 +60,7 @@
         })
     }
 
-    /// The shards that have the parts of a tenant's limit, in the order of their numbers.
+    /// The shards among which a tenant's limit is divided, in ascending order.
     pub(crate) fn quota_shards(&self, tenant: &str, quota: TenantQuota) -> Vec<u16> {
         let settings = quota_settings(self);
         let mut shards = division_of(quota, &settings).shards(tenant, &settings);
@@ -68,7 +68,7 @@
         shards
     }
 
-    /// The parts of a tenant's limit that this node may grant from now.
+    /// The parts of a tenant's limit that this node may currently grant.
     pub(crate) fn held_parts(&self, tenant: &str, quota: TenantQuota) -> Vec<HeldPart> {
         let capacity = division_of(quota, &quota_settings(self)).shape.capacity;
         let held = self.held_shards().into_iter().filter(|held| held.is_active);
@@ -84,9 +84,9 @@
         held.filter_map(|held| part(held.shard)).collect()
     }
 
-    /// Shards of which no holder answered this node lately, and none has since.
+    /// Shards for which this node recently failed to reach a lease holder and has not reached one since.
     pub(crate) fn unavailable_shards(&self) -> Vec<u16> {
-        let since = self.now().saturating_sub(nanos(UNAVAILABLE_SHOWN_FOR));
-        self.quotas.permits.borrow().unavailable(since)
+        let failed_since = self.now().saturating_sub(nanos(UNAVAILABLE_SHOWN_FOR));
+        self.quotas.permits.borrow().unavailable(failed_since)
     }
 }
--- a/crates/sparrouter-fleet/src/quota/take.rs
+++ b/crates/sparrouter-fleet/src/quota/take.rs
@@ -1,4 +1,4 @@
-//! A permit from one of the holders of a tenant's quota.
+//! Requests a permit from one of the lease holders of a tenant's quota.
 use super::holder::Grant;
 use super::limits::{PERMIT_LIFETIME, division_of, quota_settings};
 use super::permit::HeldPermit;
@@ -15,43 +15,45 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a holder's answer is awaited.
+/// Time-out of a call for permits.
 const TAKE_TIMEOUT: Duration = Duration::from_millis(80);
-/// Most nodes that are asked for one shard: the one that last had its lease, and those that come first for it.
+/// Maximum number of nodes that are asked for one shard: the last known lease holder, and the nodes that rank highest
+/// for the lease.
 const MAX_CANDIDATES: usize = 3;
-/// Most nodes that are asked to ask in this one's place.
+/// Maximum number of nodes through which a call is relayed if this node cannot reach the lease holder.
 const MAX_RELAYS: usize = 2;
-/// A shard without a holder that answers is asked again after this ...
+/// How long a shard is not asked again after no lease holder answered for it.
 const UNAVAILABLE_FOR: Duration = Duration::from_millis(150);
-/// ... or at the time that its next holder names, but not later than after this.
+/// Maximum time for which a shard is not asked if its next lease holder states when it becomes active.
 const MAX_UNAVAILABLE_FOR: Duration = Duration::from_millis(500);
-/// A node that did not answer is not asked for this long.
+/// How long a node that did not answer is not asked.
 const SUSPECTED_FOR: Duration = Duration::from_millis(1_000);
-/// How long a request waits while no holder can be asked: one lease may just change hands.
-const PATIENCE: Duration = Duration::from_millis(200);
-/// Time between two attempts meanwhile.
+/// How long a request waits if no lease holder can be reached. A lease may just be moving to another holder.
+const MAX_WAIT_FOR_HOLDER: Duration = Duration::from_millis(200);
+/// Interval between attempts during that wait.
 const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// Why a request gets no permit. It has not been sent; the client may come back after the time.
+/// Why a request gets no permit. The request has not been sent; the client may retry after the given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PermitError {
     /// The tenant's quota is used up.
     LimitReached(Duration),
-    /// No holder of the quota can be asked.
+    /// No lease holder of the quota can be reached.
     Unavailable(Duration),
 }
 
-/// What a node answered.
+/// A node's answer to a request for permits.
 #[derive(Clone, Copy)]
 struct Answer {
-    /// When it was asked.
+    /// When the node was asked.
     asked_at: Nanos,
     grant: Grant,
 }
 
 impl Node {
-    /// Whether all of a tenant's quota is known to be used up: a refusal that costs no message.
+    /// Returns [`PermitError::LimitReached`] if this node already knows that all parts of a tenant's quota are used up.
+    /// No message is sent.
     pub(crate) fn known_quota_refusal(
         &self,
         tenant: &str,
@@ -69,11 +71,11 @@
         }
     }
 
-    /// Takes a permit of a tenant's quota from any of its holders.
+    /// Takes a permit of a tenant's quota from any of its lease holders.
     ///
     /// # Errors
     ///
-    /// [`PermitError`] where none has one, or none can be asked.
+    /// Returns a [`PermitError`] if no lease holder has a permit left, or none can be reached.
     pub(crate) async fn take_permit(
         self: &Rc<Self>,
         tenant: &str,
@@ -81,10 +83,10 @@
     ) -> Result<HeldPermit, PermitError> {
         let settings = quota_settings(self);
         let mut shards = division_of(quota, &settings).shards(tenant, &settings);
-        // Requests spread over the parts.
+        // The first shard is chosen at random, so that requests are spread over all parts of the quota.
         let first = self.rng.borrow_mut().usize(..shards.len());
         shards.rotate_left(first);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut asked = Vec::new();
         loop {
             let step = {
@@ -102,7 +104,7 @@
                     count(&self.counters.quota_refused);
                     return Err(PermitError::LimitReached(Duration::from_nanos(after)));
                 }
-                NextStep::Unavailable(_) if began.elapsed() < PATIENCE => {
+                NextStep::Unavailable(_) if started_at.elapsed() < MAX_WAIT_FOR_HOLDER => {
                     tokio::time::sleep(RETRY_INTERVAL).await;
                     asked.clear();
                 }
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Asks the holder of a shard for a permit, and records what it says.
+    /// Asks the lease holder of a shard for a permit and records the answer.
     async fn ask_shard(&self, shard: u16, tenant: &str) -> Option<Permit> {
         let mut answer = self.ask_holders(shard, tenant, 1).await;
         if answer.is_none() {
@@ -154,8 +156,8 @@
         None
     }
 
-    /// Asks the nodes that may have the lease of a shard, until one of them has it or one does not answer. `None`: the last
-    /// did not, or there is none to ask.
+    /// Asks the nodes that may have the lease of a shard, until one of them has it or one does not answer. Returns
+    /// `None` if the last node did not answer, or if there is no node to ask.
     async fn ask_holders(&self, shard: u16, tenant: &str, wanted: u32) -> Option<Answer> {
         let mut not_holder: Option<Answer> = None;
         for address in HolderCandidates::of(self, shard) {
@@ -176,7 +178,7 @@
         not_holder
     }
 
-    /// Asks one node for permits; `None` where it does not answer.
+    /// Asks one node for permits; `None` if the node does not answer.
     async fn ask_holder(
         &self,
         address: SocketAddr,
@@ -198,7 +200,7 @@
         self.call_for_permits(address, &call).await
     }
 
-    /// Asks for a permit through other nodes, which may reach the holder where this one does not.
+    /// Asks for a permit through other nodes, which may be able to reach the lease holder when this node is not.
     async fn ask_relays(&self, shard: u16, tenant: &str) -> Option<Answer> {
         let call = Call::RelayTakePermits {
             shard,
@@ -216,12 +218,12 @@
         None
     }
 
-    /// Sends a call for permits. A node that does not answer is not asked again for a while.
+    /// Sends a call for permits. A node that does not answer is suspected for a while.
     async fn call_for_permits(&self, to: SocketAddr, call: &Call) -> Option<Answer> {
-        // A permit's time runs from here: an answer that takes long gives one that is over.
+        // The lifetime of a permit starts before the call, so a permit that arrives late has already expired.
         let asked_at = self.now();
         let reply = self.quota_links.call(to, call, TAKE_TIMEOUT).await;
-        let grant = reply.ok().as_ref().and_then(grant_of);
+        let grant = reply.ok().as_ref().and_then(parse_grant);
         if grant.is_none() {
             self.quotas.suspect(to, self.now() + nanos(SUSPECTED_FOR));
         }
@@ -231,13 +233,13 @@
         })
     }
 
-    /// Asks the holder of a shard in the place of a node that does not reach it.
+    /// Asks the lease holder of a shard on behalf of a node that cannot reach it.
     pub(crate) async fn relay_take(&self, shard: u16, tenant: &str, wanted: u32) -> Grant {
         let answer = self.ask_holders(shard, tenant, wanted).await;
         answer.map_or(Grant::NotHolder { active_in: None }, |answer| answer.grant)
     }
 
-    /// Another node that takes clients and is not suspected, at random.
+    /// A random other node that accepts clients and is not suspected.
     fn random_proxy(&self) -> Option<SocketAddr> {
         let live = self.live_nodes();
         let now = self.now();
@@ -252,7 +254,7 @@
         Some(proxies[index])
     }
 
-    /// From when on the time of a permit runs that was asked for at `asked_at`.
+    /// The start of the lifetime of a permit that was requested at `asked_at`.
     fn permit_start(&self, asked_at: Nanos) -> Nanos {
         if rules::permits_run_from_asking() {
             asked_at
@@ -261,34 +263,34 @@
         }
     }
 
-    /// The control nodes by the rank by which they take the lease of a shard, those that are leaving or unresponsive behind
-    /// the others.
+    /// The control nodes in the order in which they take over the lease of a shard. Leaving and unresponsive nodes come
+    /// last.
     fn ranked_holders(&self, shard: u16) -> Vec<SocketAddr> {
         let live = self.live_nodes();
         let members = live.control_records().iter();
         let members = members.map(|m| (sparrouter_rendezvous::hash(m.name.as_bytes()), m));
         let key = sparrouter_rendezvous::hash(&shard.to_le_bytes());
         let ranked = sparrouter_rendezvous::order(members, key);
-        let (live, away): (Vec<_>, Vec<_>) = ranked
+        let (live, unavailable): (Vec<_>, Vec<_>) = ranked
             .into_iter()
             .partition(|record| !record.unresponsive && !record.leaving);
-        let in_order = live.into_iter().chain(away);
+        let in_order = live.into_iter().chain(unavailable);
         in_order
             .filter_map(|record| record.internal_address.parse().ok())
             .collect()
     }
 }
 
-/// The nodes that may have the lease of a shard, the likeliest first: the one that had it last, which mostly has it still,
-/// then those that may have taken it since.
+/// Iterator over the nodes that may have the lease of a shard, most likely first: the last known holder, then the nodes
+/// that may have acquired the lease since.
 struct HolderCandidates<'a> {
     node: &'a Node,
     shard: u16,
-    /// The one that had it last, until it was given.
+    /// The last known holder, until it has been returned.
     last: Option<SocketAddr>,
-    /// Those that were given.
-    given: Vec<SocketAddr>,
-    /// The others, worked out only once the last holder is not it any more.
+    /// The addresses that have been returned.
+    yielded: Vec<SocketAddr>,
+    /// The other nodes by rank; computed only after the last known holder has turned out not to have the lease.
     ranked: Option<std::vec::IntoIter<SocketAddr>>,
 }
 
@@ -298,7 +300,7 @@
             node,
             shard,
             last: node.quotas.holders.borrow().get(&shard).copied(),
-            given: Vec::new(),
+            yielded: Vec::new(),
             ranked: None,
         }
     }
@@ -310,7 +312,7 @@
             .ranked
             .get_or_insert_with(|| node.ranked_holders(shard).into_iter());
         ranked.find(|address| {
-            !self.given.contains(address) && !node.quotas.is_suspected(*address, now)
+            !self.yielded.contains(address) && !node.quotas.is_suspected(*address, now)
         })
     }
 }
@@ -319,20 +321,20 @@
     type Item = SocketAddr;
 
     fn next(&mut self) -> Option<SocketAddr> {
-        if self.given.len() >= MAX_CANDIDATES {
+        if self.yielded.len() >= MAX_CANDIDATES {
             return None;
         }
         let now = self.node.now();
         let last = self.last.take();
         let last = last.filter(|address| !self.node.quotas.is_suspected(*address, now));
         let next = last.or_else(|| self.next_ranked())?;
-        self.given.push(next);
+        self.yielded.push(next);
         Some(next)
     }
 }
 
-/// What a reply says of permits; `None` if it is none to that call.
-fn grant_of(reply: &Reply) -> Option<Grant> {
+/// Converts a reply to a [`Grant`]; `None` if the reply is of another kind.
+fn parse_grant(reply: &Reply) -> Option<Grant> {
     let from_ms = |ms: u32| u64::from(ms) * NANOS_PER_MS;
     match *reply {
         Reply::Permits {
