--- a/crates/sparrouter-fleet/src/membership/heartbeat.rs
+++ b/crates/sparrouter-fleet/src/membership/heartbeat.rs
@@ -1,4 +1,4 @@
-//! A server's heartbeat: reading it, and where the server should send the next one.
+//! Parses a server's heartbeat and selects the node that the server should send the next one to.
 use crate::control::Control;
 use crate::node::Node;
 use crate::platform::http::Response;
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Longest id, service, zone or address that is accepted, in bytes.
+/// Maximum length of an id, service, zone or address, in bytes.
 pub(super) const MAX_TEXT_BYTES: usize = 200;
-/// Most models of a server that are recorded.
+/// Maximum number of models that are recorded for a server.
 const MAX_MODELS: usize = 64;
 
 #[derive(Deserialize)]
@@ -19,7 +19,7 @@
     version: u64,
 }
 
-/// The body of a heartbeat; field names are PROTOCOL.md's.
+/// The JSON body of a heartbeat. Field names are defined in PROTOCOL.md.
 #[derive(Deserialize)]
 struct Heartbeat {
     service: String,
@@ -31,31 +31,31 @@
     call_sequence: u64,
 }
 
-/// The record that a heartbeat makes, without its registrar.
+/// Converts a heartbeat to a server record without a registrar.
 ///
 /// # Errors
 ///
-/// The response to a heartbeat that cannot be accepted.
+/// Returns the response to a malformed heartbeat.
 pub(super) fn read(id: &str, body: &[u8]) -> Result<ServerRecord, Response> {
-    let refused = |reason: &str| Response::plain(400, reason);
+    let rejection = |reason: &str| Response::plain(400, reason);
     let text = std::str::from_utf8(body).unwrap_or_default();
     let heartbeat: Heartbeat = json::from_str(text).map_err(|_| {
-        refused("a heartbeat is JSON with service, address, state and call_sequence")
+        rejection("a heartbeat is JSON with service, address, state and call_sequence")
     })?;
     let state = match heartbeat.state.as_str() {
         "ready" => LifecycleState::Ready,
         "draining" => LifecycleState::Draining,
-        _ => return Err(refused("state is ready or draining")),
+        _ => return Err(rejection("state is ready or draining")),
     };
-    let is_short = |text: &str| !text.is_empty() && text.len() <= MAX_TEXT_BYTES;
+    let is_valid_length = |text: &str| !text.is_empty() && text.len() <= MAX_TEXT_BYTES;
     let has_address = heartbeat.address.parse::<SocketAddr>().is_ok();
-    if !is_short(id) || !is_short(&heartbeat.service) || !has_address {
-        return Err(refused(
+    if !is_valid_length(id) || !is_valid_length(&heartbeat.service) || !has_address {
+        return Err(rejection(
             "id and service are short names, address is ip:port",
         ));
     }
     let models = heartbeat.models.unwrap_or_default();
-    let loaded = |model: ModelHeartbeat| LoadedModel {
+    let to_loaded_model = |model: ModelHeartbeat| LoadedModel {
         name: model.name,
         version: model.version,
     };
@@ -67,21 +67,26 @@
         slot_count: heartbeat.slot_count.unwrap_or(1),
         state,
         call_sequence: heartbeat.call_sequence,
-        models: models.into_iter().take(MAX_MODELS).map(loaded).collect(),
+        models: models
+            .into_iter()
+            .take(MAX_MODELS)
+            .map(to_loaded_model)
+            .collect(),
         registrar: String::new(),
         unresponsive: false,
     })
 }
 
-/// The node that a server should send its heartbeats to.
+/// The node to which a server should send its next heartbeats.
 pub(super) struct HeartbeatTarget {
     /// Name of the node.
     pub(super) name: String,
-    /// Its control address.
+    /// Control address of the node.
     pub(super) address: String,
 }
 
-/// Where a server should send its later heartbeats: a node of the core, in its zone if there is one. `None`: to this node.
+/// The node to which a server should send its next heartbeats: a control node that counts toward the quorum, in the
+/// server's zone if possible. `None` if the server should stay with this node, or if no such node is known.
 pub(super) fn target(
     node: &Node,
     control: Option<&Rc<Control>>,
--- a/crates/sparrouter-fleet/src/membership/mod.rs
+++ b/crates/sparrouter-fleet/src/membership/mod.rs
@@ -1,16 +1,17 @@
-//! Which nodes and servers exist: heartbeats of servers, long polls between nodes, and who is unresponsive or an outlier.
+//! Membership of nodes and servers: heartbeats of servers, long polls between nodes, and detection of unresponsive
+//! servers and outliers.
 //!
 //! | module | its job |
 //! | --- | --- |
-//! | `heartbeat` | reading a server's heartbeat, and where it should send the next |
-//! | `notify` | sending changed records to the control nodes |
-//! | `outliers` | failures at servers, counted by each server's owner |
-//! | [`polls`] | long polls of sources |
-//! | `registry` | the servers that call this node |
-//! | `sources` | which sources this node polls |
+//! | `heartbeat` | parsing of a server's heartbeat, and the node to which the next one is sent |
+//! | `notify` | immediate sending of changed records to the control nodes |
+//! | `outliers` | outlier detection: failures at servers, counted by each server's owner |
+//! | [`polls`] | long polls of sources, from which this node gets updates |
+//! | `registry` | the servers that send their heartbeats to this node |
+//! | `sources` | selection of the sources that this node polls |
 //!
-//! Owns the registry and what is known of sources. The records themselves are in `sparrouter_membership::MembershipTable`,
-//! which the node owns. Uses `control` and what is below it.
+//! Owns the registry and the state of the sources. The node owns the records themselves, in a
+//! `sparrouter_membership::MembershipTable`. Uses `control` and the modules below it.
 mod heartbeat;
 mod notify;
 mod outliers;
--- a/crates/sparrouter-fleet/src/membership/notify.rs
+++ b/crates/sparrouter-fleet/src/membership/notify.rs
@@ -1,4 +1,4 @@
-//! Sending changed records to the control nodes at once, ahead of their polls.
+//! Sends changed records to the control nodes immediately, without waiting for their polls.
 use crate::node::Node;
 use crate::peer::messages::{Call, Reply};
 use sparrouter_membership::MembershipDelta;
@@ -8,8 +8,8 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Sends records that changed here to the control nodes. True once one of them that is in contact with a quorum has
-/// acknowledged them; the others still get them. False if none has within `timeout`.
+/// Sends changed records to the other control nodes. Returns true as soon as one that has contact with a quorum
+/// acknowledges them; the remaining nodes still receive them. Returns false if none acknowledges within `timeout`.
 pub async fn notify(node: &Rc<Node>, delta: &MembershipDelta, timeout: Duration) -> bool {
     let control_nodes = responsive_control_nodes(node);
     if control_nodes.is_empty() {
@@ -22,7 +22,7 @@
         spawn_local(async move {
             let reply = node.links.call(address, &call, timeout).await;
             let is_acknowledged = matches!(reply, Ok(Reply::Acknowledged));
-            // Nobody listens any more once one has acknowledged.
+            // The receiver is dropped after the first acknowledgement.
             let _ = acknowledged.send(is_acknowledged).await;
         });
     }
@@ -35,7 +35,7 @@
     false
 }
 
-/// The internal addresses of the other control nodes that respond; of all others where none does.
+/// The internal addresses of the other control nodes that are responsive, or of all of them if none is.
 fn responsive_control_nodes(node: &Node) -> Vec<SocketAddr> {
     let own_address = node.own_address();
     let mut others = node.control_nodes();
--- a/crates/sparrouter-fleet/src/membership/outliers.rs
+++ b/crates/sparrouter-fleet/src/membership/outliers.rs
@@ -1,7 +1,7 @@
-//! Outliers: servers that fail requests which others would serve.
+//! Outlier detection: finds servers that fail requests which other servers would complete.
 //!
-//! Failures are reported to the node that owns the server, which counts them and asks all nodes to avoid an outlier for a
-//! while.
+//! Failures are reported to the node that owns the server. The owner counts them and asks all nodes to avoid an outlier
+//! for a while.
 use super::notify::notify;
 use crate::node::Node;
 use crate::node::counters::count;
@@ -13,13 +13,15 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Thousandths in one.
+/// Factor by which `answered` is scaled to an integer in a message.
 const MILLI: f64 = 1_000.0;
-/// How long a control node may take to acknowledge a directive to avoid a server; without it the others get it later.
+/// Time-out for the acknowledgement of a directive to avoid a server. Without an acknowledgement the other nodes
+/// receive the directive later, by polls.
 const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Node {
-    /// Reports that a request of this node failed at a server. `key`: by which its server was selected.
+    /// Reports to the server's owner that a request of this node failed. `key`: the key by which the server was
+    /// selected.
     pub fn report_failure(self: &Rc<Self>, ix: ServerIndex, key: u64) {
         let failure = {
             let server_table = self.server_table.borrow();
@@ -43,7 +45,7 @@
         self.links.cast(owner, &call);
     }
 
-    /// Reports that a request which failed at this server was answered by another one.
+    /// Reports to the server's owner that a request which failed at this server was answered by another one.
     pub fn report_served_elsewhere(&self, ix: ServerIndex) {
         let hash = self.server_table.borrow().get(ix).map(Server::hash);
         let Some(server) = hash else {
@@ -55,14 +57,15 @@
         }
     }
 
-    /// The same at the server's owner.
+    /// Records that a request which failed at a server owned by this node was answered by another server.
     pub fn count_served_elsewhere(&self, server: u64) {
         let now = self.now();
         let mut outliers = self.owned_keys.outliers.borrow_mut();
         outliers.record_served_elsewhere(server, now);
     }
 
-    /// Counts a failure that another node reports to this one, the server's owner.
+    /// Records a failure that another node reports to this node, the server's owner. `answered_milli`: recently
+    /// answered requests at the reporting node, in thousandths.
     pub fn count_reported_failure(self: &Rc<Self>, server: u64, key: u64, answered_milli: u32) {
         self.count_failure(Failure {
             server,
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Asks all nodes to prefer other servers for a while.
+    /// Sends all nodes a directive to prefer other servers for a while.
     fn report_outlier(self: &Rc<Self>, id: &str) {
         let key = format!("avoid/{id}/");
         let known = self.membership.borrow().directive(&key).map(|d| d.sequence);
@@ -96,7 +99,7 @@
             fencing_token: 0,
             sequence: known.map_or(1, |sequence| sequence + 1),
             version: 0,
-            // It is in force by its age alone, and is dropped like a directive that was withdrawn.
+            // The directive expires by its age; until it is dropped it is stored like a withdrawn directive.
             withdrawn: true,
         };
         let delta = MembershipDelta {
--- a/crates/sparrouter-fleet/src/membership/polls.rs
+++ b/crates/sparrouter-fleet/src/membership/polls.rs
@@ -1,5 +1,5 @@
-//! Long polls: asking sources for what is new.
-use crate::membership::sources::{KnownRevision, RecordForm, Sources};
+//! Long polls: this node asks its sources for new records and configurations.
+use crate::membership::sources::{KnownRevision, RecordVersion, Sources};
 use crate::node::Node;
 use crate::peer::links::LinkError;
 use crate::peer::messages::{Call, ConfigUpdate, ConfirmedRead, Poll, Reply, Update};
@@ -15,32 +15,33 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Longest time for which a source waits with its reply while there is nothing new.
+/// Maximum time for which a source delays its reply while it has no updates.
 const MAX_WAIT: Duration = Duration::from_millis(1_200);
-/// The same between control nodes, which conclude from these polls that they are in contact.
+/// Maximum delay of a reply between control nodes, which use these polls to detect whether they are in contact.
 const MAX_WAIT_OF_CONTROL_NODES: Duration = Duration::from_millis(600);
-/// Time after a poll that failed.
+/// Delay after a failed poll.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
-/// Time between two checks of which control nodes there are.
+/// Interval at which the set of control nodes is checked.
 const SOURCES_INTERVAL: Duration = Duration::from_millis(150);
-/// A process that starts polls at short intervals until it is informed, but no longer than this.
+/// Maximum time after process start during which a node polls at short intervals until it has received the current
+/// state.
 const START_TIME: Duration = Duration::from_secs(10);
-/// Longest wait at a source in that time, in milliseconds.
+/// Maximum time for which a source delays its reply during that period, in milliseconds.
 const MAX_WAIT_AT_START_MS: u32 = 40;
 
-/// What a poll came to.
+/// Outcome of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollOutcome {
-    /// The source has contact with a quorum.
+    /// The source answered and has contact with a quorum.
     WithQuorumContact,
-    /// The source answered and has no such contact.
+    /// The source answered but has no contact with a quorum.
     WithoutQuorumContact,
-    /// No reply, or none that can be read.
+    /// There was no reply, or it could not be parsed.
     Failed,
 }
 
-/// Starts the tasks that poll sources; they run until the process ends. A node with control state polls all other control
-/// nodes; any other node polls a few.
+/// Starts the tasks that poll sources until the process ends. A node with control state polls all other control nodes;
+/// any other node polls [`SOURCE_COUNT`] sources.
 pub fn start(node: &Rc<Node>, has_control_state: bool) {
     let sources = Rc::new(Sources::default());
     if has_control_state {
@@ -53,7 +54,7 @@
     }
 }
 
-/// One of the loops of a node without control state.
+/// Poll loop of a node without control state; the node runs one loop for each concurrent source.
 async fn poll_some_sources(node: Rc<Node>, sources: Rc<Sources>, loop_index: usize) {
     loop {
         let Some(source) = sources.next(&node, loop_index) else {
@@ -69,7 +70,7 @@
     }
 }
 
-/// Runs one loop for each other control node and seed, started as they become known.
+/// Runs one poll loop for each other control node and seed, and starts new loops as nodes become known.
 async fn poll_all_control_nodes(node: Rc<Node>, sources: Rc<Sources>) {
     let polled: Rc<RefCell<HashSet<SocketAddr>>> = Rc::default();
     loop {
@@ -98,7 +99,7 @@
     addresses
 }
 
-/// Polls a control node until it is neither one nor a seed any more.
+/// Polls a node until it is neither a control node nor a seed any more.
 async fn poll_control_node(node: &Rc<Node>, sources: &Sources, source: SocketAddr) {
     while is_control_node_or_seed(node, source) {
         let outcome = poll(node, sources, source, MAX_WAIT_OF_CONTROL_NODES).await;
@@ -116,7 +117,7 @@
         || settings.seeds.iter().any(|s| s.ip() == source.ip())
 }
 
-/// One poll: sends what this node has, and applies the reply.
+/// Executes one poll: sends the revisions that this node has, and applies the reply.
 async fn poll(
     node: &Rc<Node>,
     sources: &Sources,
@@ -124,14 +125,14 @@
     max_wait: Duration,
 ) -> PollOutcome {
     let max_wait = node.configuration.poll_wait(max_wait);
-    let own_form = {
+    let own_version = {
         let own = node.own_record.borrow();
-        RecordForm {
+        RecordVersion {
             incarnation: own.incarnation,
             leaving: own.leaving,
         }
     };
-    let request = poll_request(node, sources, source, own_form, max_wait);
+    let request = poll_request(node, sources, source, own_version, max_wait);
     let sends_record = request.record.is_some();
     let sent_at = node.now();
     let timeout = sources.poll_timeout(node, max_wait);
@@ -149,34 +150,34 @@
         return PollOutcome::Failed;
     }
     if sends_record {
-        // It was read by the process that answered, whose epoch is known by now.
+        // The process that replied has read the record; its epoch is known from the reply.
         let revisions = sources.revisions.borrow();
         let epoch = revisions.get(&source).map_or(0, |known| known.epoch);
         let mut sent = sources.sent_records.borrow_mut();
-        sent.insert(source, (epoch, own_form));
+        sent.insert(source, (epoch, own_version));
     }
     let is_applied = apply_configuration(node, sources, config);
     record_contact(node, confirmed, is_applied, sent_at, timeout)
 }
 
-/// What this node has, as a poll of a source.
+/// Creates the poll request, which states the record revision and the configuration that this node has.
 fn poll_request(
     node: &Node,
     sources: &Sources,
     source: SocketAddr,
-    own_form: RecordForm,
+    own_version: RecordVersion,
     max_wait: Duration,
 ) -> Poll {
     let revisions = sources.revisions.borrow();
     let KnownRevision { epoch, revision } = revisions.get(&source).copied().unwrap_or_default();
     let sent_records = sources.sent_records.borrow();
-    let has_record = sent_records.get(&source) == Some(&(epoch, own_form));
+    let source_has_record = sent_records.get(&source) == Some(&(epoch, own_version));
     let own_record = node.own_record.borrow().clone();
     let active = node.active_configuration();
     let is_starting = !node.fleet_contact.is_informed() && node.now() <= nanos(START_TIME);
     Poll {
         name: own_record.name.clone(),
-        record: (!has_record).then_some(own_record),
+        record: (!source_has_record).then_some(own_record),
         epoch,
         revision,
         config_slot: active.slot,
@@ -190,7 +191,7 @@
         } else {
             max_wait.as_millis() as u32
         },
-        models: if has_record {
+        models: if source_has_record {
             Seq::default()
         } else {
             node.model_updates()
@@ -201,14 +202,14 @@
 fn count_unanswered(sources: &Sources, reply: &Result<Reply, LinkError>) {
     let count = match reply {
         Ok(_) => 0,
-        // A node that is not there says nothing of the links.
+        // An unreachable node says nothing about the speed of the links.
         Err(LinkError::Unreachable) => sources.unanswered.get(),
         Err(_) => sources.unanswered.get().saturating_add(1),
     };
     sources.unanswered.set(count);
 }
 
-/// Merges the records of a reply; false if they cannot be read.
+/// Merges the records of a reply; false if they cannot be parsed.
 fn merge_packed(node: &Node, sources: &Sources, source: SocketAddr, packed: &Blob) -> bool {
     if packed.is_empty() {
         return true;
@@ -225,8 +226,8 @@
     true
 }
 
-/// Applies the configuration of a reply, if it has one. False where it has edits of another text than the one here: the
-/// next poll then asks for the complete text.
+/// Applies the configuration of a reply, if there is one. Returns false if the reply contains edits to a different base
+/// text than this node has; the next poll then asks for the complete text.
 fn apply_configuration(node: &Node, sources: &Sources, config: Option<ConfigUpdate>) -> bool {
     let Some(config) = config else {
         return true;
@@ -236,7 +237,8 @@
     is_applied
 }
 
-/// Renews the lease on the configuration, and records contact, by the read that the source confirmed.
+/// Renews the lease of the configuration and records the contact with the fleet, based on the quorum read that the
+/// source confirmed.
 fn record_contact(
     node: &Node,
     confirmed: Option<ConfirmedRead>,
@@ -248,7 +250,8 @@
         return PollOutcome::WithoutQuorumContact;
     };
     if is_applied {
-        // The poll arrived at the source after it was sent here.
+        // `began_ms` is relative to the poll's arrival at the source, which was later than `sent_at`, so this start
+        // time is not too late.
         let sent_at = Timestamp::try_from(sent_at).unwrap_or(Timestamp::MAX);
         node.confirm_configuration(sent_at.saturating_add(nanos_of_ms(read.began_ms)));
     }
@@ -265,8 +268,8 @@
     ms.saturating_mul(NANOS_PER_MS)
 }
 
-/// Whether the reply to a call that was sent at `sent_at` still says what is so. One that waited while this process was
-/// frozen says what was so, and the timer of the call has not fired if the reply was read before it.
+/// Whether a reply to a call that was sent at `sent_at` is recent enough to be trusted. If this process was frozen, a
+/// reply may have waited in the socket and be read before the call's time-out fires; its content is then outdated.
 pub fn is_timely(sent_at: Nanos, now: Nanos, timeout: Duration) -> bool {
     now.saturating_sub(sent_at) <= nanos(timeout) || !rules::late_poll_replies_ignored()
 }
--- a/crates/sparrouter-fleet/src/membership/registry.rs
+++ b/crates/sparrouter-fleet/src/membership/registry.rs
@@ -1,4 +1,5 @@
-//! The servers that call this node: heartbeats, draining, leaving, and which have become unresponsive.
+//! Registry of the servers that send their heartbeats to this node: handles heartbeats, draining and leaving, and
+//! detects unresponsive servers.
 use super::heartbeat::{self, HeartbeatTarget, MAX_TEXT_BYTES};
 use super::notify::notify;
 use super::sources::has_recent_quorum_contact;
@@ -15,13 +16,13 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Heartbeats in a row that may be missing before a server counts as unresponsive.
+/// Number of consecutive missed heartbeats after which a server counts as unresponsive.
 const MAX_MISSED_HEARTBEATS: u32 = 3;
-/// Servers are forgotten here after this many times the time after which they count as unresponsive.
-const FORGET_AFTER: u64 = 10;
-/// A caller waits a second; other nodes have this much of it to acknowledge a record that binds them.
+/// A server is removed from the registry after this multiple of the time after which it counts as unresponsive.
+const REMOVE_AFTER_TIMEOUTS: u64 = 10;
+/// Time-out for other nodes to acknowledge a record. Servers wait 1 s for the reply to a heartbeat.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(700);
-/// A server whose call is not acknowledged goes on to another node, and may come back after this.
+/// Retry delay for a server whose call is not acknowledged; in the meantime it calls another node.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// The last heartbeat of a server that calls this node.
@@ -29,20 +30,20 @@
 struct LastHeartbeat {
     call_sequence: u64,
     received_at: Nanos,
-    /// A node with quorum contact has acknowledged that the server drains.
+    /// Whether a node with quorum contact has acknowledged that the server is draining.
     is_draining_replicated: bool,
 }
 
-/// The servers that call this node. Borrows of its cells are not held across an `await`.
+/// The servers that send their heartbeats to this node. Borrows of its cells are not held across an `await`.
 #[derive(Default)]
 pub struct Registry {
     heartbeats: RefCell<BTreeMap<String, LastHeartbeat>>,
-    /// Servers whose registrar is unresponsive or gone, and since when.
+    /// Servers whose registrar is unresponsive or unknown, with the time since when.
     orphaned: RefCell<BTreeMap<String, Nanos>>,
 }
 
 impl Registry {
-    /// Handles a heartbeat of a server; a response with 200 acknowledges it and names the node to call next.
+    /// Handles a server's heartbeat. A response with status 200 acknowledges it and names the node to call next.
     pub async fn handle_heartbeat(
         &self,
         node: &Rc<Node>,
@@ -61,19 +62,19 @@
         };
         let state = record.state;
         let must_replicate = state == LifecycleState::Draining && !self.is_draining_replicated(id);
-        let reception = self.receive(node, record);
-        // A draining heartbeat that is sent again after a refusal still binds: what counts is whether other nodes have
-        // it, not whether it is new.
+        let effect = self.receive(node, record);
+        // A draining heartbeat that is repeated after a rejection must be replicated too: it counts whether other nodes
+        // have the record, not whether the record is new here.
         let must_replicate = must_replicate
-            && (reception == Reception::Merged || rules::repeated_drains_need_replica());
-        let must_send = must_replicate || reception == Reception::Merged;
+            && (effect == HeartbeatEffect::Merged || rules::repeated_drains_need_replica());
+        let must_send = must_replicate || effect == HeartbeatEffect::Merged;
         if must_send && !self.replicate(node, control, id, must_replicate).await {
             return Response::retry_later(RETRY_AFTER);
         }
         if must_replicate {
             self.mark_draining_replicated(id);
         }
-        // Records of a machine that is cut off reach nobody: the server should call another one.
+        // If this node is partitioned, its records reach no other node, so the server should call another one.
         let needs_contact = state == LifecycleState::Ready && rules::heartbeat_acks_need_contact();
         if needs_contact && !may_acknowledge(node, control) {
             return Response::retry_later(RETRY_AFTER);
@@ -81,24 +82,24 @@
         acknowledgement(target)
     }
 
-    /// Records a heartbeat and merges what is new in it.
-    fn receive(&self, node: &Node, record: ServerRecord) -> Reception {
-        let is_late = !self.record_heartbeat(&record, node.now());
+    /// Records a heartbeat and merges its record if the record has changed.
+    fn receive(&self, node: &Node, record: ServerRecord) -> HeartbeatEffect {
+        let is_outdated = !self.record_heartbeat(&record, node.now());
         #[cfg(feature = "injected-defects")]
-        if is_late && !rules::late_heartbeats_ignored() {
+        if is_outdated && !rules::late_heartbeats_ignored() {
             overwrite_record(node, &record);
         }
-        if is_late {
-            return Reception::Late;
+        if is_outdated {
+            return HeartbeatEffect::Outdated;
         }
         if is_known(node, &record) {
-            return Reception::Known;
+            return HeartbeatEffect::Unchanged;
         }
         node.merge_records(MembershipDelta {
             servers: vec![record].into(),
             ..MembershipDelta::default()
         });
-        Reception::Merged
+        HeartbeatEffect::Merged
     }
 
     fn is_draining_replicated(&self, id: &str) -> bool {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Records that a server called; false where a later call of it has arrived before.
+    /// Records the time of a server's heartbeat. Returns false if a later heartbeat has already arrived.
     fn record_heartbeat(&self, record: &ServerRecord, now: Nanos) -> bool {
         let mut heartbeats = self.heartbeats.borrow_mut();
         let known = heartbeats.get(&record.id).copied();
@@ -128,7 +129,7 @@
         true
     }
 
-    /// Handles a server's call that it leaves; a response with 200 acknowledges it.
+    /// Handles a server's notice that it leaves. A response with status 200 acknowledges it.
     pub async fn leave(
         &self,
         node: &Rc<Node>,
@@ -150,14 +151,14 @@
         Response::json(200, "{}")
     }
 
-    /// Sends a server's record to the control nodes. Where it binds other nodes, it counts only once one that is in
-    /// contact with a quorum has acknowledged it; false if none has.
+    /// Sends a server's record to the control nodes. If `must_be_acknowledged`, waits for a control node with quorum
+    /// contact to acknowledge it and returns false if none does; otherwise returns true at once.
     async fn replicate(
         &self,
         node: &Rc<Node>,
         control: Option<&Rc<Control>>,
         id: &str,
-        binds: bool,
+        must_be_acknowledged: bool,
     ) -> bool {
         let Some(record) = node.membership.borrow().server(id).cloned() else {
             return true;
@@ -166,7 +167,7 @@
             servers: vec![record].into(),
             ..MembershipDelta::default()
         };
-        if binds && rules::acks_need_replica() {
+        if must_be_acknowledged && rules::acks_need_replica() {
             let is_replicated = notify(node, &delta, REPLICATION_TIMEOUT).await;
             return is_replicated || is_only_member(control);
         }
@@ -175,22 +176,22 @@
             if !rules::acks_need_replica() {
                 tokio::time::sleep(REPLICATION_TIMEOUT).await;
             }
-            // What is lost here comes with the next heartbeat or the polls of other nodes.
+            // If this message is lost, the record is replicated by the next heartbeat or the polls of other nodes.
             notify(&node, &delta, REPLICATION_TIMEOUT).await;
         });
         true
     }
 
-    /// Marks servers that became unresponsive. `has_control_state`: this node also watches servers whose registrar is
-    /// gone.
+    /// Marks servers that have become unresponsive. `has_control_state`: whether this node also monitors servers whose
+    /// registrar is gone.
     pub fn check_liveness(&self, node: &Rc<Node>, has_control_state: bool) {
         let now = node.now();
-        let limit = nanos(node.settings.borrow().heartbeat * MAX_MISSED_HEARTBEATS);
+        let timeout = nanos(node.settings.borrow().heartbeat * MAX_MISSED_HEARTBEATS);
         let unresponsive = {
             let check = LivenessCheck {
                 membership: &node.membership.borrow(),
                 own_name: &node.own_record.borrow().name,
-                limit,
+                timeout,
                 now,
             };
             let mut ids = self.overdue_heartbeats(&check);
@@ -209,33 +210,33 @@
         }
     }
 
-    /// The servers that this node is the registrar of and that no longer call. Servers that call another node now, or are
-    /// long gone, are forgotten.
+    /// The servers that have this node as their registrar and whose heartbeats are overdue. Servers without a record,
+    /// or without a heartbeat for long, are removed from the registry.
     fn overdue_heartbeats(&self, check: &LivenessCheck<'_>) -> Vec<String> {
         let LivenessCheck {
             membership,
             own_name,
-            limit,
+            timeout,
             now,
         } = *check;
         let mut overdue = Vec::new();
         self.heartbeats.borrow_mut().retain(|id, last| {
             let elapsed = now.saturating_sub(last.received_at);
             let record = membership.server(id);
-            if elapsed > limit && record.is_some_and(|r| r.registrar == own_name) {
+            if elapsed > timeout && record.is_some_and(|r| r.registrar == own_name) {
                 overdue.push(id.clone());
             }
-            record.is_some() && elapsed < limit * FORGET_AFTER
+            record.is_some() && elapsed < timeout * REMOVE_AFTER_TIMEOUTS
         });
         overdue
     }
 
-    /// The servers that have been without a registrar for too long.
+    /// The servers that have been without a responsive registrar for longer than the time-out.
     fn overdue_orphans(&self, check: &LivenessCheck<'_>) -> Vec<String> {
         let LivenessCheck {
             membership,
             own_name,
-            limit,
+            timeout,
             now,
         } = *check;
         let heartbeats = self.heartbeats.borrow();
@@ -257,7 +258,7 @@
                 continue;
             }
             let since = *orphaned.entry(server.id.clone()).or_insert(now);
-            if now.saturating_sub(since) > limit && !server.unresponsive {
+            if now.saturating_sub(since) > timeout && !server.unresponsive {
                 overdue.push(server.id.clone());
             }
         }
@@ -266,28 +267,28 @@
     }
 }
 
-/// What servers are checked against.
+/// Parameters of a liveness check.
 struct LivenessCheck<'a> {
     membership: &'a MembershipTable,
     own_name: &'a str,
-    /// How long a server may be without a heartbeat, or without a registrar.
-    limit: Nanos,
+    /// Maximum time without a heartbeat, or without a registrar, in nanoseconds.
+    timeout: Nanos,
     now: Nanos,
 }
 
-/// What a heartbeat brought.
+/// Effect of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reception {
-    /// Something new, which is merged.
+enum HeartbeatEffect {
+    /// The record has changed and was merged.
     Merged,
-    /// Nothing new.
-    Known,
-    /// Less than a later call that arrived before it.
-    Late,
+    /// The record is unchanged.
+    Unchanged,
+    /// The heartbeat is outdated: a later one has already arrived.
+    Outdated,
 }
 
-/// The node that looks after the server: the one that it calls next. It is in the server's first record already, so that
-/// the move to it changes nothing.
+/// Name of the server's registrar: the node that the server calls next. The server's first record already contains it,
+/// so that the record doesn't change when the server moves to that node.
 fn registrar(node: &Node, target: Option<&HeartbeatTarget>) -> String {
     match target {
         Some(target) => target.name.clone(),
@@ -304,7 +305,7 @@
     Response::json(200, body)
 }
 
-/// Injected: a late heartbeat replaces a newer record.
+/// Injected fault: an outdated heartbeat overwrites a newer record.
 #[cfg(feature = "injected-defects")]
 fn overwrite_record(node: &Node, record: &ServerRecord) {
     let now = node.now();
@@ -314,7 +315,7 @@
     server_table.overwrite(&record.id, record.state);
 }
 
-/// Whether a record differs from the known one in nothing but its call sequence.
+/// Whether a record equals the known one apart from its call sequence.
 fn is_known(node: &Node, record: &ServerRecord) -> bool {
     let membership = node.membership.borrow();
     membership.server(&record.id).is_some_and(|known| {
@@ -326,13 +327,14 @@
     })
 }
 
-/// Whether this node is the only member: there is no other node to replicate to.
+/// Whether this node is the only member of the control group, so that there is no node to replicate to.
 fn is_only_member(control: Option<&Rc<Control>>) -> bool {
     control.is_some_and(|c| c.members(CONFIG).len() == 1 && c.has_quorum_contact())
 }
 
-/// Whether what a server reports here reaches the rest of the fleet: a member needs quorum contact, any other node must
-/// have heard from a node that has it. A node that has not found the fleet yet acknowledges until it has.
+/// Whether a record that a server reports to this node reaches the rest of the fleet. A member of the control group
+/// needs contact with a quorum; any other node must recently have heard from a node that has such contact. A node that
+/// has not joined the fleet yet acknowledges in any case.
 fn may_acknowledge(node: &Node, control: Option<&Rc<Control>>) -> bool {
     match control.filter(|c| c.is_member()) {
         Some(control) => control.has_quorum_contact(),
--- a/crates/sparrouter-fleet/src/membership/sources.rs
+++ b/crates/sparrouter-fleet/src/membership/sources.rs
@@ -1,4 +1,4 @@
-//! Which sources a node polls next, and what is known of each.
+//! Selection of the sources that a node polls, and the state that the node keeps for each source.
 use crate::node::{ControlNode, Node};
 use crate::platform::defects::rules;
 use crate::settings::nanos;
@@ -9,54 +9,54 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A source that failed is avoided for this long while there are others.
+/// How long a failed source is avoided if there are others.
 const AVOID_TIME: Duration = Duration::from_millis(800);
-/// If no node with quorum contact was heard from for this long, the seeds are polled too, every other time.
+/// If no node with quorum contact has answered for this long, every other poll on average goes to a seed.
 const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// How much longer than the source may wait with its reply a poll may take.
+/// Time that a poll may take beyond the maximum delay of the source's reply.
 const REPLY_MARGIN: Duration = Duration::from_millis(500);
-/// How often the time-out of a node without a configuration doubles. Many that start at once may fill the sources' links
-/// with large replies, each of which is sent again if a node gives up on it.
+/// Maximum number of times that the poll time-out doubles on a node without a configuration. Many nodes that start at
+/// once may saturate the sources' links with large replies, and a reply is sent again if a node gives up on it.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
 
-/// Which of a source's records this node has: a revision, of the process with this epoch.
+/// Revision up to which this node has a source's records; valid for the source's process with this epoch.
 #[derive(Clone, Copy, Default)]
 pub(super) struct KnownRevision {
     pub(super) epoch: u64,
     pub(super) revision: u64,
 }
 
-/// What changes in a node's own record while it runs.
+/// The fields of a node's own record that change while the node runs.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) struct RecordForm {
+pub(super) struct RecordVersion {
     pub(super) incarnation: u64,
     pub(super) leaving: bool,
 }
 
-/// What is known of sources at this node.
+/// State of the sources at this node.
 #[derive(Default)]
 pub(super) struct Sources {
-    /// Sources that failed or have no quorum contact, and until when they are avoided.
+    /// Sources that failed or have no quorum contact, with the time until which each is avoided.
     avoided: RefCell<HashMap<SocketAddr, Nanos>>,
-    /// The source that each loop polls.
+    /// The source that each poll loop is polling, by loop index.
     polled: RefCell<Vec<Option<SocketAddr>>>,
-    /// What this node has of each source's records.
+    /// The record revision that this node has of each source.
     pub(super) revisions: RefCell<HashMap<SocketAddr, KnownRevision>>,
-    /// The form in which each source has this node's record, with the epoch of the source.
-    pub(super) sent_records: RefCell<HashMap<SocketAddr, (u64, RecordForm)>>,
-    /// Whether the next poll asks for the complete text of the configuration.
+    /// The version of this node's own record that each source has, with the epoch of the source.
+    pub(super) sent_records: RefCell<HashMap<SocketAddr, (u64, RecordVersion)>>,
+    /// Whether the next poll requests the complete text of the configuration.
     pub(super) needs_complete_text: Cell<bool>,
-    /// Polls in a row without a reply.
+    /// Number of consecutive polls without a reply.
     pub(super) unanswered: Cell<u32>,
 }
 
 impl Sources {
-    /// Prepares for this many loops.
+    /// Sets the number of poll loops.
     pub(super) fn set_loop_count(&self, count: usize) {
         self.polled.borrow_mut().resize(count, None);
     }
 
-    /// Records which source a loop polls.
+    /// Records the source that a loop polls.
     pub(super) fn begin_poll(&self, loop_index: usize, source: SocketAddr) {
         self.polled.borrow_mut()[loop_index] = Some(source);
     }
@@ -71,7 +71,7 @@
         self.avoided.borrow().contains_key(&source)
     }
 
-    /// Whether a source may be polled by this loop: it is not avoided, and no other loop polls it.
+    /// Whether this loop may poll a source: the source is not avoided, and no other loop polls it.
     fn is_free(&self, source: SocketAddr, loop_index: usize) -> bool {
         let polled = self.polled.borrow();
         let mut others = polled
@@ -97,8 +97,8 @@
             random(node, &all)
         };
         let last_resort = if loop_index == 0 { any_source() } else { None };
-        // Machines that are gone for good time out more slowly than they are avoided. Without this a node that was cut
-        // off while all the nodes that it knows were replaced would poll those for ever.
+        // Polls of removed machines take longer to time out than the machines are avoided. Without polls of seeds, a
+        // node that was partitioned while all nodes known to it were replaced would poll those forever.
         let tries_seeds = !has_recent_quorum_contact(node) && node.rng.borrow_mut().bool();
         let seed_first = if tries_seeds { any_seed() } else { None };
         seed_first
@@ -107,7 +107,7 @@
             .or(last_resort)
     }
 
-    /// The other control nodes in this node's order of preference; those that are avoided, unresponsive or leaving last.
+    /// The other control nodes in this node's order of preference. Avoided, unresponsive and leaving nodes come last.
     fn ranked_control_nodes(&self, node: &Node) -> Vec<SocketAddr> {
         let own_address = node.own_address();
         let others: Vec<ControlNode> = node
@@ -116,7 +116,7 @@
             .filter(|control_node| control_node.address != own_address)
             .collect();
         let membership = node.membership.borrow();
-        let is_away = |name: &str| {
+        let is_unavailable = |name: &str| {
             membership
                 .node(name)
                 .is_some_and(|n| n.unresponsive || n.leaving)
@@ -124,7 +124,7 @@
         let candidates = others.iter().map(|n| {
             (
                 n.name.as_str(),
-                !self.is_avoided(n.address) && !is_away(&n.name),
+                !self.is_avoided(n.address) && !is_unavailable(&n.name),
             )
         });
         let own_name = node.settings.borrow().node_name.clone();
@@ -135,7 +135,7 @@
             .collect()
     }
 
-    /// How long a poll may take if the source may wait for `max_wait` with its reply.
+    /// Time-out of a poll whose source may delay its reply by up to `max_wait`.
     pub(super) fn poll_timeout(&self, node: &Node, max_wait: Duration) -> Duration {
         let has_configuration = node.active_configuration().slot > 0;
         let doublings = if has_configuration || !rules::arriving_replies_extend_timeout() {
@@ -147,7 +147,7 @@
     }
 }
 
-/// The internal addresses of the settings' seeds, without this node: for a node that knows no other node that answers.
+/// The internal addresses of the configured seeds except this node, for a node that knows no other responsive node.
 fn seeds(node: &Node) -> Vec<SocketAddr> {
     let own_address = node.own_address();
     let settings = node.settings.borrow();
@@ -162,7 +162,7 @@
     Some(sources[node.rng.borrow_mut().usize(..sources.len())])
 }
 
-/// Whether a node with quorum contact answered this one lately.
+/// Whether a node with quorum contact has answered this node within [`QUORUM_CONTACT_TIMEOUT`].
 pub(super) fn has_recent_quorum_contact(node: &Node) -> bool {
     let elapsed = node.now().saturating_sub(node.fleet_contact.last_at());
     elapsed <= nanos(QUORUM_CONTACT_TIMEOUT)
