--- a/crates/sparrouter-fleet/src/prefix_cache/assignment.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/assignment.rs
@@ -1,4 +1,5 @@
-//! Which sources of events this node follows: of the servers that cache prompts and the stores, those whose keys it owns.
+//! Selects the event sources that this node follows: the stores and the servers with a prompt cache whose keys this
+//! node owns.
 use crate::node::Node;
 use sparrouter_config::{RouteTable, Service};
 use sparrouter_rendezvous::SlotTable;
@@ -6,40 +7,40 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A server or store whose events are followed.
+/// A server or store whose cache events are followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct EventSource {
-    /// Hash by which the prefix index knows it: of a server's id or a store's address.
+    /// Hash that identifies the source in the prefix index: of a server's id or a store's address.
     pub(super) name: u64,
     pub(super) address: SocketAddr,
     pub(super) is_store: bool,
 }
 
-/// What decides which sources this node follows: they are not searched again while it is the same.
+/// The inputs from which the assigned sources are computed. The sources are computed again only when the inputs change.
 #[derive(Clone, Debug, Default)]
-pub(super) struct AssignmentBasis {
+pub(super) struct AssignmentInputs {
     owners: Rc<SlotTable>,
     server_changes: u64,
     config_slot: u64,
 }
 
-impl AssignmentBasis {
-    pub(super) fn now(node: &Node) -> AssignmentBasis {
-        AssignmentBasis {
+impl AssignmentInputs {
+    pub(super) fn now(node: &Node) -> AssignmentInputs {
+        AssignmentInputs {
             owners: node.live_nodes().owners().clone(),
             server_changes: node.server_table.borrow().changes(),
             config_slot: node.active_configuration().slot,
         }
     }
 
-    pub(super) fn is_same(&self, other: &AssignmentBasis) -> bool {
+    pub(super) fn is_same(&self, other: &AssignmentInputs) -> bool {
         Rc::ptr_eq(&self.owners, &other.owners)
             && self.server_changes == other.server_changes
             && self.config_slot == other.config_slot
     }
 }
 
-/// The sources that this node should follow.
+/// The sources that are currently assigned to this node.
 pub(super) fn assigned_sources(node: &Node) -> Vec<EventSource> {
     let config = node.active_configuration();
     let Some(table) = &config.table else {
@@ -59,7 +60,7 @@
         .collect()
 }
 
-/// Whether a source is still there, as it was: looked up, not searched for.
+/// Whether a source still exists with the same address and kind. This is a lookup, not a search of all sources.
 pub(super) fn exists(node: &Node, source: &EventSource) -> bool {
     let config = node.active_configuration();
     let Some(table) = &config.table else {
@@ -97,7 +98,7 @@
     }
 }
 
-/// Whether the servers of a service cache prompts, and report events of it.
+/// Whether the servers of a service cache prompts and report cache events.
 fn caches_prompts(service: &Service) -> bool {
     service
         .engine
--- a/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
@@ -1,8 +1,9 @@
-//! Following the cache events of servers and stores: each source by one node, which reports to the owners of the blocks.
+//! Follows the cache events of servers and stores. Each source is followed by one node, which reports the cached blocks
+//! to their owners.
 //!
-//! A store's epoch is reported to all nodes as well: a store that does not answer is not named to servers, and one that
-//! came back empty is asked to save again.
-use super::assignment::{AssignmentBasis, EventSource, assigned_sources, exists};
+//! The node that follows a store also reports the store's epoch to all nodes: servers are not referred to a store that
+//! does not respond, and a store that restarted without its blocks is asked to save them again.
+use super::assignment::{AssignmentInputs, EventSource, assigned_sources, exists};
 use super::event_page::request;
 use super::location::STORE_DOWN;
 use crate::node::Node;
@@ -15,63 +16,64 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Time between two checks of which sources fall to this node.
+/// Interval at which the assignment of sources is checked.
 const ASSIGNMENT_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two requests to a source: its events of that time come in one reply.
+/// Interval between requests to a source. Its events of that time are returned in one reply.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
-/// First backoff after a request without a reply, and the longest for a server. A store is asked again at the first.
+/// Initial backoff after a request without a reply, and the maximum backoff for a server. The backoff for a store stays
+/// at the initial value.
 const BACKOFF: Duration = Duration::from_millis(150);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// The backoff grows by its first value with each failure, up to this many.
+/// Maximum number of backoff steps; each failure adds the initial backoff.
 const MAX_BACKOFF_STEPS: u32 = 32;
-/// Requests in a row without a reply after which a store counts as down. One may be the network; a store that is down
-/// costs each server that is pointed at it some hundred milliseconds.
-const FAILURES_OF_DOWN_STORE: u32 = 2;
+/// Number of consecutive requests without a reply after which a store counts as down. A single failure may be caused by
+/// the network. A store that is down costs each server that is referred to it some hundred milliseconds.
+const MAX_STORE_FAILURES: u32 = 2;
 
-/// The sources that this node follows now.
+/// The sources that this node currently follows.
 #[derive(Default)]
-struct Following {
-    /// Their names. Invariant: each has one task.
+struct FollowedSources {
+    /// Hashes of the sources. Invariant: each source has exactly one task.
     names: RefCell<HashSet<u64>>,
     /// Whether a task has ended since the last check.
     has_ended: Cell<bool>,
 }
 
-/// Follows the sources that fall to this node, until the process ends. Each has a task, which ends by itself once the
-/// source falls to another node, is gone, or this node leaves.
+/// Follows the sources that are assigned to this node, until the process ends. Each source has a task, which ends when
+/// the source is assigned to another node or no longer exists, or when this node leaves.
 pub async fn follow(node: Rc<Node>) {
-    let following: Rc<Following> = Rc::default();
-    let mut known_basis = AssignmentBasis::default();
+    let followed: Rc<FollowedSources> = Rc::default();
+    let mut known_inputs = AssignmentInputs::default();
     loop {
-        let basis = AssignmentBasis::now(&node);
-        let has_ended = following.has_ended.replace(false);
-        if has_ended || !basis.is_same(&known_basis) {
-            known_basis = basis;
-            follow_new_sources(&node, &following);
+        let inputs = AssignmentInputs::now(&node);
+        let has_ended = followed.has_ended.replace(false);
+        if has_ended || !inputs.is_same(&known_inputs) {
+            known_inputs = inputs;
+            follow_new_sources(&node, &followed);
         }
         tokio::time::sleep(node.jitter(ASSIGNMENT_INTERVAL)).await;
     }
 }
 
-/// Starts a task for each source that falls to this node and is not followed yet.
-fn follow_new_sources(node: &Rc<Node>, following: &Rc<Following>) {
+/// Starts a task for each assigned source that is not followed yet.
+fn follow_new_sources(node: &Rc<Node>, followed: &Rc<FollowedSources>) {
     if node.is_leaving() {
         return;
     }
     for source in assigned_sources(node) {
-        if !following.names.borrow_mut().insert(source.name) {
+        if !followed.names.borrow_mut().insert(source.name) {
             continue;
         }
-        let (node, following) = (node.clone(), following.clone());
+        let (node, followed) = (node.clone(), followed.clone());
         spawn_local(async move {
             follow_source(&node, source).await;
-            following.names.borrow_mut().remove(&source.name);
-            following.has_ended.set(true);
+            followed.names.borrow_mut().remove(&source.name);
+            followed.has_ended.set(true);
         });
     }
 }
 
-/// Follows one source while it falls to this node.
+/// Follows one source while it is assigned to this node.
 async fn follow_source(node: &Node, source: EventSource) {
     let mut blocks = Source::default();
     let (mut failures, mut connection) = (0u32, None);
@@ -85,19 +87,19 @@
         } else {
             failures += 1;
             connection = None;
-            if failures >= FAILURES_OF_DOWN_STORE && source.is_store {
+            if failures >= MAX_STORE_FAILURES && source.is_store {
                 report_store_epoch(node, source.address, STORE_DOWN);
             }
             tokio::time::sleep(node.jitter(backoff(&source, failures))).await;
         }
     }
     if !exists(node, &source) {
-        // Nobody follows it any more to report that its blocks are gone.
+        // No node follows the source any more that could report the loss of its blocks.
         node.report_cached_blocks(&mut Source::default(), source.name, true);
     }
 }
 
-/// Reports what a page of events says.
+/// Applies a page of events and reports the changed blocks to their owners.
 fn apply_page(node: &Node, source: &EventSource, blocks: &mut Source, page: EventPage) {
     if source.is_store {
         report_store_epoch(node, source.address, page.epoch);
@@ -115,8 +117,8 @@
     (BACKOFF * failures.min(MAX_BACKOFF_STEPS)).min(max)
 }
 
-/// Reports a store's epoch to all nodes when it changes. Its sequence number is above that of the nodes that followed the
-/// store before.
+/// Reports a store's epoch to all nodes if it has changed. The directive's sequence number exceeds that of earlier
+/// directives, including those of nodes that followed the store before.
 fn report_store_epoch(node: &Node, store: SocketAddr, epoch: u64) {
     let key = format!("store/{store}");
     let known = node.membership.borrow().directive(&key).cloned();
--- a/crates/sparrouter-fleet/src/prefix_cache/event_page.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/event_page.rs
@@ -1,4 +1,4 @@
-//! One request to a server or store for its cache events, and what the reply says.
+//! Requests cache events from a server or store, and parses the reply.
 use crate::platform::http;
 use crate::platform::net::Net;
 use crate::platform::upstream::{SendOutcome, Upstream};
@@ -11,29 +11,29 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long a source may wait with its reply while there are no events, in milliseconds: the longest that the protocol
+/// Time for which a source may delay its reply while it has no events, in milliseconds: the maximum that the protocol
 /// allows.
 const MAX_WAIT_MS: u64 = 1_000;
-/// How long a request may take in all.
+/// Time-out of a complete request.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// Longest head and longest body of a reply, in bytes.
+/// Maximum sizes of the head and the body of a reply, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// Blocks of fewer tokens count as not cached: they are prefilled sooner than they are asked for.
+/// Blocks of fewer tokens are treated as not cached: to prefill them is faster than to look them up.
 const MIN_TOKENS: u64 = 64;
 
-/// The body of a reply. The fields' names are those of PROTOCOL.md.
+/// The JSON body of a reply. Field names are defined in PROTOCOL.md.
 #[derive(Deserialize)]
 struct EventsBody {
     epoch: u64,
     next_page_token: u64,
-    /// A flag or a number, by the release of the source.
+    /// A boolean or a number, depending on the release of the source.
     lost_count: Option<Value>,
     events: Vec<Value>,
 }
 
-/// Requests the events from number `since` on; `None` without a reply that can be read. `connection`: the one of the last
-/// request if it can carry another; set to the one that can carry the next.
+/// Requests the events from number `since` on; `None` without a valid reply. `connection`: takes the connection of the
+/// previous request if it is reusable, and receives the connection for the next request.
 pub(super) async fn request(
     net: &dyn Net,
     connection: &mut Option<Upstream>,
@@ -41,7 +41,7 @@
     since: u64,
 ) -> Option<EventPage> {
     let exchange = async {
-        // Bytes that arrived without a request would be taken for the reply to this one.
+        // Bytes that arrived without a request would be read as the reply to this request.
         let mut upstream = match connection.take().filter(Upstream::is_idle) {
             Some(upstream) => upstream,
             None => Upstream::dial(net, address).await?,
@@ -71,7 +71,7 @@
     timeout(REQUEST_TIMEOUT, exchange).await.ok()?
 }
 
-/// Reads the body of a reply; events that cannot be read are skipped. `None` if it is no reply to this request.
+/// Parses the body of a reply and skips malformed events. `None` if the body itself is malformed.
 pub fn parse(body: &[u8]) -> Option<EventPage> {
     let body: EventsBody = json::from_str(std::str::from_utf8(body).ok()?).ok()?;
     let events = body.events.iter().filter_map(parse_event).collect();
@@ -88,7 +88,8 @@
     })
 }
 
-/// Reads an event: `[number, + or -, salt, block id, tokens that are cached now, model]`.
+/// Parses an event: `[number, + or -, salt, block id, tokens that are cached now, model]`. `None` if the event is
+/// malformed.
 fn parse_event(event: &Value) -> Option<BlockChange> {
     let Value::Array(fields) = event else {
         return None;
--- a/crates/sparrouter-fleet/src/prefix_cache/location.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/location.rs
@@ -1,23 +1,25 @@
-//! Where prompt prefixes are cached: each block is recorded by the node that owns it, and asked for there.
+//! Location of cached prompt prefixes. The node that owns a block records where it is cached and answers queries for
+//! it.
 use crate::node::Node;
 use crate::peer::messages::{CachedBlock, Call, Reply};
 use sparrouter_prefix_index::{BlockChange, PrefixLocation, PrefixQuery, Source};
 use std::time::Duration;
 
-/// How long an owner's reply is awaited: prefilling a prefix again costs more, but not every time.
+/// Time-out of a query to a block's owner. The wait delays every request, whereas prefilling the prefix again costs
+/// more but is needed only sometimes.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(25);
-/// Epoch that is reported of a store which does not answer.
+/// Epoch that is reported for a store that does not respond.
 pub(super) const STORE_DOWN: u64 = 0;
 
 impl Node {
-    /// Whether a store may be named to servers: not while its follower reports that it does not answer. `store`: hash of
-    /// its address.
+    /// Whether servers may be referred to a store: not while the node that follows the store reports that it does not
+    /// respond. `store`: hash of the store's address.
     pub fn store_is_up(&self, store: u64) -> bool {
         let epochs = self.owned_keys.store_epochs.borrow();
         epochs.get(&store).is_none_or(|epoch| *epoch != STORE_DOWN)
     }
 
-    /// Asks the owner of a prefix's last block where it is cached; `None` if it does not answer in time.
+    /// Asks the owner of a prefix's last block where the block is cached; `None` if the owner does not reply in time.
     pub async fn locate_prefix(&self, query: PrefixQuery) -> Option<PrefixLocation> {
         let Some(owner) = self.owner(query.key) else {
             return Some(self.locate_owned_prefix(query));
@@ -40,14 +42,14 @@
         }
     }
 
-    /// The same for a block that this node owns.
+    /// Looks up where a block that this node owns is cached.
     pub fn locate_owned_prefix(&self, query: PrefixQuery) -> PrefixLocation {
         let mut index = self.owned_keys.prefix_index.borrow_mut();
         index.query(query, self.now())
     }
 
-    /// Records what a source caches now of blocks that this node owns. `replaces_all`: whatever was recorded of it before
-    /// is void.
+    /// Records the blocks owned by this node that a source has cached. `replaces_all`: whether all earlier records of
+    /// the source are discarded.
     pub fn record_cached_blocks(&self, source: u64, replaces_all: bool, blocks: &[CachedBlock]) {
         let now = self.now();
         let mut index = self.owned_keys.prefix_index.borrow_mut();
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Reports to the owners of blocks what a source caches of them now: what changed, and what has another owner than
-    /// before. `name`: the source's hash; `replaces_all`: whatever was reported of it before is void.
+    /// Reports to each owner which of its blocks a source has cached: blocks that changed, and blocks whose owner
+    /// changed. `name`: the source's hash; `replaces_all`: whether all earlier reports about the source are void.
     pub fn report_cached_blocks(&self, source: &mut Source, name: u64, replaces_all: bool) {
         let live = self.live_nodes();
         let mut changes = source.take_changes(live.owners());
