--- a/crates/sparrouter-fleet/src/rollout/directives.rs
+++ b/crates/sparrouter-fleet/src/rollout/directives.rs
@@ -1,31 +1,31 @@
-//! Directives: what all nodes should know of a server that takes new weights.
+//! Directives that inform all nodes about a server that loads new weights.
 use super::RolloutTask;
 use crate::control::shard_lease::ActiveLease;
 use crate::control::shard_of;
 use sparrouter_membership::ServerDirective;
 
-/// What a directive asks of all nodes.
+/// Kind of a rollout directive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DirectiveKind {
-    /// The server takes new weights soon: long generations go to others.
-    Soon,
-    /// The server takes new weights: no new request goes to it.
+    /// The server loads new weights soon: long generations are routed to other servers.
+    LoadSoon,
+    /// The server loads new weights: no new request is sent to it.
     Load,
 }
 
 impl DirectiveKind {
-    const ALL: [DirectiveKind; 2] = [DirectiveKind::Soon, DirectiveKind::Load];
+    const ALL: [DirectiveKind; 2] = [DirectiveKind::LoadSoon, DirectiveKind::Load];
 
-    /// First segment of a directive's key, which all releases read.
+    /// First segment of a directive's key. All releases parse it.
     fn key_segment(self) -> &'static str {
         match self {
-            DirectiveKind::Soon => "soon",
+            DirectiveKind::LoadSoon => "soon",
             DirectiveKind::Load => "load",
         }
     }
 }
 
-/// A server and a model that it is brought to the newest version of.
+/// A server, and the model that is updated on it.
 #[derive(Clone, Copy)]
 pub(super) struct ServerModel<'a> {
     pub(super) id: &'a str,
@@ -33,8 +33,8 @@
 }
 
 impl RolloutTask {
-    /// Sends a directive on a server to all nodes.
-    pub(super) fn direct(
+    /// Sends a directive about a server to all nodes.
+    pub(super) fn issue_directive(
         &self,
         lease: ActiveLease,
         kind: DirectiveKind,
@@ -44,8 +44,9 @@
         self.send_directive(lease, kind, server, version, false);
     }
 
-    /// Withdraws such a directive. `version`: the one that the server was brought to; 0: none.
-    pub(super) fn withdraw(
+    /// Withdraws a directive about a server. `version`: the version that the server runs now; 0 if the update was
+    /// abandoned.
+    pub(super) fn withdraw_directive(
         &self,
         lease: ActiveLease,
         kind: DirectiveKind,
@@ -74,7 +75,7 @@
         });
     }
 
-    /// Withdraws the directives of earlier lease holders that did not: nobody brings those servers to new weights.
+    /// Withdraws directives that earlier lease holders left in force: no node updates those servers any more.
     pub(super) fn withdraw_fenced_directives(&self, lease: ActiveLease) {
         for directive in self.fenced_directives(lease) {
             self.node.merge_directive(ServerDirective {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The directives on servers of this shard that are in force with a lower fencing token.
+    /// The directives about servers of this shard that are in force with a lower fencing token than the lease's.
     fn fenced_directives(&self, lease: ActiveLease) -> Vec<ServerDirective> {
         let membership = self.node.membership.borrow();
         let is_fenced = |directive: &&ServerDirective| {
@@ -98,7 +99,7 @@
         membership.directives().filter(is_fenced).cloned().collect()
     }
 
-    /// Whether a directive's key is that of a server of this shard which takes new weights.
+    /// Whether a directive's key is that of a rollout directive about a server of this shard.
     fn concerns_shard(&self, key: &str) -> bool {
         let mut segments = key.split('/');
         let (kind, id) = (segments.next(), segments.next().unwrap_or_default());
--- a/crates/sparrouter-fleet/src/rollout/load.rs
+++ b/crates/sparrouter-fleet/src/rollout/load.rs
@@ -1,4 +1,5 @@
-//! One server brought to the newest weights: no new request goes to it, one order a version, until it runs the newest.
+//! Updates one server to the newest weights: stops new requests to it and sends one order per version until it runs the
+//! newest version.
 use super::directives::{DirectiveKind, ServerModel};
 use super::order::Order;
 use super::server_calls::{Report, request_report};
@@ -10,41 +11,44 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// By then the other nodes know that no new request goes to a server.
+/// Delay after a directive until the other nodes have stopped sending new requests to the server.
 const DIRECTIVE_DELAY: Duration = Duration::from_millis(40);
-/// Time between two reports of a server that takes new weights.
+/// Interval at which a server that loads new weights is asked for a report.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// A report shows the state of some hundred milliseconds before: after this long it shows an order that was accepted.
+/// Age that a report can have: some hundred milliseconds, with a margin. After this time a report reflects an order
+/// that was accepted.
 const REPORT_LAG: Duration = Duration::from_millis(1_000);
-/// A server may take this many times as long as requests may begin on older versions.
+/// Maximum time for the update of a server, as a multiple of the time for which requests may begin on older versions.
 const MAX_LOAD_TIME_RATIO: u64 = 2;
-/// Weight of the newest load in the average of the time that loads take.
+/// Weight of the latest update in the moving average of update times.
 const NEWEST_WEIGHT: f64 = 0.3;
 
-/// How the work on a server ended.
+/// Outcome of the update of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LoadOutcome {
-    /// It runs this version, the newest.
+    /// The server runs this version, which is the newest.
     Runs(u64),
-    /// It left, another node has the lease, no quorum answers, or it takes too long.
+    /// The server left, another node has the lease, no quorum responds, or the update takes too long.
     Abandoned,
 }
 
-/// What is known of one server while it is brought to the newest version.
+/// Progress of the update of one server.
 struct Progress {
-    /// The newest version, and since when it is the target.
+    /// The newest version, and the time since when it has been the target.
     target: u64,
     target_since: Nanos,
-    /// The last version that the server accepted an order for.
+    /// The last version for which the server accepted an order.
     ordered: Option<u64>,
-    /// By its last report: the version that it runs, whether it carries out an order, how many orders it has accepted.
-    runs: u64,
+    /// From the server's last report: the version that it runs, whether it is executing an order, and how many orders
+    /// it has accepted.
+    running_version: u64,
     is_busy: bool,
     call_sequence: Option<u64>,
-    /// When it last accepted an order or reported that it carries one out.
+    /// When the server last accepted an order or reported that it was executing one.
     last_busy_at: Nanos,
-    /// Another version was named meanwhile, so that the time taken is not that of one load.
-    was_overtaken: bool,
+    /// Whether a newer version replaced the target during the update, so that the elapsed time is not that of a single
+    /// load.
+    was_retargeted: bool,
 }
 
 impl Progress {
@@ -53,26 +57,28 @@
             target,
             target_since,
             ordered: None,
-            runs: 0,
+            running_version: 0,
             is_busy: false,
             call_sequence: None,
             last_busy_at: 0,
-            was_overtaken: false,
+            was_retargeted: false,
         }
     }
 
-    /// Whether the target is to be ordered now. A server that carries out another order, this node's or that of an
-    /// earlier lease holder, would decline. An order that the server accepted and shows nothing of is sent again: it
-    /// names how many orders the server has accepted, so that it is not carried out twice.
+    /// Whether an order for the target version may be sent now. A server that is executing another order, from this
+    /// node or an earlier lease holder, would decline it. An accepted order that the server's reports do not reflect is
+    /// sent again: each order states how many orders the server has accepted so far, so that it is not executed twice.
     fn may_order(&self, now: Nanos) -> bool {
-        let was_ordered = self.ordered.is_some_and(|ordered| self.runs < ordered);
-        let may_not_show_yet = now.saturating_sub(self.last_busy_at) < nanos(REPORT_LAG);
-        let is_at_work = self.is_busy || (was_ordered && may_not_show_yet);
-        !is_at_work
+        let was_ordered = self
+            .ordered
+            .is_some_and(|ordered| self.running_version < ordered);
+        let is_report_outdated = now.saturating_sub(self.last_busy_at) < nanos(REPORT_LAG);
+        let is_executing = self.is_busy || (was_ordered && is_report_outdated);
+        !is_executing
     }
 
     fn apply_report(&mut self, report: &Report, model: &str, now: Nanos) {
-        self.runs = report.version_of(model);
+        self.running_version = report.version_of(model);
         self.is_busy = report.is_busy;
         self.call_sequence = Some(report.call_sequence);
         if report.is_busy {
@@ -80,14 +86,14 @@
         }
     }
 
-    /// Takes over a version that was named meanwhile.
+    /// Replaces the target by a newer version.
     fn retarget(&mut self, version: u64, now: Nanos) {
         (self.target, self.target_since) = (version, now);
-        self.was_overtaken = true;
+        self.was_retargeted = true;
     }
 }
 
-/// A server whose load goes on.
+/// Address and target version of a server whose update continues.
 struct LoadTarget {
     address: SocketAddr,
     /// The newest version of the model.
@@ -95,17 +101,12 @@
 }
 
 impl RolloutTask {
-    /// Brings one server to the newest version of a model. A version that is named while the server loads is ordered
-    /// next, and no new request goes to the server until it runs that.
-    pub(super) async fn bring_to_newest(
-        &self,
-        lease: ActiveLease,
-        id: &str,
-        target: &TargetVersion,
-    ) {
+    /// Updates one server to the newest version of a model. If a newer version is set during the update, it is ordered
+    /// next, and no new request is sent to the server until it runs that version.
+    pub(super) async fn update_server(&self, lease: ActiveLease, id: &str, target: &TargetVersion) {
         let model = target.model.as_str();
         let server = ServerModel { id, model };
-        self.direct(lease, DirectiveKind::Load, server, target.version);
+        self.issue_directive(lease, DirectiveKind::Load, server, target.version);
         tokio::time::sleep(DIRECTIVE_DELAY).await;
         let mut progress = Progress::new(target.version, self.node.now());
         let outcome = self.load(lease, server, &mut progress).await;
@@ -113,14 +114,14 @@
             LoadOutcome::Runs(version) => version,
             LoadOutcome::Abandoned => 0,
         };
-        if reached > 0 && !progress.was_overtaken {
+        if reached > 0 && !progress.was_retargeted {
             self.record_load_time(self.node.now() - progress.target_since);
         }
         let announced = (id.to_owned(), model.to_owned());
         if self.announced.borrow_mut().remove(&announced) {
-            self.withdraw(lease, DirectiveKind::Soon, server, progress.target);
+            self.withdraw_directive(lease, DirectiveKind::LoadSoon, server, progress.target);
         }
-        self.withdraw(lease, DirectiveKind::Load, server, reached);
+        self.withdraw_directive(lease, DirectiveKind::Load, server, reached);
     }
 
     fn record_load_time(&self, elapsed: Nanos) {
@@ -143,7 +144,7 @@
             };
             if version > progress.target {
                 progress.retarget(version, self.node.now());
-                self.direct(lease, DirectiveKind::Load, server, version);
+                self.issue_directive(lease, DirectiveKind::Load, server, version);
             }
             if self.node.now() - progress.target_since >= max_time {
                 return LoadOutcome::Abandoned;
@@ -158,13 +159,13 @@
                 continue;
             };
             progress.apply_report(&report, server.model, self.node.now());
-            if progress.runs >= progress.target && !progress.is_busy {
-                return LoadOutcome::Runs(progress.runs);
+            if progress.running_version >= progress.target && !progress.is_busy {
+                return LoadOutcome::Runs(progress.running_version);
             }
         }
     }
 
-    /// Where the server is and the newest version of the model; `None` once it is no longer this node's to load.
+    /// The server's address and the newest version of the model; `None` if this node must no longer update the server.
     fn load_target(&self, lease: ActiveLease, server: ServerModel<'_>) -> Option<LoadTarget> {
         let is_ready = {
             let membership = self.node.membership.borrow();
@@ -181,7 +182,7 @@
         })
     }
 
-    /// Orders the target once.
+    /// Sends an order for the target version once.
     async fn order_target(
         &self,
         lease: ActiveLease,
@@ -201,13 +202,13 @@
                 progress.last_busy_at = self.node.now();
                 NextStep::Continue
             }
-            // Fenced off: another node has the lease.
+            // The server rejected the fencing token: another node has acquired the lease.
             Some(412) => NextStep::Abandon,
             Some(421) => {
                 self.mark_replaced(server.id);
                 NextStep::Abandon
             }
-            // No quorum confirms the lease: the server had better serve requests than wait.
+            // No quorum confirms the lease. The server should serve requests again instead of waiting.
             None if order.accepted_before.is_none()
                 && self.lease.since_renewal() > nanos(FRESH_FOR * 2) =>
             {
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Another server has its address: it counts as unresponsive until it calls again.
+    /// Marks a server unresponsive until its next heartbeat, because another server has its address.
     fn mark_replaced(&self, id: &str) {
         let now = self.node.now();
         let mut membership = self.node.membership.borrow_mut();
@@ -228,11 +229,11 @@
     }
 }
 
-/// What follows from an order.
+/// How the update of a server continues after an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NextStep {
-    /// The server's reports show what becomes of it.
+    /// The outcome will be visible in the server's reports.
     Continue,
-    /// The work on the server ends.
+    /// The update of the server is abandoned.
     Abandon,
 }
--- a/crates/sparrouter-fleet/src/rollout/mod.rs
+++ b/crates/sparrouter-fleet/src/rollout/mod.rs
@@ -1,18 +1,18 @@
-//! New weights: bringing servers to the version that was named, a few at a time.
+//! Rollout of new model weights: updates servers to the newest version, a few at a time.
 //!
-//! For each shard of the services one node has a lease with a fencing token from the shard's register. Before each order
-//! it renews the lease by a quorum, and checks its own steady clock last thing before the bytes leave: an order of a node
-//! that was frozen or replaced meanwhile stays unsent.
+//! For each shard of the services one node holds a lease with a fencing token from the shard's register. Before each
+//! order the node renews the lease by a quorum, and checks its monotonic clock immediately before it sends the order.
+//! Thus a node that was frozen or replaced in the meantime does not send the order.
 //!
 //! | module | its job |
 //! | --- | --- |
-//! | `directives` | what all nodes should know of a server |
-//! | `load` | one server brought to the newest version |
-//! | `order` | one order to load weights |
-//! | `selection` | which servers are next |
-//! | `server_calls` | the report of a server, and its replies |
+//! | `directives` | directives to all nodes about a server that loads weights |
+//! | `load` | update of one server to the newest version |
+//! | `order` | one order to a server to load weights |
+//! | `selection` | selection of the servers to update next |
+//! | `server_calls` | reports and other replies of servers |
 //!
-//! Owns the tasks of the shards and what they know of servers. Uses `control` for the lease and the node's tables.
+//! Owns the rollout tasks of the shards and their state. Uses `control` for the lease and the node's tables.
 mod directives;
 mod load;
 mod order;
@@ -28,9 +28,10 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Time between two evaluations of what there is to do.
+/// Interval at which a rollout task checks for work.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(60);
-/// Seconds that one server takes until that was measured: its requests finish first.
+/// Assumed time to update one server until it has been measured, in seconds. It includes the completion of the server's
+/// running requests.
 const INITIAL_LOAD_SECONDS: f64 = 1.2;
 
 /// A model and a version of its weights.
@@ -40,29 +41,29 @@
     version: u64,
 }
 
-/// The rollout of one shard's services at this node, while it has the lease or may get it.
+/// The rollout task for one shard's services, while this node has the lease or may acquire it.
 ///
-/// Its task runs until the process ends. Borrows of its cells are not lease across an `await`.
+/// The task runs until the process ends. Borrows of its cells are not held across an `await`.
 struct RolloutTask {
     node: Rc<Node>,
     control: Rc<Control>,
     shard: u16,
     lease: Rc<ShardLease>,
-    /// Ids of servers that are being brought to the newest version, each by a task of its own.
+    /// Ids of the servers that are being updated to the newest version. Each has its own task.
     loading: RefCell<HashSet<String>>,
-    /// Servers that come next and were announced, by id and model.
+    /// Servers for which a `LoadSoon` directive was sent, by id and model.
     announced: RefCell<HashSet<(String, String)>>,
-    /// Sequence number of the last directive.
+    /// Sequence number of the last directive that was sent.
     last_directive: Cell<u64>,
-    /// Seconds that a server takes, as a moving average.
+    /// Moving average of the time that the update of a server takes, in seconds.
     load_seconds: Cell<f64>,
-    /// Requests that servers had running and queued when the work on `loads_of` began, by id.
+    /// Number of running and queued requests by server id, when the rollout of `loads_requested_for` began.
     loads: RefCell<HashMap<String, u32>>,
-    /// The version for which the servers' loads were requested.
-    loads_of: RefCell<Option<TargetVersion>>,
+    /// The target version for which the servers' loads were last requested.
+    loads_requested_for: RefCell<Option<TargetVersion>>,
 }
 
-/// Starts this node's tasks, which run until the process ends.
+/// Starts this node's rollout tasks, which run until the process ends.
 pub(crate) fn start(node: &Rc<Node>, control: &Rc<Control>, leases: &[Rc<ShardLease>]) {
     for lease in leases {
         let task = Rc::new(RolloutTask {
@@ -75,7 +76,7 @@
             last_directive: Cell::new(0),
             load_seconds: Cell::new(INITIAL_LOAD_SECONDS),
             loads: RefCell::default(),
-            loads_of: RefCell::default(),
+            loads_requested_for: RefCell::default(),
         });
         spawn_local(task.run());
     }
@@ -100,13 +101,14 @@
         }
     }
 
-    /// Whether the lease can be given back. Without a quorum it can't: then it runs out, and permits are granted until it has.
+    /// Whether the lease can be released now. It can't be released without a quorum; then it expires, and permits are
+    /// granted until its granting time ends.
     fn may_release(&self) -> bool {
         let reaches_quorum = self.control.has_quorum_contact() || self.node.is_leaving();
         self.loading.borrow().is_empty() && reaches_quorum
     }
 
-    /// Acquires the lease, or waits a while where no quorum answers.
+    /// Acquires the lease; waits before the next attempt if no quorum responds.
     async fn acquire_lease(&self) {
         match self.lease.acquire().await {
             Some(lease) => self.withdraw_fenced_directives(lease),
@@ -114,13 +116,13 @@
         }
     }
 
-    /// Gives the lease back: what was announced is announced no more.
+    /// Releases the lease. Announced servers are no longer tracked as announced.
     async fn release_lease(&self, lease: ActiveLease) {
         self.announced.borrow_mut().clear();
         self.lease.release(lease).await;
     }
 
-    /// Begins to load the newest weights where servers run older ones.
+    /// Starts updates if servers run older versions than the newest.
     async fn work(self: &Rc<Self>, lease: ActiveLease) {
         self.withdraw_fenced_directives(lease);
         if self.has_work() && self.lease.is_fresh(lease).await {
--- a/crates/sparrouter-fleet/src/rollout/order.rs
+++ b/crates/sparrouter-fleet/src/rollout/order.rs
@@ -1,4 +1,4 @@
-//! One order to a server to load weights.
+//! Sends one order to a server to load weights.
 use super::RolloutTask;
 use super::directives::ServerModel;
 use super::server_calls::read_reply;
@@ -10,15 +10,17 @@
 use bytes::Bytes;
 use std::net::SocketAddr;
 
-/// Longest wait before an order is sent, as a divisor of the lease: a freeze may lie behind any wait.
+/// Maximum time between the start of the lease renewal and the sending of the order, as a divisor of the lease
+/// duration. The process may have been frozen during any wait.
 const MAX_WAIT_DIVISOR: u64 = 3;
 
-/// An order to load a version.
+/// An order to load a model version.
 pub(super) struct Order<'a> {
     pub(super) server: ServerModel<'a>,
     pub(super) address: SocketAddr,
     pub(super) version: u64,
-    /// How many orders the server had accepted before, by its report: it declines this one if it has accepted another.
+    /// Number of orders that the server had accepted according to its last report. The server declines this order if it
+    /// has accepted another one since.
     pub(super) accepted_before: Option<u64>,
 }
 
@@ -37,7 +39,7 @@
 
     fn head(&self, body_bytes: usize) -> String {
         let (id, address) = (self.server.id, self.address);
-        // Guards against a restarted server, or another one that has its address: both accept an order without it.
+        // Without this field a restarted server, or another server that now has the address, would accept the order.
         let instance = if rules::orders_name_instance() {
             format!("Sparrouter-Expected-Instance: {id}\r\n")
         } else {
@@ -51,19 +53,19 @@
 }
 
 impl RolloutTask {
-    /// Sends an order under a lease that is renewed for it. Returns the HTTP status; `None` if there was no reply, or
-    /// the order was not sent.
+    /// Renews the lease and sends an order under it. Returns the HTTP status; `None` if there was no reply or the order
+    /// was not sent.
     pub(super) async fn send_order(&self, lease: ActiveLease, order: &Order<'_>) -> Option<u16> {
         let mut connection = Upstream::dial(&*self.node.net, order.address).await?;
-        let began = self.node.now();
+        let renewal_started_at = self.node.now();
         if !self.lease.renew(lease).await {
             return None;
         }
         let body = order.body(&self.lease.holder().name, lease.fencing_token);
         let head = order.head(body.len());
-        // Last thing before the bytes leave.
-        let waited = self.node.now().saturating_sub(began);
-        if waited > nanos(self.lease.duration()) / MAX_WAIT_DIVISOR || self.node.is_leaving() {
+        // Last check before the bytes are sent.
+        let elapsed = self.node.now().saturating_sub(renewal_started_at);
+        if elapsed > nanos(self.lease.duration()) / MAX_WAIT_DIVISOR || self.node.is_leaving() {
             return None;
         }
         let sent = connection
--- a/crates/sparrouter-fleet/src/rollout/selection.rs
+++ b/crates/sparrouter-fleet/src/rollout/selection.rs
@@ -1,4 +1,4 @@
-//! Which servers of the shard are brought to newer weights next.
+//! Selects the servers of the shard that are updated to newer weights next.
 use super::directives::{DirectiveKind, ServerModel};
 use super::server_calls::request_report;
 use super::{RolloutTask, TargetVersion};
@@ -11,19 +11,19 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// Most servers that are asked for a report before the work on a version begins.
+/// Maximum number of servers that are asked for a report before the rollout of a version begins.
 const MAX_REPORTS: usize = 64;
 
-/// The servers of a service with regard to one target version.
+/// State of a service's servers with regard to one target version.
 struct ServiceState {
-    /// Those that are ready and run an older version.
+    /// Ready servers that run an older version.
     outdated: Vec<OutdatedServer>,
-    /// How many are ready in all.
+    /// Number of ready servers, whatever version they run.
     ready_count: usize,
 }
 
 impl RolloutTask {
-    /// Whether a server of this shard runs an older version than the newest.
+    /// Whether any server of this shard runs an older version than the newest.
     pub(super) fn has_work(&self) -> bool {
         let server_table = self.node.server_table.borrow();
         let is_outdated = |server: &Server, model: &str, version: u64| {
@@ -40,13 +40,13 @@
         has_work
     }
 
-    /// Requests once, when the work on a version begins, what load each server has: the idle go first.
+    /// Requests the load of each server once, when the rollout of a version begins: idle servers are updated first.
     pub(super) async fn request_loads(&self) {
         let latest = self.latest_target();
-        if latest.is_none() || *self.loads_of.borrow() == latest {
+        if latest.is_none() || *self.loads_requested_for.borrow() == latest {
             return;
         }
-        *self.loads_of.borrow_mut() = latest;
+        *self.loads_requested_for.borrow_mut() = latest;
         let mut requests = Vec::new();
         for (id, address) in self.servers_with_models() {
             let net = self.node.net.clone();
@@ -62,7 +62,7 @@
         *self.loads.borrow_mut() = loads;
     }
 
-    /// The version that was named last.
+    /// The target version that was set most recently.
     fn latest_target(&self) -> Option<TargetVersion> {
         let server_table = self.node.server_table.borrow();
         let newest = server_table.versions.newest();
@@ -83,7 +83,7 @@
             .collect()
     }
 
-    /// Begins with as many servers of each service as may be out of service at a time.
+    /// Starts updates of as many servers of each service as may be out of service at a time.
     pub(super) fn begin_loads(self: &Rc<Self>, lease: ActiveLease) {
         for target in self.targets() {
             for service in self.services() {
@@ -104,7 +104,7 @@
             .collect()
     }
 
-    /// The services of this shard.
+    /// Names of the services of this shard.
     fn services(&self) -> Vec<String> {
         let server_table = self.node.server_table.borrow();
         let mut names: Vec<&str> = server_table
@@ -128,13 +128,13 @@
             self.loading.borrow_mut().insert(id.clone());
             let (task, target) = (self.clone(), target.clone());
             spawn_local(async move {
-                task.bring_to_newest(lease, &id, &target).await;
+                task.update_server(lease, &id, &target).await;
                 task.loading.borrow_mut().remove(&id);
             });
         }
     }
 
-    /// Announces that a server takes new weights soon, once.
+    /// Sends a `LoadSoon` directive about a server, unless one has already been sent.
     fn announce(&self, lease: ActiveLease, id: String, target: &TargetVersion) {
         let key = (id, target.model.clone());
         if self.announced.borrow_mut().insert(key.clone()) {
@@ -142,7 +142,7 @@
                 id: &key.0,
                 model: &key.1,
             };
-            self.direct(lease, DirectiveKind::Soon, server, target.version);
+            self.issue_directive(lease, DirectiveKind::LoadSoon, server, target.version);
         }
     }
 
@@ -162,10 +162,13 @@
                 continue;
             }
             ready_count += 1;
-            let Some(runs) = server.version_of(model).filter(|runs| runs < version) else {
+            let Some(running_version) = server
+                .version_of(model)
+                .filter(|running_version| running_version < version)
+            else {
                 continue;
             };
-            let limit = server_table.versions.limit_of(model, runs);
+            let limit = server_table.versions.limit_of(model, running_version);
             outdated.push(OutdatedServer {
                 id: server.id.clone(),
                 limit: limit.unwrap_or(i64::MAX),
--- a/crates/sparrouter-fleet/src/rollout/server_calls.rs
+++ b/crates/sparrouter-fleet/src/rollout/server_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to a server: its report of what it runs, and the reply to a call.
+//! HTTP calls to a server: requests its report and reads replies.
 use crate::platform::http;
 use crate::platform::net::Net;
 use crate::platform::upstream::{SendOutcome, Upstream};
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long a server's reply may take.
+/// Time-out for a server's reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest head and longest body of a reply, in bytes.
+/// Maximum sizes of the head and the body of a reply, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_BODY_BYTES: usize = 1 << 20;
 
@@ -21,32 +21,32 @@
     version: u64,
 }
 
-/// A server's report of itself, as of some hundred milliseconds before. The fields' names are those of PROTOCOL.md.
+/// A server's report of its own state, some hundred milliseconds old. Field names are defined in PROTOCOL.md.
 #[derive(Deserialize)]
 pub(super) struct Report {
     models: Vec<ModelReport>,
-    /// An order is being carried out.
+    /// Whether the server is executing an order.
     pub(super) is_busy: bool,
     queued: u32,
     running: u32,
-    /// How many orders the server has accepted.
+    /// Number of orders that the server has accepted.
     pub(super) call_sequence: u64,
 }
 
 impl Report {
-    /// The version that it runs of a model; 0 if none.
+    /// The version of a model that the server runs; 0 if it does not run the model.
     pub(super) fn version_of(&self, model: &str) -> u64 {
         let known = self.models.iter().find(|known| known.name == model);
         known.map_or(0, |known| known.version)
     }
 
-    /// Requests that run and wait.
+    /// Number of running and queued requests.
     pub(super) fn load(&self) -> u32 {
         self.running.saturating_add(self.queued)
     }
 }
 
-/// Requests a server's report; `None` if it does not reply with one.
+/// Requests a server's report; `None` if the server does not reply with a valid report.
 pub(super) async fn request_report(net: &dyn Net, address: SocketAddr) -> Option<Report> {
     let mut connection = Upstream::dial(net, address).await?;
     let head = format!("GET /api/report HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
@@ -63,12 +63,12 @@
 
 /// A server's reply to a call.
 pub(super) struct ServerReply {
-    /// HTTP status.
+    /// HTTP status code.
     pub(super) status: u16,
     body: Bytes,
 }
 
-/// Reads the reply to a call; `None` if there is none in time.
+/// Reads the reply to a call; `None` if no complete reply arrives in time.
 pub(super) async fn read_reply(connection: &mut Upstream) -> Option<ServerReply> {
     let reading = async {
         let (stream, buffer) = (&mut connection.stream, &mut connection.buffer);
