--- a/crates/sparrouter-fleet/tests/upstream.rs
+++ b/crates/sparrouter-fleet/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: what of a broken request has left, early responses, and what may be pooled.
+//! Connections to servers: outcome of interrupted sends, early responses, and which connections may be pooled.
 use bytes::{Bytes, BytesMut};
 use sparrouter_fleet::platform::net::{BoxFuture, Connection, Listener, Net, Stream};
 use sparrouter_fleet::platform::upstream::{Pool, SendOutcome, Upstream};
@@ -16,25 +16,25 @@
 const LONG_BODY: usize = 40_000;
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\nContent-Length: 2\r\n\r\nok";
 
-/// What the transport does with writes, and what can be read from it.
+/// Scripted behaviour of a connection: the writes that it accepts, and the bytes that can be read from it.
 #[derive(Default)]
 struct Script {
-    /// Bytes that writes still accept; after them `error` happens.
-    accepts: usize,
-    error: Option<ErrorKind>,
-    /// Bytes that can be read once `after` bytes were accepted.
+    /// Number of bytes that writes still accept. Then writes fail with `write_error`, or stay pending if it is `None`.
+    writable_bytes: usize,
+    write_error: Option<ErrorKind>,
+    /// Bytes that can be read once `response_after` bytes were written.
     response: BytesMut,
-    after: usize,
-    accepted: Vec<u8>,
-    ended: bool,
+    response_after: usize,
+    written: Vec<u8>,
+    is_closed: bool,
 }
 
-/// A server that responds once it has 1,000 bytes and reads no more.
+/// A server that responds after 1,000 bytes and does not read any more.
 fn early_response(response: &[u8]) -> Script {
     Script {
-        accepts: 1_000,
+        writable_bytes: 1_000,
         response: BytesMut::from(response),
-        after: 1_000,
+        response_after: 1_000,
         ..Script::default()
     }
 }
@@ -49,12 +49,12 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let script = &mut *self.0.borrow_mut();
-        if script.accepted.len() >= script.after && !script.response.is_empty() {
+        if script.written.len() >= script.response_after && !script.response.is_empty() {
             let length = script.response.len().min(buffer.remaining());
             buffer.put_slice(&script.response.split_to(length));
             return Poll::Ready(Ok(()));
         }
-        if script.ended {
+        if script.is_closed {
             return Poll::Ready(Ok(()));
         }
         Poll::Pending
@@ -68,15 +68,15 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let script = &mut *self.0.borrow_mut();
-        if script.accepts == 0 {
-            return match script.error {
+        if script.writable_bytes == 0 {
+            return match script.write_error {
                 Some(kind) => Poll::Ready(Err(kind.into())),
                 None => Poll::Pending,
             };
         }
-        let length = bytes.len().min(script.accepts);
-        script.accepts -= length;
-        script.accepted.extend_from_slice(&bytes[..length]);
+        let length = bytes.len().min(script.writable_bytes);
+        script.writable_bytes -= length;
+        script.written.extend_from_slice(&bytes[..length]);
         Poll::Ready(Ok(length))
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -114,20 +114,25 @@
         .expect("a connection")
 }
 
-async fn send_long(link: &mut Upstream) -> SendOutcome {
+async fn send_long_request(upstream: &mut Upstream) -> SendOutcome {
     let body = Bytes::from(vec![b'x'; LONG_BODY]);
-    link.send(&Bytes::from_static(HEAD), &body).await
+    upstream.send(&Bytes::from_static(HEAD), &body).await
 }
 
 /// Reads one complete response.
-async fn read_response(link: &mut Upstream) -> ResponseHead {
-    let bytes = reading::head(&mut link.stream, &mut link.buffer, head::REPLY, 4096)
-        .await
-        .expect("a head");
-    let head = head::parse_response(&bytes).expect("an answer");
+async fn read_response(upstream: &mut Upstream) -> ResponseHead {
+    let bytes = reading::head(
+        &mut upstream.stream,
+        &mut upstream.buffer,
+        head::REPLY,
+        4096,
+    )
+    .await
+    .expect("a head");
+    let head = head::parse_response(&bytes).expect("a response head");
     sparrouter_fleet::platform::http::read_body(
-        &mut link.stream,
-        &mut link.buffer,
+        &mut upstream.stream,
+        &mut upstream.buffer,
         head.framing,
         1 << 20,
     )
@@ -137,27 +142,28 @@
 }
 
 #[tokio::test]
-async fn given_a_connection_that_accepts_no_byte_when_sent_then_nothing_left() {
+async fn given_a_connection_that_accepts_no_byte_when_a_request_is_sent_then_the_outcome_is_nothing()
+ {
     let connection = connection(Script {
-        error: Some(ErrorKind::ConnectionReset),
+        write_error: Some(ErrorKind::ConnectionReset),
         ..Script::default()
     });
-    let mut link = dial(&connection).await;
-    assert_eq!(send_long(&mut link).await, SendOutcome::Nothing);
-    let small = link
+    let mut upstream = dial(&connection).await;
+    assert_eq!(send_long_request(&mut upstream).await, SendOutcome::Nothing);
+    let outcome = upstream
         .send(
             &Bytes::from_static(b"GET / HTTP/1.1\r\n\r\n"),
             &Bytes::new(),
         )
         .await;
-    assert_eq!(small, SendOutcome::Nothing);
+    assert_eq!(outcome, SendOutcome::Nothing);
 }
 
 #[tokio::test]
-async fn given_an_error_after_any_byte_was_accepted_when_sent_then_it_may_have_run() {
-    // Part of the head, all of it without a body byte, part of the body, all but the last byte.
+async fn given_a_write_error_after_some_bytes_when_a_request_is_sent_then_the_outcome_is_begun() {
+    // Part of the head, the complete head, the head and one body byte, all bytes but the last.
     let request_bytes = HEAD.len() + LONG_BODY;
-    for accepts in [
+    for writable_bytes in [
         1,
         HEAD.len() - 1,
         HEAD.len(),
@@ -165,28 +171,29 @@
         request_bytes - 1,
     ] {
         let connection = connection(Script {
-            accepts,
-            error: Some(ErrorKind::BrokenPipe),
+            writable_bytes,
+            write_error: Some(ErrorKind::BrokenPipe),
             ..Script::default()
         });
-        let mut link = dial(&connection).await;
+        let mut upstream = dial(&connection).await;
         assert_eq!(
-            send_long(&mut link).await,
+            send_long_request(&mut upstream).await,
             SendOutcome::Begun,
-            "{accepts} bytes"
+            "{writable_bytes} bytes"
         );
     }
 }
 
 #[tokio::test]
-async fn given_a_request_without_a_body_when_its_head_is_cut_then_it_may_have_run() {
+async fn given_a_request_without_a_body_when_its_head_is_partly_written_then_the_outcome_is_begun()
+{
     let connection = connection(Script {
-        accepts: 5,
-        error: Some(ErrorKind::ConnectionReset),
+        writable_bytes: 5,
+        write_error: Some(ErrorKind::ConnectionReset),
         ..Script::default()
     });
-    let mut link = dial(&connection).await;
-    let sent = link
+    let mut upstream = dial(&connection).await;
+    let sent = upstream
         .send(
             &Bytes::from_static(b"GET / HTTP/1.1\r\n\r\n"),
             &Bytes::new(),
@@ -196,88 +203,90 @@
 }
 
 #[tokio::test]
-async fn given_a_server_that_answers_before_a_long_body_is_in_then_the_answer_is_read_at_once() {
+async fn given_an_early_response_when_the_body_is_incomplete_then_it_is_read_and_the_connection_not_pooled()
+ {
     let connection = connection(early_response(RESPONSE));
-    let mut link = dial(&connection).await;
-    assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
-    let head = read_response(&mut link).await;
+    let mut upstream = dial(&connection).await;
+    assert_eq!(send_long_request(&mut upstream).await, SendOutcome::Begun);
+    let head = read_response(&mut upstream).await;
     assert_eq!(head.status, 200);
     assert!(
-        !link.is_reusable(&head),
+        !upstream.is_reusable(&head),
         "the server still waits for the rest of the body"
     );
     let pool = Pool::default();
-    pool.put("i-1", link, &head);
+    pool.put("i-1", upstream, &head);
     assert!(pool.take("i-1").is_none());
 }
 
 #[tokio::test]
-async fn given_an_early_answer_when_the_server_reads_on_then_it_gets_the_rest_of_that_body_only() {
-    // Longer than what is read ahead of it.
-    let answer = [
+async fn given_an_early_response_when_the_server_reads_on_then_it_receives_exactly_the_rest_of_the_body()
+ {
+    // The response body exceeds what is read ahead.
+    let response = [
         &b"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"[..],
         &[b'y'; 9_000],
     ]
     .concat();
-    let connection = connection(early_response(&answer));
-    let mut link = dial(&connection).await;
-    assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
-    connection.0.borrow_mut().accepts = usize::MAX;
-    let head = read_response(&mut link).await;
-    assert!(link.is_reusable(&head));
+    let connection = connection(early_response(&response));
+    let mut upstream = dial(&connection).await;
+    assert_eq!(send_long_request(&mut upstream).await, SendOutcome::Begun);
+    connection.0.borrow_mut().writable_bytes = usize::MAX;
+    let head = read_response(&mut upstream).await;
+    assert!(upstream.is_reusable(&head));
     let expected = [HEAD, &vec![b'x'; LONG_BODY]].concat();
-    assert!(connection.0.borrow().accepted == expected);
+    assert!(connection.0.borrow().written == expected);
 }
 
 #[tokio::test]
-async fn given_an_answer_to_a_request_that_broke_off_when_it_is_complete_then_the_connection_ends()
-{
+async fn given_a_partly_written_request_when_its_response_is_complete_then_the_connection_is_not_reusable()
+ {
     let connection = connection(Script {
-        error: Some(ErrorKind::BrokenPipe),
+        write_error: Some(ErrorKind::BrokenPipe),
         ..early_response(RESPONSE)
     });
-    let mut link = dial(&connection).await;
-    assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
-    let head = read_response(&mut link).await;
-    assert!(!link.is_reusable(&head));
+    let mut upstream = dial(&connection).await;
+    assert_eq!(send_long_request(&mut upstream).await, SendOutcome::Begun);
+    let head = read_response(&mut upstream).await;
+    assert!(!upstream.is_reusable(&head));
 }
 
 #[tokio::test]
-async fn given_a_connection_that_ends_while_a_body_is_written_then_sending_ends_too() {
+async fn given_a_connection_that_closes_while_a_body_is_written_then_sending_ends() {
     let connection = connection(Script {
-        accepts: 1_000,
-        ended: true,
+        writable_bytes: 1_000,
+        is_closed: true,
         ..Script::default()
     });
-    let mut link = dial(&connection).await;
-    assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
+    let mut upstream = dial(&connection).await;
+    assert_eq!(send_long_request(&mut upstream).await, SendOutcome::Begun);
 }
 
 #[tokio::test]
-async fn given_a_pooled_connection_when_bytes_arrive_unrequested_then_it_is_not_used() {
+async fn given_a_pooled_connection_when_unsolicited_bytes_arrive_then_it_is_not_reused() {
     let connection = connection(Script {
-        accepts: usize::MAX,
+        writable_bytes: usize::MAX,
         response: BytesMut::from(RESPONSE),
         ..Script::default()
     });
-    let mut link = dial(&connection).await;
-    assert_eq!(send_long(&mut link).await, SendOutcome::Begun);
-    let head = read_response(&mut link).await;
+    let mut upstream = dial(&connection).await;
+    assert_eq!(send_long_request(&mut upstream).await, SendOutcome::Begun);
+    let head = read_response(&mut upstream).await;
     let pool = Pool::default();
-    pool.put("i-1", link, &head);
+    pool.put("i-1", upstream, &head);
     connection.0.borrow_mut().response = BytesMut::from(RESPONSE);
     assert!(pool.take("i-1").is_none());
 }
 
-/// A server on a real socket that takes one connection, reads so many bytes of it, and resets it.
-async fn resets_after(read: usize) -> SocketAddr {
+/// Starts a server on a real socket that writable_bytes one connection, reads this many bytes and resets the connection.
+async fn start_resetting_server(bytes_before_reset: usize) -> SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a free port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        let mut received = vec![0; read];
+        let mut received = vec![0; bytes_before_reset];
         tokio::io::AsyncReadExt::read_exact(&mut stream, &mut received)
             .await
             .expect("bytes");
@@ -289,32 +298,39 @@
     address
 }
 
-/// Longer than the buffers of a loopback connection.
+/// Exceeds the buffers of a loopback connection.
 const HUGE_BODY: usize = 64 << 20;
 
 #[tokio::test]
-async fn given_a_real_socket_that_is_reset_in_a_body_when_sent_then_it_may_have_run() {
-    for read in [1, HEAD.len(), 100_000] {
-        let server = resets_after(read).await;
-        let link = Upstream::dial(&sparrouter_fleet::platform::net::Sockets, server).await;
-        let mut link = link.expect("a connection");
+async fn given_a_socket_that_is_reset_during_the_body_when_a_request_is_sent_then_the_outcome_is_begun()
+ {
+    for bytes_before_reset in [1, HEAD.len(), 100_000] {
+        let server = start_resetting_server(bytes_before_reset).await;
+        let upstream = Upstream::dial(&sparrouter_fleet::platform::net::Sockets, server).await;
+        let mut upstream = upstream.expect("a connection");
         let body = Bytes::from(vec![b'x'; HUGE_BODY]);
-        let sent = link.send(&Bytes::from_static(HEAD), &body).await;
-        assert_eq!(sent, SendOutcome::Begun, "{read} bytes");
-        let answer = reading::head(&mut link.stream, &mut link.buffer, head::REPLY, 4096).await;
-        assert!(answer.is_err(), "{read} bytes");
+        let sent = upstream.send(&Bytes::from_static(HEAD), &body).await;
+        assert_eq!(sent, SendOutcome::Begun, "{bytes_before_reset} bytes");
+        let response = reading::head(
+            &mut upstream.stream,
+            &mut upstream.buffer,
+            head::REPLY,
+            4096,
+        )
+        .await;
+        assert!(response.is_err(), "{bytes_before_reset} bytes");
     }
 }
 
 #[tokio::test]
-async fn given_a_real_socket_that_was_reset_before_when_sent_then_nothing_left() {
-    let server = resets_after(0).await;
-    let link = Upstream::dial(&sparrouter_fleet::platform::net::Sockets, server).await;
-    let mut link = link.expect("a connection");
-    while link.is_idle() {
+async fn given_a_socket_that_was_reset_when_a_request_is_sent_then_the_outcome_is_nothing() {
+    let server = start_resetting_server(0).await;
+    let upstream = Upstream::dial(&sparrouter_fleet::platform::net::Sockets, server).await;
+    let mut upstream = upstream.expect("a connection");
+    while upstream.is_idle() {
         tokio::task::yield_now().await;
     }
-    let sent = link
+    let sent = upstream
         .send(
             &Bytes::from_static(b"GET / HTTP/1.1\r\n\r\n"),
             &Bytes::new(),
