--- a/crates/sparrouter-fleet/tests/observation_window.rs
+++ b/crates/sparrouter-fleet/tests/observation_window.rs
@@ -1,12 +1,12 @@
-//! Which member is removed from a group, and when: how a member that was frozen judges the others.
+//! Removal of unresponsive members from a consensus group: how a member that was frozen judges the other members.
 use sparrouter_consensus::reconfiguration::Reconfiguration;
 use sparrouter_consensus::{MILLISECOND, Member, Nanos, NodeObservation, SECOND, Settings, State};
 use sparrouter_fleet::control::observation_window::ObservationWindow;
 
 const SHARD: u16 = 1;
 const INTERVAL: Nanos = 200 * MILLISECOND;
-const FROZEN: Nanos = 20 * SECOND;
-const CONTACT: Nanos = 3 * SECOND;
+const FREEZE_DURATION: Nanos = 20 * SECOND;
+const CONTACT_TIMEOUT: Nanos = 3 * SECOND;
 
 fn member(disk: u64) -> Member {
     Member {
@@ -16,7 +16,7 @@
     }
 }
 
-/// A group of four that was founded with three.
+/// A group of four members that initially had three.
 fn grown_group() -> State {
     State {
         slot: 1,
@@ -27,36 +27,37 @@
     }
 }
 
-/// By which time a member judges that others are unresponsive.
+/// How a member determines for how long another member has been unresponsive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum JudgedBy {
-    /// Since it could have heard from them.
+enum JudgementBasis {
+    /// Since both the last contact and the start of the observation window.
     ObservationWindow,
-    /// Since it last heard from them: the mistake that `ObservationWindow` guards against.
+    /// Since the last contact alone: the error that `ObservationWindow` prevents.
     LastContact,
 }
 
-/// A member observes the others while all respond, is frozen, and observes on. `responds_again`: the disks of those that
-/// respond after that. Returns how long after the thaw it proposes a group, and which.
-fn proposal_after_a_freeze(
-    judged_by: JudgedBy,
-    responds_again: &[u64],
+/// A member observes the others while all respond, is frozen, and then continues to observe. `responsive_disks`: the
+/// disk ids of the members that respond after the freeze. Returns the group that the member proposes after the freeze
+/// and the delay until it does; `None` if it proposes none.
+fn proposal_after_freeze(
+    judgement_basis: JudgementBasis,
+    responsive_disks: &[u64],
 ) -> Option<(Nanos, Vec<Member>)> {
     let settings = Settings {
-        contact_timeout: CONTACT,
+        contact_timeout: CONTACT_TIMEOUT,
         ..Settings::default()
     };
     let state = grown_group();
     let (mut reconfiguration, mut window) =
         (Reconfiguration::default(), ObservationWindow::default());
     let mut decide = |now: Nanos, contacted_at: [(u64, Nanos); 3]| {
-        window.observe(CONTACT, now);
-        let observation = |(disk, at): (u64, Nanos)| NodeObservation {
+        window.observe(CONTACT_TIMEOUT, now);
+        let observation = |(disk, last_contact_at): (u64, Nanos)| NodeObservation {
             member: member(disk),
             counts_toward_quorum: true,
-            since_last_contact: Some(match judged_by {
-                JudgedBy::ObservationWindow => window.unresponsive_for(at, now),
-                JudgedBy::LastContact => now - at,
+            since_last_contact: Some(match judgement_basis {
+                JudgementBasis::ObservationWindow => window.unresponsive_for(last_contact_at, now),
+                JudgementBasis::LastContact => now - last_contact_at,
             }),
             leaving: false,
         };
@@ -68,16 +69,16 @@
         assert_eq!(decide(now, [2, 3, 4].map(|disk| (disk, now))), None);
         now += INTERVAL;
     }
-    let (frozen_at, thawed_at) = (now, now + FROZEN);
-    now = thawed_at;
-    while now < thawed_at + 10 * SECOND {
-        // The first frames are read only after the first observation.
-        let contacted_at = |disk: u64| match responds_again.contains(&disk) && now > thawed_at {
+    let (frozen_at, resumed_at) = (now, now + FREEZE_DURATION);
+    now = resumed_at;
+    while now < resumed_at + 10 * SECOND {
+        // The first messages are read only after the first observation.
+        let contacted_at = |disk: u64| match responsive_disks.contains(&disk) && now > resumed_at {
             true => (disk, now),
             false => (disk, frozen_at),
         };
         if let Some(group) = decide(now, [2, 3, 4].map(contacted_at)) {
-            return Some((now - thawed_at, group));
+            return Some((now - resumed_at, group));
         }
         now += INTERVAL;
     }
@@ -85,22 +86,25 @@
 }
 
 #[test]
-fn given_a_member_that_was_frozen_when_all_others_respond_again_then_it_removes_none() {
+fn given_a_member_that_was_frozen_when_all_others_respond_again_then_it_removes_no_member() {
     assert_eq!(
-        proposal_after_a_freeze(JudgedBy::ObservationWindow, &[2, 3, 4]),
+        proposal_after_freeze(JudgementBasis::ObservationWindow, &[2, 3, 4]),
         None
     );
-    let injected = proposal_after_a_freeze(JudgedBy::LastContact, &[2, 3, 4]);
-    let (delay, group) = injected.expect("the mistake is found");
+    let faulty_proposal = proposal_after_freeze(JudgementBasis::LastContact, &[2, 3, 4]);
+    let (delay, group) = faulty_proposal.expect("judging by the last contact proposes a removal");
     assert!(delay < SECOND && group.len() == 3, "{delay} {group:?}");
 }
 
 #[test]
-fn given_a_member_that_was_frozen_when_one_stays_unresponsive_then_that_one_is_removed_after_the_time_out()
+fn given_a_member_that_was_frozen_when_one_other_stays_unresponsive_then_it_is_removed_after_the_timeout()
  {
-    let proposal = proposal_after_a_freeze(JudgedBy::ObservationWindow, &[2, 4]);
+    let proposal = proposal_after_freeze(JudgementBasis::ObservationWindow, &[2, 4]);
     let (delay, group) = proposal.expect("a proposal");
-    assert!((CONTACT..CONTACT + 2 * SECOND).contains(&delay), "{delay}");
+    assert!(
+        (CONTACT_TIMEOUT..CONTACT_TIMEOUT + 2 * SECOND).contains(&delay),
+        "{delay}"
+    );
     assert!(
         group.iter().all(|m| m.disk_id != 3) && group.len() == 3,
         "{group:?}"
