--- a/crates/sparrouter-fleet/tests/tenant_counts.rs
+++ b/crates/sparrouter-fleet/tests/tenant_counts.rs
@@ -1,11 +1,11 @@
-//! Counts by tenant at one node, and names of tenants in a query.
+//! Quota event counts by tenant at one node, and encoding of tenant names in a query string.
 use sparrouter_config::{Document, RouteTable};
 use sparrouter_fleet::node::ActiveConfiguration;
 use sparrouter_fleet::node::tenant_counts::{QuotaEvent, TenantCount, TenantCounts};
 use sparrouter_fleet::platform::query;
 use std::rc::Rc;
 
-/// A configuration in force, with these tenants.
+/// An active configuration with these tenants.
 fn configuration(version: u64, tenants: &[&str]) -> ActiveConfiguration {
     let tenants: Vec<String> = tenants
         .iter()
@@ -23,7 +23,7 @@
         version,
         text: Rc::from(text),
         digest: 0,
-        table: Some(Rc::new(table.expect("readable"))),
+        table: Some(Rc::new(table.expect("a valid configuration"))),
         is_readable: true,
     }
 }
@@ -36,9 +36,9 @@
         .collect()
 }
 
-/// Guards against counts that mix up tenants or reasons.
+/// Guards against events that are counted for the wrong tenant or reason.
 #[test]
-fn given_events_of_tenants_when_read_then_each_has_its_own_counts_by_reason() {
+fn given_quota_events_of_several_tenants_when_read_then_each_tenant_has_its_own_counts_by_reason() {
     let (counts, active) = (TenantCounts::default(), configuration(1, &["a", "b", "c"]));
     for event in [QuotaEvent::Sent, QuotaEvent::Sent, QuotaEvent::Refused] {
         counts.record("b", event, &active);
@@ -60,9 +60,9 @@
     );
 }
 
-/// Guards against entries that pile up while operators replace 25,000 tenants day by day.
+/// Guards against a leak of entries when operators replace 25,000 tenants each day.
 #[test]
-fn given_another_configuration_when_read_or_counted_then_tenants_that_are_gone_are_dropped() {
+fn given_a_new_configuration_when_counts_are_read_or_recorded_then_removed_tenants_are_dropped() {
     let counts = TenantCounts::default();
     let first = configuration(1, &["a", "b", "c"]);
     for tenant in ["a", "b", "c"] {
@@ -83,9 +83,10 @@
     );
 }
 
-/// Guards against a tenant that cannot be asked for because of its name.
+/// Guards against tenants whose counts cannot be queried because of special characters in their names.
 #[test]
-fn given_names_of_any_text_when_encoded_for_a_query_then_they_come_back_as_they_were() {
+fn given_tenant_names_with_special_characters_when_encoded_for_a_query_then_they_decode_unchanged()
+{
     for name in ["kaje80", "a b&c=d?e#f%20", "лаб/π+\"\\\n", "~._-", ""] {
         let encoded = query::encode(name);
         let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~%".contains(&byte);
@@ -94,7 +95,7 @@
     }
     assert_eq!(query::encode("a b%"), "a%20b%25");
     assert_eq!(query::decode("%e2%82%ac").as_deref(), Some("€"));
-    for wrong in ["%", "%4", "a%zz", "%+1", "%ff", "%c3%28"] {
-        assert_eq!(query::decode(wrong), None, "{wrong}");
+    for malformed in ["%", "%4", "a%zz", "%+1", "%ff", "%c3%28"] {
+        assert_eq!(query::decode(malformed), None, "{malformed}");
     }
 }
