--- a/crates/sparrouter-fleet/tests/order_answers.rs
+++ b/crates/sparrouter-fleet/tests/order_answers.rs
@@ -1,5 +1,6 @@
-//! What an operator is answered, by what became of the order: taken, overtaken, lost or unknown; for PUT, PATCH and
-//! version-put. The rows of docs/design/control-state/orders.md; "no quorum" is in the simulation's `operator_orders`.
+//! The response to an operator's order, by the state of the order (accepted, superseded, rejected or unknown), for PUT,
+//! PATCH and version-put. These are the rows of docs/design/control-state/orders.md; the row "no quorum" is tested by
+//! the simulation's `operator_orders`.
 use nanoserde::SerBin;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Applied, Machine};
@@ -15,7 +16,7 @@
 
 const METHODS: [Method; 2] = [Method::Put, Method::Patch];
 
-/// An order on `base` that makes `number`; `service` makes it differ from others.
+/// An order based on version `base` that creates version `number`; `service` distinguishes it from other orders.
 fn order(method: Method, base: u64, number: u64, service: &str) -> Change {
     let items = format!("\"services\":[{{\"name\":\"{service}\"}}]");
     let if_match = Some(base);
@@ -33,19 +34,19 @@
     }
 }
 
-fn spaced(change: &Change) -> Change {
-    let widen = |body: &Blob| {
+fn with_extra_whitespace(change: &Change) -> Change {
+    let add_whitespace = |body: &Blob| {
         let text = String::from_utf8_lossy(&body.0).replace(',', " ,\n ");
         Blob(text.into_bytes())
     };
     match change {
         Change::Put { if_match, body } => Change::Put {
             if_match: *if_match,
-            body: widen(body),
+            body: add_whitespace(body),
         },
         Change::Patch { if_match, body } => Change::Patch {
             if_match: *if_match,
-            body: widen(body),
+            body: add_whitespace(body),
         },
         other => other.clone(),
     }
@@ -55,14 +56,14 @@
 struct Shard(Vec<u8>);
 
 impl Shard {
-    /// With version 5 in force.
-    fn begun() -> Shard {
+    /// A shard with version 5 active.
+    fn with_initial_configuration() -> Shard {
         let mut shard = Shard::default();
         assert_eq!(shard.submit(&order(Method::Put, 0, 5, "first")), 200);
         shard
     }
 
-    fn judge(&mut self, change: &Change) -> Verdict {
+    fn verdict_on(&mut self, change: &Change) -> Verdict {
         let answer = match ConfigurationMachine.apply(&self.0, &change.serialize_bin()) {
             Applied::Changed { body, answer } => {
                 self.0 = body;
@@ -74,11 +75,11 @@
     }
 
     fn submit(&mut self, change: &Change) -> u16 {
-        self.judge(change).status
+        self.verdict_on(change).status
     }
 
-    /// The status of an order that must change nothing.
-    fn unchanged(&mut self, change: &Change) -> u16 {
+    /// Submits an order, checks that it changes nothing, and returns its status.
+    fn submit_unchanged(&mut self, change: &Change) -> u16 {
         let before = self.0.clone();
         let status = self.submit(change);
         assert_eq!(self.0, before, "{change:?}");
@@ -89,7 +90,7 @@
         ConfigurationState::read(&self.0).expect("a state").version
     }
 
-    fn overtake(&mut self, changes: usize) {
+    fn supersede(&mut self, changes: usize) {
         for _ in 0..changes {
             let base = self.version();
             assert_eq!(
@@ -101,26 +102,26 @@
 }
 
 #[test]
-fn given_an_order_in_force_when_it_is_sent_again_then_it_is_acknowledged() {
+fn given_an_active_order_when_it_is_sent_again_then_it_is_acknowledged() {
     for method in METHODS {
-        let mut shard = Shard::begun();
+        let mut shard = Shard::with_initial_configuration();
         let sent = order(method, 5, 8, "a");
         assert_eq!(shard.submit(&sent), 200, "{method:?}");
-        assert_eq!(shard.unchanged(&sent), 200, "{method:?}");
+        assert_eq!(shard.submit_unchanged(&sent), 200, "{method:?}");
     }
 }
 
 #[test]
-fn given_an_order_overtaken_by_hundreds_when_it_is_sent_again_then_it_is_acknowledged_and_stays_overtaken()
+fn given_an_order_superseded_by_hundreds_when_it_is_sent_again_then_it_is_acknowledged_without_a_change()
  {
     for method in METHODS {
-        let mut shard = Shard::begun();
+        let mut shard = Shard::with_initial_configuration();
         let sent = order(method, 5, 8, "a");
         shard.submit(&sent);
         for changes in [1, 255, 256, MAX_KNOWN_ORDERS - 513] {
-            shard.overtake(changes);
+            shard.supersede(changes);
             assert_eq!(
-                shard.unchanged(&sent),
+                shard.submit_unchanged(&sent),
                 200,
                 "{method:?} after {changes} more"
             );
@@ -129,16 +130,16 @@
 }
 
 #[test]
-fn given_an_order_overtaken_by_thousands_when_it_is_sent_again_then_it_is_left_without_a_clear_answer()
+fn given_an_order_superseded_by_thousands_when_it_is_sent_again_then_its_outcome_is_reported_as_unknown()
  {
     for method in METHODS {
-        let mut shard = Shard::begun();
-        let (taken, lost) = (order(method, 5, 8, "a"), order(method, 5, 8, "b"));
-        shard.submit(&taken);
-        shard.overtake(MAX_KNOWN_ORDERS);
-        for sent in [&taken, &lost] {
+        let mut shard = Shard::with_initial_configuration();
+        let (accepted, rejected) = (order(method, 5, 8, "a"), order(method, 5, 8, "b"));
+        shard.submit(&accepted);
+        shard.supersede(MAX_KNOWN_ORDERS);
+        for sent in [&accepted, &rejected] {
             let before = shard.0.clone();
-            let verdict = shard.judge(sent);
+            let verdict = shard.verdict_on(sent);
             assert_eq!((verdict.status, &shard.0), (504, &before), "{method:?}");
             assert!(
                 verdict.text.contains("read the configuration"),
@@ -150,29 +151,30 @@
 }
 
 #[test]
-fn given_an_order_that_lost_when_it_is_sent_again_then_it_is_refused_for_ever() {
+fn given_an_order_that_lost_to_a_concurrent_order_when_it_is_sent_again_then_it_is_always_rejected()
+{
     for method in METHODS {
-        let mut shard = Shard::begun();
-        let lost = [
+        let mut shard = Shard::with_initial_configuration();
+        let rejected = [
             order(method, 5, 8, "the same number"),
             order(method, 5, 9, "another number"),
         ];
         assert_eq!(shard.submit(&order(method, 5, 8, "winner")), 200);
         for _ in 0..3 {
-            for sent in &lost {
-                assert_eq!(shard.unchanged(sent), 412, "{method:?}");
-                assert!(shard.judge(sent).binding);
+            for sent in &rejected {
+                assert_eq!(shard.submit_unchanged(sent), 412, "{method:?}");
+                assert!(shard.verdict_on(sent).binding);
             }
-            shard.overtake(300);
+            shard.supersede(300);
         }
     }
 }
 
 #[test]
-fn given_the_same_text_by_the_other_method_or_on_another_base_when_it_is_sent_then_it_is_another_order()
+fn given_the_same_body_with_another_method_or_base_version_when_it_is_sent_then_it_is_a_different_order()
  {
     for (method, other) in [(Method::Put, Method::Patch), (Method::Patch, Method::Put)] {
-        let mut shard = Shard::begun();
+        let mut shard = Shard::with_initial_configuration();
         let sent = order(method, 5, 8, "a");
         shard.submit(&sent);
         let same_text = match (&sent, other) {
@@ -190,10 +192,10 @@
             }
             _ => unreachable!("orders are PUT or PATCH"),
         };
-        assert_eq!(shard.unchanged(&same_text), 412, "{method:?}");
+        assert_eq!(shard.submit_unchanged(&same_text), 412, "{method:?}");
         for base in [0, 3, 4, 6, 7] {
             assert_eq!(
-                shard.unchanged(&order(method, base, 8, "a")),
+                shard.submit_unchanged(&order(method, base, 8, "a")),
                 412,
                 "on {base}"
             );
@@ -202,18 +204,22 @@
 }
 
 #[test]
-fn given_a_body_that_differs_in_spaces_only_when_it_is_sent_then_it_is_that_very_configuration() {
+fn given_a_body_that_differs_only_in_whitespace_when_it_is_sent_then_it_is_the_same_order() {
     for method in METHODS {
-        let mut shard = Shard::begun();
+        let mut shard = Shard::with_initial_configuration();
         let sent = order(method, 5, 8, "a");
-        assert_eq!(shard.submit(&spaced(&sent)), 200);
-        assert_eq!(shard.unchanged(&sent), 200, "{method:?}");
-        shard.overtake(3);
-        assert_eq!(shard.unchanged(&spaced(&sent)), 200, "{method:?}");
-        assert_eq!(shard.unchanged(&sent), 200, "{method:?}");
-        // Within a name a space counts.
+        assert_eq!(shard.submit(&with_extra_whitespace(&sent)), 200);
+        assert_eq!(shard.submit_unchanged(&sent), 200, "{method:?}");
+        shard.supersede(3);
+        assert_eq!(
+            shard.submit_unchanged(&with_extra_whitespace(&sent)),
+            200,
+            "{method:?}"
+        );
+        assert_eq!(shard.submit_unchanged(&sent), 200, "{method:?}");
+        // Whitespace within a name is significant.
         assert_eq!(
-            shard.unchanged(&order(method, 5, 8, "a ")),
+            shard.submit_unchanged(&order(method, 5, 8, "a ")),
             412,
             "{method:?}"
         );
@@ -221,29 +227,28 @@
 }
 
 #[test]
-fn given_an_order_that_could_not_be_taken_when_it_is_sent_again_then_it_is_refused_for_ever() {
+fn given_an_invalid_order_when_it_is_sent_again_then_it_is_always_rejected() {
     for method in METHODS {
-        let mut shard = Shard::begun();
-        let low = order(method, 5, 5, "a");
-        let torn = Change::Put {
+        let mut shard = Shard::with_initial_configuration();
+        let not_increasing = order(method, 5, 5, "a");
+        let truncated = Change::Put {
             if_match: Some(5),
             body: Blob(b"{\"version\":8".to_vec()),
         };
-        assert_eq!(shard.unchanged(&low), 422, "{method:?}");
-        assert_eq!(shard.unchanged(&torn), 400);
-        shard.overtake(1);
-        assert_eq!(shard.unchanged(&low), 412, "{method:?}");
-        assert_eq!(shard.unchanged(&torn), 412);
+        assert_eq!(shard.submit_unchanged(&not_increasing), 422, "{method:?}");
+        assert_eq!(shard.submit_unchanged(&truncated), 400);
+        shard.supersede(1);
+        assert_eq!(shard.submit_unchanged(&not_increasing), 412, "{method:?}");
+        assert_eq!(shard.submit_unchanged(&truncated), 412);
     }
 }
 
 #[test]
-fn given_a_base_that_is_not_in_force_yet_when_refused_then_the_refusal_does_not_bind_other_copies()
-{
+fn given_a_base_version_that_is_not_active_yet_when_rejected_then_the_rejection_is_not_binding() {
     for method in METHODS {
-        let mut shard = Shard::begun();
+        let mut shard = Shard::with_initial_configuration();
         let early = order(method, 8, 11, "early");
-        let verdict = shard.judge(&early);
+        let verdict = shard.verdict_on(&early);
         assert_eq!(
             (verdict.status, verdict.binding),
             (412, false),
@@ -255,74 +260,82 @@
 }
 
 #[test]
-fn given_no_configuration_yet_when_a_first_one_is_sent_without_a_base_then_its_repeat_is_known() {
+fn given_no_configuration_when_one_without_a_base_version_is_sent_twice_then_it_is_acknowledged_twice()
+ {
     let mut shard = Shard::default();
     let Change::Put { body, .. } = order(Method::Put, 0, 5, "a") else {
         unreachable!("a PUT")
     };
-    let bare = Change::Put {
+    let without_base = Change::Put {
         if_match: None,
         body: body.clone(),
     };
-    assert_eq!(shard.submit(&bare), 200);
-    assert_eq!(shard.unchanged(&bare), 200);
-    let named = Change::Put {
+    assert_eq!(shard.submit(&without_base), 200);
+    assert_eq!(shard.submit_unchanged(&without_base), 200);
+    let with_base = Change::Put {
         if_match: Some(0),
         body,
     };
-    assert_eq!(shard.unchanged(&named), 200, "a missing base is 0");
-    shard.overtake(2);
-    assert_eq!(shard.unchanged(&bare), 200);
+    assert_eq!(
+        shard.submit_unchanged(&with_base),
+        200,
+        "a missing base is 0"
+    );
+    shard.supersede(2);
+    assert_eq!(shard.submit_unchanged(&without_base), 200);
 }
 
 #[test]
-fn given_versions_of_weights_when_taken_overtaken_or_late_then_each_is_acknowledged_and_the_highest_holds()
+fn given_model_versions_when_accepted_superseded_or_late_then_all_are_acknowledged_and_the_highest_is_active()
  {
-    let name = |version| Change::Name {
+    let name_version = |version| Change::Name {
         model: "daka".to_owned(),
         version,
     };
-    let mut shard = Shard::begun();
-    assert_eq!(shard.submit(&name(2)), 200);
-    assert_eq!(shard.unchanged(&name(2)), 200, "in force");
-    assert_eq!(shard.submit(&name(4)), 200);
-    assert_eq!(shard.unchanged(&name(2)), 200, "overtaken");
+    let mut shard = Shard::with_initial_configuration();
+    assert_eq!(shard.submit(&name_version(2)), 200);
+    assert_eq!(shard.submit_unchanged(&name_version(2)), 200, "active");
+    assert_eq!(shard.submit(&name_version(4)), 200);
+    assert_eq!(shard.submit_unchanged(&name_version(2)), 200, "superseded");
+    assert_eq!(
+        shard.submit_unchanged(&name_version(3)),
+        200,
+        "superseded before it was received"
+    );
+    shard.supersede(300);
     assert_eq!(
-        shard.unchanged(&name(3)),
+        shard.submit_unchanged(&name_version(2)),
         200,
-        "overtaken before it was heard of"
+        "after hundreds of changes"
     );
-    shard.overtake(300);
-    assert_eq!(shard.unchanged(&name(2)), 200, "after hundreds of changes");
     let state = ConfigurationState::read(&shard.0).expect("a state");
     assert_eq!(state.models[0].version, 4);
 }
 
-/// Two bodies for which 64-bit FNV-1a, by which orders were known before, gives one value. Found in a minute on two
-/// cores by Pollard's rho with distinguished points.
+/// Two bodies with the same 64-bit FNV-1a hash, by which orders were identified before. The collision was found in a
+/// minute on two cores with Pollard's rho and distinguished points.
 #[test]
-fn given_two_bodies_that_collide_in_a_weak_hash_when_one_was_taken_then_the_other_is_refused() {
+fn given_two_bodies_that_collide_in_a_weak_hash_when_one_was_accepted_then_the_other_is_rejected() {
     let body = |filler: &str| {
         format!("{{\"version\":8,\"routes\":[],\"services\":[],\"note\":\"{filler}\"}}")
     };
     let bodies = [body("vGJJrf/weLP"), body("51bOSnk4+FB")];
-    let weak = bodies
+    let weak_hashes = bodies
         .each_ref()
         .map(|b| sparrouter_rendezvous::hash(b.as_bytes()));
-    assert_eq!(weak[0], weak[1]);
-    let [taken, other] = bodies.map(|body| Change::Put {
+    assert_eq!(weak_hashes[0], weak_hashes[1]);
+    let [accepted, other] = bodies.map(|body| Change::Put {
         if_match: Some(5),
         body: Blob(body.into_bytes()),
     });
-    let mut shard = Shard::begun();
-    assert_eq!(shard.submit(&taken), 200);
-    assert_eq!(shard.unchanged(&other), 412);
-    assert_eq!(shard.unchanged(&taken), 200);
+    let mut shard = Shard::with_initial_configuration();
+    assert_eq!(shard.submit(&accepted), 200);
+    assert_eq!(shard.submit_unchanged(&other), 412);
+    assert_eq!(shard.submit_unchanged(&accepted), 200);
 }
 
 #[test]
-fn given_a_change_that_makes_the_state_too_large_when_sent_then_it_is_refused_clearly_and_not_left_open()
- {
+fn given_an_order_that_makes_the_state_too_large_when_it_is_sent_then_it_is_rejected_with_413() {
     let max_bytes = sparrouter_consensus::Settings::default().max_body_bytes;
     let filler = "n".repeat(max_bytes - 200);
     let mut shard = Shard::default();
@@ -337,9 +350,9 @@
     assert!(shard.0.len() <= max_bytes);
     let longer_name = "s".repeat(200);
     assert_eq!(
-        shard.unchanged(&order(Method::Patch, 5, 8, &longer_name)),
+        shard.submit_unchanged(&order(Method::Patch, 5, 8, &longer_name)),
         413
     );
-    // A smaller one is taken.
+    // An order that results in a smaller state is accepted.
     assert_eq!(shard.submit(&order(Method::Put, 5, 8, &longer_name)), 200);
 }
