--- a/crates/sparrouter-fleet/src/membership/outliers.rs
+++ b/crates/sparrouter-fleet/src/membership/outliers.rs
@@ -22,10 +22,10 @@
 impl Node {
     /// Reports to the server's owner that a request of this node failed. `key`: the key by which the server was
     /// selected.
-    pub fn report_failure(self: &Rc<Self>, ix: ServerIndex, key: u64) {
+    pub fn report_failure(self: &Rc<Self>, server_index: ServerIndex, key: u64) {
         let failure = {
             let server_table = self.server_table.borrow();
-            let Some(server) = server_table.get(ix) else {
+            let Some(server) = server_table.get(server_index) else {
                 return;
             };
             Failure {
@@ -46,8 +46,12 @@
     }
 
     /// Reports to the server's owner that a request which failed at this server was answered by another one.
-    pub fn report_served_elsewhere(&self, ix: ServerIndex) {
-        let hash = self.server_table.borrow().get(ix).map(Server::hash);
+    pub fn report_served_elsewhere(&self, server_index: ServerIndex) {
+        let hash = self
+            .server_table
+            .borrow()
+            .get(server_index)
+            .map(Server::hash);
         let Some(server) = hash else {
             return;
         };
--- a/crates/sparrouter-fleet/src/membership/polls.rs
+++ b/crates/sparrouter-fleet/src/membership/polls.rs
@@ -250,8 +250,8 @@
         return PollOutcome::WithoutQuorumContact;
     };
     if is_applied {
-        // `began_ms` is relative to the poll's arrival at the source, which was later than `sent_at`, so this start
-        // time is not too late.
+        // `began_ms` is relative to the poll's arrival at the source, which was later than `sent_at`. The computed
+        // start of the read is therefore not later than the actual one.
         let sent_at = Timestamp::try_from(sent_at).unwrap_or(Timestamp::MAX);
         node.confirm_configuration(sent_at.saturating_add(nanos_of_ms(read.began_ms)));
     }
--- a/crates/sparrouter-fleet/src/membership/registry.rs
+++ b/crates/sparrouter-fleet/src/membership/registry.rs
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub struct Registry {
     heartbeats: RefCell<BTreeMap<String, LastHeartbeat>>,
-    /// Servers whose registrar is unresponsive or unknown, with the time since when.
+    /// Servers whose registrar is unresponsive or unknown, with the time at which this was first noticed.
     orphaned: RefCell<BTreeMap<String, Nanos>>,
 }
 
@@ -63,8 +63,8 @@
         let state = record.state;
         let must_replicate = state == LifecycleState::Draining && !self.is_draining_replicated(id);
         let effect = self.receive(node, record);
-        // A draining heartbeat that is repeated after a rejection must be replicated too: it counts whether other nodes
-        // have the record, not whether the record is new here.
+        // A draining heartbeat that is repeated after a rejection must be replicated too: what matters is whether other
+        // nodes have the record, not whether the record is new here.
         let must_replicate = must_replicate
             && (effect == HeartbeatEffect::Merged || rules::repeated_drains_need_replica());
         let must_send = must_replicate || effect == HeartbeatEffect::Merged;
@@ -116,14 +116,15 @@
     /// Records the time of a server's heartbeat. Returns false if a later heartbeat has already arrived.
     fn record_heartbeat(&self, record: &ServerRecord, now: Nanos) -> bool {
         let mut heartbeats = self.heartbeats.borrow_mut();
-        let known = heartbeats.get(&record.id).copied();
-        if known.is_some_and(|known| known.call_sequence > record.call_sequence) {
+        let previous = heartbeats.get(&record.id).copied();
+        if previous.is_some_and(|previous| previous.call_sequence > record.call_sequence) {
             return false;
         }
         let last = LastHeartbeat {
             call_sequence: record.call_sequence,
             received_at: now,
-            is_draining_replicated: known.is_some_and(|known| known.is_draining_replicated),
+            is_draining_replicated: previous
+                .is_some_and(|previous| previous.is_draining_replicated),
         };
         heartbeats.insert(record.id.clone(), last);
         true
@@ -257,8 +258,8 @@
                 orphaned.remove(&server.id);
                 continue;
             }
-            let since = *orphaned.entry(server.id.clone()).or_insert(now);
-            if now.saturating_sub(since) > timeout && !server.unresponsive {
+            let orphaned_at = *orphaned.entry(server.id.clone()).or_insert(now);
+            if now.saturating_sub(orphaned_at) > timeout && !server.unresponsive {
                 overdue.push(server.id.clone());
             }
         }
--- a/crates/sparrouter-fleet/src/membership/sources.rs
+++ b/crates/sparrouter-fleet/src/membership/sources.rs
@@ -11,7 +11,7 @@
 
 /// How long a failed source is avoided if there are others.
 const AVOID_TIME: Duration = Duration::from_millis(800);
-/// If no node with quorum contact has answered for this long, every other poll on average goes to a seed.
+/// If no node with quorum contact has answered for this long, a poll goes to a seed with a probability of one half.
 const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// Time that a poll may take beyond the maximum delay of the source's reply.
 const REPLY_MARGIN: Duration = Duration::from_millis(500);
@@ -63,8 +63,8 @@
 
     /// Records that a source failed or has no quorum contact.
     pub(super) fn avoid(&self, node: &Node, source: SocketAddr) {
-        let until = node.now() + nanos(AVOID_TIME);
-        self.avoided.borrow_mut().insert(source, until);
+        let avoided_until = node.now() + nanos(AVOID_TIME);
+        self.avoided.borrow_mut().insert(source, avoided_until);
     }
 
     fn is_avoided(&self, source: SocketAddr) -> bool {
@@ -78,13 +78,15 @@
             .iter()
             .enumerate()
             .filter(|(index, _)| *index != loop_index);
-        !self.is_avoided(source) && !others.any(|(_, other)| *other == Some(source))
+        !self.is_avoided(source) && !others.any(|(_, polled_source)| *polled_source == Some(source))
     }
 
     /// The source that a loop polls next; `None` if there is none.
     pub(super) fn next(&self, node: &Node, loop_index: usize) -> Option<SocketAddr> {
         let now = node.now();
-        self.avoided.borrow_mut().retain(|_, until| *until > now);
+        self.avoided
+            .borrow_mut()
+            .retain(|_, avoided_until| *avoided_until > now);
         let ranked = self.ranked_control_nodes(node);
         let seeds = seeds(node);
         let is_free = |source: &SocketAddr| self.is_free(*source, loop_index);
