--- a/crates/sparrouter-fleet/src/quota/take.rs
+++ b/crates/sparrouter-fleet/src/quota/take.rs
@@ -84,8 +84,8 @@
         let settings = quota_settings(self);
         let mut shards = division_of(quota, &settings).shards(tenant, &settings);
         // The first shard is chosen at random, so that requests are spread over all parts of the quota.
-        let first = self.rng.borrow_mut().usize(..shards.len());
-        shards.rotate_left(first);
+        let first_index = self.rng.borrow_mut().usize(..shards.len());
+        shards.rotate_left(first_index);
         let started_at = Instant::now();
         let mut asked = Vec::new();
         loop {
