--- a/crates/sparrouter-fleet/src/rollout/load.rs
+++ b/crates/sparrouter-fleet/src/rollout/load.rs
@@ -15,8 +15,8 @@
 const DIRECTIVE_DELAY: Duration = Duration::from_millis(40);
 /// Interval at which a server that loads new weights is asked for a report.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Age that a report can have: some hundred milliseconds, with a margin. After this time a report reflects an order
-/// that was accepted.
+/// Maximum age of the state in a report: some hundred milliseconds, with a margin. After this time a report reflects an
+/// order that was accepted.
 const REPORT_LAG: Duration = Duration::from_millis(1_000);
 /// Maximum time for the update of a server, as a multiple of the time for which requests may begin on older versions.
 const MAX_LOAD_TIME_RATIO: u64 = 2;
@@ -43,7 +43,7 @@
     /// it has accepted.
     running_version: u64,
     is_busy: bool,
-    call_sequence: Option<u64>,
+    accepted_orders: Option<u64>,
     /// When the server last accepted an order or reported that it was executing one.
     last_busy_at: Nanos,
     /// Whether a newer version replaced the target during the update, so that the elapsed time is not that of a single
@@ -59,7 +59,7 @@
             ordered: None,
             running_version: 0,
             is_busy: false,
-            call_sequence: None,
+            accepted_orders: None,
             last_busy_at: 0,
             was_retargeted: false,
         }
@@ -80,7 +80,7 @@
     fn apply_report(&mut self, report: &Report, model: &str, now: Nanos) {
         self.running_version = report.version_of(model);
         self.is_busy = report.is_busy;
-        self.call_sequence = Some(report.call_sequence);
+        self.accepted_orders = Some(report.call_sequence);
         if report.is_busy {
             self.last_busy_at = now;
         }
@@ -110,18 +110,18 @@
         tokio::time::sleep(DIRECTIVE_DELAY).await;
         let mut progress = Progress::new(target.version, self.node.now());
         let outcome = self.load(lease, server, &mut progress).await;
-        let reached = match outcome {
+        let reached_version = match outcome {
             LoadOutcome::Runs(version) => version,
             LoadOutcome::Abandoned => 0,
         };
-        if reached > 0 && !progress.was_retargeted {
+        if reached_version > 0 && !progress.was_retargeted {
             self.record_load_time(self.node.now() - progress.target_since);
         }
         let announced = (id.to_owned(), model.to_owned());
         if self.announced.borrow_mut().remove(&announced) {
             self.withdraw_directive(lease, DirectiveKind::LoadSoon, server, progress.target);
         }
-        self.withdraw_directive(lease, DirectiveKind::Load, server, reached);
+        self.withdraw_directive(lease, DirectiveKind::Load, server, reached_version);
     }
 
     fn record_load_time(&self, elapsed: Nanos) {
@@ -194,7 +194,7 @@
             server,
             address,
             version: progress.target,
-            accepted_before: progress.call_sequence,
+            accepted_before: progress.accepted_orders,
         };
         match self.send_order(lease, &order).await {
             Some(200..=299) => {
--- a/crates/sparrouter-fleet/src/rollout/selection.rs
+++ b/crates/sparrouter-fleet/src/rollout/selection.rs
@@ -153,7 +153,7 @@
         let loads = self.loads.borrow();
         let announced: HashSet<&str> = announced
             .iter()
-            .filter(|(_, of)| of == model)
+            .filter(|(_, announced_model)| announced_model == model)
             .map(|(id, _)| id.as_str())
             .collect();
         let (mut outdated, mut ready_count) = (Vec::new(), 0);
