--- a/crates/sparrouter-fleet/src/prefix_cache/location.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/location.rs
@@ -14,7 +14,7 @@
 impl Node {
     /// Whether servers may be referred to a store: not while the node that follows the store reports that it does not
     /// respond. `store`: hash of the store's address.
-    pub fn store_is_up(&self, store: u64) -> bool {
+    pub fn is_store_up(&self, store: u64) -> bool {
         let epochs = self.owned_keys.store_epochs.borrow();
         epochs.get(&store).is_none_or(|epoch| *epoch != STORE_DOWN)
     }
--- a/crates/sparrouter-fleet/src/proxy/exchange/prefix_lookup.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/prefix_lookup.rs
@@ -45,7 +45,7 @@
         let salt = self.cache_salt(model, version);
         let store = self
             .store()
-            .filter(|store| tokens >= MIN_TOKENS_TO_STORE && self.node.store_is_up(store.name));
+            .filter(|store| tokens >= MIN_TOKENS_TO_STORE && self.node.is_store_up(store.name));
         // A store saves the complete prompt, so it is asked only for prompts that consist mostly of shared tokens.
         let saving_store = store.as_ref().filter(|_| own_tokens * 2 < tokens);
         let server = sparrouter_rendezvous::hash(server_id.as_bytes());
