--- a/crates/sparrouter-fleet/tests/http.rs
+++ b/crates/sparrouter-fleet/tests/http.rs
@@ -65,15 +65,15 @@
 #[tokio::test(start_paused = true)]
 async fn given_a_request_split_at_any_byte_when_the_rest_arrives_then_the_body_is_complete() {
     let text = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n";
-    for cut in 1..text.len() {
+    for split_at in 1..text.len() {
         let sending = |mut client_end: DuplexStream| async move {
             client_end
-                .write_all(&text.as_bytes()[..cut])
+                .write_all(&text.as_bytes()[..split_at])
                 .await
                 .expect("space in the pipe");
             sleep(Duration::from_millis(10)).await;
             client_end
-                .write_all(&text.as_bytes()[cut..])
+                .write_all(&text.as_bytes()[split_at..])
                 .await
                 .expect("space in the pipe");
         };
@@ -81,7 +81,7 @@
         assert_eq!(
             &read.expect("a complete request").body[..],
             b"abcde",
-            "split at {cut}"
+            "split at {split_at}"
         );
         assert!(remaining.is_empty());
     }
