--- a/crates/sparrouter-fleet/src/proxy/backlogs.rs
+++ b/crates/sparrouter-fleet/src/proxy/backlogs.rs
@@ -15,7 +15,7 @@
 pub struct WaitingPrompt {
     /// Hash of the server's id.
     pub server: u64,
-    /// Random number that identifies the prompt.
+    /// Random number that identifies the prompt in the server's backlog.
     pub token: u64,
     /// Number of tokens to prefill.
     pub cost: u32,
--- a/crates/sparrouter-fleet/src/proxy/event_stream.rs
+++ b/crates/sparrouter-fleet/src/proxy/event_stream.rs
@@ -17,9 +17,9 @@
     /// Adds a chunk of the stream and returns the events that it completes, unchanged. `None` if an event exceeds
     /// [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, chunk: &[u8]) -> Option<Bytes> {
-        let searched = self.partial.len().saturating_sub(3);
+        let search_start = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(chunk);
-        let Some(end) = end_of_last_event(&self.partial, searched) else {
+        let Some(end) = end_of_last_event(&self.partial, search_start) else {
             return (self.partial.len() <= MAX_EVENT_BYTES).then(Bytes::new);
         };
         let complete = self.partial.split_to(end).freeze();
@@ -56,7 +56,7 @@
     }
 }
 
-/// Offset just after the last empty line that ends at or after offset `from`; `None` if there is none.
+/// Offset just after the last separator between events that begins at or after offset `from`; `None` if there is none.
 fn end_of_last_event(text: &[u8], from: usize) -> Option<usize> {
     let end_of_last = |separator: &[u8]| {
         text[from..]
--- a/crates/sparrouter-fleet/src/proxy/exchange.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange.rs
@@ -35,8 +35,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a request waits for the first configuration. A process that has just started usually has it after this
-/// time, and a rejection would cost the client one of its attempts.
+/// How long a request waits for the first configuration. A process that has just started usually receives it within
+/// this time, and a rejection would cost the client one of its attempts.
 const FIRST_CONFIGURATION_WAIT: Duration = Duration::from_millis(150);
 /// Retry delay for a client that was rejected because this node has no configuration.
 const RETRY_WITHOUT_CONFIGURATION: Duration = Duration::from_millis(200);
@@ -95,7 +95,7 @@
     is_under_permit: bool,
 }
 
-/// Serves one request. `read_ahead` receives what the client sends while the request is served.
+/// Serves one request. `read_ahead` receives the bytes that the client sends while the request is served.
 pub async fn serve(
     node: &Rc<Node>,
     pool: &Pool,
--- a/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
@@ -71,7 +71,8 @@
 
 impl Exchange<'_> {
     /// Selects the next server. If the request would be late at the first server of the rendezvous order because of its
-    /// backlog, the following servers are asked. If it would be late at all of them, it is rejected at once.
+    /// backlog, the following servers are asked for estimates. If it would be late at all of them, it is rejected at
+    /// once.
     ///
     /// # Errors
     ///
@@ -110,14 +111,16 @@
         let mut best: Option<BestCandidate> = None;
         let mut excluded = self.attempted.clone();
         let mut selection = first;
-        let (mut in_time, mut beyond_limit) = (0, 0);
-        while in_time < MAX_ESTIMATES && beyond_limit < MAX_ESTIMATES_BEYOND_LIMIT {
+        let (mut within_limit, mut beyond_limit) = (0, 0);
+        while within_limit < MAX_ESTIMATES && beyond_limit < MAX_ESTIMATES_BEYOND_LIMIT {
             let prompt = self.waiting_prompt(&selection);
             // Servers other than the first have more tokens to prefill.
-            let extra =
+            let extra_prefill =
                 prefill_nanos(prompt.cost) - prefill_nanos(self.waiting_prompt(&first).cost);
             let time_to_limit = self.time_to_version_limit(&selection);
-            let max_accepted_wait = max_immediate_wait.saturating_sub(extra).min(time_to_limit);
+            let max_accepted_wait = max_immediate_wait
+                .saturating_sub(extra_prefill)
+                .min(time_to_limit);
             match self.node.enqueue(prompt, max_accepted_wait).await {
                 None => return Candidates::admitted(selection, None),
                 Some(wait) if wait <= max_accepted_wait => {
@@ -126,8 +129,8 @@
                 // The request would begin there on outdated weights.
                 Some(wait) if wait >= time_to_limit => beyond_limit += 1,
                 Some(wait) => {
-                    in_time += 1;
-                    let wait = wait + extra;
+                    within_limit += 1;
+                    let wait = wait + extra_prefill;
                     if best.is_none_or(|b| wait < b.wait) {
                         best = Some(BestCandidate { wait, selection });
                     }
@@ -170,10 +173,10 @@
     /// shorter.
     fn reject_overload(&self, wait: Nanos) -> Response {
         let target = self.latency_target();
-        let after = Duration::from_nanos(wait)
+        let retry_after = Duration::from_nanos(wait)
             .saturating_sub(target / 2)
             .clamp(target / 4, target * 4);
-        Response::retry_later(self.node.jitter(after))
+        Response::retry_later(self.node.jitter(retry_after))
     }
 
     /// Maximum total wait of the request. A retry by the client is served late, as long as the client waits, rather
@@ -186,11 +189,11 @@
         }
     }
 
-    /// Whether the request is a retry by the client: its time-out is shorter than the route's.
+    /// Whether the request is a retry by the client: its time-out is clearly shorter than the route's.
     fn is_client_retry(&self) -> bool {
-        let full_time = self.route.timeout_ms as f64 * CLIENT_RETRY_TIMEOUT_RATIO;
+        let min_first_timeout_ms = self.route.timeout_ms as f64 * CLIENT_RETRY_TIMEOUT_RATIO;
         self.client_timeout_ms
-            .is_some_and(|timeout| (timeout as f64) < full_time)
+            .is_some_and(|timeout| (timeout as f64) < min_first_timeout_ms)
     }
 
     /// How long a retried request may wait: the time after which the client disconnects without an event, less a
@@ -206,14 +209,14 @@
     /// The prompt as an entry in a server's backlog. The server has to prefill the tokens that aren't shared, and the
     /// part of the shared blocks that is probably not cached there.
     fn waiting_prompt(&self, selection: &Selection) -> WaitingPrompt {
-        let shared: u64 = self.prompt.shared_blocks().iter().map(|p| p.tokens).sum();
+        let shared_tokens: u64 = self.prompt.shared_blocks().iter().map(|p| p.tokens).sum();
         let uncached_ratio = if selection.rank == 0 && self.attempted.is_empty() {
             UNCACHED_RATIO_AT_FIRST
         } else {
             UNCACHED_RATIO_AT_OTHERS
         };
-        let own = self.prompt.tokens_in.saturating_sub(shared);
-        let cost = own as f64 + shared as f64 * uncached_ratio;
+        let own_tokens = self.prompt.tokens_in.saturating_sub(shared_tokens);
+        let cost = own_tokens as f64 + shared_tokens as f64 * uncached_ratio;
         WaitingPrompt {
             server: sparrouter_rendezvous::hash(self.id_of(selection.server).as_bytes()),
             token: self.node.rng.borrow_mut().u64(..),
--- a/crates/sparrouter-fleet/src/proxy/exchange/api_key.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/api_key.rs
@@ -55,9 +55,9 @@
             return KeyState::Valid;
         }
         let key = self.request.head.fields.text("sparrouter-key");
-        let tenant_now = key.and_then(|key| table?.tenant_of(key));
-        match tenant_now {
-            Some(now) if now.name == tenant.name => KeyState::Valid,
+        let current_tenant = key.and_then(|key| table?.tenant_of(key));
+        match current_tenant {
+            Some(current) if current.name == tenant.name => KeyState::Valid,
             _ => KeyState::Removed,
         }
     }
--- a/crates/sparrouter-fleet/src/proxy/exchange/prefix_lookup.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/prefix_lookup.rs
@@ -8,7 +8,7 @@
 /// A shared prefix of fewer tokens is prefilled rather than fetched.
 const MIN_TOKENS_TO_FETCH: u64 = 100;
 /// Minimum number of shared tokens for which a store is used, for fetching or saving.
-const MIN_TOKENS_TO_STORE: u64 = 1_500;
+const MIN_TOKENS_FOR_STORE: u64 = 1_500;
 /// Maximum number of block owners that are asked for one request, starting with the owner of the deepest shared block.
 const MAX_QUERIES: usize = 3;
 
@@ -40,21 +40,21 @@
             return PrefixSources::default();
         };
         let shared = self.prompt.shared_blocks();
-        let mut tokens: u64 = shared.iter().map(|block| block.tokens).sum();
-        let own_tokens = self.prompt.tokens_in.saturating_sub(tokens);
+        let mut shared_tokens: u64 = shared.iter().map(|block| block.tokens).sum();
+        let own_tokens = self.prompt.tokens_in.saturating_sub(shared_tokens);
         let salt = self.cache_salt(model, version);
-        let store = self
-            .store()
-            .filter(|store| tokens >= MIN_TOKENS_TO_STORE && self.node.is_store_up(store.name));
+        let store = self.store().filter(|store| {
+            shared_tokens >= MIN_TOKENS_FOR_STORE && self.node.is_store_up(store.name)
+        });
         // A store saves the complete prompt, so it is asked only for prompts that consist mostly of shared tokens.
-        let saving_store = store.as_ref().filter(|_| own_tokens * 2 < tokens);
+        let saving_store = store.as_ref().filter(|_| own_tokens * 2 < shared_tokens);
         let server = sparrouter_rendezvous::hash(server_id.as_bytes());
         let mut sources = PrefixSources::default();
         for (index, block) in shared.iter().rev().take(MAX_QUERIES).enumerate() {
-            if tokens < MIN_TOKENS_TO_FETCH {
+            if shared_tokens < MIN_TOKENS_TO_FETCH {
                 break;
             }
-            tokens -= block.tokens;
+            shared_tokens -= block.tokens;
             let is_deepest = index == 0;
             let query = PrefixQuery {
                 key: sparrouter_rendezvous::hash(format!("{salt}/{}", block.id).as_bytes()),
@@ -88,8 +88,8 @@
             let server = server_table.by_id_hash(hash).filter(is_usable)?;
             Some(server.address.to_string())
         };
-        let has_store = |store: &&Store| location.cached_at.contains(&store.name);
-        if let Some(store) = store.filter(has_store) {
+        let is_in_store = |store: &&Store| location.cached_at.contains(&store.name);
+        if let Some(store) = store.filter(is_in_store) {
             return Some(store.address.clone());
         }
         let store_name = store.map(|store| store.name);
--- a/crates/sparrouter-fleet/src/proxy/exchange/quota.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/quota.rs
@@ -9,9 +9,9 @@
 
 /// Minimum retry delay for a client that was rejected because of its quota.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
-/// Retry delays are extended by a random fraction of up to this ratio, so that rejected clients don't retry all at
+/// Retry delays are extended by a random fraction of at most this ratio, so that rejected clients don't all retry at
 /// once.
-const RETRY_SPREAD: f64 = 0.25;
+const MAX_JITTER_RATIO: f64 = 0.25;
 
 impl Exchange<'_> {
     /// The name and quota of the request's tenant by the active configuration, which may be newer than the one by which
@@ -114,7 +114,7 @@
     }
 
     fn with_jitter(&self, after: Duration) -> Duration {
-        let share = self.node.rng.borrow_mut().f64() * RETRY_SPREAD;
-        after.max(MIN_RETRY_AFTER).mul_f64(1.0 + share)
+        let jitter_ratio = self.node.rng.borrow_mut().f64() * MAX_JITTER_RATIO;
+        after.max(MIN_RETRY_AFTER).mul_f64(1.0 + jitter_ratio)
     }
 }
--- a/crates/sparrouter-fleet/src/proxy/exchange/relay.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/relay.rs
@@ -241,7 +241,8 @@
     }
 }
 
-/// The part of a chunk that may be written now; `None` if an event is too long.
+/// The data that may be written after this chunk has been read: the chunk itself, or the events that it completes.
+/// `None` if an event is too long.
 fn complete_events(chunk: Bytes, pending: &Pending, client: &mut ClientSide<'_>) -> Option<Bytes> {
     match &mut client.events {
         Some(events) if pending.splits_events => events.push(&chunk),
--- a/crates/sparrouter-fleet/src/proxy/exchange/request_head.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/request_head.rs
@@ -94,8 +94,13 @@
     /// The request head for one server.
     pub(super) fn forwarded_head(&self, forwarded: &ForwardedRequest<'_>) -> Bytes {
         let mut head = HeadWriter(BytesMut::with_capacity(TYPICAL_HEAD_BYTES));
-        let own = &self.request.head;
-        head.put(&[&own.method, b" ", &own.target, b" HTTP/1.1\r\n"]);
+        let client_head = &self.request.head;
+        head.put(&[
+            &client_head.method,
+            b" ",
+            &client_head.target,
+            b" HTTP/1.1\r\n",
+        ]);
         self.put_client_fields(&mut head, forwarded);
         self.put_routing_fields(&mut head, forwarded);
         self.put_model_fields(&mut head, forwarded);
@@ -152,10 +157,10 @@
     }
 
     fn put_length(&self, head: &mut HeadWriter) {
-        let own = &self.request.head;
+        let client_head = &self.request.head;
         let has_body = !self.request.body.is_empty()
-            || own.framing == Framing::Chunked
-            || own.fields.get("content-length").is_some();
+            || client_head.framing == Framing::Chunked
+            || client_head.fields.get("content-length").is_some();
         if has_body {
             head.field("Content-Length", &self.request.body.len().to_string());
         }
--- a/crates/sparrouter-fleet/src/proxy/exchange/response_head.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/response_head.rs
@@ -1,5 +1,5 @@
-//! Reads the head of a server's response, checks that it belongs to this request, records the server's state, and
-//! decides whether the response may be relayed to the client.
+//! Reads the head of a server's response, checks that it belongs to this request, records the server's model version,
+//! and decides whether the response may be relayed to the client.
 use super::attempt::AttemptOutcome;
 use super::{Exchange, MISDIRECTED};
 use crate::node::counters::count;
@@ -13,8 +13,8 @@
 use sparrouter_routing::{Selection, ServerTable};
 use std::time::Duration;
 
-/// Maximum number of heads that are skipped before the one of this response: interim responses, and responses to
-/// earlier requests.
+/// Maximum number of response heads that are read until one matches the request; interim responses and responses to
+/// earlier requests are skipped.
 const MAX_SKIPPED_HEADS: usize = 16;
 /// Maximum size of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
@@ -34,7 +34,7 @@
         let Some(head) = self.read_own_head(&mut connection).await else {
             return AttemptOutcome::MayHaveRun;
         };
-        self.record_server_state(selection, &head);
+        self.record_running_version(selection, &head);
         self.check_version_limit(selection, &head);
         let is_not_run = head.fields.get("sparrouter-not-executed").is_some();
         if is_not_run || head.status == MISDIRECTED {
@@ -107,7 +107,7 @@
     }
 
     /// Records the model version that the server runs, as stated in the response.
-    fn record_server_state(&self, selection: &Selection, head: &ResponseHead) {
+    fn record_running_version(&self, selection: &Selection, head: &ResponseHead) {
         let mut server_table = self.node.server_table.borrow_mut();
         let version = head
             .fields
@@ -122,8 +122,8 @@
     /// with the first token, so the run has just begun; for other responses the start of the run is not known.
     fn check_version_limit(&self, selection: &Selection, head: &ResponseHead) {
         let version = head.fields.text("versions").and_then(|v| v.parse().ok());
-        let began_now = self.route.kind == RouteKind::Streaming && head.status < 300;
-        let (Some(model), Some(version), true) = (&self.model, version, began_now) else {
+        let has_just_begun = self.route.kind == RouteKind::Streaming && head.status < 300;
+        let (Some(model), Some(version), true) = (&self.model, version, has_just_begun) else {
             return;
         };
         let now = self.node.now();
@@ -169,17 +169,18 @@
         server_table.suspect(selection.server, now);
     }
 
-    /// Records a newer version for a server that declined the version for which it was selected.
+    /// Records that a server which declined the version for which it was selected runs the newest version, unless the
+    /// response states the version.
     fn record_newer_version(&self, selection: &Selection, head: &ResponseHead) {
         let (Some(model), Some(version)) = (&self.model, selection.version) else {
             return;
         };
-        let names_version = head.fields.text("versions").is_some();
+        let states_version = head.fields.text("versions").is_some();
         let mut server_table = self.node.server_table.borrow_mut();
         let Some(newest) = newest_above(&server_table, model, version) else {
             return;
         };
-        if !names_version {
+        if !states_version {
             server_table.record_loaded_version(selection.server, model, newest);
         }
     }
--- a/crates/sparrouter-fleet/src/proxy/frontend.rs
+++ b/crates/sparrouter-fleet/src/proxy/frontend.rs
@@ -60,15 +60,15 @@
     let permits = Arc::new(Semaphore::new(max_connections.max(MIN_CONNECTIONS)));
     spawn_local(sweep_pool(node.clone(), pool.clone()));
     loop {
-        // At the limit, further clients wait to be accepted: other nodes have capacity.
+        // At the limit, new connections are not accepted until another one ends; other nodes have capacity.
         let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
-        let mut closing = stage.clone();
+        let mut listener_stage = stage.clone();
         let stream = tokio::select! {
             biased;
             (stream, _) = net::accept(&*listener) => stream,
-            _ = closing.wait_for(|s| *s >= Stage::Closing), if rules::shutdown_limits_admission() => return,
+            _ = listener_stage.wait_for(|s| *s >= Stage::Closing), if rules::shutdown_limits_admission() => return,
         };
         let (node, pool, stage) = (node.clone(), pool.clone(), stage.clone());
         spawn_local(async move {
@@ -213,7 +213,7 @@
         tokio::select! {
             biased;
             read = reading::more(&mut self.stream, &mut self.buffer) => return read.is_ok(),
-            () = closing(&mut self.stage, self.is_new) => {}
+            () = wait_for_closing(&mut self.stage, self.is_new) => {}
             () = tokio::time::sleep(idle_timeout) => {}
         }
         self.read_available()
@@ -242,7 +242,7 @@
 
 /// Completes once idle connections are to be closed. On a new connection the first request follows shortly after the
 /// handshake, so it is awaited for up to `FIRST_REQUEST_TIMEOUT` and then answered instead of being cut off.
-async fn closing(stage: &mut watch::Receiver<Stage>, is_new: bool) {
+async fn wait_for_closing(stage: &mut watch::Receiver<Stage>, is_new: bool) {
     let accepted_at = Instant::now();
     // An error means that the process ends.
     let _ = stage.wait_for(|s| *s >= Stage::Closing).await;
