--- a/crates/sparrouter-fleet/src/membership/heartbeat.rs
+++ b/crates/sparrouter-fleet/src/membership/heartbeat.rs
@@ -48,8 +48,8 @@
         _ => return Err(rejection("state is ready or draining")),
     };
     let is_valid_length = |text: &str| !text.is_empty() && text.len() <= MAX_TEXT_BYTES;
-    let has_address = heartbeat.address.parse::<SocketAddr>().is_ok();
-    if !is_valid_length(id) || !is_valid_length(&heartbeat.service) || !has_address {
+    let is_valid_address = heartbeat.address.parse::<SocketAddr>().is_ok();
+    if !is_valid_length(id) || !is_valid_length(&heartbeat.service) || !is_valid_address {
         return Err(rejection(
             "id and service are short names, address is ip:port",
         ));
--- a/crates/sparrouter-fleet/src/membership/notify.rs
+++ b/crates/sparrouter-fleet/src/membership/notify.rs
@@ -15,18 +15,18 @@
     if control_nodes.is_empty() {
         return false;
     }
-    let (acknowledged, mut replies) = mpsc::channel(control_nodes.len());
+    let (reply_sender, mut replies) = mpsc::channel(control_nodes.len());
     let call = Rc::new(Call::Notify(delta.clone()));
     for address in control_nodes {
-        let (node, call, acknowledged) = (node.clone(), call.clone(), acknowledged.clone());
+        let (node, call, reply_sender) = (node.clone(), call.clone(), reply_sender.clone());
         spawn_local(async move {
             let reply = node.links.call(address, &call, timeout).await;
             let is_acknowledged = matches!(reply, Ok(Reply::Acknowledged));
             // The receiver is dropped after the first acknowledgement.
-            let _ = acknowledged.send(is_acknowledged).await;
+            let _ = reply_sender.send(is_acknowledged).await;
         });
     }
-    drop(acknowledged);
+    drop(reply_sender);
     while let Some(is_acknowledged) = replies.recv().await {
         if is_acknowledged {
             return true;
--- a/crates/sparrouter-fleet/src/membership/outliers.rs
+++ b/crates/sparrouter-fleet/src/membership/outliers.rs
@@ -79,10 +79,10 @@
     }
 
     fn count_failure(self: &Rc<Self>, failure: Failure) {
-        let (proxies, now) = (self.proxy_count(), self.now());
+        let (proxy_count, now) = (self.proxy_count(), self.now());
         let is_outlier = {
             let mut outliers = self.owned_keys.outliers.borrow_mut();
-            outliers.record_failure(failure, proxies, now)
+            outliers.record_failure(failure, proxy_count, now)
         };
         let id = {
             let server_table = self.server_table.borrow();
--- a/crates/sparrouter-fleet/src/membership/polls.rs
+++ b/crates/sparrouter-fleet/src/membership/polls.rs
@@ -25,7 +25,7 @@
 const SOURCES_INTERVAL: Duration = Duration::from_millis(150);
 /// Maximum time after process start during which a node polls at short intervals until it has received the current
 /// state.
-const START_TIME: Duration = Duration::from_secs(10);
+const START_PERIOD: Duration = Duration::from_secs(10);
 /// Maximum time for which a source delays its reply during that period, in milliseconds.
 const MAX_WAIT_AT_START_MS: u32 = 40;
 
@@ -174,7 +174,7 @@
     let source_has_record = sent_records.get(&source) == Some(&(epoch, own_version));
     let own_record = node.own_record.borrow().clone();
     let active = node.active_configuration();
-    let is_starting = !node.fleet_contact.is_informed() && node.now() <= nanos(START_TIME);
+    let is_starting = !node.fleet_contact.is_informed() && node.now() <= nanos(START_PERIOD);
     Poll {
         name: own_record.name.clone(),
         record: (!source_has_record).then_some(own_record),
@@ -246,14 +246,14 @@
     sent_at: Nanos,
     timeout: Duration,
 ) -> PollOutcome {
-    let Some(read) = confirmed else {
+    let Some(confirmed_read) = confirmed else {
         return PollOutcome::WithoutQuorumContact;
     };
     if is_applied {
         // `began_ms` is relative to the poll's arrival at the source, which was later than `sent_at`. The computed
         // start of the read is therefore not later than the actual one.
         let sent_at = Timestamp::try_from(sent_at).unwrap_or(Timestamp::MAX);
-        node.confirm_configuration(sent_at.saturating_add(nanos_of_ms(read.began_ms)));
+        node.confirm_configuration(sent_at.saturating_add(nanos_of_ms(confirmed_read.began_ms)));
     }
     if !is_timely(sent_at, node.now(), timeout) {
         return PollOutcome::WithoutQuorumContact;
--- a/crates/sparrouter-fleet/src/membership/registry.rs
+++ b/crates/sparrouter-fleet/src/membership/registry.rs
@@ -212,7 +212,7 @@
     }
 
     /// The servers that have this node as their registrar and whose heartbeats are overdue. Servers without a record,
-    /// or without a heartbeat for long, are removed from the registry.
+    /// or without a heartbeat for `REMOVE_AFTER_TIMEOUTS` time-outs, are removed from the registry.
     fn overdue_heartbeats(&self, check: &LivenessCheck<'_>) -> Vec<String> {
         let LivenessCheck {
             membership,
--- a/crates/sparrouter-fleet/src/membership/sources.rs
+++ b/crates/sparrouter-fleet/src/membership/sources.rs
@@ -92,11 +92,11 @@
         let is_free = |source: &SocketAddr| self.is_free(*source, loop_index);
         let any_seed = || {
             let free: Vec<SocketAddr> = seeds.iter().copied().filter(is_free).collect();
-            random(node, &free)
+            random_source(node, &free)
         };
         let any_source = || {
             let all: Vec<SocketAddr> = ranked.iter().chain(&seeds).copied().collect();
-            random(node, &all)
+            random_source(node, &all)
         };
         let last_resort = if loop_index == 0 { any_source() } else { None };
         // Polls of removed machines take longer to time out than the machines are avoided. Without polls of seeds, a
@@ -149,7 +149,7 @@
     }
 }
 
-/// The internal addresses of the configured seeds except this node, for a node that knows no other responsive node.
+/// The internal addresses of the configured seeds, except this node's own.
 fn seeds(node: &Node) -> Vec<SocketAddr> {
     let own_address = node.own_address();
     let settings = node.settings.borrow();
@@ -157,7 +157,7 @@
     addresses.filter(|a| *a != own_address).collect()
 }
 
-fn random(node: &Node, sources: &[SocketAddr]) -> Option<SocketAddr> {
+fn random_source(node: &Node, sources: &[SocketAddr]) -> Option<SocketAddr> {
     if sources.is_empty() {
         return None;
     }
--- a/crates/sparrouter-fleet/src/quota/holder.rs
+++ b/crates/sparrouter-fleet/src/quota/holder.rs
@@ -66,11 +66,11 @@
     /// Grants up to `wanted` permits of a tenant's quota, if this node currently holds the shard's lease.
     pub(crate) fn grant_permits(&self, shard: u16, tenant: &str, wanted: u32) -> Grant {
         let now = self.now();
-        let valid = self
+        let valid_lease = self
             .quotas
             .lease(shard)
             .filter(|lease| now < lease.valid_until || !rules::grants_need_valid_lease());
-        let Some(lease) = valid else {
+        let Some(lease) = valid_lease else {
             return Grant::NotHolder { active_in: None };
         };
         if now < lease.active_from {
--- a/crates/sparrouter-fleet/src/quota/limits.rs
+++ b/crates/sparrouter-fleet/src/quota/limits.rs
@@ -6,8 +6,8 @@
 use sparrouter_quota::{Division, QuotaLimit, QuotaSettings, TenantBucket};
 use std::time::Duration;
 
-/// How long after its request a permit may be spent. This is long enough to establish a connection to a server. The
-/// burst is reduced by the permits that may be granted before a window and spent within it.
+/// Lifetime of a permit, from the time at which it is requested. It is long enough to establish a connection to a
+/// server. A limit's burst is reduced by the permits that may be granted before a window and spent within it.
 pub(super) const PERMIT_LIFETIME: Duration = Duration::from_millis(200);
 
 /// The settings by which limits are divided in this deployment.
@@ -36,8 +36,8 @@
 ) -> Vec<TenantBucket> {
     let bucket = |tenant: &sparrouter_config::Tenant| {
         let division = division_of(tenant.quota?, settings);
-        let is_here = division.shards(&tenant.name, settings).contains(&shard);
-        is_here.then(|| TenantBucket {
+        let is_in_shard = division.shards(&tenant.name, settings).contains(&shard);
+        is_in_shard.then(|| TenantBucket {
             tenant: tenant.name.clone(),
             shape: division.shape,
         })
--- a/crates/sparrouter-fleet/src/quota/permit.rs
+++ b/crates/sparrouter-fleet/src/quota/permit.rs
@@ -61,7 +61,7 @@
 }
 
 impl Node {
-    /// Returns an unspent permit to its holder. If the message is lost, so is the permit.
+    /// Returns an unspent permit to the lease holder. If the message is lost, the permit is lost too.
     fn return_permit(&self, tenant: &str, permit: &Permit) {
         let Permit {
             shard,
--- a/crates/sparrouter-fleet/src/quota/report.rs
+++ b/crates/sparrouter-fleet/src/quota/report.rs
@@ -47,16 +47,16 @@
         let lease = self.quotas.lease(shard)?;
         let now = self.now();
         let shards = self.quotas.shards.borrow();
-        let granting = shards.get(&shard).map(|granting| &granting.buckets);
-        let granting = granting.filter(|buckets| buckets.fencing_token() == lease.fencing_token);
+        let buckets = shards.get(&shard).map(|granting| &granting.buckets);
+        let buckets = buckets.filter(|buckets| buckets.fencing_token() == lease.fencing_token);
         Some(HeldShard {
             shard,
             fencing_token: lease.fencing_token,
             is_active: (lease.active_from..lease.valid_until).contains(&now),
-            tenant_count: granting.map_or(0, |buckets| buckets.tenant_count()),
-            granted: granting.map_or(0, |buckets| buckets.granted()),
-            refused: granting.map_or(0, |buckets| buckets.refused()),
-            returned: granting.map_or(0, |buckets| buckets.returned()),
+            tenant_count: buckets.map_or(0, |buckets| buckets.tenant_count()),
+            granted: buckets.map_or(0, |buckets| buckets.granted()),
+            refused: buckets.map_or(0, |buckets| buckets.refused()),
+            returned: buckets.map_or(0, |buckets| buckets.returned()),
         })
     }
 
--- a/crates/sparrouter-fleet/src/quota/take.rs
+++ b/crates/sparrouter-fleet/src/quota/take.rs
@@ -20,7 +20,7 @@
 /// Maximum number of nodes that are asked for one shard: the last known lease holder, and the nodes that rank highest
 /// for the lease.
 const MAX_CANDIDATES: usize = 3;
-/// Maximum number of nodes through which a call is relayed if this node cannot reach the lease holder.
+/// Maximum number of nodes that are tried as relays if this node cannot reach the lease holder.
 const MAX_RELAYS: usize = 2;
 /// How long a shard is not asked again after no lease holder answered for it.
 const UNAVAILABLE_FOR: Duration = Duration::from_millis(150);
@@ -157,7 +157,7 @@
     }
 
     /// Asks the nodes that may have the lease of a shard, until one of them has it or one does not answer. Returns
-    /// `None` if the last node did not answer, or if there is no node to ask.
+    /// `None` if a node did not answer, or if there is no node to ask.
     async fn ask_holders(&self, shard: u16, tenant: &str, wanted: u32) -> Option<Answer> {
         let mut not_holder: Option<Answer> = None;
         for address in HolderCandidates::of(self, shard) {
@@ -271,10 +271,10 @@
         let members = members.map(|m| (sparrouter_rendezvous::hash(m.name.as_bytes()), m));
         let key = sparrouter_rendezvous::hash(&shard.to_le_bytes());
         let ranked = sparrouter_rendezvous::order(members, key);
-        let (live, unavailable): (Vec<_>, Vec<_>) = ranked
+        let (available, unavailable): (Vec<_>, Vec<_>) = ranked
             .into_iter()
             .partition(|record| !record.unresponsive && !record.leaving);
-        let in_order = live.into_iter().chain(unavailable);
+        let in_order = available.into_iter().chain(unavailable);
         in_order
             .filter_map(|record| record.internal_address.parse().ok())
             .collect()
