--- a/crates/sparrouter-fleet/src/prefix_cache/assignment.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/assignment.rs
@@ -25,7 +25,7 @@
 }
 
 impl AssignmentInputs {
-    pub(super) fn now(node: &Node) -> AssignmentInputs {
+    pub(super) fn current(node: &Node) -> AssignmentInputs {
         AssignmentInputs {
             owners: node.live_nodes().owners().clone(),
             server_changes: node.server_table.borrow().changes(),
@@ -60,7 +60,8 @@
         .collect()
 }
 
-/// Whether a source still exists with the same address and kind. This is a lookup, not a search of all sources.
+/// Whether a source still exists with the same address and kind. A server is looked up by its hash, without a search of
+/// all servers.
 pub(super) fn exists(node: &Node, source: &EventSource) -> bool {
     let config = node.active_configuration();
     let Some(table) = &config.table else {
--- a/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
@@ -18,7 +18,7 @@
 
 /// Interval at which the assignment of sources is checked.
 const ASSIGNMENT_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval between requests to a source. Its events of that time are returned in one reply.
+/// Interval between requests to a source, so that one reply returns the events of a whole interval.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 /// Initial backoff after a request without a reply, and the maximum backoff for a server. The backoff for a store stays
 /// at the initial value.
@@ -27,7 +27,7 @@
 /// Maximum number of backoff steps; each failure adds the initial backoff.
 const MAX_BACKOFF_STEPS: u32 = 32;
 /// Number of consecutive requests without a reply after which a store counts as down. A single failure may be caused by
-/// the network. A store that is down costs each server that is referred to it some hundred milliseconds.
+/// the network. A store that is down delays each server that is referred to it by a few hundred milliseconds.
 const MAX_STORE_FAILURES: u32 = 2;
 
 /// The sources that this node currently follows.
@@ -45,7 +45,7 @@
     let followed: Rc<FollowedSources> = Rc::default();
     let mut known_inputs = AssignmentInputs::default();
     loop {
-        let inputs = AssignmentInputs::now(&node);
+        let inputs = AssignmentInputs::current(&node);
         let has_ended = followed.has_ended.replace(false);
         if has_ended || !inputs.is_same(&known_inputs) {
             known_inputs = inputs;
@@ -94,7 +94,7 @@
         }
     }
     if !exists(node, &source) {
-        // No node follows the source any more that could report the loss of its blocks.
+        // No node follows the source any more, so this node reports that none of its blocks are cached.
         node.report_cached_blocks(&mut Source::default(), source.name, true);
     }
 }
--- a/crates/sparrouter-fleet/src/prefix_cache/event_page.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/event_page.rs
@@ -32,8 +32,8 @@
     events: Vec<Value>,
 }
 
-/// Requests the events from number `since` on; `None` without a valid reply. `connection`: takes the connection of the
-/// previous request if it is reusable, and receives the connection for the next request.
+/// Requests the events from number `since` on; `None` if there is no valid reply. `connection`: holds the reusable
+/// connection of the previous request, if there is one, and receives the connection for the next request.
 pub(super) async fn request(
     net: &dyn Net,
     connection: &mut Option<Upstream>,
--- a/crates/sparrouter-fleet/src/prefix_cache/location.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/location.rs
@@ -12,8 +12,8 @@
 pub(super) const STORE_DOWN: u64 = 0;
 
 impl Node {
-    /// Whether servers may be referred to a store: not while the node that follows the store reports that it does not
-    /// respond. `store`: hash of the store's address.
+    /// Whether servers may be referred to a store. Returns false while the node that follows the store reports that the
+    /// store does not respond. `store`: hash of the store's address.
     pub fn is_store_up(&self, store: u64) -> bool {
         let epochs = self.owned_keys.store_epochs.borrow();
         epochs.get(&store).is_none_or(|epoch| *epoch != STORE_DOWN)
--- a/crates/sparrouter-fleet/src/rollout/load.rs
+++ b/crates/sparrouter-fleet/src/rollout/load.rs
@@ -15,8 +15,8 @@
 const DIRECTIVE_DELAY: Duration = Duration::from_millis(40);
 /// Interval at which a server that loads new weights is asked for a report.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Maximum age of the state in a report: some hundred milliseconds, with a margin. After this time a report reflects an
-/// order that was accepted.
+/// Maximum age of the state in a report: a few hundred milliseconds plus a margin. A report reflects each order that
+/// the server accepted longer ago than this.
 const REPORT_LAG: Duration = Duration::from_millis(1_000);
 /// Maximum time for the update of a server, as a multiple of the time for which requests may begin on older versions.
 const MAX_LOAD_TIME_RATIO: u64 = 2;
@@ -46,7 +46,7 @@
     accepted_orders: Option<u64>,
     /// When the server last accepted an order or reported that it was executing one.
     last_busy_at: Nanos,
-    /// Whether a newer version replaced the target during the update, so that the elapsed time is not that of a single
+    /// Whether a newer version replaced the target during the update. The elapsed time is then not the time of a single
     /// load.
     was_retargeted: bool,
 }
@@ -69,11 +69,11 @@
     /// node or an earlier lease holder, would decline it. An accepted order that the server's reports do not reflect is
     /// sent again: each order states how many orders the server has accepted so far, so that it is not executed twice.
     fn may_order(&self, now: Nanos) -> bool {
-        let was_ordered = self
+        let is_order_pending = self
             .ordered
             .is_some_and(|ordered| self.running_version < ordered);
-        let is_report_outdated = now.saturating_sub(self.last_busy_at) < nanos(REPORT_LAG);
-        let is_executing = self.is_busy || (was_ordered && is_report_outdated);
+        let may_report_be_outdated = now.saturating_sub(self.last_busy_at) < nanos(REPORT_LAG);
+        let is_executing = self.is_busy || (is_order_pending && may_report_be_outdated);
         !is_executing
     }
 
--- a/crates/sparrouter-fleet/src/rollout/mod.rs
+++ b/crates/sparrouter-fleet/src/rollout/mod.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Releases the lease. Announced servers are no longer tracked as announced.
+    /// Releases the lease and clears the set of announced servers.
     async fn release_lease(&self, lease: ActiveLease) {
         self.announced.borrow_mut().clear();
         self.lease.release(lease).await;
--- a/crates/sparrouter-fleet/src/rollout/selection.rs
+++ b/crates/sparrouter-fleet/src/rollout/selection.rs
@@ -23,7 +23,8 @@
 }
 
 impl RolloutTask {
-    /// Whether any server of this shard runs an older version than the newest.
+    /// Whether any server of this shard runs an older version than the newest. If none does, clears the set of
+    /// announced servers.
     pub(super) fn has_work(&self) -> bool {
         let server_table = self.node.server_table.borrow();
         let is_outdated = |server: &Server, model: &str, version: u64| {
