--- a/crates/sparrouter-fleet/tests/event_stream.rs
+++ b/crates/sparrouter-fleet/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Splitting of streams into complete events, wherever the bytes of the stream are split into chunks.
+//! Splitting of streams into complete events, independent of how the stream is divided into chunks.
 use sparrouter_fleet::proxy::event_stream::EventSplitter;
 
 const STREAM: &str = "id: 1\ndata: one\n\nid: 2\r\ndata: two\r\n\r\n: a comment\n\nid:3\ndata: three\ndata: more\n\n";
@@ -30,7 +30,7 @@
             split_stream(&[&bytes[..split_at], &bytes[split_at..]]);
         assert_eq!(complete_events.concat(), bytes, "split at {split_at}");
         assert!(rest.is_empty());
-        let complete = event_ends
+        let complete_bytes = event_ends
             .iter()
             .copied()
             .filter(|e| *e <= split_at)
@@ -38,7 +38,7 @@
             .unwrap_or(0);
         assert_eq!(
             complete_events[0],
-            &bytes[..complete],
+            &bytes[..complete_bytes],
             "split at {split_at}"
         );
         assert_eq!(last_id.as_deref(), Some("3"));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn given_an_incomplete_event_when_discarded_then_the_last_id_is_that_of_the_last_complete_event() {
+fn given_an_incomplete_event_with_an_id_when_discarded_then_the_last_id_does_not_change() {
     let mut events = EventSplitter::default();
     assert_eq!(
         &events
@@ -113,10 +113,10 @@
 fn given_an_event_without_an_end_when_pushed_then_it_is_rejected_at_the_size_limit() {
     let mut events = EventSplitter::default();
     let chunk = vec![b'x'; 64 << 10];
-    let pushed = (0..100)
+    let accepted_chunks = (0..100)
         .take_while(|_| events.push(&chunk).is_some())
         .count();
-    assert_eq!(pushed, 4);
+    assert_eq!(accepted_chunks, 4);
 }
 
 #[test]
--- a/crates/sparrouter-fleet/tests/http.rs
+++ b/crates/sparrouter-fleet/tests/http.rs
@@ -89,11 +89,12 @@
 
 #[tokio::test(start_paused = true)]
 async fn given_a_head_above_the_size_limit_when_read_then_the_status_is_431() {
-    let long: &'static str = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(300)).leak();
-    assert_eq!(status(read(long).await), 431);
+    let long_head: &'static str =
+        format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(300)).leak();
+    assert_eq!(status(read(long_head).await), 431);
     // A head whose end has not arrived yet is rejected as well.
-    let incomplete: &'static str = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(300)).leak();
-    assert_eq!(status(read(incomplete).await), 431);
+    let incomplete_head: &'static str = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(300)).leak();
+    assert_eq!(status(read(incomplete_head).await), 431);
 }
 
 #[tokio::test(start_paused = true)]
@@ -265,11 +266,11 @@
     insta::assert_snapshot!(text(Response::plain(404, "no such"), true).replace("\r\n", "|"), @"HTTP/1.1 404 Not Found|Content-Type: text/plain|Content-Length: 7||no such");
     insta::assert_snapshot!(text(Response::retry_later(Duration::from_millis(1_250)), false).replace("\r\n", "|"), @"HTTP/1.1 503 Service Unavailable|Content-Type: text/plain|Content-Length: 0|Retry-After: 1.250|Connection: close||");
     insta::assert_snapshot!(text(Response::json(200, "{}"), true).replace("\r\n", "|"), @"HTTP/1.1 200 OK|Content-Type: application/json|Content-Length: 2||{}");
-    let moved = Response {
+    let redirect = Response {
         location: Some("http://10.0.0.4:8080/x".into()),
         ..Response::plain(307, "")
     };
-    insta::assert_snapshot!(text(moved, true).replace("\r\n", "|"), @"HTTP/1.1 307 Temporary Redirect|Content-Type: text/plain|Content-Length: 0|Location: http://10.0.0.4:8080/x||");
+    insta::assert_snapshot!(text(redirect, true).replace("\r\n", "|"), @"HTTP/1.1 307 Temporary Redirect|Content-Type: text/plain|Content-Length: 0|Location: http://10.0.0.4:8080/x||");
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/sparrouter-fleet/tests/observation_window.rs
+++ b/crates/sparrouter-fleet/tests/observation_window.rs
@@ -1,4 +1,5 @@
-//! Removal of unresponsive members from a consensus group: how a member that was frozen judges the other members.
+//! Removal of unresponsive members from a consensus group: when a member that was frozen considers the others
+//! unresponsive.
 use sparrouter_consensus::reconfiguration::Reconfiguration;
 use sparrouter_consensus::{MILLISECOND, Member, Nanos, NodeObservation, SECOND, Settings, State};
 use sparrouter_fleet::control::observation_window::ObservationWindow;
@@ -29,10 +30,10 @@
 
 /// How a member determines for how long another member has been unresponsive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum JudgementBasis {
+enum DetectionBasis {
     /// Since both the last contact and the start of the observation window.
     ObservationWindow,
-    /// Since the last contact alone: the error that `ObservationWindow` prevents.
+    /// Only since the last contact: the error that `ObservationWindow` prevents.
     LastContact,
 }
 
@@ -40,7 +41,7 @@
 /// disk ids of the members that respond after the freeze. Returns the group that the member proposes after the freeze
 /// and the delay until it does; `None` if it proposes none.
 fn proposal_after_freeze(
-    judgement_basis: JudgementBasis,
+    detection_basis: DetectionBasis,
     responsive_disks: &[u64],
 ) -> Option<(Nanos, Vec<Member>)> {
     let settings = Settings {
@@ -55,9 +56,9 @@
         let observation = |(disk, last_contact_at): (u64, Nanos)| NodeObservation {
             member: member(disk),
             counts_toward_quorum: true,
-            since_last_contact: Some(match judgement_basis {
-                JudgementBasis::ObservationWindow => window.unresponsive_for(last_contact_at, now),
-                JudgementBasis::LastContact => now - last_contact_at,
+            since_last_contact: Some(match detection_basis {
+                DetectionBasis::ObservationWindow => window.unresponsive_for(last_contact_at, now),
+                DetectionBasis::LastContact => now - last_contact_at,
             }),
             leaving: false,
         };
@@ -88,18 +89,18 @@
 #[test]
 fn given_a_member_that_was_frozen_when_all_others_respond_again_then_it_removes_no_member() {
     assert_eq!(
-        proposal_after_freeze(JudgementBasis::ObservationWindow, &[2, 3, 4]),
+        proposal_after_freeze(DetectionBasis::ObservationWindow, &[2, 3, 4]),
         None
     );
-    let faulty_proposal = proposal_after_freeze(JudgementBasis::LastContact, &[2, 3, 4]);
-    let (delay, group) = faulty_proposal.expect("judging by the last contact proposes a removal");
+    let faulty_proposal = proposal_after_freeze(DetectionBasis::LastContact, &[2, 3, 4]);
+    let (delay, group) = faulty_proposal.expect("detection by the last contact proposes a removal");
     assert!(delay < SECOND && group.len() == 3, "{delay} {group:?}");
 }
 
 #[test]
 fn given_a_member_that_was_frozen_when_one_other_stays_unresponsive_then_it_is_removed_after_the_timeout()
  {
-    let proposal = proposal_after_freeze(JudgementBasis::ObservationWindow, &[2, 4]);
+    let proposal = proposal_after_freeze(DetectionBasis::ObservationWindow, &[2, 4]);
     let (delay, group) = proposal.expect("a proposal");
     assert!(
         (CONTACT_TIMEOUT..CONTACT_TIMEOUT + 2 * SECOND).contains(&delay),
--- a/crates/sparrouter-fleet/tests/order_answers.rs
+++ b/crates/sparrouter-fleet/tests/order_answers.rs
@@ -16,19 +16,19 @@
 
 const METHODS: [Method; 2] = [Method::Put, Method::Patch];
 
-/// An order based on version `base` that creates version `number`; `service` distinguishes it from other orders.
-fn order(method: Method, base: u64, number: u64, service: &str) -> Change {
+/// An order based on version `base` that creates version `version`; `service` distinguishes it from other orders.
+fn order(method: Method, base: u64, version: u64, service: &str) -> Change {
     let items = format!("\"services\":[{{\"name\":\"{service}\"}}]");
     let if_match = Some(base);
     match method {
         Method::Put => Change::Put {
             if_match,
-            body: Blob(format!("{{\"version\":{number},\"routes\":[],{items}}}").into_bytes()),
+            body: Blob(format!("{{\"version\":{version},\"routes\":[],{items}}}").into_bytes()),
         },
         Method::Patch => Change::Patch {
             if_match,
             body: Blob(
-                format!("{{\"version\":{number},\"upsert_items\":{{{items}}}}}").into_bytes(),
+                format!("{{\"version\":{version},\"upsert_items\":{{{items}}}}}").into_bytes(),
             ),
         },
     }
@@ -90,6 +90,7 @@
         ConfigurationState::read(&self.0).expect("a state").version
     }
 
+    /// Submits this many further orders, each of which supersedes the previous configuration.
     fn supersede(&mut self, changes: usize) {
         for _ in 0..changes {
             let base = self.version();
@@ -173,11 +174,11 @@
 #[test]
 fn given_the_same_body_with_another_method_or_base_version_when_it_is_sent_then_it_is_a_different_order()
  {
-    for (method, other) in [(Method::Put, Method::Patch), (Method::Patch, Method::Put)] {
+    for (method, other_method) in [(Method::Put, Method::Patch), (Method::Patch, Method::Put)] {
         let mut shard = Shard::with_initial_configuration();
         let sent = order(method, 5, 8, "a");
         shard.submit(&sent);
-        let same_text = match (&sent, other) {
+        let same_text = match (&sent, other_method) {
             (Change::Put { if_match, body } | Change::Patch { if_match, body }, Method::Put) => {
                 Change::Put {
                     if_match: *if_match,
@@ -312,8 +313,8 @@
     assert_eq!(state.models[0].version, 4);
 }
 
-/// Two bodies with the same 64-bit FNV-1a hash, by which orders were identified before. The collision was found in a
-/// minute on two cores with Pollard's rho and distinguished points.
+/// Guards against identifying orders by a 64-bit FNV-1a hash: a collision can be found in a minute on two cores with
+/// Pollard's rho and distinguished points.
 #[test]
 fn given_two_bodies_that_collide_in_a_weak_hash_when_one_was_accepted_then_the_other_is_rejected() {
     let body = |filler: &str| {
--- a/crates/sparrouter-fleet/tests/upstream.rs
+++ b/crates/sparrouter-fleet/tests/upstream.rs
@@ -203,7 +203,7 @@
 }
 
 #[tokio::test]
-async fn given_an_early_response_when_the_body_is_incomplete_then_it_is_read_and_the_connection_not_pooled()
+async fn given_an_early_response_to_an_incomplete_body_when_sent_then_it_is_read_and_the_connection_not_pooled()
  {
     let connection = connection(early_response(RESPONSE));
     let mut upstream = dial(&connection).await;
@@ -222,7 +222,7 @@
 #[tokio::test]
 async fn given_an_early_response_when_the_server_reads_on_then_it_receives_exactly_the_rest_of_the_body()
  {
-    // The response body exceeds what is read ahead.
+    // The response is larger than the part of it that `send` reads.
     let response = [
         &b"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"[..],
         &[b'y'; 9_000],
@@ -278,7 +278,8 @@
     assert!(pool.take("i-1").is_none());
 }
 
-/// Starts a server on a real socket that writable_bytes one connection, reads this many bytes and resets the connection.
+/// Starts a server on a real socket. It accepts one connection, reads `bytes_before_reset` bytes and resets the
+/// connection.
 async fn start_resetting_server(bytes_before_reset: usize) -> SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
@@ -298,7 +299,7 @@
     address
 }
 
-/// Exceeds the buffers of a loopback connection.
+/// Size of a request body that exceeds the buffers of a loopback connection, in bytes.
 const HUGE_BODY: usize = 64 << 20;
 
 #[tokio::test]
