--- a/crates/sparrouter-fleet/src/membership/registry.rs
+++ b/crates/sparrouter-fleet/src/membership/registry.rs
@@ -184,7 +184,7 @@
     }
 
     /// Marks servers that have become unresponsive. `has_control_state`: whether this node also monitors servers whose
-    /// registrar is gone.
+    /// registrar is unresponsive or unknown.
     pub fn check_liveness(&self, node: &Rc<Node>, has_control_state: bool) {
         let now = node.now();
         let timeout = nanos(node.settings.borrow().heartbeat * MAX_MISSED_HEARTBEATS);
--- a/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/event_follower.rs
@@ -117,8 +117,8 @@
     (BACKOFF * failures.min(MAX_BACKOFF_STEPS)).min(max)
 }
 
-/// Reports a store's epoch to all nodes if it has changed. The directive's sequence number exceeds that of earlier
-/// directives, including those of nodes that followed the store before.
+/// Reports a store's epoch to all nodes if it has changed. The directive has a higher sequence number than all earlier
+/// directives about the store, also if another node sent them.
 fn report_store_epoch(node: &Node, store: SocketAddr, epoch: u64) {
     let key = format!("store/{store}");
     let known = node.membership.borrow().directive(&key).cloned();
--- a/crates/sparrouter-fleet/src/proxy/exchange.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange.rs
@@ -91,7 +91,7 @@
     is_proven_not_run: bool,
     /// The last permit of the tenant's quota that was taken for the request.
     permit: Option<HeldPermit>,
-    /// Whether the last attempt was sent under `permit`.
+    /// Whether `permit` was spent on the last attempt.
     is_under_permit: bool,
 }
 
--- a/crates/sparrouter-fleet/src/proxy/exchange/in_flight.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/in_flight.rs
@@ -10,7 +10,7 @@
     pub(super) server: ServerIndex,
     /// The key by which the server was selected.
     key: u64,
-    /// The request's outcome; `Withdrawn` until another one is known.
+    /// The request's outcome; `Withdrawn` until the actual outcome is known.
     pub(super) outcome: RequestOutcome,
     /// The prompt while it is in the server's backlog.
     waiting: Option<WaitingPrompt>,
--- a/crates/sparrouter-fleet/src/proxy/exchange/prefix_lookup.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/prefix_lookup.rs
@@ -64,7 +64,7 @@
                     .map_or(0, |store| store.name),
             };
             let Some(location) = self.node.locate_prefix(query).await else {
-                // The block's owner is gone or slow. The store usually has prefixes that are requested often.
+                // The block's owner did not reply in time. The store usually has prefixes that are requested often.
                 sources.fetch_from = store.map(|store| store.address);
                 break;
             };
--- a/crates/sparrouter-fleet/src/rollout/directives.rs
+++ b/crates/sparrouter-fleet/src/rollout/directives.rs
@@ -99,7 +99,7 @@
         membership.directives().filter(is_fenced).cloned().collect()
     }
 
-    /// Whether a directive's key is that of a rollout directive about a server of this shard.
+    /// Whether a key belongs to a rollout directive about a server of this shard.
     fn concerns_shard(&self, key: &str) -> bool {
         let mut segments = key.split('/');
         let (kind, id) = (segments.next(), segments.next().unwrap_or_default());
--- a/crates/sparrouter-fleet/src/rollout/selection.rs
+++ b/crates/sparrouter-fleet/src/rollout/selection.rs
@@ -18,7 +18,7 @@
 struct ServiceState {
     /// Ready servers that run an older version.
     outdated: Vec<OutdatedServer>,
-    /// Number of ready servers, whatever version they run.
+    /// Number of ready servers of any version.
     ready_count: usize,
 }
 
@@ -84,7 +84,7 @@
             .collect()
     }
 
-    /// Starts updates of as many servers of each service as may be out of service at a time.
+    /// For each service, starts updates of as many servers as may be unavailable at the same time.
     pub(super) fn begin_loads(self: &Rc<Self>, lease: ActiveLease) {
         for target in self.targets() {
             for service in self.services() {
--- a/crates/sparrouter-fleet/src/rollout/server_calls.rs
+++ b/crates/sparrouter-fleet/src/rollout/server_calls.rs
@@ -21,7 +21,7 @@
     version: u64,
 }
 
-/// A server's report of its own state, up to a few hundred milliseconds old. Field names are defined in PROTOCOL.md.
+/// A server's report of its own state, a few hundred milliseconds old. Field names are defined in PROTOCOL.md.
 #[derive(Deserialize)]
 pub(super) struct Report {
     models: Vec<ModelReport>,
