--- a/crates/sparrouter-balancer/src/gossip.rs
+++ b/crates/sparrouter-balancer/src/gossip.rs
@@ -1,61 +1,66 @@
-//! Messages between nodes, as bytes. What they carry, to whom and what follows is decided in `policy/peers.rs`.
+//! The byte format of gossip messages between nodes. `policy/peers.rs` decides what a message contains, which peers
+//! receive it, and how a received message is used.
 //!
-//! Numbers are little-endian. Format 0: counts of tenants and of cache servers (a byte each), arrivals (2 bytes each), shed
-//! fraction and arrivals of all keys (4 bytes each), rows of cache servers, then of keys (12 bytes each, to the end).
-//! Format 1 adds a tail of 4 bytes: the sender's tenants, and a checksum of all bytes before it. Readers of format 0 skip
-//! a rest that is shorter than a row, so that both read each other. A tail of 8 bytes is a later format's that still begins
-//! as format 1; a first byte from 128 on is one that has nothing in common: readers of format 0 find it cut short. A later
-//! format's checksum stands last, over all bytes before it.
+//! Numbers are little-endian. Format 0: number of tenants and number of cache servers (one byte each), arrivals by
+//! tenant (2 bytes each), shed fraction and arrivals of all keys (4 bytes each), then rows of cache servers followed
+//! by rows of keys (12 bytes each, to the end of the message). Format 1 appends a tail of 4 bytes: a fingerprint of
+//! the sender's tenants, and a checksum of all preceding bytes. Readers of format 0 ignore a remainder that is
+//! shorter than a row, so nodes of both formats can read each other's messages.
+//!
+//! Later formats: a tail of 8 bytes marks a format that extends format 1; its checksum comes last and covers all
+//! preceding bytes. A first byte of 128 or more marks an incompatible format, which readers of format 0 reject as
+//! truncated.
 
-/// Formats that are read; the last is written.
+/// Formats that [`GossipMessage::decode`] reads. [`GossipMessage::encode`] writes the last one.
 pub const FORMATS: [u8; 2] = [0, 1];
-/// Bytes of a row.
+/// Length of a row, in bytes.
 const ROW_LEN: usize = 12;
-/// Bytes of the tail of format 1.
+/// Length of the tail of format 1, in bytes.
 const TAIL_LEN: usize = 4;
-/// Bytes of the tail of a later format that begins as format 1.
+/// Length of the tail of a later format that extends format 1, in bytes.
 const LATER_TAIL_LEN: usize = 8;
-/// First bytes from here on are of formats that have nothing in common with this one.
+/// Lowest first byte that marks an incompatible format.
 const FIRST_INCOMPATIBLE: u8 = 128;
-/// Highest number that is read; higher ones count as this.
+/// Upper bound of decoded numbers; higher ones are clamped to it.
 const MAX_NUMBER: f32 = 1e6;
 
-/// Outcomes of one cache server's forwards: a push-sum pair.
+/// Outcomes of the forwards to one cache server, as a push-sum pair.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CacheRow {
-    /// The lower half of the hash of its id.
+    /// Lower half of the hash of the cache server's id.
     pub id_hash: u32,
-    /// Sum of the badness of its forwards, each from 0 to 1.
+    /// Sum of the badness of the forwards, each from 0 to 1.
     pub bad: f64,
-    /// Number of its forwards, faded by age.
+    /// Number of forwards, decayed by age.
     pub total: f64,
 }
 
-/// Arrivals with one key.
+/// Arrivals of invocations with one key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeyRow {
-    /// The upper half of the key's hash.
+    /// Upper half of the key's hash.
     pub key_hash: u32,
-    /// Number of arrivals, faded by age.
+    /// Number of arrivals, decayed by age.
     pub arrivals: f64,
-    /// Sum of the fractions of their latency target that its forwards took.
+    /// Sum over the key's forwards of the fraction of the latency target that each took.
     pub slowness: f64,
 }
 
-/// A message from one node to another.
+/// A gossip message from one node to another.
 #[derive(Debug, Default, PartialEq)]
 pub struct GossipMessage {
-    /// Arrivals by tenant in the last second.
+    /// Number of arrivals of each tenant in the last second, by tenant index.
     pub arrivals_by_tenant: Vec<u16>,
     /// Fraction of the load that the sender sheds.
     pub shed_fraction: f64,
-    /// Outcomes of single cache servers.
+    /// Outcomes of individual cache servers.
     pub caches: Vec<CacheRow>,
-    /// Arrivals of all keys, faded by age.
+    /// Number of arrivals of all keys, decayed by age.
     pub total_arrivals: f64,
-    /// Arrivals of single keys.
+    /// Arrivals of individual keys.
     pub keys: Vec<KeyRow>,
-    /// A fingerprint of the tenants that arrivals are counted by; `None` in format 0.
+    /// Fingerprint of the sender's list of tenants, to which the indices of `arrivals_by_tenant` refer; `None` in
+    /// format 0.
     pub tenants_fingerprint: Option<u16>,
 }
 
@@ -69,13 +74,13 @@
     bytes.extend((second as f32).to_le_bytes());
 }
 
-/// The hash at the beginning of a row or the number at the beginning of `bytes`, as four bytes.
-fn first_four(bytes: &[u8]) -> [u8; 4] {
+/// The first four bytes of `bytes`.
+fn first_four_bytes(bytes: &[u8]) -> [u8; 4] {
     [bytes[0], bytes[1], bytes[2], bytes[3]]
 }
 
 fn decode_number(bytes: &[u8]) -> f64 {
-    let number = f32::from_le_bytes(first_four(bytes));
+    let number = f32::from_le_bytes(first_four_bytes(bytes));
     if number.is_nan() {
         return 0.0;
     }
@@ -84,7 +89,7 @@
 
 fn decode_cache_row(row: &[u8]) -> CacheRow {
     CacheRow {
-        id_hash: u32::from_le_bytes(first_four(row)),
+        id_hash: u32::from_le_bytes(first_four_bytes(row)),
         bad: decode_number(&row[4..]),
         total: decode_number(&row[8..]),
     }
@@ -92,13 +97,14 @@
 
 fn decode_key_row(row: &[u8]) -> KeyRow {
     KeyRow {
-        key_hash: u32::from_le_bytes(first_four(row)),
+        key_hash: u32::from_le_bytes(first_four_bytes(row)),
         arrivals: decode_number(&row[4..]),
         slowness: decode_number(&row[8..]),
     }
 }
 
-/// The tenants' fingerprint from the tail of a message; `None` if the tail is spoilt, `Some(None)` in format 0.
+/// Reads the tenants' fingerprint from the tail of a message: `None` if the tail is corrupt, `Some(None)` in format
+/// 0.
 fn decode_tail(message: &[u8], tail: &[u8]) -> Option<Option<u16>> {
     if tail.is_empty() {
         return Some(None);
@@ -111,7 +117,7 @@
 }
 
 impl GossipMessage {
-    /// The message's bytes: format 1 with a fingerprint of the tenants, format 0 without.
+    /// Encodes the message: in format 1 if it has a fingerprint of the tenants, otherwise in format 0.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![self.arrivals_by_tenant.len() as u8, self.caches.len() as u8];
         for arrivals in &self.arrivals_by_tenant {
@@ -132,8 +138,7 @@
         bytes
     }
 
-    /// Reads a message's bytes; `None` if they are cut short, spoilt, or of a format that has nothing in common with this
-    /// one. A number that is not one (NaN) counts as 0.
+    /// Decodes a message; `None` if the bytes are truncated, corrupt or of an incompatible format. NaN is read as 0.
     pub fn decode(bytes: &[u8]) -> Option<GossipMessage> {
         let (&[tenants, caches], rest) = bytes.split_first_chunk()?;
         let (arrivals, rest) = rest.split_at_checked(2 * usize::from(tenants))?;
--- a/crates/sparrouter-balancer/src/lib.rs
+++ b/crates/sparrouter-balancer/src/lib.rs
@@ -1,10 +1,10 @@
-//! The decisions of the older proxy, for one node: events in, actions out, with no I/O and no clock.
+//! The routing policy of one proxy node of the older fleet: events in, actions out, with no I/O and no clock.
 //!
-//! | module | its one job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`types`] | events, actions and settings as plain values: the interface between a protocol's adapter and the decisions |
-//! | [`policy`] | every decision; its page describes the way of one invocation |
-//! | [`gossip`] | messages between nodes, as bytes |
+//! | [`types`] | events, actions and settings as plain values: the interface between a protocol adapter and the policy |
+//! | [`policy`] | every decision; the module's documentation describes the life cycle of an invocation |
+//! | [`gossip`] | the byte format of messages between nodes |
 pub mod gossip;
 pub mod policy;
 pub mod types;
--- a/crates/sparrouter-balancer/src/policy/admission.rs
+++ b/crates/sparrouter-balancer/src/policy/admission.rs
@@ -1,59 +1,60 @@
-//! Admission: which fraction of the arriving load is shed early, and whose.
+//! Admission control: which fraction of the arriving load is shed, and which invocations.
 //!
-//! Invariant: `0 <= shed_fraction <= MAX_SHED_FRACTION`; load is shed from the lowest value for its work upwards.
+//! Invariant: `0 <= shed_fraction <= MAX_SHED_FRACTION`; invocations with the lowest value per unit of work are shed
+//! first.
 use super::goodput::Goodput;
 use super::quota::Quota;
 use crate::types::{Nanos, SECOND};
 
-/// How fast the shed fraction follows, an arrival.
-const STEP: f64 = 0.06;
-/// How fast it follows where few arrive, a second.
+/// Change of the shed fraction per arrival and unit of excess badness.
+const STEP_PER_ARRIVAL: f64 = 0.06;
+/// Change of the shed fraction per second and unit of excess badness, if arrivals are rare.
 const STEP_PER_S: f64 = 2.0;
-/// The fraction of the forwards that may end badly before more is shed.
+/// Mean badness of the forwards up to which the shed fraction doesn't rise.
 const TOLERATED_BADNESS: f64 = 0.1;
-/// Highest fraction of the load that is shed.
+/// Upper bound of the fraction of the load that is shed.
 pub const MAX_SHED_FRACTION: f64 = 0.9;
-/// What is left of a band's load after an arrival.
+/// Factor by which the load of each band decays with each arrival.
 const LOAD_DECAY: f64 = 0.99;
 
-/// The invocations of one operation, beyond their tenants' quotas or within.
+/// The invocations of one operation that are within their tenants' quotas, or those that exceed them.
 #[derive(Clone, Copy, Default)]
 pub struct Band {
-    /// Billed value for the work that an invocation brings.
+    /// Billed value of an invocation per unit of its work.
     density: f64,
-    /// Work that arrived lately.
+    /// Work that arrived recently, in nanoseconds.
     load: f64,
-    /// Billed value of an invocation.
+    /// Billed value of one invocation.
     value: f64,
 }
 
-/// How many bands there are for so many operations.
+/// Number of bands for a number of operations.
 pub fn band_count(operations: usize) -> usize {
     2 * operations
 }
 
-/// The index of a band: by operation, beyond quota and within.
+/// Index of the band of an operation's invocations that are within quota or exceed it.
 pub fn band_index(operation: usize, is_within_quota: bool) -> usize {
     2 * operation + usize::from(is_within_quota)
 }
 
-/// What decides whether an arrival is admitted.
+/// State of the admission control.
 #[derive(Default)]
 pub struct Admission {
-    /// By tenant.
+    /// Quotas, by tenant index.
     pub quotas: Vec<Quota>,
-    /// The fraction of the arriving load that is to be shed, lowest value first.
+    /// Fraction of the arriving load to shed, lowest value first.
     pub shed_fraction: f64,
-    /// What was lately answered in time.
+    /// Rate of invocations that were recently answered in time.
     pub goodput: Goodput,
-    /// When the shed fraction was last moved.
+    /// When the shed fraction was last updated.
     stepped_at: Nanos,
-    /// By [`band_index`].
+    /// Bands, by [`band_index`].
     pub bands: Vec<Band>,
 }
 
 impl Admission {
-    /// The admission of a node that has just started.
+    /// Creates the admission control of a node that has just started.
     pub fn new(quotas: Vec<Quota>, operations: usize) -> Admission {
         Admission {
             quotas,
@@ -62,20 +63,23 @@
         }
     }
 
-    /// Counts an arrival of a tenant; whether it is within its quota. Without a tenant it always is.
+    /// Counts an arrival of a tenant and returns whether it is within the tenant's quota; always true without a
+    /// tenant.
     pub fn record_arrival(&mut self, tenant: Option<usize>, now: Nanos) -> bool {
         let quota = tenant.and_then(|t| self.quotas.get_mut(t));
         quota.is_none_or(|q| q.record_arrival(now))
     }
 
-    fn load_where(&self, is_meant: impl Fn(f64) -> bool) -> f64 {
-        let bands = self.bands.iter().filter(|b| is_meant(b.density));
+    fn load_where(&self, predicate: impl Fn(f64) -> bool) -> f64 {
+        let bands = self.bands.iter().filter(|b| predicate(b.density));
         bands.map(|b| b.load).sum::<f64>()
     }
 
-    /// The chance with which an invocation of this value and work is shed, so that in all the shed fraction is taken from
-    /// the bottom. `badness`: that of all cache servers, from 0 to 1; the shed fraction rises while it is too high. One bad
-    /// cache server or a slow origin is no reason to shed load.
+    /// Returns the probability with which to shed an invocation of this value and work, so that the shed fraction of
+    /// the total load is taken from the least valuable bands.
+    ///
+    /// `badness` is the mean badness of all cache servers, from 0 to 1; the shed fraction rises while it is too high.
+    /// It is a mean because one bad cache server or a slow origin is no reason to shed load.
     pub fn shed_chance(
         &mut self,
         band: usize,
@@ -85,8 +89,8 @@
         now: Nanos,
     ) -> f64 {
         let density = value / work;
-        for other in &mut self.bands {
-            other.load *= LOAD_DECAY;
+        for decaying in &mut self.bands {
+            decaying.load *= LOAD_DECAY;
         }
         self.bands[band] = Band {
             density,
@@ -96,19 +100,19 @@
         let fraction = self.goodput.limit_shedding(self.shed_fraction, now);
         let total = self.load_where(|_| true);
         let to_shed = fraction * total;
-        let below = self.load_where(|d| d < density);
-        let equal = self.load_where(|d| d == density);
-        let chance = ((to_shed - below) / equal).clamp(0.0, 1.0);
+        let load_below = self.load_where(|d| d < density);
+        let load_at_density = self.load_where(|d| d == density);
+        let chance = ((to_shed - load_below) / load_at_density).clamp(0.0, 1.0);
         self.step(badness - self.tolerated_badness(to_shed, total), now);
         chance
     }
 
-    /// The badness up to which no more is shed: the less the band is worth that is shed next, the lower.
+    /// Mean badness up to which the shed fraction doesn't rise: lower if the band to be shed next is worth less.
     fn tolerated_badness(&self, to_shed: f64, total: f64) -> f64 {
         let mean_value = self.bands.iter().map(|b| b.value * b.load).sum::<f64>() / total;
-        let is_left = |b: &&Band| b.load > 0.0 && self.load_where(|d| d <= b.density) > to_shed;
-        let left = self.bands.iter().filter(is_left);
-        let next = left.min_by(|a, b| a.density.total_cmp(&b.density));
+        let is_admitted = |b: &&Band| b.load > 0.0 && self.load_where(|d| d <= b.density) > to_shed;
+        let admitted = self.bands.iter().filter(is_admitted);
+        let next = admitted.min_by(|a, b| a.density.total_cmp(&b.density));
         let next_value = next.map_or(f64::INFINITY, |b| b.value);
         (TOLERATED_BADNESS * next_value / mean_value).min(1.0)
     }
@@ -116,8 +120,8 @@
     fn step(&mut self, excess_badness: f64, now: Nanos) {
         let seconds = now.saturating_sub(self.stepped_at) as f64 / SECOND as f64;
         self.stepped_at = now;
-        let step = (STEP_PER_S * seconds).clamp(STEP, 4.0 * STEP);
-        let moved = self.shed_fraction + step * excess_badness;
-        self.shed_fraction = moved.clamp(0.0, MAX_SHED_FRACTION);
+        let step = (STEP_PER_S * seconds).clamp(STEP_PER_ARRIVAL, 4.0 * STEP_PER_ARRIVAL);
+        let shed_fraction = self.shed_fraction + step * excess_badness;
+        self.shed_fraction = shed_fraction.clamp(0.0, MAX_SHED_FRACTION);
     }
 }
--- a/crates/sparrouter-balancer/src/policy/arrival.rs
+++ b/crates/sparrouter-balancer/src/policy/arrival.rs
@@ -1,35 +1,35 @@
-//! An arrival: its deadlines, its value, and whether it is admitted.
+//! Handles the arrival of an invocation: computes its deadlines and its value, and decides whether to admit it.
 use super::Policy;
 use super::admission::band_index;
 use super::invocation::Invocation;
 use super::timer::Timer;
 use crate::types::{Arrival, Nanos, ShedReason};
 
-/// Hedged requests that each arrival allows.
+/// Number of hedged requests that each arrival adds to the budget.
 const HEDGES_PER_ARRIVAL: f64 = 0.05;
-/// Hedged requests that may be saved up.
+/// Upper bound of the budget of hedged requests.
 const MAX_SAVED_HEDGES: f64 = 10.0;
-/// The priority of a write is so many times that of a read of the same value.
+/// Ratio of the priority of a write to that of a read of the same value.
 const WRITE_PRIORITY: f64 = 1e6;
 
-/// The moments after which an answer to an invocation is worth less.
+/// Times after which an answer to an invocation is worth less.
 struct Deadlines {
-    /// The client stops to wait at the next tick.
+    /// Last tick before the client times out.
     client: Nanos,
-    /// The latency target is missed; at the latest that of the client.
+    /// Time at which the latency target is missed; not later than `client`.
     target: Nanos,
-    /// An answer is of no use.
-    useful_until: Nanos,
+    /// Time from which an answer has no value.
+    answer_deadline: Nanos,
 }
 
-/// What an invocation is worth, and its chance to be shed by the load.
+/// Priority of an invocation, and the probability of shedding it because of overload.
 struct Valuation {
     priority: f64,
     shed_chance: f64,
 }
 
 impl Policy {
-    /// An invocation arrived.
+    /// Handles an arriving invocation: rejects it, or forwards it to a cache server or the origin.
     pub(super) fn on_arrival(&mut self, arrival: Arrival) {
         let index = arrival.inv;
         let deadlines = self.deadlines(&arrival);
@@ -43,7 +43,7 @@
             key,
             priority: valuation.priority,
             target_deadline: deadlines.target,
-            useful_until: deadlines.useful_until,
+            answer_deadline: deadlines.answer_deadline,
             arrival,
             ..Invocation::default()
         };
@@ -51,8 +51,8 @@
         if let Some(reason) = self.rejection(key, deadlines.client, valuation.shed_chance) {
             return self.shed(index, reason);
         }
-        let timer = Timer::UselessAnswer { invocation: index };
-        self.set_timer(deadlines.useful_until, timer);
+        let timer = Timer::AnswerDeadline { invocation: index };
+        self.set_timer(deadlines.answer_deadline, timer);
         if goes_to_origin {
             self.forward_to_origin(index);
         } else {
@@ -67,7 +67,7 @@
         let client = arrival.deadline.saturating_sub(self.environment.tick);
         let target = client.min(self.now + latency_target);
         let is_late_answer_useful = operation.late_value_fraction > 0.0 || operation.stream;
-        let useful_until = if is_late_answer_useful {
+        let answer_deadline = if is_late_answer_useful {
             client
         } else {
             target
@@ -75,11 +75,12 @@
         Deadlines {
             client,
             target,
-            useful_until,
+            answer_deadline,
         }
     }
 
-    /// The work that an invocation brings, in nanoseconds: as foreseen, or that of the mean answer, or a guess.
+    /// Expected work of an invocation, in nanoseconds: as announced, otherwise the mean latency of its operation,
+    /// otherwise a guess.
     fn expected_work(&self, arrival: &Arrival) -> f64 {
         let operation = &self.operations[arrival.operation];
         match arrival.work {
@@ -91,7 +92,7 @@
 
     fn valuate(&mut self, arrival: &Arrival) -> Valuation {
         let work = self.expected_work(arrival);
-        // Counted also if others decide, since messages to peers report the arrivals.
+        // The arrival is counted even if the quota was checked elsewhere, because gossip messages report arrivals.
         let own_count = self.admission.record_arrival(arrival.tenant, self.now);
         let is_within_quota = arrival.is_within_quota.unwrap_or(own_count);
         let fraction = if is_within_quota {
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Why an arrival is not admitted; `None` if it is. `deadline`: the client's. A draw is made only where it decides.
+    /// Reason for rejecting an arrival; `None` if it is admitted. `deadline` is the client's. A random number is
+    /// drawn only if the decision depends on it.
     fn rejection(&mut self, key: u64, deadline: Nanos, shed_chance: f64) -> Option<ShedReason> {
         let stats = self.keys.get_mut(key);
         let key_chance = stats.map_or(1.0, |s| s.admission_chance(self.now));
--- a/crates/sparrouter-balancer/src/policy/caches/election.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/election.rs
@@ -1,13 +1,14 @@
-//! The order of cache servers for a key: rendezvous hashing with weights, and the bound on the load of each.
+//! Ranking of cache servers for a key by weighted rendezvous hashing, and the bound on the load of each server.
 use super::CacheSet;
 use crate::types::{CacheIndex, Nanos};
 
-/// The lowest bound of forwards in flight; see docs/design.md.
+/// Lower limit of the load bound, in forwards in flight; see docs/design.md.
 const MIN_LOAD_BOUND: f64 = 2.0;
 
 impl CacheSet {
-    /// All ready cache servers, the highest score first. The fraction of the keys that one wins is its weight's fraction of
-    /// the sum; one that warms up weighs as much as its capacity, alike at every node. `peers`: how many peers report.
+    /// Returns all ready cache servers, highest score first. Each server wins a fraction of the keys equal to its
+    /// share of the total weight. While a server warms up, its weight is reduced to its current capacity, identically
+    /// at every node. `peers` is the number of peers that report.
     pub fn rank(&self, key: u64, peers: usize, now: Nanos) -> Vec<CacheIndex> {
         let prior = 1.0 / (1.0 + peers as f64);
         let score = |&index: &CacheIndex| {
@@ -22,8 +23,8 @@
         scored.into_iter().map(|(_, index)| index).collect()
     }
 
-    /// Bounded load: a cache server with more forwards of this node in flight than this is skipped. Twice the mean over
-    /// those that were used.
+    /// Bounded load: a cache server with more of this node's forwards in flight than this is skipped. The bound is
+    /// twice the mean over the cache servers that received a forward before.
     pub fn load_bound(&self) -> f64 {
         let ready = self.ready.iter().map(|&c| self.get(c));
         let mut in_flight = 0;
--- a/crates/sparrouter-balancer/src/policy/caches/health.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/health.rs
@@ -1,34 +1,35 @@
-//! Outcomes over all cache servers, and the exchange of long-term outcomes with peers.
+//! Outcomes aggregated over all cache servers, and the exchange of long-term outcomes with peers.
 use super::CacheSet;
-use super::cache::{Cache, LONG_TERM_HALVING_SECONDS, OUTCOME_GAIN, OutcomeSums};
+use super::cache::{Cache, LONG_TERM_HALF_LIFE_SECONDS, OUTCOME_GAIN, OutcomeSums};
 use crate::gossip::CacheRow;
-use crate::policy::fading::fade;
+use crate::policy::fading::decay_factor;
 use crate::types::{CacheIndex, Nanos};
 
-/// Evidence of the badness of all cache servers grows stale so much faster than that of one.
+/// Factor by which evidence ages faster in the mean over all cache servers than in the state of one.
 const STALENESS: Nanos = 6;
 
 impl CacheSet {
     /// Mean badness of the ready cache servers, from 0 to 1.
     ///
-    /// Each counts once however much it gets, since a few crowded ones are no overload of all. Each counts by how fresh the
-    /// latest evidence is, and one without evidence counts as neither good nor bad: in a large deployment most have not
-    /// answered this node just now, and old evidence of many would outweigh all that has gone well since.
+    /// Each server counts once regardless of its number of forwards, because a few overloaded servers are no overload
+    /// of the whole deployment. A server's weight decreases with the age of its latest evidence, and a server without
+    /// evidence counts as neither good nor bad: in a large deployment most servers have not answered this node
+    /// recently, and old evidence from many servers would outweigh all more recent successes.
     pub fn mean_badness(&self, now: Nanos) -> f64 {
         let with_evidence = |c: &&Cache| c.suspicion.is_none() && c.recent.total > 0.0;
         let all = self.ready.iter().map(|&c| self.get(c));
         let mut sums = OutcomeSums::default();
         for cache in all.filter(with_evidence) {
             let age = now - cache.outcomes_at;
-            let weight = (cache.recent.total * fade(STALENESS * age)).min(OUTCOME_GAIN);
+            let weight = (cache.recent.total * decay_factor(STALENESS * age)).min(OUTCOME_GAIN);
             sums.bad += weight * cache.recent.bad / cache.recent.total;
             sums.total += weight;
         }
         sums.bad / (sums.total + OUTCOME_GAIN)
     }
 
-    /// The `max_rows` worst cache servers by long-term outcomes, for `peers` peers. Push-sum (Kempe, Dobra, Gehrke 2003):
-    /// each peer gets an equal part of the sums, and this node keeps one.
+    /// Returns rows for the `max_rows` cache servers with the worst long-term outcomes, to send to `peers` peers.
+    /// Push-sum (Kempe, Dobra, Gehrke 2003): each peer gets an equal part of the sums, and this node keeps one part.
     pub fn split_outcomes(&mut self, peers: usize, max_rows: usize) -> Vec<CacheRow> {
         let fraction = 1.0 / (1 + peers) as f64;
         let badness = |c: CacheIndex| self.get(c).long_term.bad;
@@ -57,12 +58,12 @@
             return;
         };
         let age = now - cache.outcomes_at;
-        let left = fade(age / LONG_TERM_HALVING_SECONDS);
-        cache.long_term.bad = cache.long_term.bad * left + row.bad.min(row.total);
-        cache.long_term.total = cache.long_term.total * left + row.total;
-        let left = fade(age);
-        cache.recent.bad *= left;
-        cache.recent.total *= left;
+        let decay = decay_factor(age / LONG_TERM_HALF_LIFE_SECONDS);
+        cache.long_term.bad = cache.long_term.bad * decay + row.bad.min(row.total);
+        cache.long_term.total = cache.long_term.total * decay + row.total;
+        let decay = decay_factor(age);
+        cache.recent.bad *= decay;
+        cache.recent.total *= decay;
         cache.outcomes_at = now;
     }
 }
--- a/crates/sparrouter-balancer/src/policy/caches/mod.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/mod.rs
@@ -1,57 +1,57 @@
-//! The cache servers that this node knows: the endpoint set and what was learnt of each.
+//! The endpoint set: the cache servers known to this node, and the state that it keeps of each.
 //!
-//! | module | its one job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `cache` | one cache server: its entry, its outcomes, its limit of forwards in flight |
-//! | `health` | outcomes over all cache servers, and those that peers report |
-//! | `suspicion` | evidence that one cannot be reached, and the way back |
-//! | `warm_up` | capacity and budget of one that has just started |
-//! | `election` | the order of cache servers for a key |
+//! | `cache` | one cache server: its list entry, its outcomes, its limit of forwards in flight |
+//! | `health` | outcomes over all cache servers, and outcomes that peers report |
+//! | `suspicion` | failure detection and recovery of a cache server |
+//! | `warm_up` | capacity and budget of a cache server that has just started |
+//! | `election` | the ranking of cache servers for a key |
 mod cache;
 mod election;
 mod health;
 mod suspicion;
 mod warm_up;
 
-pub use cache::{Cache, FULL_BADNESS, Suspicion};
-pub use suspicion::{FailureEvidence, RARE};
+pub use cache::{Cache, REJECTION_BADNESS, Suspicion};
+pub use suspicion::{FailureEvidence, SIGNIFICANCE_LEVEL};
 
 use crate::types::{CacheIndex, CacheRecord, Environment, LifecycleState, ListKind, Nanos, Rules};
 use warm_up::AnswerRate;
 
 /// The endpoint set.
 ///
-/// Invariant: `ready` and `origin` name the listed servers that are ready, in order of their index; `origin` is the first
-/// of the origin's kind, `ready` has all of other kinds.
+/// Invariant: `ready` and `origin` contain exactly the listed servers that are ready, in order of their index;
+/// `origin` is the first server of the origin's kind, `ready` contains the servers of all other kinds.
 #[derive(Default)]
 pub struct CacheSet {
     caches: Vec<Option<Cache>>,
-    /// The members of the election.
+    /// Cache servers that may receive forwards, in order of their index.
     pub ready: Vec<CacheIndex>,
-    /// The origin, if one is listed and ready.
+    /// The origin; `None` if no ready origin is listed.
     pub origin: Option<CacheIndex>,
-    /// The figures of the safety rules.
+    /// Parameters of the safety rules.
     pub rules: Rules,
-    /// The kind of the origin, if the node itself fetches from it.
+    /// Kind of the origin; `None` if the cache servers fetch by themselves.
     pub origin_kind: Option<usize>,
-    /// Listed weights follow the load of the moment and are not used.
+    /// Whether listed weights follow the current load, in which case they are ignored.
     live_weights: bool,
-    /// First wait before a suspected cache server is checked again: the shortest latency target.
+    /// Initial delay before a suspected cache server is checked again, in nanoseconds: the shortest latency target.
     pub first_check_delay: Nanos,
-    /// Draws the phase of warm-up budgets.
+    /// Draws the initial phase of warm-up budgets.
     rng: fastrand::Rng,
-    /// What a unit of weight answers this node; the warm-up budgets follow from it.
+    /// Rate of answers per unit of weight, from which warm-up budgets are computed.
     pub answer_rate: AnswerRate,
-    /// Fraction of the recent forwards that ended as evidence of a failure.
+    /// Fraction of the recent forwards that ended with evidence of a failure.
     failure_fraction: f64,
-    /// How often a cache server came under suspicion, since the start.
+    /// Number of times that a cache server became suspected, since the start of the node.
     pub suspicions: u64,
-    /// Forwards to cache servers that were warming up, since the start.
+    /// Number of forwards to cache servers that were warming up, since the start of the node.
     pub warm_up_forwards: u64,
 }
 
 impl CacheSet {
-    /// The set of a node that knows no cache server yet. `shortest_target`: the shortest latency target, in nanoseconds.
+    /// Creates an empty set. `shortest_target` is the shortest latency target, in nanoseconds.
     pub fn new(
         environment: &Environment,
         rules: Rules,
@@ -63,55 +63,56 @@
             live_weights: environment.live_weights,
             first_check_delay: shortest_target,
             rules,
-            // Another sequence than that of the node's other draws.
+            // The seed differs from the policy's, so that the two random sequences differ.
             rng: fastrand::Rng::with_seed(environment.seed ^ 1),
             ..CacheSet::default()
         }
     }
 
-    /// A cache server that was listed.
+    /// State of a cache server that was listed before.
     ///
     /// # Panics
     ///
-    /// If it never was.
+    /// If the cache server was never listed.
     pub fn get(&self, cache: CacheIndex) -> &Cache {
         self.caches[cache].as_ref().expect("listed cache")
     }
 
-    /// A cache server that was listed.
+    /// State of a cache server that was listed before.
     ///
     /// # Panics
     ///
-    /// If it never was.
+    /// If the cache server was never listed.
     pub fn get_mut(&mut self, cache: CacheIndex) -> &mut Cache {
         self.find_mut(cache).expect("listed cache")
     }
 
-    /// A cache server, if it was ever listed.
+    /// State of a cache server; `None` if it was never listed.
     pub fn find(&self, cache: CacheIndex) -> Option<&Cache> {
         self.caches.get(cache).and_then(|c| c.as_ref())
     }
 
-    /// A cache server, if it was ever listed.
+    /// State of a cache server; `None` if it was never listed.
     pub fn find_mut(&mut self, cache: CacheIndex) -> Option<&mut Cache> {
         self.caches.get_mut(cache).and_then(|c| c.as_mut())
     }
 
-    /// Whether it is of the origin's kind.
+    /// Whether the server is of the origin's kind.
     pub fn is_origin(&self, cache: CacheIndex) -> bool {
         self.origin_kind == Some(self.get(cache).kind)
     }
 
-    /// Whether it may be sent to, whatever the list says.
+    /// Whether the server may receive forwards; with advisory removal this includes servers that are no longer
+    /// listed.
     pub fn is_ready(&self, cache: CacheIndex) -> bool {
         self.find(cache)
             .is_some_and(|c| c.state == LifecycleState::Ready)
     }
 
-    /// Applies a list of cache servers, or changes of it.
+    /// Applies a complete list of cache servers, or changes to it.
     pub fn apply_list(&mut self, kind: ListKind, records: &[CacheRecord], now: Nanos) {
         let is_advisory = self.rules.removal_is_advisory;
-        // What was answered so far was answered by the old members.
+        // Answers so far came from the old members.
         self.update_answer_rate(now);
         if kind != ListKind::Changes {
             for cache in self.caches.iter_mut().flatten() {
@@ -129,13 +130,13 @@
         if self.caches.len() <= index {
             self.caches.resize_with(index + 1, || None);
         }
-        // The index may have been another's, which was removed long ago.
+        // The index may have belonged to another server that was removed long ago.
         let known = self.caches[index].take();
         let known = known.filter(|c| c.id_hash == record.id_hash);
         let cache = known.unwrap_or_else(|| Cache::new(record, now));
         let cache = self.caches[index].insert(cache);
         if record.ready_at > cache.ready_at {
-            // A restart under the same id: evidence against the old process is void.
+            // After a restart under the same id, evidence against the old process no longer applies.
             cache.suspicion = None;
             cache.consecutive_failures = 0;
             cache.is_unreachable = false;
--- a/crates/sparrouter-balancer/src/policy/caches/suspicion.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/suspicion.rs
@@ -1,52 +1,52 @@
-//! Evidence that a cache server cannot be reached or does not respond, and its way back.
+//! Failure detection: evidence that a cache server is unreachable or unresponsive, and its recovery.
 //!
-//! Invariant: a cache server is suspected only after evidence that comes by chance no more often than [`RARE`]; any answer
-//! but a rejection for want of capacity ends the suspicion.
+//! Invariant: a cache server is suspected only if the probability that its failures are a coincidence is at most
+//! [`SIGNIFICANCE_LEVEL`]; any answer other than a rejection for lack of capacity ends the suspicion.
 use super::{CacheSet, Suspicion};
 use crate::types::{CacheIndex, LifecycleState, Nanos};
 
-/// Failures in a row that come by chance no more often than this raise suspicion.
-pub const RARE: f64 = 0.1;
-/// What one forward adds to the fraction of failures.
+/// A cache server is suspected if the probability that its consecutive failures are a coincidence is at most this.
+pub const SIGNIFICANCE_LEVEL: f64 = 0.1;
+/// Weight of one forward in the smoothed fraction of failures.
 const FAILURE_GAIN: f64 = 0.05;
-/// The wait between checks grows to this multiple of the first.
+/// Upper limit of the delay between health checks, as a multiple of the initial delay.
 const MAX_BACKOFF_MULTIPLE: Nanos = 8;
-/// An unlisted cache server is removed when the wait between checks has grown beyond this multiple of the first.
+/// An unlisted cache server is removed once the delay between checks exceeds this multiple of the initial delay.
 const REMOVAL_BACKOFF_MULTIPLE: Nanos = 256;
 
-/// What speaks against a cache server.
+/// Evidence of a failure of a cache server.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum FailureEvidence {
-    /// Nothing came from it, or its connection broke: it may be down.
+    /// The server sent nothing, or its connection broke: the process may be down.
     Unresponsive,
-    /// No connection was established: nobody listens there.
+    /// No connection was established: no process accepts connections at the address.
     Unreachable,
 }
 
 impl CacheSet {
-    /// Takes in one more piece of evidence against a cache server.
+    /// Records one more piece of evidence of a failure of a cache server.
     pub fn record_failure(&mut self, index: CacheIndex, evidence: FailureEvidence, now: Nanos) {
         let failure_fraction = self.failure_fraction;
         self.failure_fraction += FAILURE_GAIN * (1.0 - self.failure_fraction);
         let cache = self.get_mut(index);
         cache.consecutive_failures += 1;
-        // Where failures are rare one is enough, since in a large deployment a second comes only after many seconds. The
-        // more of them all cache servers show, the less they say of this one.
+        // If failures are rare, one is sufficient: in a large deployment a second would follow only after many
+        // seconds. The more failures all cache servers show, the less each of them says about this server.
         let chance = failure_fraction.powi(cache.consecutive_failures as i32);
-        if chance <= RARE {
+        if chance <= SIGNIFICANCE_LEVEL {
             cache.is_unreachable |= evidence == FailureEvidence::Unreachable;
             self.suspect(index, now);
         }
     }
 
-    /// Lowers the fraction of failures: a forward was answered.
+    /// Lowers the smoothed fraction of failures, because a forward was answered.
     pub(super) fn record_no_failure(&mut self) {
         self.failure_fraction *= 1.0 - FAILURE_GAIN;
     }
 
     fn suspect(&mut self, index: CacheIndex, now: Nanos) {
-        let first = self.first_check_delay;
-        // If most are suspected, the judgement itself may be wrong: all are checked again soon.
+        let initial_backoff = self.first_check_delay;
+        // If most servers are suspected, the failure detection itself may be wrong: all are checked again soon.
         let are_most_suspected = self.are_most_suspected();
         let max_multiple = if are_most_suspected {
             1
@@ -54,21 +54,22 @@
             MAX_BACKOFF_MULTIPLE
         };
         let cache = self.get_mut(index);
-        // One that is neither reachable nor listed is checked ever more seldom.
-        let longest = if cache.is_unlisted && cache.is_unreachable {
+        // For a server that is neither reachable nor listed, the backoff grows without limit.
+        let max_backoff = if cache.is_unlisted && cache.is_unreachable {
             Nanos::MAX
         } else {
-            first * max_multiple
+            initial_backoff * max_multiple
         };
         let previous = cache.suspicion.as_ref().map(|s| s.backoff);
-        let backoff = previous.map_or(first, |b| (b * 2).min(longest));
+        let backoff = previous.map_or(initial_backoff, |b| (b * 2).min(max_backoff));
         cache.suspicion = Some(Suspicion {
             next_check_at: now + backoff,
             backoff,
             allows_trial: false,
         });
-        // The list and own forwards have agreed for long enough: it takes nothing until it is listed again.
-        let is_removed = cache.is_unlisted && backoff > first * REMOVAL_BACKOFF_MULTIPLE;
+        // The list and this node's forwards have agreed for long enough: the server gets no forwards until it is
+        // listed again.
+        let is_removed = cache.is_unlisted && backoff > initial_backoff * REMOVAL_BACKOFF_MULTIPLE;
         if is_removed {
             cache.state = LifecycleState::Left;
             cache.is_unlisted = false;
@@ -77,8 +78,8 @@
         self.suspicions += u64::from(previous.is_none());
     }
 
-    /// Ends the suspicion: it answered something. One that could not be reached comes back as warming up, whatever the list
-    /// says yet, since a process that crashed restarts before the list shows it.
+    /// Ends the suspicion of a server that answered. A server that was unreachable restarts its warm-up regardless of
+    /// the list, because a process that crashed may restart before the list shows it.
     pub fn clear_suspicion(&mut self, index: CacheIndex, now: Nanos) {
         let phase = self.rng.f64();
         let Some(cache) = self.find_mut(index) else {
--- a/crates/sparrouter-balancer/src/policy/caches/warm_up.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/warm_up.rs
@@ -1,34 +1,35 @@
-//! Slow start: capacity and budget of a cache server that has just started. Keeps rule 4 (no cache server that warms up is
-//! sent more than a stated multiple of its capacity).
+//! Slow start: capacity and budget of a cache server that has just started. Enforces rule 4: no cache server that is
+//! warming up is sent more than a configured multiple of its capacity.
 use super::CacheSet;
 use crate::types::{CacheIndex, LifecycleState, Nanos, SECOND};
 
-/// The fraction of the budget that is used; the rest is for chance.
-const BUDGET_MARGIN: f64 = 0.5;
-/// What a second of answers adds to the smoothed rate.
+/// Fraction of the permitted rate that is used; the remainder absorbs random variation.
+const BUDGET_UTILIZATION: f64 = 0.5;
+/// Weight of one second of answers in the smoothed rate.
 const RATE_GAIN: f64 = 0.3;
 
-/// Answers that this node gets from a unit of weight at full capacity. It stands for the capacity of cache servers, which
-/// nobody reports.
+/// Rate of answers that this node gets per unit of weight at full capacity. It is used as an estimate of the capacity
+/// of cache servers, which no server reports.
 #[derive(Default)]
 pub struct AnswerRate {
-    /// Answers a second and unit of weight, smoothed; 0 until the first are counted.
+    /// Answers per second and unit of weight, smoothed; 0 before the first measurement.
     pub per_second: f64,
-    /// Answers since `counted_at`.
+    /// Number of answers since `counted_at`.
     answers: f64,
     counted_at: Nanos,
 }
 
-/// What this node may send to a cache server that warms up.
+/// Token bucket parameters of the forwards that this node may send to a cache server that is warming up.
 struct WarmUpBudget {
-    /// Forwards a second.
+    /// Forwards per second.
     per_second: f64,
-    /// Forwards that may be saved up.
+    /// Maximum number of tokens, in forwards.
     max_saved: f64,
 }
 
 impl CacheSet {
-    /// The fraction of its full capacity that a cache server has at least, by the stated climb; 1 once it is warm.
+    /// Minimum capacity of a cache server as a fraction of its full capacity, by the configured linear ramp; 1 once
+    /// it is warm.
     pub fn capacity_fraction(&self, index: CacheIndex, now: Nanos) -> f64 {
         let ready_at = self.get(index).ready_at;
         if ready_at == 0 {
@@ -39,12 +40,12 @@
         (start + (1.0 - start) * age).min(1.0)
     }
 
-    /// Whether it has not reached its full capacity yet.
+    /// Whether the cache server has not yet reached its full capacity.
     pub fn is_warming_up(&self, index: CacheIndex, now: Nanos) -> bool {
         self.capacity_fraction(index, now) < 1.0
     }
 
-    /// The fraction of all keys that cache servers win while they warm up; NaN if none is ready.
+    /// Fraction of all keys that are won by cache servers that are warming up; NaN if no cache server is ready.
     pub fn warming_up_key_fraction(&self, now: Nanos) -> f64 {
         let weight = |c: CacheIndex| self.capacity_fraction(c, now) * self.get(c).weight;
         let all = || self.ready.iter().copied();
@@ -55,7 +56,7 @@
     fn warm_up_budget(&self, index: CacheIndex, now: Nanos) -> WarmUpBudget {
         let per_weight = self.answer_rate.per_second;
         let capacity = per_weight * self.get(index).weight * self.capacity_fraction(index, now);
-        let per_second = capacity * self.rules.fall_multiple * BUDGET_MARGIN;
+        let per_second = capacity * self.rules.fall_multiple * BUDGET_UTILIZATION;
         let window = self.rules.fall.max(SECOND) as f64 / SECOND as f64;
         WarmUpBudget {
             per_second,
@@ -63,8 +64,9 @@
         }
     }
 
-    /// Forwards that may leave now to a cache server that warms up. A budget far below one forward is saved up from a
-    /// randomly drawn start, so that of hundreds of nodes few send at once: one forward from each is an overload.
+    /// Number of forwards that may be sent now to a cache server that is warming up. A budget far below one forward
+    /// accumulates from a random initial phase, so that only few of hundreds of nodes send at the same time: one
+    /// forward from each would be an overload.
     fn warm_up_tokens(&self, index: CacheIndex, now: Nanos) -> f64 {
         let budget = self.warm_up_budget(index, now);
         let cache = self.get(index);
@@ -72,12 +74,12 @@
         (cache.warm_up_tokens + budget.per_second * age).min(budget.max_saved)
     }
 
-    /// Whether the budget of a cache server that warms up has a forward left; true for one that is warm.
+    /// Whether the warm-up budget permits another forward; always true for a server that is warm.
     pub fn has_warm_up_budget(&self, index: CacheIndex, now: Nanos) -> bool {
         !self.is_warming_up(index, now) || self.warm_up_tokens(index, now) >= 1.0
     }
 
-    /// Counts a forward to a cache server, and takes it from its budget while it warms up.
+    /// Counts a forward to a cache server, and deducts it from the budget while the server is warming up.
     pub fn record_forward(&mut self, index: CacheIndex, now: Nanos) {
         let is_warming_up = self.is_warming_up(index, now);
         let tokens = if is_warming_up {
@@ -93,7 +95,8 @@
         cache.is_used = true;
     }
 
-    /// Counts an answer: a rate of forwards would say nothing of what cache servers can do.
+    /// Counts an answer. Answers are counted rather than forwards, because the rate of forwards says nothing about
+    /// the capacity of cache servers.
     pub fn record_answer(&mut self, index: CacheIndex, now: Nanos) {
         let is_ready = self.get(index).state == LifecycleState::Ready;
         self.answer_rate.answers += f64::from(u8::from(is_ready));
@@ -103,9 +106,11 @@
         }
     }
 
-    /// Takes the answers since the last update into the smoothed rate. Called before the list changes as well: the answers
-    /// of many, divided among the few that remain, would be a budget far above what one can do. A time below a second
-    /// counts by its length, since the first few answers within a moment are no rate.
+    /// Updates the smoothed rate with the answers since the last update.
+    ///
+    /// It is also called before the list changes: the answers of many servers, divided among the few that remain,
+    /// would give a budget far above the capacity of one. An interval shorter than a second is weighted by its
+    /// length, because the first few answers within a moment are no reliable rate.
     pub(super) fn update_answer_rate(&mut self, now: Nanos) {
         let seconds = (now - self.answer_rate.counted_at) as f64 / SECOND as f64;
         let ready = self.ready.iter();
--- a/crates/sparrouter-balancer/src/policy/completion.rs
+++ b/crates/sparrouter-balancer/src/policy/completion.rs
@@ -1,6 +1,6 @@
-//! Completion: the final answers that the node itself gives, and what remains to be done once an invocation is over.
+//! Completion: final answers that the node itself gives, and the cleanup after an invocation is completed.
 //!
-//! Invariant: `shed` is the only place that gives a final answer, and it does so for an unanswered invocation alone.
+//! Invariant: `shed` is the only place that gives a final answer, and only for an unanswered invocation.
 use super::Policy;
 use super::gate;
 use super::invocation::ForwardState;
@@ -8,23 +8,24 @@
 use crate::types::{Action, CacheIndex, InvocationIndex, Nanos, ShedReason};
 
 impl Policy {
-    /// Gives the final answer: throttled where that is allowed, an error elsewhere.
+    /// Gives the final answer: a throttling reply if a repeat is harmless, otherwise an error.
     pub(super) fn shed(&mut self, index: InvocationIndex, reason: ShedReason) {
         let invocation = self.invocations.get_mut(&index);
         let Some(invocation) = invocation.filter(|i| i.is_unanswered()) else {
             return;
         };
-        invocation.is_over = true;
+        invocation.is_completed = true;
         self.shed_counts[reason as usize] += 1;
         let operation = &self.operations[invocation.arrival.operation];
-        // Soon enough for the client's next attempt to be of use, or as late as allowed where none can be.
-        let longest = operation.limits.max_retry_after.unwrap_or(0);
+        // Soon enough for the client's next attempt to succeed within its deadline, or as late as allowed if that is
+        // impossible.
+        let max_retry_after = operation.limits.max_retry_after.unwrap_or(0);
         let latency_target = operation.settings.latency_target;
-        let time_left = invocation.useful_until.saturating_sub(self.now);
+        let time_left = invocation.answer_deadline.saturating_sub(self.now);
         let retry_after = if time_left > latency_target / 2 {
-            longest.min(latency_target / 8)
+            max_retry_after.min(latency_target / 8)
         } else {
-            longest
+            max_retry_after
         };
         let may_throttle = gate::may_throttle(invocation, &operation.settings);
         self.actions.push(if may_throttle {
@@ -36,11 +37,11 @@
             Action::Error { inv: index }
         });
         self.complete(index, false);
-        self.forget_if_over(index);
+        self.remove_if_completed(index);
     }
 
-    /// The invocation is over: withdraws what is still out, and those that wait for its fetch go on. `is_stored`: a cache
-    /// server or the origin answered with success.
+    /// Completes an invocation: withdraws its forwards in flight and releases the invocations that wait for its
+    /// fetch. `is_stored` tells whether a cache server or the origin answered with success.
     pub(super) fn complete(&mut self, index: InvocationIndex, is_stored: bool) {
         self.withdraw_forwards(index, None);
         self.origin.queue.retain(|q| q.invocation != index);
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Withdraws all forwards that are in flight but the one that answers.
+    /// Withdraws all forwards in flight except the `answering` one.
     fn withdraw_forwards(&mut self, index: InvocationIndex, answering: Option<usize>) {
         let invocation = &self.invocations[&index];
         let limits = &self.operations[invocation.arrival.operation].limits;
@@ -61,7 +62,7 @@
             return;
         }
         for (copy, forward) in invocation.forwards.iter().enumerate() {
-            // A fetch goes on: its answer still fills the cache for those that come next.
+            // A fetch continues: its answer still fills the cache for later invocations.
             let is_fetch = self.caches.is_origin(forward.cache) && !invocation.arrival.write;
             let is_in_flight = forward.state == ForwardState::InFlight;
             if is_in_flight && Some(copy) != answering && !is_fetch {
@@ -70,15 +71,15 @@
         }
     }
 
-    /// Forgets an invocation that is over and has no forward in flight.
-    pub(super) fn forget_if_over(&mut self, index: InvocationIndex) {
+    /// Removes an invocation that is completed and has no forward in flight.
+    pub(super) fn remove_if_completed(&mut self, index: InvocationIndex) {
         let invocation = self.invocations.get(&index);
-        if invocation.is_some_and(|i| i.is_over && i.in_flight() == 0) {
+        if invocation.is_some_and(|i| i.is_completed && i.in_flight() == 0) {
             self.invocations.remove(&index);
         }
     }
 
-    /// The first bytes of an answer were relayed: the answer is that forward's.
+    /// Handles the first bytes of an answer that is relayed to the client: the other forwards are withdrawn.
     pub(super) fn on_response_started(&mut self, index: InvocationIndex, copy: usize) {
         let Some(invocation) = self.invocations.get_mut(&index) else {
             return;
@@ -91,19 +92,19 @@
         self.caches.clear_suspicion(cache, self.now);
     }
 
-    /// The client closed its connection: nobody needs an answer.
+    /// Handles a client that closed its connection: no answer is needed any more.
     pub(super) fn on_client_left(&mut self, index: InvocationIndex) {
         let invocation = self.invocations.get_mut(&index);
-        let Some(invocation) = invocation.filter(|i| !i.is_over) else {
+        let Some(invocation) = invocation.filter(|i| !i.is_completed) else {
             return;
         };
-        invocation.is_over = true;
+        invocation.is_completed = true;
         self.complete(index, false);
-        self.forget_if_over(index);
+        self.remove_if_completed(index);
     }
 
-    /// From now on an answer is of no use: forwards in flight have timed out, and the invocation is shed.
-    pub(super) fn on_useless_answer(&mut self, index: InvocationIndex) {
+    /// Handles an expired answer deadline: counts the forwards in flight as timed out, and sheds the invocation.
+    pub(super) fn on_answer_deadline(&mut self, index: InvocationIndex) {
         let invocation = self.invocations.get(&index);
         let Some(invocation) = invocation.filter(|i| i.is_unanswered()) else {
             return;
@@ -123,8 +124,8 @@
             }
         }
         if may_be_running && self.now < last_moment {
-            // It cannot be taken back, and its client still learns the outcome.
-            let timer = Timer::UselessAnswer { invocation: index };
+            // The invocation can't be cancelled, and the client still learns its outcome if an answer arrives.
+            let timer = Timer::AnswerDeadline { invocation: index };
             return self.set_timer(last_moment, timer);
         }
         self.shed(index, ShedReason::DeadlineExceeded);
--- a/crates/sparrouter-balancer/src/policy/endpoint_list.rs
+++ b/crates/sparrouter-balancer/src/policy/endpoint_list.rs
@@ -1,13 +1,13 @@
-//! The list of cache servers: it is applied, requested again when it was lost, and health checks are answered.
+//! Applies the list of cache servers, requests it again after a failure, and handles the results of health checks.
 //!
-//! Invariant: while a request is pending, or one failed, a timer makes the next one within half of the poll interval, or
-//! within a second if that is longer.
+//! Invariant: while a request is pending or has failed, a timer triggers the next request within half of the poll
+//! interval, or within a second if that is longer.
 use super::Policy;
 use super::timer::Timer;
 use crate::types::{Action, CacheIndex, CacheRecord, ListKind, Nanos, SECOND};
 
 impl Policy {
-    /// A list came, or failed to come.
+    /// Handles a received list, or a failed request or subscription.
     pub(super) fn on_list(&mut self, kind: ListKind, records: &[CacheRecord]) {
         if kind == ListKind::Lost {
             return self.schedule_list_request();
@@ -21,7 +21,7 @@
         self.pump_origin_queue();
     }
 
-    /// The saved list is the first event of a node: it begins to follow the list and to send gossip.
+    /// Starts following the list and sending gossip. The saved list is the first event of a node.
     fn start(&mut self) {
         if self.environment.list_is_polled {
             self.request_list();
@@ -31,16 +31,16 @@
         }
     }
 
-    /// A request failed, or the subscription itself: a new one may always be made.
+    /// Schedules a new request with exponential backoff and jitter, after a request failed or the subscription broke.
     fn schedule_list_request(&mut self) {
-        let longest = self.caches.rules.poll_interval / 4;
-        self.list_backoff = (self.list_backoff * 2).min(longest).max(SECOND / 4);
+        let max_backoff = self.caches.rules.poll_interval / 4;
+        self.list_backoff = (self.list_backoff * 2).min(max_backoff).max(SECOND / 4);
         let jitter = self.rng.f64() * self.list_backoff as f64;
         self.list_request_at = self.now + self.list_backoff + jitter as Nanos;
         self.set_timer(self.list_request_at, Timer::ListRequest);
     }
 
-    /// A timer for the next request fired. An earlier one may have been set than the one that counts.
+    /// Handles the timer of a list request; a timer that was superseded by a later one has no effect.
     pub(super) fn on_list_timer(&mut self) {
         if self.list_request_at > 0 && self.now >= self.list_request_at {
             self.request_list();
@@ -48,7 +48,7 @@
     }
 
     fn request_list(&mut self) {
-        // Guards against a request that is never answered: without a list the node would take itself for informed.
+        // Guards against a request that is never answered: without a retry the node would keep an outdated list.
         let limit = (self.caches.rules.poll_interval / 2).max(SECOND);
         self.list_request_at = self.now + limit;
         self.actions.push(if self.environment.list_is_polled {
@@ -59,7 +59,7 @@
         self.set_timer(self.list_request_at, Timer::ListRequest);
     }
 
-    /// A health check ended: if it was answered, one invocation may be sent there.
+    /// Handles the result of a health check: after an answer, one invocation may be sent to the cache server.
     pub(super) fn on_health_checked(&mut self, cache: CacheIndex, is_answered: bool) {
         if !is_answered {
             return;
--- a/crates/sparrouter-balancer/src/policy/forwarding.rs
+++ b/crates/sparrouter-balancer/src/policy/forwarding.rs
@@ -1,6 +1,6 @@
-//! Forwarding: the step after arrival, and the only place that puts a forward out.
+//! Forwarding: chooses the destination of an invocation. This is the only module that sends forwards.
 //!
-//! Invariant: every forward passes the gate at the moment at which it is put out.
+//! Invariant: every forward is checked against the rules of `gate` at the moment it is sent.
 use super::Policy;
 use super::gate;
 use super::invocation::{Continuation, Forward, ForwardState};
@@ -8,7 +8,8 @@
 use crate::types::{Action, CacheIndex, InvocationIndex, Nanos, ShedReason};
 
 impl Policy {
-    /// Forwards to the first in the key's order against which nothing speaks.
+    /// Forwards the invocation to the cache server that the selection chooses; a read whose key is being fetched
+    /// waits instead.
     pub(super) fn forward_to_cache(&mut self, index: InvocationIndex) {
         let invocation = &self.invocations[&index];
         let is_read = !invocation.arrival.write;
@@ -20,24 +21,24 @@
             waiting.push(index);
             return;
         }
-        // The last forward is the origin's, if there is one.
+        // The last permitted forward is reserved for the origin, if there is one.
         let limits = &self.operations[invocation.arrival.operation].limits;
-        let left = limits
+        let forwards_left = limits
             .max_forwards
             .saturating_sub(invocation.forwards.len());
         let can_fetch = is_read && self.caches.origin.is_some();
-        if left <= 1 && can_fetch && !is_first {
+        if forwards_left <= 1 && can_fetch && !is_first {
             return self.fetch(index);
         }
         match self.select(index) {
             Some(cache) => self.forward(index, cache, Continuation::Cache),
-            // Not where all are crowded: the origin would be overloaded next.
+            // Not if all cache servers are overloaded: the origin would be overloaded next.
             None if can_fetch && self.caches.are_all_idle() => self.fetch(index),
             None => self.shed(index, ShedReason::NoCapacity),
         }
     }
 
-    /// Puts a forward out, or sheds the invocation if the rules forbid it.
+    /// Sends a forward, or sheds the invocation if the rules forbid it.
     pub(super) fn forward(
         &mut self,
         index: InvocationIndex,
@@ -51,19 +52,20 @@
             return self.shed(index, ShedReason::ForbiddenByRules);
         }
         let operation = &self.operations[invocation.arrival.operation].settings;
-        let must_leave_before = gate::must_leave_before(invocation, operation);
+        let send_deadline = gate::send_deadline(invocation, operation);
         let wait = invocation.arrival.deadline - self.now;
         let copy = self.add_forward(index, cache, continuation);
         self.actions.push(Action::Forward {
             inv: index,
             cache,
             wait,
-            must_leave_before,
+            send_deadline,
         });
-        self.watch_forward(index, copy, wait);
+        self.schedule_overdue_check(index, copy, wait);
     }
 
-    /// Records a forward of an open invocation and at its target; gives its index among those of the invocation.
+    /// Records a forward in the invocation and in the state of its server, and returns its index among the
+    /// invocation's forwards.
     fn add_forward(
         &mut self,
         index: InvocationIndex,
@@ -92,8 +94,8 @@
         copy
     }
 
-    /// Sets a timer for the moment at which a new forward is overdue, if that is before its client stops to wait.
-    fn watch_forward(&mut self, index: InvocationIndex, copy: usize, wait: Nanos) {
+    /// Sets a timer for the time at which a new forward is overdue, if that is before its client times out.
+    fn schedule_overdue_check(&mut self, index: InvocationIndex, copy: usize, wait: Nanos) {
         let invocation = &self.invocations[&index];
         let is_origin = self.caches.is_origin(invocation.forwards[copy].cache);
         let latency = if is_origin {
@@ -101,13 +103,13 @@
         } else {
             self.operations[invocation.arrival.operation].latency
         };
-        let usual = latency.upper_bound(self.environment.tick);
-        if latency.mean > 0.0 && usual < wait {
+        let usual_latency = latency.upper_bound(self.environment.tick);
+        if latency.mean > 0.0 && usual_latency < wait {
             let timer = Timer::Overdue {
                 invocation: index,
                 copy,
             };
-            self.set_timer(self.now + usual, timer);
+            self.set_timer(self.now + usual_latency, timer);
         }
     }
 }
--- a/crates/sparrouter-balancer/src/policy/gate.rs
+++ b/crates/sparrouter-balancer/src/policy/gate.rs
@@ -1,14 +1,14 @@
-//! The gate: the rules that every forward and every final answer is checked against.
+//! Safety rules that every forward and every final answer must satisfy.
 //!
-//! It holds no state. Rule 1: one final answer, in time. Rule 2: an invocation never runs twice where that does harm. Rule 3:
-//! nothing goes to a cache server that drains or was removed. Rule 4, the budget of cache servers that warm up, is kept by
-//! `caches/warm_up.rs`.
+//! The module holds no state. Rule 1: one final answer, in time. Rule 2: an invocation never runs twice if that does
+//! harm. Rule 3: nothing is sent to a cache server that is draining or was removed. Rule 4, the budget of cache
+//! servers that are warming up, is enforced by `caches/warm_up.rs`.
 use super::Policy;
 use super::caches::{Cache, CacheSet};
 use super::invocation::Invocation;
 use crate::types::{CacheIndex, Effect, ForwardLimits, Group, LifecycleState, Nanos, Operation};
 
-/// Whether a repeat at `target` is dropped by the cache servers that know of a first forward to `first`.
+/// Whether `target` is in the same group as `first`, so that it drops a repeat of a forward to `first`.
 fn is_same_group(group: Group, first: &Cache, target: &Cache) -> bool {
     match group {
         Group::All => true,
@@ -17,7 +17,7 @@
     }
 }
 
-/// Whether one more run at `target` does no harm.
+/// Whether another execution at `target` does no harm.
 fn may_run_again(
     invocation: &Invocation,
     effect: Effect,
@@ -55,9 +55,9 @@
         && may_run_again(invocation, operation.effect, target, caches, now)
 }
 
-/// The moment before which the next forward must have left completely. Guards against a window that runs out between the
-/// decision and the last byte, as a connection takes its time.
-pub fn must_leave_before(invocation: &Invocation, operation: &Operation) -> Option<Nanos> {
+/// Time before which the next forward must have been sent completely; `None` if there is no such limit. Guards
+/// against a deduplication window that expires between the decision and the last byte, because connecting takes time.
+pub fn send_deadline(invocation: &Invocation, operation: &Operation) -> Option<Nanos> {
     let Effect::Deduplicated { window, .. } = operation.effect else {
         return None;
     };
@@ -65,7 +65,7 @@
     Some(first.sent_at + window)
 }
 
-/// Whether an invocation may be answered that it should come again; if not, the answer is an error.
+/// Whether an invocation may get a throttling reply that asks the client to retry; otherwise its answer is an error.
 pub fn may_throttle(invocation: &Invocation, operation: &Operation) -> bool {
     match operation.effect {
         Effect::Idempotent
--- a/crates/sparrouter-balancer/src/policy/invocation.rs
+++ b/crates/sparrouter-balancer/src/policy/invocation.rs
@@ -1,73 +1,74 @@
-//! One invocation from its arrival to its final answer, and its forwards.
+//! The state of one invocation and its forwards, from its arrival to its final answer.
 use crate::types::{Arrival, CacheIndex, Nanos};
 
-/// Whether a forward is out, and if not, whether the invocation may have run there.
+/// Whether a forward is in flight, and if not, whether the invocation may have run at the cache server.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ForwardState {
-    /// It has not ended.
+    /// The forward has not ended.
     InFlight,
-    /// It ended, and the invocation did not run there.
+    /// The forward ended, and the invocation didn't run there.
     NeverRan,
-    /// It ended, and the invocation may have run there.
+    /// The forward ended, and the invocation may have run there.
     MayHaveRun,
 }
 
-/// Which decision follows the end of a forward.
+/// Selects the decision that follows the end of a forward.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Continuation {
-    /// That for the answer of a cache server.
+    /// The decision that follows a forward to a cache server.
     Cache,
-    /// That for the answer of the origin.
+    /// The decision that follows a forward to the origin.
     Origin,
 }
 
 /// A forward of an invocation.
 pub struct Forward {
-    /// Where it went.
+    /// Destination: a cache server or the origin.
     pub cache: CacheIndex,
-    /// When it left.
+    /// When the forward was sent.
     pub sent_at: Nanos,
-    /// Whether it is out.
+    /// Whether the forward is in flight.
     pub state: ForwardState,
-    /// Its connection broke. Only once it has ended.
+    /// Whether the connection broke. Only set after the end of the forward.
     pub connection_broke: bool,
-    /// It was answered with an error. Only once it has ended.
+    /// Whether the answer was an error. Only set after the end of the forward.
     pub failed: bool,
-    /// A fetch after a miss at a cache server that was warming up.
+    /// Whether this is a fetch after a miss at a cache server that was warming up.
     pub is_warm_up_fetch: bool,
-    /// What follows its end.
+    /// The decision that follows the end of the forward.
     pub continuation: Continuation,
 }
 
-/// An invocation that has no final answer yet, or forwards in flight.
+/// An invocation that has no final answer yet, or has forwards in flight.
 ///
-/// Invariant: it is stored as long as `!is_over || in_flight() > 0`.
+/// Invariant: it is stored as long as `!is_completed || in_flight() > 0`.
 #[derive(Default)]
 pub struct Invocation {
-    /// As it arrived.
+    /// The invocation as it arrived.
     pub arrival: Arrival,
-    /// Hash of its key; drawn if it has none.
+    /// Hash of the key; a random number if the invocation has no key.
     pub key: u64,
-    /// Its value in the origin's queue: billed value, reduced beyond quota; writes before reads.
+    /// Priority in the origin's queue: billed value, reduced if the tenant's quota is exceeded; writes come before
+    /// reads.
     pub priority: f64,
-    /// End of its latency target, and of the time for which the client waits if that is earlier.
+    /// End of the latency target, or the client's deadline if that is earlier.
     pub target_deadline: Nanos,
-    /// From when on an answer is of no use.
-    pub useful_until: Nanos,
-    /// Its forwards; their index is the `copy` of events and actions.
+    /// Time from which an answer has no value.
+    pub answer_deadline: Nanos,
+    /// The forwards; the index of a forward is the `copy` of events and actions.
     pub forwards: Vec<Forward>,
-    /// It has its final answer, or its client has left.
-    pub is_over: bool,
-    /// The first bytes of an answer were relayed.
+    /// Whether the invocation has its final answer or its client has disconnected.
+    pub is_completed: bool,
+    /// Whether the first bytes of an answer were relayed.
     pub has_response_started: bool,
-    /// It fetches its key's value, and others wait for it.
+    /// Whether the invocation fetches its key's value, so that others wait for that fetch.
     pub leads_fetch: bool,
-    /// A cache server that was warming up missed for it.
+    /// Whether a cache server that was warming up reported a miss for the invocation.
     pub missed_while_warming_up: bool,
 }
 
 impl Invocation {
-    /// Number of its forwards that have not ended.
+    /// Number of forwards in flight.
     pub fn in_flight(&self) -> usize {
         let open = self.forwards.iter();
         open.filter(|f| f.state == ForwardState::InFlight).count()
@@ -75,7 +76,7 @@
 
     /// Whether a final answer may still be given.
     pub fn is_unanswered(&self) -> bool {
-        !self.is_over && !self.has_response_started
+        !self.is_completed && !self.has_response_started
     }
 
     /// The first forward that ran, may have run or may still run.
@@ -84,8 +85,9 @@
         forwards.find(|f| f.state != ForwardState::NeverRan)
     }
 
-    /// Whether it failed at more than one cache server: it fails by itself, and no cache server is blamed.
-    pub fn fails_by_itself(&self) -> bool {
+    /// Whether the invocation failed at more than one cache server: the invocation is the cause, and no cache server
+    /// is blamed.
+    pub fn failed_at_several_servers(&self) -> bool {
         self.forwards.iter().filter(|f| f.failed).count() > 1
     }
 }
--- a/crates/sparrouter-balancer/src/policy/mod.rs
+++ b/crates/sparrouter-balancer/src/policy/mod.rs
@@ -1,27 +1,29 @@
-//! Every decision of one node.
+//! All decisions of one node.
 //!
-//! [`Policy::new`] takes the settings, or `sparrouter-settings` makes one; then [`Policy::handle`] is called once an event,
-//! in order of arrival, and [`Policy::take_actions`] gives the actions to carry out, in order. Nothing else goes in or out:
-//! no I/O, no clock, no randomness but that of seeded generators, so that the same events lead to the same actions.
+//! [`Policy::new`] takes the settings, or `sparrouter-settings` builds a policy from a configuration.
+//! [`Policy::handle`] is then called once per event, in order of arrival, and [`Policy::take_actions`] returns the
+//! actions to carry out, in order. There are no other inputs or outputs: no I/O, no clock, and no randomness except
+//! that of seeded generators, so that the same events lead to the same actions.
 //!
-//! # The way of one invocation
+//! # Life cycle of an invocation
 //!
-//! 1. `arrival` computes its deadlines and its value; `quota` says whether it is within its tenant's quota, `admission` with
-//!    what chance it is shed, and `hot_keys` whether its key fails everywhere. A timer is set for the moment from which on an
-//!    answer is of no use.
+//! 1. `arrival` computes its deadlines and its value; `quota` decides whether it is within its tenant's quota, `admission` the
+//!    probability with which it is shed, and `hot_keys` whether its key fails at every cache server. A timer is set for the
+//!    time from which an answer has no value.
 //! 2. `forwarding` sends a read to the cache server that `selection` chooses: the first in the key's rendezvous order
-//!    (`caches/election`) against which nothing speaks: suspicion, load, its budget while it warms up, and the rules of
-//!    `gate`. Writes go to the origin if there is one. A read whose key is being fetched waits for that fetch.
-//! 3. `overdue` looks at a forward that is out for longer than usual: it sends a hedged request, or withdraws the forward.
-//! 4. `outcome` takes in the end of a forward: what it says of the cache server (`caches/suspicion`, `caches/cache`), of the
-//!    key (`hot_keys`), of what the node can do (`goodput`) and of the origin (`origin/limit`).
-//! 5. `retry` decides what follows: a miss is fetched from the origin (`origin/queue`), a failure is retried at the next
-//!    cache server or sheds the invocation.
-//! 6. `completion` gives the final answer if the node itself gives it, withdraws what is still out, and releases those that
-//!    wait for the fetch. The invocation is forgotten once no forward of it is in flight.
+//!    (`caches/election`) that isn't excluded by suspicion, load, its warm-up budget or the rules of `gate`. Writes are sent
+//!    to the origin if there is one. A read whose key is being fetched waits for that fetch.
+//! 3. `overdue` checks a forward that takes longer than usual: it sends a hedged request, or withdraws the forward.
+//! 4. `outcome` handles the end of a forward: it updates the state of the cache server (`caches/suspicion`,
+//!    `caches/cache`), of the key (`hot_keys`), the goodput of the node (`goodput`) and the state of the origin
+//!    (`origin/limit`).
+//! 5. `retry` decides the next step: a miss is fetched from the origin (`origin/queue`), a failure is retried at the next
+//!    cache server or the invocation is shed.
+//! 6. `completion` gives the final answer if the node itself has to give it, withdraws forwards in flight, and releases
+//!    the invocations that wait for the fetch. The invocation is removed once none of its forwards is in flight.
 //!
-//! Besides, `endpoint_list` follows the list of cache servers, `peers` exchanges gossip, `settings` builds a policy and
-//! applies changed settings, and `timer` names the timers.
+//! In addition, `endpoint_list` follows the list of cache servers, `peers` exchanges gossip, `settings` builds a
+//! policy and applies changed settings, and `timer` defines the timers.
 mod admission;
 mod arrival;
 mod caches;
@@ -58,49 +60,49 @@
 use std::collections::{BTreeMap, HashMap};
 use timer::Timer;
 
-/// An operation: its settings, and what was learnt of it.
+/// An operation: its settings, and its latency estimate.
 #[derive(Clone)]
 struct OperationState {
     settings: Operation,
     limits: ForwardLimits,
-    /// How long cache servers usually take.
+    /// Usual latency of the cache servers.
     latency: LatencyEstimate,
 }
 
-/// The decisions of one node.
+/// The routing policy of one node.
 ///
-/// Invariants: `now` never decreases; an invocation is in `invocations` from its arrival until it is over and none of its
-/// forwards is in flight; at most one final answer is given for it.
+/// Invariants: `now` never decreases; an invocation is in `invocations` from its arrival until it is completed and
+/// none of its forwards is in flight; at most one final answer is given for it.
 #[derive(Default)]
 pub struct Policy {
     now: Nanos,
-    /// What is to be carried out, in order.
+    /// Actions to carry out, in order.
     actions: Vec<Action>,
     rng: fastrand::Rng,
     environment: Environment,
-    /// By index of the operation. Operations of earlier settings stay for the invocations that came under them.
+    /// Operations, by index. Operations of earlier settings stay for the invocations that arrived under them.
     operations: Vec<OperationState>,
     invocations: HashMap<InvocationIndex, Invocation>,
     caches: CacheSet,
     origin: OriginGuard,
     keys: KeyCounts,
     admission: Admission,
-    /// The latest report of each peer that has reported lately.
+    /// The latest report of each peer that reported recently, by the index of the peer.
     peers: BTreeMap<usize, PeerReport>,
-    /// Wait before the list is requested again, doubled with each failure; 0 after a success.
+    /// Delay before the list is requested again, in nanoseconds; doubled with each failure, 0 after a success.
     list_backoff: Nanos,
     /// When to request the list again; 0 while no request is pending.
     list_request_at: Nanos,
-    /// Hedged requests that may be sent: a fraction of the arrivals.
+    /// Number of hedged requests that may be sent: a fraction of the arrivals.
     hedge_tokens: f64,
-    /// The fraction of the failed forwards whose invocation the next cache server answered, smoothed.
+    /// Fraction of the failed forwards whose invocation was answered by the next cache server, smoothed.
     retry_success: f64,
-    /// Invocations that were throttled or answered with an error, since the start.
+    /// Number of invocations that were throttled or answered with an error, since the start.
     shed_counts: ShedCounts,
 }
 
 impl Policy {
-    /// Decides what follows from an event at `now`, in nanoseconds; never earlier than the event before.
+    /// Handles an event at the time `now`, in nanoseconds, which must not be earlier than that of the previous event.
     pub fn handle(&mut self, now: Nanos, event: Event) {
         self.now = now;
         match event {
@@ -115,12 +117,12 @@
         }
     }
 
-    /// Takes the actions that are to be carried out, in order.
+    /// Takes the actions to carry out, in order.
     pub fn take_actions(&mut self) -> std::vec::Drain<'_, Action> {
         self.actions.drain(..)
     }
 
-    /// What was decided since the start.
+    /// Counts of decisions since the start.
     pub fn counts(&self) -> PolicyCounts {
         PolicyCounts {
             shed: self.shed_counts,
@@ -130,19 +132,19 @@
         }
     }
 
-    /// Whether a cache server that is listed as removed, or no more, may still get forwards.
+    /// Whether a cache server that is listed as removed, or no longer listed, may still receive forwards.
     pub fn removal_is_advisory(&self) -> bool {
         self.caches.rules.removal_is_advisory
     }
 
-    /// Whether this cache server may still be sent to, whatever the list says.
-    pub fn has_record(&self, cache: CacheIndex) -> bool {
+    /// Whether the cache server may still receive forwards, even if it is no longer listed.
+    pub fn may_receive_forwards(&self, cache: CacheIndex) -> bool {
         self.caches.is_ready(cache)
     }
 
     fn on_timer(&mut self, token: u64) {
         match Timer::from_token(token) {
-            Some(Timer::UselessAnswer { invocation }) => self.on_useless_answer(invocation),
+            Some(Timer::AnswerDeadline { invocation }) => self.on_answer_deadline(invocation),
             Some(Timer::Overdue { invocation, copy }) => self.on_overdue(invocation, copy),
             Some(Timer::ListRequest) => self.on_list_timer(),
             Some(Timer::Gossip) => self.send_gossip(),
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Sets a timer for a moment, at the earliest a nanosecond from now.
+    /// Sets a timer that fires at `at`, or after a nanosecond if `at` has passed.
     fn set_timer(&mut self, at: Nanos, timer: Timer) {
         let after = at.saturating_sub(self.now).max(1);
         let token = timer.token();
--- a/crates/sparrouter-balancer/src/policy/origin/mod.rs
+++ b/crates/sparrouter-balancer/src/policy/origin/mod.rs
@@ -1,9 +1,9 @@
-//! Protection of the origin: a learned limit of fetches in flight, one fetch a key, a short queue.
+//! Protection of the origin: an adaptive limit of fetches in flight, one fetch per key, and a short queue.
 //!
-//! | module | its one job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `limit` | the limit, by the origin's outcomes |
-//! | `queue` | who waits for the origin, and who waits for another's fetch |
+//! | `limit` | the adaptive limit, from the outcomes of forwards to the origin |
+//! | `queue` | invocations that wait for the origin or for another invocation's fetch |
 mod limit;
 mod queue;
 
@@ -11,61 +11,62 @@
 use crate::types::{InvocationIndex, Nanos};
 use std::collections::BTreeMap;
 
-/// Fetches that all nodes together may have in flight before anything is known of the origin.
+/// Initial limit of fetches in flight, over all nodes.
 const INITIAL_LIMIT: f64 = 8.0;
 
 /// An invocation that waits for the origin.
 #[derive(Clone, Copy)]
 pub struct QueuedFetch {
-    /// Its value; the highest goes first.
+    /// Priority of the invocation; the highest is forwarded first.
     pub priority: f64,
-    /// The invocation.
+    /// Index of the invocation.
     pub invocation: InvocationIndex,
 }
 
-/// What is known of the origin, and who waits for it.
+/// State of the origin, and the invocations that wait for it.
 ///
-/// Invariants: `warm_up_in_flight <= in_flight`; no invocation in `queue` is over; each key in `fetches` has just one
-/// invocation with `leads_fetch`.
+/// Invariants: `warm_up_in_flight <= in_flight`; no invocation in `queue` is completed; each key in `fetches` has
+/// exactly one invocation with `leads_fetch`.
 #[derive(Default)]
 pub struct OriginGuard {
-    /// How many fetches this node may have in flight; below 1, one after another with pauses.
+    /// Limit of this node's fetches in flight; below 1, fetches are sent one after another with pauses.
     pub limit: f64,
-    /// What the limit may grow by: less with many nodes, which all grow at once.
+    /// Maximum increase of the limit per step; lower with many nodes, which all increase their limits at the same
+    /// time.
     pub growth: f64,
-    /// A fetch may take so long in any case, in nanoseconds: a third of the shortest latency target.
+    /// Latency of a fetch that is always tolerated, in nanoseconds: a third of the shortest latency target.
     pub tolerated_latency: f64,
-    /// The limit never falls below this: all nodes together may have one fetch in flight in any case.
+    /// Lower bound of the limit: all nodes together may always have one fetch in flight.
     pub min_limit: f64,
-    /// When an outcome was last taken in.
+    /// When an outcome was last recorded.
     pub learnt_at: Nanos,
-    /// When it last answered a fetch.
+    /// When the origin last answered a fetch.
     pub last_answer_at: Nanos,
-    /// How long fetches usually take.
+    /// Latency estimate of fetches.
     pub latency: LatencyEstimate,
-    /// Forwards to the origin that have not ended.
+    /// Number of forwards to the origin that are in flight.
     pub in_flight: usize,
-    /// Those of them that follow a miss at a cache server that was warming up.
+    /// Number of forwards in flight that follow a miss at a cache server that was warming up.
     pub warm_up_in_flight: usize,
-    /// What a fetch takes while the origin is not crowded, in nanoseconds; 0 until the first answer.
-    pub uncrowded_latency: f64,
-    /// Slowly smoothed latency, in nanoseconds.
+    /// Estimated latency of a fetch without congestion, in nanoseconds; 0 until the first answer.
+    pub uncongested_latency: f64,
+    /// Latency smoothed with a long time constant, in nanoseconds.
     pub slow_latency: f64,
-    /// Quickly smoothed latency, in nanoseconds.
+    /// Latency smoothed with a short time constant, in nanoseconds.
     pub fast_latency: f64,
-    /// Failures since it last answered.
+    /// Number of failures since the last answer.
     pub consecutive_failures: u32,
-    /// Nothing goes there before this moment.
+    /// Time before which nothing is sent to the origin.
     pub paused_until: Nanos,
-    /// Who waits for the origin.
+    /// Invocations that wait for the origin.
     pub queue: Vec<QueuedFetch>,
-    /// Keys that this node fetches, and who waits for each.
+    /// Invocations that wait for a fetch of this node, by the hash of the fetched key.
     pub fetches: BTreeMap<u64, Vec<InvocationIndex>>,
 }
 
 impl OriginGuard {
-    /// The guard of a node that has this fraction of all nodes' fetches. `shortest_target`: the shortest latency target,
-    /// in nanoseconds.
+    /// Creates the guard of a node that sends the fraction `node_fraction` of all nodes' fetches. `shortest_target`
+    /// is the shortest latency target, in nanoseconds.
     pub fn new(node_fraction: f64, shortest_target: Nanos) -> OriginGuard {
         OriginGuard {
             limit: (INITIAL_LIMIT * node_fraction).max(1.0),
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Takes over the constants of a guard for other settings; `ratio`: old number of nodes over the new one.
+    /// Takes over the constants of `new`, a guard for changed settings; `ratio` is the old number of nodes divided by
+    /// the new one.
     pub fn apply_settings(&mut self, new: &OriginGuard, ratio: f64) {
         self.limit = (self.limit * ratio).max(1.0);
         self.min_limit = new.min_limit;
@@ -84,18 +86,19 @@
         self.tolerated_latency = new.tolerated_latency;
     }
 
-    /// Whether a fetch may leave now.
+    /// Whether a fetch may be sent now.
     pub fn has_capacity(&self, now: Nanos) -> bool {
         now >= self.paused_until && (self.in_flight as f64) < self.limit.max(1.0)
     }
 
-    /// How long an invocation of this priority waits, in nanoseconds: behind those of as much priority or more.
+    /// Expected time in the queue of an invocation of this priority, in nanoseconds: behind all of the same or a
+    /// higher priority.
     pub fn queueing_time(&self, priority: f64) -> f64 {
         let ahead = self.queue.iter().filter(|q| q.priority >= priority).count();
         (ahead as f64 + 1.0) * self.fast_latency / self.limit
     }
 
-    /// Removes and gives the first of the queue: the highest priority, the eldest among equals.
+    /// Removes and returns the first of the queue: the highest priority, and the oldest among equal priorities.
     pub fn pop(&mut self) -> Option<InvocationIndex> {
         let queue = &self.queue;
         let best = (0..queue.len()).min_by(|&a, &b| {
--- a/crates/sparrouter-balancer/src/policy/origin/queue.rs
+++ b/crates/sparrouter-balancer/src/policy/origin/queue.rs
@@ -1,14 +1,14 @@
-//! Who waits for the origin, and who waits for another's fetch of the same key.
+//! Invocations that wait for the origin, or for another invocation's fetch of the same key.
 use super::QueuedFetch;
 use crate::policy::Policy;
 use crate::policy::invocation::Continuation;
 use crate::types::{InvocationIndex, ShedReason};
 
-/// After more failures in a row nobody waits for the origin.
-const MAX_FAILURES: u32 = 4;
+/// Number of consecutive failures above which invocations no longer queue for the origin.
+const MAX_CONSECUTIVE_FAILURES: u32 = 4;
 
 impl Policy {
-    /// Fetches the key's value from the origin, or waits for the fetch that is under way.
+    /// Fetches the key's value from the origin, or waits for a fetch that is in flight.
     pub(in crate::policy) fn fetch(&mut self, index: InvocationIndex) {
         let invocation = self.invocations.get_mut(&index).expect("open invocation");
         if let Some(waiting) = self.origin.fetches.get_mut(&invocation.key) {
@@ -20,7 +20,7 @@
         self.forward_to_origin(index);
     }
 
-    /// Forwards to the origin, or queues for it if that is of use.
+    /// Forwards the invocation to the origin, queues it, or sheds it if an answer in time is unlikely.
     pub(in crate::policy) fn forward_to_origin(&mut self, index: InvocationIndex) {
         let invocation = &self.invocations[&index];
         let Some(origin) = self.caches.origin else {
@@ -29,22 +29,25 @@
         if self.origin.has_capacity(self.now) && self.origin.queue.is_empty() {
             return self.forward(index, origin, Continuation::Origin);
         }
-        // Waiting is of no use if the answer comes too late or the origin gives none.
-        let left = invocation.target_deadline.saturating_sub(self.now) as f64;
+        // Waiting is useless if the answer would be too late or the origin doesn't answer.
+        let time_left = invocation.target_deadline.saturating_sub(self.now) as f64;
         let priority = invocation.priority;
-        let foreseen = self.origin.queueing_time(priority) + self.origin.uncrowded_latency;
-        if foreseen > left || self.origin.consecutive_failures > MAX_FAILURES {
+        let expected_latency =
+            self.origin.queueing_time(priority) + self.origin.uncongested_latency;
+        if expected_latency > time_left
+            || self.origin.consecutive_failures > MAX_CONSECUTIVE_FAILURES
+        {
             return self.shed(index, ShedReason::Origin);
         }
         self.origin.queue.push(QueuedFetch {
             priority,
             invocation: index,
         });
-        self.shed_hopeless_fetch(index);
+        self.shed_last_if_too_late(index);
     }
 
-    /// Sheds the last of the queue at once if `newest` has moved it too far back for an answer in time.
-    fn shed_hopeless_fetch(&mut self, newest: InvocationIndex) {
+    /// Sheds the last of the queue immediately if `newest` has moved it too far back for an answer in time.
+    fn shed_last_if_too_late(&mut self, newest: InvocationIndex) {
         let queue = self.origin.queue.iter().copied();
         let last = queue.min_by(|a, b| {
             let lowest_first = a.priority.total_cmp(&b.priority);
@@ -53,13 +56,14 @@
         let Some(last) = last.filter(|l| l.invocation != newest) else {
             return;
         };
-        let foreseen_start = self.now as f64 + self.origin.queueing_time(last.priority);
-        if foreseen_start > self.invocations[&last.invocation].target_deadline as f64 {
+        let expected_start = self.now as f64 + self.origin.queueing_time(last.priority);
+        if expected_start > self.invocations[&last.invocation].target_deadline as f64 {
             self.shed(last.invocation, ShedReason::Origin);
         }
     }
 
-    /// Forwards from the queue for as long as the origin has capacity. While none is listed the queue stays as it is.
+    /// Forwards invocations from the queue while the origin has capacity. The queue is unchanged while no origin is
+    /// listed.
     pub(in crate::policy) fn pump_origin_queue(&mut self) {
         while self.origin.has_capacity(self.now) {
             let Some(origin) = self.caches.origin else {
@@ -68,28 +72,32 @@
             let Some(index) = self.origin.pop() else {
                 return;
             };
-            if self.invocations.get(&index).is_some_and(|i| !i.is_over) {
+            if self
+                .invocations
+                .get(&index)
+                .is_some_and(|i| !i.is_completed)
+            {
                 self.forward(index, origin, Continuation::Origin);
             }
         }
     }
 
-    /// Whoever waits for the fetch that this invocation led goes on: to where the value is now stored, or with a fetch of
-    /// its own.
+    /// Releases the invocations that wait for the fetch of this one: they are forwarded to the cache server that now
+    /// stores the value, or fetch it themselves.
     pub(in crate::policy) fn release_waiting(&mut self, index: InvocationIndex, is_stored: bool) {
         let invocation = self.invocations.get_mut(&index).expect("open invocation");
         invocation.leads_fetch = false;
         let waiting = self.origin.fetches.remove(&invocation.key);
-        for waiting in waiting.unwrap_or_default() {
-            let Some(follower) = self.invocations.get(&waiting).filter(|i| !i.is_over) else {
+        for index in waiting.unwrap_or_default() {
+            let Some(follower) = self.invocations.get(&index).filter(|i| !i.is_completed) else {
                 continue;
             };
             let limits = &self.operations[follower.arrival.operation].limits;
             let has_forward_left = follower.forwards.len() < limits.max_forwards;
             if is_stored && has_forward_left {
-                self.retry_where_missed(waiting);
+                self.retry_where_missed(index);
             } else {
-                self.fetch(waiting);
+                self.fetch(index);
             }
         }
     }
--- a/crates/sparrouter-balancer/src/policy/outcome.rs
+++ b/crates/sparrouter-balancer/src/policy/outcome.rs
@@ -1,14 +1,14 @@
-//! The end of a forward, and what it says of its cache server, its key and the load.
+//! Handles the end of a forward, and updates the state of its cache server, its key and the load.
 use super::Policy;
-use super::caches::{FULL_BADNESS, FailureEvidence};
+use super::caches::{FailureEvidence, REJECTION_BADNESS};
 use super::invocation::{Continuation, Forward, ForwardState};
 use super::timer::Timer;
 use crate::types::{CacheIndex, ForwardOutcome, Nanos, Outcome};
 
-/// What one outcome adds to the smoothed success of retries.
+/// Weight of one outcome in the smoothed success rate of retries.
 pub(super) const RETRY_GAIN: f64 = 0.1;
 
-/// What the rest of the way needs to know of a forward that ended.
+/// Properties of an ended forward that the following steps need.
 struct EndedForward {
     sent_at: Nanos,
     is_warm_up_fetch: bool,
@@ -31,7 +31,7 @@
 }
 
 impl Policy {
-    /// A forward ended. One that is not in flight is ignored.
+    /// Handles the end of a forward; ignored if the forward isn't in flight.
     pub(super) fn on_forward_ended(&mut self, ended: &ForwardOutcome) {
         let Some(invocation) = self.invocations.get_mut(&ended.inv) else {
             return;
@@ -44,8 +44,8 @@
             return;
         };
         let forward = end_forward(forward, ended.outcome);
-        invocation.is_over |= ended.is_final;
-        let is_over = invocation.is_over;
+        invocation.is_completed |= ended.is_final;
+        let is_completed = invocation.is_completed;
         let cache = self.caches.get_mut(ended.cache);
         cache.in_flight = cache.in_flight.saturating_sub(1);
         let is_origin = self.caches.is_origin(ended.cache);
@@ -54,7 +54,7 @@
         } else {
             self.learn_from_cache(ended, forward.sent_at);
         }
-        if is_over {
+        if is_completed {
             self.complete(ended.inv, ended.outcome == Outcome::Succeeded);
         } else {
             match forward.continuation {
@@ -62,7 +62,7 @@
                 Continuation::Origin => self.after_origin(ended),
             }
         }
-        self.forget_if_over(ended.inv);
+        self.remove_if_completed(ended.inv);
         if is_origin {
             self.pump_origin_queue();
         }
@@ -74,7 +74,8 @@
         origin.warm_up_in_flight -= usize::from(is_warm_up_fetch);
         origin.learn(ended.outcome, ended.latency, self.now);
         if matches!(ended.outcome, Outcome::Full | Outcome::Unavailable) {
-            // Asking again at once would only feed its queue: all wait for the time of one fetch.
+            // An immediate retry would only lengthen the origin's queue: all fetches are paused for the usual latency
+            // of one fetch.
             let pause = (origin.fast_latency as Nanos).max(self.environment.tick);
             origin.paused_until = origin.paused_until.max(self.now + pause);
         }
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Takes in what the end of a forward to a cache server says.
+    /// Updates the state of the cache server, the key and the goodput with the end of a forward to a cache server.
     fn learn_from_cache(&mut self, ended: &ForwardOutcome, sent_at: Nanos) {
         let invocation = &self.invocations[&ended.inv];
         let key = invocation.key;
@@ -108,17 +109,18 @@
                 self.learn_from_answer(ended, target_fraction);
             }
             Outcome::Unavailable => self.record_failure(cache, FailureEvidence::Unreachable),
-            // Single connections break where the process runs on: no evidence if it has answered others since. A process
-            // that is down refuses the next connection.
+            // A single connection can break while the process keeps running: this is no evidence of a failure if the
+            // server has answered others since. A process that is down refuses the next connection.
             Outcome::Reset | Outcome::Broken => {
                 if self.caches.get(cache).last_answer_at <= sent_at {
                     self.record_failure(cache, FailureEvidence::Unresponsive);
                 }
             }
-            // A rejection is cheap: the next in order takes the invocation, and most end well.
+            // A rejection costs little: the next server in the order takes the invocation, and most such invocations
+            // succeed.
             Outcome::Full => {
                 let full = self.caches.get_mut(cache);
-                full.learn(FULL_BADNESS, 0.0, self.now);
+                full.learn(REJECTION_BADNESS, 0.0, self.now);
                 self.keys.record_latency(key, 1.0);
             }
             Outcome::TimedOut => {
@@ -153,8 +155,8 @@
         }
     }
 
-    /// No answer in time. If nothing at all came from there since the forward left, that is evidence of a failure; one that
-    /// answers others is only slow.
+    /// Records a forward that wasn't answered in time. If the server has answered nothing since the forward was sent,
+    /// this is evidence of a failure; a server that answers other invocations is only slow.
     pub(super) fn record_timeout(&mut self, cache: CacheIndex, sent_at: Nanos) {
         self.caches.get_mut(cache).learn(1.0, 1.0, self.now);
         if self.caches.get(cache).last_answer_at <= sent_at {
--- a/crates/sparrouter-balancer/src/policy/overdue.rs
+++ b/crates/sparrouter-balancer/src/policy/overdue.rs
@@ -1,17 +1,19 @@
-//! Overdue forwards: a hedged request, or a withdrawal after which the invocation goes on.
+//! Overdue forwards: sends a hedged request, or withdraws the forward so that the invocation continues elsewhere.
 //!
-//! It holds no state. A forward is overdue if it is out for longer than nearly all of its operation, and its server either
-//! answered nothing in all that time, or answers others while this one is far overdue.
+//! The module holds no state. A forward is overdue if it has been in flight for longer than nearly all forwards of
+//! its operation, and its server has either answered nothing in that time, or answers other invocations while this
+//! forward is far overdue.
 use super::Policy;
 use super::caches::FailureEvidence;
 use super::invocation::{Continuation, ForwardState};
 use super::timer::Timer;
 use crate::types::{Action, CacheIndex, Effect, InvocationIndex, Nanos};
 
-/// A forward that is out for this multiple of what nearly all take is overdue whatever its server answers to others.
-const FAR_OVERDUE: f64 = 1.5;
+/// Multiple of the usual upper bound of the latency after which a forward is overdue even if its server answers other
+/// invocations.
+const FAR_OVERDUE_MULTIPLE: f64 = 1.5;
 
-/// A forward that is looked at.
+/// A forward that is checked for being overdue.
 struct Candidate {
     invocation: InvocationIndex,
     copy: usize,
@@ -22,7 +24,7 @@
 }
 
 impl Policy {
-    /// A forward is out for longer than usual.
+    /// Handles the timer of a forward that has been in flight for longer than usual.
     pub(super) fn on_overdue(&mut self, index: InvocationIndex, copy: usize) {
         let Some(candidate) = self.overdue_candidate(index, copy) else {
             return;
@@ -35,7 +37,8 @@
             return self.set_timer(check_at, timer);
         }
         let Candidate { cache, sent_at, .. } = candidate;
-        // It takes that long at least. Learnt from answers alone, the estimate would shrink while all slow down.
+        // The elapsed time is a lower bound of the latency. An estimate from answers alone would decrease while all
+        // servers slow down.
         let elapsed = (self.now - sent_at) as f64;
         let latency = if candidate.is_origin {
             &mut self.origin.latency
@@ -43,8 +46,8 @@
             &mut self.operations[candidate.operation].latency
         };
         latency.learn(elapsed);
-        let is_over = self.invocations[&index].is_over;
-        if self.last_answer_at(&candidate) <= sent_at && !is_over {
+        let is_completed = self.invocations[&index].is_completed;
+        if self.last_answer_at(&candidate) <= sent_at && !is_completed {
             self.record_failure(cache, FailureEvidence::Unresponsive);
         }
         if self.may_replace(&candidate) {
@@ -67,7 +70,7 @@
         })
     }
 
-    /// When its server last answered anything.
+    /// When the forward's server last answered any invocation.
     fn last_answer_at(&self, candidate: &Candidate) -> Nanos {
         if candidate.is_origin {
             self.origin.last_answer_at
@@ -76,30 +79,33 @@
         }
     }
 
-    /// When to look at it again; `None` if it is overdue now. Guards against single connections that time out: a fetch on
-    /// one would block those that wait for its key and the origin's capacity until its end.
+    /// Time of the next check; `None` if the forward is overdue now. Guards against single connections that time out:
+    /// a fetch on such a connection would block the origin's capacity and the invocations that wait for its key until
+    /// it ends.
     fn next_overdue_check(&self, candidate: &Candidate) -> Option<Nanos> {
         let latency = if candidate.is_origin {
             self.origin.latency
         } else {
             self.operations[candidate.operation].latency
         };
-        let usual = latency.upper_bound(self.environment.tick);
-        let far_overdue_at = candidate.sent_at + (FAR_OVERDUE * usual as f64) as Nanos;
+        let usual_latency = latency.upper_bound(self.environment.tick);
+        let far_overdue_at =
+            candidate.sent_at + (FAR_OVERDUE_MULTIPLE * usual_latency as f64) as Nanos;
         let answers_others = self.last_answer_at(candidate) > candidate.sent_at;
         if (answers_others || candidate.is_origin) && self.now < far_overdue_at {
             return Some(far_overdue_at);
         }
-        // An origin that answers nobody is not asked again.
-        (!answers_others && candidate.is_origin).then_some(self.now + usual)
+        // An origin that answers no invocation isn't sent another request.
+        (!answers_others && candidate.is_origin).then_some(self.now + usual_latency)
     }
 
-    /// Whether another forward may take its place. One whose invocation is over goes on for others, if it is a fetch.
+    /// Whether another forward may replace this one. A fetch of a completed invocation continues for the invocations
+    /// that wait for it, so it may be replaced too.
     fn may_replace(&self, candidate: &Candidate) -> bool {
         let operation = &self.operations[candidate.operation].settings;
         let invocation = &self.invocations[&candidate.invocation];
         let is_fetch = candidate.is_origin && !invocation.arrival.write;
-        operation.effect == Effect::Idempotent && (!invocation.is_over || is_fetch)
+        operation.effect == Effect::Idempotent && (!invocation.is_completed || is_fetch)
     }
 
     fn replace(&mut self, candidate: &Candidate) {
@@ -111,7 +117,7 @@
             .saturating_sub(invocation.forwards.len());
         if limits.allows_hedging && !candidate.is_origin {
             self.hedge(index, forwards_left);
-        } else if limits.withdraw && (invocation.is_over || forwards_left > 0) {
+        } else if limits.withdraw && (invocation.is_completed || forwards_left > 0) {
             self.actions.push(Action::Withdraw {
                 inv: index,
                 copy: candidate.copy,
@@ -119,7 +125,8 @@
         }
     }
 
-    /// Sends a hedged request if one is left. Few are: where all are slow they would double the load.
+    /// Sends a hedged request if the budget permits. The budget is small: if all servers are slow, hedging would
+    /// double the load.
     fn hedge(&mut self, index: InvocationIndex, forwards_left: usize) {
         if self.hedge_tokens < 1.0 || forwards_left <= 1 {
             return;
--- a/crates/sparrouter-balancer/src/policy/peers.rs
+++ b/crates/sparrouter-balancer/src/policy/peers.rs
@@ -1,8 +1,8 @@
-//! Gossip with peers: how much of each tenant's traffic comes by here, outcomes of cache servers, frequent keys, and what
-//! fraction of the load is shed.
+//! Gossip with peers: arrivals by tenant, outcomes of cache servers, frequent keys, and the fraction of the load that
+//! is shed.
 //!
-//! Invariants: a message has at most 256 bytes; sums are given away only while some peer reports, since with every message
-//! lost this node's own counts must do.
+//! Invariants: a message has at most 256 bytes; sums are sent away only while some peer reports, because if all
+//! messages are lost the node has to rely on its own counts.
 use super::Policy;
 use super::admission::MAX_SHED_FRACTION;
 use super::fading::median;
@@ -10,34 +10,36 @@
 use crate::gossip::GossipMessage;
 use crate::types::{Action, Nanos, SECOND};
 
-/// Peers that a message goes to. Messages to all would grow with the square of the number of nodes.
-const RECIPIENTS: usize = 2;
-/// Cache servers, and keys, in a message.
+/// Number of peers that a message is sent to. Messages to all peers would grow with the square of the number of
+/// nodes.
+const GOSSIP_FANOUT: usize = 2;
+/// Maximum number of cache servers, and of keys, in a message.
 const MAX_ROWS: usize = 6;
-/// Tenants in a message.
+/// Maximum number of tenants in a message.
 const MAX_TENANTS: usize = 48;
-/// A peer's report counts for so long.
+/// Time for which a peer's report is used.
 const REPORT_LIFETIME: Nanos = 3 * SECOND;
-/// How far the shed fraction moves towards what a peer reports, at most.
+/// Maximum fraction of the distance by which one report moves the shed fraction towards the reported value.
 const PEER_GAIN: f64 = 0.25;
-/// A node with fewer arrivals since its last message, and without reports, takes over what a peer reports.
+/// A node without reports and with fewer arrivals since its last message adopts the shed fraction that a peer
+/// reports.
 const FEW_ARRIVALS: f64 = 4.0;
 
 /// The latest report of a peer.
 pub struct PeerReport {
-    /// When it came; 0 if it is to be forgotten.
+    /// When the report was received; 0 if it is to be removed.
     pub received_at: Nanos,
-    /// Arrivals of each tenant at the peer in a second.
+    /// Number of arrivals of each tenant at the peer in one second, by tenant index.
     arrivals_by_tenant: Vec<u16>,
-    /// The fraction of its load that the peer sheds, at most [`MAX_SHED_FRACTION`].
+    /// Fraction of its load that the peer sheds, at most [`MAX_SHED_FRACTION`].
     shed_fraction: f64,
 }
 
 impl Policy {
-    /// Sends the message of this second to a few peers, drawn anew each time, and begins to count for the next.
+    /// Sends this second's message to a few random peers, and starts the counts of the next second.
     pub(super) fn send_gossip(&mut self) {
         let nodes = self.environment.nodes;
-        let steps = self.rng.choose_multiple(1..nodes.max(1), RECIPIENTS);
+        let steps = self.rng.choose_multiple(1..nodes.max(1), GOSSIP_FANOUT);
         let text = self.gossip_message(steps.len()).encode();
         for step in steps {
             self.actions.push(Action::SendGossip {
@@ -67,12 +69,12 @@
         message
     }
 
-    /// Moves this node's fractions of the tenants' traffic towards the counts of the last second.
+    /// Updates this node's fractions of the tenants' traffic from the counts of the last second.
     fn update_quota_fractions(&mut self) {
         let reporting = self.peers.len();
         let missing = self.environment.nodes.saturating_sub(1 + reporting) as f64;
         for (tenant, quota) in self.admission.quotas.iter_mut().enumerate() {
-            // A tenant that no message has room for keeps this node's part by number of nodes.
+            // A tenant beyond the size of a message keeps an equal share for each node.
             if tenant < MAX_TENANTS {
                 let arrivals = self.peers.values().map(|r| &r.arrivals_by_tenant);
                 let others = arrivals
@@ -84,7 +86,7 @@
         }
     }
 
-    /// A peer's message came. One that cannot be read, or seems to be this node's own, is ignored.
+    /// Handles a peer's message; ignored if it can't be decoded or carries this node's own index.
     pub(super) fn on_gossip(&mut self, peer: usize, text: &[u8]) {
         if peer == self.environment.own_index {
             return;
@@ -97,7 +99,7 @@
         }
         self.keys.merge(message.total_arrivals, &message.keys);
         self.follow_shed_fraction(peer, message.shed_fraction);
-        // Arrivals counted by other tenants, in the middle of a change of settings, are as if they had not come.
+        // While settings change, a report for a different list of tenants is ignored.
         let own_tenants = self.environment.tenants_fingerprint;
         if message.tenants_fingerprint.is_none_or(|t| t == own_tenants) {
             let report = PeerReport {
@@ -109,10 +111,10 @@
         }
     }
 
-    /// Moves the shed fraction towards what a peer reports.
+    /// Moves the shed fraction towards the value that a peer reports.
     fn follow_shed_fraction(&mut self, peer: usize, reported: f64) {
-        // A node that has just started knows of no overload and would admit everything. What many arrivals of its own show
-        // counts for more than a report.
+        // A node that has just started has no evidence of an overload and would admit all load, so it follows the
+        // report. Many arrivals of its own outweigh a report.
         let quotas = self.admission.quotas.iter();
         let own_arrivals: f64 = quotas.map(|q| f64::from(q.arrivals)).sum();
         let gain = if self.peers.is_empty() && own_arrivals < FEW_ARRIVALS {
@@ -120,11 +122,11 @@
         } else {
             PEER_GAIN.min(1.0 / (1.0 + own_arrivals * own_arrivals))
         };
-        // Few false reports do not count against those of the others.
+        // The median of the other peers' reports limits the effect of a few false ones.
         let others = self.peers.iter().filter(|(p, _)| **p != peer);
         let others = median(others.map(|(_, report)| report.shed_fraction));
         let own = self.admission.shed_fraction;
-        let believed = others.map_or(MAX_SHED_FRACTION, |o| o.max(own));
-        self.admission.shed_fraction += gain * (reported.min(believed) - own);
+        let credible = others.map_or(MAX_SHED_FRACTION, |o| o.max(own));
+        self.admission.shed_fraction += gain * (reported.min(credible) - own);
     }
 }
--- a/crates/sparrouter-balancer/src/policy/selection.rs
+++ b/crates/sparrouter-balancer/src/policy/selection.rs
@@ -1,45 +1,45 @@
-//! Selection: which cache server an invocation is forwarded to.
+//! Selection: chooses the cache server that an invocation is forwarded to.
 //!
-//! It holds no state. The order is that of the rendezvous hash, with hot keys spread over the first few; the first against
-//! which nothing speaks is chosen.
+//! The module holds no state. Cache servers are considered in rendezvous order, with hot keys spread over the first
+//! few servers; the first one that isn't excluded is chosen.
 use super::Policy;
 use super::caches::Cache;
 use super::invocation::Invocation;
 use crate::types::{Action, CacheIndex, Effect, InvocationIndex};
 
-/// Misses at cache servers that warm up get at least this fraction of the fetches at the origin.
+/// Minimum fraction of the fetches at the origin that is reserved for misses at cache servers that are warming up.
 const MIN_WARM_UP_FETCHES: f64 = 0.25;
 
-/// What speaks for or against one cache server.
+/// Result of assessing one cache server.
 enum Verdict {
-    /// It is chosen.
+    /// The cache server is chosen.
     Choose,
-    /// It has more in flight than others: chosen if nothing else is.
+    /// The cache server has more forwards in flight than the load bound: chosen only if no other is.
     Overloaded,
-    /// It is suspected, and a health check is wanted.
+    /// The cache server is suspected, and a health check is due.
     CheckHealth,
-    /// It must not get the invocation, or should not.
+    /// The cache server must not or should not get the invocation.
     Skip,
 }
 
-/// What was found on the way through the order.
+/// Result of a search through the order of cache servers.
 struct Selection {
     chosen: Option<CacheIndex>,
-    /// A suspected cache server before it in the order, whose health is to be checked.
+    /// A suspected cache server earlier in the order that needs a health check.
     to_check: Option<CacheIndex>,
 }
 
-/// What is the same for all cache servers in one selection.
+/// Values that are the same for all cache servers in one selection.
 struct SelectionContext {
     load_bound: f64,
     are_most_suspected: bool,
-    /// The origin has capacity for misses at cache servers that warm up.
+    /// Whether the origin has capacity for misses at cache servers that are warming up.
     allows_warm_up_fetches: bool,
 }
 
 impl Policy {
-    /// The cache server to forward to. Orders the health check that is wanted on the way, if there is one; without being
-    /// wanted, checks of suspected cache servers by all nodes would add up.
+    /// Returns the cache server to forward to, and requests a health check of a suspected server that precedes it in
+    /// the order. Checks are made only on demand, because periodic checks by all nodes would add up.
     pub(super) fn select(&mut self, index: InvocationIndex) -> Option<CacheIndex> {
         let selection = self.search(&self.invocations[&index]);
         if let Some(cache) = selection.to_check
@@ -74,7 +74,8 @@
     }
 
     fn selection_context(&self) -> SelectionContext {
-        // Misses at cache servers that warm up get the origin's limit in proportion to their keys.
+        // Misses at cache servers that are warming up get a part of the origin's limit in proportion to their
+        // fraction of the keys.
         let key_fraction = self.caches.warming_up_key_fraction(self.now);
         let warm_up_fetches = self.origin.limit * key_fraction.max(MIN_WARM_UP_FETCHES);
         SelectionContext {
@@ -88,13 +89,14 @@
     /// The order in which cache servers are considered for a key.
     fn selection_order(&self, key: u64) -> Vec<CacheIndex> {
         let mut order = self.caches.rank(key, self.peers.len(), self.now);
-        // A hot key is spread over the first few of its order, the least loaded of them first.
+        // A hot key is spread over the first few servers of its order, least loaded first.
         let spread = self.keys.spread(key, order.len()).min(order.len());
-        // Each node begins at another of them: many nodes with one in flight each are a crowd.
+        // Each node starts at a different one of them: many nodes with one forward in flight each would overload the
+        // first.
         let nodes = self.environment.nodes.max(1);
         let start = self.environment.own_index % nodes * spread / nodes;
         order[..spread].rotate_left(start);
-        // One in flight is no load worth avoiding, as each replica costs fetches.
+        // A server with one forward in flight counts as idle, because each additional replica costs fetches.
         order[..spread].sort_by_key(|&index| self.caches.get(index).in_flight.max(1));
         order
     }
@@ -111,7 +113,8 @@
             return Verdict::Skip;
         }
         let cache = self.caches.get(index);
-        // One whose connection broke is asked once more: it has the key, which the next in order would have to fetch.
+        // After a broken connection the same server is tried once more: it has the key, which the next in order would
+        // have to fetch.
         let mut earlier = invocation.forwards.iter().filter(|f| f.cache == index);
         let is_repeat = match (earlier.next(), earlier.next()) {
             (None, _) => false,
@@ -119,7 +122,8 @@
             _ => return Verdict::Skip,
         };
         if cache.suspicion.is_some() {
-            // After a broken connection, which raised the suspicion, asking there again tells a crash from a break.
+            // If a broken connection raised the suspicion, a retry at the same server tells a crash from a connection
+            // failure.
             if is_repeat {
                 return Verdict::Choose;
             }
@@ -135,8 +139,9 @@
         }
     }
 
-    /// A suspected cache server is tried with one idempotent invocation after a health check was answered. If health checks
-    /// are not allowed, or most cache servers are suspected and the judgement itself may be wrong, time alone decides.
+    /// Assesses a suspected cache server: it gets one idempotent invocation after a health check was answered. If
+    /// health checks aren't allowed, or most cache servers are suspected so that the failure detection itself may be
+    /// wrong, the backoff alone decides.
     fn assess_suspected(
         &self,
         invocation: &Invocation,
--- a/crates/sparrouter-balancer/src/policy/settings.rs
+++ b/crates/sparrouter-balancer/src/policy/settings.rs
@@ -1,4 +1,4 @@
-//! A policy made from settings, and other settings for one at work.
+//! Creates a policy from settings, and applies changed settings to a running policy.
 use super::admission::{Admission, Band, band_count, band_index};
 use super::caches::CacheSet;
 use super::latency::LatencyEstimate;
@@ -11,12 +11,12 @@
 };
 use sparrouter_rendezvous::mix;
 
-/// Cache servers and keys of the fingerprint of [`Policy::placement`].
+/// Numbers of cache servers and keys that the fingerprint of [`Policy::placement`] covers.
 const FINGERPRINT_CACHES: usize = 16;
 const FINGERPRINT_KEYS: u64 = 256;
 
 impl Policy {
-    /// The decisions of a node that has just started: it knows no cache server, and nothing was learnt.
+    /// Creates the policy of a node that has just started, without any cache server.
     pub fn new(
         environment: Environment,
         operations: Vec<Operation>,
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Other settings for what comes from now on, out of a policy made of them; invocations at hand keep those that they
-    /// came under. `mappings`: for each operation of `fresh`, its index here; `tenants`: for each tenant of `fresh`, its
-    /// index under the old settings.
+    /// Applies the settings of `fresh`, a newly created policy. Invocations that are already in progress keep the
+    /// settings that they arrived under. `mappings` has, for each operation of `fresh`, its index in this policy;
+    /// `tenants` has, for each tenant of `fresh`, its index under the old settings.
     ///
     /// # Panics
     ///
@@ -65,18 +65,19 @@
         tenants: &[Option<usize>],
     ) {
         self.now = now;
-        // Fewer or more nodes: this one's part of what all share.
+        // With a different number of nodes, this node's part of all shared limits changes by this ratio.
         let ratio = self.environment.nodes.max(1) as f64 / fresh.environment.nodes.max(1) as f64;
         self.apply_operations(fresh.operations, mappings);
-        // The answers that the budgets of cache servers that warm up follow from are scaled down at once and rise only as
-        // answers come: rule 4 holds meanwhile.
+        // Warm-up budgets follow from the rate of answers. A decrease applies immediately and an increase only as
+        // answers arrive, so that rule 4 holds in the meantime.
         self.caches.answer_rate.per_second *= ratio.min(1.0);
         self.caches.rules = fresh.caches.rules;
         self.caches.first_check_delay = fresh.caches.first_check_delay;
         self.origin.apply_settings(&fresh.origin, ratio);
         self.apply_quotas(fresh.admission.quotas, tenants, ratio);
-        // Indices of peers may name others now, so their reports end with the next second. Forgotten at once, the first
-        // message would pass for all that is known, as at a node that has just started.
+        // The indices of peers may refer to other nodes now, so their reports expire with the next second. If they
+        // were removed now, the first message would be taken for the only information, as at a node that has just
+        // started.
         for report in self.peers.values_mut() {
             report.received_at = 0;
         }
@@ -93,7 +94,7 @@
         let bands = &mut self.admission.bands;
         bands.resize(band_count(count), Band::default());
         for (mapping, operation) in mappings.iter().zip(fresh) {
-            // What was learnt of an operation stays with it.
+            // An operation keeps its latency estimate and its admission bands.
             let old = mapping.old_index;
             let latency = old.map_or(LatencyEstimate::default(), |o| self.operations[o].latency);
             self.operations[mapping.new_index] = OperationState {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// A fingerprint of where keys go: nodes that differ here disagree on a key's cache server.
+    /// Fingerprint of the placement of keys: nodes with different fingerprints disagree on a key's cache server.
     pub fn placement() -> u64 {
         let record = |index: usize| CacheRecord {
             cache: index,
--- a/crates/sparrouter-balancer/src/types/action.rs
+++ b/crates/sparrouter-balancer/src/types/action.rs
@@ -1,56 +1,57 @@
-//! What a node is to do, and the counts of what it decided.
+//! Actions that the policy requests of the node, and counts of its decisions.
 use super::{CacheIndex, InvocationIndex, Nanos};
 
-/// Something to carry out.
+/// An action for the node to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Forwards an invocation.
+    /// Forwards an invocation to a server.
     Forward {
-        /// The invocation.
+        /// Index of the invocation.
         inv: InvocationIndex,
-        /// Where to.
+        /// Destination: a cache server or the origin.
         cache: CacheIndex,
-        /// How long to wait for the answer, in nanoseconds.
+        /// Time-out of the forward, in nanoseconds.
         wait: Nanos,
-        /// The request has left completely before this moment, or it never leaves: repeats are dropped only so long.
-        must_leave_before: Option<Nanos>,
+        /// Time before which the request must be sent completely, otherwise it must not be sent: repeats are
+        /// deduplicated only until then. `None` if there is no such limit.
+        send_deadline: Option<Nanos>,
     },
     /// Withdraws a forward.
     Withdraw {
-        /// The invocation.
+        /// Index of the invocation.
         inv: InvocationIndex,
-        /// Index of the forward among those of its invocation.
+        /// Index of the forward among the forwards of the invocation.
         copy: usize,
     },
-    /// Answers an invocation that it may come again later.
+    /// Answers an invocation with a throttling reply that asks the client to retry later.
     Throttle {
-        /// The invocation.
+        /// Index of the invocation.
         inv: InvocationIndex,
-        /// After how long it may come again, in nanoseconds.
+        /// Advised delay before the client's retry, in nanoseconds.
         retry_after: Nanos,
     },
-    /// Answers an invocation with an error: it may have run.
+    /// Answers an invocation with an error, because it may have run.
     Error {
-        /// The invocation.
+        /// Index of the invocation.
         inv: InvocationIndex,
     },
     /// Sets a timer.
     SetTimer {
-        /// After how long it fires, in nanoseconds.
+        /// Delay until the timer fires, in nanoseconds.
         after: Nanos,
-        /// What [`Event::TimerFired`](super::Event::TimerFired) gives back.
+        /// Token to return in [`Event::TimerFired`](super::Event::TimerFired).
         token: u64,
     },
-    /// Checks whether a cache server answers.
+    /// Sends a health check to a cache server.
     CheckHealth {
-        /// The cache server.
+        /// Index of the cache server.
         cache: CacheIndex,
     },
-    /// Sends a message to another node.
+    /// Sends a gossip message to another node.
     SendGossip {
-        /// Index of the other node.
+        /// Index of the peer that receives the message.
         peer: usize,
-        /// The message's bytes.
+        /// The encoded message.
         text: Vec<u8>,
     },
     /// Subscribes to the list of cache servers.
@@ -59,20 +60,20 @@
     RequestList,
 }
 
-/// Why an invocation was throttled or answered with an error.
+/// Reason for throttling an invocation or answering it with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShedReason {
-    /// Shed on arrival, since too many forwards end badly over all cache servers.
+    /// Shed on arrival, because too many forwards fail over all cache servers.
     Overload,
-    /// Every cache server is suspected, at its limit, or warming up with its budget used up.
+    /// Every cache server is suspected, at its limit, or warming up with its budget exhausted.
     NoCapacity,
     /// The origin was full, unresponsive or too slow, or failed.
     Origin,
-    /// Past the time for which an answer is of use.
+    /// The time until which an answer has value has passed.
     DeadlineExceeded,
-    /// The rules allow no further forward.
+    /// The safety rules don't permit another forward.
     ForbiddenByRules,
-    /// It failed at every cache server that it was sent to.
+    /// The invocation failed at every cache server that it was sent to.
     FailsEverywhere,
 }
 
@@ -81,15 +82,15 @@
 /// Names of the reasons in log lines and metrics, in the order of [`ShedReason`]'s variants.
 pub const SHED_REASONS: [&str; 6] = ["shed", "no_room", "origin", "late", "gate", "fails"];
 
-/// Counts of what a node decided since its start.
+/// Counts of a node's decisions since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PolicyCounts {
-    /// Invocations that were throttled or answered with an error.
+    /// Number of invocations that were throttled or answered with an error.
     pub shed: ShedCounts,
     /// Fraction of the load that is shed now.
     pub shed_fraction: f64,
-    /// How often a cache server came under suspicion.
+    /// Number of times that a cache server became suspected.
     pub suspicions: u64,
-    /// Forwards to cache servers that were warming up.
+    /// Number of forwards to cache servers that were warming up.
     pub warm_up_forwards: u64,
 }
--- a/crates/sparrouter-balancer/src/types/event.rs
+++ b/crates/sparrouter-balancer/src/types/event.rs
@@ -1,14 +1,14 @@
-//! What happens to a node: entries of the list, arrivals, outcomes of forwards, timers.
+//! Events that the node reports to the policy: endpoint lists, arrivals, outcomes of forwards, timers.
 use super::{CacheIndex, InvocationIndex, Nanos};
 
-/// Whether a cache server takes forwards.
+/// Lifecycle state of a cache server: whether it may receive forwards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LifecycleState {
-    /// It takes forwards.
+    /// The server accepts forwards.
     Ready,
-    /// It shuts down and must get nothing new.
+    /// The server is shutting down and must get no new forwards.
     Draining,
-    /// It was removed.
+    /// The server was removed.
     #[default]
     Left,
 }
@@ -18,53 +18,53 @@
 pub struct CacheRecord {
     /// Its index.
     pub cache: CacheIndex,
-    /// Hash of its id; the same at every node for the same cache server.
+    /// Hash of the server's id; the same at every node.
     pub id_hash: u64,
-    /// Whether it takes forwards.
+    /// Lifecycle state of the server.
     pub state: LifecycleState,
-    /// Index of its zone.
+    /// Index of the server's zone.
     pub zone: usize,
-    /// Its cell within the zone.
+    /// The server's cell within its zone.
     pub cell: i64,
-    /// Index of its kind, which distinguishes the origin from cache servers.
+    /// Index of the server's kind, which distinguishes the origin from cache servers.
     pub kind: usize,
-    /// Its relative capacity.
+    /// Relative capacity of the server.
     pub weight: f64,
-    /// When its process became ready, in nanoseconds; 0 if that is not listed.
+    /// When the server's process became ready, in nanoseconds; 0 if that isn't listed.
     pub ready_at: Nanos,
 }
 
-/// What a list of cache servers covers.
+/// Scope of a list of cache servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The entries that changed.
+    /// Only the entries that changed.
     Changes,
-    /// All entries; what is not in it was removed.
+    /// All entries; servers without an entry were removed.
     Full,
-    /// All entries, saved by an earlier incarnation of the node; may be old.
+    /// All entries, saved by an earlier incarnation of the node; may be outdated.
     Saved,
-    /// A request failed or the subscription broke; the present list stays.
+    /// A request failed or the subscription broke; the current list stays in use.
     Lost,
 }
 
-/// How a forward ended.
+/// The way in which a forward ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// An answer with success.
+    /// The cache server or the origin answered with success.
     Succeeded,
     /// The cache server answered with an error; the invocation may have run.
     Error,
-    /// The cache server rejected it for want of capacity.
+    /// The cache server rejected the forward for lack of capacity.
     Full,
-    /// No answer in time.
+    /// No answer arrived in time.
     TimedOut,
     /// No connection was established: the process may be down.
     Unavailable,
     /// The connection broke; the invocation may have run.
     Reset,
-    /// The node withdrew it.
+    /// The node withdrew the forward.
     Withdrawn,
-    /// The node did not send it.
+    /// The node didn't send the forward.
     NotSent,
     /// The cache server does not have the value.
     Miss,
@@ -73,7 +73,7 @@
 }
 
 impl Outcome {
-    /// Whether it proves that the invocation did not run at this cache server.
+    /// Whether the outcome proves that the invocation didn't run at the cache server.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -86,7 +86,7 @@
     }
 }
 
-/// What a cache server says of its cache.
+/// Whether the value was cached, as the cache server reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheResult {
     /// The value was cached.
@@ -97,12 +97,12 @@
     MissWhileFetching,
 }
 
-/// A cache server's load report; values that it does not send are absent.
+/// A cache server's load report; a value is `None` if the server doesn't send it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Invocations that it works on.
+    /// Number of invocations in execution.
     pub active: Option<f64>,
-    /// Invocations in its queue.
+    /// Number of invocations in the queue.
     pub waiting: Option<f64>,
 }
 
@@ -111,60 +111,61 @@
 pub struct Arrival {
     /// Its index.
     pub inv: InvocationIndex,
-    /// Index of its operation.
+    /// Index of the operation.
     pub operation: usize,
-    /// Index of its tenant, if it has one.
+    /// Index of the tenant; `None` if the invocation has no tenant.
     pub tenant: Option<usize>,
-    /// Hash of the key, the same at every node.
+    /// Hash of the key, the same at every node; `None` if the invocation has no key.
     pub key: Option<u64>,
-    /// It writes.
+    /// Whether the invocation is a write.
     pub write: bool,
-    /// The client has sent it before.
+    /// Whether the client has sent the invocation before.
     pub repeat: bool,
-    /// Work of its own that is foreseen, in nanoseconds.
+    /// Announced work of the invocation, in nanoseconds; `None` if it isn't announced.
     pub work: Option<Nanos>,
-    /// When the client stops to wait, in nanoseconds.
+    /// When the client times out, in nanoseconds.
     pub deadline: Nanos,
-    /// Whether it is within its tenant's quota, if others count that; `None` if the policy itself does.
+    /// Whether the invocation is within its tenant's quota if this was checked elsewhere; `None` if the policy checks
+    /// it.
     pub is_within_quota: Option<bool>,
 }
 
 /// The end of a forward.
 #[derive(Clone, Debug)]
 pub struct ForwardOutcome {
-    /// The invocation.
+    /// Index of the invocation.
     pub inv: InvocationIndex,
-    /// Index of the forward among those of its invocation, from 0.
+    /// Index of the forward among the forwards of the invocation, from 0.
     pub copy: usize,
-    /// Where the forward went.
+    /// Destination of the forward: a cache server or the origin.
     pub cache: CacheIndex,
-    /// How it ended.
+    /// The way in which the forward ended.
     pub outcome: Outcome,
-    /// Time since the forward left, in nanoseconds.
+    /// Time since the forward was sent, in nanoseconds.
     pub latency: Nanos,
-    /// The invocation is over, by this outcome or an earlier one.
+    /// Whether the invocation is completed, by this outcome or an earlier one.
     pub is_final: bool,
-    /// What the cache server says of its cache.
+    /// Whether the value was cached; `None` if the cache server doesn't report it.
     pub cache_result: Option<CacheResult>,
-    /// The cache server's load report; no decision depends on it.
+    /// The cache server's load report; no decision depends on it. `None` if there is none.
     pub load: Option<Load>,
 }
 
-/// Something that happened to a node.
+/// An event at a node.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A list of cache servers came, or failed to come.
+    /// A list of cache servers was received, or a request for it failed.
     Listed {
-        /// What it covers.
+        /// Scope of the list.
         form: ListKind,
-        /// Its entries.
+        /// Entries of the list.
         records: Vec<CacheRecord>,
     },
     /// An invocation arrived.
     Arrived(Arrival),
     /// The first bytes of an answer were relayed to the client.
     ResponseStarted {
-        /// The invocation.
+        /// Index of the invocation.
         inv: InvocationIndex,
         /// Index of the forward that answers.
         copy: usize,
@@ -173,28 +174,28 @@
     ForwardEnded(ForwardOutcome),
     /// The client closed its connection.
     ClientLeft {
-        /// The invocation that it waited for.
+        /// Index of the invocation that the client waited for.
         inv: InvocationIndex,
     },
     /// A health check ended.
     HealthChecked {
-        /// The cache server.
+        /// Index of the cache server.
         cache: CacheIndex,
-        /// It answered.
+        /// Whether the cache server answered.
         ok: bool,
-        /// Its load report; no decision depends on it.
+        /// The cache server's load report; no decision depends on it. `None` if there is none.
         load: Option<Load>,
     },
-    /// Another node's message came.
+    /// A gossip message from a peer was received.
     GossipReceived {
-        /// Index of the other node.
+        /// Index of the sending peer.
         peer: usize,
-        /// The message's bytes.
+        /// The encoded message.
         text: Vec<u8>,
     },
-    /// A timer that the decisions set fired.
+    /// A timer that the policy set has fired.
     TimerFired {
-        /// Its token.
+        /// Token of the timer.
         token: u64,
     },
 }
--- a/crates/sparrouter-balancer/src/types/mod.rs
+++ b/crates/sparrouter-balancer/src/types/mod.rs
@@ -1,8 +1,8 @@
-//! The interface between a protocol's adapter and the decisions: plain values, no I/O and no clock.
+//! The interface between a protocol adapter and the policy: plain values, no I/O and no clock.
 //!
-//! Times are whole nanoseconds of a clock that only advances. An adapter maps the ids of its protocol to small indices. A
-//! cache server's index may become another's only once the first has been removed for longer than any invocation is
-//! open; an invocation's index is never used twice.
+//! Times are whole nanoseconds of a monotonic clock. An adapter maps the ids of its protocol to small indices. The
+//! index of a removed cache server may be reused only after a time longer than the lifetime of any invocation; the
+//! index of an invocation is never reused.
 mod action;
 mod event;
 mod settings;
@@ -17,13 +17,13 @@
     Tenant,
 };
 
-/// A moment or a duration, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
-/// Names an invocation; never used twice.
+/// Index of an invocation; never reused.
 pub type InvocationIndex = u32;
-/// Names a cache server, or the origin, which is listed like one.
+/// Index of a cache server or of the origin, which is listed like a cache server.
 pub type CacheIndex = usize;
-/// A microsecond.
+/// One microsecond.
 pub const MICRO: Nanos = 1_000;
-/// A second.
+/// One second.
 pub const SECOND: Nanos = 1_000_000_000;
--- a/crates/sparrouter-balancer/tests/harness/mod.rs
+++ b/crates/sparrouter-balancer/tests/harness/mod.rs
@@ -360,12 +360,12 @@
     }
 
     /// How many of the actions so far are meant.
-    pub fn count_actions(&self, is_meant: impl Fn(&Action) -> bool) -> usize {
-        self.log.iter().filter(|action| is_meant(action)).count()
+    pub fn count_actions(&self, predicate: impl Fn(&Action) -> bool) -> usize {
+        self.log.iter().filter(|action| predicate(action)).count()
     }
 
     /// Fetches of distinct keys until the origin has no capacity for one more; gives those that are in flight.
-    pub fn crowd_origin(&mut self, origin: CacheIndex) -> Vec<InvocationIndex> {
+    pub fn saturate_origin(&mut self, origin: CacheIndex) -> Vec<InvocationIndex> {
         let mut fetching = vec![];
         for key in 1000.. {
             let index = self.read(key);
--- a/crates/sparrouter-balancer/tests/harness/model.rs
+++ b/crates/sparrouter-balancer/tests/harness/model.rs
@@ -102,9 +102,9 @@
                 inv,
                 cache,
                 wait,
-                must_leave_before,
+                send_deadline,
             } => {
-                self.check_forward(inv, cache, must_leave_before);
+                self.check_forward(inv, cache, send_deadline);
                 self.model_invocation(inv).forwards.push(ModelForward {
                     cache,
                     sent_at: now,
@@ -173,7 +173,7 @@
         &mut self,
         index: InvocationIndex,
         cache: CacheIndex,
-        must_leave_before: Option<Nanos>,
+        send_deadline: Option<Nanos>,
     ) {
         let known = self.model.invocations.get(&index);
         let invocation = known.expect("rule 1: unknown invocation");
@@ -196,7 +196,7 @@
             invocation.limits.allows_hedging || !overlaps,
             "rule 2: overlapping forwards"
         );
-        self.check_repeats(index, invocation, target, must_leave_before);
+        self.check_repeats(index, invocation, target, send_deadline);
         let is_origin =
             matches!(self.setup.mode, OriginMode::Aside { kind } if kind == target.kind);
         if !is_origin {
@@ -209,7 +209,7 @@
         index: InvocationIndex,
         invocation: &ModelInvocation,
         target: &CacheRecord,
-        must_leave_before: Option<Nanos>,
+        send_deadline: Option<Nanos>,
     ) {
         let forwards = invocation.forwards.iter();
         let mut earlier = forwards.filter(|f| f.is_in_flight || f.may_have_run);
@@ -232,7 +232,7 @@
                         self.now < window_end,
                         "rule 2: {index} sent past its window"
                     );
-                    let leaves_in_time = must_leave_before.is_some_and(|m| m <= window_end);
+                    let leaves_in_time = send_deadline.is_some_and(|m| m <= window_end);
                     assert!(leaves_in_time, "rule 2: {index} may leave past its window");
                 }
             }
--- a/crates/sparrouter-balancer/tests/origin.rs
+++ b/crates/sparrouter-balancer/tests/origin.rs
@@ -53,7 +53,7 @@
 #[test]
 fn the_origin_takes_misses_within_quota_first() {
     let mut node = Harness::new(setup().quotas(&[1000.0, 0.001]), servers(3));
-    let fetching = node.crowd_origin(3);
+    let fetching = node.saturate_origin(3);
     let first = node.read(1);
     let second = node.read(2);
     for index in [first, second] {
@@ -74,7 +74,7 @@
 #[test]
 fn what_waits_for_the_origin_goes_there_once_it_is_listed_again() {
     let mut node = Harness::new(setup(), servers(3));
-    let fetching = node.crowd_origin(3);
+    let fetching = node.saturate_origin(3);
     let waiting = node.read(1);
     node.end(waiting, 0, Outcome::Miss);
     assert!(!node.targets(waiting).contains(&3));
--- a/crates/sparrouter-balancer/tests/peers.rs
+++ b/crates/sparrouter-balancer/tests/peers.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// Few peers are not believed against the others. If most report an overload, a node follows while it knows nothing of its
+/// Few peers are not credible against the others. If most report an overload, a node follows while it knows nothing of its
 /// own.
 #[test]
 fn few_false_reports_do_not_make_a_node_shed_load() {
--- a/crates/sparrouter-balancer/tests/warm_up.rs
+++ b/crates/sparrouter-balancer/tests/warm_up.rs
@@ -20,7 +20,7 @@
     let key = keys.find(&mut is_won_by_new);
     let key = key.expect("a key of the new cache server");
     node.advance(2 * SECOND);
-    node.crowd_origin(3);
+    node.saturate_origin(3);
     assert_eq!(node.winner(key), 0);
 }
 
--- a/crates/sparrouter-node/src/routing/decision/actions.rs
+++ b/crates/sparrouter-node/src/routing/decision/actions.rs
@@ -13,9 +13,9 @@
                 inv,
                 cache,
                 wait,
-                must_leave_before,
+                send_deadline,
             } => {
-                let send_before = must_leave_before.map(|time| self.clock.instant(time));
+                let send_before = send_deadline.map(|time| self.clock.instant(time));
                 self.forward(inv, cache, wait, send_before);
             }
             Action::Withdraw { inv, copy } => self.withdraw(inv, copy),
--- a/crates/sparrouter-node/src/routing/decision/servers.rs
+++ b/crates/sparrouter-node/src/routing/decision/servers.rs
@@ -134,7 +134,7 @@
         for cache in 0..self.servers.len() {
             let server = self.servers[cache].as_ref().filter(|s| s.is_missing);
             let endpoint = server.map(|s| s.endpoint);
-            if let Some(endpoint) = endpoint.filter(|_| !self.policy.has_record(cache)) {
+            if let Some(endpoint) = endpoint.filter(|_| !self.policy.may_receive_forwards(cache)) {
                 self.update_server(cache, endpoint, LifecycleState::Left, false);
             }
         }
