--- a/crates/sparrouter-balancer/tests/admission.rs
+++ b/crates/sparrouter-balancer/tests/admission.rs
@@ -1,12 +1,12 @@
-//! Admission: when load is shed, how much, and until when.
+//! Admission control: when load is shed, how much, and when shedding ends.
 mod harness;
 use harness::*;
 use sparrouter_balancer::types::*;
 use std::collections::VecDeque;
 
-/// One bad server, or an origin that answers nothing, is no reason to shed what the caches can answer.
+/// An unresponsive origin is no reason to shed reads that the cache servers can answer.
 #[test]
-fn an_unresponsive_origin_does_not_shed_what_the_caches_store() {
+fn an_unresponsive_origin_does_not_cause_shedding_of_cached_reads() {
     let mut node = Harness::new(setup(), servers(6));
     for n in 0..600 {
         let index = node.read(1000 + n);
@@ -28,9 +28,9 @@
     assert!(matches!(first, Some(Action::Forward { .. })));
 }
 
-/// Guards against old evidence that outweighs the new: the shed fraction falls soon after an overload.
+/// Guards against old evidence that outweighs newer evidence: the shed fraction falls soon after an overload.
 #[test]
-fn load_shedding_does_not_outlive_its_cause() {
+fn the_shed_fraction_falls_soon_after_an_overload_ends() {
     let mut node = Harness::new(setup(), servers(200));
     let shed_fraction_after = |node: &mut Harness, reads: u64, outcome: Outcome| {
         for n in 0..reads {
@@ -46,17 +46,20 @@
         node.policy.counts().shed_fraction
     };
     let highest = shed_fraction_after(&mut node, 60, Outcome::Full);
-    assert!(highest > 0.3, "an overload is noticed: {highest}");
+    assert!(
+        highest > 0.3,
+        "the overload must be detected: shed fraction {highest}"
+    );
     let remaining = shed_fraction_after(&mut node, 60, Outcome::Succeeded);
     assert!(
         remaining < 0.75 * highest,
-        "{remaining} left of {highest} after three seconds"
+        "shed fraction {remaining} three seconds after a peak of {highest}"
     );
 }
 
-/// Advised to come back too late for its next attempt to count, a client would be served for nothing.
+/// If the advised delay exceeds the client's deadline, an answer to the retry has no value.
 #[test]
-fn early_throttling_advises_a_return_within_the_latency_target() {
+fn a_read_throttled_early_gets_a_retry_after_within_the_latency_target() {
     let mut node = Harness::new(setup(), vec![]);
     node.read(1);
     let Some(Action::Throttle { retry_after, .. }) = node.log.last() else {
@@ -65,9 +68,10 @@
     assert!(*retry_after < 300 * MS / 2);
 }
 
-/// A node that gets one answer a second, of many cache servers, must not count the others as good.
+/// A node that gets one answer per second, from many cache servers, must not count servers without recent evidence as
+/// good.
 #[test]
-fn a_node_with_few_answers_of_many_caches_notices_an_overload() {
+fn a_node_with_few_answers_from_many_cache_servers_detects_an_overload() {
     let throttled = |is_overloaded: bool| {
         let mut node = Harness::new(setup().without_health_checks(), servers(200));
         for key in 0..150 {
@@ -82,12 +86,12 @@
         (100..150).filter(is_throttled).count()
     };
     assert_eq!(throttled(false), 0);
-    let of_overloaded = throttled(true);
-    assert!(of_overloaded > 5, "{of_overloaded}");
+    let throttled_in_overload = throttled(true);
+    assert!(throttled_in_overload > 5, "{throttled_in_overload}");
 }
 
-/// Guards against shedding for as long as evidence of an overload lasts: four seconds of four times the traffic, all of it
-/// rejected as full, leave the usual traffic served soon after.
+/// Guards against shedding for as long as evidence of an overload lasts: after four seconds of four times the usual
+/// traffic, all of it rejected for lack of capacity, the usual traffic is admitted again soon.
 #[test]
 fn after_an_overload_the_usual_traffic_is_admitted() {
     let mut node = Harness::new(setup().without_health_checks(), servers(8));
@@ -106,10 +110,10 @@
     let before = throttled(&node);
     node.play_good_reads(2 * SECOND);
     let after = throttled(&node) - before;
-    assert!(after <= 5, "{after} of 100");
+    assert!(after <= 5, "{after} of 100 reads throttled");
 }
 
-/// A forward that is answered at a moment of its own.
+/// A forward with a scheduled answer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingAnswer {
     at: Nanos,
@@ -117,9 +121,9 @@
     copy: usize,
 }
 
-/// Reads at 50 a second: one in ten is answered in time, the others just past the latency target of 300 ms. Gives how many
-/// were shed for overload by the beginning of each second.
-fn shed_by_second_while_late(node: &mut Harness, seconds: u64) -> Vec<u64> {
+/// Plays reads at 50 per second: one in ten is answered in time, the others just after the latency target of 300 ms.
+/// Returns the cumulative number of reads shed for overload at the beginning of each second.
+fn play_late_answers(node: &mut Harness, seconds: u64) -> Vec<u64> {
     let mut pending: VecDeque<PendingAnswer> = VecDeque::new();
     let mut shed_by_second = Vec::new();
     let start = node.now;
@@ -152,12 +156,12 @@
     shed_by_second
 }
 
-/// If what was done before cannot be done any more, the former goodput does not hold load shedding back for long.
+/// After a drop in capacity, the former goodput limits load shedding only briefly.
 #[test]
 fn former_goodput_does_not_prevent_shedding_while_answers_are_late() {
     let mut node = Harness::new(setup().without_health_checks(), servers(8));
     node.play_good_reads(6 * SECOND);
-    let shed_by_second = shed_by_second_while_late(&mut node, 12);
+    let shed_by_second = play_late_answers(&mut node, 12);
     let last = shed_by_second[11] - shed_by_second[8];
     assert!(
         last > 50,
--- a/crates/sparrouter-balancer/tests/election.rs
+++ b/crates/sparrouter-balancer/tests/election.rs
@@ -1,10 +1,10 @@
-//! Election: which cache server a key belongs to, and when the next in order gets it.
+//! Ranking of cache servers: which one a key belongs to, and when the next in order is used.
 mod harness;
 use harness::*;
 use sparrouter_balancer::types::*;
 
 #[test]
-fn nodes_agree_and_a_lost_cache_moves_only_its_own_keys() {
+fn nodes_rank_identically_and_a_removed_cache_server_moves_only_its_own_keys() {
     let mut first = Harness::new(setup(), servers(10));
     let mut second = Harness::new(setup().seed(99), servers(10));
     let before = first.winners(0..500);
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn a_loaded_cache_is_skipped_and_a_rejected_read_falls_back_in_order() {
+fn a_loaded_cache_server_is_skipped_and_a_rejected_read_is_retried_at_the_next_in_order() {
     let mut node = Harness::new(setup(), servers(4));
     let first = node.winner(5);
-    // Other keys of the same winner load it.
+    // Reads of other keys with the same winner put it above the load bound.
     let others = (6..400).filter(|&key| node.winner(key) == first);
     let keys: Vec<u64> = others.take(3).collect();
     for key in keys {
@@ -37,9 +37,9 @@
     assert!(![first, second].contains(&node.targets(index)[1]));
 }
 
-/// An index is used again once its cache server was removed for long: the new one is elected by its own id.
+/// The index of a removed cache server is reused: the new server is ranked by its own id.
 #[test]
-fn a_new_cache_under_an_old_index_is_elected_by_its_own_id() {
+fn a_new_cache_server_at_a_reused_index_is_ranked_by_its_own_id() {
     let new = CacheRecord {
         id_hash: 77,
         ..record(0, 0)
@@ -55,9 +55,9 @@
     assert_eq!(replaced.winners(0..100), fresh.winners(0..100));
 }
 
-/// One key that brings more than a cache server's part of all arrivals is spread over the first few of its order.
+/// A key with more than one cache server's share of all arrivals is spread over the first few servers of its order.
 #[test]
-fn a_hot_key_is_spread_over_few_caches() {
+fn a_hot_key_is_spread_over_few_cache_servers() {
     let mut node = Harness::new(setup(), servers(8));
     let mut used = std::collections::BTreeSet::new();
     for n in 0..200 {
@@ -73,9 +73,9 @@
     assert!(used.len() > 1 && used.len() <= 8, "{used:?}");
 }
 
-/// If each of hundreds of nodes began at a hot key's first cache server with one in flight, they would crowd it.
+/// If each of hundreds of nodes sent one forward to a hot key's first cache server, they would overload it.
 #[test]
-fn nodes_begin_a_hot_key_at_different_caches() {
+fn nodes_send_a_hot_key_to_different_cache_servers_first() {
     let first_target = |own_index| {
         let setup = gossiping_setup(100, own_index).without_gossip();
         let mut node = Harness::new(setup, servers(8));
--- a/crates/sparrouter-balancer/tests/endpoint_list.rs
+++ b/crates/sparrouter-balancer/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of cache servers: lists that are wrong where removal is advisory, and lists that do not come.
+//! The list of cache servers: wrong lists with advisory removal, and lists that can't be retrieved.
 mod harness;
 use harness::*;
 use sparrouter_balancer::types::*;
@@ -7,7 +7,7 @@
     setup().advisory_removal(true)
 }
 
-/// Reads of these keys; how many of them were forwarded. Those succeed.
+/// Reads these keys and returns how many reads were forwarded. Forwarded reads succeed.
 fn count_served(node: &mut Harness, keys: std::ops::Range<u64>) -> usize {
     let mut is_served = |&key: &u64| {
         let index = node.read(key);
@@ -21,9 +21,9 @@
     keys.filter(&mut is_served).count()
 }
 
-/// Guards against a list that has all running cache servers as removed and would empty the election.
+/// Guards against a list that shows all running cache servers as removed and would leave none to forward to.
 #[test]
-fn caches_listed_as_removed_or_left_out_stay_in_the_election_while_they_answer() {
+fn cache_servers_removed_from_an_advisory_list_keep_their_keys_while_they_answer() {
     let mut all_removed = servers(6);
     for record in &mut all_removed {
         record.state = LifecycleState::Left;
@@ -33,11 +33,11 @@
         let before = node.winners(0..50);
         node.list(kind, records.clone());
         assert_eq!(before, node.winners(0..50));
-        // Reads that miss still find the origin.
+        // Reads that miss are still fetched from the origin.
         let index = node.read(900);
         node.end(index, 0, Outcome::Miss);
         assert_eq!(node.targets(index)[1], 6);
-        // Where removal binds, nothing is sent.
+        // If removal is binding, nothing is sent.
         let mut node = Harness::new(setup(), servers(6));
         node.list(kind, records);
         assert_eq!(count_served(&mut node, 0..50), 0);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_cache_that_drained_before_its_removal_gets_nothing_until_it_is_listed_again() {
+fn a_drained_cache_server_gets_no_forwards_until_it_is_listed_as_ready_again() {
     let mut node = Harness::new(advisory_setup(), servers(3));
     let winner = node.winner(1);
     let changed = |state| vec![record_in(state, winner)];
@@ -53,7 +53,7 @@
     assert_ne!(node.winner(1), winner);
     node.list(ListKind::Changes, changed(LifecycleState::Left));
     assert_ne!(node.winner(1), winner);
-    // A full list that leaves it out changes nothing.
+    // A full list without the cache server changes nothing.
     let others = servers(3).into_iter().filter(|r| r.cache != winner);
     node.list(ListKind::Full, others.collect());
     assert_ne!(node.winner(1), winner);
@@ -61,9 +61,10 @@
     assert_eq!(node.winner(1), winner);
 }
 
-/// Listed as removed, and down indeed, without having drained: own forwards find it out, and few of them.
+/// A cache server that is down is listed as removed without having drained: this node's own forwards detect the
+/// failure, and few of them are lost.
 #[test]
-fn a_removed_cache_that_is_down_costs_few_forwards() {
+fn an_unreachable_cache_server_listed_as_removed_gets_few_forwards() {
     let mut node = Harness::new(advisory_setup(), servers(4));
     let removed = node.winner(1);
     let record = record_in(LifecycleState::Left, removed);
@@ -86,13 +87,13 @@
         assert!(node.is_answered(index));
         node.advance(50 * MS);
     }
-    // A minute: it is checked ever more seldom.
+    // During one minute the cache server is checked at increasing intervals.
     assert!((1..=10).contains(&forwards), "{forwards}");
 }
 
-/// Half of them listed as removed though they run, half listed as ready: nothing changes for either.
+/// Half of the cache servers are listed as removed although they run, half as ready: both keep their keys.
 #[test]
-fn caches_listed_as_removed_keep_their_keys_beside_those_listed_as_ready() {
+fn a_list_without_half_of_the_cache_servers_moves_no_keys_if_removal_is_advisory() {
     let mut node = Harness::new(advisory_setup(), servers(8));
     let before = node.winners(0..80);
     let half = servers(8).into_iter().filter(|r| r.cache % 2 == 0);
@@ -102,13 +103,13 @@
     assert_eq!(before, node.winners(0..80));
 }
 
-/// An old list names cache servers that were replaced long ago, and not those that replace them now.
+/// An outdated list contains cache servers that were replaced long ago, and not their replacements.
 #[test]
-fn an_old_list_moves_keys_only_to_caches_that_answer() {
+fn with_an_outdated_list_reads_are_answered_by_running_cache_servers() {
     let mut node = Harness::new(advisory_setup(), servers(8));
     let drained = (0..4).map(|cache| record_in(LifecycleState::Draining, cache));
     node.list(ListKind::Changes, drained.collect());
-    // The replaced are listed as they were, the others are left out.
+    // The replaced cache servers are listed as ready, the others are missing.
     let old = (0..4).map(|cache| record(cache, 0));
     let origin = record(8, ORIGIN_KIND);
     node.list(ListKind::Full, old.chain([origin]).collect());
@@ -139,9 +140,9 @@
     node.count_actions(|action| *action == Action::FollowList)
 }
 
-/// Settings at their edges: without a poll interval requests neither stop nor flood.
+/// With a poll interval of zero, requests neither stop nor flood the discovery service.
 #[test]
-fn a_list_that_never_comes_is_requested_again_without_a_flood() {
+fn a_list_that_is_never_received_is_requested_at_a_limited_rate() {
     let setup = setup().polled_list().poll_interval(0);
     let mut node = Harness::new(setup, servers(3));
     for _ in 0..20 {
@@ -152,9 +153,9 @@
     assert!((10..=40).contains(&requests), "{requests}");
 }
 
-/// Requests for the list fail at once, or are never answered: the next one is made within the poll interval.
+/// Requests for the list fail immediately, or are never answered: the next one is made within the poll interval.
 #[test]
-fn a_list_whose_requests_fail_or_time_out_is_requested_in_time() {
+fn failed_or_unanswered_list_requests_are_repeated_within_the_poll_interval() {
     for times_out in [false, true] {
         let setup = setup().polled_list();
         let step = 50 * MS;
@@ -174,7 +175,7 @@
             }
             assert!(
                 since_request < poll_interval,
-                "after {requests} requests, times out: {times_out}"
+                "no request within the poll interval after {requests} requests; requests time out: {times_out}"
             );
         }
         assert!(requests > 6, "{requests}");
--- a/crates/sparrouter-balancer/tests/gossip.rs
+++ b/crates/sparrouter-balancer/tests/gossip.rs
@@ -1,14 +1,15 @@
-//! Formats of gossip messages: fixed bytes of each, and what readers of an older and of a later format make of them.
+//! Formats of gossip messages: the exact bytes of each, and compatibility with readers of an older and a later
+//! format.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sparrouter_balancer::gossip::{CacheRow, GossipMessage, KeyRow};
 
-/// Bytes of format 0, which must be read for as long as `FORMATS` names it.
-const ZERO: &str = "0201070001010000003f0000c8410d0c0b0a000000400000404001000000000080400000803f02000000000000400000003f";
-/// The same as format 1.
-const ONE: &str = "0201070001010000003f0000c8410d0c0b0a000000400000404001000000000080400000803f02000000000000400000003fcdaba9b0";
+/// A message in format 0, which must be readable for as long as `FORMATS` contains it.
+const FORMAT_0: &str = "0201070001010000003f0000c8410d0c0b0a000000400000404001000000000080400000803f02000000000000400000003f";
+/// The same message in format 1.
+const FORMAT_1: &str = "0201070001010000003f0000c8410d0c0b0a000000400000404001000000000080400000803f02000000000000400000003fcdaba9b0";
 
-/// A row of either kind, as a reader of format 0 sees it.
+/// A row of a cache server or a key, as a reader of format 0 decodes it.
 type Row = (u32, f64, f64);
 
 fn bytes(hex: &str) -> Vec<u8> {
@@ -44,35 +45,35 @@
     }
 }
 
-/// The reader of format 0, as it was before messages had versions.
-fn read_zero(text: &[u8]) -> Option<(Vec<u16>, f32, Vec<Row>)> {
+/// Decodes a message like the reader of format 0, from before messages had versions.
+fn decode_format_0(text: &[u8]) -> Option<(Vec<u16>, f32, Vec<Row>)> {
     let (&[tenants, _], rest) = text.split_first_chunk()?;
-    let (arrived, rest) = rest.split_at_checked(2 * usize::from(tenants))?;
-    let (excess, rest) = rest.split_first_chunk::<4>()?;
+    let (arrivals, rest) = rest.split_at_checked(2 * usize::from(tenants))?;
+    let (shed_fraction, rest) = rest.split_first_chunk::<4>()?;
     let (_, rest) = rest.split_first_chunk::<4>()?;
-    let four = |b: &[u8]| [b[0], b[1], b[2], b[3]];
-    let number = |b: &[u8]| f64::from(f32::from_le_bytes(four(b)));
+    let first_four_bytes = |b: &[u8]| [b[0], b[1], b[2], b[3]];
+    let number = |b: &[u8]| f64::from(f32::from_le_bytes(first_four_bytes(b)));
     let row = |b: &[u8]| {
         (
-            u32::from_le_bytes(four(b)),
+            u32::from_le_bytes(first_four_bytes(b)),
             number(&b[4..]),
             number(&b[8..]),
         )
     };
-    let arrived = arrived
+    let arrivals = arrivals
         .chunks_exact(2)
         .map(|b| u16::from_le_bytes([b[0], b[1]]))
         .collect();
     Some((
-        arrived,
-        f32::from_le_bytes(*excess),
+        arrivals,
+        f32::from_le_bytes(*shed_fraction),
         rest.chunks_exact(12).map(row).collect(),
     ))
 }
 
 #[test]
-fn each_format_has_its_bytes() {
-    for (tenants, golden) in [(None, ZERO), (Some(0xabcd), ONE)] {
+fn each_format_encodes_to_its_recorded_bytes() {
+    for (tenants, golden) in [(None, FORMAT_0), (Some(0xabcd), FORMAT_1)] {
         assert_eq!(hex(&sample(tenants).encode()), golden);
         assert_eq!(GossipMessage::decode(&bytes(golden)), Some(sample(tenants)));
     }
@@ -80,8 +81,8 @@
 
 #[test]
 fn a_reader_of_format_0_reads_format_1_and_skips_the_tail() {
-    let (arrived, excess, rows) = read_zero(&bytes(ONE)).unwrap();
-    assert_eq!((arrived, excess), (vec![7, 257], 0.5));
+    let (arrivals, shed_fraction, rows) = decode_format_0(&bytes(FORMAT_1)).unwrap();
+    assert_eq!((arrivals, shed_fraction), (vec![7, 257], 0.5));
     assert_eq!(
         rows,
         [(0x0a0b_0c0d, 2.0, 3.0), (1, 4.0, 1.0), (2, 2.0, 0.5)]
@@ -89,19 +90,19 @@
 }
 
 #[test]
-fn a_later_format_is_read_if_it_begins_as_format_1_and_ignored_if_not() {
-    let mut ahead = bytes(ONE);
-    ahead.truncate(ahead.len() - 2);
-    ahead.extend([1, 2, 3, 4]);
-    let sum = crc32fast::hash(&ahead) as u16;
-    ahead.extend(sum.to_le_bytes());
-    assert_eq!(GossipMessage::decode(&ahead), Some(sample(Some(0xabcd))));
-    assert_eq!(read_zero(&ahead).unwrap().0, [7, 257]);
-    // Nothing in common: a reader of format 0 finds it cut short as well.
-    let mut other = vec![130];
-    other.resize(250, 0);
-    assert_eq!(GossipMessage::decode(&other), None);
-    assert_eq!(read_zero(&other), None);
+fn a_later_format_is_read_if_it_extends_format_1_and_rejected_if_incompatible() {
+    let mut extended = bytes(FORMAT_1);
+    extended.truncate(extended.len() - 2);
+    extended.extend([1, 2, 3, 4]);
+    let sum = crc32fast::hash(&extended) as u16;
+    extended.extend(sum.to_le_bytes());
+    assert_eq!(GossipMessage::decode(&extended), Some(sample(Some(0xabcd))));
+    assert_eq!(decode_format_0(&extended).unwrap().0, [7, 257]);
+    // An incompatible format: a reader of format 0 rejects it as truncated.
+    let mut incompatible = vec![130];
+    incompatible.resize(250, 0);
+    assert_eq!(GossipMessage::decode(&incompatible), None);
+    assert_eq!(decode_format_0(&incompatible), None);
 }
 
 #[test]
@@ -125,17 +126,17 @@
         ..ProptestConfig::default()
     })]
 
-    /// A flipped bit or a cut makes a message of format 1 unreadable, unless what remains has just the length of format
-    /// 0, which has no checksum: by a cut, or by another count of tenants.
+    /// A message of format 1 with a flipped bit or truncated is rejected, unless the remainder has exactly the length
+    /// of format 0, which has no checksum. This can follow from truncation, or from a changed number of tenants.
     #[test]
-    fn a_corrupted_message_is_rejected(bit in 0usize..ONE.len() * 4, cut in 0usize..ONE.len() / 2) {
-        let mut text = bytes(ONE);
+    fn a_corrupted_message_is_rejected(bit in 0usize..FORMAT_1.len() * 4, cut in 0usize..FORMAT_1.len() / 2) {
+        let mut text = bytes(FORMAT_1);
         text[bit / 8] ^= 1 << (bit % 8);
         match GossipMessage::decode(&text) {
             Some(message) if bit < 8 => prop_assert_eq!(message.tenants_fingerprint, None),
             read => prop_assert_eq!(read, None),
         }
-        let short = &bytes(ONE)[..cut];
+        let short = &bytes(FORMAT_1)[..cut];
         if let Some(message) = GossipMessage::decode(short) {
             prop_assert_eq!(message.tenants_fingerprint, None);
         }
--- a/crates/sparrouter-balancer/tests/harness/mod.rs
+++ b/crates/sparrouter-balancer/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! A legal environment for one node: it plays clients, cache servers, the list and the clock, and checks every action as it
-//! comes against a model of the safety rules.
+//! A simulated environment for one node: it plays clients, cache servers, the list and the clock, and checks every
+//! action against a model of the safety rules.
 #![allow(dead_code, reason = "each test file uses a part of the harness")]
 #![allow(unused_imports, reason = "each test file uses a part of the harness")]
 mod model;
@@ -13,7 +13,7 @@
 
 pub const MS: Nanos = 1_000_000;
 
-/// What a client asks for.
+/// A client's request.
 #[derive(Clone, Copy)]
 pub struct Request {
     pub operation: usize,
@@ -23,7 +23,7 @@
 }
 
 impl Request {
-    /// A read by operation 0 with a timeout of a second.
+    /// A read by operation 0 with a time-out of one second.
     pub fn read(key: u64) -> Request {
         Request {
             operation: 0,
@@ -32,7 +32,7 @@
             timeout: SECOND,
         }
     }
-    /// A write by operation 1 with a timeout of a second.
+    /// A write by operation 1 with a time-out of one second.
     pub fn write(key: u64) -> Request {
         Request {
             operation: 1,
@@ -48,39 +48,39 @@
     }
 }
 
-/// What cache server 0 saw of [`Harness::play_reads`].
+/// Results of [`Harness::play_reads`] at cache server 0.
 pub struct CacheZeroRun {
-    /// Time until it first answered with success.
+    /// Time until its first answer with success; `None` if there was none.
     pub first_success: Option<Nanos>,
-    /// First forwards that it got and answered.
+    /// Number of first forwards of reads that it received and answered.
     pub forwards: usize,
 }
 
-/// A node under test and everything around it.
+/// A node under test and its environment.
 pub struct Harness {
     pub setup: Setup,
-    /// Index of the first operation of the settings that apply now.
+    /// Index of the first operation of the current settings.
     pub first_operation: usize,
     pub policy: Policy,
     pub now: Nanos,
     model: Model,
-    /// When each timer fires, and its token.
+    /// Firing time and token of each timer.
     timers: Vec<(Nanos, u64)>,
     /// Forwards that end as withdrawn at the next tick.
     withdrawals: Vec<(InvocationIndex, usize)>,
     health_checks: Vec<CacheIndex>,
     next_invocation: InvocationIndex,
     pub has_requested_list: bool,
-    /// How many keys [`Harness::new_key`] gave.
+    /// Number of keys that [`Harness::new_key`] has returned.
     pub new_keys: u64,
-    /// What every outcome and health check reports.
+    /// Load report in every outcome and health check.
     pub load: Option<Load>,
     /// All actions so far.
     pub log: Vec<Action>,
 }
 
 impl Harness {
-    /// A node that has just started, with this saved list.
+    /// Creates a node that has just started, with this saved list.
     pub fn new(setup: Setup, records: Vec<CacheRecord>) -> Harness {
         let mut harness = Harness {
             policy: setup.policy(),
@@ -101,7 +101,7 @@
         harness
     }
 
-    /// Other settings. Each operation gets a new index, so that invocations at hand keep their rules.
+    /// Applies other settings. Each operation gets a new index, so that invocations in progress keep their rules.
     pub fn apply_settings(
         &mut self,
         operations: Vec<Operation>,
@@ -128,7 +128,7 @@
         self.setup.environment = fresh.environment;
     }
 
-    /// The node gets a list.
+    /// Delivers a list to the node.
     pub fn list(&mut self, kind: ListKind, records: Vec<CacheRecord>) {
         let is_advisory = self.setup.rules.removal_is_advisory;
         self.model.apply_list(kind, &records, is_advisory);
@@ -138,7 +138,7 @@
         });
     }
 
-    /// A client's request arrives. Tenants take turns.
+    /// Delivers a client's request. Tenants are assigned in rotation.
     pub fn arrive(&mut self, request: Request) -> InvocationIndex {
         let index = self.next_invocation;
         self.next_invocation += 1;
@@ -166,24 +166,24 @@
         index
     }
 
-    /// A read by operation 0 arrives.
+    /// Delivers a read by operation 0.
     pub fn read(&mut self, key: u64) -> InvocationIndex {
         self.arrive(Request::read(key))
     }
 
-    /// A write by operation 1 arrives.
+    /// Delivers a write by operation 1.
     pub fn write(&mut self, key: u64) -> InvocationIndex {
         self.arrive(Request::write(key))
     }
 
-    /// A key that no read had before.
+    /// Returns a key that no read has used before.
     pub fn new_key(&mut self) -> u64 {
         self.new_keys += 1;
         key_hash(self.new_keys)
     }
 
-    /// Reads of new keys at 50 a second for a time; `outcome_of` says how a forward to a cache server ends, `None` that it
-    /// is not answered.
+    /// Plays reads of new keys at 50 per second for `time`. `outcome_of` gives the outcome of a forward to a cache
+    /// server; `None` if the forward isn't answered.
     pub fn play_reads(
         &mut self,
         time: Nanos,
@@ -214,12 +214,12 @@
         run
     }
 
-    /// Reads at 50 a second for a time, of which all succeed.
+    /// Plays reads at 50 per second for `time`, all of which succeed.
     pub fn play_good_reads(&mut self, time: Nanos) -> CacheZeroRun {
         self.play_reads(time, &|_| Some(Outcome::Succeeded))
     }
 
-    /// Where a read of this key goes; it succeeds there at once.
+    /// Returns the server that a read of this key is forwarded to; the read succeeds immediately.
     pub fn winner(&mut self, key: u64) -> CacheIndex {
         let index = self.read(key);
         let target = self.targets(index)[0];
@@ -227,12 +227,12 @@
         target
     }
 
-    /// Where reads of these keys go; each succeeds there at once.
+    /// Returns the servers that reads of these keys are forwarded to; each read succeeds immediately.
     pub fn winners(&mut self, keys: std::ops::Range<u64>) -> Vec<CacheIndex> {
         keys.map(|key| self.winner(key)).collect()
     }
 
-    /// The forwards that are in flight, oldest invocation first.
+    /// Returns the forwards in flight, oldest invocation first.
     pub fn in_flight(&self) -> Vec<(InvocationIndex, usize)> {
         let mut in_flight = vec![];
         for (&index, invocation) in &self.model.invocations {
@@ -245,7 +245,7 @@
         in_flight
     }
 
-    /// Where the forwards of an invocation went.
+    /// Returns the servers that the forwards of an invocation were sent to.
     pub fn targets(&self, index: InvocationIndex) -> Vec<CacheIndex> {
         let forwards = self.model.invocations[&index].forwards.iter();
         forwards.map(|f| f.cache).collect()
@@ -255,9 +255,13 @@
         self.model.invocations[&index].is_answered
     }
 
-    /// A forward ends, if it is in flight.
+    /// Ends a forward if it is in flight.
     pub fn end(&mut self, index: InvocationIndex, copy: usize, outcome: Outcome) {
-        let invocation = self.model.invocations.get_mut(&index).expect("known");
+        let invocation = self
+            .model
+            .invocations
+            .get_mut(&index)
+            .expect("known invocation");
         let forward = &mut invocation.forwards[copy];
         if !forward.is_in_flight {
             return;
@@ -280,16 +284,20 @@
         }));
     }
 
-    /// All forwards that are in flight succeed.
+    /// Ends all forwards in flight with success.
     pub fn end_all(&mut self) {
         for (index, copy) in self.in_flight() {
             self.end(index, copy, Outcome::Succeeded);
         }
     }
 
-    /// The first bytes of an answer are relayed, if the operation streams and nothing else answered.
+    /// Relays the first bytes of an answer, if the operation streams and the invocation is unanswered.
     pub fn start_response(&mut self, index: InvocationIndex, copy: usize) {
-        let invocation = self.model.invocations.get_mut(&index).expect("known");
+        let invocation = self
+            .model
+            .invocations
+            .get_mut(&index)
+            .expect("known invocation");
         if !invocation.is_open() || !self.setup.operations[invocation.operation].stream {
             return;
         }
@@ -298,16 +306,20 @@
         self.handle(Event::ResponseStarted { inv: index, copy });
     }
 
-    /// The client closes its connection, if it has no answer.
+    /// Closes the client's connection, if the invocation is unanswered.
     pub fn close_client(&mut self, index: InvocationIndex) {
-        let invocation = self.model.invocations.get_mut(&index).expect("known");
+        let invocation = self
+            .model
+            .invocations
+            .get_mut(&index)
+            .expect("known invocation");
         if invocation.is_open() {
             invocation.is_answered = true;
             self.handle(Event::ClientLeft { inv: index });
         }
     }
 
-    /// Time passes tick by tick: withdrawals, health checks, time-outs and timers come when they are due.
+    /// Advances the time tick by tick, with all withdrawals, health checks, time-outs and timers that are due.
     pub fn advance(&mut self, time: Nanos) {
         let end = self.now + time;
         while self.now < end {
@@ -344,7 +356,7 @@
         }
     }
 
-    /// The node handles an event; its actions are checked.
+    /// Lets the node handle an event, and checks its actions.
     pub fn handle(&mut self, event: Event) {
         self.policy.handle(self.now, event);
         let actions: Vec<Action> = self.policy.take_actions().collect();
@@ -354,17 +366,17 @@
         }
     }
 
-    /// A peer's message arrives.
+    /// Delivers a peer's message.
     pub fn receive_gossip(&mut self, peer: usize, text: Vec<u8>) {
         self.handle(Event::GossipReceived { peer, text });
     }
 
-    /// How many of the actions so far are meant.
+    /// Returns the number of actions so far that match the predicate.
     pub fn count_actions(&self, predicate: impl Fn(&Action) -> bool) -> usize {
         self.log.iter().filter(|action| predicate(action)).count()
     }
 
-    /// Fetches of distinct keys until the origin has no capacity for one more; gives those that are in flight.
+    /// Fetches distinct keys until the origin has no capacity for another fetch; returns the invocations in flight.
     pub fn saturate_origin(&mut self, origin: CacheIndex) -> Vec<InvocationIndex> {
         let mut fetching = vec![];
         for key in 1000.. {
@@ -378,7 +390,7 @@
         fetching
     }
 
-    /// Nothing new arrives; what is open must be answered.
+    /// Ends the test without new arrivals: every open invocation must be answered.
     pub fn finish(&mut self) {
         let deadlines = self.model.invocations.values().map(|i| i.deadline);
         let last = deadlines.max().unwrap_or(self.now);
--- a/crates/sparrouter-balancer/tests/harness/model.rs
+++ b/crates/sparrouter-balancer/tests/harness/model.rs
@@ -1,19 +1,19 @@
-//! A model of the safety rules, written apart from the decisions: it knows only what went in and what came out.
+//! A model of the safety rules, independent of the policy's implementation: it knows only the events and the actions.
 use super::Harness;
 use sparrouter_balancer::types::*;
 use std::collections::BTreeMap;
 
-/// A forward as the model knows it.
+/// The model's view of a forward.
 pub struct ModelForward {
     pub cache: CacheIndex,
     pub sent_at: Nanos,
-    /// The client waits for its answer until then.
+    /// Time at which the forward times out.
     pub timeout_at: Nanos,
     pub is_in_flight: bool,
     pub may_have_run: bool,
 }
 
-/// An invocation as the model knows it.
+/// The model's view of an invocation.
 pub struct ModelInvocation {
     pub operation: usize,
     pub limits: ForwardLimits,
@@ -35,18 +35,19 @@
     cache: CacheIndex,
 }
 
-/// What the model has seen.
+/// State of the model.
 #[derive(Default)]
 pub struct Model {
     pub records: BTreeMap<CacheIndex, CacheRecord>,
     pub invocations: BTreeMap<InvocationIndex, ModelInvocation>,
     warm_up_forwards: Vec<WarmUpForward>,
     forwards_sent_at: Vec<Nanos>,
-    /// The most that a unit of warm weight got in a second so far.
+    /// Highest number of forwards per unit of warm weight in one second so far.
     peak_per_weight: f64,
 }
 
-/// What binds: where removal is advisory, only what was listed as draining, until it is listed as ready.
+/// Returns the state that the node must respect after a list: if removal is advisory, only draining is binding, until
+/// the server is listed as ready.
 fn binding_state(
     old: Option<LifecycleState>,
     new: LifecycleState,
@@ -83,18 +84,18 @@
         known.expect("rule 1: unknown invocation")
     }
 
-    /// Rule 1: no invocation is without its answer past its deadline.
+    /// Checks rule 1: no invocation is unanswered after its deadline.
     pub fn check_answers_in_time(&self) {
         let slack = self.setup.rules.answer_slack;
         for (index, invocation) in &self.model.invocations {
             assert!(
                 !invocation.is_open() || self.now <= invocation.deadline + slack,
-                "rule 1: {index} has no answer in time"
+                "rule 1: {index} was not answered in time"
             );
         }
     }
 
-    /// Checks an action against the rules, and keeps what follows from it.
+    /// Checks an action against the rules, and updates the model.
     pub fn check(&mut self, action: &Action) {
         let now = self.now;
         match *action {
@@ -121,7 +122,7 @@
             Action::Withdraw { inv, copy } => {
                 assert!(
                     self.model.invocations[&inv].limits.withdraw,
-                    "withdrawals are not allowed here"
+                    "withdrawals are not allowed in this setup"
                 );
                 self.withdrawals.push((inv, copy));
             }
@@ -129,7 +130,7 @@
             Action::CheckHealth { cache } => {
                 assert!(
                     self.setup.environment.allows_health_checks,
-                    "health checks are not allowed here"
+                    "health checks are not allowed in this setup"
                 );
                 self.health_checks.push(cache);
             }
@@ -165,7 +166,7 @@
         };
         assert!(
             is_harmless,
-            "rule 2: {index} throttled though it may have run"
+            "rule 2: {index} was throttled although it may have run"
         );
     }
 
@@ -183,13 +184,13 @@
         );
         assert!(
             invocation.forwards.len() < invocation.limits.max_forwards,
-            "more forwards than allowed"
+            "more forwards than `max_forwards`"
         );
         let target = &self.model.records[&cache];
         assert_eq!(
             target.state,
             LifecycleState::Ready,
-            "rule 3: sent to a drained cache server"
+            "rule 3: forward to a cache server that is draining or removed"
         );
         let overlaps = invocation.forwards.iter().any(|f| f.is_in_flight);
         assert!(
@@ -226,14 +227,20 @@
                         Group::Zone => first.zone == target.zone,
                         Group::Cell => first.cell == target.cell,
                     };
-                    assert!(is_same_group, "rule 2: {index} left its group");
+                    assert!(
+                        is_same_group,
+                        "rule 2: {index} was repeated outside its deduplication group"
+                    );
                     let window_end = forward.sent_at + window;
                     assert!(
                         self.now < window_end,
-                        "rule 2: {index} sent past its window"
+                        "rule 2: {index} was sent after its deduplication window"
+                    );
+                    let is_sent_in_time = send_deadline.is_some_and(|m| m <= window_end);
+                    assert!(
+                        is_sent_in_time,
+                        "rule 2: {index} may be sent after its deduplication window"
                     );
-                    let leaves_in_time = send_deadline.is_some_and(|m| m <= window_end);
-                    assert!(leaves_in_time, "rule 2: {index} may leave past its window");
                 }
             }
         }
@@ -248,8 +255,8 @@
         (rules.start_capacity + (1.0 - rules.start_capacity) * age).min(1.0)
     }
 
-    /// Rule 4: in no window does a cache server that warms up get more than the stated multiple of what the busiest second
-    /// so far gave to a warm one of its size, reduced to the stated climb.
+    /// Checks rule 4: in no window is a cache server that is warming up sent more than the configured multiple of its
+    /// capacity. The capacity is the highest rate so far per unit of warm weight, reduced by the configured ramp.
     fn check_warm_up_budget(&mut self, cache: CacheIndex) {
         let now = self.now;
         let records = self.model.records.values();
@@ -261,8 +268,10 @@
         let model = &mut self.model;
         model.forwards_sent_at.push(now);
         let forwards = model.forwards_sent_at.iter();
-        let lately = forwards.filter(|&&sent| sent + SECOND >= now).count() as f64;
-        model.peak_per_weight = model.peak_per_weight.max(lately / weight.max(1e-9));
+        let recent_forwards = forwards.filter(|&&sent| sent + SECOND >= now).count() as f64;
+        model.peak_per_weight = model
+            .peak_per_weight
+            .max(recent_forwards / weight.max(1e-9));
         if fraction >= 1.0 {
             return;
         }
@@ -280,7 +289,7 @@
             rules.fall_multiple * fraction * target_weight * model.peak_per_weight * seconds;
         assert!(
             sent <= budget.max(1.0),
-            "rule 4: {sent} sent to {cache}, which warms up; budget {budget}"
+            "rule 4: {sent} forwards to cache server {cache} while it warms up; the budget is {budget}"
         );
     }
 }
--- a/crates/sparrouter-balancer/tests/harness/setup.rs
+++ b/crates/sparrouter-balancer/tests/harness/setup.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// The only node, with health checks and an origin, without gossip; operation 0 reads, operation 1 writes.
+/// A single node with health checks and an origin, without gossip; operation 0 reads, operation 1 writes.
 pub fn setup() -> Setup {
     Setup {
         environment: Environment {
@@ -113,7 +113,7 @@
         self.limits.max_forwards = max_forwards;
         self
     }
-    /// Tenants with these quotas, invocations a second.
+    /// Adds tenants with these quotas, in invocations per second.
     pub fn quotas(mut self, quotas: &[f64]) -> Setup {
         let tenant = |&quota_per_s: &f64| Tenant {
             share: 0.5,
@@ -122,7 +122,7 @@
         self.tenants = quotas.iter().map(tenant).collect();
         self
     }
-    /// The node's decisions.
+    /// Creates the node's policy.
     pub fn policy(&self) -> Policy {
         Policy::new(
             self.environment.clone(),
@@ -135,7 +135,7 @@
     }
 }
 
-/// An entry of the list. Zones, cells and weights follow from the index.
+/// An entry of the list. Zone, cell and weight follow from the index.
 pub fn record(cache: CacheIndex, kind: usize) -> CacheRecord {
     CacheRecord {
         cache,
@@ -157,7 +157,7 @@
     }
 }
 
-/// The entry of a cache server whose process started at this moment.
+/// The entry of a cache server whose process started at `ready_at`.
 pub fn started_record(cache: CacheIndex, ready_at: Nanos) -> CacheRecord {
     CacheRecord {
         ready_at,
@@ -171,7 +171,8 @@
     caches.chain([record(count, ORIGIN_KIND)]).collect()
 }
 
-/// A key as an adapter hashes it: small numbers would all have the same upper half, as one hot key.
+/// Hashes a number like an adapter hashes keys: small numbers would all have the same upper half and count as one hot
+/// key.
 pub fn key_hash(number: u64) -> u64 {
     number.wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
--- a/crates/sparrouter-balancer/tests/origin.rs
+++ b/crates/sparrouter-balancer/tests/origin.rs
@@ -1,10 +1,10 @@
-//! The origin: fetches after misses, writes, and its protection.
+//! Protection of the origin: fetches after misses, writes, the queue and the adaptive limit.
 mod harness;
 use harness::*;
 use sparrouter_balancer::types::*;
 
 #[test]
-fn a_miss_goes_to_the_origin_and_one_fetch_serves_all_who_wait() {
+fn a_miss_is_fetched_from_the_origin_once_for_all_waiting_reads() {
     let mut node = Harness::new(setup(), servers(4));
     let leader = node.read(1);
     let winner = node.targets(leader)[0];
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn writes_go_to_the_origin_and_one_that_may_have_run_ends_in_an_error() {
+fn writes_are_sent_to_the_origin_and_fail_if_they_may_have_run() {
     let mut node = Harness::new(setup(), servers(4));
     let index = node.write(1);
     assert_eq!(node.targets(index), vec![4]);
@@ -25,7 +25,7 @@
     assert!(matches!(node.log.last(), Some(Action::Error { .. })));
 }
 
-/// A single broken connection does not cost the client its read.
+/// A single broken connection doesn't fail the client's read.
 #[test]
 fn a_fetch_whose_connection_broke_is_retried_once() {
     let mut node = Harness::new(setup(), servers(4));
@@ -37,9 +37,9 @@
     assert!(matches!(node.log.last(), Some(Action::Throttle { .. })));
 }
 
-/// Asked again at once after it rejected work, the origin would only fill its queue.
+/// An immediate retry after a rejection would only lengthen the origin's queue.
 #[test]
-fn the_origin_gets_a_pause_after_it_rejected_work() {
+fn fetches_are_paused_after_the_origin_rejected_one() {
     let mut node = Harness::new(setup(), servers(4));
     let index = node.read(1);
     node.end(index, 0, Outcome::Miss);
@@ -49,9 +49,10 @@
     assert_eq!(node.targets(index).len(), 3);
 }
 
-/// Guards against misses beyond a quota that wait for the origin before those within.
+/// Guards against a priority inversion: misses above a tenant's quota must not reach the origin before misses within
+/// quota.
 #[test]
-fn the_origin_takes_misses_within_quota_first() {
+fn misses_within_quota_are_fetched_before_misses_above_quota() {
     let mut node = Harness::new(setup().quotas(&[1000.0, 0.001]), servers(3));
     let fetching = node.saturate_origin(3);
     let first = node.read(1);
@@ -70,9 +71,9 @@
     assert_eq!((last_target_within, has_fetched_beyond), (Some(3), false));
 }
 
-/// A list without an origin took the first of the queue away, which then waited in vain until its client's timeout.
+/// Guards against a queue entry that is lost while no origin is listed, so that its client times out.
 #[test]
-fn what_waits_for_the_origin_goes_there_once_it_is_listed_again() {
+fn queued_fetches_are_sent_once_the_origin_is_listed_as_ready_again() {
     let mut node = Harness::new(setup(), servers(3));
     let fetching = node.saturate_origin(3);
     let waiting = node.read(1);
@@ -91,9 +92,9 @@
     assert_eq!(node.targets(waiting).last(), Some(&3));
 }
 
-/// Writes that fail at the origin, all with the same keys, are no sign that it is crowded.
+/// Writes that fail at the origin, always with the same keys, are no sign of congestion.
 #[test]
-fn writes_that_fail_by_themselves_leave_the_origin_its_limit() {
+fn failing_writes_do_not_reduce_the_limit_of_the_origin() {
     let mut node = Harness::new(setup(), servers(4));
     for n in 0..200u64 {
         let failing = node.write(n % 3);
@@ -107,26 +108,26 @@
     }
 }
 
-/// One fetch at the origin of [`origin_under`].
+/// A fetch at the simulated origin of [`origin_under`].
 struct Fetch {
     index: InvocationIndex,
     sent_at: Nanos,
     ends_at: Nanos,
 }
 
-/// What the last third of the fetches of [`origin_under`] saw.
+/// Results of the last third of the fetches of [`origin_under`].
 struct OriginRun {
     mean_latency: Nanos,
     fetches: usize,
 }
 
-/// Plays misses at a steady interval before an origin that works on one after the other, `service_time` for each, and
-/// answers each `extra_latency` later.
+/// Plays misses at a constant interval against an origin that processes fetches one after another, `service_time`
+/// each, and sends each answer `extra_latency` later.
 fn origin_under(interval: Nanos, service_time: Nanos, extra_latency: Nanos) -> OriginRun {
     let mut node = Harness::new(setup().max_forwards(2), servers(6));
     let mut in_flight: Vec<Fetch> = vec![];
     let mut idle_at = node.now;
-    let mut late_latencies: Vec<Nanos> = vec![];
+    let mut last_latencies: Vec<Nanos> = vec![];
     for n in 0..2400u64 {
         let index = node.arrive(Request::read(n).timeout(1200 * MS));
         if node.targets(index).len() == 1 {
@@ -139,7 +140,7 @@
         for position in ended {
             let fetch = in_flight.remove(position);
             if n > 1600 {
-                late_latencies.push(now - fetch.sent_at);
+                last_latencies.push(now - fetch.sent_at);
             }
             node.end(fetch.index, 1, Outcome::Succeeded);
         }
@@ -155,28 +156,29 @@
             assert_eq!(copy, 1);
         }
     }
-    let fetches = late_latencies.len();
+    let fetches = last_latencies.len();
     OriginRun {
-        mean_latency: late_latencies.iter().sum::<Nanos>() / fetches.max(1) as Nanos,
+        mean_latency: last_latencies.iter().sum::<Nanos>() / fetches.max(1) as Nanos,
         fetches,
     }
 }
 
-/// If an origin is crowded from the first second on, its crowded latency must not pass for what it needs.
+/// If an origin is congested from the first second on, its latency must not be taken for its latency without
+/// congestion.
 #[test]
-fn an_origin_crowded_from_the_start_is_distinguished_from_a_slow_one() {
-    let crowded = origin_under(20 * MS, 30 * MS, 0);
+fn an_origin_congested_from_the_start_is_distinguished_from_a_slow_one() {
+    let congested = origin_under(20 * MS, 30 * MS, 0);
     assert!(
-        crowded.mean_latency < 200 * MS && crowded.fetches > 400,
-        "crowded: {} ms, {}",
-        crowded.mean_latency / MS,
-        crowded.fetches
+        congested.mean_latency < 200 * MS && congested.fetches > 400,
+        "congested: mean latency {} ms, {} fetches",
+        congested.mean_latency / MS,
+        congested.fetches
     );
-    // One that takes longer than is tolerated however few ask is used all the same.
+    // An origin whose latency exceeds the tolerated one even without congestion is still used.
     let slow = origin_under(20 * MS, MS, 180 * MS);
     assert!(
         slow.mean_latency < 250 * MS && slow.fetches > 400,
-        "slow by itself: {} ms, {}",
+        "slow without congestion: mean latency {} ms, {} fetches",
         slow.mean_latency / MS,
         slow.fetches
     );
--- a/crates/sparrouter-balancer/tests/overdue.rs
+++ b/crates/sparrouter-balancer/tests/overdue.rs
@@ -1,12 +1,12 @@
-//! Forwards that are out for longer than usual, and connections that break.
+//! Overdue forwards, and connections that break.
 mod harness;
 use harness::*;
 use sparrouter_balancer::types::*;
 
-/// Guards against connections that break between answers: taken for crashes, they would have every cache server warm up
-/// again.
+/// Guards against idle connections that break: if they were taken for crashes, every cache server would start its
+/// warm-up again.
 #[test]
-fn a_cache_keeps_its_keys_if_single_connections_break() {
+fn a_cache_server_keeps_its_keys_if_single_connections_break() {
     for outcome in [Outcome::Reset, Outcome::Broken] {
         let mut node = Harness::new(setup(), servers(4));
         let winner = node.winner(1);
@@ -26,7 +26,7 @@
     }
 }
 
-/// Reads whose answers take 10 ms, and misses whose fetches take 20.
+/// Plays reads that are answered after 10 ms, every second one with a miss whose fetch takes 20 ms.
 fn play_answered_reads(node: &mut Harness, next_key: &mut u64, reads: usize) {
     for _ in 0..reads {
         *next_key += 1;
@@ -43,10 +43,10 @@
     }
 }
 
-/// Single connections time out while others are answered: the read goes on, and at the origin neither its limit nor those
-/// who wait for the same key suffer.
+/// A single connection times out while others are answered: the read is retried elsewhere, and a fetch neither
+/// reduces the origin's limit nor delays the invocations that wait for the same key.
 #[test]
-fn a_far_overdue_forward_is_replaced_though_its_server_answers_others() {
+fn a_far_overdue_forward_is_replaced_although_its_server_answers_others() {
     let mut node = Harness::new(setup(), servers(4));
     let mut next_key = 100;
     play_answered_reads(&mut node, &mut next_key, 60);
@@ -62,9 +62,9 @@
     assert_eq!(node.targets(follower).len(), 1);
 }
 
-/// The next in order would miss, and the origin would pay for it.
+/// The next cache server in the order would miss, which costs a fetch from the origin.
 #[test]
-fn a_read_whose_connection_broke_is_retried_at_the_same_cache_once() {
+fn a_read_whose_connection_broke_is_retried_at_the_same_cache_server_once() {
     let mut node = Harness::new(setup(), servers(4));
     let broken = node.read(1);
     let answered = node.read(1);
@@ -77,7 +77,7 @@
     assert_ne!(node.targets(broken)[2], winner);
 }
 
-/// Where answers take a tenth of a millisecond, a pause of the node itself must not look like servers that are overdue.
+/// If answers take a tenth of a millisecond, a pause of the node itself must not make servers look overdue.
 #[test]
 fn a_forward_is_not_overdue_before_a_tick_has_passed() {
     let mut node = Harness::new(setup(), servers(3));
@@ -93,7 +93,7 @@
         node.count_actions(withdrawn) > 0
     };
     assert!(!is_withdrawn(&node) && node.targets(index).len() == 1);
-    // One that is far overdue by that measure is still replaced, as others are answered.
+    // A forward that is far overdue after a tick is still replaced, because others are answered.
     let other = node.read(7);
     node.advance(MS / 10);
     if node.in_flight().iter().any(|forward| forward.0 == other) {
--- a/crates/sparrouter-balancer/tests/peers.rs
+++ b/crates/sparrouter-balancer/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Gossip with peers: how many messages there are, and what follows from those that come.
+//! Gossip with peers: the number of messages, and the effect of received messages.
 mod harness;
 use harness::*;
 use sparrouter_balancer::gossip::GossipMessage;
@@ -20,7 +20,7 @@
     node.log.iter().filter_map(message).collect()
 }
 
-/// A message of a peer that sheds this fraction of its load.
+/// Encodes a message of a peer that sheds this fraction of its load.
 fn shed_report(shed_fraction: f64) -> Vec<u8> {
     GossipMessage {
         arrivals_by_tenant: vec![4],
@@ -32,25 +32,26 @@
 
 /// Messages to every peer would grow with the square of the number of nodes.
 #[test]
-fn messages_go_to_a_few_peers_whatever_their_number() {
+fn each_message_is_sent_to_a_fixed_number_of_peers() {
     let mut node = Harness::new(gossiping_setup(700, 3), servers(4));
     node.advance(10 * SECOND);
     let sent = sent_messages(&node).len();
     assert!((10..=20).contains(&sent), "{sent}");
 }
 
-/// Deep queues stay full if no single node feeds them enough to see it: what one node finds out moves keys at another.
+/// A long queue stays full if no single node sends enough forwards to notice it: the outcomes that one node reports
+/// reduce the number of keys that another node sends to the server.
 #[test]
-fn a_node_sends_fewer_keys_to_a_cache_that_a_peer_reports_as_crowded() {
+fn a_node_sends_fewer_keys_to_a_cache_server_that_a_peer_reports_as_full() {
     let keys_at_winner = |has_report: bool| {
         let mut reporter = Harness::new(gossiping_setup(2, 0), servers(6));
         let mut node = Harness::new(gossiping_setup(2, 1), servers(6));
-        let crowded = node.winner(key_hash(1));
+        let overloaded = node.winner(key_hash(1));
         reporter.receive_gossip(1, vec![0; 10]);
         for n in 0..120 {
             let index = reporter.read(key_hash(n));
             reporter.advance(50 * MS);
-            let is_full = reporter.targets(index).first() == Some(&crowded);
+            let is_full = reporter.targets(index).first() == Some(&overloaded);
             let outcome = if is_full {
                 Outcome::Full
             } else {
@@ -67,29 +68,30 @@
             }
         }
         let keys = 1000..1400;
-        keys.filter(|&key| node.winner(key_hash(key)) == crowded)
+        keys.filter(|&key| node.winner(key_hash(key)) == overloaded)
             .count()
     };
     let (with_report, without) = (keys_at_winner(true), keys_at_winner(false));
     assert!(with_report * 10 < without * 9, "{with_report} {without}");
 }
 
-/// What came of reads while some peers report an overload falsely.
+/// Results of reads while some peers send false overload reports.
 struct FalseReportRun {
     throttled: usize,
     shed_fraction: f64,
 }
 
-/// 400 reads at 20 a second at one of 16 nodes. The first `liars` peers report twenty times a second that nine in ten have
-/// to be shed, the others once a second that nothing is. `is_answered`: reads succeed; otherwise their clients leave.
-fn run_with_false_reports(liars: usize, is_answered: bool) -> FalseReportRun {
+/// Plays 400 reads at 20 per second at one of 16 nodes. The first `false_reporters` peers report twenty times per second that
+/// they shed nine tenths of their load, the others report once per second that they shed nothing. If `is_answered`,
+/// reads succeed; otherwise their clients disconnect.
+fn run_with_false_reports(false_reporters: usize, is_answered: bool) -> FalseReportRun {
     let mut node = Harness::new(gossiping_setup(16, 0), servers(6));
     let mut throttled = 0;
     for n in 0..400 {
         for peer in 1..16 {
-            let is_liar = peer <= liars;
-            if is_liar || n % 20 == peer {
-                node.receive_gossip(peer, shed_report(if is_liar { 0.9 } else { 0.0 }));
+            let reports_falsely = peer <= false_reporters;
+            if reports_falsely || n % 20 == peer {
+                node.receive_gossip(peer, shed_report(if reports_falsely { 0.9 } else { 0.0 }));
             }
         }
         let index = node.read(n as u64);
@@ -109,18 +111,18 @@
     }
 }
 
-/// Few peers are not credible against the others. If most report an overload, a node follows while it knows nothing of its
-/// own.
+/// A few peers can't outweigh the others. If most peers report an overload, a node follows them as long as it has no
+/// evidence of its own.
 #[test]
-fn few_false_reports_do_not_make_a_node_shed_load() {
+fn a_minority_of_false_reports_does_not_make_a_node_shed_load() {
     let one = run_with_false_reports(1, true).throttled;
     let three = run_with_false_reports(3, true).throttled;
     let twelve = run_with_false_reports(12, true);
     assert!(one < 8 && three < 8, "{one} {three}");
-    // One that has no answers of its own follows.
+    // A node without any answers follows the reports.
     let without_answers = run_with_false_reports(12, false).throttled;
     assert!(without_answers > 100, "{without_answers}");
-    // It follows most peers; its own good answers bound what comes of it, but at first it has none.
+    // The node follows the majority of peers. Its own answers in time limit the shedding, but at first it has none.
     assert!(
         twelve.shed_fraction > 0.5 && (8..100).contains(&twelve.throttled),
         "{} {}",
@@ -129,9 +131,9 @@
     );
 }
 
-/// New settings apply, and a false report is the first to come: what others reported before still stands against it.
+/// A false report is the first one after a change of settings: the earlier reports of other peers still outweigh it.
 #[test]
-fn a_false_report_right_after_a_change_of_settings_is_not_believed() {
+fn a_false_report_right_after_a_change_of_settings_is_outweighed_by_earlier_reports() {
     let mut node = Harness::new(gossiping_setup(16, 0), servers(6));
     for peer in 1..8 {
         node.receive_gossip(peer, shed_report(0.0));
--- a/crates/sparrouter-balancer/tests/properties.rs
+++ b/crates/sparrouter-balancer/tests/properties.rs
@@ -45,7 +45,7 @@
     prop_oneof![1usize..6, 400usize..1000]
 }
 
-/// What a setup may or may not have.
+/// Optional features of a setup.
 #[derive(Debug)]
 struct Flags {
     allows_hedging: bool,
@@ -112,12 +112,12 @@
     Outcome::Succeeded,
 ];
 
-/// The entry of one of eight servers; the last is the origin.
+/// The list entry of one of eight servers; the last is the origin.
 fn server(index: CacheIndex) -> CacheRecord {
     record(index, if index == ORIGIN { ORIGIN_KIND } else { 0 })
 }
 
-/// One legal step, drawn from a number.
+/// Executes one legal step, derived from a random number.
 fn step(node: &mut Harness, draw: u32) {
     let choice = (draw / 16) as usize;
     match draw % 16 {
@@ -182,7 +182,7 @@
     node.list(ListKind::Changes, vec![changed]);
 }
 
-/// Settings change while invocations are open.
+/// Changes the settings while invocations are open.
 fn change_settings(node: &mut Harness, draw: u32) {
     let mut operations = node.setup.operations[node.first_operation..].to_vec();
     let last = operations.len() - 1;
--- a/crates/sparrouter-balancer/tests/retries.rs
+++ b/crates/sparrouter-balancer/tests/retries.rs
@@ -1,11 +1,12 @@
-//! Retries: whether a failure is that of the cache server, of the invocation wherever it goes, or of everything.
+//! Retries: distinguishes failures of a cache server, of a single invocation, and of the whole deployment.
 mod harness;
 use harness::*;
 use sparrouter_balancer::types::*;
 
-/// Reads that fail wherever they go, among good ones, reduce no limit of the origin and go to two cache servers at most.
+/// Reads that fail at every server, mixed with good ones, don't reduce the origin's limit and are sent to at most two
+/// cache servers.
 #[test]
-fn reads_that_fail_everywhere_harm_no_other() {
+fn reads_that_fail_at_every_server_do_not_affect_other_reads() {
     let mut node = Harness::new(setup().max_forwards(6), servers(6));
     let mut rejected = 0;
     for n in 0..600u64 {
@@ -31,12 +32,13 @@
         }
     }
     assert_eq!(rejected, 0);
-    // No cache server's weight has changed: keys are where a node that saw none of it has them.
+    // No cache server's weight has changed: the placement of keys equals that of a fresh node.
     let mut fresh = Harness::new(setup(), servers(6));
     assert!((700..800).all(|key| node.winner(key) == fresh.winner(key)));
 }
 
-/// Number of forwards of a read that fails at the cache servers for which `fails` says so, and succeeds at others.
+/// Returns the number of forwards of a read that fails at the cache servers for which `fails` is true, and succeeds
+/// at others.
 fn count_forwards(node: &mut Harness, key: u64, fails: impl Fn(CacheIndex) -> bool) -> usize {
     let index = node.read(key);
     for copy in 0..3 {
@@ -50,32 +52,39 @@
         };
         node.end(index, copy, outcome);
     }
-    assert!(node.is_answered(index), "what is shed is answered at once");
+    assert!(
+        node.is_answered(index),
+        "a shed read must be answered immediately"
+    );
     node.targets(index).len()
 }
 
-/// Guards against a key that fails everywhere and fills the cache servers it belongs to. While the evidence lasts few of its
-/// reads are admitted, and it is served again soon after it has stopped to fail.
+/// Guards against a key that fails at every server and overloads the cache servers responsible for it. While the
+/// evidence lasts, few of its reads are admitted; it is served again soon after the failures stop.
 #[test]
-fn a_key_that_fails_everywhere_is_admitted_seldom_and_served_again_soon() {
+fn a_key_that_fails_at_every_server_is_mostly_shed_and_recovers_within_seconds() {
     let mut node = Harness::new(setup(), servers(6));
     let mut forwards = 0;
     for n in 0..200 {
         forwards += count_forwards(&mut node, key_hash(1), |_| true);
-        let of_other = count_forwards(&mut node, key_hash(100 + n), |_| false);
-        assert_eq!(of_other, 1, "others are served as before");
+        let other_forwards = count_forwards(&mut node, key_hash(100 + n), |_| false);
+        assert_eq!(other_forwards, 1, "reads of other keys must be served");
         node.advance(25 * MS);
     }
-    assert!(forwards < 60, "{forwards} forwards of 200 that fail");
+    assert!(forwards < 60, "{forwards} forwards of 200 failing reads");
     node.advance(2 * SECOND);
     let is_served = |_: &i32| count_forwards(&mut node, key_hash(1), |_| false) == 1;
     let served = (0..40).filter(is_served).count();
-    assert!(served > 20, "{served} of 40 after two seconds");
+    assert!(
+        served > 20,
+        "{served} of 40 reads served two seconds after the last failure"
+    );
 }
 
-/// If all fail, each retry is for nothing. If one cache server fails, the next one answers, and retries go on.
+/// If all reads fail, retries are useless and stop. If one cache server fails, the next one answers, and retries
+/// continue.
 #[test]
-fn failures_are_retried_as_far_as_that_helps() {
+fn the_fraction_of_retried_failures_follows_the_success_rate_of_retries() {
     let run = |node: &mut Harness, from: u64, fails: &dyn Fn(CacheIndex) -> bool| {
         let keys = (from..from + 150).map(key_hash);
         keys.map(|key| count_forwards(node, key, fails))
@@ -86,7 +95,7 @@
     let forwards = run(&mut node, 1000, &|_| true);
     assert!(
         forwards < 150 * 5 / 4,
-        "{forwards} forwards of 150 that all fail"
+        "{forwards} forwards of 150 failing reads"
     );
     run(&mut node, 2000, &|cache| cache < 3);
     run(&mut node, 3000, &|cache| cache < 3);
@@ -95,17 +104,18 @@
     let before = run(&mut fresh, 4000, &|cache| cache == 0);
     assert!(
         after > 150 && before - after < 8,
-        "{after}, {before} at first"
+        "{after} forwards, {before} at a fresh node"
     );
 }
 
-/// A read that brings down what it reaches: its connection breaks, and nobody listens there any more. It does not go to the
-/// next, which would go down too; another that was there by chance is throttled and may come again.
+/// A read crashes the cache server that executes it: its connection breaks, and the server then refuses connections.
+/// The read must not be sent to the next server, which it would crash too. Other reads that were at the server by
+/// coincidence are throttled and may be retried by their clients.
 #[test]
-fn a_read_that_brings_down_its_cache_is_not_sent_to_the_next() {
+fn a_read_that_crashes_its_cache_server_is_not_sent_to_the_next() {
     let mut node = Harness::new(setup().without_health_checks(), servers(6));
     node.play_good_reads(2 * SECOND);
-    let mut down = std::collections::BTreeSet::new();
+    let mut crashed = std::collections::BTreeSet::new();
     for n in 0..4 {
         let index = node.read(key_hash(7_000_000 + n));
         for copy in 0..3 {
@@ -113,8 +123,8 @@
                 break;
             };
             node.advance(10 * MS);
-            let goes_down_now = down.insert(target);
-            let outcome = if goes_down_now {
+            let crashes_now = crashed.insert(target);
+            let outcome = if crashes_now {
                 Outcome::Reset
             } else {
                 Outcome::Unavailable
@@ -123,15 +133,15 @@
         }
         assert!(node.is_answered(index));
         node.play_reads(SECOND, &|cache| {
-            Some(if down.contains(&cache) {
+            Some(if crashed.contains(&cache) {
                 Outcome::Unavailable
             } else {
                 Outcome::Succeeded
             })
         });
     }
-    assert!(down.len() <= 4, "{down:?}");
-    // Once they are up again no suspicion remains.
+    assert!(crashed.len() <= 4, "{crashed:?}");
+    // After the servers have restarted, none is suspected any more.
     let run = node.play_good_reads(10 * SECOND);
     assert!(run.first_success.is_some());
     let before = node.log.len();
@@ -143,9 +153,10 @@
     );
 }
 
-/// A connection that broke before the request was sent completely proves that nothing ran: the read is not to blame.
+/// A connection that broke before the request was sent completely proves that the read didn't run, so it can't have
+/// caused the crash.
 #[test]
-fn a_read_that_never_reached_its_cache_goes_on_to_the_next() {
+fn a_read_that_never_reached_its_cache_server_is_retried_at_the_next() {
     let mut node = Harness::new(setup(), servers(6));
     node.play_good_reads(2 * SECOND);
     let index = node.read(key_hash(7));
--- a/crates/sparrouter-balancer/tests/suspicion.rs
+++ b/crates/sparrouter-balancer/tests/suspicion.rs
@@ -1,11 +1,11 @@
-//! Suspicion: cache servers that do not respond, and their way back.
+//! Failure detection: cache servers that don't respond, and their recovery.
 mod harness;
 use harness::*;
 use sparrouter_balancer::types::*;
 
-/// A cache server that takes everything and answers nothing loses its keys until a health check is answered.
+/// A cache server that accepts requests and answers none loses its keys until a health check is answered.
 #[test]
-fn an_unresponsive_cache_is_suspected_and_loses_its_keys() {
+fn an_unresponsive_cache_server_is_suspected_and_loses_its_keys() {
     let mut node = Harness::new(setup(), servers(4));
     let winner = node.winner(1);
     for _ in 0..2 {
@@ -15,9 +15,10 @@
     assert_ne!(node.winner(1), winner);
 }
 
-/// If every node checked every suspected cache server again and again, checks would grow with the product of their numbers.
+/// If every node periodically checked every suspected cache server, the number of checks would grow with the product
+/// of their numbers.
 #[test]
-fn a_suspected_cache_is_checked_only_when_wanted() {
+fn a_suspected_cache_server_is_checked_only_on_demand() {
     let mut node = Harness::new(setup(), servers(4));
     let winner = node.winner(1);
     node.arrive(Request::read(1).timeout(2 * SECOND));
@@ -28,9 +29,9 @@
     assert_eq!(checks(&node), 1);
 }
 
-/// No fixed time stands for a return: whatever the periods last, it is found by what is sent there.
+/// Recovery has no fixed delay: whatever the period of the failures, the recovery is detected by trial forwards.
 #[test]
-fn a_cache_that_fails_periodically_is_back_soon_after_it_recovers() {
+fn a_cache_server_that_fails_periodically_is_used_again_soon_after_it_recovers() {
     for failure in [None, Some(Outcome::Unavailable), Some(Outcome::Reset)] {
         for period in [2, 6, 12] {
             let mut node = Harness::new(setup().without_health_checks(), servers(4));
@@ -45,10 +46,12 @@
                 });
             }
             let run = node.play_good_reads(8 * SECOND);
-            // Checks are at most eight of the shortest latency target apart, and need a key that belongs there.
-            let longest = 9 * 300 * MS;
+            // Consecutive checks are at most eight times the shortest latency target apart, and need a read of one of
+            // the server's keys.
+            let max_recovery_time = 9 * 300 * MS;
             assert!(
-                run.first_success.is_some_and(|time| time <= longest),
+                run.first_success
+                    .is_some_and(|time| time <= max_recovery_time),
                 "{failure:?} for {period} s: {:?}",
                 run.first_success
             );
@@ -56,9 +59,10 @@
     }
 }
 
-/// Load reports that do not change, or are always idle or always full, change nothing: own forwards decide.
+/// Load reports that are constant, always idle or always full, have no effect: the outcomes of this node's forwards
+/// decide.
 #[test]
-fn false_load_reports_change_nothing() {
+fn load_reports_do_not_affect_decisions() {
     let run = |load: Option<Load>| {
         let mut node = Harness::new(setup(), servers(4));
         node.load = load;
@@ -86,8 +90,8 @@
     assert!(idle == full && idle == run(None));
 }
 
-/// Work that is answered too late or not at all reduces what may be in flight there: a full queue does all its work for
-/// nobody.
+/// Late or missing answers reduce the limit of forwards in flight: a server with a full queue does all its work after
+/// the clients' deadlines.
 #[test]
 fn late_answers_reduce_the_limit_of_forwards_in_flight() {
     let mut node = Harness::new(setup(), servers(1));
--- a/crates/sparrouter-balancer/tests/warm_up.rs
+++ b/crates/sparrouter-balancer/tests/warm_up.rs
@@ -1,11 +1,12 @@
-//! Slow start: rule 4, no cache server that warms up gets more than a multiple of its capacity.
+//! Slow start: rule 4, no cache server that is warming up is sent more than a multiple of its capacity.
 mod harness;
 use harness::*;
 use sparrouter_balancer::types::*;
 
-/// Left without traffic while the origin is busy, new cache servers would keep it busy: the warm ones overflow and miss.
+/// If new cache servers got no traffic while the origin is busy, they would keep it busy: the warm ones overflow and
+/// miss.
 #[test]
-fn a_cache_that_warms_up_is_used_though_the_origin_has_no_capacity() {
+fn a_cache_server_that_is_warming_up_is_used_while_the_origin_has_no_capacity() {
     let mut node = Harness::new(setup(), servers(3));
     node.advance(SECOND);
     let mut records = servers(3);
@@ -24,9 +25,10 @@
     assert_eq!(node.winner(key), 0);
 }
 
-/// If each of hundreds of nodes took one forward to be within its part of a budget, together they would exceed it.
+/// If each of hundreds of nodes sent one forward because that is within its budget, together they would exceed the
+/// server's capacity.
 #[test]
-fn many_nodes_that_start_at_once_spend_their_part_of_a_budget_only() {
+fn many_nodes_together_stay_within_the_warm_up_budget() {
     let forwards_to_new = |seed| {
         let mut node = Harness::new(setup().seed(seed).nodes(400), servers(3));
         for key in 0..40 {
@@ -38,13 +40,14 @@
         node.list(ListKind::Full, records);
         (0..10).filter(|&key| node.winner(100 + key) == 0).count()
     };
-    // A window later all may have had what the stated multiple allows of 2/s among three.
+    // After one window, all nodes together may have sent the configured multiple of a third of 2 reads per second.
     assert!((0..60).map(forwards_to_new).sum::<usize>() <= 60 / 4);
 }
 
-/// The deployment grows: what one of three nodes answered is not the budget of each of forty.
+/// The deployment grows: the rate of answers that one of three nodes measured must not be the budget of each of
+/// forty.
 #[test]
-fn a_growing_deployment_does_not_overload_a_cache_that_warms_up() {
+fn a_growing_deployment_does_not_overload_a_cache_server_that_is_warming_up() {
     let forwards_to_new = |nodes: usize| {
         let mut node = Harness::new(setup().nodes(3), servers(6));
         let mut forwards = 0;
@@ -70,9 +73,9 @@
     assert!(few > 4 && many * 4 <= few, "{few}, {many}");
 }
 
-/// Half a second of reads; gives how many had a forward to cache server 2. Once the list has shrunk, 2 answers nothing, and
-/// the others can do no more than before.
-fn half_a_second(node: &mut Harness, next_key: &mut u64, has_shrunk: bool) -> usize {
+/// Plays half a second of reads and returns how many had a forward to cache server 2. Once the list has shrunk,
+/// server 2 answers nothing, and the others can't serve more than before.
+fn play_half_a_second(node: &mut Harness, next_key: &mut u64, has_shrunk: bool) -> usize {
     let mut with_new = 0;
     for _ in 0..100 {
         *next_key += 1;
@@ -94,31 +97,36 @@
     with_new
 }
 
-/// Most drop off the list at once while one of those that remain warms up: the answers of all, divided among the few, do
-/// not stand for what one can do.
+/// Most cache servers disappear from the list while one of the remaining is warming up: the rate of all answers,
+/// divided among the few, must not be taken for the capacity of one.
 #[test]
-fn a_list_that_shrinks_leaves_a_cache_that_warms_up_its_budget() {
+fn a_shrinking_list_does_not_raise_the_warm_up_budget() {
     for is_advisory in [false, true] {
         let setup = setup().advisory_removal(is_advisory);
         let mut node = Harness::new(setup, servers(40));
         let mut next_key = 0;
         for _ in 0..21 {
-            half_a_second(&mut node, &mut next_key, false);
+            play_half_a_second(&mut node, &mut next_key, false);
         }
         let started = started_record(2, node.now);
         let origin = record(40, ORIGIN_KIND);
         let remaining = vec![record(0, 0), record(1, 0), started, origin];
         node.list(ListKind::Full, remaining);
-        let runs = (0..4).map(|_| half_a_second(&mut node, &mut next_key, true));
+        let runs = (0..4).map(|_| play_half_a_second(&mut node, &mut next_key, true));
         let forwards: usize = runs.sum();
-        // A warm unit of weight has answered 200 / 60 a second: of that 0.15 x 3 x a half at the most.
-        assert!(forwards <= 3, "advisory {is_advisory}: {forwards}");
+        // A unit of warm weight has answered 200 / 60 reads per second; the budget is at most 0.15 x 3 x one half of
+        // that.
+        assert!(
+            forwards <= 3,
+            "advisory removal {is_advisory}: {forwards} forwards"
+        );
     }
 }
 
-/// A node has just started, a handful of answers came within milliseconds, and the list changes: that is no rate.
+/// A node has just started, a handful of answers arrive within milliseconds, and the list changes: these answers must
+/// not be taken for a rate.
 #[test]
-fn first_answers_in_a_moment_are_no_rate() {
+fn a_few_answers_within_milliseconds_do_not_raise_the_warm_up_budget() {
     let mut node = Harness::new(setup(), servers(8));
     let play = |node: &mut Harness, key: u64, latency: Nanos| {
         let index = node.read(key);
@@ -141,14 +149,15 @@
     ];
     node.list(ListKind::Full, remaining);
     let forwards: usize = (100..260).map(|key| play(&mut node, key, 3 * MS)).sum();
-    // Half a second: 40 answers from 8 are 5 a unit, of that 0.15 x 3 x a half a second.
+    // In half a second: 40 answers from 8 servers are 5 per unit of weight, so the budget is 0.15 x 3 x one half of
+    // that per second.
     assert!(forwards <= 2, "{forwards}");
 }
 
-/// The harness checks rule 4 where the list says when a process started; here it does not, and the node has only its own
-/// forwards to go by.
+/// The list doesn't show the restart of the process, so the harness can't check rule 4 here; the node has to detect
+/// the restart from its own forwards.
 #[test]
-fn a_cache_that_was_unreachable_comes_back_as_warming_up() {
+fn a_cache_server_that_was_unreachable_restarts_its_warm_up() {
     let mut node = Harness::new(setup(), servers(4));
     let warm = node.play_good_reads(5 * SECOND);
     node.play_reads(3 * SECOND, &|cache| {
@@ -163,7 +172,7 @@
     let warming_up = node.play_good_reads(SECOND);
     assert!(
         warming_up.forwards * 5 < warm.forwards,
-        "{} in a second, {} in five while warm",
+        "{} forwards in one second while warming up, {} in five seconds while warm",
         warming_up.forwards,
         warm.forwards
     );
