--- a/crates/sparrouter-balancer/src/policy/caches/cache.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/cache.rs
@@ -114,8 +114,8 @@
         self.tokens_at = now;
     }
 
-    /// Factor by which bad outcomes reduce the server's weight in the rendezvous hash, from this node's long-term
-    /// outcomes and those that peers reported. Guards against long queues at a server to which no single node sends
+    /// Factor by which bad outcomes reduce the server's weight in the rendezvous hash. It follows from the long-term
+    /// outcomes, which include peers' reports. Guards against long queues at a server to which no single node sends
     /// enough to notice. `prior` is the number of good outcomes assumed in advance.
     pub fn health_factor(&self, prior: f64, now: Nanos) -> f64 {
         let decay =
--- a/crates/sparrouter-balancer/src/policy/mod.rs
+++ b/crates/sparrouter-balancer/src/policy/mod.rs
@@ -7,18 +7,18 @@
 //!
 //! # Life cycle of an invocation
 //!
-//! 1. `arrival` computes its deadlines and its value; `quota` decides whether it is within its tenant's quota, `admission` the
-//!    probability with which it is shed, and `hot_keys` whether its key fails at every cache server. A timer is set for the
-//!    time from which an answer has no value.
+//! 1. `arrival` computes the deadlines and the value of the invocation; `quota` decides whether it is within its tenant's
+//!    quota, `admission` the probability with which it is shed, and `hot_keys` whether its key fails at every cache
+//!    server. A timer is set for the time from which an answer has no value.
 //! 2. `forwarding` sends a read to the cache server that `selection` chooses: the first in the key's rendezvous order
-//!    (`caches/election`) that isn't excluded by suspicion, load, its warm-up budget or the rules of `gate`. Writes are sent
-//!    to the origin if there is one. A read whose key is being fetched waits for that fetch.
+//!    (`caches/election`) that isn't excluded by suspicion, load, its warm-up budget or the rules of `gate`. Writes are
+//!    sent to the origin if there is one. A read whose key is being fetched waits for that fetch.
 //! 3. `overdue` checks a forward that takes longer than usual: it sends a hedged request, or withdraws the forward.
 //! 4. `outcome` handles the end of a forward: it updates the state of the cache server (`caches/suspicion`,
 //!    `caches/cache`), of the key (`hot_keys`), the goodput of the node (`goodput`) and the state of the origin
 //!    (`origin/limit`).
-//! 5. `retry` decides the next step: a miss is fetched from the origin (`origin/queue`), a failure is retried at the next
-//!    cache server or the invocation is shed.
+//! 5. `retry` decides the next step: a miss is fetched from the origin (`origin/queue`), a failure is retried at the
+//!    next cache server or the invocation is shed.
 //! 6. `completion` gives the final answer if the node itself has to give it, withdraws forwards in flight, and releases
 //!    the invocations that wait for the fetch. The invocation is removed once none of its forwards is in flight.
 //!
@@ -102,7 +102,7 @@
 }
 
 impl Policy {
-    /// Handles an event at the time `now`, in nanoseconds, which must not be earlier than that of the previous event.
+    /// Handles an event at the time `now`, in nanoseconds. Times must not decrease from one event to the next.
     pub fn handle(&mut self, now: Nanos, event: Event) {
         self.now = now;
         match event {
--- a/crates/sparrouter-balancer/src/policy/origin/limit.rs
+++ b/crates/sparrouter-balancer/src/policy/origin/limit.rs
@@ -1,5 +1,5 @@
-//! Adaptive limit of fetches in flight, by the gradient rule of adaptive concurrency limits: it decreases with the
-//! ratio of the latency to that of an uncongested origin.
+//! Adaptive limit of fetches in flight, by the gradient rule of adaptive concurrency limits: the limit decreases as
+//! the latency rises above the origin's latency without congestion.
 use super::OriginGuard;
 use crate::policy::fading::decay_factor;
 use crate::types::{Nanos, Outcome};
--- a/crates/sparrouter-balancer/src/policy/retry.rs
+++ b/crates/sparrouter-balancer/src/policy/retry.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether to retry at the next cache server. After one failure, the fraction of invocations that is retried
-    /// equals the recent success rate of such retries.
+    /// equals the recent success rate of such retries, but is at least [`SIGNIFICANCE_LEVEL`].
     fn is_retry_useful(&mut self, ended: &ForwardOutcome) -> bool {
         let invocation = &self.invocations[&ended.inv];
         if invocation.failed_at_several_servers() {
--- a/crates/sparrouter-balancer/src/policy/selection.rs
+++ b/crates/sparrouter-balancer/src/policy/selection.rs
@@ -7,7 +7,7 @@
 use super::invocation::Invocation;
 use crate::types::{Action, CacheIndex, Effect, InvocationIndex};
 
-/// Minimum fraction of the fetches at the origin that is reserved for misses at cache servers that are warming up.
+/// Minimum fraction of the origin's limit that is available to misses at cache servers that are warming up.
 const MIN_WARM_UP_FETCHES: f64 = 0.25;
 
 /// Result of assessing one cache server.
--- a/crates/sparrouter-rendezvous/src/slot_table.rs
+++ b/crates/sparrouter-rendezvous/src/slot_table.rs
@@ -1,42 +1,43 @@
-//! Owners of keys by a table of slots: a lookup takes constant time, and where the set of members changes only the slots
-//! of the members that joined or left get another owner.
+//! A table of slots that maps keys to owners. A lookup takes constant time, and a change of the members only moves
+//! slots to members that joined or from members that left.
 //!
-//! Each slot is owned by the member with the highest rendezvous score for the slot's number, so two nodes that know the
-//! same members agree without communication. Source for a table in front of a hash of members: Eisenbud et al., "Maglev:
-//! A Fast and Reliable Software Network Load Balancer", NSDI 2016, section 3.4.
+//! Each slot is owned by the member with the highest rendezvous score for the slot's number, so two nodes with the
+//! same members agree without communication. Source for a lookup table in front of a hash of members: Eisenbud et
+//! al., "Maglev: A Fast and Reliable Software Network Load Balancer", NSDI 2016, section 3.4.
 use crate::mix;
 
-/// Bits of a mixed key that select its slot.
+/// Number of bits of a mixed key that select its slot.
 const SLOT_BITS: u32 = 14;
-/// Number of slots of a table. With 340 members each owns 48 of them, give or take 7; a table takes 64 KiB.
+/// Number of slots in a table. With 340 members each owns 48 slots on average, with a standard deviation of 7. A
+/// table takes 64 KiB.
 pub const SLOT_COUNT: usize = 1 << SLOT_BITS;
 
-/// Marks a slot without an owner while a table is built.
+/// Marks a slot without an owner during the construction of a table.
 const ORPHANED: u32 = u32::MAX;
 
-/// One member of the set that keys are divided among.
+/// A member of the set that keys are distributed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Member {
-    /// Hash of its name: all that its scores depend on.
+    /// Hash of the member's name, the only input of its scores.
     pub name: u64,
-    /// Changes when the process restarts under the same name, and so loses what it was sent.
+    /// Identifies the member's process. It changes when the process restarts under the same name and loses its state.
     pub process: u64,
 }
 
-/// Which member owns which slot. Immutable: another set of members is another table.
+/// The owner of each slot. A table is immutable: a different set of members needs another table.
 #[derive(Clone, Debug, Default)]
 pub struct SlotTable {
-    /// Ordered by name, each name once.
+    /// The members, ordered by name, without duplicate names.
     members: Vec<Member>,
-    /// By slot, the index of its owner in `members`; empty without members.
+    /// Index of each slot's owner in `members`, by slot; empty if there are no members.
     owners: Vec<u32>,
-    /// See [`SlotTable::scored`].
-    scored: u64,
+    /// See [`SlotTable::scores_computed`].
+    scores_computed: u64,
 }
 
 impl SlotTable {
-    /// Builds the table of these members from this one: slots are scored anew only against members that joined, and
-    /// against all members where the owner left.
+    /// Builds a table for `members` from this table: slots are scored only for members that joined, and for all
+    /// members if the slot's owner left.
     pub fn with_members(&self, mut members: Vec<Member>) -> SlotTable {
         members.sort_unstable();
         members.dedup_by_key(|member| member.name);
@@ -53,7 +54,7 @@
         SlotTable {
             members,
             owners: build.owners,
-            scored: build.scored,
+            scores_computed: build.scores_computed,
         }
     }
 
@@ -68,25 +69,26 @@
         &self.members
     }
 
-    /// The index of a key's owner in [`SlotTable::members`]; `None` without members.
+    /// Index of a key's owner in [`SlotTable::members`]; `None` if there are no members.
     pub fn owner_index(&self, key: u64) -> Option<usize> {
         let slot = (mix(key) >> (u64::BITS - SLOT_BITS)) as usize;
         self.owners.get(slot).map(|&index| index as usize)
     }
 
-    /// The owner of a key; `None` without members.
+    /// Owner of a key; `None` if there are no members.
     pub fn owner(&self, key: u64) -> Option<Member> {
         self.owner_index(key).map(|index| self.members[index])
     }
 
-    /// How many scores were computed to build this table from the one before. Tests show with it that the work is small.
-    pub fn scored(&self) -> u64 {
-        self.scored
+    /// Number of scores that were computed to build this table from the previous one. Tests use it to show that an
+    /// update is cheap.
+    pub fn scores_computed(&self) -> u64 {
+        self.scores_computed
     }
 }
 
-/// A member's score for a slot; the highest owns the slot. Equal scores are ordered by the name, so that the order in
-/// which members joined does not matter.
+/// A member's score for a slot; the member with the highest score owns the slot. Equal scores are ordered by name, so
+/// that the order in which members joined doesn't matter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct SlotScore {
     score: u64,
@@ -102,28 +104,28 @@
     }
 }
 
-/// A table that is being built.
+/// A table under construction.
 struct SlotTableBuild {
-    /// By slot, the index of its owner among the new members, or [`ORPHANED`].
+    /// Index of each slot's owner among the new members, or [`ORPHANED`], by slot.
     owners: Vec<u32>,
-    /// By slot, the owner's score; the lowest possible one for orphaned slots.
+    /// Score of each slot's owner, by slot; the lowest possible score for orphaned slots.
     scores: Vec<SlotScore>,
-    scored: u64,
+    scores_computed: u64,
 }
 
 impl SlotTableBuild {
-    /// Starts with the owners of the table before, as far as they are still members; other slots are orphaned.
-    fn new(before: &SlotTable, members: &[Member]) -> SlotTableBuild {
+    /// Starts with the owners of the previous table that are still members; all other slots are orphaned.
+    fn new(previous: &SlotTable, members: &[Member]) -> SlotTableBuild {
         let new_index = |old: &Member| {
             members
                 .binary_search_by_key(&old.name, |member| member.name)
                 .map_or(ORPHANED, |index| index as u32)
         };
-        let new_indices: Vec<u32> = before.members.iter().map(new_index).collect();
-        let owners: Vec<u32> = if before.owners.is_empty() {
+        let new_indices: Vec<u32> = previous.members.iter().map(new_index).collect();
+        let owners: Vec<u32> = if previous.owners.is_empty() {
             vec![ORPHANED; SLOT_COUNT]
         } else {
-            let owners = before.owners.iter();
+            let owners = previous.owners.iter();
             owners.map(|&old| new_indices[old as usize]).collect()
         };
         let owner_score = |(slot, &owner): (usize, &u32)| match members.get(owner as usize) {
@@ -133,12 +135,12 @@
         SlotTableBuild {
             scores: owners.iter().enumerate().map(owner_score).collect(),
             owners,
-            scored: 0,
+            scores_computed: 0,
         }
     }
 
-    /// Assigns a member that joined the slots in which it scores higher than the owner. Orphaned slots are left to
-    /// [`SlotTableBuild::assign_orphaned`].
+    /// Assigns to a member that joined the slots in which it scores higher than the current owner. Orphaned slots are
+    /// left to [`SlotTableBuild::assign_orphaned`].
     fn assign_slots_won(&mut self, index: u32, member: &Member) {
         for (slot, (owner, highest)) in self.owners.iter_mut().zip(&mut self.scores).enumerate() {
             let score = SlotScore::new(member, slot);
@@ -146,10 +148,10 @@
                 (*owner, *highest) = (index, score);
             }
         }
-        self.scored += SLOT_COUNT as u64;
+        self.scores_computed += SLOT_COUNT as u64;
     }
 
-    /// Assigns each orphaned slot the best of all members.
+    /// Assigns each orphaned slot to the member with the highest score.
     fn assign_orphaned(&mut self, members: &[Member]) {
         for (slot, owner) in self.owners.iter_mut().enumerate() {
             if *owner != ORPHANED {
@@ -159,7 +161,7 @@
                 .zip(members)
                 .max_by_key(|(_, member)| SlotScore::new(member, slot));
             *owner = best.map_or(0, |(index, _)| index);
-            self.scored += members.len() as u64;
+            self.scores_computed += members.len() as u64;
         }
     }
 }
--- a/crates/sparrouter-rendezvous/tests/order.rs
+++ b/crates/sparrouter-rendezvous/tests/order.rs
@@ -1,8 +1,8 @@
-//! The order of members by score: agreement, few moved keys, and weights.
+//! The order of members by score: agreement between nodes, minimal movement of keys, and weights.
 use sparrouter_rendezvous::{hash, order, score, unit};
 
 #[test]
-fn given_the_same_members_in_any_order_then_the_ranking_is_the_same() {
+fn given_the_same_members_in_any_order_then_the_order_by_score_is_the_same() {
     let ids: Vec<u64> = (0..20).map(|i| hash(format!("i-{i}").as_bytes())).collect();
     for key in 0..50 {
         let forward = order(ids.iter().map(|&i| (i, i)), key);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn given_weights_then_members_win_keys_in_proportion() {
+fn given_members_with_weights_then_each_wins_keys_in_proportion_to_its_weight() {
     let (a, b) = (hash(b"a"), hash(b"b"));
     let won = (0..20_000)
         .filter(|&k| score(a, k, 3.0) > score(b, k, 1.0))
--- a/crates/sparrouter-rendezvous/tests/slot_table.rs
+++ b/crates/sparrouter-rendezvous/tests/slot_table.rs
@@ -1,4 +1,4 @@
-//! Owners by slots: agreement, balance, and few moved keys.
+//! Slot tables: agreement between nodes, balance, and minimal movement of keys.
 use sparrouter_rendezvous::{Member, SLOT_COUNT, SlotTable, hash, mix};
 
 fn member(number: u64) -> Member {
@@ -46,21 +46,26 @@
 #[test]
 fn given_a_member_that_leaves_then_only_its_keys_have_another_owner() {
     let before = table(members(100));
-    let left = member(17);
-    let after = before.with_members(members(100).into_iter().filter(|m| *m != left).collect());
+    let removed_member = member(17);
+    let after = before.with_members(
+        members(100)
+            .into_iter()
+            .filter(|m| *m != removed_member)
+            .collect(),
+    );
     for key in keys() {
         let owner = before.owner(key).unwrap();
-        assert_eq!(after.owner(key) != Some(owner), owner == left);
+        assert_eq!(after.owner(key) != Some(owner), owner == removed_member);
     }
-    // Its slots are scored against all members that remain, other slots are not scored.
-    assert!(after.scored() < 3 * SLOT_COUNT as u64);
+    // The slots of the removed member are scored for all remaining members, other slots aren't scored.
+    assert!(after.scores_computed() < 3 * SLOT_COUNT as u64);
 }
 
 #[test]
-fn given_a_member_that_joins_then_each_slot_is_scored_once() {
+fn given_a_member_that_joins_then_each_slot_is_scored_once_and_only_its_keys_move() {
     let before = table(members(1_000));
     let after = before.with_members(members(1_001));
-    assert_eq!(after.scored(), SLOT_COUNT as u64);
+    assert_eq!(after.scores_computed(), SLOT_COUNT as u64);
     let moved: Vec<u64> = keys()
         .filter(|&key| before.owner(key) != after.owner(key))
         .collect();
@@ -73,12 +78,12 @@
 }
 
 #[test]
-fn given_a_member_that_restarts_then_its_keys_have_the_new_process() {
+fn given_a_member_that_restarts_then_it_keeps_its_keys_under_the_new_process_id() {
     let before = table(members(5));
     let mut restarted = members(5);
     restarted[2].process = 99;
     let after = before.with_members(restarted);
-    assert_eq!(after.scored(), 0);
+    assert_eq!(after.scores_computed(), 0);
     for key in keys() {
         let same_name = before.owner(key).unwrap().name == after.owner(key).unwrap().name;
         let moved = before.owner(key) != after.owner(key);
