--- a/crates/sparrouter-balancer/src/policy/completion.rs
+++ b/crates/sparrouter-balancer/src/policy/completion.rs
@@ -61,12 +61,15 @@
         if !limits.withdraw || invocation.has_response_started && answering.is_none() {
             return;
         }
-        for (copy, forward) in invocation.forwards.iter().enumerate() {
+        for (forward_index, forward) in invocation.forwards.iter().enumerate() {
             // A fetch continues: its answer still fills the cache for later invocations.
             let is_fetch = self.caches.is_origin(forward.cache) && !invocation.arrival.write;
             let is_in_flight = forward.state == ForwardState::InFlight;
-            if is_in_flight && Some(copy) != answering && !is_fetch {
-                self.actions.push(Action::Withdraw { inv: index, copy });
+            if is_in_flight && Some(forward_index) != answering && !is_fetch {
+                self.actions.push(Action::Withdraw {
+                    inv: index,
+                    forward_index,
+                });
             }
         }
     }
@@ -80,15 +83,15 @@
     }
 
     /// Handles the first bytes of an answer that is relayed to the client: the other forwards are withdrawn.
-    pub(super) fn on_response_started(&mut self, index: InvocationIndex, copy: usize) {
+    pub(super) fn on_response_started(&mut self, index: InvocationIndex, forward_index: usize) {
         let Some(invocation) = self.invocations.get_mut(&index) else {
             return;
         };
         invocation.has_response_started = true;
-        let Some(cache) = invocation.forwards.get(copy).map(|f| f.cache) else {
+        let Some(cache) = invocation.forwards.get(forward_index).map(|f| f.cache) else {
             return;
         };
-        self.withdraw_forwards(index, Some(copy));
+        self.withdraw_forwards(index, Some(forward_index));
         self.caches.clear_suspicion(cache, self.now);
     }
 
--- a/crates/sparrouter-balancer/src/policy/forwarding.rs
+++ b/crates/sparrouter-balancer/src/policy/forwarding.rs
@@ -54,14 +54,14 @@
         let operation = &self.operations[invocation.arrival.operation].settings;
         let send_deadline = gate::send_deadline(invocation, operation);
         let wait = invocation.arrival.deadline - self.now;
-        let copy = self.add_forward(index, cache, continuation);
+        let forward_index = self.add_forward(index, cache, continuation);
         self.actions.push(Action::Forward {
             inv: index,
             cache,
             wait,
             send_deadline,
         });
-        self.schedule_overdue_check(index, copy, wait);
+        self.schedule_overdue_check(index, forward_index, wait);
     }
 
     /// Records a forward in the invocation and in the state of its server, and returns its index among the
@@ -83,7 +83,7 @@
             is_warm_up_fetch,
             continuation,
         });
-        let copy = invocation.forwards.len() - 1;
+        let forward_index = invocation.forwards.len() - 1;
         if self.caches.is_origin(cache) {
             self.origin.in_flight += 1;
             self.origin.warm_up_in_flight += usize::from(is_warm_up_fetch);
@@ -91,13 +91,20 @@
         } else {
             self.caches.record_forward(cache, self.now);
         }
-        copy
+        forward_index
     }
 
     /// Sets a timer for the time at which a new forward is overdue, if that is before its client times out.
-    fn schedule_overdue_check(&mut self, index: InvocationIndex, copy: usize, wait: Nanos) {
+    fn schedule_overdue_check(
+        &mut self,
+        index: InvocationIndex,
+        forward_index: usize,
+        wait: Nanos,
+    ) {
         let invocation = &self.invocations[&index];
-        let is_origin = self.caches.is_origin(invocation.forwards[copy].cache);
+        let is_origin = self
+            .caches
+            .is_origin(invocation.forwards[forward_index].cache);
         let latency = if is_origin {
             self.origin.latency
         } else {
@@ -107,7 +114,7 @@
         if latency.mean > 0.0 && usual_latency < wait {
             let timer = Timer::Overdue {
                 invocation: index,
-                copy,
+                forward_index,
             };
             self.set_timer(self.now + usual_latency, timer);
         }
--- a/crates/sparrouter-balancer/src/policy/invocation.rs
+++ b/crates/sparrouter-balancer/src/policy/invocation.rs
@@ -55,7 +55,7 @@
     pub target_deadline: Nanos,
     /// Time from which an answer has no value.
     pub answer_deadline: Nanos,
-    /// The forwards; the index of a forward is the `copy` of events and actions.
+    /// The forwards; the index of a forward is the `forward_index` of events and actions.
     pub forwards: Vec<Forward>,
     /// Whether the invocation has its final answer or its client has disconnected.
     pub is_completed: bool,
--- a/crates/sparrouter-balancer/src/policy/mod.rs
+++ b/crates/sparrouter-balancer/src/policy/mod.rs
@@ -106,13 +106,17 @@
     pub fn handle(&mut self, now: Nanos, event: Event) {
         self.now = now;
         match event {
-            Event::Listed { form, records } => self.on_list(form, &records),
+            Event::Listed { kind, records } => self.on_list(kind, &records),
             Event::Arrived(arrival) => self.on_arrival(arrival),
-            Event::ResponseStarted { inv, copy } => self.on_response_started(inv, copy),
+            Event::ResponseStarted { inv, forward_index } => {
+                self.on_response_started(inv, forward_index)
+            }
             Event::ForwardEnded(outcome) => self.on_forward_ended(&outcome),
             Event::ClientLeft { inv } => self.on_client_left(inv),
-            Event::HealthChecked { cache, ok, .. } => self.on_health_checked(cache, ok),
-            Event::GossipReceived { peer, text } => self.on_gossip(peer, &text),
+            Event::HealthChecked {
+                cache, is_answered, ..
+            } => self.on_health_checked(cache, is_answered),
+            Event::GossipReceived { peer, message } => self.on_gossip(peer, &message),
             Event::TimerFired { token } => self.on_timer(token),
         }
     }
@@ -145,7 +149,10 @@
     fn on_timer(&mut self, token: u64) {
         match Timer::from_token(token) {
             Some(Timer::AnswerDeadline { invocation }) => self.on_answer_deadline(invocation),
-            Some(Timer::Overdue { invocation, copy }) => self.on_overdue(invocation, copy),
+            Some(Timer::Overdue {
+                invocation,
+                forward_index,
+            }) => self.on_overdue(invocation, forward_index),
             Some(Timer::ListRequest) => self.on_list_timer(),
             Some(Timer::Gossip) => self.send_gossip(),
             Some(Timer::Origin) => self.pump_origin_queue(),
--- a/crates/sparrouter-balancer/src/policy/outcome.rs
+++ b/crates/sparrouter-balancer/src/policy/outcome.rs
@@ -36,7 +36,7 @@
         let Some(invocation) = self.invocations.get_mut(&ended.inv) else {
             return;
         };
-        let forward = invocation.forwards.get_mut(ended.copy);
+        let forward = invocation.forwards.get_mut(ended.forward_index);
         let Some(forward) = forward
             .filter(|f| f.state == ForwardState::InFlight)
             .filter(|f| f.cache == ended.cache)
--- a/crates/sparrouter-balancer/src/policy/overdue.rs
+++ b/crates/sparrouter-balancer/src/policy/overdue.rs
@@ -16,7 +16,7 @@
 /// A forward that is checked for being overdue.
 struct Candidate {
     invocation: InvocationIndex,
-    copy: usize,
+    forward_index: usize,
     cache: CacheIndex,
     sent_at: Nanos,
     operation: usize,
@@ -25,14 +25,14 @@
 
 impl Policy {
     /// Handles the timer of a forward that has been in flight for longer than usual.
-    pub(super) fn on_overdue(&mut self, index: InvocationIndex, copy: usize) {
-        let Some(candidate) = self.overdue_candidate(index, copy) else {
+    pub(super) fn on_overdue(&mut self, index: InvocationIndex, forward_index: usize) {
+        let Some(candidate) = self.overdue_candidate(index, forward_index) else {
             return;
         };
         if let Some(check_at) = self.next_overdue_check(&candidate) {
             let timer = Timer::Overdue {
                 invocation: index,
-                copy,
+                forward_index,
             };
             return self.set_timer(check_at, timer);
         }
@@ -55,14 +55,14 @@
         }
     }
 
-    fn overdue_candidate(&self, index: InvocationIndex, copy: usize) -> Option<Candidate> {
+    fn overdue_candidate(&self, index: InvocationIndex, forward_index: usize) -> Option<Candidate> {
         let invocation = self.invocations.get(&index);
         let invocation = invocation.filter(|i| !i.has_response_started)?;
-        let forward = invocation.forwards.get(copy);
+        let forward = invocation.forwards.get(forward_index);
         let forward = forward.filter(|f| f.state == ForwardState::InFlight)?;
         Some(Candidate {
             invocation: index,
-            copy,
+            forward_index,
             cache: forward.cache,
             sent_at: forward.sent_at,
             operation: invocation.arrival.operation,
@@ -120,7 +120,7 @@
         } else if limits.withdraw && (invocation.is_completed || forwards_left > 0) {
             self.actions.push(Action::Withdraw {
                 inv: index,
-                copy: candidate.copy,
+                forward_index: candidate.forward_index,
             });
         }
     }
--- a/crates/sparrouter-balancer/src/policy/peers.rs
+++ b/crates/sparrouter-balancer/src/policy/peers.rs
@@ -40,11 +40,11 @@
     pub(super) fn send_gossip(&mut self) {
         let nodes = self.environment.nodes;
         let steps = self.rng.choose_multiple(1..nodes.max(1), GOSSIP_FANOUT);
-        let text = self.gossip_message(steps.len()).encode();
+        let message = self.gossip_message(steps.len()).encode();
         for step in steps {
             self.actions.push(Action::SendGossip {
                 peer: (self.environment.own_index + step) % nodes,
-                text: text.clone(),
+                message: message.clone(),
             });
         }
         let oldest = self.now.saturating_sub(REPORT_LIFETIME);
@@ -87,11 +87,11 @@
     }
 
     /// Handles a peer's message; ignored if it can't be decoded or carries this node's own index.
-    pub(super) fn on_gossip(&mut self, peer: usize, text: &[u8]) {
+    pub(super) fn on_gossip(&mut self, peer: usize, bytes: &[u8]) {
         if peer == self.environment.own_index {
             return;
         }
-        let Some(message) = GossipMessage::decode(text) else {
+        let Some(message) = GossipMessage::decode(bytes) else {
             return;
         };
         for &row in &message.caches {
--- a/crates/sparrouter-balancer/src/policy/timer.rs
+++ b/crates/sparrouter-balancer/src/policy/timer.rs
@@ -14,7 +14,7 @@
         /// Index of the forward's invocation.
         invocation: InvocationIndex,
         /// Index of the forward among the forwards of the invocation.
-        copy: usize,
+        forward_index: usize,
     },
     /// The list of cache servers is to be requested again.
     ListRequest,
@@ -27,8 +27,8 @@
 // Layout of a token: 3 bits for the kind, 13 bits for the index of the forward, the remaining bits for the
 // invocation.
 const KIND_MASK: u64 = 7;
-const COPY_SHIFT: u32 = 3;
-const COPY_MASK: u64 = 0x1fff;
+const FORWARD_SHIFT: u32 = 3;
+const FORWARD_MASK: u64 = 0x1fff;
 const INVOCATION_SHIFT: u32 = 16;
 const ANSWER_DEADLINE: u64 = 0;
 const OVERDUE: u64 = 2;
@@ -39,12 +39,16 @@
 impl Timer {
     /// Encodes the timer as a token.
     pub fn token(self) -> u64 {
-        let of_forward = |kind: u64, invocation: InvocationIndex, copy: usize| {
-            kind | (copy as u64) << COPY_SHIFT | u64::from(invocation) << INVOCATION_SHIFT
+        let of_forward = |kind: u64, invocation: InvocationIndex, forward_index: usize| {
+            kind | (forward_index as u64) << FORWARD_SHIFT
+                | u64::from(invocation) << INVOCATION_SHIFT
         };
         match self {
             Timer::AnswerDeadline { invocation } => of_forward(ANSWER_DEADLINE, invocation, 0),
-            Timer::Overdue { invocation, copy } => of_forward(OVERDUE, invocation, copy),
+            Timer::Overdue {
+                invocation,
+                forward_index,
+            } => of_forward(OVERDUE, invocation, forward_index),
             Timer::ListRequest => LIST_REQUEST,
             Timer::Gossip => GOSSIP,
             Timer::Origin => ORIGIN,
@@ -54,10 +58,13 @@
     /// Decodes a token; `None` if its kind is unknown.
     pub fn from_token(token: u64) -> Option<Timer> {
         let invocation = (token >> INVOCATION_SHIFT) as InvocationIndex;
-        let copy = (token >> COPY_SHIFT & COPY_MASK) as usize;
+        let forward_index = (token >> FORWARD_SHIFT & FORWARD_MASK) as usize;
         match token & KIND_MASK {
             ANSWER_DEADLINE => Some(Timer::AnswerDeadline { invocation }),
-            OVERDUE => Some(Timer::Overdue { invocation, copy }),
+            OVERDUE => Some(Timer::Overdue {
+                invocation,
+                forward_index,
+            }),
             LIST_REQUEST => Some(Timer::ListRequest),
             GOSSIP => Some(Timer::Gossip),
             ORIGIN => Some(Timer::Origin),
--- a/crates/sparrouter-balancer/src/types/action.rs
+++ b/crates/sparrouter-balancer/src/types/action.rs
@@ -21,7 +21,7 @@
         /// Index of the invocation.
         inv: InvocationIndex,
         /// Index of the forward among the forwards of the invocation.
-        copy: usize,
+        forward_index: usize,
     },
     /// Answers an invocation with a throttling reply that asks the client to retry later.
     Throttle {
@@ -52,7 +52,7 @@
         /// Index of the peer that receives the message.
         peer: usize,
         /// The encoded message.
-        text: Vec<u8>,
+        message: Vec<u8>,
     },
     /// Subscribes to the list of cache servers.
     FollowList,
--- a/crates/sparrouter-balancer/src/types/event.rs
+++ b/crates/sparrouter-balancer/src/types/event.rs
@@ -136,7 +136,7 @@
     /// Index of the invocation.
     pub inv: InvocationIndex,
     /// Index of the forward among the forwards of the invocation, from 0.
-    pub copy: usize,
+    pub forward_index: usize,
     /// Destination of the forward: a cache server or the origin.
     pub cache: CacheIndex,
     /// The way in which the forward ended.
@@ -157,7 +157,7 @@
     /// A list of cache servers was received, or a request for it failed.
     Listed {
         /// Scope of the list.
-        form: ListKind,
+        kind: ListKind,
         /// Entries of the list.
         records: Vec<CacheRecord>,
     },
@@ -168,7 +168,7 @@
         /// Index of the invocation.
         inv: InvocationIndex,
         /// Index of the forward that answers.
-        copy: usize,
+        forward_index: usize,
     },
     /// A forward ended.
     ForwardEnded(ForwardOutcome),
@@ -182,7 +182,7 @@
         /// Index of the cache server.
         cache: CacheIndex,
         /// Whether the cache server answered.
-        ok: bool,
+        is_answered: bool,
         /// The cache server's load report; no decision depends on it. `None` if there is none.
         load: Option<Load>,
     },
@@ -191,7 +191,7 @@
         /// Index of the sending peer.
         peer: usize,
         /// The encoded message.
-        text: Vec<u8>,
+        message: Vec<u8>,
     },
     /// A timer that the policy set has fired.
     TimerFired {
--- a/crates/sparrouter-balancer/tests/admission.rs
+++ b/crates/sparrouter-balancer/tests/admission.rs
@@ -35,10 +35,10 @@
     let shed_fraction_after = |node: &mut Harness, reads: u64, outcome: Outcome| {
         for n in 0..reads {
             let index = node.read(n);
-            for copy in 0..3 {
+            for forward_index in 0..3 {
                 node.advance(10 * MS);
-                if node.targets(index).len() > copy && !node.is_answered(index) {
-                    node.end(index, copy, outcome);
+                if node.targets(index).len() > forward_index && !node.is_answered(index) {
+                    node.end(index, forward_index, outcome);
                 }
             }
             node.advance(20 * MS);
@@ -100,8 +100,8 @@
         let key = node.new_key();
         node.read(key);
         node.advance(5 * MS);
-        while let Some(&(index, copy)) = node.in_flight().first() {
-            node.end(index, copy, Outcome::Full);
+        while let Some(&(index, forward_index)) = node.in_flight().first() {
+            node.end(index, forward_index, Outcome::Full);
         }
     }
     let throttled = |node: &Harness| node.count_actions(|a| matches!(a, Action::Throttle { .. }));
@@ -118,7 +118,7 @@
 struct PendingAnswer {
     at: Nanos,
     index: InvocationIndex,
-    copy: usize,
+    forward_index: usize,
 }
 
 /// Plays reads at 50 per second: one in ten is answered in time, the others just after the latency target of 300 ms.
@@ -131,21 +131,29 @@
         let key = node.new_key();
         node.read(key);
         node.advance(20 * MS);
-        for (index, copy) in node.in_flight() {
+        for (index, forward_index) in node.in_flight() {
             let mut known = pending.iter();
-            if !known.any(|p| (p.index, p.copy) == (index, copy)) {
+            if !known.any(|p| (p.index, p.forward_index) == (index, forward_index)) {
                 let is_in_time = node.new_keys.is_multiple_of(10);
                 let latency = if is_in_time { 40 } else { 330 };
                 let at = node.now + latency * MS;
-                pending.push_back(PendingAnswer { at, index, copy });
+                pending.push_back(PendingAnswer {
+                    at,
+                    index,
+                    forward_index,
+                });
             }
         }
         pending.make_contiguous().sort();
         while pending.front().is_some_and(|p| p.at <= node.now) {
-            if let Some(PendingAnswer { index, copy, .. }) = pending.pop_front()
-                && node.in_flight().contains(&(index, copy))
+            if let Some(PendingAnswer {
+                index,
+                forward_index,
+                ..
+            }) = pending.pop_front()
+                && node.in_flight().contains(&(index, forward_index))
             {
-                node.end(index, copy, Outcome::Succeeded);
+                node.end(index, forward_index, Outcome::Succeeded);
             }
         }
         if node.now >= start + shed_by_second.len() as Nanos * SECOND {
--- a/crates/sparrouter-balancer/tests/endpoint_list.rs
+++ b/crates/sparrouter-balancer/tests/endpoint_list.rs
@@ -72,8 +72,8 @@
     let mut forwards = 0;
     for n in 0..1200 {
         let index = node.read(n % 40);
-        for copy in 0..3 {
-            let Some(&target) = node.targets(index).get(copy) else {
+        for forward_index in 0..3 {
+            let Some(&target) = node.targets(index).get(forward_index) else {
                 break;
             };
             forwards += usize::from(target == removed);
@@ -82,7 +82,7 @@
             } else {
                 Outcome::Succeeded
             };
-            node.end(index, copy, outcome);
+            node.end(index, forward_index, outcome);
         }
         assert!(node.is_answered(index));
         node.advance(50 * MS);
@@ -116,8 +116,8 @@
     let mut answered = 0;
     for key in 0..600 {
         let index = node.read(key);
-        for copy in 0..3 {
-            let Some(&target) = node.targets(index).get(copy) else {
+        for forward_index in 0..3 {
+            let Some(&target) = node.targets(index).get(forward_index) else {
                 break;
             };
             node.advance(5 * MS);
@@ -127,7 +127,7 @@
             } else {
                 Outcome::Succeeded
             };
-            node.end(index, copy, outcome);
+            node.end(index, forward_index, outcome);
         }
         let is_forwarded = !node.targets(index).is_empty();
         answered += usize::from(node.is_answered(index) && is_forwarded);
--- a/crates/sparrouter-balancer/tests/gossip.rs
+++ b/crates/sparrouter-balancer/tests/gossip.rs
@@ -17,8 +17,8 @@
         .map(|n| u8::from_str_radix(&hex[2 * n..2 * n + 2], 16).unwrap())
         .collect()
 }
-fn hex(text: &[u8]) -> String {
-    text.iter().map(|b| format!("{b:02x}")).collect()
+fn hex(encoded: &[u8]) -> String {
+    encoded.iter().map(|b| format!("{b:02x}")).collect()
 }
 fn cache_row((id_hash, bad, total): Row) -> CacheRow {
     CacheRow {
@@ -46,8 +46,8 @@
 }
 
 /// Decodes a message like the reader of format 0, from before messages had versions.
-fn decode_format_0(text: &[u8]) -> Option<(Vec<u16>, f32, Vec<Row>)> {
-    let (&[tenants, _], rest) = text.split_first_chunk()?;
+fn decode_format_0(encoded: &[u8]) -> Option<(Vec<u16>, f32, Vec<Row>)> {
+    let (&[tenants, _], rest) = encoded.split_first_chunk()?;
     let (arrivals, rest) = rest.split_at_checked(2 * usize::from(tenants))?;
     let (shed_fraction, rest) = rest.split_first_chunk::<4>()?;
     let (_, rest) = rest.split_first_chunk::<4>()?;
@@ -130,9 +130,9 @@
     /// of format 0, which has no checksum. This can follow from truncation, or from a changed number of tenants.
     #[test]
     fn a_corrupted_message_is_rejected(bit in 0usize..FORMAT_1.len() * 4, cut in 0usize..FORMAT_1.len() / 2) {
-        let mut text = bytes(FORMAT_1);
-        text[bit / 8] ^= 1 << (bit % 8);
-        match GossipMessage::decode(&text) {
+        let mut encoded = bytes(FORMAT_1);
+        encoded[bit / 8] ^= 1 << (bit % 8);
+        match GossipMessage::decode(&encoded) {
             Some(message) if bit < 8 => prop_assert_eq!(message.tenants_fingerprint, None),
             read => prop_assert_eq!(read, None),
         }
@@ -143,7 +143,7 @@
     }
 
     #[test]
-    fn random_bytes_never_panic(text in prop::collection::vec(any::<u8>(), 0..260)) {
-        let _ = GossipMessage::decode(&text);
+    fn random_bytes_never_panic(encoded in prop::collection::vec(any::<u8>(), 0..260)) {
+        let _ = GossipMessage::decode(&encoded);
     }
 }
--- a/crates/sparrouter-balancer/tests/harness/mod.rs
+++ b/crates/sparrouter-balancer/tests/harness/mod.rs
@@ -132,10 +132,7 @@
     pub fn list(&mut self, kind: ListKind, records: Vec<CacheRecord>) {
         let is_advisory = self.setup.rules.removal_is_advisory;
         self.model.apply_list(kind, &records, is_advisory);
-        self.handle(Event::Listed {
-            form: kind,
-            records,
-        });
+        self.handle(Event::Listed { kind, records });
     }
 
     /// Delivers a client's request. Tenants are assigned in rotation.
@@ -198,8 +195,8 @@
             let key = self.new_key();
             let newest = self.read(key);
             self.advance(20 * MS);
-            for (index, copy) in self.in_flight() {
-                let target = self.targets(index)[copy];
+            for (index, forward_index) in self.in_flight() {
+                let target = self.targets(index)[forward_index];
                 let Some(outcome) = outcome_of(target) else {
                     continue;
                 };
@@ -208,7 +205,7 @@
                 if is_first && outcome == Outcome::Succeeded {
                     run.first_success = Some(self.now - start);
                 }
-                self.end(index, copy, outcome);
+                self.end(index, forward_index, outcome);
             }
         }
         run
@@ -236,9 +233,9 @@
     pub fn in_flight(&self) -> Vec<(InvocationIndex, usize)> {
         let mut in_flight = vec![];
         for (&index, invocation) in &self.model.invocations {
-            for (copy, forward) in invocation.forwards.iter().enumerate() {
+            for (forward_index, forward) in invocation.forwards.iter().enumerate() {
                 if forward.is_in_flight {
-                    in_flight.push((index, copy));
+                    in_flight.push((index, forward_index));
                 }
             }
         }
@@ -256,13 +253,13 @@
     }
 
     /// Ends a forward if it is in flight.
-    pub fn end(&mut self, index: InvocationIndex, copy: usize, outcome: Outcome) {
+    pub fn end(&mut self, index: InvocationIndex, forward_index: usize, outcome: Outcome) {
         let invocation = self
             .model
             .invocations
             .get_mut(&index)
             .expect("known invocation");
-        let forward = &mut invocation.forwards[copy];
+        let forward = &mut invocation.forwards[forward_index];
         if !forward.is_in_flight {
             return;
         }
@@ -274,7 +271,7 @@
         let is_final = invocation.is_answered;
         self.handle(Event::ForwardEnded(ForwardOutcome {
             inv: index,
-            copy,
+            forward_index,
             cache,
             outcome,
             latency: self.now - sent_at,
@@ -286,13 +283,13 @@
 
     /// Ends all forwards in flight with success.
     pub fn end_all(&mut self) {
-        for (index, copy) in self.in_flight() {
-            self.end(index, copy, Outcome::Succeeded);
+        for (index, forward_index) in self.in_flight() {
+            self.end(index, forward_index, Outcome::Succeeded);
         }
     }
 
     /// Relays the first bytes of an answer, if the operation streams and the invocation is unanswered.
-    pub fn start_response(&mut self, index: InvocationIndex, copy: usize) {
+    pub fn start_response(&mut self, index: InvocationIndex, forward_index: usize) {
         let invocation = self
             .model
             .invocations
@@ -302,8 +299,11 @@
             return;
         }
         invocation.has_response_started = true;
-        invocation.forwards[copy].timeout_at = Nanos::MAX;
-        self.handle(Event::ResponseStarted { inv: index, copy });
+        invocation.forwards[forward_index].timeout_at = Nanos::MAX;
+        self.handle(Event::ResponseStarted {
+            inv: index,
+            forward_index,
+        });
     }
 
     /// Closes the client's connection, if the invocation is unanswered.
@@ -324,20 +324,20 @@
         let end = self.now + time;
         while self.now < end {
             self.now = (self.now + self.setup.environment.tick).min(end);
-            for (index, copy) in std::mem::take(&mut self.withdrawals) {
-                self.end(index, copy, Outcome::Withdrawn);
+            for (index, forward_index) in std::mem::take(&mut self.withdrawals) {
+                self.end(index, forward_index, Outcome::Withdrawn);
             }
             for cache in std::mem::take(&mut self.health_checks) {
                 self.handle(Event::HealthChecked {
                     cache,
-                    ok: cache % 2 == 0,
+                    is_answered: cache % 2 == 0,
                     load: self.load,
                 });
             }
-            for (index, copy) in self.in_flight() {
-                let forward = &self.model.invocations[&index].forwards[copy];
+            for (index, forward_index) in self.in_flight() {
+                let forward = &self.model.invocations[&index].forwards[forward_index];
                 if forward.timeout_at <= self.now {
-                    self.end(index, copy, Outcome::TimedOut);
+                    self.end(index, forward_index, Outcome::TimedOut);
                 }
             }
             self.fire_timers();
@@ -367,8 +367,8 @@
     }
 
     /// Delivers a peer's message.
-    pub fn receive_gossip(&mut self, peer: usize, text: Vec<u8>) {
-        self.handle(Event::GossipReceived { peer, text });
+    pub fn receive_gossip(&mut self, peer: usize, message: Vec<u8>) {
+        self.handle(Event::GossipReceived { peer, message });
     }
 
     /// Returns the number of actions so far that match the predicate.
--- a/crates/sparrouter-balancer/tests/harness/model.rs
+++ b/crates/sparrouter-balancer/tests/harness/model.rs
@@ -119,12 +119,12 @@
                 self.check_throttle(inv);
             }
             Action::Error { inv } => self.check_final_answer(inv),
-            Action::Withdraw { inv, copy } => {
+            Action::Withdraw { inv, forward_index } => {
                 assert!(
                     self.model.invocations[&inv].limits.withdraw,
                     "withdrawals are not allowed in this setup"
                 );
-                self.withdrawals.push((inv, copy));
+                self.withdrawals.push((inv, forward_index));
             }
             Action::SetTimer { after, token } => self.timers.push((now + after, token)),
             Action::CheckHealth { cache } => {
@@ -134,11 +134,11 @@
                 );
                 self.health_checks.push(cache);
             }
-            Action::SendGossip { peer, ref text } => {
+            Action::SendGossip { peer, ref message } => {
                 let environment = &self.setup.environment;
                 assert!(
                     environment.peers
-                        && text.len() <= 256
+                        && message.len() <= 256
                         && peer < environment.nodes
                         && peer != environment.own_index
                 );
--- a/crates/sparrouter-balancer/tests/origin.rs
+++ b/crates/sparrouter-balancer/tests/origin.rs
@@ -144,7 +144,11 @@
             }
             node.end(fetch.index, 1, Outcome::Succeeded);
         }
-        for (index, copy) in node.in_flight().into_iter().filter(|&(_, copy)| copy == 1) {
+        for (index, forward_index) in node
+            .in_flight()
+            .into_iter()
+            .filter(|&(_, forward_index)| forward_index == 1)
+        {
             if in_flight.iter().all(|fetch| fetch.index != index) {
                 idle_at = idle_at.max(now) + service_time;
                 in_flight.push(Fetch {
@@ -153,7 +157,7 @@
                     ends_at: idle_at + extra_latency,
                 });
             }
-            assert_eq!(copy, 1);
+            assert_eq!(forward_index, 1);
         }
     }
     let fetches = last_latencies.len();
--- a/crates/sparrouter-balancer/tests/peers.rs
+++ b/crates/sparrouter-balancer/tests/peers.rs
@@ -4,16 +4,16 @@
 use sparrouter_balancer::gossip::GossipMessage;
 use sparrouter_balancer::types::*;
 
-struct SentMessage {
+struct SentGossip {
     peer: usize,
-    text: Vec<u8>,
+    message: Vec<u8>,
 }
 
-fn sent_messages(node: &Harness) -> Vec<SentMessage> {
+fn sent_gossip(node: &Harness) -> Vec<SentGossip> {
     let message = |action: &Action| match action {
-        Action::SendGossip { peer, text } => Some(SentMessage {
+        Action::SendGossip { peer, message } => Some(SentGossip {
             peer: *peer,
-            text: text.clone(),
+            message: message.clone(),
         }),
         _ => None,
     };
@@ -35,7 +35,7 @@
 fn each_message_is_sent_to_a_fixed_number_of_peers() {
     let mut node = Harness::new(gossiping_setup(700, 3), servers(4));
     node.advance(10 * SECOND);
-    let sent = sent_messages(&node).len();
+    let sent = sent_gossip(&node).len();
     assert!((10..=20).contains(&sent), "{sent}");
 }
 
@@ -62,9 +62,9 @@
         }
         if has_report {
             node.advance(reporter.now - node.now);
-            for message in sent_messages(&reporter) {
-                assert_eq!(message.peer, 1);
-                node.receive_gossip(0, message.text);
+            for gossip in sent_gossip(&reporter) {
+                assert_eq!(gossip.peer, 1);
+                node.receive_gossip(0, gossip.message);
             }
         }
         let keys = 1000..1400;
--- a/crates/sparrouter-balancer/tests/properties.rs
+++ b/crates/sparrouter-balancer/tests/properties.rs
@@ -123,15 +123,15 @@
     match draw % 16 {
         0..=6 => arrive(node, draw, choice),
         7..=11 => {
-            if let Some((index, copy)) = any_in_flight(node, choice) {
+            if let Some((index, forward_index)) = any_in_flight(node, choice) {
                 let outcome = OUTCOMES[(draw >> 20) as usize % OUTCOMES.len()];
-                node.end(index, copy, outcome);
+                node.end(index, forward_index, outcome);
             }
         }
         12 => {
-            if let Some((index, copy)) = any_in_flight(node, choice) {
+            if let Some((index, forward_index)) = any_in_flight(node, choice) {
                 if draw & 0x100000 == 0 {
-                    node.start_response(index, copy);
+                    node.start_response(index, forward_index);
                 } else {
                     node.close_client(index);
                 }
--- a/crates/sparrouter-balancer/tests/retries.rs
+++ b/crates/sparrouter-balancer/tests/retries.rs
@@ -12,8 +12,8 @@
     for n in 0..600u64 {
         let fails = n % 3 == 0;
         let index = node.read(if fails { n % 4 } else { 100 + n });
-        for copy in 0..6 {
-            let Some(&target) = node.targets(index).get(copy) else {
+        for forward_index in 0..6 {
+            let Some(&target) = node.targets(index).get(forward_index) else {
                 break;
             };
             node.advance(5 * MS);
@@ -22,7 +22,7 @@
                 false if target == 6 || n % 5 > 1 => Outcome::Succeeded,
                 false => Outcome::Miss,
             };
-            node.end(index, copy, outcome);
+            node.end(index, forward_index, outcome);
         }
         let targets = node.targets(index);
         if fails {
@@ -41,8 +41,8 @@
 /// at others.
 fn count_forwards(node: &mut Harness, key: u64, fails: impl Fn(CacheIndex) -> bool) -> usize {
     let index = node.read(key);
-    for copy in 0..3 {
-        let Some(&target) = node.targets(index).get(copy) else {
+    for forward_index in 0..3 {
+        let Some(&target) = node.targets(index).get(forward_index) else {
             break;
         };
         let outcome = if fails(target) {
@@ -50,7 +50,7 @@
         } else {
             Outcome::Succeeded
         };
-        node.end(index, copy, outcome);
+        node.end(index, forward_index, outcome);
     }
     assert!(
         node.is_answered(index),
@@ -118,8 +118,8 @@
     let mut crashed = std::collections::BTreeSet::new();
     for n in 0..4 {
         let index = node.read(key_hash(7_000_000 + n));
-        for copy in 0..3 {
-            let Some(&target) = node.targets(index).get(copy) else {
+        for forward_index in 0..3 {
+            let Some(&target) = node.targets(index).get(forward_index) else {
                 break;
             };
             node.advance(10 * MS);
@@ -129,7 +129,7 @@
             } else {
                 Outcome::Unavailable
             };
-            node.end(index, copy, outcome);
+            node.end(index, forward_index, outcome);
         }
         assert!(node.is_answered(index));
         node.play_reads(SECOND, &|cache| {
--- a/crates/sparrouter-balancer/tests/warm_up.rs
+++ b/crates/sparrouter-balancer/tests/warm_up.rs
@@ -60,10 +60,10 @@
             }
             let operation = if has_changed { 2 } else { 0 };
             let index = node.arrive(Request::read(n).operation(operation));
-            for copy in 0..node.targets(index).len() {
-                let is_to_new = node.targets(index)[copy] == 2;
+            for forward_index in 0..node.targets(index).len() {
+                let is_to_new = node.targets(index)[forward_index] == 2;
                 forwards += usize::from(has_changed && is_to_new);
-                node.end(index, copy, Outcome::Succeeded);
+                node.end(index, forward_index, Outcome::Succeeded);
             }
             node.advance(2 * MS);
         }
@@ -86,10 +86,10 @@
         } else {
             Outcome::Full
         };
-        for copy in 0..3 {
-            let target = node.targets(index).get(copy).copied();
+        for forward_index in 0..3 {
+            let target = node.targets(index).get(forward_index).copied();
             if target.is_some_and(|target| target != 2 || !has_shrunk) {
-                node.end(index, copy, outcome);
+                node.end(index, forward_index, outcome);
             }
         }
         with_new += usize::from(node.targets(index).contains(&2));
@@ -131,9 +131,9 @@
     let play = |node: &mut Harness, key: u64, latency: Nanos| {
         let index = node.read(key);
         node.advance(latency);
-        for copy in 0..3 {
-            if node.targets(index).len() > copy {
-                node.end(index, copy, Outcome::Succeeded);
+        for forward_index in 0..3 {
+            if node.targets(index).len() > forward_index {
+                node.end(index, forward_index, Outcome::Succeeded);
             }
         }
         usize::from(node.targets(index).contains(&2))
--- a/crates/sparrouter-node/src/routing/decision/actions.rs
+++ b/crates/sparrouter-node/src/routing/decision/actions.rs
@@ -18,7 +18,7 @@
                 let send_before = send_deadline.map(|time| self.clock.instant(time));
                 self.forward(inv, cache, wait, send_before);
             }
-            Action::Withdraw { inv, copy } => self.withdraw(inv, copy),
+            Action::Withdraw { inv, forward_index } => self.withdraw(inv, forward_index),
             Action::Throttle { inv, retry_after } => {
                 self.counts.throttled += 1;
                 self.conclude(inv, Answer::Throttled { retry_after });
@@ -29,7 +29,7 @@
             }
             Action::SetTimer { after, token } => self.timers.push(Reverse((now + after, token))),
             Action::CheckHealth { cache } => self.check_health(cache),
-            Action::SendGossip { peer, text } => self.send_gossip(peer, &text),
+            Action::SendGossip { peer, message } => self.send_gossip(peer, &message),
             Action::FollowList => self.request_list(ListRequest::Subscribe),
             Action::RequestList => self.request_list(ListRequest::FetchFull),
         }
@@ -40,7 +40,7 @@
         if !self.command_peer(cache, PeerCommand::CheckHealth) {
             self.queued_events.push_back(Event::HealthChecked {
                 cache,
-                ok: false,
+                is_answered: false,
                 load: None,
             });
         }
--- a/crates/sparrouter-node/src/routing/decision/forwards.rs
+++ b/crates/sparrouter-node/src/routing/decision/forwards.rs
@@ -66,7 +66,7 @@
         }
         let outcome = ForwardOutcome {
             inv,
-            copy: number,
+            forward_index: number,
             cache,
             outcome: Outcome::NotSent,
             latency: 0,
@@ -113,7 +113,7 @@
         let is_final = pending.is_answered.get();
         self.handle_event(Event::ForwardEnded(ForwardOutcome {
             inv,
-            copy: number,
+            forward_index: number,
             cache,
             outcome: result.outcome,
             latency: result.latency.as_nanos() as Nanos,
--- a/crates/sparrouter-node/src/routing/decision/mod.rs
+++ b/crates/sparrouter-node/src/routing/decision/mod.rs
@@ -260,7 +260,7 @@
             Message::Peer(PeerEvent::HealthChecked { cache, ok }) => {
                 self.handle_event(Event::HealthChecked {
                     cache,
-                    ok,
+                    is_answered: ok,
                     load: None,
                 });
             }
@@ -270,7 +270,10 @@
 
     fn on_gossip(&mut self, GossipEvent { peer, text }: GossipEvent) {
         if !TenantQuotas::is_quota_message(&text) {
-            return self.handle_event(Event::GossipReceived { peer, text });
+            return self.handle_event(Event::GossipReceived {
+                peer,
+                message: text,
+            });
         }
         let now = self.clock.now();
         let quotas = self.quotas.as_mut();
@@ -284,7 +287,7 @@
             ListEvent::Failed => {
                 self.counts.lists_lost += 1;
                 self.handle_event(Event::Listed {
-                    form: ListKind::Lost,
+                    kind: ListKind::Lost,
                     records: Vec::new(),
                 });
             }
--- a/crates/sparrouter-node/src/routing/decision/servers.rs
+++ b/crates/sparrouter-node/src/routing/decision/servers.rs
@@ -55,10 +55,7 @@
         if !records.is_empty() {
             log::info!("list: {kind:?}, {} entries", records.len());
         }
-        self.handle_event(Event::Listed {
-            form: kind,
-            records,
-        });
+        self.handle_event(Event::Listed { kind, records });
         self.release_departed();
     }
 
--- a/crates/sparrouter-simhost/src/instance.rs
+++ b/crates/sparrouter-simhost/src/instance.rs
@@ -101,7 +101,7 @@
                 let index = self.indices.get(&begun.ticket);
                 index.map(|&inv| Event::ResponseStarted {
                     inv,
-                    copy: begun.copy,
+                    forward_index: begun.copy,
                 })
             }
             Incoming::Done(done) => self.forward_ended(&done)?,
@@ -113,7 +113,7 @@
                 })
             }
             Incoming::Echo(echo) => Some(Event::HealthChecked {
-                ok: outcome("Echo", &echo.rc)? == Outcome::Succeeded,
+                is_answered: outcome("Echo", &echo.rc)? == Outcome::Succeeded,
                 cache: self.cache("Echo", &echo.server)?,
                 load: load(echo.health_info.as_ref()),
             }),
@@ -121,13 +121,13 @@
                 neighbour, payload, ..
             } => Some(Event::GossipReceived {
                 peer: neighbour,
-                text: BASE64.decode(payload).map_err(HostError::Payload)?,
+                message: BASE64.decode(payload).map_err(HostError::Payload)?,
             }),
         })
     }
 
     fn list(&mut self, list: &PeersKnown) -> Result<Event, HostError> {
-        let form = match list.form.as_str() {
+        let kind = match list.form.as_str() {
             "INCREMENTAL" => ListKind::Changes,
             "FULL" => ListKind::Full,
             "SAVED" => ListKind::Saved,
@@ -143,7 +143,7 @@
         let rows = list.rows.iter();
         let records = rows.map(|row| self.cache_record(row));
         Ok(Event::Listed {
-            form,
+            kind,
             records: records.collect::<Result<Vec<_>, _>>()?,
         })
     }
@@ -208,7 +208,7 @@
         }
         Ok(Some(Event::ForwardEnded(ForwardOutcome {
             inv,
-            copy: done.copy,
+            forward_index: done.copy,
             cache,
             outcome,
             latency: nanos("LagUs", done.lag_us)?,
@@ -267,10 +267,10 @@
             Action::Forward {
                 inv, cache, wait, ..
             } => self.route(inv, cache, wait),
-            Action::Withdraw { inv, copy } => Order::Retract {
+            Action::Withdraw { inv, forward_index } => Order::Retract {
                 i,
                 ticket: self.invocations[&inv].ticket.clone(),
-                copy,
+                copy: forward_index,
             },
             Action::Throttle { inv, retry_after } => Order::Busy {
                 i,
@@ -290,10 +290,10 @@
                 i,
                 server: self.names.id(cache).to_owned(),
             },
-            Action::SendGossip { peer, text } => Order::Signal {
+            Action::SendGossip { peer, message } => Order::Signal {
                 i,
                 peer: peer as i64,
-                payload: BASE64.encode(text),
+                payload: BASE64.encode(message),
             },
             Action::FollowList => Order::Tail { i, on: true },
             Action::RequestList => Order::Pull { i },
