--- a/crates/sparrouter-config/src/change.rs
+++ b/crates/sparrouter-config/src/change.rs
@@ -1,4 +1,4 @@
-//! Applies a PUT or PATCH to the document in force.
+//! Applies a PUT or PATCH to the current configuration.
 
 use crate::edit::digest_of_text;
 use crate::error::ConfigError;
@@ -11,14 +11,15 @@
 /// A complete configuration that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Document {
-    /// Its version number, 1 or higher.
+    /// Version number of the configuration, 1 or higher.
     pub version: u64,
-    /// Its JSON without white space between tokens, with all fields that were sent, known or not, in their order.
+    /// The configuration as JSON without white space between tokens. Contains all fields in the order sent, including those
+    /// unknown to this release.
     pub text: String,
 }
 
 impl Document {
-    /// A hash of the text: the same in every process and release.
+    /// A hash of the document's text, identical in every process and release.
     pub fn digest(&self) -> u64 {
         digest_of_text(&self.text)
     }
@@ -33,20 +34,20 @@
     Patch,
 }
 
-/// An order that can be applied: what identifies it, and the document that it makes.
+/// An operator's order that passed validation: its identity and the document it results in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Accepted {
-    /// What identifies it when it is sent again.
+    /// Identity of the order, by which a retry is recognized.
     pub order: Order,
     /// The resulting configuration.
     pub document: Document,
 }
 
-/// The body of an order, read but not applied.
+/// The parsed body of an order that has not been applied.
 struct Body {
-    /// The text without white space between its tokens.
+    /// The body without white space between tokens.
     text: String,
-    /// The version that the order makes.
+    /// Version number of the configuration that the order results in.
     version: u64,
 }
 
@@ -59,38 +60,38 @@
     })
 }
 
-/// Reads what identifies an order, without judging it on any configuration.
+/// Computes the identity of an order without validating the order against a configuration.
 ///
 /// # Errors
 ///
-/// A [`ConfigError`] where the body is no JSON object with a version: no release applies such an order.
+/// A [`ConfigError`] if the body is not a JSON object with a version. No release applies such an order.
 pub fn read_order(
     method: Method,
     body: &[u8],
     if_match: Option<u64>,
 ) -> Result<Order, ConfigError> {
     let body = read_body(body)?;
-    let base = base_of(if_match);
+    let base = base_version(if_match);
     Ok(Order::new(method, base, body.version, &body.text))
 }
 
-/// The version that an order builds on: a missing `If-Match` counts as 0.
-pub fn base_of(if_match: Option<u64>) -> u64 {
+/// The version that an order is based on, given by `If-Match`. A missing `If-Match` counts as 0.
+pub fn base_version(if_match: Option<u64>) -> u64 {
     if_match.unwrap_or(0)
 }
 
-/// Applies a change to `current` and gives the resulting document. `None`: no configuration was accepted yet, which
-/// counts as version 0. Pure: the same on every node.
+/// Applies a change to `current` and returns the resulting document. `current` is `None` if no configuration was accepted
+/// yet, which counts as version 0. A pure function: every node computes the same result.
 ///
-/// `if_match` is the value of `If-Match` if it is a number. A missing one counts as 0, so it suits the first
-/// configuration only and is stale (412) after that.
+/// `if_match` is the value of `If-Match` if it is a number. A missing `If-Match` counts as 0, so a request without it is
+/// valid for the first configuration only; later it is rejected as stale (412).
 ///
-/// A PATCH replaces items in place by their name, appends new ones, ignores the removal of names that do not exist, and
-/// replaces `limits` if given beside `upsert_items`. Its result is validated like a configuration that is sent by PUT.
+/// A PATCH replaces items in place by their name, appends new items, ignores the removal of names that do not exist, and
+/// replaces `limits` if the body contains that field at its top level. The result is validated like the body of a PUT.
 ///
 /// # Errors
 ///
-/// A [`ConfigError`]. Staleness is checked first.
+/// A [`ConfigError`] if the change is stale, malformed or invalid. Staleness is checked first.
 pub fn change(
     method: Method,
     body: &[u8],
@@ -100,32 +101,32 @@
     accept(method, body, if_match, current).map(|accepted| accepted.document)
 }
 
-/// The same as [`change`], and what identifies the order when it is sent again.
+/// Applies a change as [`change`] does, and also returns the identity of the order.
 ///
 /// # Errors
 ///
-/// As [`change`].
+/// The same errors as [`change`].
 pub fn accept(
     method: Method,
     body: &[u8],
     if_match: Option<u64>,
     current: Option<&Document>,
 ) -> Result<Accepted, ConfigError> {
-    let in_force = current.map_or(0, |document| document.version);
-    if base_of(if_match) != in_force {
+    let current_version = current.map_or(0, |document| document.version);
+    if base_version(if_match) != current_version {
         return Err(ConfigError::Stale {
             sent: if_match,
-            current: in_force,
+            current: current_version,
         });
     }
     let Body { text, version } = read_body(body)?;
-    if version <= in_force {
+    if version <= current_version {
         return Err(ConfigError::OldVersion {
             version,
-            current: in_force,
+            current: current_version,
         });
     }
-    let order = Order::new(method, in_force, version, &text);
+    let order = Order::new(method, current_version, version, &text);
     let text = match method {
         Method::Put => text,
         Method::Patch => {
--- a/crates/sparrouter-config/src/lib.rs
+++ b/crates/sparrouter-config/src/lib.rs
@@ -1,23 +1,23 @@
 //! The operators' configuration: parsed, validated, patched, and read into an immutable route table.
 //!
-//! [`change`] applies the body of a PUT or PATCH to the [`Document`] in force and gives the next one or a [`ConfigError`];
-//! [`RouteTable::read`] turns a document into the table that requests are routed by. Both are pure functions: the same
-//! bytes give the same outcome on every node. No I/O, no clock, no randomness.
+//! [`change`] applies the body of a PUT or PATCH to the current [`Document`] and returns the next document or a
+//! [`ConfigError`]; [`RouteTable::read`] builds the table that requests are routed by from a document. Both are pure functions:
+//! the same bytes give the same result on every node. The crate uses no I/O, no clock and no randomness.
 //!
-//! A document's text is the JSON that was sent, without the white space between its tokens: fields that this release does
-//! not know, their order and the digits of every number are preserved.
+//! A document's text is the JSON that the operator sent, without white space between tokens: unknown fields, the order of
+//! fields and the digits of every number are preserved.
 //!
-//! | module | its one job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `change` | applies a PUT or PATCH |
-//! | `patch` | the text that a PATCH makes of a document's |
-//! | `order` | what identifies an operator's order |
+//! | `patch` | computes the text of a patched document |
+//! | `order` | the identity of an operator's order, that is, of one PUT or PATCH |
 //! | `route_table` | the route table and its look-ups |
 //! | `table_reader`, `route_reader` | validate a document and build its table |
-//! | `table_index` | the indexes of a route table, and what must be unique in it |
-//! | `json`, `fields` | JSON as slices of text, and as typed fields |
-//! | `edit`, `edit_history` | the difference between two texts, as nodes send it to each other |
-//! | `error` | why a configuration is rejected |
+//! | `table_index` | builds the indexes of a route table and checks uniqueness |
+//! | `json`, `fields` | read JSON as slices of text and as typed fields |
+//! | `edit`, `edit_history` | the difference between two texts, which nodes exchange |
+//! | `error` | the reasons for rejecting a configuration |
 
 mod change;
 mod edit;
@@ -32,7 +32,7 @@
 mod table_index;
 mod table_reader;
 
-pub use change::{Accepted, Document, Method, accept, base_of, change, read_order};
+pub use change::{Accepted, Document, Method, accept, base_version, change, read_order};
 pub use edit::{Edit, Hunk, digest_of_text};
 pub use edit_history::EditHistory;
 pub use error::ConfigError;
--- a/crates/sparrouter-config/src/order.rs
+++ b/crates/sparrouter-config/src/order.rs
@@ -1,48 +1,50 @@
-//! What identifies an operator's order, so that the same one is recognized when it is sent again.
+//! The identity of an operator's order (a PUT or PATCH of the configuration), by which a retry is recognized.
 
 use crate::Method;
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest.
+/// Length of an [`OrderDigest`] in bytes.
 pub const ORDER_DIGEST_BYTES: usize = 32;
 
-/// Separates these digests from any other use of SHA-256, and from a later form of this one. It is hashed: it stays.
-const DOMAIN: &[u8] = b"sparrouter configuration order, form 1\0";
+/// Domain separator: prevents collisions with other uses of SHA-256 and with later formats of this digest. It is part of the
+/// hashed input and must not change.
+const DOMAIN_SEPARATOR: &[u8] = b"sparrouter configuration order, form 1\0";
 
-/// SHA-256 over method, base, number and text of an order. Two different orders with one digest cannot be constructed.
+/// SHA-256 over method, base version, version and text of an order. It is infeasible to construct two different orders with
+/// the same digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderDigest(pub [u8; ORDER_DIGEST_BYTES]);
 
 /// The identity of one PUT or PATCH of the configuration.
 ///
-/// White space between the tokens of the body does not count, since a configuration is stored without it. Everything else
-/// does: the order of the fields and the digits of each number too.
+/// White space between the tokens of the body is ignored, since a configuration is stored without it. Everything else
+/// is significant, including the order of fields and the digits of each number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The version that it builds on, 0 for the first configuration.
+    /// The version that the order is based on; 0 for the first configuration.
     pub base: u64,
-    /// The version that it makes.
+    /// Version number of the configuration that the order results in.
     pub version: u64,
-    /// SHA-256 of the request.
+    /// Digest of the order.
     pub digest: OrderDigest,
 }
 
 impl Order {
-    /// `text`: the body without white space between its tokens.
-    pub(crate) fn new(method: Method, base: u64, number: u64, text: &str) -> Order {
+    /// Creates the identity of an order. `text` is the body without white space between tokens.
+    pub(crate) fn new(method: Method, base: u64, version: u64, text: &str) -> Order {
         let method: &[u8] = match method {
             Method::Put => b"PUT\0",
             Method::Patch => b"PATCH\0",
         };
         let mut hasher = Sha256::new();
-        hasher.update(DOMAIN);
+        hasher.update(DOMAIN_SEPARATOR);
         hasher.update(method);
         hasher.update(base.to_le_bytes());
-        hasher.update(number.to_le_bytes());
+        hasher.update(version.to_le_bytes());
         hasher.update(text.as_bytes());
         Order {
             base,
-            version: number,
+            version,
             digest: OrderDigest(hasher.finalize().into()),
         }
     }
--- a/crates/sparrouter-fleet/src/control/configuration_state.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state.rs
@@ -12,7 +12,7 @@
 use crate::platform::defects::rules;
 use nanoserde::{DeBin, SerBin};
 use sparrouter_codec::{Blob, Seq};
-use sparrouter_config::{Accepted, ConfigError, Document, Method, Order, base_of};
+use sparrouter_config::{Accepted, ConfigError, Document, Method, Order, base_version};
 use sparrouter_consensus::{Applied, Machine, Settings};
 
 /// Most models that versions are named for.
@@ -123,7 +123,7 @@
         } else {
             Some(self.version)
         };
-        if base_of(if_match) != self.version && rules::repeated_orders_recognized() {
+        if base_version(if_match) != self.version && rules::repeated_orders_recognized() {
             return self.recognize(method, if_match, body);
         }
         match sparrouter_config::accept(method, body, if_match, self.document().as_ref()) {
