--- a/crates/sparrouter-config/src/error.rs
+++ b/crates/sparrouter-config/src/error.rs
@@ -1,15 +1,14 @@
-//! Why a configuration is rejected, in messages that an operator can act on. They never contain an API key.
+//! The reasons for rejecting a configuration, with messages that an operator can act on. Messages never contain an API key.
 
 use thiserror::Error;
 
-/// What is wrong with a change, where, and the remedy. `path` is the path of a field such as ``routes[3] (`login`).kind``,
-/// `offset` an offset in the body, in bytes.
+/// The reason for rejecting a configuration change. The message names the invalid part and the remedy. `path` is the path of a
+/// field such as ``routes[3] (`login`).kind``; `offset` is an offset in the body, in bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
     /// The body has too many bytes.
     #[error(
-        "the configuration takes {bytes} bytes, {limit} are allowed: remove routes, services or tenants that are \
-         no longer used"
+        "the configuration has {bytes} bytes, but at most {limit} are allowed: remove unused routes, services or tenants"
     )]
     TooLarge {
         /// Size of the body in bytes.
@@ -19,80 +18,79 @@
     },
     /// The body contains too many values.
     #[error(
-        "the configuration holds more than {limit} values: remove routes, services or tenants that are no longer \
-         used"
+        "the configuration contains more than {limit} values: remove unused routes, services or tenants"
     )]
     TooManyValues {
         /// Largest allowed number of values.
         limit: usize,
     },
     /// The body is not UTF-8.
-    #[error("byte {offset} is not UTF-8: send the configuration as UTF-8 JSON")]
+    #[error("the body is not UTF-8 at byte {offset}: send the configuration as UTF-8 JSON")]
     NotUtf8 {
         /// Offset of the first invalid byte.
         offset: usize,
     },
     /// Lists and objects are nested too deeply.
     #[error(
-        "byte {offset} opens level {limit} + 1 of nesting: flatten the field that is nested this deep"
+        "the JSON is nested more than {limit} levels deep at byte {offset}: flatten the field at this position"
     )]
     TooDeep {
-        /// Offset of the list or object that is too deep.
+        /// Offset of the list or object that is nested too deeply.
         offset: usize,
-        /// Deepest allowed level.
+        /// Deepest allowed nesting, in levels.
         limit: usize,
     },
-    /// The body ends before the JSON does.
-    #[error("the JSON ends at byte {length} before it is whole: send it again in whole")]
+    /// The body ends before the JSON value is complete.
+    #[error("the JSON is incomplete: it ends at byte {length}: send the complete configuration")]
     Truncated {
         /// Length of the body in bytes.
         length: usize,
     },
     /// The body is not JSON.
     #[error(
-        "the body is not JSON, or holds a number or an escape that JSON cannot carry: check it with a JSON \
+        "the body is not JSON, or contains a number or an escape that is invalid in JSON: check it with a JSON \
          validator"
     )]
     Malformed,
-    /// An object contains a field twice.
-    #[error("`{key}` occurs twice in the object that byte {offset} is in: remove one of them")]
+    /// An object contains a duplicate field.
+    #[error("the field `{key}` at byte {offset} is a duplicate in its object: remove one of them")]
     DuplicateField {
-        /// The field.
+        /// Key of the field.
         key: String,
-        /// Offset of its second occurrence.
+        /// Offset of the field's second occurrence.
         offset: usize,
     },
-    /// `If-Match` does not name the version in force.
+    /// `If-Match` is missing or differs from the current version.
     #[error(
-        "If-Match is {} but version {current} is in force: read the configuration, build the change on it and send \
+        "If-Match is {} but the current version is {current}: read the configuration, base the change on it and send \
          If-Match: {current}",
         .sent.map_or("missing".to_owned(), |v| v.to_string())
     )]
     Stale {
         /// The value of `If-Match`, if it is a number.
         sent: Option<u64>,
-        /// The version in force.
+        /// Version number of the current configuration.
         current: u64,
     },
-    /// A PATCH before the first configuration.
+    /// A PATCH was sent before the first configuration.
     #[error("there is no configuration to patch: send a complete one by PUT first")]
     NothingToPatch,
-    /// The new version is not above the one in force.
-    #[error("`version` {version} is not above {current}, which is in force: choose a higher one")]
+    /// The new version is not above the current version.
+    #[error("`version` {version} is not above {current}, the current version: choose a higher one")]
     OldVersion {
-        /// The version that was sent.
+        /// Version number in the body.
         version: u64,
-        /// The version in force.
+        /// Version number of the current configuration.
         current: u64,
     },
-    /// A document is stored under another version than its text says.
+    /// The version in a document's text differs from the version that the document is stored under.
     #[error(
-        "the text holds version {text} but is stored as {stored}: read the configuration from another node"
+        "the configuration stored as version {stored} contains version {text}: read the configuration from another node"
     )]
     VersionMismatch {
-        /// The version that it is stored under.
+        /// The version that the document is stored under.
         stored: u64,
-        /// The version in its text.
+        /// The version in the document's text.
         text: u64,
     },
     /// A required field is missing or empty.
@@ -106,7 +104,7 @@
     WrongType {
         /// Path of the field.
         path: String,
-        /// What it must be.
+        /// The expected type or range.
         expected: &'static str,
     },
     /// A route has an unknown `kind`.
@@ -114,7 +112,7 @@
     UnknownKind {
         /// Path of the field.
         path: String,
-        /// The value that was sent.
+        /// The invalid value.
         kind: String,
     },
     /// A path prefix does not begin and end with a slash.
@@ -122,94 +120,98 @@
     InvalidPrefix {
         /// Path of the field.
         path: String,
-        /// The value that was sent.
+        /// The invalid value.
         prefix: String,
     },
     /// A route has a timeout of 0.
-    #[error("{path} is 0: give the longest time in ms that a request may take")]
+    #[error("{path} is 0: set the longest duration of a request in ms")]
     ZeroTimeout {
         /// Path of the field.
         path: String,
     },
-    /// A route names a service that does not exist.
+    /// A route refers to a service that does not exist.
     #[error(
-        "{path} names the service `{service}`, which is not in `services`: add it there or name another"
+        "{path} refers to the service `{service}`, which is not in `services`: add it there or use another service"
     )]
     UnknownService {
         /// Path of the field.
         path: String,
-        /// The name.
+        /// Name of the unknown service.
         service: String,
     },
-    /// A route names a KV store.
+    /// A route refers to a KV store.
     #[error(
-        "{path} names `{service}`, which is a store and serves no requests: name another service"
+        "{path} refers to `{service}`, which is a KV store and serves no requests: use another service"
     )]
     StoreInRoute {
         /// Path of the field.
         path: String,
-        /// The name of the store.
+        /// Name of the KV store.
         service: String,
     },
     /// A weight is negative or not finite.
-    #[error("{path} is below 0 or too large: give a weight of 0 or more")]
+    #[error("{path} is negative or too large: set a weight of 0 or more")]
     InvalidWeight {
         /// Path of the field.
         path: String,
     },
     /// All weights of a route are 0.
-    #[error("the weights in {path} sum to 0: give at least one service a weight above 0")]
+    #[error("the weights in {path} add up to 0: set a weight above 0 for at least one service")]
     ZeroWeights {
         /// Path of the field.
         path: String,
     },
     /// Two routes have the same host and prefix.
     #[error(
-        "{path} has the host and prefix of `{other}`: change one of them or remove one of the routes"
+        "{path} has the same host and path prefix as route `{other}`: change or remove one of the routes"
     )]
     DuplicatePrefix {
-        /// Path of the second route.
+        /// Path of the second route in the configuration.
         path: String,
-        /// Name of the first one.
+        /// Name of the first route.
         other: String,
     },
     /// Two items of a list have the same name.
-    #[error("two of `{list}` are named `{name}`: rename or remove one of them")]
+    #[error("`{list}` contains two items named `{name}`: rename or remove one of them")]
     DuplicateName {
-        /// The list.
+        /// Name of the list.
         list: String,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
     /// Two tenants have the same API key.
     #[error("the tenants `{first}` and `{second}` share an API key: remove it from one of them")]
     SharedKey {
-        /// Name of one tenant.
+        /// Name of the first tenant.
         first: String,
-        /// Name of the other.
+        /// Name of the second tenant.
         second: String,
     },
-    /// A patch both changes and removes an item.
-    #[error("`{name}` of `{list}` is both in upsert_items and in remove_names: keep one of them")]
+    /// A patch both upserts and removes an item.
+    #[error(
+        "`{name}` of `{list}` is in both upsert_items and remove_names: remove it from one of them"
+    )]
     Contradiction {
-        /// The list.
+        /// Name of the list.
         list: String,
-        /// The name of the item.
+        /// Name of the item.
         name: String,
     },
-    /// A patch contains a list of the configuration beside `upsert_items`.
+    /// A patch contains a list of the configuration at its top level instead of in `upsert_items`.
     #[error(
-        "`{field}` stands beside upsert_items: put single items into upsert_items, or send a complete PUT"
+        "a patch must not contain `{field}` outside of upsert_items: put the items into upsert_items, or send a complete \
+         configuration by PUT"
     )]
     ListInPatch {
-        /// The list.
+        /// Name of the list.
         field: String,
     },
 }
 
 impl ConfigError {
-    /// The HTTP status that answers the change: 400 unreadable, 412 built on another version, 413 too large, 422
-    /// readable but invalid. All of them are final for the operator's call.
+    /// The HTTP status of the response to the change: 400 if the body cannot be parsed, 412 if it is based on another version,
+    /// 413 if it is too large, 422 if it can be parsed but is invalid. Retrying the same request does not help in any of
+    /// these cases.
     pub fn status(&self) -> u16 {
         match self {
             ConfigError::TooLarge { .. } | ConfigError::TooManyValues { .. } => 413,
