--- a/crates/sparrouter-config/src/fields.rs
+++ b/crates/sparrouter-config/src/fields.rs
@@ -1,32 +1,32 @@
 //! Typed access to the fields of a JSON object; errors name the path of the field. `null` counts as absent.
 //!
-//! Fields that nobody asks for are ignored, so that a configuration of a newer release can be read.
+//! Unknown fields are ignored, so that a configuration written for a newer release can be read.
 
 use crate::error::ConfigError;
 use miniserde::json::{Array, Number, Object, Value};
 
-/// Above 2^53 an `f64` cannot represent every integer.
+/// The largest `f64` up to which every integer is represented exactly: 2^53.
 const MAX_EXACT_FLOAT: f64 = (1u64 << 53) as f64;
 
-/// A JSON object and its location in the document. Its path is built for errors only.
+/// A JSON object and its location in the document. The object's path is computed only for errors.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a> {
     object: &'a Object,
     location: Location<'a>,
 }
 
-/// Where an object stands in its document.
+/// The location of an object in its document.
 #[derive(Clone, Copy)]
 enum Location<'a> {
-    /// It is the document.
+    /// The object is the document itself.
     Root,
-    /// It is an item of the list in the field `list` of `parent`.
+    /// The object is item `index` of the list in the field `list` of `parent`.
     Item {
         list: &'a str,
         index: usize,
         parent: &'a Fields<'a>,
     },
-    /// It is the value of the field `field` of `parent`.
+    /// The object is the value of the field `field` of `parent`.
     Field {
         field: &'a str,
         parent: &'a Fields<'a>,
@@ -34,7 +34,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of a document, which must be an object.
+    /// The fields of a document. Fails if the document is not an object.
     pub fn root(tree: &'a Value) -> Result<Fields<'a>, ConfigError> {
         match tree {
             Value::Object(object) => Ok(Fields {
@@ -48,9 +48,9 @@
         }
     }
 
-    /// The path of a field for an error, such as ``routes[3] (`login`).kind``. An empty field gives the path of the object.
+    /// The path of a field for error messages, such as ``routes[3] (`login`).kind``; the path of the object if `field` is empty.
     pub fn path(&self, field: &str) -> String {
-        let own = match self.location {
+        let object_path = match self.location {
             Location::Root => return field.to_owned(),
             Location::Item {
                 list,
@@ -66,13 +66,13 @@
             Location::Field { field, parent } => parent.path(field),
         };
         if field.is_empty() {
-            own
+            object_path
         } else {
-            format!("{own}.{field}")
+            format!("{object_path}.{field}")
         }
     }
 
-    /// The error for a field that must be present.
+    /// The error for a required field that is absent.
     pub fn missing(&self, field: &str) -> ConfigError {
         ConfigError::Missing {
             path: self.path(field),
@@ -86,7 +86,8 @@
         }
     }
 
-    /// The value of a field, read by `read`; `None` if it is absent. What `read` rejects is not `expected`.
+    /// The value of a field, converted by `read`; `None` if the field is absent. If `read` rejects the value, the error says
+    /// that it is not `expected`.
     fn read<T>(
         &self,
         field: &str,
@@ -101,31 +102,31 @@
         }
     }
 
-    /// A string.
-    pub fn text(&self, field: &str) -> Result<Option<&'a str>, ConfigError> {
+    /// The value of a string field.
+    pub fn string(&self, field: &str) -> Result<Option<&'a str>, ConfigError> {
         self.read(field, "a string", |value| match value {
             Value::String(text) => Some(text.as_str()),
             _ => None,
         })
     }
 
-    /// A string that must be present and not empty.
-    pub fn required_text(&self, field: &str) -> Result<&'a str, ConfigError> {
-        self.text(field)?
+    /// The value of a required string field that must not be empty.
+    pub fn required_string(&self, field: &str) -> Result<&'a str, ConfigError> {
+        self.string(field)?
             .filter(|text| !text.is_empty())
             .ok_or_else(|| self.missing(field))
     }
 
-    /// An integer in the range of `T`. `6000.0` is one too.
+    /// The value of an integer field, in the range of `T`. `6000.0` counts as an integer.
     pub fn integer<T: TryFrom<u64>>(&self, field: &str) -> Result<Option<T>, ConfigError> {
-        let expected = "a whole number from 0 up within its range";
+        let expected = "a non-negative integer within its range";
         self.read(field, expected, |value| match value {
             Value::Number(number) => integer_of(number).and_then(|n| T::try_from(n).ok()),
             _ => None,
         })
     }
 
-    /// The version number. It must be written as an integer, so that no parser rounds it.
+    /// The version number. Must be an integer literal, so that no parser rounds it.
     pub fn version(&self) -> Result<u64, ConfigError> {
         let version = self.read("version", "an integer below 2^64", |value| match value {
             Value::Number(Number::U64(number)) => Some(*number),
@@ -134,8 +135,8 @@
         version.ok_or_else(|| self.missing("version"))
     }
 
-    /// Any number.
-    pub fn decimal(&self, field: &str) -> Result<Option<f64>, ConfigError> {
+    /// The value of a numeric field.
+    pub fn number(&self, field: &str) -> Result<Option<f64>, ConfigError> {
         self.read(field, "a number", |value| match value {
             Value::Number(Number::U64(number)) => Some(*number as f64),
             Value::Number(Number::I64(number)) => Some(*number as f64),
@@ -144,25 +145,25 @@
         })
     }
 
-    /// A finite number, 0 or more.
-    pub fn amount(&self, field: &str) -> Result<Option<f64>, ConfigError> {
-        match self.decimal(field)? {
+    /// The value of a numeric field that must be finite and 0 or more.
+    pub fn non_negative_number(&self, field: &str) -> Result<Option<f64>, ConfigError> {
+        match self.number(field)? {
             Some(number) if !number.is_finite() || number < 0.0 => {
-                Err(self.wrong_type(field, "a number from 0 up"))
+                Err(self.wrong_type(field, "a number of 0 or more"))
             }
             number => Ok(number),
         }
     }
 
-    /// A boolean.
-    pub fn flag(&self, field: &str) -> Result<Option<bool>, ConfigError> {
+    /// The value of a boolean field.
+    pub fn boolean(&self, field: &str) -> Result<Option<bool>, ConfigError> {
         self.read(field, "true or false", |value| match value {
             Value::Bool(flag) => Some(*flag),
             _ => None,
         })
     }
 
-    /// A list of any values.
+    /// The value of a list field.
     pub fn list(&self, field: &str) -> Result<Option<&'a Array>, ConfigError> {
         self.read(field, "a list", |value| match value {
             Value::Array(list) => Some(list),
@@ -170,23 +171,23 @@
         })
     }
 
-    /// A list that must be present.
+    /// The value of a required list field.
     pub fn required_list(&self, field: &str) -> Result<&'a Array, ConfigError> {
         self.list(field)?.ok_or_else(|| self.missing(field))
     }
 
-    /// A list of strings, none of them empty; an absent list is empty.
-    pub fn texts(&self, field: &str) -> Result<Vec<String>, ConfigError> {
+    /// The items of a list of non-empty strings; empty if the field is absent.
+    pub fn strings(&self, field: &str) -> Result<Vec<String>, ConfigError> {
         let values = self.list(field)?.into_iter().flat_map(|list| list.iter());
         values
             .map(|value| match value {
                 Value::String(text) if !text.is_empty() => Ok(text.clone()),
-                _ => Err(self.wrong_type(field, "a list of strings that are not empty")),
+                _ => Err(self.wrong_type(field, "a list of non-empty strings")),
             })
             .collect()
     }
 
-    /// The object in a field.
+    /// The value of an object field.
     pub fn object<'b>(&'b self, field: &'b str) -> Result<Option<Fields<'b>>, ConfigError> {
         self.read(field, "an object", |value| match value {
             Value::Object(object) => Some(Fields {
@@ -200,7 +201,7 @@
         })
     }
 
-    /// The objects of a list; an absent list is empty.
+    /// The items of a list of objects; empty if the field is absent.
     pub fn objects<'b>(&'b self, field: &'b str) -> Result<Vec<Fields<'b>>, ConfigError> {
         let values = self.list(field)?.into_iter().flat_map(|list| list.iter());
         values
@@ -222,8 +223,8 @@
             .collect()
     }
 
-    /// Each object of a list, read by `read`; an absent list is empty.
-    pub fn each<T>(
+    /// The items of a list of objects, each converted by `read`; empty if the field is absent.
+    pub fn read_list<T>(
         &self,
         list: &str,
         read: impl Fn(&Fields) -> Result<T, ConfigError>,
@@ -232,7 +233,7 @@
     }
 }
 
-/// The value of a number that is an integer from 0 to 2^64 - 1, or a float that represents one exactly.
+/// Converts a number to an integer from 0 to 2^64 - 1. Accepts a float only if it is integral and at most 2^53.
 fn integer_of(number: &Number) -> Option<u64> {
     match number {
         Number::U64(number) => Some(*number),
--- a/crates/sparrouter-config/src/route_reader.rs
+++ b/crates/sparrouter-config/src/route_reader.rs
@@ -1,25 +1,25 @@
-//! Reads and validates one route: its fields, and the services that it is split over.
+//! Reads and validates one route: its fields, and the services that its traffic is split over.
 
 use crate::error::ConfigError;
 use crate::fields::Fields;
 use crate::route_table::{Route, RouteKind, Service};
 use std::collections::HashMap;
 
-/// `timeout_ms` of a route that gives none.
+/// Value of `timeout_ms` in ms if a route does not set it.
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
-/// `priority` of a route that gives none.
+/// Value of `priority` if a route does not set it.
 const DEFAULT_PRIORITY: u8 = 5;
 
-/// The services that a route may name.
+/// The services of the configuration, which routes refer to by name.
 #[derive(Clone, Copy)]
 pub(crate) struct ServiceIndex<'a> {
     pub services: &'a [Service],
-    /// The index of each service by its name.
+    /// Maps the name of each service to its index in `services`.
     pub by_name: &'a HashMap<String, usize>,
 }
 
 impl ServiceIndex<'_> {
-    /// Checks that a route may name this service in the field `service` of `fields`.
+    /// Checks that `service`, the value of the field `service` of `fields`, exists and is not a KV store.
     fn check(self, fields: &Fields, service: &str) -> Result<(), ConfigError> {
         match self.by_name.get(service) {
             None => Err(ConfigError::UnknownService {
@@ -37,10 +37,10 @@
     }
 }
 
-/// Reads a route.
+/// Reads and validates a route.
 pub(crate) fn read_route(fields: &Fields, services: ServiceIndex) -> Result<Route, ConfigError> {
-    let name = fields.required_text("name")?.to_owned();
-    let host = fields.required_text("host")?.to_owned();
+    let name = fields.required_string("name")?.to_owned();
+    let host = fields.required_string("host")?.to_owned();
     let path_prefix = read_path_prefix(fields)?;
     let kind = read_kind(fields)?;
     let timeout_ms = read_timeout_ms(fields)?;
@@ -55,16 +55,16 @@
         priority: fields.integer("priority")?.unwrap_or(DEFAULT_PRIORITY),
         split: read_split(fields, services)?,
         max_attempts: fields.integer("max_attempts")?.unwrap_or(1).max(1),
-        public_access: fields.flag("public_access")?.unwrap_or(false),
-        session_affinity: fields.flag("session_affinity")?.unwrap_or(false),
-        resumable: fields.flag("resumable")?.unwrap_or(false),
-        // The operators' name for this field is `gap_aim_ms`.
+        public_access: fields.boolean("public_access")?.unwrap_or(false),
+        session_affinity: fields.boolean("session_affinity")?.unwrap_or(false),
+        resumable: fields.boolean("resumable")?.unwrap_or(false),
+        // The configuration names this field `gap_aim_ms`.
         target_token_interval_ms: fields.integer("gap_aim_ms")?.unwrap_or(0),
     })
 }
 
 fn read_path_prefix(fields: &Fields) -> Result<String, ConfigError> {
-    let prefix = fields.required_text("path_prefix")?.to_owned();
+    let prefix = fields.required_string("path_prefix")?.to_owned();
     if !(prefix.starts_with('/') && prefix.ends_with('/')) {
         return Err(ConfigError::InvalidPrefix {
             path: fields.path("path_prefix"),
@@ -75,14 +75,14 @@
 }
 
 fn read_kind(fields: &Fields) -> Result<RouteKind, ConfigError> {
-    match fields.text("kind")? {
+    match fields.string("kind")? {
         Some("idempotent") => Ok(RouteKind::Idempotent),
-        // Without `kind` the safe choice is not to repeat requests.
+        // If `kind` is absent, it is safer not to retry requests.
         Some("non_idempotent") | None => Ok(RouteKind::NonIdempotent),
         Some("streaming") => Ok(RouteKind::Streaming),
-        Some(other) => Err(ConfigError::UnknownKind {
+        Some(unknown) => Err(ConfigError::UnknownKind {
             path: fields.path("kind"),
-            kind: other.to_owned(),
+            kind: unknown.to_owned(),
         }),
     }
 }
@@ -97,9 +97,9 @@
     Ok(timeout_ms)
 }
 
-/// The services of a route and their weights, each service once.
+/// Reads the services of a route with their weights. Each service occurs once in the result.
 fn read_split(fields: &Fields, services: ServiceIndex) -> Result<Vec<(String, f64)>, ConfigError> {
-    let only_service = fields.text("service")?;
+    let only_service = fields.string("service")?;
     if let Some(service) = only_service {
         services.check(fields, service)?;
     }
@@ -109,28 +109,28 @@
         return Ok(vec![(service.to_owned(), 1.0)]);
     }
     let mut split: Vec<(String, f64)> = Vec::with_capacity(entries.len());
-    let mut index: HashMap<&str, usize> = HashMap::with_capacity(entries.len());
+    let mut positions: HashMap<&str, usize> = HashMap::with_capacity(entries.len());
     for entry in &entries {
-        let service = entry.required_text("service")?;
+        let service = entry.required_string("service")?;
         services.check(entry, service)?;
         let weight = read_weight(entry)?;
         if weight == 0.0 {
             continue;
         }
-        let position = *index.entry(service).or_insert_with(|| {
+        let position = *positions.entry(service).or_insert_with(|| {
             split.push((service.to_owned(), 0.0));
             split.len() - 1
         });
         split[position].1 += weight;
     }
-    check_sum(fields, &split)?;
+    check_weight_sum(fields, &split)?;
     Ok(split)
 }
 
-/// The weight of an entry of `traffic_split`, 0 or more.
+/// Reads the weight of an entry of `traffic_split`, which must be finite and 0 or more.
 fn read_weight(entry: &Fields) -> Result<f64, ConfigError> {
     let weight = entry
-        .decimal("weight")?
+        .number("weight")?
         .ok_or_else(|| entry.missing("weight"))?;
     if !(weight.is_finite() && weight >= 0.0) {
         return Err(ConfigError::InvalidWeight {
@@ -140,8 +140,8 @@
     Ok(weight)
 }
 
-/// Checks that there is a service with a weight above 0, and that the sum of the weights is finite.
-fn check_sum(fields: &Fields, split: &[(String, f64)]) -> Result<(), ConfigError> {
+/// Checks that at least one weight is above 0, and that the sum of the weights is finite.
+fn check_weight_sum(fields: &Fields, split: &[(String, f64)]) -> Result<(), ConfigError> {
     let path = || fields.path("traffic_split");
     if split.is_empty() {
         return Err(ConfigError::ZeroWeights { path: path() });
--- a/crates/sparrouter-config/src/table_reader.rs
+++ b/crates/sparrouter-config/src/table_reader.rs
@@ -1,5 +1,4 @@
-//! Validates a document and builds its table: everything but the routes, which `route_reader` reads, and what must be
-//! unique, which `table_index` checks.
+//! Validates a document and builds its route table. `route_reader` reads the routes, and `table_index` checks uniqueness.
 
 use crate::change::Document;
 use crate::error::ConfigError;
@@ -10,7 +9,7 @@
 use crate::table_index::{index_keys, index_names, index_prefixes};
 
 impl RouteTable {
-    /// Reads and validates a document, in time proportional to its length (beside sorting each host's prefix lengths).
+    /// Reads and validates a document, in time proportional to its length (except for sorting each host's prefix lengths).
     ///
     /// # Errors
     ///
@@ -25,20 +24,20 @@
                 text: version,
             });
         }
-        // A PUT without these is more likely a patch or a truncated body than an intentionally empty fleet.
+        // A PUT without these lists is more likely a patch or a truncated body than an intentionally empty configuration.
         root.required_list("routes")?;
         root.required_list("services")?;
 
-        let services = root.each("services", read_service)?;
+        let services = root.read_list("services", read_service)?;
         let by_service = index_names("services", services.iter().map(|s| s.name.as_str()))?;
         let service_index = ServiceIndex {
             services: &services,
             by_name: &by_service,
         };
-        let routes = root.each("routes", |fields| read_route(fields, service_index))?;
+        let routes = root.read_list("routes", |fields| read_route(fields, service_index))?;
         index_names("routes", routes.iter().map(|r| r.name.as_str()))?;
         let by_host = index_prefixes(&routes)?;
-        let tenants = root.each("tenants", read_tenant)?;
+        let tenants = root.read_list("tenants", read_tenant)?;
         index_names("tenants", tenants.iter().map(|t| t.name.as_str()))?;
         let by_key = index_keys(&tenants)?;
         let limits = match root.object("limits")? {
@@ -61,11 +60,11 @@
 }
 
 fn read_service(fields: &Fields) -> Result<Service, ConfigError> {
-    let name = fields.required_text("name")?.to_owned();
-    let health_check_path = fields.text("health_check_path")?.map(str::to_owned);
+    let name = fields.required_string("name")?.to_owned();
+    let health_check_path = fields.string("health_check_path")?.map(str::to_owned);
     let max_connections = fields.integer("max_connections")?;
-    let protocol = fields.text("protocol")?.unwrap_or("h1").to_owned();
-    let tls_enabled = fields.flag("tls_enabled")?.unwrap_or(false);
+    let protocol = fields.string("protocol")?.unwrap_or("h1").to_owned();
+    let tls_enabled = fields.boolean("tls_enabled")?.unwrap_or(false);
     let engine = fields.object("engine")?;
     Ok(Service {
         name,
@@ -83,18 +82,18 @@
         slot_count: fields.integer("slot_count")?.unwrap_or(1),
         kv_capacity_tokens: fields.integer("kv_capacity_tokens")?.unwrap_or(0),
         kv_token_bytes: fields.integer("kv_token_bytes")?.unwrap_or(0),
-        link_mbps: fields.decimal("link_mbps")?.unwrap_or(0.0),
+        link_mbps: fields.number("link_mbps")?.unwrap_or(0.0),
         stride: fields.integer("stride")?.unwrap_or(1),
         max_concurrent: fields.integer("max_concurrent")?.unwrap_or(1),
-        models: fields.each("models", |model| {
-            Ok(model.required_text("name")?.to_owned())
+        models: fields.read_list("models", |model| {
+            Ok(model.required_string("name")?.to_owned())
         })?,
     })
 }
 
-/// The KV store that a service is; `None` if it has no `kv_store_address`.
+/// Reads the KV store of a service; `None` if the service has no `kv_store_address`.
 fn read_store(fields: &Fields) -> Result<Option<Store>, ConfigError> {
-    let Some(address) = fields.text("kv_store_address")? else {
+    let Some(address) = fields.string("kv_store_address")? else {
         return Ok(None);
     };
     let address = address.parse().map_err(|_| ConfigError::WrongType {
@@ -103,9 +102,9 @@
     })?;
     Ok(Some(Store {
         address,
-        zone: fields.text("zone")?.unwrap_or("").to_owned(),
+        zone: fields.string("zone")?.unwrap_or("").to_owned(),
         kv_capacity_tokens: fields.integer("kv_capacity_tokens")?.unwrap_or(0),
-        link_mbps: fields.decimal("link_mbps")?.unwrap_or(0.0),
+        link_mbps: fields.number("link_mbps")?.unwrap_or(0.0),
         max_concurrent: fields.integer("max_concurrent")?.unwrap_or(1),
     }))
 }
@@ -126,18 +125,18 @@
 
 fn read_tenant(fields: &Fields) -> Result<Tenant, ConfigError> {
     Ok(Tenant {
-        name: fields.required_text("name")?.to_owned(),
-        api_keys: fields.texts("api_keys")?,
+        name: fields.required_string("name")?.to_owned(),
+        api_keys: fields.strings("api_keys")?,
         priority: fields.integer("priority")?,
-        isolated: fields.flag("isolated")?.unwrap_or(false),
+        isolated: fields.boolean("isolated")?.unwrap_or(false),
         quota: read_quota(fields)?,
     })
 }
 
-/// A tenant's quota; `None` where `rate_per_s` is absent or 0, which means no limit.
+/// Reads a tenant's quota; `None` if `rate_per_s` is absent or 0, which means no limit.
 fn read_quota(fields: &Fields) -> Result<Option<TenantQuota>, ConfigError> {
-    let rate_per_s = fields.amount("rate_per_s")?.unwrap_or(0.0);
-    let burst_size = fields.amount("burst_size")?.unwrap_or(0.0);
+    let rate_per_s = fields.non_negative_number("rate_per_s")?.unwrap_or(0.0);
+    let burst_size = fields.non_negative_number("burst_size")?.unwrap_or(0.0);
     Ok((rate_per_s > 0.0).then_some(TenantQuota {
         rate_per_s,
         burst_size,
--- a/crates/sparrouter-config/tests/quotas.rs
+++ b/crates/sparrouter-config/tests/quotas.rs
@@ -1,18 +1,18 @@
-//! Quotas of tenants: what is read from `rate_per_s` and `burst_size`, by PUT and by PATCH, and what is refused.
+//! Tenant quotas: reading and validation of `rate_per_s` and `burst_size` in a PUT and in a PATCH.
 
 mod common;
 
 use common::{example, patch, put, table};
 use sparrouter_config::{ConfigError, Document, RouteTable, TenantQuota};
 
-/// A configuration with the tenant `t`; `fields`: its other fields, each with a comma before it.
+/// A configuration with the tenant `t`. `fields` contains the tenant's other fields, each preceded by a comma.
 fn with_tenant(fields: &str) -> String {
     format!(
         r#"{{"version":7,"routes":[],"services":[],"tenants":[{{"name":"t","api_keys":["k"]{fields}}}]}}"#
     )
 }
 
-/// A patch to `version` that sets the tenant `t`.
+/// A patch with version number `version` that upserts the tenant `t`.
 fn upsert(version: u64, fields: &str) -> String {
     format!(
         r#"{{"version":{version},"upsert_items":{{"tenants":[{{"name":"t","api_keys":["k"]{fields}}}]}}}}"#
@@ -22,7 +22,7 @@
 /// The quota of the tenant with the key `k`.
 fn quota_of(document: &Document) -> Option<TenantQuota> {
     let table = RouteTable::read(document).expect("readable");
-    table.tenant_of("k").expect("there").quota
+    table.tenant_of("k").expect("the tenant exists").quota
 }
 
 fn quota(rate_per_s: f64, burst_size: f64) -> Option<TenantQuota> {
@@ -32,8 +32,8 @@
     })
 }
 
-/// What a tenant's fields amount to by PUT, which a PATCH of a tenant without a quota must give too.
-fn quota_by_both(fields: &str) -> Option<TenantQuota> {
+/// The quota of a tenant with these fields when sent by PUT. Checks that a PATCH results in the same quota.
+fn quota_by_put_and_patch(fields: &str) -> Option<TenantQuota> {
     let by_put = quota_of(&put(&with_tenant(fields)).expect(fields));
     let without = put(&with_tenant("")).expect("valid");
     let by_patch = quota_of(&patch(&upsert(8, fields), &without).expect(fields));
@@ -41,17 +41,17 @@
     by_put
 }
 
-/// The error of a tenant's fields, the same by PUT and by PATCH.
-fn error_by_both(fields: &str) -> ConfigError {
+/// The error for a tenant with these fields. Checks that PUT and PATCH return the same error.
+fn error_by_put_and_patch(fields: &str) -> ConfigError {
     let by_put = put(&with_tenant(fields)).expect_err(fields);
     let by_patch = patch(&upsert(8, fields), &put(&with_tenant("")).expect("valid"));
     assert_eq!(by_patch.expect_err(fields), by_put, "{fields}");
     by_put
 }
 
-/// Guards against a tenant that is refused everything because its configuration says nothing of a limit.
+/// Guards against rejecting all requests of a tenant whose configuration sets no limit.
 #[test]
-fn given_no_rate_or_a_rate_of_0_when_read_then_the_tenant_has_no_limit() {
+fn given_an_absent_or_zero_rate_when_read_then_the_tenant_has_no_quota() {
     for fields in [
         "",
         r#","rate_per_s":0"#,
@@ -61,15 +61,15 @@
         r#","burst_size":20"#,
         r#","rate_per_s":0,"burst_size":20"#,
     ] {
-        assert_eq!(quota_by_both(fields), None, "{fields}");
+        assert_eq!(quota_by_put_and_patch(fields), None, "{fields}");
     }
     assert!(!table(&with_tenant("")).has_quotas());
     assert!(!RouteTable::read(&example()).expect("readable").has_quotas());
 }
 
-/// Guards against digits that are rounded, or a burst that is taken for a rate.
+/// Guards against rounding a rate or burst, or swapping them.
 #[test]
-fn given_whole_numbers_and_decimals_when_read_then_rate_and_burst_are_as_sent() {
+fn given_integers_and_decimals_when_read_then_rate_and_burst_equal_the_sent_values() {
     for (fields, expected) in [
         (r#","rate_per_s":8"#, quota(8.0, 0.0)),
         (r#","rate_per_s":8,"burst_size":0"#, quota(8.0, 0.0)),
@@ -78,14 +78,14 @@
         (r#","rate_per_s":8E1,"burst_size":1e-3"#, quota(80.0, 0.001)),
         (r#","burst_size":3,"rate_per_s":5e-324"#, quota(5e-324, 3.0)),
     ] {
-        assert_eq!(quota_by_both(fields), expected, "{fields}");
+        assert_eq!(quota_by_put_and_patch(fields), expected, "{fields}");
     }
     assert!(table(&with_tenant(r#","rate_per_s":0.25"#)).has_quotas());
 }
 
-/// Guards against a limit that becomes infinite or wraps around, and so lets everything or nothing pass.
+/// Guards against a limit that overflows to infinity or wraps around, which would admit all requests or none.
 #[test]
-fn given_huge_numbers_when_read_then_they_are_finite_or_refused() {
+fn given_huge_rates_and_bursts_when_read_then_they_are_finite_or_rejected() {
     for (fields, expected) in [
         (
             r#","rate_per_s":18446744073709551615"#,
@@ -96,28 +96,29 @@
             quota(1e308, 1e308),
         ),
     ] {
-        assert_eq!(quota_by_both(fields), expected, "{fields}");
+        assert_eq!(quota_by_put_and_patch(fields), expected, "{fields}");
     }
     for number in ["1e309", "-1e309", "1e99999"] {
         for field in ["rate_per_s", "burst_size"] {
             let fields = format!(r#","rate_per_s":1,"{field}":{number}"#)
                 .replace(r#""rate_per_s":1,"rate_per_s""#, r#""rate_per_s""#);
-            let status = error_by_both(&fields).status();
+            let status = error_by_put_and_patch(&fields).status();
             assert!([400, 422].contains(&status), "{fields}: {status}");
         }
     }
 }
 
-/// Guards against a mistyped limit that is passed over, so that the tenant has none.
+/// Guards against ignoring an invalid limit, which would leave the tenant without a quota.
 #[test]
-fn given_a_value_that_is_no_number_from_0_up_when_sent_then_path_and_remedy_are_named() {
+fn given_a_rate_or_burst_that_is_not_a_number_of_0_or_more_when_sent_then_the_error_has_path_and_remedy()
+ {
     let values = [
         r#""8""#, r#""""#, "true", "[8]", "{}", "-1", "-0.5", "-1e300",
     ];
     let mut messages = Vec::new();
     for field in ["rate_per_s", "burst_size"] {
         for value in values {
-            let error = error_by_both(&format!(r#","{field}":{value}"#));
+            let error = error_by_put_and_patch(&format!(r#","{field}":{value}"#));
             assert_eq!(error.status(), 422, "{field} {value}");
             messages.push(format!("{value}: {error}"));
         }
@@ -128,27 +129,27 @@
     true: tenants[0] (`t`).rate_per_s is not a number: correct it
     [8]: tenants[0] (`t`).rate_per_s is not a number: correct it
     {}: tenants[0] (`t`).rate_per_s is not a number: correct it
-    -1: tenants[0] (`t`).rate_per_s is not a number from 0 up: correct it
-    -0.5: tenants[0] (`t`).rate_per_s is not a number from 0 up: correct it
-    -1e300: tenants[0] (`t`).rate_per_s is not a number from 0 up: correct it
+    -1: tenants[0] (`t`).rate_per_s is not a number of 0 or more: correct it
+    -0.5: tenants[0] (`t`).rate_per_s is not a number of 0 or more: correct it
+    -1e300: tenants[0] (`t`).rate_per_s is not a number of 0 or more: correct it
     "8": tenants[0] (`t`).burst_size is not a number: correct it
     "": tenants[0] (`t`).burst_size is not a number: correct it
     true: tenants[0] (`t`).burst_size is not a number: correct it
     [8]: tenants[0] (`t`).burst_size is not a number: correct it
     {}: tenants[0] (`t`).burst_size is not a number: correct it
-    -1: tenants[0] (`t`).burst_size is not a number from 0 up: correct it
-    -0.5: tenants[0] (`t`).burst_size is not a number from 0 up: correct it
-    -1e300: tenants[0] (`t`).burst_size is not a number from 0 up: correct it
+    -1: tenants[0] (`t`).burst_size is not a number of 0 or more: correct it
+    -0.5: tenants[0] (`t`).burst_size is not a number of 0 or more: correct it
+    -1e300: tenants[0] (`t`).burst_size is not a number of 0 or more: correct it
     "#);
 }
 
-/// Guards against a limit that stays after it was changed or removed, or one that does not come back.
+/// Guards against a quota that survives its change or removal, or cannot be set again after removal.
 #[test]
-fn given_a_quota_when_changed_removed_and_set_again_then_each_document_has_what_was_last_sent() {
+fn given_a_quota_when_changed_removed_and_set_again_then_each_document_has_the_last_sent_quota() {
     let steps = [
         (r#","rate_per_s":8,"burst_size":4"#, quota(8.0, 4.0)),
         (r#","rate_per_s":2,"burst_size":4"#, quota(2.0, 4.0)),
-        // An item is replaced as a whole: the burst is not kept.
+        // A PATCH replaces an item completely, so the old burst is dropped.
         (r#","rate_per_s":2"#, quota(2.0, 0.0)),
         ("", None),
         (r#","rate_per_s":0,"burst_size":4"#, None),
@@ -167,13 +168,16 @@
     assert_eq!(quota_of(&again), quota(1.0, 0.0));
 }
 
-/// Guards against a patch of one tenant that changes the limits of others.
+/// Guards against a patch of one tenant that changes the quotas of other tenants.
 #[test]
 fn given_two_tenants_when_one_is_patched_then_the_other_keeps_its_quota() {
     let body = r#"{"version":7,"routes":[],"services":[],"tenants":[{"name":"t","api_keys":["k"],"rate_per_s":8},{"name":"u","api_keys":["l"],"rate_per_s":3,"burst_size":6}]}"#;
     let document = patch(&upsert(8, ""), &put(body).expect("valid")).expect("valid");
     assert_eq!(quota_of(&document), None);
     let table = RouteTable::read(&document).expect("readable");
-    assert_eq!(table.tenant_of("l").expect("there").quota, quota(3.0, 6.0));
+    assert_eq!(
+        table.tenant_of("l").expect("the tenant exists").quota,
+        quota(3.0, 6.0)
+    );
     assert!(table.has_quotas());
 }
