--- a/crates/sparrouter-config/src/json.rs
+++ b/crates/sparrouter-config/src/json.rs
@@ -1,15 +1,15 @@
-//! JSON as text: bounds checked before the parser sees it, white space removed, objects and lists cut into slices.
+//! JSON as text: checks bounds before parsing, removes white space, and splits objects and lists into slices.
 //!
-//! A configuration must be read back exactly as it was sent, but the parser rounds long decimals and large integers. So a
-//! document is never written out again from the parsed tree: it is compact text, and a change puts slices of the old and
-//! the new text together. The tree only serves to validate and to read typed fields.
+//! A configuration must be returned exactly as the operator sent it, but the parser rounds long decimals and large integers.
+//! A document is therefore never serialized from the parsed tree: it is stored as compact text, and a change concatenates
+//! slices of the old and the new text. The tree serves only to validate and to read typed fields.
 //!
-//! | step | what it guards against |
+//! | step | guards against |
 //! | --- | --- |
-//! | size | a body that fills the memory |
-//! | `scanner` | nesting that overflows the parser's stack, more values than memory for them, a field twice |
-//! | the parser | everything else that is not JSON |
-//! | `slices` | nothing: it reads compact text that has passed the steps above |
+//! | size check | a body that exhausts memory |
+//! | `scanner` | nesting that overflows the parser's stack, values that exhaust memory, duplicate fields |
+//! | parser | any other invalid JSON |
+//! | `slices` | nothing: its input has passed the steps above |
 mod scanner;
 mod slices;
 
@@ -18,15 +18,15 @@
 
 pub(crate) use slices::{Field, fields, items, name_of, string};
 
-/// Largest configuration in bytes, 8 MiB: enough for some 20,000 routes.
+/// Largest size of a configuration in bytes, 8 MiB: enough for about 20,000 routes.
 pub const MAX_BYTES: usize = 8 << 20;
 /// Deepest nesting of lists and objects, in levels.
 pub const MAX_DEPTH: usize = 64;
-/// Largest number of values in a configuration. Limiting bytes alone does not bound memory: a list of single digits takes
-/// 16 times its text once parsed.
+/// Largest number of values in a configuration. A size limit does not bound memory by itself: a list of single digits takes
+/// 16 times the size of its text once parsed.
 pub const MAX_VALUES: usize = 500_000;
 
-/// A JSON document that has passed all checks.
+/// A JSON document that has passed all checks of [`read`].
 pub(crate) struct Json {
     /// The text without white space between its tokens.
     pub compact: String,
@@ -34,7 +34,7 @@
     pub tree: Value,
 }
 
-/// Checks the bounds, that no object contains a field twice, and that the body is one JSON value.
+/// Checks that the body is within the bounds, is one JSON value, and that no object contains a duplicate field.
 pub(crate) fn read(body: &[u8]) -> Result<Json, ConfigError> {
     if body.len() > MAX_BYTES {
         return Err(ConfigError::TooLarge {
@@ -46,12 +46,12 @@
         offset: error.valid_up_to(),
     })?;
     let compact = scanner::compact(text)?;
-    // The text as sent, because without white space `1 2` would be parsed as 12.
+    // Parses the text as sent, because `1 2` without white space would be parsed as 12.
     let tree = miniserde::json::from_str(text).map_err(|_| ConfigError::Malformed)?;
     Ok(Json { compact, tree })
 }
 
-/// The offset behind the closing quote of the string that begins at `start`; `None` if it does not end.
+/// Returns the offset after the closing quote of the string that begins at `start`; `None` if the string is unterminated.
 fn end_of_string(bytes: &[u8], start: usize) -> Option<usize> {
     let mut offset = start + 1;
     loop {
@@ -63,7 +63,7 @@
     }
 }
 
-/// The value of a string literal; `None` if its escapes are invalid.
+/// Decodes a string literal; `None` if its escapes are invalid.
 fn unquote(literal: &str) -> Option<std::borrow::Cow<'_, str>> {
     if literal.contains('\\') {
         let value: String = miniserde::json::from_str(literal).ok()?;
--- a/crates/sparrouter-config/src/json/scanner.rs
+++ b/crates/sparrouter-config/src/json/scanner.rs
@@ -1,29 +1,29 @@
-//! One pass over a text before it is parsed: depth, number of values, duplicate fields; white space is dropped.
+//! Scans a JSON text before it is parsed: bounds depth and number of values, rejects duplicate fields, drops white space.
 //!
-//! The scanner does not judge whether the text is JSON, which the parser does after it. It knows strings, brackets and
-//! commas, and takes any other run of bytes as one token.
+//! The scanner does not check that the text is valid JSON; the parser does so afterwards. It recognizes strings, brackets
+//! and commas, and treats any other run of bytes as one token.
 use super::{MAX_DEPTH, MAX_VALUES, end_of_string, unquote};
 use crate::error::ConfigError;
 use std::borrow::Cow;
 use std::collections::HashSet;
 
-/// Checks depth, number of values and duplicate fields, and gives the text without white space between tokens.
+/// Checks depth, number of values and duplicate fields, and returns the text without white space between tokens.
 pub(super) fn compact(text: &str) -> Result<String, ConfigError> {
     let mut scanner = Scanner::new(text);
     let mut offset = 0;
     while offset < text.len() {
-        offset = scanner.token(offset)?;
+        offset = scanner.scan_token(offset)?;
         if scanner.value_count > MAX_VALUES {
             return Err(ConfigError::TooManyValues { limit: MAX_VALUES });
         }
     }
-    if !scanner.open.is_empty() || scanner.compact.is_empty() {
+    if !scanner.open_containers.is_empty() || scanner.compact.is_empty() {
         return Err(ConfigError::Truncated { length: text.len() });
     }
     Ok(scanner.compact)
 }
 
-/// A list or an object whose closing bracket has not been read.
+/// A list or an object whose closing bracket has not been scanned yet.
 enum Container<'a> {
     List,
     Object { keys: HashSet<Cow<'a, str>> },
@@ -33,11 +33,11 @@
     text: &'a str,
     /// The text up to the current offset, without white space between tokens.
     compact: String,
-    /// The containers that the current offset is in, outermost first; at most [`MAX_DEPTH`].
-    open: Vec<Container<'a>>,
-    /// The next string is the key of a field.
-    key_is_next: bool,
-    /// Upper bound on the number of values so far.
+    /// The lists and objects that enclose the current offset, outermost first; at most [`MAX_DEPTH`].
+    open_containers: Vec<Container<'a>>,
+    /// Whether the next string is the key of a field.
+    expects_key: bool,
+    /// Upper bound on the number of values scanned so far.
     value_count: usize,
 }
 
@@ -46,33 +46,34 @@
         Scanner {
             text,
             compact: String::with_capacity(text.len()),
-            open: Vec::new(),
-            key_is_next: false,
+            open_containers: Vec::new(),
+            expects_key: false,
             value_count: 1,
         }
     }
 
-    /// Scans one token or one byte of white space; gives the offset behind it.
-    fn token(&mut self, start: usize) -> Result<usize, ConfigError> {
+    /// Scans one token or one byte of white space, and returns the offset after it.
+    fn scan_token(&mut self, start: usize) -> Result<usize, ConfigError> {
         let bytes = self.text.as_bytes();
         let mut end = start + 1;
         match bytes[start] {
             b' ' | b'\n' | b'\t' | b'\r' => return Ok(end),
-            b'"' => end = self.string(start)?,
+            b'"' => end = self.scan_string(start)?,
             b'{' => {
                 let keys = HashSet::new();
                 self.open_container(start, Container::Object { keys })?;
             }
             b'[' => self.open_container(start, Container::List)?,
             b'}' | b']' => {
-                self.open.pop().ok_or(ConfigError::Malformed)?;
-                self.key_is_next = false;
+                self.open_containers.pop().ok_or(ConfigError::Malformed)?;
+                self.expects_key = false;
             }
             b',' => {
-                self.key_is_next = matches!(self.open.last(), Some(Container::Object { .. }));
+                self.expects_key =
+                    matches!(self.open_containers.last(), Some(Container::Object { .. }));
                 self.value_count += 1;
             }
-            _ => end = end_of_plain_token(bytes, end),
+            _ => end = end_of_bare_token(bytes, end),
         }
         self.compact.push_str(&self.text[start..end]);
         Ok(end)
@@ -83,27 +84,27 @@
         offset: usize,
         container: Container<'a>,
     ) -> Result<(), ConfigError> {
-        if self.open.len() == MAX_DEPTH {
+        if self.open_containers.len() == MAX_DEPTH {
             return Err(ConfigError::TooDeep {
                 offset,
                 limit: MAX_DEPTH,
             });
         }
-        self.key_is_next = matches!(container, Container::Object { .. });
-        self.open.push(container);
+        self.expects_key = matches!(container, Container::Object { .. });
+        self.open_containers.push(container);
         self.value_count += 1;
         Ok(())
     }
 
-    /// Scans a string; gives the offset behind it. A key must be new in its object.
-    fn string(&mut self, start: usize) -> Result<usize, ConfigError> {
+    /// Scans a string and returns the offset after it. Rejects a key that its object already contains.
+    fn scan_string(&mut self, start: usize) -> Result<usize, ConfigError> {
         let bytes = self.text.as_bytes();
         let length = bytes.len();
         let end = end_of_string(bytes, start).ok_or(ConfigError::Truncated { length })?;
-        if !self.key_is_next {
+        if !self.expects_key {
             return Ok(end);
         }
-        if let Some(Container::Object { keys }) = self.open.last_mut() {
+        if let Some(Container::Object { keys }) = self.open_containers.last_mut() {
             let key = unquote(&self.text[start..end]).ok_or(ConfigError::Malformed)?;
             if keys.contains(&key) {
                 return Err(ConfigError::DuplicateField {
@@ -112,15 +113,15 @@
                 });
             }
             keys.insert(key);
-            self.key_is_next = false;
+            self.expects_key = false;
         }
         Ok(end)
     }
 }
 
-/// The offset, from `start` on, of the first byte behind a number, a literal such as `true`, or a run of bytes that are no
-/// JSON.
-fn end_of_plain_token(bytes: &[u8], start: usize) -> usize {
+/// Returns the offset after a token that begins before `start` and is neither a string nor punctuation: a number, a literal
+/// such as `true`, or a run of bytes that is invalid JSON.
+fn end_of_bare_token(bytes: &[u8], start: usize) -> usize {
     let ends_token = |byte: &u8| {
         matches!(
             byte,
--- a/crates/sparrouter-config/src/json/slices.rs
+++ b/crates/sparrouter-config/src/json/slices.rs
@@ -1,4 +1,4 @@
-//! Objects and lists as slices of compact text that [`super::read`] has checked: valid JSON without white space between its
+//! Slices of JSON objects and lists. The text has passed [`super::read`]: it is valid JSON without white space between
 //! tokens.
 use super::{end_of_string, unquote};
 use std::borrow::Cow;
@@ -7,11 +7,11 @@
 pub(crate) struct Field<'a> {
     /// The key, without quotes and escapes.
     pub key: Cow<'a, str>,
-    /// The value as JSON.
+    /// The JSON text of the value.
     pub value: &'a str,
 }
 
-/// The fields of an object; none if it is no object.
+/// The fields of a JSON object; empty if `object` is another kind of value.
 pub(crate) fn fields(object: &str) -> Vec<Field<'_>> {
     let inner = object
         .strip_prefix('{')
@@ -25,7 +25,7 @@
         .collect()
 }
 
-/// Key and value of a field such as `"name":"x"`.
+/// Splits a field into key and value, such as `"name":"x"`.
 fn split_field(field: &str) -> Option<Field<'_>> {
     let end = end_of_string(field.as_bytes(), 0)?;
     Some(Field {
@@ -34,13 +34,13 @@
     })
 }
 
-/// The items of a list; `None` if it is no list.
+/// The items of a JSON list; `None` if `list` is another kind of value.
 pub(crate) fn items(list: &str) -> Option<Vec<&str>> {
     let inner = list.strip_prefix('[')?.strip_suffix(']')?;
     Some(split_at_commas(inner))
 }
 
-/// The value of the field `name` of an object, if it is a string.
+/// The value of an object's field `name`; `None` if the field is absent or not a string.
 pub(crate) fn name_of(object: &str) -> Option<String> {
     let name = fields(object)
         .into_iter()
@@ -48,7 +48,7 @@
     string(name.value)
 }
 
-/// The value of a string; `None` if it is no string.
+/// The value of a JSON string; `None` if `literal` is another kind of value.
 pub(crate) fn string(literal: &str) -> Option<String> {
     if !literal.starts_with('"') {
         return None;
@@ -56,7 +56,7 @@
     unquote(literal).map(Cow::into_owned)
 }
 
-/// Cuts the inside of an object or a list at its own commas, not at those of what is nested in it.
+/// Splits the inside of an object or list at its top-level commas; commas in nested values and strings do not count.
 fn split_at_commas(inner: &str) -> Vec<&str> {
     let bytes = inner.as_bytes();
     let mut slices = Vec::new();
