--- a/crates/sparrouter-config/src/edit.rs
+++ b/crates/sparrouter-config/src/edit.rs
@@ -1,88 +1,88 @@
-//! The difference between two texts of the configuration: ranges of the old text that stay, and new text between them. A
-//! change of one tenant among many thousands is sent to other nodes as a few hundred bytes.
+//! The difference between two texts of the configuration: ranges copied from the old text, and inserted new text. A change
+//! of one tenant among many thousands is sent to other nodes as a few hundred bytes.
 use crate::json::MAX_BYTES;
 use std::collections::HashMap;
 
-/// A range of the old text, followed by new text.
+/// A range to copy from the old text, followed by new text to insert.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Hunk {
-    /// Where the range begins in the old text, in bytes.
+    /// Offset of the range in the old text, in bytes.
     pub start: usize,
-    /// Length of the range in bytes; may be 0.
+    /// Length of the range in bytes, 0 or more.
     pub length: usize,
-    /// New text behind the range.
+    /// Text to insert after the range.
     pub text: String,
 }
 
 impl Hunk {
-    /// The offset in the old text behind the range.
+    /// The offset in the old text after the range.
     fn end(&self) -> usize {
         self.start + self.length
     }
 }
 
-/// How to make one text from another.
+/// Instructions that turn an old text into a new one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Edit {
     /// Digest of the old text.
     pub from: u64,
     /// Digest of the new text.
     pub to: u64,
-    /// The new text, in order.
+    /// The ranges and insertions, in the order of the new text.
     pub hunks: Vec<Hunk>,
 }
 
-/// Bytes that a hunk takes on the wire beside its text.
+/// Approximate size of an encoded hunk without its text, in bytes.
 const HUNK_BYTES: usize = 16;
-/// Bytes that an edit takes on the wire beside its hunks.
+/// Approximate size of an encoded edit without its hunks, in bytes.
 const EDIT_BYTES: usize = 24;
-/// Longest text in bytes that an edit may result in.
+/// Largest size in bytes of a text that an edit may result in.
 const MAX_RESULT_BYTES: usize = MAX_BYTES * 2;
 
-/// A hash of a text: the same in every process and release.
+/// A hash of a text, identical in every process and release.
 pub fn digest_of_text(text: &str) -> u64 {
     sparrouter_rendezvous::hash(text.as_bytes())
 }
 
-/// Cuts a text into runs, each from one opening brace to the next, with its offset in bytes. An item of a list has the same
-/// runs when others are added or removed.
-fn runs(text: &str) -> impl Iterator<Item = (usize, &str)> {
+/// Splits a text into segments, each from one opening brace to the next, with its offset in bytes. The segments of a list's
+/// item stay the same when other items are added or removed.
+fn segments(text: &str) -> impl Iterator<Item = (usize, &str)> {
     let mut start = 0;
     std::iter::from_fn(move || {
         let rest = text.get(start..).filter(|rest| !rest.is_empty())?;
         let next_brace = rest.bytes().skip(1).position(|byte| byte == b'{');
         let length = next_brace.map_or(rest.len(), |skipped| skipped + 1);
-        let run = (start, &rest[..length]);
+        let segment = (start, &rest[..length]);
         start += length;
-        Some(run)
+        Some(segment)
     })
 }
 
-/// The offset of the first of some equal runs at or behind `next`, so that ranges stay complete where items are alike; the
-/// first one if there is none. `offsets`: in ascending order, at least one.
-fn offset_from(offsets: &[usize], next: usize) -> usize {
-    let index = offsets.partition_point(|offset| *offset < next);
+/// Among the offsets of equal segments, returns the first at or after `min_offset`, so that adjacent segments form one range
+/// even if items are alike; the lowest offset if there is none. `offsets` is in ascending order and not empty.
+fn first_offset_from(offsets: &[usize], min_offset: usize) -> usize {
+    let index = offsets.partition_point(|offset| *offset < min_offset);
     offsets.get(index).copied().unwrap_or(offsets[0])
 }
 
 impl Edit {
-    /// Finds how to make `new` from `old`. Takes time proportional to the length of both.
+    /// Computes the edit that turns `old` into `new`, in time proportional to the length of both.
     pub fn between(old: &str, new: &str) -> Edit {
         let mut old_offsets: HashMap<&str, Vec<usize>> = HashMap::new();
-        for (offset, run) in runs(old) {
-            old_offsets.entry(run).or_default().push(offset);
+        for (offset, segment) in segments(old) {
+            old_offsets.entry(segment).or_default().push(offset);
         }
         let mut hunks: Vec<Hunk> = Vec::new();
-        // Where the old text continues behind the range that was used last.
-        let mut next = 0;
-        for (_, run) in runs(new) {
-            let Some(offsets) = old_offsets.get(run) else {
-                push_text(&mut hunks, run);
+        // Offset in the old text after the last copied range.
+        let mut next_offset = 0;
+        for (_, segment) in segments(new) {
+            let Some(offsets) = old_offsets.get(segment) else {
+                push_text(&mut hunks, segment);
                 continue;
             };
-            let start = offset_from(offsets, next);
-            push_range(&mut hunks, start, run.len());
-            next = start + run.len();
+            let start = first_offset_from(offsets, next_offset);
+            push_range(&mut hunks, start, segment.len());
+            next_offset = start + segment.len();
         }
         Edit {
             from: digest_of_text(old),
@@ -91,14 +91,14 @@
         }
     }
 
-    /// About how many bytes the edit takes on the wire.
+    /// Approximate size of the encoded edit, in bytes.
     pub fn size(&self) -> usize {
         let hunk_bytes = self.hunks.iter().map(|hunk| hunk.text.len() + HUNK_BYTES);
         hunk_bytes.sum::<usize>() + EDIT_BYTES
     }
 
-    /// Makes the new text. `None` if `old` is not the text that the edit was made from, if a range lies outside of it, or
-    /// if the result does not have the expected digest.
+    /// Applies the edit and returns the new text. `None` if `old` has another digest than the edit's old text, a range is out
+    /// of bounds, the result is too large, or the result does not have the expected digest.
     pub fn apply(&self, old: &str) -> Option<String> {
         if digest_of_text(old) != self.from {
             return None;
@@ -118,7 +118,7 @@
     }
 }
 
-/// Appends new text.
+/// Appends text to insert.
 fn push_text(hunks: &mut Vec<Hunk>, text: &str) {
     match hunks.last_mut() {
         Some(hunk) => hunk.text.push_str(text),
@@ -129,7 +129,7 @@
     }
 }
 
-/// Appends a range of the old text: to the last hunk if the range continues that one's.
+/// Appends a range of the old text. A range that continues the range of the last hunk is merged into that hunk.
 fn push_range(hunks: &mut Vec<Hunk>, start: usize, length: usize) {
     match hunks.last_mut() {
         Some(hunk) if hunk.text.is_empty() && hunk.end() == start => hunk.length += length,
--- a/crates/sparrouter-config/src/edit_history.rs
+++ b/crates/sparrouter-config/src/edit_history.rs
@@ -1,19 +1,19 @@
-//! The last edits of the configuration's text, so that a node with an older text is sent the difference only.
+//! The most recent edits of the configuration's text, from which a node with an older text is sent only the difference.
 use crate::edit::Edit;
 use std::collections::VecDeque;
 
 /// Largest number of edits in a history.
 const MAX_EDITS: usize = 32;
-/// Largest number of bytes that the edits of a history take on the wire together: 256 KiB.
+/// Largest total size of the encoded edits of a history, in bytes: 256 KiB.
 const MAX_EDIT_BYTES: usize = 256 << 10;
 
-/// The last edits of a text, oldest first; bounded.
+/// The most recent edits of a text, oldest first. Their number and total size are bounded.
 #[derive(Debug, Default)]
 pub struct EditHistory(VecDeque<Edit>);
 
 impl EditHistory {
-    /// Adds the edit from `old` to `new`. If it would save less than half of the text, all edits are dropped instead: nodes
-    /// with an older text are then sent the complete new one.
+    /// Adds the edit from `old` to `new`. If the edit is larger than half of the new text, all edits are dropped instead, and
+    /// nodes with an older text are sent the complete new text.
     pub fn add(&mut self, old: &str, new: &str) {
         let edit = Edit::between(old, new);
         if edit.size() > new.len() / 2 {
@@ -26,13 +26,13 @@
         }
     }
 
-    /// Bytes that all edits take on the wire.
+    /// Total size of the encoded edits, in bytes.
     fn size(&self) -> usize {
         self.0.iter().map(Edit::size).sum()
     }
 
-    /// The edits that lead from the text with the digest `from` to the one with the digest `to`, in order. `None` if they
-    /// are not all in the history.
+    /// The edits that turn the text with digest `from` into the text with digest `to`, in order. `None` if the history does not
+    /// contain all of them.
     pub fn edits_between(&self, from: u64, to: u64) -> Option<Vec<&Edit>> {
         if from == to {
             return Some(Vec::new());
--- a/crates/sparrouter-config/src/patch.rs
+++ b/crates/sparrouter-config/src/patch.rs
@@ -1,15 +1,17 @@
-//! The text that a PATCH makes of a document's: slices of both, so that nothing else of the document changes.
+//! Applies a PATCH to the text of a document. The result consists of slices of both texts, so all other parts of the document
+//! stay unchanged to the byte.
 
 use crate::error::ConfigError;
 use crate::json::{self, Field};
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// An absent list.
+/// Stands for an absent list.
 const EMPTY_LIST: &str = "[]";
 
-/// The text of the document `current` with the patch `sent` applied; both are compact.
-pub(crate) fn apply(sent: &str, current: &str) -> Result<String, ConfigError> {
+/// Applies a patch to the document `current` and returns the resulting text. Both inputs are without white space between
+/// tokens.
+pub(crate) fn apply(patch_text: &str, current: &str) -> Result<String, ConfigError> {
     let base = json::read(current.as_bytes())?.compact;
     let old_fields = json::fields(&base);
     let index: HashMap<&str, usize> = old_fields
@@ -17,11 +19,11 @@
         .enumerate()
         .map(|(index, field)| (field.key.as_ref(), index))
         .collect();
-    let patch = Patch::read(sent)?;
+    let patch = Patch::read(patch_text)?;
     let lists = patch.merge_lists(|list| index.get(list).map(|&index| old_fields[index].value))?;
 
     let replaced = patch
-        .replaced
+        .replaced_fields
         .iter()
         .map(|field| (field.key.as_ref(), field.value));
     let merged = lists.iter().map(|list| (list.name, list.text.as_str()));
@@ -30,9 +32,9 @@
         .map(|field| (field.key.as_ref(), field.value))
         .collect();
     for (key, value) in replaced.chain(merged) {
-        // A field that the document lacks is appended once, also if the patch gives it twice: as a value and as a list.
+        // A field that the document lacks is appended once, even if the patch contains it both as a value and as a list.
         match new_fields.iter_mut().find(|(name, _)| *name == key) {
-            Some((_, known)) => *known = value,
+            Some((_, old_value)) => *old_value = value,
             None => new_fields.push((key, value)),
         }
     }
@@ -42,40 +44,40 @@
 /// The content of a patch, as slices of its text.
 #[derive(Default)]
 struct Patch<'a> {
-    /// Fields that replace those of the document: `version` and `limits`.
-    replaced: Vec<Field<'a>>,
-    /// Items to replace or append, by list.
+    /// Fields whose values replace the document's: `version` and `limits`.
+    replaced_fields: Vec<Field<'a>>,
+    /// Items to replace or append, grouped by list.
     upserts: Vec<List<'a>>,
-    /// Names of items to remove, as JSON strings, by the name of the list.
+    /// Names of items to remove, as JSON strings, keyed by the name of their list.
     removals: BTreeMap<Cow<'a, str>, Vec<&'a str>>,
 }
 
-/// A list of a patch.
+/// The items that a patch contains for one list of the document.
 struct List<'a> {
-    /// Name of the list in the document that it changes.
+    /// Name of the changed list of the document.
     name: Cow<'a, str>,
     items: Vec<&'a str>,
 }
 
-/// A list of the document after the patch.
+/// A list of the document after the patch was applied.
 struct MergedList<'a> {
     name: &'a str,
-    /// The list as JSON.
+    /// The JSON text of the list.
     text: String,
 }
 
 impl<'a> Patch<'a> {
-    fn read(sent: &'a str) -> Result<Patch<'a>, ConfigError> {
+    fn read(patch_text: &'a str) -> Result<Patch<'a>, ConfigError> {
         let mut patch = Patch::default();
-        for field in json::fields(sent) {
+        for field in json::fields(patch_text) {
             match field.key.as_ref() {
-                "version" | "limits" => patch.replaced.push(field),
+                "version" | "limits" => patch.replaced_fields.push(field),
                 "upsert_items" => patch.upserts = read_lists(&field)?,
                 "remove_names" => {
                     let lists = read_lists(&field)?;
                     patch.removals = lists.into_iter().map(|l| (l.name, l.items)).collect();
                 }
-                // Ignoring these would acknowledge a change that was not made.
+                // Ignoring these fields would acknowledge a change that is not applied.
                 "routes" | "services" | "tenants" => {
                     return Err(ConfigError::ListInPatch {
                         field: field.key.into_owned(),
@@ -91,7 +93,7 @@
         self.removals.get(list).map_or(&[], Vec::as_slice)
     }
 
-    /// The lists of the document that the patch changes. `old`: the value of a list in the document, by its name.
+    /// Merges the patch into each list that it changes. `old` returns the document's current list by name.
     fn merge_lists<'p>(
         &'p self,
         old: impl Fn(&str) -> Option<&'p str>,
@@ -118,7 +120,7 @@
     }
 }
 
-/// Reads `upsert_items` or `remove_names`: an object of lists. `null` counts as absent.
+/// Reads `upsert_items` or `remove_names`, which are objects of lists. `null` counts as absent.
 fn read_lists<'a>(field: &Field<'a>) -> Result<Vec<List<'a>>, ConfigError> {
     if field.value == "null" {
         return Ok(Vec::new());
@@ -144,12 +146,12 @@
         .collect()
 }
 
-/// The items of a list; `null` counts as an empty one.
+/// The items of a list; `null` counts as an empty list.
 fn items_or_null(list: &str) -> Option<Vec<&str>> {
     json::items(if list == "null" { EMPTY_LIST } else { list })
 }
 
-/// The list `old` with items replaced or appended and others removed, by name.
+/// Replaces, appends and removes items of the list `old` by name, and returns the resulting list.
 fn merge(
     list: &str,
     old: &str,
@@ -178,7 +180,7 @@
     Ok(format!("[{}]", merged.join(",")))
 }
 
-/// The names to remove from a list.
+/// Decodes the names of the items to remove from a list.
 fn read_removals(list: &str, removals: &[&str]) -> Result<HashSet<String>, ConfigError> {
     let read = |(index, literal): (usize, &&str)| {
         json::string(literal).ok_or_else(|| ConfigError::WrongType {
@@ -191,14 +193,14 @@
 
 /// The items to replace or append in a list.
 struct Upserts<'a> {
-    /// The items by name.
+    /// The JSON text of each item by its name.
     items: HashMap<String, &'a str>,
-    /// Their names in the order sent.
+    /// The names of the items in the order sent.
     order: Vec<String>,
 }
 
 impl<'a> Upserts<'a> {
-    /// Each name is given once, and is not to be removed as well.
+    /// Reads the items. Rejects a duplicate name and a name that is also to be removed.
     fn read(
         list: &str,
         upserts: &[&'a str],
@@ -228,7 +230,7 @@
     }
 }
 
-/// A JSON object of these fields; the values are JSON already.
+/// Serializes fields as a JSON object. The values are JSON text.
 fn object(fields: &[(&str, &str)]) -> String {
     let fields: Vec<String> = fields
         .iter()
