--- a/crates/sparrouter-config/src/route_table.rs
+++ b/crates/sparrouter-config/src/route_table.rs
@@ -1,4 +1,4 @@
-//! The immutable route table, the items in it, and its look-ups.
+//! The immutable route table, its items, and lookups in it.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -13,15 +13,15 @@
     pub routes: Vec<Route>,
     /// The services, in the order of the configuration.
     pub services: Vec<Service>,
-    /// Limits on requests of clients.
+    /// Limits on client requests.
     pub limits: Limits,
-    /// The tenants. If there are none, no request needs an API key.
+    /// The tenants, in the order of the configuration. If there are none, no request needs an API key.
     pub tenants: Vec<Tenant>,
-    /// The routes by the host in its normal form; see [`normal_host`].
+    /// The routes by normalized host; see [`normalize_host`].
     pub(crate) by_host: HashMap<String, Prefixes>,
-    /// The index of the tenant that each API key belongs to.
+    /// Maps each API key to the index of its tenant.
     pub(crate) by_key: HashMap<String, usize>,
-    /// The index of each service by its name.
+    /// Maps the name of each service to its index.
     pub(crate) by_service: HashMap<String, usize>,
     /// Whether any tenant has a quota.
     pub(crate) has_quotas: bool,
@@ -30,18 +30,18 @@
 /// The path prefixes of one host.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Prefixes {
-    /// The index of the route of each prefix.
+    /// Maps each prefix to the index of its route.
     pub routes: HashMap<String, usize>,
-    /// Each length in bytes that a prefix of this host has, longest first, 1 or more. A path is tried at these lengths only, so that a path of
-    /// many slashes does not cost a look-up for each.
+    /// The distinct lengths of this host's prefixes in bytes, longest first, each 1 or more. A lookup tries only these lengths,
+    /// so that a path of many slashes does not cost a lookup for each slash.
     pub lengths: Vec<usize>,
 }
 
 impl RouteTable {
-    /// The route of a request: of those for `host`, the one with the longest prefix of `path`. Hosts are compared without
-    /// case and port, the path without its query. `None` if there is no such route.
+    /// Finds the route of a request: among the routes of `host`, selects the longest path prefix that matches `path`. Ignores
+    /// the host's case and port, and the path's query. `None` if no route matches.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let prefixes = self.by_host.get(normal_host(host).as_ref())?;
+        let prefixes = self.by_host.get(normalize_host(host).as_ref())?;
         let path = path.split(['?', '#']).next().unwrap_or(path);
         prefixes
             .lengths
@@ -51,7 +51,7 @@
             .map(|&index| &self.routes[index])
     }
 
-    /// The tenant that an API key belongs to.
+    /// Finds the tenant that an API key belongs to.
     pub fn tenant_of(&self, key: &str) -> Option<&Tenant> {
         self.by_key.get(key).map(|&index| &self.tenants[index])
     }
@@ -61,7 +61,7 @@
         self.has_quotas
     }
 
-    /// The service with this name.
+    /// Finds a service by its name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.by_service
             .get(name)
@@ -69,8 +69,8 @@
     }
 }
 
-/// A host in lower case without its port; the brackets of an IPv6 address stay.
-pub(crate) fn normal_host(host: &str) -> Cow<'_, str> {
+/// Converts a host to lower case and removes its port. Keeps the brackets of an IPv6 address.
+pub(crate) fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = host.trim();
     let end = if host.starts_with('[') {
         host.find(']').map(|bracket| bracket + 1)
@@ -85,58 +85,58 @@
     }
 }
 
-/// Whether a request of a route may be sent to a second server.
+/// Determines whether a request of a route may be retried at a second server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// It may run at most once per attempt of the client. Also the kind of a route without `kind`.
+    /// A request may run at most once per attempt of the client. The default if `kind` is absent.
     NonIdempotent,
-    /// It is answered by a stream of events, and may run again only if the route is resumable.
+    /// The response is a stream of events. A request may run again only if the route is resumable.
     Streaming,
 }
 
-/// A host and path prefix, and how requests to it are served.
+/// A route: matches requests by host and path prefix, and determines how they are served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, unique among routes.
+    /// Name of the route, unique among routes.
     pub name: String,
-    /// The host, as sent.
+    /// The host, as written in the configuration.
     pub host: String,
-    /// Prefix of the paths; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether its requests may be repeated.
+    /// Whether requests of the route may be retried.
     pub kind: RouteKind,
-    /// Longest time that a request may take, in ms, above 0; 30,000 if absent.
+    /// Longest duration of a request in ms, above 0; 30,000 if absent.
     pub timeout_ms: u64,
-    /// Latency in ms up to which an answer counts as fully in time; the timeout if absent.
+    /// Latency target in ms, up to which a response counts as fully on time; the timeout if absent.
     pub target_latency_ms: u64,
-    /// Priority; 0 is the highest, 5 if absent.
+    /// Priority of requests; 0 is the highest, 5 if absent.
     pub priority: u8,
-    /// Services with their weights, each above 0. Each service occurs once: the weights of one named twice are added up.
-    /// If a route gives both `service` and `traffic_split`, the latter counts, but `service` must exist.
+    /// Services with their weights, each above 0. Each service occurs once: weights of repeated entries are added up. If a
+    /// route sets both `service` and `traffic_split`, only the latter is used, but `service` must exist.
     pub split: Vec<(String, f64)>,
-    /// Largest number of servers that one request of a client is sent to, 1 or more; 1 if absent.
+    /// Largest number of servers that one client request is sent to, 1 or more; 1 if absent.
     pub max_attempts: u32,
-    /// Requests need no API key; false if absent.
+    /// Whether requests are accepted without an API key; false if absent.
     pub public_access: bool,
-    /// Requests of one session should go to one server; false if absent.
+    /// Whether requests of one session prefer the same server; false if absent.
     pub session_affinity: bool,
-    /// A broken stream may be continued at another server; false if absent.
+    /// Whether an interrupted stream may be resumed at another server; false if absent.
     pub resumable: bool,
-    /// Longest interval in ms between two events of a stream that counts as in time; 0: not given. `gap_aim_ms` in the
-    /// configuration.
+    /// Longest interval between two events of a stream that counts as on time, in ms; 0 if absent. The configuration names
+    /// this field `gap_aim_ms`.
     pub target_token_interval_ms: u64,
 }
 
 impl Route {
-    /// Whether a request may run at a second server after it may have run at one.
+    /// Whether a request may run at a second server although a first server may have run it.
     pub fn is_idempotent(&self) -> bool {
         self.kind == RouteKind::Idempotent || (self.kind == RouteKind::Streaming && self.resumable)
     }
 
-    /// The service for a key, by weighted rendezvous hashing: the same on every node, and a change of weights moves only as
-    /// many keys as it must. Empty if `split` is, which a validated table never has.
+    /// Selects the service for a key by weighted rendezvous hashing. Every node selects the same service, and a change of
+    /// weights moves the fewest possible keys. Returns an empty name if `split` is empty, which validation prevents.
     pub fn select_service(&self, key: u64) -> &str {
         if let [(service, _)] = self.split.as_slice() {
             return service;
@@ -155,64 +155,64 @@
 /// A group of servers that run the same models, or a KV store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name, unique among services.
+    /// Name of the service, unique among services.
     pub name: String,
-    /// Path for health checks; `None`: its servers are not checked.
+    /// Path of health checks; `None` if servers of the service have no health checks.
     pub health_check_path: Option<String>,
-    /// Connections that one server accepts from all callers together; `None`: no limit is given.
+    /// Largest number of connections that one server accepts from all callers in total; `None` if unlimited.
     pub max_connections: Option<u32>,
-    /// Protocol of its servers; `h1` if absent.
+    /// Protocol of the servers; `h1` if absent.
     pub protocol: String,
-    /// Its servers expect TLS; false if absent.
+    /// Whether the servers expect TLS; false if absent.
     pub tls_enabled: bool,
-    /// Sizes of its servers, if they are model servers.
+    /// Capacity of each server; `None` if the servers are not model servers.
     pub engine: Option<Engine>,
-    /// The KV store, if it is one; no route may name it then.
+    /// The KV store; `None` if the service is not a KV store. No route may refer to a KV store.
     pub store: Option<Store>,
 }
 
-/// Sizes of a model server. Absent numbers are 0, but `slot_count`, `stride` and `max_concurrent` 1.
+/// Capacity of a model server. Absent numbers are 0, except `slot_count`, `stride` and `max_concurrent`, which are 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests that a server works on at a time.
+    /// Number of requests that a server processes concurrently.
     pub slot_count: u32,
-    /// Size of its KV cache in tokens.
+    /// Capacity of the KV cache in tokens.
     pub kv_capacity_tokens: u64,
-    /// Bytes of KV cache for each token.
+    /// Size of one token in the KV cache, in bytes.
     pub kv_token_bytes: u64,
-    /// Bandwidth of its link, in megabits a second.
+    /// Bandwidth of the server's network link, in megabits per second.
     pub link_mbps: f64,
-    /// The server's `stride`, as its operators' page defines it.
+    /// The server's `stride` setting, as defined in the documentation of the server.
     pub stride: u32,
-    /// Largest number of open calls for KV events.
+    /// Largest number of concurrent calls for KV events.
     pub max_concurrent: u32,
-    /// Names of the models that it can run.
+    /// Names of the models that the server can run.
     pub models: Vec<String>,
 }
 
-/// A KV store. Absent numbers are 0 and an absent zone is empty, but `max_concurrent` is 1.
+/// A KV store. Absent numbers are 0, except `max_concurrent`, which is 1; an absent zone is empty.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Store {
-    /// Where it listens.
+    /// Address that the store listens on.
     pub address: SocketAddr,
-    /// The zone that it is in.
+    /// Zone of the store.
     pub zone: String,
-    /// Its size in tokens.
+    /// Capacity of the store in tokens.
     pub kv_capacity_tokens: u64,
-    /// Bandwidth of its link, in megabits a second.
+    /// Bandwidth of the store's network link, in megabits per second.
     pub link_mbps: f64,
-    /// Largest number of open calls for KV events.
+    /// Largest number of concurrent calls for KV events.
     pub max_concurrent: u32,
 }
 
-/// Limits on requests of clients. The defaults are those of the example in PROTOCOL.md.
+/// Limits on client requests. The defaults equal the values of the example in PROTOCOL.md.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Largest request head in bytes.
     pub max_header_bytes: usize,
     /// Largest request body in bytes.
     pub max_body_bytes: usize,
-    /// Longest time in ms for a request head to arrive.
+    /// Longest time in ms to receive a request head.
     pub header_timeout_ms: u64,
     /// Longest time in ms that a connection may be idle between requests.
     pub idle_timeout_ms: u64,
@@ -231,26 +231,26 @@
     }
 }
 
-/// A customer, recognised by its API keys.
+/// A customer, identified by API keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, unique among tenants.
+    /// Name of the tenant, unique among tenants.
     pub name: String,
-    /// Its API keys, none of them another tenant's; may be empty.
+    /// API keys of the tenant; may be empty. No two tenants share a key.
     pub api_keys: Vec<String>,
-    /// Priority of its requests in place of the route's; 0 is the highest.
+    /// Priority of the tenant's requests, which overrides the route's priority; 0 is the highest.
     pub priority: Option<u8>,
-    /// Its prompts share no KV cache with those of other tenants; false if absent.
+    /// Whether the tenant's prompts share no KV cache with prompts of other tenants; false if absent.
     pub isolated: bool,
-    /// What it may use over all nodes together; `None`: no limit.
+    /// Quota over all nodes in total; `None` if the tenant has no limit.
     pub quota: Option<TenantQuota>,
 }
 
-/// How many requests of a tenant may run, over all nodes together.
+/// Rate limit on a tenant's requests, over all nodes in total.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantQuota {
-    /// Requests a second; above 0.
+    /// Rate in requests per second; above 0.
     pub rate_per_s: f64,
-    /// Requests beyond the rate that may come together; 0 or more.
+    /// Number of requests beyond the rate that may arrive in a burst; 0 or more.
     pub burst_size: f64,
 }
--- a/crates/sparrouter-config/src/table_index.rs
+++ b/crates/sparrouter-config/src/table_index.rs
@@ -1,10 +1,10 @@
-//! The indexes of a route table, and what must be unique in it: names, hosts with their prefixes, API keys.
+//! Builds the indexes of a route table, and checks that names, pairs of host and path prefix, and API keys are unique.
 
 use crate::error::ConfigError;
-use crate::route_table::{Prefixes, Route, Tenant, normal_host};
+use crate::route_table::{Prefixes, Route, Tenant, normalize_host};
 use std::collections::HashMap;
 
-/// The index of each name in its list. Names must be unique.
+/// Maps each name to its index in the list. Rejects duplicate names.
 pub(crate) fn index_names<'a>(
     list: &str,
     names: impl Iterator<Item = &'a str>,
@@ -21,17 +21,17 @@
     Ok(by_name)
 }
 
-/// The routes of each host by path prefix. No two routes may have the same host and prefix.
+/// Groups the routes by host and path prefix. Rejects two routes with the same host and prefix.
 pub(crate) fn index_prefixes(routes: &[Route]) -> Result<HashMap<String, Prefixes>, ConfigError> {
     let mut by_host: HashMap<String, Prefixes> = HashMap::new();
     for (index, route) in routes.iter().enumerate() {
-        let host = normal_host(&route.host).into_owned();
+        let host = normalize_host(&route.host).into_owned();
         let prefixes = by_host.entry(host).or_default();
         let previous = prefixes.routes.insert(route.path_prefix.clone(), index);
-        if let Some(other) = previous {
+        if let Some(first_index) = previous {
             return Err(ConfigError::DuplicatePrefix {
                 path: format!("routes[{index}] (`{}`)", route.name),
-                other: routes[other].name.clone(),
+                other: routes[first_index].name.clone(),
             });
         }
     }
@@ -43,15 +43,15 @@
     Ok(by_host)
 }
 
-/// The index of the tenant that each API key belongs to. A tenant may list a key twice; two tenants may not share one.
+/// Maps each API key to the index of its tenant. A tenant may list a key twice; rejects a key shared by two tenants.
 pub(crate) fn index_keys(tenants: &[Tenant]) -> Result<HashMap<String, usize>, ConfigError> {
     let mut by_key = HashMap::new();
     for (index, tenant) in tenants.iter().enumerate() {
         for key in &tenant.api_keys {
             let previous = by_key.insert(key.clone(), index);
-            if let Some(other) = previous.filter(|other| *other != index) {
+            if let Some(first_index) = previous.filter(|first_index| *first_index != index) {
                 return Err(ConfigError::SharedKey {
-                    first: tenants[other].name.clone(),
+                    first: tenants[first_index].name.clone(),
                     second: tenant.name.clone(),
                 });
             }
