--- a/crates/sparrouter-config/tests/changes.rs
+++ b/crates/sparrouter-config/tests/changes.rs
@@ -1,4 +1,4 @@
-//! The documents that a PUT and a PATCH result in.
+//! The documents that result from a PUT and a PATCH.
 
 mod common;
 
@@ -6,14 +6,14 @@
 use sparrouter_config::{Method, RouteTable, change, read_order};
 
 #[test]
-fn given_the_example_when_put_then_it_comes_back_as_sent() {
+fn given_the_example_when_put_then_the_document_has_the_text_as_sent() {
     let document = example();
     assert_eq!((document.version, document.text.as_str()), (7, EXAMPLE));
     assert_eq!(document.digest(), example().digest());
 }
 
 #[test]
-fn given_white_space_when_put_then_only_that_between_tokens_is_dropped() {
+fn given_white_space_when_put_then_it_is_removed_between_tokens_and_kept_in_strings() {
     let spaced = EXAMPLE
         .replace("{\"name\"", " {\r\n\t\"name\" ")
         .replace("\":", "\" : ")
@@ -24,22 +24,22 @@
 }
 
 #[test]
-fn given_numbers_that_a_parser_would_round_when_put_and_patched_then_their_digits_are_preserved() {
-    let odd =
+fn given_numbers_that_the_parser_rounds_when_put_and_patched_then_their_digits_are_preserved() {
+    let exact_numbers =
         r#""x":[0.30000000000000004,12345678901234567890123,-0,1E2,550000.0,9007199254740993.0]"#;
-    let body = EXAMPLE.replacen(r#""isolated":true"#, odd, 1);
+    let body = EXAMPLE.replacen(r#""isolated":true"#, exact_numbers, 1);
     let document = put(&body).expect("valid");
     assert_eq!(document.text, body);
     assert!(
         patch(EXAMPLE_PATCH, &document)
             .expect("valid")
             .text
-            .contains(odd)
+            .contains(exact_numbers)
     );
 }
 
 #[test]
-fn given_the_example_when_patched_with_the_example_then_only_the_number_changes() {
+fn given_the_example_when_patched_with_identical_items_then_only_the_version_changes() {
     let document = patch(EXAMPLE_PATCH, &example()).expect("valid");
     assert_eq!(
         (document.version, document.text),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn given_items_of_each_list_when_patched_then_replaced_in_place_added_last_and_removed() {
+fn given_items_of_each_list_when_patched_then_they_are_replaced_in_place_appended_and_removed() {
     let change = r#"{"version":12,
         "upsert_items":{
             "routes":[{"name":"r-new","host":"new.example","path_prefix":"/","service":"fresh"},
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn given_a_replaced_item_when_patched_then_no_field_of_the_old_one_stays() {
+fn given_an_item_when_replaced_by_patch_then_no_field_of_the_old_item_remains() {
     let change =
         r#"{"version":8,"upsert_items":{"tenants":[{"name":"kaje80","api_keys":["new"]}]}}"#;
     let table = RouteTable::read(&patch(change, &example()).expect("valid")).expect("readable");
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn given_keys_moved_between_tenants_when_patched_then_each_belongs_to_its_new_tenant() {
+fn given_an_api_key_moved_to_another_tenant_when_patched_then_it_identifies_the_new_tenant() {
     let (moved, unmoved) = ("i9n73hh2b9wu3fexd9dn", "n2ctnfzs989anu6wsjnb");
     let change = format!(
         r#"{{"version":8,"upsert_items":{{"tenants":[{{"name":"other","api_keys":["{moved}"]}},{{"name":"kaje80","api_keys":["{unmoved}","{unmoved}"]}}]}}}}"#
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn given_two_changes_on_one_version_when_sent_then_the_second_is_stale() {
+fn given_two_changes_based_on_one_version_when_sent_then_the_second_is_stale() {
     let first = patch(EXAMPLE_PATCH, &example()).expect("valid");
     let body = EXAMPLE_PATCH.replacen("9", "11", 1);
     let second = change(Method::Patch, body.as_bytes(), Some(7), Some(&first));
@@ -152,7 +152,8 @@
 }
 
 #[test]
-fn given_an_order_when_digested_then_method_base_number_and_every_byte_of_the_text_count() {
+fn given_two_orders_when_method_base_version_or_any_byte_of_the_text_differs_then_their_digests_differ()
+ {
     let known = order(Method::Put, EXAMPLE, 5);
     assert_eq!(known, order(Method::Put, EXAMPLE, 5));
     assert_eq!((known.base, known.version), (5, 7));
@@ -167,7 +168,7 @@
     for (offset, byte) in EXAMPLE.bytes().enumerate() {
         let mut body = EXAMPLE.as_bytes().to_vec();
         body[offset] = if byte == b'1' { b'2' } else { b'1' };
-        // What can't be read has no digest at all.
+        // A malformed body has no digest.
         if let Ok(other) = read_order(Method::Put, &body, Some(5)) {
             assert_ne!(known.digest, other.digest, "byte {offset}");
         }
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn given_white_space_when_digested_then_it_counts_within_a_string_only() {
+fn given_white_space_when_an_order_is_digested_then_only_white_space_in_strings_is_significant() {
     let known = order(Method::Put, "{\"version\":2,\"note\":\"a b\"}", 1);
     let spaced = order(
         Method::Put,
@@ -188,14 +189,14 @@
 }
 
 #[test]
-fn given_a_known_order_when_digested_then_every_release_computes_the_same_bytes() {
+fn given_a_fixed_order_when_digested_then_the_digest_is_the_same_in_every_release() {
     let digest = order(Method::Patch, "{\"version\":2}", 1).digest;
     let hex: String = digest.0.iter().map(|b| format!("{b:02x}")).collect();
     insta::assert_snapshot!(hex, @"d984aa3a37b87d0f317e94f9b2faeb46f0bf1368a69eaa1a0d84cf1cc3034861");
 }
 
 #[test]
-fn given_a_change_that_is_accepted_when_read_as_an_order_then_it_is_the_same() {
+fn given_an_accepted_change_when_its_order_is_read_then_both_have_the_same_identity() {
     let current = example();
     let accepted = sparrouter_config::accept(
         Method::Patch,
--- a/crates/sparrouter-config/tests/edits.rs
+++ b/crates/sparrouter-config/tests/edits.rs
@@ -1,8 +1,8 @@
-//! Edits between two texts of the configuration.
+//! Edits that turn one text of the configuration into another.
 use sparrouter_config::{Edit, Hunk, digest_of_text};
 
-fn tenant(i: usize, keys: usize) -> String {
-    let keys: Vec<String> = (0..keys).map(|k| format!("\"key-{i}-{k}\"")).collect();
+fn tenant(i: usize, key_count: usize) -> String {
+    let keys: Vec<String> = (0..key_count).map(|k| format!("\"key-{i}-{k}\"")).collect();
     format!(
         "{{\"name\":\"t{i}\",\"api_keys\":[{}],\"priority\":1}}",
         keys.join(",")
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn given_one_tenant_of_thousands_changed_when_edited_then_the_edit_is_small_and_gives_the_same_text()
- {
+fn given_25000_tenants_when_three_change_then_the_edit_is_below_600_bytes_and_yields_the_new_text()
+{
     let mut tenants: Vec<String> = (0..25_000).map(|i| tenant(i, 3)).collect();
     let old = config(7, &tenants);
     tenants[9_000] = tenant(9_000, 4);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn given_any_two_texts_when_edited_from_one_to_the_other_then_the_result_is_the_same_to_the_byte() {
+fn given_two_random_texts_when_the_edit_between_them_is_applied_then_the_result_is_the_new_text() {
     let mut rng = fastrand::Rng::with_seed(3);
     for _ in 0..3_000 {
         let mut text = || -> String {
@@ -49,20 +49,20 @@
 }
 
 #[test]
-fn given_a_different_base_text_when_an_edit_is_applied_then_it_is_rejected() {
+fn given_a_base_text_or_result_with_another_digest_when_an_edit_is_applied_then_it_is_rejected() {
     let old = config(1, &[tenant(1, 2), tenant(2, 2)]);
     let new = config(2, &[tenant(1, 2)]);
     let edit = Edit::between(&old, &new);
     assert_eq!(edit.apply(&old.replace("key-1-0", "key-1-9")), None);
-    let wrong = Edit {
+    let wrong_result_digest = Edit {
         to: digest_of_text("another"),
         ..edit
     };
-    assert_eq!(wrong.apply(&old), None);
+    assert_eq!(wrong_result_digest.apply(&old), None);
 }
 
 #[test]
-fn given_ranges_that_are_not_in_the_text_when_applied_then_they_are_rejected() {
+fn given_a_hunk_with_an_out_of_bounds_range_when_the_edit_is_applied_then_it_is_rejected() {
     let from = digest_of_text("aü");
     for (start, length) in [(0, 9), (usize::MAX, 2), (2, 1), (5, 0)] {
         let hunks = vec![Hunk {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn given_a_range_repeated_many_times_when_applied_then_the_result_is_bounded() {
+fn given_an_edit_that_repeats_a_range_100000_times_when_applied_then_it_is_rejected_as_too_large() {
     let old = "x".repeat(1 << 20);
     let hunks = vec![
         Hunk {
--- a/crates/sparrouter-config/tests/malformed_bodies.rs
+++ b/crates/sparrouter-config/tests/malformed_bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies that are rejected before their fields are read: no complete JSON, or beyond a limit.
+//! Bodies that are rejected before their fields are read: incomplete or invalid JSON, or beyond a size limit.
 
 mod common;
 
@@ -30,16 +30,16 @@
 }
 
 #[test]
-fn given_bytes_after_the_end_when_sent_then_rejected() {
-    for after in ["}", "]", "{}", ",", "0", "\"", "\0", "null"] {
-        let error = put(&format!("{EXAMPLE}{after}")).expect_err(after);
-        assert_eq!(error.status(), 400, "{after}: {error}");
+fn given_bytes_after_the_json_value_when_sent_then_rejected() {
+    for suffix in ["}", "]", "{}", ",", "0", "\"", "\0", "null"] {
+        let error = put(&format!("{EXAMPLE}{suffix}")).expect_err(suffix);
+        assert_eq!(error.status(), 400, "{suffix}: {error}");
     }
     assert!(put(&format!(" \r\n\t{EXAMPLE} \n")).is_ok());
 }
 
 #[test]
-fn given_a_field_twice_when_sent_then_rejected_at_any_depth() {
+fn given_a_duplicate_field_at_any_depth_when_sent_then_rejected() {
     for (from, to) in [
         (r#"{"version":7"#, r#"{"version":6,"version":7"#),
         (r#"{"version":7"#, r#"{"\u0076ersion":6,"version":7"#),
@@ -53,13 +53,13 @@
             "{error}"
         );
     }
-    // The same name as a value, in a sibling object or in a nested object is no duplicate.
-    let apart = r#""isolated":true,"x":[{"y":"y"},{"y":{"y":["y","y"]}}]"#;
-    assert!(put(&EXAMPLE.replacen(r#""isolated":true"#, apart, 1)).is_ok());
+    // A field name that recurs as a value, in a sibling object or in a nested object is not a duplicate.
+    let distinct = r#""isolated":true,"x":[{"y":"y"},{"y":{"y":["y","y"]}}]"#;
+    assert!(put(&EXAMPLE.replacen(r#""isolated":true"#, distinct, 1)).is_ok());
 }
 
 #[test]
-fn given_deep_nesting_when_sent_then_rejected_before_it_is_parsed() {
+fn given_nesting_beyond_the_depth_limit_when_sent_then_rejected_before_parsing() {
     for bomb in ["[".repeat(100_000), "{\"a\":".repeat(100_000)] {
         assert!(matches!(put(&bomb), Err(ConfigError::TooDeep { .. })));
     }
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn given_too_many_bytes_or_values_when_sent_then_status_413() {
+fn given_more_bytes_or_values_than_the_limit_when_sent_then_status_413() {
     let error = put(&format!("{EXAMPLE}{}", " ".repeat(MAX_BYTES))).expect_err("too large");
     assert_eq!(
         (
@@ -96,23 +96,23 @@
         ),
         (413, true)
     );
-    // A patch may not make the configuration larger than a PUT may be.
-    let fat = format!(r#"{{"name":"fat","x":"{}"}}"#, "x".repeat(MAX_BYTES / 2));
+    // A patch must not make the configuration larger than a PUT may be.
+    let large_service = format!(r#"{{"name":"fat","x":"{}"}}"#, "x".repeat(MAX_BYTES / 2));
     let current = patch(
-        &format!(r#"{{"version":8,"upsert_items":{{"services":[{fat}]}}}}"#),
+        &format!(r#"{{"version":8,"upsert_items":{{"services":[{large_service}]}}}}"#),
         &example(),
     );
-    let current = current.expect("below the bound");
-    let more = fat.replacen("fat", "more", 1);
+    let current = current.expect("below the size limit");
+    let second_service = large_service.replacen("fat", "more", 1);
     let error = patch(
-        &format!(r#"{{"version":9,"upsert_items":{{"services":[{more}]}}}}"#),
+        &format!(r#"{{"version":9,"upsert_items":{{"services":[{second_service}]}}}}"#),
         &current,
     );
     assert_eq!(error.map_err(|r| r.status()), Err(413));
 }
 
 #[test]
-fn given_numbers_out_of_range_when_sent_then_rejected_without_a_panic() {
+fn given_malformed_or_out_of_range_numbers_when_sent_then_rejected_without_a_panic() {
     for number in [
         "1e999",
         "-1e999",
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn given_invalid_strings_when_sent_then_rejected() {
+fn given_invalid_escapes_or_utf8_when_sent_then_rejected() {
     for invalid in [
         r"\ud800",
         r"\udc00",
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn given_tokens_that_would_join_without_white_space_when_sent_then_rejected() {
+fn given_invalid_json_that_removing_white_space_could_make_valid_when_sent_then_rejected() {
     for invalid in ["1 2", "tr ue", "3 90", "- 1", "\"a\" \"b\"", "390 null"] {
         assert_eq!(
             put(&EXAMPLE.replacen("390", invalid, 1)),
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn given_random_bit_flips_when_sent_then_no_panic_and_accepted_documents_can_be_read() {
+fn given_randomly_corrupted_bodies_when_sent_then_no_panic_and_accepted_documents_are_readable() {
     let mut random = fastrand::Rng::with_seed(11);
     let current = example();
     let mut accepted = 0;
--- a/crates/sparrouter-config/tests/rejections.rs
+++ b/crates/sparrouter-config/tests/rejections.rs
@@ -1,4 +1,4 @@
-//! What is rejected: each kind of invalid configuration, by PUT and by PATCH.
+//! Rejection of each kind of invalid configuration, sent by PUT and by PATCH.
 
 mod common;
 
@@ -11,8 +11,8 @@
     by_patch: ConfigError,
 }
 
-/// The errors for one invalid route.
-fn both_ways(invalid: &str) -> BothErrors {
+/// Sends an invalid route by PUT and by PATCH, and returns both errors.
+fn put_and_patch_errors(invalid: &str) -> BothErrors {
     let good = route("r-good", "h.example", "/good/", r#""service":"a""#);
     let current = put(&with_routes(3, &good)).expect("valid");
     let body = with_routes(5, &format!("{good},{invalid}"));
@@ -23,41 +23,41 @@
     BothErrors { by_put, by_patch }
 }
 
-/// Checks the errors for an invalid route, sent both ways.
-fn check_both_ways(invalid: &str, is_expected: impl Fn(&ConfigError) -> bool) {
-    let BothErrors { by_put, by_patch } = both_ways(invalid);
+/// Checks the errors for an invalid route, sent by PUT and by PATCH.
+fn check_put_and_patch(invalid: &str, is_expected: impl Fn(&ConfigError) -> bool) {
+    let BothErrors { by_put, by_patch } = put_and_patch_errors(invalid);
     assert!(is_expected(&by_put), "{by_put}");
     assert!(is_expected(&by_patch), "{by_patch}");
     assert_eq!((by_put.status(), by_patch.status()), (422, 422));
 }
 
-macro_rules! assert_both_ways {
+macro_rules! assert_put_and_patch_rejected {
     ($invalid:expr, $error:pat) => {
-        check_both_ways(&$invalid, |error| matches!(error, $error))
+        check_put_and_patch(&$invalid, |error| matches!(error, $error))
     };
 }
 
 #[test]
 fn given_an_unknown_service_when_sent_then_rejected() {
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x/", r#""service":"nobody""#),
         ConfigError::UnknownService { .. }
     );
     let split = r#""traffic_split":[{"service":"a","weight":1},{"service":"nobody","weight":0}]"#;
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x/", split),
         ConfigError::UnknownService { .. }
     );
-    let beside = r#""service":"nobody","traffic_split":[{"service":"a","weight":1}]"#;
-    assert_both_ways!(
-        route("x", "h", "/x/", beside),
+    let service_and_split = r#""service":"nobody","traffic_split":[{"service":"a","weight":1}]"#;
+    assert_put_and_patch_rejected!(
+        route("x", "h", "/x/", service_and_split),
         ConfigError::UnknownService { .. }
     );
 }
 
 #[test]
-fn given_a_store_in_a_route_when_sent_then_rejected() {
-    assert_both_ways!(
+fn given_a_route_to_a_kv_store_when_sent_then_rejected() {
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x/", r#""service":"s""#),
         ConfigError::StoreInRoute { .. }
     );
@@ -65,95 +65,96 @@
 
 #[test]
 fn given_two_routes_with_one_host_and_prefix_when_sent_then_rejected() {
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         route("x", "h.example", "/good/", r#""service":"b""#),
         ConfigError::DuplicatePrefix { .. }
     );
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         route("x", "H.Example:80", "/good/", r#""service":"b""#),
         ConfigError::DuplicatePrefix { .. }
     );
 }
 
 #[test]
-fn given_weights_without_a_valid_sum_when_sent_then_rejected() {
+fn given_weights_that_are_missing_negative_or_without_a_positive_finite_sum_when_sent_then_rejected()
+ {
     let split = r#""traffic_split":[{"service":"a","weight":0},{"service":"b","weight":0.0}]"#;
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x/", split),
         ConfigError::ZeroWeights { .. }
     );
     let split = r#""traffic_split":[{"service":"a","weight":2},{"service":"b","weight":-1}]"#;
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x/", split),
         ConfigError::InvalidWeight { .. }
     );
     let split =
         r#""traffic_split":[{"service":"a","weight":1e308},{"service":"b","weight":1e308}]"#;
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x/", split),
         ConfigError::InvalidWeight { .. }
     );
     let split = r#""traffic_split":[{"service":"a"}]"#;
-    assert_both_ways!(route("x", "h", "/x/", split), ConfigError::Missing { .. });
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(route("x", "h", "/x/", split), ConfigError::Missing { .. });
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x/", r#""traffic_split":[]"#),
         ConfigError::Missing { .. }
     );
 }
 
 #[test]
-fn given_a_timeout_of_zero_when_sent_then_rejected() {
-    assert_both_ways!(
+fn given_a_zero_or_invalid_timeout_when_sent_then_rejected() {
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x/", r#""service":"a","timeout_ms":0"#),
         ConfigError::ZeroTimeout { .. }
     );
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x/", r#""service":"a","timeout_ms":0.0"#),
         ConfigError::ZeroTimeout { .. }
     );
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x/", r#""service":"a","timeout_ms":-5"#),
         ConfigError::WrongType { .. }
     );
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x/", r#""service":"a","timeout_ms":"5""#),
         ConfigError::WrongType { .. }
     );
 }
 
 #[test]
-fn given_a_prefix_without_a_slash_at_an_end_when_sent_then_rejected() {
-    assert_both_ways!(
+fn given_a_path_prefix_without_a_leading_or_trailing_slash_when_sent_then_rejected() {
+    assert_put_and_patch_rejected!(
         route("x", "h", "x/", r#""service":"a""#),
         ConfigError::InvalidPrefix { .. }
     );
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         route("x", "h", "/x", r#""service":"a""#),
         ConfigError::InvalidPrefix { .. }
     );
 }
 
 #[test]
-fn given_missing_fields_or_unknown_kinds_when_sent_then_rejected_by_path() {
-    assert_both_ways!(
+fn given_a_missing_field_or_an_unknown_kind_when_sent_then_rejected_with_the_path_of_the_field() {
+    assert_put_and_patch_rejected!(
         r#"{"name":"x","path_prefix":"/x/","service":"a"}"#,
         ConfigError::Missing { .. }
     );
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         r#"{"name":"x","host":"h","service":"a"}"#,
         ConfigError::Missing { .. }
     );
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         r#"{"name":"x","host":"h","path_prefix":"/x/"}"#,
         ConfigError::Missing { .. }
     );
-    assert_both_ways!(
+    assert_put_and_patch_rejected!(
         r#"{"host":"h","path_prefix":"/x/","service":"a"}"#,
         ConfigError::Missing { .. }
     );
     let kind = route("x", "h", "/x/", r#""service":"a","kind":"sometimes""#);
-    assert_both_ways!(kind, ConfigError::UnknownKind { .. });
-    let message = both_ways(&kind).by_put.to_string();
+    assert_put_and_patch_rejected!(kind, ConfigError::UnknownKind { .. });
+    let message = put_and_patch_errors(&kind).by_put.to_string();
     assert!(
         message.contains("routes[1] (`x`).kind") && message.contains("sometimes"),
         "{message}"
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn given_an_old_version_when_sent_then_rejected() {
+fn given_a_version_that_is_not_above_the_current_one_or_invalid_when_sent_then_rejected() {
     let current = example();
     for version in ["7", "6", "0"] {
         let body = EXAMPLE.replacen("7", version, 1);
@@ -181,7 +182,7 @@
         Err(ConfigError::OldVersion { .. })
     ));
     for version in ["7.5", "-1", "\"7\"", "null", "18446744073709551616", "[7]"] {
-        let error = put(&EXAMPLE.replacen("7", version, 1)).expect_err("no integer");
+        let error = put(&EXAMPLE.replacen("7", version, 1)).expect_err("not an integer");
         assert_eq!(error.status(), 422, "{version}: {error}");
     }
     assert_eq!(
@@ -193,7 +194,7 @@
 }
 
 #[test]
-fn given_a_stale_if_match_when_sent_then_status_412() {
+fn given_an_if_match_that_is_not_the_current_version_when_sent_then_status_412() {
     let current = example();
     for if_match in [None, Some(0), Some(6), Some(8)] {
         for (method, body) in [
@@ -217,18 +218,18 @@
         Err(412)
     );
     assert!(change(Method::Put, EXAMPLE.as_bytes(), None, None).is_ok());
-    let error =
-        change(Method::Patch, EXAMPLE_PATCH.as_bytes(), Some(0), None).expect_err("nothing there");
+    let error = change(Method::Patch, EXAMPLE_PATCH.as_bytes(), Some(0), None)
+        .expect_err("no configuration to patch");
     assert_eq!((error.status(), error), (422, ConfigError::NothingToPatch));
 }
 
 #[test]
-fn given_tenants_that_share_a_key_when_sent_then_rejected_without_the_key() {
+fn given_tenants_that_share_an_api_key_when_sent_then_rejected_by_an_error_without_the_key() {
     let key = "i9n73hh2b9wu3fexd9dn";
-    let thief = format!(r#"{{"name":"thief","api_keys":["{key}"]}}"#);
-    let by_put = put(&EXAMPLE.replace(r#""tenants":["#, &format!(r#""tenants":[{thief},"#)))
+    let tenant = format!(r#"{{"name":"thief","api_keys":["{key}"]}}"#);
+    let by_put = put(&EXAMPLE.replace(r#""tenants":["#, &format!(r#""tenants":[{tenant},"#)))
         .expect_err("shared");
-    let body = format!(r#"{{"version":8,"upsert_items":{{"tenants":[{thief}]}}}}"#);
+    let body = format!(r#"{{"version":8,"upsert_items":{{"tenants":[{tenant}]}}}}"#);
     let by_patch = patch(&body, &example()).expect_err("shared");
     for error in [by_put, by_patch] {
         assert!(matches!(error, ConfigError::SharedKey { .. }), "{error}");
@@ -237,7 +238,7 @@
 }
 
 #[test]
-fn given_two_items_of_one_name_when_sent_then_rejected() {
+fn given_two_items_with_the_same_name_when_sent_then_rejected() {
     let tenant = r#"{"name":"kaje80","api_keys":[]},"#;
     let body = EXAMPLE.replace(r#""tenants":["#, &format!(r#""tenants":[{tenant}"#));
     assert!(matches!(put(&body), Err(ConfigError::DuplicateName { .. })));
@@ -253,7 +254,7 @@
 }
 
 #[test]
-fn given_a_patch_that_removes_a_service_of_a_route_when_sent_then_rejected() {
+fn given_a_patch_that_removes_a_service_used_by_a_route_when_sent_then_rejected() {
     let body = r#"{"version":8,"remove_names":{"services":["huvo11a"]}}"#;
     assert!(matches!(
         patch(body, &example()),
@@ -262,7 +263,7 @@
 }
 
 #[test]
-fn given_a_patch_of_a_wrong_shape_when_sent_then_rejected() {
+fn given_a_patch_with_invalid_structure_when_sent_then_status_422() {
     for body in [
         r#"{"version":8,"upsert_items":[]}"#,
         r#"{"version":8,"upsert_items":{"routes":{}}}"#,
@@ -283,27 +284,28 @@
     }
 }
 
-/// The result had the field twice, which counts as malformed (400), as if the patch itself could not be read.
+/// Guards against a merged document with a duplicate `limits` field, which was rejected as malformed (400) although the patch
+/// itself is well-formed.
 #[test]
-fn given_limits_as_a_value_and_as_a_list_when_the_document_has_none_then_the_result_is_invalid() {
+fn given_a_document_without_limits_when_a_patch_has_limits_as_object_and_as_list_then_status_422() {
     let text = r#"{"version":7,"routes":[],"services":[]}"#;
     let current = change(Method::Put, text.as_bytes(), None, None).expect("a valid document");
     let body =
         r#"{"version":8,"limits":{"max_body_bytes":10},"upsert_items":{"limits":[{"name":"n"}]}}"#;
     let error = change(Method::Patch, body.as_bytes(), Some(7), Some(&current))
-        .expect_err("limits are no list");
+        .expect_err("limits are not a list");
     assert_eq!(error.status(), 422, "{error}");
 }
 
 #[test]
-fn given_a_patch_sent_as_a_put_when_read_then_it_does_not_empty_the_fleet() {
+fn given_the_body_of_a_patch_when_sent_by_put_then_rejected_for_the_missing_routes() {
     let error = change(
         Method::Put,
         EXAMPLE_PATCH.as_bytes(),
         Some(7),
         Some(&example()),
     )
-    .expect_err("no lists");
+    .expect_err("`routes` is missing");
     assert_eq!(
         error,
         ConfigError::Missing {
@@ -313,7 +315,7 @@
 }
 
 #[test]
-fn given_a_document_stored_under_another_version_when_read_then_rejected() {
+fn given_a_document_stored_under_another_version_than_in_its_text_when_read_then_rejected() {
     let document = Document {
         version: 8,
         ..example()
--- a/crates/sparrouter-config/tests/route_table.rs
+++ b/crates/sparrouter-config/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! The route table: what is read from a configuration, and its look-ups.
+//! The route table: reading it from a configuration, and lookups in it.
 
 mod common;
 
@@ -6,13 +6,13 @@
 use sparrouter_config::{Limits, RouteKind, RouteTable};
 use std::time::Instant;
 
-/// The name of the route of a request.
+/// The name of the route that a request matches.
 fn route_name<'a>(table: &'a RouteTable, host: &str, path: &str) -> Option<&'a str> {
     table.route(host, path).map(|route| route.name.as_str())
 }
 
 #[test]
-fn given_the_example_when_read_then_every_field_of_its_routes_is_there() {
+fn given_the_example_when_read_then_routes_have_the_configured_fields() {
     let table = table(EXAMPLE);
     assert_eq!(table.version, 7);
     let route = &table.routes[0];
@@ -34,9 +34,9 @@
 }
 
 #[test]
-fn given_the_example_when_read_then_every_field_of_its_services_limits_and_tenants_is_there() {
+fn given_the_example_when_read_then_services_limits_and_tenants_have_the_configured_fields() {
     let table = table(EXAMPLE);
-    let service = table.service("huvo11a").expect("there");
+    let service = table.service("huvo11a").expect("the service exists");
     let engine = service.engine.as_ref().expect("a model server");
     assert_eq!(
         (engine.slot_count, engine.stride, engine.max_concurrent),
@@ -64,13 +64,15 @@
     let store = table
         .service("wuno96b")
         .and_then(|s| s.store.as_ref())
-        .expect("a store");
+        .expect("a KV store");
     assert_eq!(
         (store.address.to_string(), store.zone.as_str()),
         ("172.20.0.2:8680".into(), "nyali-hall")
     );
     assert_eq!(table.limits, Limits::default());
-    let tenant = table.tenant_of("n2ctnfzs989anu6wsjnb").expect("known");
+    let tenant = table
+        .tenant_of("n2ctnfzs989anu6wsjnb")
+        .expect("the key belongs to a tenant");
     assert_eq!(
         (tenant.name.as_str(), tenant.priority, tenant.isolated),
         ("kaje80", Some(1), true)
@@ -79,7 +81,7 @@
 }
 
 #[test]
-fn given_only_required_fields_when_read_then_the_rest_has_safe_defaults() {
+fn given_only_required_fields_when_read_then_optional_fields_have_safe_defaults() {
     let table = table(&with_routes(
         1,
         &route("r", "h", "/", r#""service":"a","kind":null"#),
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn given_nested_prefixes_when_looked_up_then_the_longest_wins() {
+fn given_nested_path_prefixes_when_a_path_is_looked_up_then_the_longest_match_wins() {
     let routes = [
         route("root", "h", "/", r#""service":"a""#),
         route("a", "h", "/a/", r#""service":"a""#),
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn given_a_host_in_other_case_or_with_a_port_when_looked_up_then_it_is_the_same() {
+fn given_a_host_in_another_case_or_with_a_port_when_looked_up_then_the_same_route_is_found() {
     let routes = [
         route("name", "Shop.Example", "/", r#""service":"a""#),
         route("six", "[2001:DB8::1]", "/", r#""service":"a""#),
@@ -156,8 +158,8 @@
 }
 
 #[test]
-fn given_weights_when_services_are_selected_then_their_shares_follow_and_new_weights_move_few_keys()
-{
+fn given_service_weights_when_keys_are_assigned_then_shares_match_weights_and_weight_changes_move_few_keys()
+ {
     let split = |version, rest: &str| table(&with_routes(version, &route("r", "h", "/", rest)));
     let before = split(
         1,
@@ -178,7 +180,7 @@
         let next = after.routes[0].select_service(key);
         assert!(
             selected == "a" || next == "b",
-            "a key left the service whose weight rose"
+            "a key moved away from the service with the raised weight"
         );
         to_b += usize::from(selected == "b");
         to_b_after += usize::from(next == "b");
@@ -188,8 +190,8 @@
 }
 
 #[test]
-fn given_a_split_with_zero_weights_and_a_repeated_service_when_read_then_they_are_dropped_and_added_up()
- {
+fn given_zero_weights_and_a_repeated_service_when_read_then_zeros_are_dropped_and_weights_added_up()
+{
     let split = r#""service":"b","traffic_split":[{"service":"a","weight":1},{"service":"b","weight":0},{"service":"a","weight":2.5}]"#;
     let table = table(&with_routes(1, &route("r", "h", "/", split)));
     assert_eq!(table.routes[0].split, [("a".to_owned(), 3.5)]);
@@ -197,7 +199,7 @@
 }
 
 #[test]
-fn given_three_thousand_routes_when_read_then_each_is_found() {
+fn given_3000_routes_when_looked_up_then_each_is_found() {
     let document_of = |count: usize| {
         let routes: Vec<String> = (0..count)
             .map(|i| {
