--- a/crates/sparrouter-membership/src/changes.rs
+++ b/crates/sparrouter-membership/src/changes.rs
@@ -1,8 +1,8 @@
-//! The log of changes: which record changed last at which revision.
+//! The change log: maps each revision to the record whose latest change has that revision.
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// The kind of a record, and its key.
+/// The kind and key of a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RecordKey {
     Server(String),
@@ -10,7 +10,7 @@
     Directive(String),
 }
 
-/// Names a record that changed.
+/// Identifies a record that changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangedRecord<'a> {
     /// A server, by its instance id.
@@ -31,68 +31,67 @@
     }
 }
 
-/// How soon a change is published to the pollers.
+/// How soon a change is published to polling nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Urgency {
-    /// Together with other changes, after they were gathered for a while.
+    /// The change is published in a batch, after a delay that collects other changes.
     Batched,
-    /// As soon as the pollers can take another answer.
+    /// The change is published as soon as the minimum interval between publications allows.
     Immediate,
 }
 
-/// The last change of each record, in the order in which they happened.
+/// The latest change of each record, in the order of the changes.
 ///
-/// Every record of the table has exactly one entry, at the revision of its last change: pollers ask for the newest few of
-/// thousands of records, and find them without a walk over the others.
+/// Each record of the table has exactly one entry, at the revision of its latest change. A poll that asks for the few newest
+/// of thousands of records thus finds them without visiting the others.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeLog {
-    /// Number of the last change; the first is 1.
+    /// Revision of the latest change; the first change has revision 1.
     revision: u64,
-    /// Number of the last change with [`Urgency::Immediate`]; 0 before the first.
+    /// Revision of the latest change with [`Urgency::Immediate`]; 0 if there is none.
     urgent_revision: u64,
-    by_revision: BTreeMap<u64, RecordKey>,
+    key_by_revision: BTreeMap<u64, RecordKey>,
 }
 
 impl ChangeLog {
-    /// Number of the last change; 0 before the first.
+    /// Revision of the latest change; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Number of the last urgent change; 0 before the first.
+    /// Revision of the latest change with [`Urgency::Immediate`]; 0 if there is none.
     pub fn urgent_revision(&self) -> u64 {
         self.urgent_revision
     }
 
-    /// Enters a change of a record, and gives its revision. `previous`: the revision of the record's change before, whose
-    /// entry is removed.
-    pub fn enter(&mut self, key: RecordKey, previous: Option<u64>, urgency: Urgency) -> u64 {
+    /// Appends a change of a record and returns its revision. Removes the record's old entry at the revision `previous`.
+    pub fn append(&mut self, key: RecordKey, previous: Option<u64>, urgency: Urgency) -> u64 {
         self.revision += 1;
         if let Some(previous) = previous {
-            self.by_revision.remove(&previous);
+            self.key_by_revision.remove(&previous);
         }
-        self.by_revision.insert(self.revision, key);
+        self.key_by_revision.insert(self.revision, key);
         if urgency == Urgency::Immediate {
             self.urgent_revision = self.revision;
         }
         self.revision
     }
 
-    /// Removes the entry of a record that was dropped. This is no change: no revision leads to it.
+    /// Removes the entry of a record that was dropped. Dropping a record gets no revision, so pollers do not learn of it.
     pub fn remove(&mut self, revision: u64) {
-        self.by_revision.remove(&revision);
+        self.key_by_revision.remove(&revision);
     }
 
-    /// The records that changed after a revision, the oldest change first.
+    /// The records that changed after `revision`, oldest change first.
     pub fn since(&self, revision: u64) -> impl Iterator<Item = &RecordKey> {
-        self.by_revision
+        self.key_by_revision
             .range((Bound::Excluded(revision), Bound::Unbounded))
             .map(|(_, key)| key)
     }
 
-    /// The changes after the revision `after`, up to and with `up_to`, the oldest first. `after` is at most `up_to`.
+    /// The changes after the revision `after` up to and including `up_to`, oldest first. `after` is at most `up_to`.
     pub fn between(&self, after: u64, up_to: u64) -> impl Iterator<Item = (u64, &RecordKey)> {
-        self.by_revision
+        self.key_by_revision
             .range((Bound::Excluded(after), Bound::Included(up_to)))
             .map(|(revision, key)| (*revision, key))
     }
--- a/crates/sparrouter-membership/src/record_table.rs
+++ b/crates/sparrouter-membership/src/record_table.rs
@@ -1,46 +1,47 @@
-//! The records of one kind: bounded, each with the revision of its last change, tombstones among them.
+//! The records of one kind, including tombstones: bounded in number, each with the revision of its latest change.
 use crate::Nanos;
 use crate::changes::{ChangeLog, RecordKey, Urgency};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// How many times the retention of a tombstone a record is kept while its server or node is unresponsive, since that may
-/// come back.
+/// How long the record of an unresponsive server or node is kept, in multiples of the tombstone retention. It exceeds 1
+/// because the server or node may recover.
 pub(crate) const UNRESPONSIVE_RETENTION_PERIODS: u64 = 4;
 
-/// A kind of record: how two records under one key merge, and how long a record is kept.
+/// A kind of record, with its merge rule and its retention.
 ///
-/// For nodes to converge, [`Record::merge`] must give the same result in whatever order the same records are merged.
+/// For nodes to converge, [`Record::merge`] must give the same result regardless of the order in which records are merged.
 pub(crate) trait Record: Clone {
-    /// The key, unique among the records of this kind.
+    /// The key of the record, unique among the records of its kind.
     fn key(&self) -> &str;
 
-    /// The key together with the kind.
+    /// The kind and key of the record.
     fn record_key(&self) -> RecordKey;
 
-    /// What results when `update`, a record under the same key, is merged into this one; `None` if nothing changes.
+    /// Merges `update`, a record under the same key, into this record, and returns the result; `None` if nothing changes.
     fn merge(&self, update: Self) -> Option<Self>;
 
-    /// How soon pollers should learn of this record.
+    /// How soon this record is published to polling nodes.
     fn urgency(&self) -> Urgency;
 
-    /// How many times the retention of a tombstone the record is kept after its last change; `None`: for good.
+    /// How long the record is kept after its latest change, in multiples of the tombstone retention; `None` if it is kept
+    /// without a limit.
     fn retention_periods(&self) -> Option<u64>;
 }
 
-/// A record, and when it last changed at this node.
+/// A record, with the revision and time of its latest change at this node.
 struct VersionedRecord<R> {
     record: R,
     revision: u64,
     changed_at: Nanos,
 }
 
-/// The records of one kind by their keys.
+/// The records of one kind, by key.
 ///
-/// The number of records never exceeds the limit, and each of them has its entry in the [`ChangeLog`] at its revision.
+/// The number of records never exceeds the limit, and each record has an entry in the [`ChangeLog`] at its revision.
 pub(crate) struct RecordTable<R> {
     records: BTreeMap<String, VersionedRecord<R>>,
-    /// Bounds the memory that callers can make a node take.
+    /// Largest number of records. Bounds the memory that callers can make a node allocate.
     max_records: usize,
 }
 
@@ -58,7 +59,7 @@
         self.records.len()
     }
 
-    /// Whether there is a record under this key.
+    /// Whether a record with this key exists.
     pub fn contains(&self, key: &str) -> bool {
         self.records.contains_key(key)
     }
@@ -73,8 +74,8 @@
         self.records.values().map(|versioned| &versioned.record)
     }
 
-    /// The records whose keys begin with `prefix`, in the order of their keys, with the moment of their last change at
-    /// this node. Finds them without a walk over the others.
+    /// The records whose keys begin with `prefix`, in the order of their keys, each with the time of its latest change at this
+    /// node. Visits no other records.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a R, Nanos)> {
         self.records
             .range::<str, _>((Bound::Included(prefix), Bound::Unbounded))
@@ -82,7 +83,8 @@
             .map(|(_, versioned)| (&versioned.record, versioned.changed_at))
     }
 
-    /// The record that results from merging `update`; `None` if it changes nothing, or is new and the table is full.
+    /// The result of merging `update` into the current record, without storing it. `None` if nothing changes, or if the key is
+    /// new and the table is full.
     pub fn merged(&self, update: R) -> Option<R> {
         match self.get(update.key()) {
             Some(current) => current.merge(update),
@@ -90,11 +92,11 @@
         }
     }
 
-    /// Replaces the record of the same key, whatever it holds, and enters the change.
+    /// Stores a record without merging: replaces any record with the same key, and appends the change to the log.
     pub fn put(&mut self, record: R, urgency: Urgency, now: Nanos, changes: &mut ChangeLog) {
         let key = record.key().to_owned();
         let previous = self.records.get(&key).map(|versioned| versioned.revision);
-        let revision = changes.enter(record.record_key(), previous, urgency);
+        let revision = changes.append(record.record_key(), previous, urgency);
         let versioned = VersionedRecord {
             record,
             revision,
@@ -103,7 +105,7 @@
         self.records.insert(key, versioned);
     }
 
-    /// Merges a record. True if anything changed.
+    /// Merges a record, and returns whether the table changed.
     pub fn merge(&mut self, update: R, now: Nanos, changes: &mut ChangeLog) -> bool {
         let Some(record) = self.merged(update) else {
             return false;
@@ -113,7 +115,7 @@
         true
     }
 
-    /// Drops the records whose retention is over, and gives how many those are. `retention`: that of a tombstone.
+    /// Drops expired records and returns their number. `retention` is the retention of a tombstone.
     pub fn drop_expired(&mut self, now: Nanos, retention: Nanos, changes: &mut ChangeLog) -> usize {
         let count_before = self.records.len();
         self.records.retain(|_, versioned| {
--- a/crates/sparrouter-membership/src/table.rs
+++ b/crates/sparrouter-membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The membership table of one node: all records that it knows, merged and looked up.
+//! The membership table of one node: merging and lookup of all records that the node knows.
 use crate::changes::{ChangeLog, Urgency};
 use crate::record_table::{Record, RecordTable};
 use crate::{
@@ -8,28 +8,28 @@
 use std::cell::Cell;
 use std::collections::HashMap;
 
-/// All records that one node knows; bounded.
+/// All records that one node knows. The number of records is bounded.
 pub struct MembershipTable {
     epoch: u64,
-    /// How long a tombstone is kept, so that no late message brings its record back.
+    /// How long a tombstone is kept, so that no delayed message restores the record.
     tombstone_retention: Nanos,
     servers: RecordTable<ServerRecord>,
     nodes: RecordTable<NodeRecord>,
     directives: RecordTable<ServerDirective>,
-    /// Id of the server that was last live at each address. Each of these ids has a record.
+    /// Maps each address to the id of the server that was last live there. Each of these ids has a record.
     live_at_address: HashMap<String, String>,
     changes: ChangeLog,
     /// Number of changes of node records, dropped records included.
     node_changes: u64,
-    /// Number of server records that were dropped, which get no revision.
+    /// Number of server records that were dropped. Dropping a record gets no revision.
     servers_dropped: u64,
-    /// Number of records that iterators over all or some of them have yielded.
+    /// Number of records that iterators of this table have yielded.
     records_visited: Cell<u64>,
 }
 
 impl MembershipTable {
-    /// An empty table. `epoch`: a random number; `tombstone_retention`: how long tombstones are kept, in nanoseconds;
-    /// `max_records`: the largest number of records of each kind.
+    /// Creates an empty table. `epoch` is a random number, `tombstone_retention` the time in nanoseconds for which tombstones are
+    /// kept, and `max_records` the largest number of records of each kind.
     pub fn new(epoch: u64, tombstone_retention: Nanos, max_records: usize) -> MembershipTable {
         MembershipTable {
             epoch,
@@ -45,27 +45,28 @@
         }
     }
 
-    /// Identifies this instance; see [`MembershipDelta::epoch`].
+    /// Identifies this instance of the table; see [`MembershipDelta::epoch`].
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Number of the last change; 0 before the first.
+    /// Revision of the latest change; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.changes.revision()
     }
 
-    /// Revision of the last urgent change: a server drains or leaves, a directive, a node that leaves or is unresponsive.
+    /// Revision of the latest urgent change; 0 if there is none. Urgent changes are a server that drains or leaves, a directive,
+    /// and a node that leaves or is unresponsive.
     pub fn urgent_revision(&self) -> u64 {
         self.changes.urgent_revision()
     }
 
-    /// The record of a server, by its instance id.
+    /// The record of the server with the instance id `id`.
     pub fn server(&self, id: &str) -> Option<&ServerRecord> {
         self.servers.get(id)
     }
 
-    /// All servers in the order of their ids. Those that have left are among them until their tombstones are dropped.
+    /// All servers in the order of their ids, including servers that have left and whose tombstones have not been dropped.
     pub fn servers(&self) -> impl Iterator<Item = &ServerRecord> {
         self.servers.iter().inspect(|_| self.count_visit())
     }
@@ -75,7 +76,7 @@
         self.servers.len()
     }
 
-    /// The record of a node, by its name.
+    /// The record of the node with this name.
     pub fn node(&self, name: &str) -> Option<&NodeRecord> {
         self.nodes.get(name)
     }
@@ -95,8 +96,8 @@
         self.directives.iter().inspect(|_| self.count_visit())
     }
 
-    /// The server directives whose keys begin with `prefix`, in the order of their keys, with the moment of their last
-    /// change at this node. Finds them without a walk over the others.
+    /// The server directives whose keys begin with `prefix`, in the order of their keys, each with the time of its latest change
+    /// at this node. Visits no other directives.
     pub fn directives_with_prefix<'a>(
         &'a self,
         prefix: &'a str,
@@ -106,7 +107,7 @@
             .inspect(|_| self.count_visit())
     }
 
-    /// The records that changed after a revision, each once, the oldest change first.
+    /// The records that changed after `revision`, each once, oldest change first.
     pub fn changed_since(&self, revision: u64) -> impl Iterator<Item = ChangedRecord<'_>> {
         self.changes
             .since(revision)
@@ -114,18 +115,18 @@
             .map(ChangedRecord::from)
     }
 
-    /// Rises with each change of a node's record, and when one is dropped: what was computed from all of them is valid
-    /// until then.
+    /// A counter that rises with each change or removal of a node record. A value computed from all node records remains valid
+    /// until the counter rises.
     pub fn node_changes(&self) -> u64 {
         self.node_changes
     }
 
-    /// Rises when server records are dropped, which [`MembershipTable::changed_since`] does not report.
+    /// A counter of dropped server records, which [`MembershipTable::changed_since`] does not report.
     pub fn servers_dropped(&self) -> u64 {
         self.servers_dropped
     }
 
-    /// Number of records that iterators have yielded so far: it shows whether work grows with the size of the fleet.
+    /// Number of records that iterators have yielded so far. It shows whether the work per call grows with the size of the fleet.
     pub fn records_visited(&self) -> u64 {
         self.records_visited.get()
     }
@@ -134,16 +135,16 @@
         self.records_visited.set(self.records_visited.get() + 1);
     }
 
-    /// Overwrites a record, whatever is known: the defect that [`MembershipTable::merge_server`] guards against, injected
-    /// by tests.
+    /// Overwrites a record without merging. Tests use this to inject the defect that [`MembershipTable::merge_server`] guards
+    /// against.
     #[cfg(feature = "injected-defects")]
     pub fn overwrite(&mut self, record: ServerRecord, now: Nanos) {
         self.servers
             .put(record, Urgency::Immediate, now, &mut self.changes);
     }
 
-    /// Merges a record of a server. True if anything changed. A late record with a lower call sequence undoes nothing, and
-    /// a server's life cycle state never moves back.
+    /// Merges a server record, and returns whether the table changed. A delayed record with a lower call sequence never replaces
+    /// a newer one, and a server's life cycle state never moves back.
     pub fn merge_server(&mut self, update: ServerRecord, now: Nanos) -> bool {
         let Some(record) = self.servers.merged(update) else {
             return false;
@@ -160,8 +161,8 @@
         true
     }
 
-    /// Marks the live server at the address of a new one as unresponsive, since an address has one server at a time. It
-    /// does not count as left, because messages may be late: its next heartbeat makes it live again.
+    /// Marks the live server at a new server's address as unresponsive, since an address has one server at a time. The displaced
+    /// server is not marked as left, because messages may be delayed: its next heartbeat makes it live again.
     fn displace_server(&mut self, address: &str, now: Nanos) {
         let displaced = self
             .live_at_address
@@ -177,8 +178,8 @@
             .put(record, Urgency::Batched, now, &mut self.changes);
     }
 
-    /// Marks a server as having left. An unknown one is recorded as such, since its heartbeats may arrive later. True if
-    /// anything changed.
+    /// Marks a server as having left, and returns whether the table changed. An unknown server is also recorded as having left,
+    /// since its heartbeats may arrive later.
     pub fn mark_server_left(&mut self, id: &str, now: Nanos) -> bool {
         let mut record = self.server(id).cloned().unwrap_or_default();
         record.id = id.to_owned();
@@ -186,7 +187,7 @@
         self.merge_server(record, now)
     }
 
-    /// Marks a server as unresponsive at its last known call sequence. True if anything changed.
+    /// Marks a live server as unresponsive at its latest known call sequence, and returns whether the table changed.
     pub fn mark_server_unresponsive(&mut self, id: &str, now: Nanos) -> bool {
         let live = self.server(id).filter(|record| record.is_live()).cloned();
         let Some(mut record) = live else {
@@ -196,14 +197,14 @@
         self.merge_server(record, now)
     }
 
-    /// Merges a record of a node. True if anything changed. The higher incarnation wins.
+    /// Merges a node record, and returns whether the table changed. The record with the higher incarnation wins.
     pub fn merge_node(&mut self, update: NodeRecord, now: Nanos) -> bool {
         let is_changed = self.nodes.merge(update, now, &mut self.changes);
         self.node_changes += u64::from(is_changed);
         is_changed
     }
 
-    /// Marks a node as unresponsive in its last known incarnation. True if anything changed.
+    /// Marks a node as unresponsive in its latest known incarnation, and returns whether the table changed.
     pub fn mark_node_unresponsive(&mut self, name: &str, now: Nanos) -> bool {
         let responsive = self
             .node(name)
@@ -216,18 +217,18 @@
         self.merge_node(record, now)
     }
 
-    /// The incarnation that a process must take for its record to win over what is known of its name.
+    /// The incarnation that a process needs for its record to win over the known record under its name.
     pub fn next_incarnation(&self, own: &NodeRecord) -> u64 {
         self.node(&own.name)
             .map_or(own.incarnation, |known| own.incarnation_over(known))
     }
 
-    /// Merges a server directive. True if anything changed.
+    /// Merges a server directive, and returns whether the table changed.
     pub fn merge_directive(&mut self, update: ServerDirective, now: Nanos) -> bool {
         self.directives.merge(update, now, &mut self.changes)
     }
 
-    /// Merges all records of a delta. True if anything changed.
+    /// Merges all records of a delta, and returns whether the table changed.
     pub fn merge(&mut self, delta: MembershipDelta, now: Nanos) -> bool {
         let mut is_changed = false;
         for record in delta.nodes {
@@ -242,12 +243,13 @@
         is_changed
     }
 
-    /// The changes since a revision, oldest first, at most `max_records` of them. A revision of another epoch counts as 0.
+    /// The changes after `revision`, oldest first, at most `max_records`. A revision of another epoch counts as 0.
     pub fn delta_since(&self, epoch: u64, revision: u64, max_records: usize) -> MembershipDelta {
         self.delta_between(epoch, revision, self.revision(), max_records)
     }
 
-    /// The same up to the revision `up_to`. A record that changed after it is left out, and comes with a later delta.
+    /// The changes after `revision` up to and including `up_to`, oldest first, at most `max_records`. A revision of another epoch
+    /// counts as 0. Omits a record that changed again after `up_to`; a later delta contains it.
     pub fn delta_between(
         &self,
         epoch: u64,
@@ -264,7 +266,7 @@
         };
         for (index, (revision, key)) in self.changes.between(after, up_to).enumerate() {
             if index == max_records {
-                // The next delta continues with this change.
+                // The next delta begins with this change.
                 delta.revision = revision - 1;
                 break;
             }
@@ -273,7 +275,8 @@
         delta
     }
 
-    /// Drops tombstones after their retention, and servers and nodes that were unresponsive for four times as long.
+    /// Drops tombstones after their retention, and records of servers and nodes that were unresponsive for four times the
+    /// retention.
     pub fn drop_expired(&mut self, now: Nanos) {
         let retention = self.tombstone_retention;
         let changes = &mut self.changes;
