--- a/crates/sparrouter-membership/src/directive.rs
+++ b/crates/sparrouter-membership/src/directive.rs
@@ -1,20 +1,20 @@
-//! Server directives: what the holder of a rollout lease announces to all nodes.
+//! Server directives: announcements of the rollout lease holder to all nodes.
 use crate::changes::{RecordKey, Urgency};
 use crate::record_table::Record;
 use nanoserde::{DeBin, SerBin};
 
-/// One directive, such as that a server is loading new weights.
+/// An announcement about one server, for example that it is loading new weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct ServerDirective {
-    /// What it is about: kind, server and model, such as `load/i-7f3a91c2/model`.
+    /// Subject of the directive: kind, server and model, such as `load/i-7f3a91c2/model`.
     pub key: String,
     /// Fencing token of the lease holder; orders the directives under one key.
     pub fencing_token: u64,
-    /// The lease holder's own count; orders its directives under one fencing token.
+    /// Sequence number assigned by the lease holder; orders its directives with one fencing token.
     pub sequence: u64,
-    /// The version of the weights; 0 if there is none.
+    /// Version of the weights; 0 if the directive has none.
     pub version: u64,
-    /// It does not apply any more. The directive remains as a tombstone for a while, then it is dropped.
+    /// Whether the directive was withdrawn. A withdrawn directive is kept as a tombstone until its retention ends.
     pub withdrawn: bool,
 }
 
@@ -27,8 +27,8 @@
         RecordKey::Directive(self.key.clone())
     }
 
-    /// The directive with the higher fencing token wins; of two with the same, the one with the higher sequence. A lease
-    /// holder that was replaced thereby changes nothing.
+    /// The directive with the higher fencing token wins; with equal tokens, the directive with the higher sequence number.
+    /// Directives of a replaced lease holder are thus ignored.
     fn merge(&self, update: ServerDirective) -> Option<ServerDirective> {
         let is_newer =
             (update.fencing_token, update.sequence) > (self.fencing_token, self.sequence);
--- a/crates/sparrouter-membership/src/lib.rs
+++ b/crates/sparrouter-membership/src/lib.rs
@@ -1,23 +1,23 @@
-//! Which servers and nodes exist: records that converge in whatever order they are merged, and are sent by revision to
-//! the nodes that poll.
+//! Membership of the fleet: records of servers and nodes. Records converge regardless of the order in which they are merged,
+//! and polling nodes receive the records that changed since a revision.
 //!
-//! Every node owns a [`MembershipTable`]. A record is changed where the change is observed (a heartbeat, a poll that
-//! stopped) and reaches the other nodes by long polls: a node asks a few sources for what changed since the revision that
-//! it has. Its sources are chosen by rendezvous hashing, so that each source is polled by, and watches, its share of all
+//! Every node has a [`MembershipTable`]. The node that observes a change (a heartbeat, or polls that stopped) updates the
+//! record, and other nodes learn of it by long polls: each node asks a few sources for the records that changed since its last
+//! known revision. Sources are selected by rendezvous hashing, so that each source serves and monitors its share of the
 //! nodes.
 //!
-//! | module | its one job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `table` | the table of one node: all records, merged and looked up |
+//! | `table` | the membership table of one node: merging and lookup of all records |
 //! | `server`, `node`, `directive` | the three kinds of record, each with its merge rule |
-//! | `record_table` | the records of one kind: bounded, with revisions and tombstones |
-//! | `changes` | which record changed last at which revision |
+//! | `record_table` | the records of one kind: bounded in number, with revisions and tombstones |
+//! | `changes` | the change log, ordered by revision |
 //! | `delta` | the changes between two revisions |
-//! | `pack`, `unpack` | a delta as bytes |
-//! | `publish_schedule` | when changed records are published |
-//! | `sources` | which nodes a node polls |
+//! | `pack`, `unpack` | encode and decode a delta |
+//! | `publish_schedule` | when changes are published to polling nodes |
+//! | `sources` | selects the nodes that a node polls |
 //!
-//! No I/O, no clock: `now` is a parameter. Sources: Das, Gupta and Motivala, "SWIM", DSN 2002 (suspicion refuted by a
+//! The crate uses no I/O and no clock: the current time is passed as `now`. Sources: Das, Gupta and Motivala, "SWIM", DSN 2002 (suspicion refuted by a
 //! higher incarnation); Shapiro et al., "Conflict-free replicated data types", 2011.
 
 mod changes;
@@ -41,5 +41,5 @@
 pub use sources::{SOURCE_COUNT, sources};
 pub use table::MembershipTable;
 
-/// Nanoseconds of a monotonic clock: a moment since an arbitrary origin, or a length of time.
+/// Nanoseconds of a monotonic clock: a point in time relative to an arbitrary origin, or a duration.
 pub type Nanos = u64;
--- a/crates/sparrouter-membership/src/node.rs
+++ b/crates/sparrouter-membership/src/node.rs
@@ -1,43 +1,44 @@
-//! The record of a node, and how two records of one node merge.
+//! The record of a node and its merge rule.
 use crate::changes::{RecordKey, Urgency};
 use crate::record_table::{Record, UNRESPONSIVE_RETENTION_PERIODS};
 use nanoserde::{DeBin, SerBin};
 
-/// One process of the fleet, as it describes itself.
+/// A process of the fleet. The process publishes its own record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct NodeRecord {
-    /// Name of the node, the same after a restart.
+    /// Name of the node; unchanged by a restart.
     pub name: String,
-    /// Address for other nodes.
+    /// Address of the endpoint for other nodes.
     pub internal_address: String,
-    /// Address for servers and operators; empty if it serves none.
+    /// Address of the endpoint for servers and operators; empty if the node has no such endpoint.
     pub control_address: String,
-    /// The zone that it is in.
+    /// Zone of the node.
     pub zone: String,
-    /// The region that it is in.
+    /// Region of the node.
     pub region: String,
-    /// It counts toward the quorum.
+    /// Whether the node counts toward the quorum.
     pub counts_toward_quorum: bool,
-    /// It serves clients.
+    /// Whether the node serves clients.
     pub serves_clients: bool,
-    /// Id of its disk, new after the disk was wiped; 0 without a disk.
+    /// Id of the node's disk, which changes when the disk is wiped; 0 if the node has no disk.
     pub disk_id: u64,
-    /// Incarnation. The process raises it whenever it learns of a newer record of its name.
+    /// Incarnation number. The process raises it whenever it learns of a newer record under its name.
     pub incarnation: u64,
-    /// Random number of the process, to distinguish two processes of one name.
+    /// Random number chosen by the process, which distinguishes two processes with the same name.
     pub nonce: u64,
-    /// It is shutting down.
+    /// Whether the process is shutting down.
     pub leaving: bool,
-    /// It stopped polling. It refutes this with a higher incarnation.
+    /// Whether the node stopped polling. The node refutes this with a higher incarnation.
     pub unresponsive: bool,
 }
 
-/// Orders the records of one name; see [`NodeRecord::precedence`].
+/// Sort key of the records of one node; see [`NodeRecord::precedence`].
 type Precedence = (u64, u64, bool, bool, u64);
 
 impl NodeRecord {
-    /// Of two records of one name the one with the higher value wins: the higher incarnation first. Of two processes of
-    /// one name and incarnation the one with the higher nonce wins, until one of them raises its incarnation.
+    /// The sort key by which the winner of two records with the same name is determined: the higher value wins. The incarnation
+    /// is compared first. Of two processes with the same name and incarnation, the process with the higher nonce wins until
+    /// the other process raises its incarnation.
     fn precedence(&self) -> Precedence {
         (
             self.incarnation,
@@ -48,7 +49,7 @@
         )
     }
 
-    /// The incarnation that the process with this record must take for the record to win over `known`, the newest one
+    /// The incarnation that the process with this record needs for its record to win over `known`, the newest known record
     /// under its name.
     pub(crate) fn incarnation_over(&self, known: &NodeRecord) -> u64 {
         let is_another_process = known.nonce != self.nonce;
--- a/crates/sparrouter-membership/src/server.rs
+++ b/crates/sparrouter-membership/src/server.rs
@@ -1,18 +1,18 @@
-//! The record of a server, and how two records of one server merge.
+//! The record of a server and its merge rule.
 use crate::changes::{RecordKey, Urgency};
 use crate::record_table::{Record, UNRESPONSIVE_RETENTION_PERIODS};
 use nanoserde::{DeBin, SerBin};
 use sparrouter_codec::Seq;
 
-/// The life cycle of a server. It only ever moves forward.
+/// The life cycle state of a server, which only advances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
 pub enum LifecycleState {
-    /// It takes requests.
+    /// The server accepts requests.
     #[default]
     Ready,
-    /// It takes no new requests, and will leave.
+    /// The server accepts no new requests and will leave the fleet.
     Draining,
-    /// It has left.
+    /// The server has left the fleet.
     Left,
 }
 
@@ -25,33 +25,33 @@
     pub version: u64,
 }
 
-/// One incarnation of a server, as its heartbeats describe it.
+/// One run of a server process, as described by its heartbeats.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct ServerRecord {
-    /// Its instance id, new with each start.
+    /// Instance id, new for each start of the server.
     pub id: String,
-    /// Name of its service.
+    /// Name of the server's service.
     pub service: String,
-    /// IP address and port.
+    /// IP address and port of the server.
     pub address: String,
-    /// The zone that it is in.
+    /// Zone of the server.
     pub zone: String,
-    /// Requests that it works on at a time.
+    /// Number of requests that the server processes concurrently.
     pub slot_count: u32,
-    /// Whether it takes requests.
+    /// Life cycle state, which determines whether the server accepts requests.
     pub state: LifecycleState,
-    /// Number of its last call; rises with each.
+    /// Sequence number of the latest call that the server made to a node; rises with each call.
     pub call_sequence: u64,
-    /// The models that it runs.
+    /// The models that the server runs.
     pub models: Seq<LoadedModel>,
-    /// Name of the node that its heartbeats go to, which marks it as unresponsive if they stop.
+    /// Name of the node that receives the server's heartbeats, and marks the server as unresponsive if they stop.
     pub registrar: String,
-    /// No heartbeat has arrived since this call sequence. A hint only: the server may still answer requests.
+    /// Whether heartbeats stopped after `call_sequence`. This is only a hint: the server may still process requests.
     pub unresponsive: bool,
 }
 
 impl ServerRecord {
-    /// Whether the server is thought to run: it has not left, and its heartbeats arrive.
+    /// Whether the server is presumed to be running: it has not left and is not unresponsive.
     pub(crate) fn is_live(&self) -> bool {
         self.state != LifecycleState::Left && !self.unresponsive
     }
@@ -66,8 +66,8 @@
         RecordKey::Server(self.id.clone())
     }
 
-    /// The record with the higher call sequence wins; of two with the same, the one that is unresponsive. The life cycle
-    /// state is the later one of both, so that a late record never moves a server back.
+    /// The record with the higher call sequence wins; with equal sequences, the record that is unresponsive. The merged record
+    /// has the later of both life cycle states, so that a delayed record never moves a server back.
     fn merge(&self, update: ServerRecord) -> Option<ServerRecord> {
         let state = self.state.max(update.state);
         let is_newer =
--- a/crates/sparrouter-membership/src/sources.rs
+++ b/crates/sparrouter-membership/src/sources.rs
@@ -1,13 +1,14 @@
-//! Which nodes a node polls; a polled node thereby watches the poller.
+//! Selects the nodes that a node polls. A polled node in turn monitors the nodes that poll it.
 use sparrouter_rendezvous::{hash, order};
 
-/// Number of sources that a node polls at a time: one of them may freeze or be partitioned without notice.
+/// Number of sources that a node polls concurrently: more than one, because a source may freeze or be partitioned
+/// undetected.
 pub const SOURCE_COUNT: usize = 2;
 
-/// The first `max_sources` candidates in this node's rendezvous order, those with quorum contact first.
+/// Selects up to `max_sources` candidates in the rendezvous order of this node. Candidates with quorum contact come first.
 ///
-/// `own`: the name of this node, which is never among its own sources. `candidates`: the name of each, and whether it has
-/// quorum contact.
+/// `own` is the name of this node, which is never one of its own sources. `candidates` yields the name of each candidate and
+/// whether it has quorum contact.
 pub fn sources<'a>(
     own: &str,
     candidates: impl Iterator<Item = (&'a str, bool)>,
@@ -16,7 +17,7 @@
     let key = hash(own.as_bytes());
     let members = candidates.map(|candidate| (hash(candidate.0.as_bytes()), candidate));
     let mut ranked: Vec<(&str, bool)> = order(members, key);
-    // The sort is stable: within each group the rendezvous order stays.
+    // The sort is stable, so it keeps the rendezvous order within each group.
     ranked.sort_by_key(|(_, has_quorum_contact)| !has_quorum_contact);
     ranked
         .into_iter()
