--- a/crates/sparrouter-membership/src/pack.rs
+++ b/crates/sparrouter-membership/src/pack.rs
@@ -1,35 +1,36 @@
-//! A delta to bytes. Thousands of records name the same few services, zones and nodes, so a name is written once a message
-//! and then by its index; numbers have a variable length, and IPv4 addresses with a port take six bytes.
+//! Encodes a delta. Thousands of records contain the same few names of services, zones and nodes, so a message contains each
+//! name once and refers to it by index afterwards. Numbers have a variable length, and IPv4 addresses with a port take six
+//! bytes.
 //!
-//! | value | its bytes |
+//! | value | encoding |
 //! | --- | --- |
-//! | number | 7 bits a byte, the lowest first, the top bit set on all but the last byte (LEB128) |
+//! | number | 7 bits per byte, lowest bits first, the top bit set on all but the last byte (LEB128) |
 //! | fixed number | eight bytes, little-endian |
 //! | text | its length as a number, then UTF-8 |
-//! | name | 0 and the text the first time, afterwards its index (from 1) in the order of first occurrence |
-//! | address | 1, four bytes of IPv4 address and the port as two bytes, little-endian; or 0 and any other text |
+//! | name | at its first occurrence 0 and the text; afterwards its index (from 1) in the order of first occurrence |
+//! | address | 1, the IPv4 address in four bytes and the port in two bytes, little-endian; or 0 and any other text |
 //! | flags | one byte, the first flag in its lowest bit |
 //! | list | the number of items, then the items |
 //!
-//! A delta is the epoch (fixed), the revision, and the lists of servers, nodes and directives. Nodes of two releases run
-//! side by side, so these bytes stay as they are.
+//! A delta is encoded as the epoch (fixed number), the revision, and the lists of servers, nodes and directives. Nodes of
+//! different releases exchange deltas, so this encoding must not change.
 use crate::{LifecycleState, MembershipDelta, NodeRecord, ServerDirective, ServerRecord};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
-/// Tag of an address as text.
+/// Tag of an address that is encoded as text.
 pub(crate) const ADDRESS_AS_TEXT: u8 = 0;
-/// Tag of an IPv4 address with a port as six bytes.
+/// Tag of an IPv4 address and port that are encoded in six bytes.
 pub(crate) const ADDRESS_AS_IPV4: u8 = 1;
-/// In place of a name's index: the name itself follows.
+/// Takes the place of a name's index if the name itself follows.
 pub(crate) const NAME_FOLLOWS: u64 = 0;
-/// Bits of a number in each byte.
+/// Number of bits of a number that each byte contains.
 pub(crate) const BITS_PER_BYTE: usize = 7;
-/// Set on each byte of a number but its last one.
+/// Bit that is set on each byte of a number except the last.
 pub(crate) const MORE_BYTES: u8 = 0x80;
 
 impl MembershipDelta {
-    /// The delta as bytes; see [`MembershipDelta::unpack`].
+    /// Encodes the delta. [`MembershipDelta::unpack`] decodes it.
     pub fn pack(&self) -> Vec<u8> {
         let mut writer = Writer::default();
         writer.fixed_number(self.epoch);
@@ -49,7 +50,7 @@
 #[derive(Default)]
 struct Writer<'a> {
     output: Vec<u8>,
-    /// The names written so far, with their indexes from 1.
+    /// Maps the names written so far to their indexes, which begin at 1.
     name_indexes: HashMap<&'a str, u64>,
 }
 
@@ -71,7 +72,7 @@
         self.output.extend_from_slice(text.as_bytes());
     }
 
-    /// A text that several records share.
+    /// Writes a text that is likely to occur in several records.
     fn name(&mut self, name: &'a str) {
         if let Some(index) = self.name_indexes.get(name).copied() {
             return self.number(index);
@@ -82,7 +83,8 @@
         self.text(name);
     }
 
-    /// Any text. Only the usual form of an IPv4 address with a port is shortened, so that the same text is read back.
+    /// Writes an address, which may be any text. Only the canonical form of an IPv4 address with a port is shortened, so that
+    /// decoding restores the same text.
     fn address(&mut self, address: &'a str) {
         match address.parse::<SocketAddrV4>() {
             Ok(socket) if socket.to_string() == address => {
--- a/crates/sparrouter-membership/src/unpack.rs
+++ b/crates/sparrouter-membership/src/unpack.rs
@@ -1,17 +1,18 @@
-//! Bytes to a delta. The bytes may be hostile: nothing panics, and the memory taken is bounded by the length of the input.
+//! Decodes a delta. The input is untrusted: decoding never panics, and the memory it allocates is bounded by the length of
+//! the input.
 use crate::pack::{ADDRESS_AS_IPV4, ADDRESS_AS_TEXT, BITS_PER_BYTE, MORE_BYTES, NAME_FOLLOWS};
 use crate::{
     LifecycleState, LoadedModel, MembershipDelta, NodeRecord, ServerDirective, ServerRecord,
 };
 use std::net::SocketAddrV4;
 
-/// Largest number of bytes of text that are allocated for each byte of input: a few hostile bytes could refer to a long
-/// name many times.
+/// Largest number of bytes of text that are allocated per byte of input. Without a limit, a few hostile bytes could refer to
+/// a long name many times.
 const MAX_TEXT_BYTES_PER_INPUT_BYTE: usize = 64;
 
 impl MembershipDelta {
-    /// Reads the bytes of [`MembershipDelta::pack`]; `None` if they are malformed. Allocates at most 64 bytes of text for
-    /// each byte of input.
+    /// Decodes the output of [`MembershipDelta::pack`]; `None` if `bytes` is malformed. Allocates at most 64 bytes of text per
+    /// byte of input.
     pub fn unpack(bytes: &[u8]) -> Option<MembershipDelta> {
         let mut reader = Reader {
             remaining: bytes,
@@ -40,7 +41,7 @@
     remaining: &'a [u8],
     /// The names read so far, in the order of their indexes.
     names: Vec<&'a str>,
-    /// Bytes of text that may still be allocated.
+    /// Number of bytes of text that may still be allocated.
     text_budget: usize,
 }
 
@@ -82,7 +83,8 @@
         None
     }
 
-    /// A number of items. Fails if the rest of the input cannot contain that many of at least one byte each.
+    /// Reads a number of items or bytes. Fails if it exceeds the remaining bytes of input, since an item takes at least one
+    /// byte.
     fn count(&mut self) -> Option<usize> {
         let count = usize::try_from(self.number()?).ok()?;
         (count <= self.remaining.len()).then_some(count)
@@ -93,7 +95,7 @@
         std::str::from_utf8(self.bytes(length)?).ok()
     }
 
-    /// Allocates a text out of the budget.
+    /// Copies a text and deducts its length from the text budget. Fails if the budget is exceeded.
     fn allocate(&mut self, text: &str) -> Option<String> {
         self.text_budget = self.text_budget.checked_sub(text.len())?;
         Some(text.to_owned())
@@ -145,7 +147,7 @@
             .collect()
     }
 
-    // The fields of a struct expression are evaluated in the order written, which is the order of the bytes.
+    // The fields of a struct expression are evaluated in the order written, which must be the order of the encoding.
 
     fn server(&mut self) -> Option<ServerRecord> {
         let id = self.text()?;
