--- a/crates/sparrouter-membership/tests/packing.rs
+++ b/crates/sparrouter-membership/tests/packing.rs
@@ -1,10 +1,10 @@
-//! Deltas to bytes and back.
+//! Encoding and decoding of membership deltas.
 use nanoserde::SerBin;
 use sparrouter_membership::{
     LifecycleState, LoadedModel, MembershipDelta, NodeRecord, ServerDirective, ServerRecord,
 };
 
-/// Texts that are hard for the short forms of names and addresses.
+/// Edge cases for the compact encodings of names and addresses.
 const TEXTS: [&str; 8] = [
     "",
     "lekh",
@@ -20,7 +20,7 @@
     TEXTS[rng.usize(..TEXTS.len())].to_owned()
 }
 
-/// A number of any length in bits.
+/// A random number whose length in bits is also random.
 fn random_number(rng: &mut fastrand::Rng) -> u64 {
     rng.u64(..) >> rng.u32(..64)
 }
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn given_any_records_when_packed_and_unpacked_then_they_are_the_same() {
+fn given_random_records_when_packed_and_unpacked_then_the_delta_is_unchanged() {
     let mut rng = fastrand::Rng::with_seed(5);
     for _ in 0..2_000 {
         let delta = random_delta(&mut rng);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn given_truncated_or_changed_bytes_when_unpacked_then_they_are_rejected_or_read_without_a_panic() {
+fn given_truncated_or_corrupted_bytes_when_unpacked_then_no_panic_and_truncation_is_rejected() {
     let mut rng = fastrand::Rng::with_seed(6);
     for _ in 0..500 {
         let packed = random_delta(&mut rng).pack();
@@ -116,15 +116,15 @@
                 "a truncated delta is malformed"
             );
         }
-        let mut changed = packed.clone();
-        let index = rng.usize(..changed.len());
-        changed[index] = rng.u8(..);
-        let _ = MembershipDelta::unpack(&changed);
+        let mut corrupted = packed.clone();
+        let index = rng.usize(..corrupted.len());
+        corrupted[index] = rng.u8(..);
+        let _ = MembershipDelta::unpack(&corrupted);
     }
 }
 
 #[test]
-fn given_a_long_name_repeated_many_times_when_unpacked_then_memory_stays_bounded() {
+fn given_a_long_name_referenced_20000_times_when_unpacked_then_it_is_rejected_to_bound_memory() {
     let service = "x".repeat(100_000);
     let record = ServerRecord {
         service,
@@ -139,12 +139,12 @@
     assert_eq!(
         MembershipDelta::unpack(&packed),
         None,
-        "two gigabytes of text from half a megabyte"
+        "half a megabyte of input must not allocate two gigabytes of text"
     );
 }
 
 #[test]
-fn given_a_thousand_servers_of_one_service_when_packed_then_each_takes_few_bytes() {
+fn given_1000_servers_of_one_service_when_packed_then_each_takes_less_than_30_bytes() {
     let server = |i: usize| ServerRecord {
         id: format!("i-{i:010x}"),
         service: "huvo11a".into(),
@@ -164,6 +164,9 @@
         servers: (0..1_000).map(server).collect(),
         ..MembershipDelta::default()
     };
-    let (packed, plain) = (delta.pack().len(), delta.serialize_bin().len());
-    assert!(packed < 30_000 && plain > 130_000, "{packed} and {plain}");
+    let (packed_length, plain_length) = (delta.pack().len(), delta.serialize_bin().len());
+    assert!(
+        packed_length < 30_000 && plain_length > 130_000,
+        "{packed_length} and {plain_length} bytes"
+    );
 }
--- a/crates/sparrouter-membership/tests/publish_schedule.rs
+++ b/crates/sparrouter-membership/tests/publish_schedule.rs
@@ -1,4 +1,4 @@
-//! When changed records are published.
+//! Scheduling of the publication of changed records.
 use sparrouter_membership::{
     LifecycleState, MembershipTable, NodeRecord, PublishSchedule, ServerRecord,
 };
@@ -13,7 +13,7 @@
     )
 }
 
-/// Merges the first heartbeat of a server at an address of its own.
+/// Merges the first heartbeat of a server with a unique address.
 fn merge_server(table: &mut MembershipTable, id: usize, state: LifecycleState, now: u64) {
     let address = format!("10.0.{}.{}:80", id / 250, id % 250);
     let record = ServerRecord {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn given_a_thousand_servers_that_appear_one_by_one_then_few_publications_cover_all() {
+fn given_1000_servers_that_start_one_per_millisecond_then_13_to_15_publications_cover_all() {
     let (mut table, mut schedule) = new_table_and_schedule();
     let mut publications = 0;
     for id in 0..1_000 {
@@ -35,10 +35,10 @@
         merge_server(&mut table, id, LifecycleState::Ready, now);
         let publish_at = schedule
             .next_publish_at(&table, 10, now)
-            .expect("something is new");
+            .expect("a change is pending");
         assert!(
             publish_at <= now + 70 * MS,
-            "nothing waits longer than it takes to gather"
+            "a change waits no longer than the batch delay"
         );
         if publish_at <= now {
             schedule.publish(&table, now);
@@ -49,7 +49,8 @@
 }
 
 #[test]
-fn given_a_quiet_period_when_a_server_drains_then_all_pending_records_are_published_at_once() {
+fn given_pending_changes_after_a_quiet_period_when_a_server_drains_then_all_are_published_immediately()
+ {
     let (mut table, mut schedule) = new_table_and_schedule();
     merge_server(&mut table, 1, LifecycleState::Ready, 100 * MS);
     assert_eq!(
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn given_many_servers_that_drain_at_once_when_many_poll_then_they_are_published_together_and_soon()
+fn given_200_polling_nodes_when_500_servers_drain_then_at_most_10_publications_at_most_53_ms_apart()
 {
     let (mut table, mut schedule) = new_table_and_schedule();
     let mut published = Vec::new();
@@ -90,7 +91,7 @@
     }
     assert!(
         published.len() <= 10,
-        "each is an answer to every poller: {published:?}"
+        "each publication sends a response to every polling node: {published:?}"
     );
     assert!(
         published.windows(2).all(|w| w[1] - w[0] <= 53 * MS),
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn given_published_records_when_one_changes_later_then_it_is_in_the_next_publication_only() {
+fn given_a_published_record_when_it_changes_again_then_only_the_next_publication_contains_it() {
     let (mut table, mut schedule) = new_table_and_schedule();
     merge_server(&mut table, 1, LifecycleState::Ready, 0);
     merge_server(&mut table, 2, LifecycleState::Ready, 0);
--- a/crates/sparrouter-membership/tests/table.rs
+++ b/crates/sparrouter-membership/tests/table.rs
@@ -1,18 +1,18 @@
-//! Merging of records, and the changes since a revision.
+//! Merging of records, and deltas since a revision.
 use sparrouter_membership::{
     ChangedRecord, LifecycleState, MembershipDelta, MembershipTable, NodeRecord, ServerDirective,
     ServerRecord, sources,
 };
 
-/// 60 s in nanoseconds.
+/// Tombstone retention in nanoseconds: 60 s.
 const TOMBSTONE_RETENTION: u64 = 60_000_000_000;
 
-/// An empty table that is large enough for any test.
+/// An empty table with capacity for any test.
 fn new_table(epoch: u64) -> MembershipTable {
     MembershipTable::new(epoch, TOMBSTONE_RETENTION, 10_000)
 }
 
-/// A server whose address follows from the length of its id.
+/// A server whose address is derived from the length of its id, so that ids of equal length share an address.
 fn server(id: &str, sequence: u64, state: LifecycleState) -> ServerRecord {
     let address = format!("10.0.0.{}:80", id.len());
     ServerRecord {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn given_a_draining_server_when_a_late_heartbeat_reports_ready_then_it_stays_draining() {
+fn given_a_draining_server_when_a_delayed_or_new_heartbeat_reports_ready_then_it_stays_draining() {
     let mut table = new_table(1);
     assert!(table.merge_server(server("a", 5, LifecycleState::Draining), 0));
     assert!(!table.merge_server(server("a", 4, LifecycleState::Ready), 1));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn given_a_server_that_left_before_it_was_known_when_its_heartbeat_arrives_then_it_stays_left() {
+fn given_an_unknown_server_marked_as_left_when_its_heartbeat_arrives_then_it_stays_left() {
     let mut table = new_table(1);
     table.mark_server_left("a", 0);
     table.merge_server(server("a", 9, LifecycleState::Ready), 1);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn given_an_address_taken_over_when_the_old_server_sends_a_heartbeat_then_it_is_live_again() {
+fn given_a_server_displaced_from_its_address_when_it_sends_a_heartbeat_then_it_is_live_again() {
     let mut table = new_table(1);
     table.merge_server(server("a", 1, LifecycleState::Ready), 0);
     table.merge_server(server("b", 1, LifecycleState::Ready), 1);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn given_the_same_records_in_any_order_then_all_nodes_converge() {
+fn given_the_same_server_records_when_merged_in_any_order_then_tables_converge() {
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..300 {
         let mut updates: Vec<ServerRecord> = (0..12)
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn given_a_poller_with_a_revision_when_it_polls_then_it_gets_only_changed_records() {
+fn given_a_poll_since_a_revision_when_answered_then_the_delta_contains_only_changed_records() {
     let (mut source, mut poller) = (new_table(1), new_table(2));
     source.merge_server(server("a", 1, LifecycleState::Ready), 0);
     let first = source.delta_since(0, 0, usize::MAX);
@@ -111,13 +111,13 @@
             .delta_since(second.epoch, second.revision, usize::MAX)
             .is_empty()
     );
-    // A restarted source counts from 0 again: the poller's revision has no meaning there.
-    let again = new_table(3).delta_since(second.epoch, second.revision, usize::MAX);
-    assert_eq!((again.epoch, again.revision), (3, 0));
+    // A restarted source counts revisions from 0 again, so the poller's revision is not valid there.
+    let after_restart = new_table(3).delta_since(second.epoch, second.revision, usize::MAX);
+    assert_eq!((after_restart.epoch, after_restart.revision), (3, 0));
 }
 
 #[test]
-fn given_a_node_marked_unresponsive_when_it_learns_so_then_it_refutes_with_a_higher_incarnation() {
+fn given_a_node_marked_unresponsive_when_it_raises_its_incarnation_then_it_is_responsive_again() {
     let mut table = new_table(1);
     let mut own = NodeRecord {
         name: "n".into(),
@@ -131,17 +131,18 @@
     assert_eq!(own.incarnation, 2);
     assert!(table.merge_node(own.clone(), 2));
     assert!(!table.node("n").unwrap().unresponsive);
-    // A successor under the same name takes a higher incarnation.
-    let next = NodeRecord {
+    // Another process with the same name takes a higher incarnation.
+    let successor = NodeRecord {
         nonce: 3,
         incarnation: 1,
         ..own
     };
-    assert_eq!(table.next_incarnation(&next), 3);
+    assert_eq!(table.next_incarnation(&successor), 3);
 }
 
 #[test]
-fn given_a_replaced_lease_holder_when_it_still_announces_then_its_directives_are_ignored() {
+fn given_a_replaced_lease_holder_when_it_sends_a_directive_then_its_lower_fencing_token_is_ignored()
+{
     let mut table = new_table(1);
     let directive = |fencing_token, sequence, version| ServerDirective {
         key: "load/a".into(),
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn given_more_records_than_the_limit_when_merged_then_no_more_are_stored() {
+fn given_a_full_table_when_more_records_are_merged_then_they_are_not_stored() {
     let mut table = MembershipTable::new(1, TOMBSTONE_RETENTION, 3);
     for i in 0..10 {
         let record = ServerRecord {
@@ -177,14 +178,14 @@
 }
 
 #[test]
-fn given_many_nodes_then_sources_are_spread_and_those_with_quorum_contact_come_first() {
+fn given_600_nodes_when_sources_are_selected_then_load_is_spread_and_quorum_contact_is_preferred() {
     let names: Vec<String> = (0..6).map(|i| format!("c{i}")).collect();
     let mut poll_counts = [0; 6];
     for node in 0..600 {
         let own = format!("n{node}");
-        let picked = sources(&own, names.iter().map(|n| (n.as_str(), true)), 2);
-        assert_eq!(picked.len(), 2);
-        picked
+        let selected = sources(&own, names.iter().map(|n| (n.as_str(), true)), 2);
+        assert_eq!(selected.len(), 2);
+        selected
             .iter()
             .for_each(|p| poll_counts[names.iter().position(|n| n == p).unwrap()] += 1);
         let without_contact = sources(&own, names.iter().map(|n| (n.as_str(), n != "c1")), 5);
@@ -196,7 +197,8 @@
     );
 }
 
-/// Makes one change of any kind. `step`: rises with each change, so that most of them are newer than those before.
+/// Applies a random change. `step` rises with each call and is the version of the change, so that most changes are newer than
+/// previous changes.
 fn change_randomly(table: &mut MembershipTable, rng: &mut fastrand::Rng, step: u64) {
     match rng.u8(..4) {
         0 => {
@@ -238,7 +240,7 @@
 }
 
 #[test]
-fn given_any_history_then_the_changes_since_each_revision_bring_a_poller_to_the_same_records() {
+fn given_random_changes_when_a_poller_merges_all_deltas_then_it_has_the_records_of_its_source() {
     let mut rng = fastrand::Rng::with_seed(11);
     for _ in 0..100 {
         let (mut source, mut poller) = (new_table(1), new_table(2));
@@ -263,7 +265,7 @@
 }
 
 #[test]
-fn given_a_draining_server_and_new_servers_then_only_the_draining_is_urgent() {
+fn given_new_servers_and_a_draining_server_when_merged_then_only_draining_is_urgent() {
     let mut table = new_table(1);
     table.merge_server(server("a", 1, LifecycleState::Ready), 0);
     table.merge_server(server("bb", 1, LifecycleState::Ready), 0);
@@ -273,7 +275,7 @@
 }
 
 #[test]
-fn given_more_records_than_fit_in_one_answer_when_a_poller_continues_then_it_gets_all_of_them() {
+fn given_more_changes_than_fit_in_one_delta_when_a_poller_continues_then_it_receives_all() {
     let (mut source, mut poller) = (new_table(1), new_table(2));
     for i in 0..25 {
         let record = ServerRecord {
@@ -284,19 +286,19 @@
         };
         source.merge_server(record, 0);
     }
-    let (mut known, mut answers) = ((0, 0), 0);
+    let (mut known, mut delta_count) = ((0, 0), 0);
     while known.1 < source.revision() {
         let delta = source.delta_since(known.0, known.1, 10);
         assert!(delta.servers.len() <= 10 && delta.revision > known.1);
         known = (delta.epoch, delta.revision);
         poller.merge(delta, 0);
-        answers += 1;
+        delta_count += 1;
     }
-    assert_eq!((poller.servers().count(), answers), (25, 3));
+    assert_eq!((poller.servers().count(), delta_count), (25, 3));
 }
 
 #[test]
-fn given_many_records_when_one_changes_then_only_it_is_visited() {
+fn given_1000_records_when_one_changes_then_lookups_visit_only_matching_records() {
     let mut table = new_table(1);
     for i in 0..500 {
         table.merge_server(
@@ -307,7 +309,7 @@
     }
     let known = table.revision();
     table.merge_server(server("server-007", 2, LifecycleState::Draining), 1);
-    let before = table.records_visited();
+    let visited_before = table.records_visited();
     let changed: Vec<ChangedRecord> = table.changed_since(known).collect();
     assert_eq!(changed, [ChangedRecord::Server("server-007")]);
     let keys: Vec<&str> = table
@@ -315,11 +317,11 @@
         .map(|(directive, _)| directive.key.as_str())
         .collect();
     assert_eq!(keys, ["load/server-007/m"]);
-    assert_eq!(table.records_visited() - before, 2);
+    assert_eq!(table.records_visited() - visited_before, 2);
 }
 
 #[test]
-fn given_nodes_when_one_changes_or_is_dropped_then_only_that_raises_the_node_changes() {
+fn given_a_node_record_when_it_changes_or_is_dropped_then_and_only_then_node_changes_rises() {
     let mut table = new_table(1);
     let node = NodeRecord {
         name: "n".into(),
@@ -340,7 +342,7 @@
 }
 
 #[test]
-fn given_a_tombstone_when_it_is_dropped_then_the_count_of_dropped_servers_rises() {
+fn given_a_server_tombstone_when_it_expires_then_the_count_of_dropped_servers_rises() {
     let mut table = new_table(1);
     table.merge_server(server("a", 1, LifecycleState::Ready), 0);
     table.mark_server_left("a", 0);
