--- a/crates/sparrouter-codec/src/lib.rs
+++ b/crates/sparrouter-codec/src/lib.rs
@@ -1,22 +1,22 @@
 //! Bounded lists and byte strings for `nanoserde`'s binary form.
 //!
-//! `nanoserde` reserves as much memory for a `Vec` as the input claims to hold, so that a few hostile bytes could take
-//! all memory. The types here check the claimed length against what is left of the input first.
+//! `nanoserde` reserves memory for a `Vec` according to the length that the input claims, so a few hostile bytes could
+//! exhaust memory. The types of this crate first check the claimed length against the remaining input.
 //!
-//! Wire form: the length as a little-endian `u32`, then the items or bytes.
+//! Wire format: the length as a little-endian `u32`, then the items or bytes.
 //!
-//! [`read`] reads one value of a message or a file, and rejects everything else.
+//! [`read`] decodes a message or file that consists of exactly one value.
 #[cfg(not(panic = "unwind"))]
-compile_error!("malformed bytes must not end the process: `read` relies on panics that unwind");
+compile_error!("`read` needs panics that unwind, so that malformed bytes do not abort the process");
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use std::ops::{Deref, DerefMut};
 
-/// A list of items. Reading one reserves memory for no more items than the input has bytes left.
+/// A list of items. Decoding reserves memory for at most as many items as the remaining input has bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seq<T>(pub Vec<T>);
 
-/// A byte string. Reading one allocates no more bytes than the input has left.
+/// A byte string. Decoding allocates at most as many bytes as remain in the input.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Blob(pub Vec<u8>);
 
@@ -78,17 +78,18 @@
     }
 }
 
-/// Largest number of items that memory is reserved for before any was read: items may be larger in memory than on the wire.
+/// Largest number of items for which memory is reserved before decoding. Without a limit, a list could reserve far more memory
+/// than the size of the input, since items may be larger in memory than on the wire.
 const MAX_RESERVED_ITEMS: usize = 64;
 
-/// Reads a length. Fails if the rest of the input cannot hold that many items of at least one byte each.
+/// Reads a length. Fails if it exceeds the remaining bytes of input, since each item takes at least one byte.
 fn read_length(offset: &mut usize, input: &[u8]) -> Result<usize, DeBinErr> {
-    let claimed = u32::de_bin(offset, input)? as usize;
+    let claimed_length = u32::de_bin(offset, input)? as usize;
     let remaining = input.len().saturating_sub(*offset);
-    if claimed > remaining {
-        return Err(DeBinErr::new(*offset, claimed, remaining));
+    if claimed_length > remaining {
+        return Err(DeBinErr::new(*offset, claimed_length, remaining));
     }
-    Ok(claimed)
+    Ok(claimed_length)
 }
 
 impl<T: SerBin> SerBin for Seq<T> {
@@ -126,17 +127,17 @@
     }
 }
 
-/// Reads one value that takes up all of the bytes; `None` if they are malformed. Bytes behind the value were written by
-/// another release: they are malformed too, because a change made without them would lose them.
+/// Decodes one value that occupies all of `bytes`; `None` if they are malformed. Bytes after the value also count as
+/// malformed: another release wrote them, and updating the value without them would lose them.
 ///
-/// `nanoserde` adds the claimed length of a text to its offset without a check, which panics on overflow. That panic is
-/// caught here.
+/// `nanoserde` adds the claimed length of a text to its offset without a check, which panics on overflow. This function
+/// catches that panic.
 pub fn read<T: DeBin>(bytes: &[u8]) -> Option<T> {
-    let read_all = || {
+    let decode = || {
         let mut offset = 0;
         let value = T::de_bin(&mut offset, bytes).ok()?;
         let is_complete = offset == bytes.len();
         is_complete.then_some(value)
     };
-    std::panic::catch_unwind(read_all).ok().flatten()
+    std::panic::catch_unwind(decode).ok().flatten()
 }
