--- a/crates/sparrouter-http/src/chunks.rs
+++ b/crates/sparrouter-http/src/chunks.rs
@@ -1,45 +1,45 @@
-//! Decodes a chunked body (RFC 9112, section 7.1) incrementally from a buffer.
+//! Incremental decoding of a chunked body (RFC 9112, section 7.1) from a buffer.
 use crate::{ParseError, Parsed};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Longest line between chunks (size with extensions, trailer field), in bytes.
+/// Longest chunk-size line (with extensions) or trailer field, in bytes without the line end.
 const MAX_LINE_LENGTH: usize = 1 << 10;
 
-/// Largest number of hexadecimal digits of a chunk size.
+/// Largest number of hexadecimal digits in a chunk size.
 const MAX_SIZE_DIGITS: usize = 8;
 
-/// What the decoder expects next.
+/// The element of the chunked body that the decoder expects next.
 #[derive(Clone, Copy, Debug, Default)]
 enum Expected {
     /// The line with the size of a chunk.
     #[default]
     Size,
-    /// So many more bytes of the current chunk, at least one.
+    /// Data of the current chunk; contains the number of remaining bytes, at least 1.
     Data(usize),
-    /// The line end behind the data of a chunk.
+    /// The line end after the data of a chunk.
     DataEnd,
     /// A trailer field, or the empty line that ends the body.
     Trailer,
-    /// Nothing: the body has ended.
+    /// No further input, because the body is complete.
     Finished,
 }
 
-/// The state of decoding one chunked body. Starts with [`ChunkDecoder::default`].
+/// Decoder of one chunked body. [`ChunkDecoder::default`] is the initial state.
 #[derive(Debug, Default)]
 pub struct ChunkDecoder(Expected);
 
-/// What decoding a buffer gave.
+/// The result of one decoding step.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChunkEvent {
-    /// Bytes of the body, at least one.
+    /// Data of the body, at least one byte.
     Data(Bytes),
-    /// The buffer has nothing more that is complete: read more first.
+    /// The buffer contains no complete element. The caller must read more input.
     More,
-    /// The body has ended; what remains in the buffer belongs to the next message.
+    /// The body is complete. Bytes that remain in the buffer belong to the next message.
     End,
 }
 
-/// Splits a line off the buffer, without its line end; `None` until it is complete.
+/// Removes a line from the buffer and returns it without its line end; `None` if the line is incomplete.
 fn split_line(buffer: &mut BytesMut) -> Parsed<Option<BytesMut>> {
     match buffer.windows(2).position(|bytes| bytes == b"\r\n") {
         Some(length) if length <= MAX_LINE_LENGTH => {
@@ -48,31 +48,33 @@
             Ok(Some(line))
         }
         None if buffer.len() <= MAX_LINE_LENGTH => Ok(None),
-        _ => Err(ParseError("line between chunks too long")),
+        _ => Err(ParseError("chunk-size line or trailer field is too long")),
     }
 }
 
-/// The size in bytes that a chunk's first line gives.
+/// Parses the chunk size in bytes from a chunk-size line.
 fn parse_size(line: &[u8]) -> Parsed<usize> {
     let digits = line
         .split(|&byte| byte == b';')
         .next()
         .unwrap_or_default()
         .trim_ascii();
-    // The parser would also accept a sign.
+    // `from_str_radix` would also accept a sign.
     let is_plain =
         (1..=MAX_SIZE_DIGITS).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| is_plain);
     text.and_then(|text| usize::from_str_radix(text, 16).ok())
-        .ok_or(ParseError("chunk size"))
+        .ok_or(ParseError(
+            "chunk size is not a hexadecimal number of at most 8 digits",
+        ))
 }
 
 impl ChunkDecoder {
-    /// Decodes the next data of the body, and splits off the buffer what it has decoded.
+    /// Decodes the next data of the body and removes the decoded bytes from the buffer.
     ///
     /// # Errors
     ///
-    /// [`ParseError`] if the framing is malformed; the connection cannot be used any more then.
+    /// [`ParseError`] if the framing is malformed. The connection cannot be reused after this error.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Parsed<ChunkEvent> {
         loop {
             match self.0 {
@@ -97,7 +99,7 @@
                 Expected::DataEnd if buffer.len() < 2 => return Ok(ChunkEvent::More),
                 Expected::DataEnd => {
                     if &buffer.split_to(2)[..] != b"\r\n" {
-                        return Err(ParseError("no line end after a chunk"));
+                        return Err(ParseError("chunk data is not followed by a line end"));
                     }
                     self.0 = Expected::Size;
                 }
--- a/crates/sparrouter-http/src/head.rs
+++ b/crates/sparrouter-http/src/head.rs
@@ -1,13 +1,13 @@
-//! Parses heads of HTTP/1.1 messages. What a head contains are slices of the buffer it was read into: nothing is copied.
+//! Parses heads of HTTP/1.1 messages. Parsed parts are slices of the input buffer, without copies.
 use crate::fields::is_token;
 pub use crate::fields::{Fields, Framing};
 use crate::{ParseError, Parsed};
 use bytes::Bytes;
 
-/// The first bytes of every response.
+/// The prefix of every HTTP/1.x response.
 pub const REPLY: &[u8] = b"HTTP/1.";
 
-/// The empty line that ends a head, behind the line end of its last line.
+/// The end of a head: the line end of its last line, and the empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// The head of a request.
@@ -17,9 +17,9 @@
     pub method: Bytes,
     /// The request target in origin form: path and query.
     pub target: Bytes,
-    /// The client keeps the connection open behind the response.
+    /// Whether the client keeps the connection open after the response.
     pub keep_alive: bool,
-    /// How the body is framed; an empty one if the fields do not say.
+    /// Framing of the body; a length of 0 if the fields do not define it.
     pub framing: Framing,
     /// The header fields.
     pub fields: Fields,
@@ -30,15 +30,15 @@
 pub struct ResponseHead {
     /// The status code, 100 to 599.
     pub status: u16,
-    /// The connection can carry another request behind this response.
+    /// Whether the connection can be reused after this response.
     pub keep_alive: bool,
-    /// How the body is framed; to the end of the connection if the fields do not say.
+    /// Framing of the body; [`Framing::ToEnd`] if the fields do not define it.
     pub framing: Framing,
     /// The header fields.
     pub fields: Fields,
 }
 
-/// The version of a message.
+/// The HTTP version of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Version {
     Http10,
@@ -50,11 +50,11 @@
         match text {
             b"HTTP/1.1" => Ok(Version::Http11),
             b"HTTP/1.0" => Ok(Version::Http10),
-            _ => Err(ParseError("unknown version")),
+            _ => Err(ParseError("unsupported HTTP version")),
         }
     }
 
-    /// Whether the sender keeps the connection open behind a message with these fields.
+    /// Whether the sender of a message with these fields keeps the connection open after it.
     fn keeps_alive(self, fields: &Fields) -> bool {
         match self {
             Version::Http11 => !fields.lists("connection", "close"),
@@ -63,10 +63,10 @@
     }
 }
 
-/// The offset behind the empty line that ends a head; `None` if it is not in the buffer yet. Bytes before offset `from`
-/// were searched before.
+/// Finds the end of a head, and returns the offset after its empty line; `None` if the buffer does not contain it yet. The
+/// caller has already searched the bytes before the offset `from`.
 pub fn find_end(buffer: &[u8], from: usize) -> Option<usize> {
-    // The end may have started in the bytes that were searched.
+    // The end sequence may begin in the bytes that were already searched.
     let from = from.saturating_sub(HEAD_END.len() - 1);
     buffer
         .get(from..)?
@@ -75,7 +75,7 @@
         .map(|offset| from + offset + HEAD_END.len())
 }
 
-/// Splits a head into its first line and its fields.
+/// Splits a head into its first line and its header fields.
 fn split(head: &Bytes) -> Parsed<(Bytes, Fields)> {
     let mut lines = Vec::new();
     let mut offset = 0;
@@ -87,7 +87,7 @@
         offset += length + 2;
     }
     let mut lines = lines.into_iter();
-    let first = lines.next().ok_or(ParseError("empty head"))?;
+    let first = lines.next().ok_or(ParseError("message head is empty"))?;
     Ok((first, Fields::parse(lines)?))
 }
 
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 ///
-/// [`ParseError`] if the head is malformed, its target is not in origin form, or its framing is contradictory.
+/// [`ParseError`] if the head is malformed, its target is not in origin form, or its framing fields conflict.
 pub fn parse_request(head: &Bytes) -> Parsed<RequestHead> {
     let (first, fields) = split(head)?;
     let mut elements = first.split(|&byte| byte == b' ');
@@ -105,16 +105,20 @@
         elements.next(),
         elements.next(),
     ) else {
-        return Err(ParseError("first line is not of three words"));
+        return Err(ParseError(
+            "request line does not consist of method, target and version",
+        ));
     };
     let is_origin_form = target.first() == Some(&b'/') && target.iter().all(u8::is_ascii_graphic);
     if !is_token(method) || !is_origin_form {
-        return Err(ParseError("method or target"));
+        return Err(ParseError(
+            "method is not a token or target is not in origin form",
+        ));
     }
     let version = Version::parse(version)?;
     let framing = fields.framing()?.unwrap_or(Framing::Length(0));
     if version == Version::Http10 && framing == Framing::Chunked {
-        return Err(ParseError("transfer-encoding in HTTP/1.0"));
+        return Err(ParseError("transfer-encoding in an HTTP/1.0 request"));
     }
     Ok(RequestHead {
         method: first.slice_ref(method),
@@ -125,12 +129,12 @@
     })
 }
 
-/// Parses the head of a response, as [`crate::reading::head`] returns it. Not for responses to HEAD requests, whose
+/// Parses the head of a response, as [`crate::reading::head`] returns it. Must not be used for responses to HEAD requests, whose
 /// framing fields do not describe the body.
 ///
 /// # Errors
 ///
-/// [`ParseError`] if the head is malformed or its framing is contradictory.
+/// [`ParseError`] if the head is malformed or its framing fields conflict.
 pub fn parse_response(head: &Bytes) -> Parsed<ResponseHead> {
     let (first, fields) = split(head)?;
     let mut elements = first.splitn(3, |&byte| byte == b' ');
@@ -157,5 +161,5 @@
         .filter(|text| text.len() == 3)
         .and_then(|text| text.parse().ok())
         .filter(|status| (100..600).contains(status))
-        .ok_or(ParseError("status"))
+        .ok_or(ParseError("status code is not a number from 100 to 599"))
 }
--- a/crates/sparrouter-http/src/reading.rs
+++ b/crates/sparrouter-http/src/reading.rs
@@ -1,4 +1,4 @@
-//! Reads message heads from a stream, with bounded buffers.
+//! Reads message heads from a stream into bounded buffers.
 use crate::{ParseError, head};
 use bytes::{Bytes, BytesMut};
 use socket2::SockRef;
@@ -7,27 +7,27 @@
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::net::TcpStream;
 
-/// Free space in bytes that the buffer has before each read.
+/// Minimum free capacity of the buffer before each read, in bytes.
 const READ_SIZE: usize = 4 << 10;
 
-/// The error for a head that is longer than allowed.
-pub const HEAD_TOO_LONG: ParseError = ParseError("head too long");
+/// The error for a message head that exceeds the length limit.
+pub const HEAD_TOO_LONG: ParseError = ParseError("message head is too long");
 
-/// Why nothing more can be read from a connection.
+/// The reason why a message cannot be read from a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The peer closed the connection in order.
-    #[error("the peer closed the connection: open another one")]
+    /// The peer closed the connection gracefully.
+    #[error("the peer closed the connection: open another connection")]
     Closed,
     /// The connection was reset, or could not be established.
-    #[error("the connection was reset or not established: retry on another one")]
+    #[error("the connection was reset or not established: retry on another connection")]
     Reset,
-    /// The peer sent input that violates the protocol.
+    /// The peer sent input that violates HTTP.
     #[error(transparent)]
     Bad(#[from] ParseError),
 }
 
-/// Reads once, appending to the buffer. Cancel-safe: what was read stays in the buffer.
+/// Reads once from the stream and appends the bytes to the buffer. Cancel-safe: bytes that were read stay in the buffer.
 ///
 /// # Errors
 ///
@@ -44,11 +44,11 @@
     }
 }
 
-/// Reads what the operating system has buffered for this socket, without waiting. `None` if there is nothing yet;
-/// `Some(Ok(0))` at the end of the stream.
+/// Reads bytes that the operating system has buffered for this socket, without waiting. Returns `None` if no bytes are
+/// buffered, and `Some(Ok(0))` at the end of the stream.
 ///
-/// This queries the system and not the async runtime: the runtime knows the state of its last poll only, and would miss
-/// bytes or a close that arrived since.
+/// Queries the operating system rather than the async runtime, because the runtime only knows the state as of its last poll
+/// and would miss bytes or a close that arrived since.
 pub fn read_available(stream: &TcpStream, buffer: &mut [u8]) -> Option<io::Result<usize>> {
     match SockRef::from(stream).deref().read(buffer) {
         Err(error) if error.kind() == ErrorKind::WouldBlock => None,
@@ -56,14 +56,14 @@
     }
 }
 
-/// Reads a head up to and including its empty line, and splits it off the buffer. Cancel-safe.
+/// Reads a message head up to and including its empty line, and removes it from the buffer. Cancel-safe.
 ///
-/// `prefix`: how the head must begin (may be empty). Anything else is refused at once, since it may have no end.
-/// `max_length`: largest head in bytes.
+/// The head must begin with `prefix`, which may be empty. Other input is rejected immediately, since it may never contain the
+/// end of a head. `max_length` is the largest allowed length of a head in bytes.
 ///
 /// # Errors
 ///
-/// As [`more`]; [`ReadError::Bad`] if the head begins wrongly or is too long.
+/// The same errors as [`more`]; [`ReadError::Bad`] if the head does not begin with `prefix` or is too long.
 pub async fn head(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -73,7 +73,7 @@
     let mut searched = 0;
     loop {
         if buffer.iter().zip(prefix).any(|(a, b)| a != b) {
-            return Err(ParseError("no HTTP").into());
+            return Err(ParseError("not an HTTP message").into());
         }
         if let Some(end) = head::find_end(buffer, searched) {
             if end > max_length {
