--- a/crates/sparrouter-http/tests/chunks.rs
+++ b/crates/sparrouter-http/tests/chunks.rs
@@ -1,10 +1,10 @@
-//! Chunked bodies: what is decoded, and what is refused. Bodies split at random offsets are decoded by the property tests
-//! of `sparrouter-node`.
+//! Decoding of chunked bodies, and rejection of malformed bodies. The property tests of `sparrouter-node` decode bodies that
+//! are split at random offsets.
 use bytes::BytesMut;
 use sparrouter_http::ParseError;
 use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
 
-/// The body, and what remains in the buffer behind it.
+/// Decodes a complete body. Returns its data, and the number of bytes that remain in the buffer after it.
 fn decode(text: &str) -> Result<(Vec<u8>, usize), ParseError> {
     let (mut decoder, mut buffer) = (ChunkDecoder::default(), BytesMut::from(text.as_bytes()));
     let mut body = Vec::new();
@@ -18,14 +18,13 @@
 }
 
 #[test]
-fn given_chunks_with_extensions_and_trailers_then_the_data_is_decoded_and_the_next_message_remains()
-{
+fn given_chunks_with_extensions_and_trailers_then_data_is_decoded_and_the_next_message_remains() {
     let text = "3;name=value\r\nabc\r\nA \r\n0123456789\r\n0\r\nTrailer: x\r\n\r\nGET";
     assert_eq!(decode(text), Ok((b"abc0123456789".to_vec(), 3)));
 }
 
 #[test]
-fn given_an_incomplete_chunk_then_what_has_arrived_is_decoded() {
+fn given_an_incomplete_chunk_then_its_received_data_is_decoded() {
     let (mut decoder, mut buffer) = (ChunkDecoder::default(), BytesMut::from(&b"5\r\nab"[..]));
     let data = ChunkEvent::Data(b"ab".to_vec().into());
     assert_eq!(decoder.next(&mut buffer), Ok(data));
@@ -33,7 +32,7 @@
 }
 
 #[test]
-fn given_malformed_framing_then_it_is_refused() {
+fn given_malformed_chunk_framing_then_the_body_is_rejected() {
     for text in [
         "+3\r\nabc\r\n",
         "\r\n",
@@ -43,6 +42,6 @@
     ] {
         assert!(decode(text).is_err(), "{text:?}");
     }
-    let endless_line = "0".repeat(1_025);
-    assert!(decode(&endless_line).is_err());
+    let too_long_line = "0".repeat(1_025);
+    assert!(decode(&too_long_line).is_err());
 }
--- a/crates/sparrouter-http/tests/head.rs
+++ b/crates/sparrouter-http/tests/head.rs
@@ -1,5 +1,5 @@
-//! Heads of requests and responses: what is parsed, how a body is framed, and what is refused. Random input is parsed by
-//! the property tests of `sparrouter-node`.
+//! Heads of requests and responses: parsing, body framing, and rejection of malformed heads. The property tests of
+//! `sparrouter-node` parse random input.
 use bytes::Bytes;
 use sparrouter_http::ParseError;
 use sparrouter_http::head::{self, Framing, RequestHead, ResponseHead};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn given_a_request_then_its_line_and_fields_are_parsed() {
+fn given_a_request_head_then_request_line_and_fields_are_parsed() {
     let head = request("PUT /a?b HTTP/1.1\r\nX-Name:  some value \r\nContent-Length: 12\r\n\r\n");
     let head = head.unwrap();
     assert_eq!(
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn given_a_connection_field_then_it_decides_whether_the_connection_stays_open() {
+fn given_a_connection_field_or_http_1_0_then_keep_alive_is_determined() {
     let keeps_alive = |text| request(text).unwrap().keep_alive;
     assert!(!keeps_alive(
         "GET / HTTP/1.1\r\nConnection: te, Close\r\n\r\n"
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn given_conflicting_framing_then_the_head_is_refused() {
+fn given_conflicting_or_invalid_framing_fields_then_the_head_is_rejected() {
     for fields in [
         "Content-Length: 1\r\nContent-Length: 1",
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn given_a_malformed_line_then_the_head_is_refused() {
+fn given_a_malformed_request_or_field_line_then_the_head_is_rejected() {
     for text in [
         "\r\n\r\n",
         "GET / HTTP/2\r\n\r\n",
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn given_a_response_then_its_status_and_fields_decide_the_framing() {
+fn given_a_response_head_then_status_and_fields_determine_the_framing() {
     let framing = |text| response(text).map(|head| (head.framing, head.keep_alive));
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert_eq!(framing(chunked), Ok((Framing::Chunked, true)));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn given_a_head_that_arrives_in_two_reads_then_its_end_is_found_across_them() {
+fn given_a_head_that_is_split_across_two_reads_then_its_end_is_found() {
     let text = b"GET / HTTP/1.1\r\n\r\nbody";
     for searched in 0..=18 {
         assert_eq!(
