--- a/crates/sparrouter-codec/src/lib.rs
+++ b/crates/sparrouter-codec/src/lib.rs
@@ -1,4 +1,4 @@
-//! Bounded lists and byte strings for `nanoserde`'s binary form.
+//! Bounded lists and byte strings for `nanoserde`'s binary encoding.
 //!
 //! `nanoserde` reserves memory for a `Vec` according to the length that the input claims, so a few hostile bytes could
 //! exhaust memory. The types of this crate first check the claimed length against the remaining input.
--- a/crates/sparrouter-config/src/edit.rs
+++ b/crates/sparrouter-config/src/edit.rs
@@ -97,8 +97,8 @@
         hunk_bytes.sum::<usize>() + EDIT_BYTES
     }
 
-    /// Applies the edit and returns the new text. `None` if `old` has another digest than the edit's old text, a range is out
-    /// of bounds, the result is too large, or the result does not have the expected digest.
+    /// Applies the edit to `old` and returns the new text. `None` if the digest of `old` or of the result differs from the
+    /// digest in the edit, a range is out of bounds, or the result is too large.
     pub fn apply(&self, old: &str) -> Option<String> {
         if digest_of_text(old) != self.from {
             return None;
--- a/crates/sparrouter-config/src/json.rs
+++ b/crates/sparrouter-config/src/json.rs
@@ -28,7 +28,7 @@
 
 /// A JSON document that has passed all checks of [`read`].
 pub(crate) struct Json {
-    /// The text without white space between its tokens.
+    /// The text without white space between tokens.
     pub compact: String,
     /// The parsed tree, in which numbers may be rounded.
     pub tree: Value,
--- a/crates/sparrouter-config/src/lib.rs
+++ b/crates/sparrouter-config/src/lib.rs
@@ -11,8 +11,8 @@
 //! | --- | --- |
 //! | `change` | applies a PUT or PATCH |
 //! | `patch` | computes the text of a patched document |
-//! | `order` | the identity of an operator's order, that is, of one PUT or PATCH |
-//! | `route_table` | the route table and its look-ups |
+//! | `order` | the identity of one PUT or PATCH (an operator's order), by which a retry is recognized |
+//! | `route_table` | the route table and lookups in it |
 //! | `table_reader`, `route_reader` | validate a document and build its table |
 //! | `table_index` | builds the indexes of a route table and checks uniqueness |
 //! | `json`, `fields` | read JSON as slices of text and as typed fields |
--- a/crates/sparrouter-config/src/patch.rs
+++ b/crates/sparrouter-config/src/patch.rs
@@ -6,7 +6,7 @@
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Stands for an absent list.
+/// Default for an absent list.
 const EMPTY_LIST: &str = "[]";
 
 /// Applies a patch to the document `current` and returns the resulting text. Both inputs are without white space between
--- a/crates/sparrouter-config/src/route_table.rs
+++ b/crates/sparrouter-config/src/route_table.rs
@@ -159,7 +159,7 @@
     pub name: String,
     /// Path of health checks; `None` if servers of the service have no health checks.
     pub health_check_path: Option<String>,
-    /// Largest number of connections that one server accepts from all callers in total; `None` if unlimited.
+    /// Largest number of connections that one server accepts from all callers in total; `None` if no limit is configured.
     pub max_connections: Option<u32>,
     /// Protocol of the servers; `h1` if absent.
     pub protocol: String,
--- a/crates/sparrouter-membership/src/lib.rs
+++ b/crates/sparrouter-membership/src/lib.rs
@@ -17,8 +17,10 @@
 //! | `publish_schedule` | when changes are published to polling nodes |
 //! | `sources` | selects the nodes that a node polls |
 //!
-//! The crate uses no I/O and no clock: the current time is passed as `now`. Sources: Das, Gupta and Motivala, "SWIM", DSN 2002 (suspicion refuted by a
-//! higher incarnation); Shapiro et al., "Conflict-free replicated data types", 2011.
+//! The crate uses no I/O and no clock: the current time is passed as `now`.
+//!
+//! Sources: Das, Gupta and Motivala, "SWIM", DSN 2002 (suspicion refuted by a higher incarnation); Shapiro et al.,
+//! "Conflict-free replicated data types", 2011.
 
 mod changes;
 mod delta;
