--- a/crates/sparrouter-fleet-lab/src/client.rs
+++ b/crates/sparrouter-fleet-lab/src/client.rs
@@ -228,7 +228,7 @@
 /// Reads an answer into `result`, which holds what has come so far if this is cancelled.
 async fn read_answer(stream: &mut TcpStream, result: &mut AttemptResult) -> Result<(), ReadError> {
     let mut buffer = BytesMut::new();
-    let head = reading::head(stream, &mut buffer, head::REPLY, MAX_HEAD_BYTES).await?;
+    let head = reading::head(stream, &mut buffer, head::RESPONSE_PREFIX, MAX_HEAD_BYTES).await?;
     let head = head::parse_response(&head)?;
     let text = |name: &str| head.fields.text(name).unwrap_or_default().to_owned();
     result.response.status = head.status;
--- a/crates/sparrouter-fleet/src/client/call.rs
+++ b/crates/sparrouter-fleet/src/client/call.rs
@@ -136,7 +136,7 @@
 async fn exchange(stream: &mut Stream, request: &[u8]) -> Result<Reply, ExchangeError> {
     stream.write_all(request).await?;
     let mut buffer = BytesMut::new();
-    let bytes = reading::head(stream, &mut buffer, head::REPLY, MAX_HEAD_BYTES).await?;
+    let bytes = reading::head(stream, &mut buffer, head::RESPONSE_PREFIX, MAX_HEAD_BYTES).await?;
     let head = head::parse_response(&bytes).map_err(|bad| ExchangeError::Head(bad.0))?;
     let body = http::read_body(stream, &mut buffer, head.framing, MAX_BODY_BYTES).await?;
     let body = body.ok_or(ExchangeError::TooLong)?;
--- a/crates/sparrouter-fleet/src/prefix_cache/event_page.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/event_page.rs
@@ -54,7 +54,7 @@
             return None;
         }
         let (stream, buffer) = (&mut upstream.stream, &mut upstream.buffer);
-        let bytes = reading::head(stream, buffer, head::REPLY, MAX_HEAD_BYTES).await;
+        let bytes = reading::head(stream, buffer, head::RESPONSE_PREFIX, MAX_HEAD_BYTES).await;
         let head = head::parse_response(&bytes.ok()?).ok()?;
         let body = http::read_body(stream, buffer, head.framing, MAX_BODY_BYTES).await;
         let body = body.ok()??;
--- a/crates/sparrouter-fleet/src/proxy/exchange/response_head.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/response_head.rs
@@ -56,7 +56,7 @@
         let attempt_id = self.request.head.fields.get("sparrouter-attempt-id");
         for _ in 0..MAX_SURPLUS_RESPONSES {
             let (stream, buffer) = (&mut connection.stream, &mut connection.buffer);
-            let bytes = reading::head(stream, buffer, head::REPLY, MAX_HEAD_BYTES).await;
+            let bytes = reading::head(stream, buffer, head::RESPONSE_PREFIX, MAX_HEAD_BYTES).await;
             let head = head::parse_response(&bytes.ok()?).ok()?;
             let is_interim = head.status < 200;
             if is_interim {
--- a/crates/sparrouter-fleet/src/rollout/server_calls.rs
+++ b/crates/sparrouter-fleet/src/rollout/server_calls.rs
@@ -72,7 +72,7 @@
 pub(super) async fn read_reply(connection: &mut Upstream) -> Option<ServerReply> {
     let reading = async {
         let (stream, buffer) = (&mut connection.stream, &mut connection.buffer);
-        let bytes = reading::head(stream, buffer, head::REPLY, MAX_HEAD_BYTES).await;
+        let bytes = reading::head(stream, buffer, head::RESPONSE_PREFIX, MAX_HEAD_BYTES).await;
         let head = head::parse_response(&bytes.ok()?).ok()?;
         let body = http::read_body(stream, buffer, head.framing, MAX_BODY_BYTES).await;
         Some(ServerReply {
--- a/crates/sparrouter-fleet/tests/upstream.rs
+++ b/crates/sparrouter-fleet/tests/upstream.rs
@@ -121,9 +121,14 @@
 
 /// Reads one complete response.
 async fn read_response(link: &mut Upstream) -> ResponseHead {
-    let bytes = reading::head(&mut link.stream, &mut link.buffer, head::REPLY, 4096)
-        .await
-        .expect("a head");
+    let bytes = reading::head(
+        &mut link.stream,
+        &mut link.buffer,
+        head::RESPONSE_PREFIX,
+        4096,
+    )
+    .await
+    .expect("a head");
     let head = head::parse_response(&bytes).expect("an answer");
     sparrouter_fleet::platform::http::read_body(
         &mut link.stream,
@@ -301,7 +306,13 @@
         let body = Bytes::from(vec![b'x'; HUGE_BODY]);
         let sent = link.send(&Bytes::from_static(HEAD), &body).await;
         assert_eq!(sent, SendOutcome::Begun, "{read} bytes");
-        let answer = reading::head(&mut link.stream, &mut link.buffer, head::REPLY, 4096).await;
+        let answer = reading::head(
+            &mut link.stream,
+            &mut link.buffer,
+            head::RESPONSE_PREFIX,
+            4096,
+        )
+        .await;
         assert!(answer.is_err(), "{read} bytes");
     }
 }
--- a/crates/sparrouter-http/src/head.rs
+++ b/crates/sparrouter-http/src/head.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 
 /// The prefix of every HTTP/1.x response.
-pub const REPLY: &[u8] = b"HTTP/1.";
+pub const RESPONSE_PREFIX: &[u8] = b"HTTP/1.";
 
 /// The end of a head: the line end of its last line, and the empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
--- a/crates/sparrouter-node/src/transport/discovery.rs
+++ b/crates/sparrouter-node/src/transport/discovery.rs
@@ -56,7 +56,7 @@
             .await
             .map_err(|_| ReadError::Reset)?;
         let mut buffer = BytesMut::new();
-        let head = reading::head(&mut stream, &mut buffer, head::REPLY).await?;
+        let head = reading::head(&mut stream, &mut buffer, head::RESPONSE_PREFIX).await?;
         let head = head::parse_response(&head)?;
         if head.status != 200 {
             return Err(ParseError("discovery did not answer 200").into());
--- a/crates/sparrouter-node/src/transport/link.rs
+++ b/crates/sparrouter-node/src/transport/link.rs
@@ -134,7 +134,8 @@
     async fn read_final_head(&mut self) -> Result<ResponseHead, ReadError> {
         let mut interim = 0;
         loop {
-            let head = reading::head(&mut self.stream, &mut self.buffer, head::REPLY).await?;
+            let head =
+                reading::head(&mut self.stream, &mut self.buffer, head::RESPONSE_PREFIX).await?;
             let head = head::parse_response(&head)?;
             if head.status >= 200 {
                 return Ok(head);
--- a/crates/sparrouter-simulation/src/client/response.rs
+++ b/crates/sparrouter-simulation/src/client/response.rs
@@ -50,7 +50,7 @@
     buffer: &mut BytesMut,
     response: &mut ClientResponse,
 ) -> Option<ResponseHead> {
-    let bytes = match reading::head(socket, buffer, head::REPLY, MAX_HEAD_BYTES).await {
+    let bytes = match reading::head(socket, buffer, head::RESPONSE_PREFIX, MAX_HEAD_BYTES).await {
         Ok(bytes) => bytes,
         Err(reading::ReadError::Bad(bad)) => {
             response.malformed = Some(bad.0);
--- a/crates/sparrouter-simulation/src/http_messages.rs
+++ b/crates/sparrouter-simulation/src/http_messages.rs
@@ -83,7 +83,13 @@
             .await
             .map_err(|_| CallError::Broken)?;
         let mut buffer = BytesMut::new();
-        let bytes = reading::head(&mut stream, &mut buffer, head::REPLY, MAX_HEAD_BYTES).await;
+        let bytes = reading::head(
+            &mut stream,
+            &mut buffer,
+            head::RESPONSE_PREFIX,
+            MAX_HEAD_BYTES,
+        )
+        .await;
         let head = head::parse_response(&bytes.map_err(|_| CallError::Broken)?)
             .map_err(|_| CallError::Broken)?;
         let body = http::read_body(&mut stream, &mut buffer, head.framing, MAX_BODY_BYTES).await;
--- a/crates/sparrouter-simulation/tests/graceful_shutdown.rs
+++ b/crates/sparrouter-simulation/tests/graceful_shutdown.rs
@@ -289,7 +289,7 @@
     sleep(moment).await;
     stream.write_all(b"b").await.expect("the node reads");
     let mut buffer = BytesMut::new();
-    let bytes = reading::head(&mut stream, &mut buffer, head::REPLY, 64 << 10).await;
+    let bytes = reading::head(&mut stream, &mut buffer, head::RESPONSE_PREFIX, 64 << 10).await;
     let reply =
         head::parse_response(&bytes.expect("an answer")).expect("an answer in the protocol");
     ending.await.expect("the process ends");
--- a/crates/sparrouter-simulation/tests/hot_tenants/mod.rs
+++ b/crates/sparrouter-simulation/tests/hot_tenants/mod.rs
@@ -344,7 +344,13 @@
         let mut stream = network.connect(cluster.front_of(name)).await.ok()?;
         stream.write_all(text.as_bytes()).await.ok()?;
         let mut buffer = BytesMut::new();
-        let bytes = reading::head(&mut stream, &mut buffer, head::REPLY, MAX_HEAD_BYTES).await;
+        let bytes = reading::head(
+            &mut stream,
+            &mut buffer,
+            head::RESPONSE_PREFIX,
+            MAX_HEAD_BYTES,
+        )
+        .await;
         head::parse_response(&bytes.ok()?).ok()
     };
     timeout(Duration::from_secs(3), exchange).await.ok()?
--- a/crates/sparrouter-simulation/tests/scripted/mod.rs
+++ b/crates/sparrouter-simulation/tests/scripted/mod.rs
@@ -421,7 +421,7 @@
 
 async fn read(stream: &mut Socket, response: &mut Received) -> Option<()> {
     let mut buffer = BytesMut::new();
-    let bytes = reading::head(stream, &mut buffer, head::REPLY, 64 << 10)
+    let bytes = reading::head(stream, &mut buffer, head::RESPONSE_PREFIX, 64 << 10)
         .await
         .ok()?;
     let head = head::parse_response(&bytes).ok()?;
