--- a/crates/sparrouter-fleet/tests/upstream.rs
+++ b/crates/sparrouter-fleet/tests/upstream.rs
@@ -124,7 +124,7 @@
     let bytes = reading::head(
         &mut upstream.stream,
         &mut upstream.buffer,
-        head::REPLY,
+        head::RESPONSE_PREFIX,
         4096,
     )
     .await
@@ -315,7 +315,7 @@
         let response = reading::head(
             &mut upstream.stream,
             &mut upstream.buffer,
-            head::REPLY,
+            head::RESPONSE_PREFIX,
             4096,
         )
         .await;
