--- a/crates/sparrouter-lab/src/rollout/conductor.rs
+++ b/crates/sparrouter-lab/src/rollout/conductor.rs
@@ -3,8 +3,8 @@
 use crate::nanos;
 use crate::play::Environment;
 use crate::scenario::rollout::Rollout;
-use sparrouter_rollout::record::{self, Entry, How};
-use sparrouter_rollout::run::{Mode, run_by};
+use sparrouter_rollout::record::{self, Entry, Outcome};
+use sparrouter_rollout::run::{Mode, run_with_checkpoints};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -55,7 +55,8 @@
     let on_line = |line: &str| {
         let _ = writeln!(lines, "{line}");
     };
-    let outcome = run_by(&plan, &log, mode, on_line, on_point).map_err(RolloutError::Conductor)?;
+    let outcome = run_with_checkpoints(&plan, &log, mode, on_line, on_point)
+        .map_err(RolloutError::Conductor)?;
     let text = serde_json::to_string(&outcome).map_err(RolloutError::Outcome)?;
     std::fs::write(outcome_file(&plan), text)?;
     Ok(())
@@ -74,11 +75,11 @@
     /// Files that are not there or can't be read count as empty.
     pub(super) fn read(plan: &Path) -> ConductorReport {
         let outcome = std::fs::read_to_string(outcome_file(plan)).unwrap_or_default();
-        let outcome = serde_json::from_str::<How>(&outcome).ok();
+        let outcome = serde_json::from_str::<Outcome>(&outcome).ok();
         let outcome = outcome.map(|outcome| match outcome {
-            How::Through => ("through".into(), String::new()),
-            How::Back(reason) => ("back".into(), reason),
-            How::Left(reason) => ("left".into(), reason),
+            Outcome::Completed => ("through".into(), String::new()),
+            Outcome::RolledBack(reason) => ("back".into(), reason),
+            Outcome::LeftToOperator(reason) => ("left".into(), reason),
         });
         let lines = std::fs::read_to_string(lines_file(plan)).unwrap_or_default();
         let log = std::fs::read(plan.with_extension("log")).unwrap_or_default();
--- a/crates/sparrouter-node/tests/rollout.rs
+++ b/crates/sparrouter-node/tests/rollout.rs
@@ -1,6 +1,6 @@
 //! Staged rollouts over real nodes under traffic: good ones, bad ones, with the conductor killed and nodes stopped.
 use sparrouter_lab::scripted::{Act, Discovery, Server, free, target, until};
-use sparrouter_rollout::record::How;
+use sparrouter_rollout::record::Outcome;
 use sparrouter_rollout::run::{self, Mode};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -204,12 +204,12 @@
         (0..NODES).map(state).collect()
     }
 
-    fn run(&self, mode: Mode) -> How {
+    fn run(&self, mode: Mode) -> Outcome {
         conduct(&self.path("plan.toml"), mode)
     }
 }
 
-fn conduct(plan: &Path, mode: Mode) -> How {
+fn conduct(plan: &Path, mode: Mode) -> Outcome {
     run::run(plan, &plan.with_extension("log"), mode, |line| {
         eprintln!("{line}")
     })
@@ -219,7 +219,7 @@
 #[test]
 fn a_sound_change_goes_through_all_nodes_under_traffic() {
     let fleet = Fleet::start(300_000);
-    assert_eq!(fleet.run(Mode::Run), How::Through);
+    assert_eq!(fleet.run(Mode::Run), Outcome::Completed);
     assert_eq!(fleet.states(), ["new"; NODES]);
     let (answered, unanswered) = (fleet.answered.load(SeqCst), fleet.unanswered.load(SeqCst));
     // These clients go on connecting until the process is gone; a few connects meet its end. The platform takes one
@@ -236,7 +236,7 @@
     let fleet = Fleet::start(3_000);
     let how = fleet.run(Mode::Run);
     assert!(
-        matches!(&how, How::Back(why) if why.contains("worse")),
+        matches!(&how, Outcome::RolledBack(why) if why.contains("worse")),
         "{how:?}"
     );
     assert_eq!(fleet.states(), ["old"; NODES]);
--- a/crates/sparrouter-rollout/src/baseline.rs
+++ b/crates/sparrouter-rollout/src/baseline.rs
@@ -1,19 +1,20 @@
-//! What the fleet was like before the change, and the measures by which nodes are compared with it.
+//! Baseline of the fleet before the change, and the measures by which nodes are compared.
 //!
-//! Nodes differ for good (one serves the busiest client), so each is compared with its own mean before the change.
+//! Nodes differ permanently (one serves the busiest client, for example), so each node is compared with its own mean
+//! from before the change.
 use crate::report::{BUCKETS, Operation, Report};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A node's values in a time, one a measure in the order of [`Baseline::measure_names`], each a fraction between 0 and
-/// 1 that grows with harm; `None` where nothing was requested.
+/// Measured values of a node over an interval, in the order of [`Baseline::measure_names`]. Each value is a fraction
+/// between 0 and 1 that increases with harm; `None` if the node received no requests for that measure.
 pub type Measurements = Vec<Option<f64>>;
 
 /// A measure by which nodes are compared.
 struct Measure {
     name: &'static str,
-    /// The least harm worth a stop, as a multiple of the least loss of billed value that is. Errors are wrong answers:
-    /// far fewer of them matter.
+    /// Harm that stops a rollout, as a multiple of the plan's `min_harm`. The factor of errors is low, because far fewer
+    /// wrong answers matter.
     harm_factor: f64,
 }
 
@@ -21,7 +22,7 @@
     Measure { name, harm_factor }
 }
 
-/// Measures of a node as a whole. Those from [`FIRST_RESOURCE`] on are what a node uses, not what its clients get.
+/// Measures of a whole node. From index [`FIRST_RESOURCE`] on they are resource usage, not results that clients get.
 const NODE_MEASURES: [Measure; 9] = [
     measure("lost", 1.0),
     measure("errored", 0.1),
@@ -35,7 +36,7 @@
 ];
 const FIRST_RESOURCE: usize = 3;
 
-/// Measures of each operation, which follow those of the node.
+/// Measures of each operation; they follow the measures of the node.
 const OPERATION_MEASURES: [Measure; 4] = [
     measure("lost", 2.0),
     measure("errored", 0.1),
@@ -43,21 +44,21 @@
     measure("latency", 0.4),
 ];
 
-/// A measure of events that are rare and come in bursts.
+/// Name of the measure whose events are rare and occur in bursts.
 const BURSTY_MEASURE: &str = "errored";
-/// Fraction of the answers before the change that counts as slow.
+/// Fraction of the responses before the change that counts as slow.
 const SLOW_FRACTION: f64 = 0.1;
-/// Connections and fetches a request below which a baseline counts as this. Beside a baseline of nearly nothing, one
-/// connection more in an interval looked like harm, and a harmless change was rolled back.
+/// Minimum baseline of connections per request and of fetches per request. With a baseline near 0, one additional
+/// connection in an interval counted as harm, and a harmless change was rolled back.
 const MIN_PER_REQUEST: f64 = 0.1;
 
-/// Latencies of an operation before the change; in the log a pair of name and bucket.
+/// Latency baseline of an operation. The log stores it as a pair of name and bucket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(String, usize)", into = "(String, usize)")]
 pub struct OperationBaseline {
     /// Name of the operation.
     pub name: String,
-    /// First bucket of latencies that counts as slow.
+    /// First latency bucket that counts as slow.
     pub slow_bucket: usize,
 }
 
@@ -73,10 +74,10 @@
     }
 }
 
-/// What the fleet was like before the change. Its field names stand in the log.
+/// Measurements of the fleet before the change. The field names are stored in the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Baseline {
-    /// Operations in order of their names.
+    /// Operations, ordered by name.
     pub operations: Vec<OperationBaseline>,
     /// Requests forwarded per request received.
     pub forwards: f64,
@@ -86,58 +87,59 @@
     pub opened: f64,
     /// Processor time in milliseconds per request received.
     pub cpu_ms: f64,
-    /// Mean resident memory of a node in KiB.
+    /// Mean resident memory per node in KiB.
     pub memory_kib: f64,
-    /// Mean number of open file descriptors of a node.
+    /// Mean number of open file descriptors per node.
     pub descriptors: f64,
-    /// Mean of each measure at each node, by node and measure.
+    /// Mean of each measure at each node, indexed by node and then measure.
     pub means: Vec<Vec<f64>>,
-    /// Fraction of the billed value that the whole fleet lost.
+    /// Loss of the whole fleet, as a fraction of the billed value.
     pub lost: f64,
 }
 
-/// What a node did in a time, and its state at the end of it.
+/// Activity of a node over an interval, and its state at the end of the interval.
 #[derive(Clone, Debug)]
 pub struct NodeActivity {
-    /// The difference of its counters.
-    pub done: Report,
-    /// Its latest report.
+    /// Increase of the node's counters over the interval.
+    pub delta: Report,
+    /// The node's report at the end of the interval.
     pub latest: Report,
 }
 
 impl NodeActivity {
-    /// The activity between two reports of a node.
+    /// Returns the activity between two reports of a node.
     pub fn between(earlier: &Report, latest: &Report) -> NodeActivity {
         NodeActivity {
-            done: latest.since(earlier),
+            delta: latest.since(earlier),
             latest: latest.clone(),
         }
     }
 }
 
-/// `value` of `total`, within [0, 1]; `None` of nothing.
+/// Returns `value / total`, clamped to [0, 1]; `None` if `total` is not positive.
 fn fraction(value: f64, total: f64) -> Option<f64> {
     (total > 0.0).then(|| (value / total).clamp(0.0, 1.0))
 }
 
-/// A value beside its baseline, as a fraction of four times that: a rise by a quarter is a sixteenth.
+/// Returns `value` as a fraction of four times its baseline, so that an increase by a quarter adds a sixteenth; `None` if
+/// the baseline is not positive.
 fn relative_to(baseline: f64, value: f64) -> Option<f64> {
     (baseline > 0.0).then(|| (value / (4.0 * baseline)).clamp(0.0, 1.0))
 }
 
-/// Requests that a node received.
+/// Returns the number of requests that a node received.
 fn requests(report: &Report) -> f64 {
     report.operations.iter().map(|o| o.taken as f64).sum()
 }
 
-/// Fraction of an operation's answers from the slow bucket on.
+/// Returns the fraction of an operation's responses in `slow_bucket` or above.
 fn slow_fraction(operation: &Operation, slow_bucket: usize) -> Option<f64> {
     let slow: u64 = operation.latency.iter().skip(slow_bucket).sum();
     fraction(slow as f64, operation.succeeded as f64)
 }
 
-/// The mean latency bucket, as a fraction of all. Two buckets double the latency: a third slower is 0.83 of a bucket, a
-/// tenth 0.28.
+/// Returns the mean latency bucket, as a fraction of the number of buckets. Two buckets double the latency: latency
+/// that is a third higher moves the mean by 0.83 of a bucket, a tenth by 0.28.
 fn mean_bucket(operation: &Operation) -> Option<f64> {
     let weighted: f64 = operation
         .latency
@@ -148,7 +150,8 @@
     fraction(weighted / BUCKETS as f64, operation.succeeded as f64)
 }
 
-/// The slow bucket of each operation: the first above all but the slowest answers of all nodes.
+/// Computes the slow bucket of each operation: the first bucket above all but the slowest [`SLOW_FRACTION`] of the
+/// responses of all nodes.
 fn learn_operations<'a>(reports: impl Iterator<Item = &'a Report>) -> Vec<OperationBaseline> {
     let mut histograms: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for operation in reports.flat_map(|report| &report.operations) {
@@ -162,35 +165,35 @@
     let learn = |(name, histogram): (&str, Vec<u64>)| {
         let total = histogram.iter().sum::<u64>() as f64;
         let mut answered = 0.0;
-        let last_fast = histogram.iter().position(|&count| {
+        let last_fast_bucket = histogram.iter().position(|&count| {
             answered += count as f64;
             answered > (1.0 - SLOW_FRACTION) * total
         });
         OperationBaseline {
             name: name.to_string(),
-            slow_bucket: last_fast.map_or(BUCKETS, |bucket| bucket + 1),
+            slow_bucket: last_fast_bucket.map_or(BUCKETS, |bucket| bucket + 1),
         }
     };
     histograms.into_iter().map(learn).collect()
 }
 
 impl Baseline {
-    /// Learns the baseline from what each node did in the time before the change. A node that did not report is taken
-    /// for the mean of the others.
+    /// Computes the baseline from the activity of each node before the change. A node without reports gets the mean of
+    /// the other nodes.
     pub fn learn(nodes: &[Option<NodeActivity>]) -> Baseline {
         let known = || nodes.iter().flatten();
         let sum = |value: &dyn Fn(&NodeActivity) -> f64| known().map(value).sum::<f64>();
         let count = known().count().max(1) as f64;
-        let requests = sum(&|n| requests(&n.done)).max(1.0);
-        let operations = || known().flat_map(|n| &n.done.operations);
+        let requests = sum(&|n| requests(&n.delta)).max(1.0);
+        let operations = || known().flat_map(|n| &n.delta.operations);
         let requested: f64 = operations().map(|o| o.asked).sum();
         let in_time: f64 = operations().map(|o| o.in_time).sum();
         let mut baseline = Baseline {
-            operations: learn_operations(known().map(|n| &n.done)),
-            forwards: sum(&|n| n.done.forwards as f64) / requests,
-            fetches: (sum(&|n| n.done.fetches as f64) / requests).max(MIN_PER_REQUEST),
-            opened: (sum(&|n| n.done.opened as f64) / requests).max(MIN_PER_REQUEST),
-            cpu_ms: sum(&|n| n.done.cpu_ms as f64) / requests,
+            operations: learn_operations(known().map(|n| &n.delta)),
+            forwards: sum(&|n| n.delta.forwards as f64) / requests,
+            fetches: (sum(&|n| n.delta.fetches as f64) / requests).max(MIN_PER_REQUEST),
+            opened: (sum(&|n| n.delta.opened as f64) / requests).max(MIN_PER_REQUEST),
+            cpu_ms: sum(&|n| n.delta.cpu_ms as f64) / requests,
             memory_kib: sum(&|n| n.latest.memory_kib as f64) / count,
             descriptors: sum(&|n| n.latest.descriptors as f64) / count,
             means: Vec::new(),
@@ -200,7 +203,7 @@
         baseline
     }
 
-    /// Each node's own value of each measure; the mean of the others where it has none.
+    /// Returns each node's own value of each measure, or the mean of the other nodes if it has none.
     fn learn_means(&self, nodes: &[Option<NodeActivity>]) -> Vec<Vec<f64>> {
         let own: Vec<Option<Measurements>> = nodes
             .iter()
@@ -221,12 +224,12 @@
         own.iter().map(node_means).collect()
     }
 
-    /// Number of measures.
+    /// Returns the number of measures.
     pub fn measure_count(&self) -> usize {
         NODE_MEASURES.len() + OPERATION_MEASURES.len() * self.operations.len()
     }
 
-    /// Names of all measures: of the node as a whole, then of each operation.
+    /// Returns the names of all measures: first the measures of the node, then the measures of each operation.
     pub fn measure_names(&self) -> Vec<String> {
         let of_node = NODE_MEASURES.iter().map(|m| m.name.to_string());
         let of_operations = self.operations.iter().flat_map(|operation| {
@@ -236,7 +239,7 @@
         of_node.chain(of_operations).collect()
     }
 
-    /// A measure's least harm worth a stop, as a multiple of the least loss of billed value that is.
+    /// Returns the harm of a measure that stops a rollout, as a multiple of the plan's `min_harm`.
     pub(crate) fn harm_factor(measure: usize) -> f64 {
         match measure.checked_sub(NODE_MEASURES.len()) {
             None => NODE_MEASURES[measure].harm_factor,
@@ -244,12 +247,12 @@
         }
     }
 
-    /// Whether a measure is of resources that a node uses, not of what its clients get.
+    /// Whether a measure is resource usage of a node, not a result that clients get.
     pub(crate) fn is_resource(measure: usize) -> bool {
         (FIRST_RESOURCE..NODE_MEASURES.len()).contains(&measure)
     }
 
-    /// Whether a measure counts rare events that come in bursts.
+    /// Whether a measure counts rare events that occur in bursts.
     pub(crate) fn is_bursty(measure: usize) -> bool {
         let name = match measure.checked_sub(NODE_MEASURES.len()) {
             None => NODE_MEASURES[measure].name,
@@ -258,30 +261,30 @@
         name == BURSTY_MEASURE
     }
 
-    /// The values of all measures for what a node did in a time.
+    /// Computes the values of all measures for a node's activity.
     pub fn measure(&self, node: &NodeActivity) -> Measurements {
-        let (done, latest) = (&node.done, &node.latest);
+        let (delta, latest) = (&node.delta, &node.latest);
         let sum =
-            |value: &dyn Fn(&Operation) -> f64| done.operations.iter().map(value).sum::<f64>();
+            |value: &dyn Fn(&Operation) -> f64| delta.operations.iter().map(value).sum::<f64>();
         let requested = sum(&|o| o.asked);
-        let requests = requests(done);
+        let requests = requests(delta);
         let per_request = |count: u64, baseline: f64| {
-            let is_used = fraction(count as f64, requests);
-            is_used.and(relative_to(baseline, count as f64 / requests))
+            let served_fraction = fraction(count as f64, requests);
+            served_fraction.and(relative_to(baseline, count as f64 / requests))
         };
         let mut values = vec![
             fraction(requested - sum(&|o| o.in_time), requested),
             fraction(sum(&|o| o.errored as f64), requests),
             fraction(sum(&|o| o.throttled as f64), requests),
-            per_request(done.forwards, self.forwards),
-            per_request(done.fetches, self.fetches),
-            per_request(done.opened, self.opened),
-            per_request(done.cpu_ms, self.cpu_ms),
+            per_request(delta.forwards, self.forwards),
+            per_request(delta.fetches, self.fetches),
+            per_request(delta.opened, self.opened),
+            per_request(delta.cpu_ms, self.cpu_ms),
             relative_to(self.memory_kib, latest.memory_kib as f64),
             relative_to(self.descriptors, latest.descriptors as f64),
         ];
         for baseline in &self.operations {
-            let operation = done.operations.iter().find(|o| o.name == baseline.name);
+            let operation = delta.operations.iter().find(|o| o.name == baseline.name);
             values.extend([
                 operation.and_then(|o| fraction(o.asked - o.in_time, o.asked)),
                 operation.and_then(|o| fraction(o.errored as f64, o.taken as f64)),
--- a/crates/sparrouter-rollout/src/controller.rs
+++ b/crates/sparrouter-rollout/src/controller.rs
@@ -1,8 +1,10 @@
-//! Decides what is done next: events and the clock in, actions out. Nothing is done that was not logged first.
+//! State machine of a rollout: takes events and the time, and returns actions. Every action is logged before it is
+//! executed.
 //!
-//! This file owns the controller's state and its interface. By file: `node` (phases of a node), `restore` (state from
-//! the log), `events` (commands that ended, reports, time-outs), `fleet` (health of the whole fleet), `disruption` (how
-//! many nodes may be down), `stage` (baseline, and the changes of a stage), `bake` (watching a stage), `rollback`.
+//! This file contains the controller's state and interface. Its submodules are `node` (phases of a node), `restore`
+//! (restores the state from the log), `events` (ended commands, reports, time-outs), `fleet` (health of the whole fleet),
+//! `disruption` (disruption budget), `stage` (learns the baseline and changes the nodes of a stage), `bake` (watches a
+//! stage) and `rollback`.
 mod bake;
 mod disruption;
 mod events;
@@ -25,48 +27,48 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a command did not succeed.
+/// Error of a node's command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// It ended by a signal or with another status than 0.
+    /// The command was ended by a signal or returned a status other than 0.
     #[error("{0}")]
     Status(ExitStatus),
-    /// It was killed as it did not end in time.
-    #[error("not over after {} s", .0.as_secs_f64())]
+    /// The command was killed because it did not end within its time limit.
+    #[error("command timed out after {} s", .0.as_secs_f64())]
     TimedOut(Duration),
-    /// It could not be started or waited for.
+    /// The command could not be started or waited for.
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
 
-/// What the controller is informed of.
+/// Input of the controller.
 pub enum Event {
-    /// A command has ended, or was killed as it did not end in time.
+    /// A node's command has ended or was killed after its time limit.
     CommandEnded {
         /// Index of the node.
         node: usize,
         /// The command.
         command: CommandKind,
-        /// Its result.
+        /// Result of the command.
         result: Result<(), CommandError>,
     },
-    /// A node's report.
+    /// A node has written a report.
     Report {
         /// Index of the node.
         node: usize,
         /// The report.
         report: Box<Report>,
     },
-    /// The operator asks to stop and leave all as it is.
+    /// The operator requests to stop and to leave all nodes as they are.
     StopRequested,
-    /// The operator asks to take the change back.
+    /// The operator requests a rollback.
     RollbackRequested,
 }
 
-/// What is done, in this order.
+/// Output of the controller; the actions are executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Write an entry; what follows is done only once it is safe on disk.
+    /// Append an entry to the log; the following actions are executed only once it is synced to disk.
     Log(Entry),
     /// Start a node's command.
     Run {
@@ -77,22 +79,22 @@
     },
     /// Print a line for the operator.
     Print(String),
-    /// Keep what an interval showed, for the page; nothing waits for it.
+    /// Store the observation of an interval for the page; it need not be synced to disk.
     Observe(Observation),
-    /// End.
+    /// End the rollout with this outcome.
     Finish(Outcome),
 }
 
 /// Phase of the rollout.
 enum Phase {
-    /// The fleet's baseline is being learnt.
+    /// The baseline of the fleet is being measured.
     LearningBaseline,
-    /// Nodes of the stage are being changed, the unchanged ones to compare them with restarted.
+    /// The nodes of the stage are being changed, and the unchanged nodes that they are compared with are being restarted.
     ChangingNodes,
     /// The stage is being watched.
     Baking {
         since: Nanos,
-        /// Since when nodes have been unresponsive, if they are.
+        /// Time since which nodes have been unresponsive; `None` if all nodes respond.
         fault_since: Option<Nanos>,
     },
     RollingBack {
@@ -101,38 +103,38 @@
     Finished,
 }
 
-/// Decides what is done in a rollout.
+/// Controller of a rollout.
 ///
-/// Invariants: at most `max_unavailable` nodes are under a command at once, all in one zone; after the entry
+/// Invariants: commands run at no more than `max_unavailable` nodes at the same time, all in one zone; after the entry
 /// `RollbackStarted` no node is changed.
 pub struct RolloutController {
     plan: Plan,
     /// All nodes in the order in which they are changed.
     order: Vec<usize>,
-    /// Nodes changed at the end of each stage.
+    /// Number of changed nodes at the end of each stage.
     stage_sizes: Vec<usize>,
-    /// By index of the plan.
+    /// State of each node, by its index in the plan.
     nodes: Vec<NodeState>,
-    /// Known after the phase `LearningBaseline`.
+    /// Baseline of the fleet; `None` during the phase `LearningBaseline`.
     baseline: Option<Baseline>,
-    /// Index of the stage.
+    /// Index of the current stage.
     stage: usize,
     phase: Phase,
-    /// Present from the first stage that is watched on.
+    /// Sequential test; `None` until the first stage is watched.
     judge: Option<Judge>,
-    /// The judge's last finding in this stage.
+    /// Last finding of the test in this stage.
     last_finding: Option<Finding>,
-    /// When this controller started to work.
+    /// Time of this controller's first tick.
     started_at: Option<Nanos>,
-    /// When the next sample of a watched stage is due.
+    /// Time at which the next sample of a watched stage is due.
     next_sample_at: Nanos,
     health: FleetHealth,
-    /// What the current tick has decided so far.
+    /// Actions of the current tick so far.
     actions: Vec<Action>,
 }
 
 impl RolloutController {
-    /// A controller that continues after these entries, which an earlier controller of this plan has logged.
+    /// Creates a controller that continues after `entries`, which an earlier controller of the same plan has logged.
     pub fn new(plan: Plan, entries: &[Entry]) -> RolloutController {
         let mut controller = RolloutController {
             order: stages::order(&plan),
@@ -155,7 +157,8 @@
         controller
     }
 
-    /// Takes what has happened since the last call, and returns what to do. `now` must be over 0 and never fall.
+    /// Processes the events since the last call, and returns the actions to execute. `now` must be above 0 and must not
+    /// decrease.
     pub fn tick(&mut self, now: Nanos, events: Vec<Event>) -> Vec<Action> {
         self.started_at.get_or_insert(now);
         for event in events {
@@ -183,8 +186,12 @@
                 result,
             } => self.on_command_ended(node, command, result, now),
             Event::Report { node, report } => self.on_report(node, *report, now),
-            Event::StopRequested => self.finish(Outcome::Left("stopped by hand".to_string())),
-            Event::RollbackRequested => self.start_rollback("asked for by hand".to_string()),
+            Event::StopRequested => self.finish(Outcome::LeftToOperator(
+                "stopped by the operator".to_string(),
+            )),
+            Event::RollbackRequested => {
+                self.start_rollback("requested by the operator".to_string())
+            }
         }
     }
 
@@ -210,7 +217,7 @@
         }
     }
 
-    /// Stops the change and begins to take it back, unless that has begun.
+    /// Stops the rollout and starts the rollback, unless it has already started.
     fn start_rollback(&mut self, reason: String) {
         if matches!(self.phase, Phase::RollingBack { .. } | Phase::Finished) {
             return;
@@ -218,11 +225,11 @@
         self.log(Entry::RollbackStarted {
             reason: reason.clone(),
         });
-        self.print(format!("stopped: {reason}; going back"));
+        self.print(format!("stopped: {reason}; rolling back"));
         self.phase = Phase::RollingBack { reason };
     }
 
-    /// When this controller started to work; `now` before that.
+    /// Returns the time of this controller's first tick, or `now` before it.
     fn started_at(&self, now: Nanos) -> Nanos {
         self.started_at.unwrap_or(now)
     }
@@ -231,7 +238,7 @@
         self.plan.nodes[node].name.clone()
     }
 
-    /// Names of the nodes that fulfil a condition, separated by commas.
+    /// Returns the names of the nodes that fulfil a condition, separated by commas.
     fn names_where(&self, condition: impl Fn(usize) -> bool) -> String {
         let nodes = (0..self.nodes.len()).filter(|node| condition(*node));
         let names: Vec<String> = nodes.map(|node| self.name(node)).collect();
@@ -251,14 +258,14 @@
         self.nodes.iter().filter(is_changed).count()
     }
 
-    /// Whether any node is under a command, or has yet to report after one.
+    /// Whether a command runs at any node, or its effect is not confirmed by a report yet.
     fn is_any_in_transition(&self) -> bool {
         self.nodes.iter().any(|node| node.phase.is_in_transition())
     }
 
-    /// When a node entered its phase last, of all nodes.
+    /// Returns the latest time at which a node entered its phase.
     fn last_transition_at(&self) -> Nanos {
-        let moments = self.nodes.iter().map(|node| node.phase_since);
-        moments.max().unwrap_or(0)
+        let transition_times = self.nodes.iter().map(|node| node.phase_since);
+        transition_times.max().unwrap_or(0)
     }
 }
--- a/crates/sparrouter-rollout/src/controller/bake.rs
+++ b/crates/sparrouter-rollout/src/controller/bake.rs
@@ -1,23 +1,23 @@
-//! Watches a stage whose nodes are all changed: compares both groups in each interval, and decides whether to go on.
+//! Phase `Baking`: compares both groups of a completed stage in each interval, and decides whether the stage passes.
 use super::{Phase, RolloutController};
 use crate::baseline::NodeActivity;
 use crate::judge::{Judge, NodeSample};
 use crate::record::{Entry, Outcome};
 use crate::{Nanos, SECOND};
 
-/// Wealth from which the evidence leans to harm: the next stage waits until it has fallen back.
+/// Wealth above which the evidence suggests harm; the next stage waits until the wealth is below it again.
 const SUSPICIOUS_WEALTH: f64 = 3.0;
-/// Fraction of a stage's intervals in which both groups must have been compared.
+/// Minimum fraction of a stage's intervals in which both groups must have been compared.
 const MIN_COMPARED_FRACTION: f64 = 0.8;
 
 impl RolloutController {
-    /// The phase `Baking`.
+    /// Runs one tick of the phase `Baking`.
     pub(super) fn bake(&mut self, now: Nanos) {
         if now >= self.next_sample_at {
             self.next_sample_at = now + self.plan.sample_interval;
             self.sample_stage(now);
         }
-        // A sample may have begun a rollback.
+        // A sample may have started a rollback.
         let Phase::Baking { since, fault_since } = self.phase else {
             return;
         };
@@ -28,11 +28,13 @@
             return self.pass_stage();
         }
         if now > since + 2 * self.plan.max_wait.max(bake_time) {
-            self.start_rollback("no evidence either way in time".to_string());
+            self.start_rollback(
+                "not enough evidence for or against harm within the time limit".to_string(),
+            );
         }
     }
 
-    /// Takes a sample, and rolls back where the evidence suffices or a fault lasts too long.
+    /// Takes a sample, and starts a rollback if the evidence suffices or a fault lasts too long.
     fn sample_stage(&mut self, now: Nanos) {
         let Phase::Baking { fault_since, .. } = self.phase else {
             return;
@@ -41,23 +43,27 @@
         let unresponsive = self.unresponsive_names(now);
         self.compare_groups(all_respond);
         let fault_since = (!all_respond).then(|| fault_since.unwrap_or(now));
-        if let Phase::Baking { fault_since: f, .. } = &mut self.phase {
-            *f = fault_since;
+        if let Phase::Baking {
+            fault_since: stored,
+            ..
+        } = &mut self.phase
+        {
+            *stored = fault_since;
         }
         let lasts_too_long = |since: &Nanos| now > since + self.plan.max_wait;
         if fault_since.as_ref().is_some_and(lasts_too_long) {
             self.start_rollback(format!(
-                "no word from {unresponsive}, while the stage was watched and for too long"
+                "no reports from {unresponsive} for too long while the stage was watched"
             ));
         } else if let Some(since) = self.health.fault_since.filter(lasts_too_long) {
             let seconds = (now - since) / SECOND;
             let fault = self.describe_fleet_fault();
-            self.start_rollback(format!("{fault}, for {seconds} s and too long"));
+            self.start_rollback(format!("{fault}, for too long: {seconds} s"));
         }
     }
 
-    /// Compares the groups over the last interval, and rolls back where the evidence suffices. Without a report of each
-    /// node (`all_respond` false) the interval is only closed: it says nothing about the groups.
+    /// Compares the groups over the last interval, and starts a rollback if the evidence suffices. If a node is
+    /// unresponsive (`all_respond` is false), the interval is closed without a comparison.
     fn compare_groups(&mut self, all_respond: bool) {
         let activities = self.take_activities();
         if !all_respond {
@@ -80,26 +86,26 @@
         };
         if finding.evidence >= 1.0 {
             self.start_rollback(format!(
-                "{} is worse by {:.3} than at nodes restarted as lately",
+                "{} is worse by {:.3} than at unchanged nodes that were restarted at the same time",
                 finding.measure, finding.difference
             ));
         }
         self.last_finding = Some(finding);
     }
 
-    /// What each node did since the last sample; `None` without a new report.
+    /// Returns the activity of each node since the last sample; `None` if it has not reported since.
     fn take_activities(&mut self) -> Vec<Option<NodeActivity>> {
         let take = |node: &mut super::NodeState| {
-            let (latest, sampled) = (node.latest.as_ref()?, node.sampled.as_ref()?);
+            let (latest, sampled) = (node.latest_report.as_ref()?, node.sampled_report.as_ref()?);
             let activity = (latest != sampled).then(|| NodeActivity::between(sampled, latest));
-            node.sampled = node.latest.clone();
+            node.sampled_report = node.latest_report.clone();
             activity
         };
         self.nodes.iter_mut().map(take).collect()
     }
 
-    /// How long the stage is watched: the plan's bake time, and at least until the clearest harm could have been found.
-    /// With eight intervals nothing could ever have stopped a change.
+    /// Returns the time for which the stage is watched: the plan's bake time, extended until the strongest possible harm
+    /// would have been detected. With eight intervals the test could never have stopped a change.
     fn bake_time(&self) -> Nanos {
         let min_intervals = match &self.judge {
             Some(judge) if self.has_unchanged_group() => judge.min_intervals(),
@@ -113,7 +119,7 @@
         !self.groups().unchanged.is_empty()
     }
 
-    /// Whether both groups were compared in enough intervals. The last stage may have no unchanged group.
+    /// Whether both groups were compared in enough intervals. The last stage may have no unchanged nodes to compare with.
     fn has_enough_evidence(&self, bake_time: Nanos) -> bool {
         if !self.has_unchanged_group() {
             return true;
@@ -135,9 +141,9 @@
         }
         let abandoned = self.abandoned_names();
         self.finish(if abandoned.is_empty() {
-            Outcome::Through
+            Outcome::Completed
         } else {
-            Outcome::Left(format!("every node is changed but for {abandoned}"))
+            Outcome::LeftToOperator(format!("every node is changed except {abandoned}"))
         });
     }
 }
--- a/crates/sparrouter-rollout/src/controller/disruption.rs
+++ b/crates/sparrouter-rollout/src/controller/disruption.rs
@@ -1,4 +1,4 @@
-//! The disruption budget: how many nodes may be down at once, and where.
+//! Disruption budget: how many nodes may be unavailable at the same time, and in which zones.
 use super::node::NodePhase;
 use super::{Action, RolloutController};
 use crate::Nanos;
@@ -7,14 +7,14 @@
 /// Nodes that are not available.
 #[derive(Default)]
 pub(super) struct Unavailable {
-    /// Under a command of this controller or an earlier one.
+    /// Nodes with a command of this controller or an earlier one in progress.
     under_command: Vec<usize>,
-    /// Unresponsive or abandoned.
+    /// Nodes that are unresponsive or abandoned.
     other: Vec<usize>,
 }
 
 impl Unavailable {
-    /// Number of nodes that are not available.
+    /// Returns the number of unavailable nodes.
     pub fn len(&self) -> usize {
         self.under_command.len() + self.other.len()
     }
@@ -46,11 +46,11 @@
         unavailable
     }
 
-    /// Whether a command may take a node down: never more than the plan allows, never in two zones.
+    /// Whether a command may take a node down: no more nodes than the plan allows, and never in two zones.
     ///
-    /// A node that is unavailable already may get a command whatever other unresponsive nodes there are: two changed
-    /// nodes that had died in two zones kept each other from being rolled back. Nodes under a command count in any case:
-    /// where all nodes became unresponsive at once, as in a partition, they are not all taken down.
+    /// A command for a node that is already unavailable is not blocked by other unresponsive nodes. Otherwise two changed
+    /// nodes that crashed in two zones would block each other's rollback. Nodes with a command in progress always count,
+    /// so that a partition that makes all nodes unresponsive does not lead to all of them being taken down.
     fn may_take_down(&self, node: usize, unavailable: &Unavailable) -> bool {
         let zone = |other: usize| &self.plan.nodes[other].zone;
         let in_zone = |nodes: &[usize]| nodes.iter().all(|&o| o == node || zone(o) == zone(node));
@@ -64,16 +64,16 @@
         all_others < max && in_zone(under_command) && in_zone(&unavailable.other)
     }
 
-    /// Starts as many of these commands as the disruption budget allows, in this order, and returns whether it started
-    /// any. Nodes in another zone than those that are down are passed over: taken strictly in order, nodes whose zones
-    /// alternate were changed one by one.
-    pub(super) fn start_commands(&mut self, wanted: &[(usize, CommandKind)], now: Nanos) -> bool {
+    /// Starts as many of these commands as the disruption budget allows, in order, and returns whether any was started.
+    /// Nodes in a zone other than the zone of the unavailable nodes are skipped: in strict order, nodes whose zones
+    /// alternate would be changed one at a time.
+    pub(super) fn start_commands(&mut self, commands: &[(usize, CommandKind)], now: Nanos) -> bool {
         let mut unavailable = self.unavailable(now);
         let mut has_started = false;
-        for &(node, command) in wanted {
-            // With a full budget only a node under a command can get another one.
-            let is_full = unavailable.under_command.len() >= self.plan.max_unavailable;
-            if is_full && !unavailable.under_command.contains(&node) {
+        for &(node, command) in commands {
+            // With an exhausted budget only a node whose command is in progress can get another command.
+            let is_exhausted = unavailable.under_command.len() >= self.plan.max_unavailable;
+            if is_exhausted && !unavailable.under_command.contains(&node) {
                 continue;
             }
             if self.may_take_down(node, &unavailable) {
@@ -85,7 +85,7 @@
         has_started
     }
 
-    /// Logs and starts a command, whatever the disruption budget says.
+    /// Logs and starts a command without checking the disruption budget.
     pub(super) fn start_command(&mut self, node: usize, command: CommandKind, now: Nanos) {
         self.nodes[node].enter(NodePhase::RunningCommand(command), now);
         let name = self.name(node);
--- a/crates/sparrouter-rollout/src/controller/events.rs
+++ b/crates/sparrouter-rollout/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! What happens to single nodes: commands that ended, reports, and time-outs.
+//! Events of single nodes: ended commands, reports and time-outs.
 use super::RolloutController;
 use super::node::NodePhase;
 use crate::Nanos;
@@ -6,20 +6,20 @@
 use crate::record::{CommandKind, Entry, Outcome};
 use crate::report::Report;
 
-/// A node without a report for so many intervals is unresponsive: no report is not taken for a good one.
+/// Number of sample intervals without a report after which a node is unresponsive.
 const UNRESPONSIVE_INTERVALS: u64 = 5;
 
-/// What a report says beside the node's earlier one and the plan.
+/// Result of comparing a report with the node's previous report and the plan.
 struct ReportFacts {
     is_new_generation: bool,
     is_old_generation: bool,
-    /// Another process wrote it than the report before.
+    /// A different process wrote it than the previous report.
     is_restarted: bool,
-    /// An invariant violation since the report before.
+    /// An invariant was violated since the previous report.
     has_violation: bool,
-    /// The process that a command ends wrote it.
+    /// It was written by the process that the command stops.
     is_stale: bool,
-    /// Keys have other cache servers than at unchanged nodes, which the plan does not allow.
+    /// The node maps keys to other cache servers than unchanged nodes do, and the plan does not allow this.
     moves_keys: bool,
 }
 
@@ -44,11 +44,11 @@
         match (command, result) {
             (_, Ok(())) => self.nodes[node].phase = NodePhase::AwaitingReport(command),
             (CommandKind::Change, Err(error)) => {
-                // How far the change went is not known: it is taken back like the others.
+                // It is unknown whether the change was applied, so the node is rolled back like the others.
                 self.nodes[node].phase = NodePhase::Changed;
                 self.start_rollback(format!("{name} could not be changed: {error}"));
             }
-            (_, Err(error)) => self.abandon(node, &format!("{command} came to nothing: {error}")),
+            (_, Err(error)) => self.abandon(node, &format!("{command} failed: {error}")),
         }
     }
 
@@ -56,7 +56,7 @@
         self.nodes[node].phase = NodePhase::Abandoned;
         let name = self.name(node);
         self.print(format!(
-            "{name} is left as it is and counts as down: {reason}"
+            "{name} is abandoned and counts as unavailable: {reason}"
         ));
     }
 
@@ -70,7 +70,7 @@
                 state.confirm(NodePhase::Changed, now);
                 if facts.moves_keys {
                     self.start_rollback(format!(
-                        "{name} places keys otherwise, which the plan does not allow"
+                        "{name} maps keys to other cache servers, which the plan does not allow"
                     ));
                 }
             }
@@ -84,21 +84,23 @@
             }
             NodePhase::Changed if facts.is_old_generation => {
                 let generation = &self.plan.old_generation;
-                self.finish(Outcome::Left(format!(
-                    "{name} says {generation}, which was changed: somebody else's hand"
+                self.finish(Outcome::LeftToOperator(format!(
+                    "{name} was changed but reports {generation}: it was modified outside this rollout"
                 )));
             }
             NodePhase::Unchanged | NodePhase::Restarted if facts.is_new_generation => {
                 let generation = &self.plan.new_generation;
-                self.finish(Outcome::Left(format!(
-                    "{name} says {generation}, which was not changed yet"
+                self.finish(Outcome::LeftToOperator(format!(
+                    "{name} reports {generation} but was not changed yet"
                 )));
             }
             NodePhase::Changed if facts.is_restarted => {
-                self.start_rollback(format!("{name} crashed: it started anew by itself"));
+                self.start_rollback(format!(
+                    "{name} crashed: its process restarted without a command"
+                ));
             }
             NodePhase::Changed if facts.has_violation => {
-                self.start_rollback(format!("{name} counts a breach of what must hold"));
+                self.start_rollback(format!("{name} reports an invariant violation"));
             }
             _ => {}
         }
@@ -108,15 +110,15 @@
         let plan = &self.plan;
         let state = &self.nodes[node];
         let is_restarted = state
-            .latest
+            .latest_report
             .as_ref()
             .is_some_and(|earlier| earlier.uptime_ms > report.uptime_ms);
-        let known_violations = match &state.latest {
+        let known_violations = match &state.latest_report {
             Some(earlier) if !is_restarted => earlier.breaches,
             _ => 0,
         };
-        // A process that is older than the command. With a restart under an earlier controller the moment is not known
-        // here (0), and the log says that the restart succeeded.
+        // A report is stale if its process started before the command. After a restart by an earlier controller the time
+        // is unknown (0); the log confirms that the restart succeeded.
         let uptime = report.uptime_ms.saturating_mul(1_000_000);
         let max_uptime = now.saturating_sub(state.phase_since) + 2 * plan.sample_interval;
         let placement = self.unchanged_placement();
@@ -130,17 +132,17 @@
         }
     }
 
-    /// Where keys go by the first unchanged node that has reported.
+    /// Returns the key placement that the first unchanged node with a report uses.
     fn unchanged_placement(&self) -> Option<&str> {
         self.nodes
             .iter()
             .filter(|node| node.phase.is_unchanged())
-            .find_map(|node| node.latest.as_ref())
+            .find_map(|node| node.latest_report.as_ref())
             .map(|report| report.placement.as_str())
     }
 
-    /// Whether a node has not reported for too long. The time counts from the controller's start, and for a changed
-    /// node from its change.
+    /// Whether a node has not reported for too long. The time counts at the earliest from the controller's start, and for
+    /// a changed node from its change.
     pub(super) fn is_unresponsive(&self, node: usize, now: Nanos) -> bool {
         let state = &self.nodes[node];
         let changed_at = if state.phase == NodePhase::Changed {
@@ -152,7 +154,7 @@
         now > since + UNRESPONSIVE_INTERVALS * self.plan.sample_interval
     }
 
-    /// Finds nodes that do not report as they should after a command, and changed ones that stopped to report.
+    /// Handles nodes without the expected report after a command, and changed nodes that have stopped reporting.
     pub(super) fn check_timeouts(&mut self, now: Nanos) {
         for node in 0..self.nodes.len() {
             let since = self.nodes[node].phase_since.max(self.started_at(now));
@@ -163,14 +165,17 @@
                     self.nodes[node].phase = NodePhase::Changed;
                     let generation = &self.plan.new_generation;
                     self.start_rollback(format!(
-                        "{name} was changed and never reported {generation}"
+                        "{name} was changed but did not report {generation} in time"
                     ));
                 }
                 NodePhase::AwaitingReport(command) if is_overdue => {
-                    self.abandon(node, &format!("no report after its command ({command})"));
+                    self.abandon(
+                        node,
+                        &format!("no expected report after its command ({command})"),
+                    );
                 }
                 NodePhase::Changed if self.is_unresponsive(node, now) => {
-                    self.start_rollback(format!("{name} was changed and fell silent"));
+                    self.start_rollback(format!("{name} was changed and stopped reporting"));
                 }
                 _ => {}
             }
--- a/crates/sparrouter-rollout/src/controller/fleet.rs
+++ b/crates/sparrouter-rollout/src/controller/fleet.rs
@@ -1,28 +1,30 @@
-//! Health of the whole fleet, observed at each interval in every phase: losses of all nodes, and load on the origin.
+//! Health of the whole fleet, observed once per sample interval in every phase: loss of all nodes, and load on the
+//! origin.
 use super::node::NodePhase;
 use super::{Phase, RolloutController};
 use crate::{Nanos, SECOND};
 use serde::{Deserialize, Serialize};
 
-/// So many observations in a row without a fault of the whole fleet end it. With one, a stage passed in the middle of a
-/// fault that lost a quarter.
+/// Number of consecutive healthy observations that end a fault of the whole fleet. With 1, a stage passed in the middle
+/// of a fault that lost a quarter.
 const HEALTHY_OBSERVATIONS: usize = 8;
-/// Weight of an observation in the smoothed rate of fetches, some four observations: reports do not come in step.
+/// Weight of an observation in the smoothed rate of fetches, equal to a mean over about four observations. Smoothing is
+/// needed because the reports of the nodes are not synchronized.
 const FETCHES_WEIGHT: f64 = 0.25;
 
-/// Phase of the rollout, by the name that stands in the history file.
+/// Phase of the rollout, as stored in the history file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PhaseName {
-    /// The baseline is being learnt.
+    /// The baseline is being measured.
     #[serde(rename = "before")]
     LearningBaseline,
-    /// Nodes of a stage are being changed.
+    /// The nodes of a stage are being changed.
     #[serde(rename = "moving")]
     ChangingNodes,
     /// A stage is being watched.
     #[serde(rename = "watching")]
     Baking,
-    /// The change is being taken back.
+    /// The change is being rolled back.
     #[serde(rename = "back")]
     RollingBack,
     /// The rollout has ended.
@@ -30,8 +32,8 @@
     Finished,
 }
 
-/// What one interval of the fleet showed. Losses are fractions of the billed value; `None` where no node of that kind
-/// reported. The history file keeps the earlier names.
+/// Observation of the fleet over one interval. Losses are fractions of the billed value, and `None` if no node of that
+/// group reported. The history file keeps the field names of earlier versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
     /// Index of the stage, from 0.
@@ -41,7 +43,7 @@
     /// Loss of all nodes.
     #[serde(rename = "all")]
     pub fleet_loss: Option<f64>,
-    /// Fetches a second of all nodes together, smoothed.
+    /// Smoothed fetches per second of all nodes together.
     pub fetches_per_s: f64,
     /// Loss of the changed nodes.
     #[serde(rename = "changed")]
@@ -49,43 +51,43 @@
     /// Loss of the other nodes.
     #[serde(rename = "unchanged")]
     pub unchanged_loss: Option<f64>,
-    /// Number of nodes that are changed.
+    /// Number of changed nodes.
     #[serde(rename = "new")]
     pub changed_nodes: usize,
-    /// Number of nodes that are down or unresponsive.
+    /// Number of nodes that are unavailable.
     #[serde(rename = "down")]
     pub unavailable_nodes: usize,
-    /// The judge's worst measure, empty where there is none.
+    /// Measure with the strongest evidence of harm; empty if there is none.
     pub measure: String,
-    /// Its evidence; from 1 on it stops the change.
+    /// Evidence of that measure; 1 or more stops the rollout.
     #[serde(rename = "reached")]
     pub evidence: f64,
 }
 
-/// Billed value in an interval.
+/// Billed value of the requests in an interval.
 #[derive(Clone, Copy, Debug, Default)]
-struct Value {
+struct BilledValue {
     lost: f64,
     requested: f64,
 }
 
-impl Value {
+impl BilledValue {
     fn loss(self) -> Option<f64> {
         (self.requested > 0.0).then(|| (self.lost / self.requested).clamp(0.0, 1.0))
     }
 }
 
-/// What all nodes did in an interval.
+/// Activity of all nodes in an interval.
 #[derive(Default)]
 struct FleetActivity {
-    changed: Value,
-    unchanged: Value,
+    changed: BilledValue,
+    unchanged: BilledValue,
     fetches: u64,
 }
 
 impl FleetActivity {
-    fn total(&self) -> Value {
-        Value {
+    fn total(&self) -> BilledValue {
+        BilledValue {
             lost: self.unchanged.lost + self.changed.lost,
             requested: self.unchanged.requested + self.changed.requested,
         }
@@ -96,20 +98,20 @@
 #[derive(Default)]
 pub(super) struct FleetHealth {
     next_observation_at: Nanos,
-    /// Since when the whole fleet has lost more than its baseline allows.
+    /// Time since which the whole fleet has lost more than its baseline allows; `None` without such a fault.
     pub fault_since: Option<Nanos>,
-    /// Observations in a row without such a fault.
+    /// Number of consecutive observations without such a fault.
     healthy_observations: usize,
-    /// The loss when the fault was last seen.
+    /// Loss in the last observation with the fault, as a fraction of the billed value.
     fault_loss: f64,
-    /// Fetches a second of all nodes, smoothed.
+    /// Smoothed fetches per second of all nodes together.
     fetches_per_s: f64,
-    /// Since when the fetches have been more than the origin can bear.
+    /// Time since which the fetches have exceeded the limit of the origin; `None` if they are within it.
     pub overload_since: Option<Nanos>,
 }
 
 impl FleetHealth {
-    /// Takes the loss of one interval.
+    /// Records the loss of one interval.
     fn record_loss(&mut self, loss: Option<f64>, max_loss: f64, now: Nanos) {
         match loss {
             Some(loss) if loss > max_loss => {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Takes the fetches of one interval.
+    /// Records the rate of fetches in one interval.
     fn record_fetches(&mut self, per_s: f64, max_per_s: Option<f64>, now: Nanos) {
         self.fetches_per_s += FETCHES_WEIGHT * (per_s - self.fetches_per_s);
         let is_overloaded = max_per_s.is_some_and(|max| self.fetches_per_s > max);
@@ -136,8 +138,8 @@
 }
 
 impl RolloutController {
-    /// Observes the whole fleet, once an interval. Guards against nodes being changed while all suffer: samples are
-    /// taken only of a stage whose nodes are all changed, which takes long with many nodes.
+    /// Observes the whole fleet, once per interval. The sequential test runs only once all nodes of a stage are changed,
+    /// which takes long with many nodes; this observation prevents further changes during a fault of the whole fleet.
     pub(super) fn observe_fleet(&mut self, now: Nanos) {
         if now < self.health.next_observation_at {
             return;
@@ -149,7 +151,8 @@
         let unchanged_loss = activity.unchanged.loss();
         let baseline = self.baseline.as_ref();
         let max_loss = baseline.map_or(1.0, |b| b.lost + self.plan.max_fleet_loss);
-        // A fault of all shows at the unchanged. Where only the changed do worse, the stage is completed and judged.
+        // A fault of the whole fleet shows at the unchanged nodes. If only the changed nodes are worse, the stage is
+        // completed and the sequential test decides.
         let loss = unchanged_loss.or(fleet_loss);
         self.health.record_loss(loss, max_loss, now);
         let fetches_per_s =
@@ -175,23 +178,25 @@
         self.actions.push(super::Action::Observe(observation));
     }
 
-    /// What all nodes did since the last observation.
+    /// Returns the activity of all nodes since the last observation.
     fn fleet_activity(&mut self) -> FleetActivity {
         let mut activity = FleetActivity::default();
         for node in &mut self.nodes {
-            let Some(report) = &node.latest else { continue };
-            let earlier = node.observed.replace(report.clone());
+            let Some(report) = &node.latest_report else {
+                continue;
+            };
+            let earlier = node.observed_report.replace(report.clone());
             let Some(earlier) = earlier.filter(|earlier| earlier != report) else {
                 continue;
             };
-            let done = report.since(&earlier);
-            activity.fetches += done.fetches;
+            let delta = report.since(&earlier);
+            activity.fetches += delta.fetches;
             let value = if node.phase == NodePhase::Changed {
                 &mut activity.changed
             } else {
                 &mut activity.unchanged
             };
-            for operation in &done.operations {
+            for operation in &delta.operations {
                 value.lost += operation.asked - operation.in_time;
                 value.requested += operation.asked;
             }
@@ -209,11 +214,13 @@
         }
     }
 
-    /// The fault of the whole fleet, for the operator.
+    /// Describes the fault of the whole fleet for the operator.
     pub(super) fn describe_fleet_fault(&self) -> String {
         let baseline = self.baseline.as_ref().map_or(0.0, |b| b.lost);
         let loss = 100.0 * self.health.fault_loss;
         let baseline = 100.0 * baseline;
-        format!("the whole fleet loses {loss:.1} % of the billed value, {baseline:.1} % before")
+        format!(
+            "the whole fleet loses {loss:.1} % of the billed value, {baseline:.1} % in the baseline"
+        )
     }
 }
--- a/crates/sparrouter-rollout/src/controller/node.rs
+++ b/crates/sparrouter-rollout/src/controller/node.rs
@@ -7,21 +7,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum NodePhase {
     Unchanged,
-    /// An earlier controller started a command, and its end is not known: it is run again.
+    /// An earlier controller started a command whose result is unknown; the command is run again.
     Interrupted(CommandKind),
-    /// Its command runs.
+    /// The node's command runs.
     RunningCommand(CommandKind),
-    /// Its command has succeeded, and it has yet to report as it should.
+    /// The node's command has succeeded, and the report that confirms its effect is pending.
     AwaitingReport(CommandKind),
     Changed,
-    /// Unchanged, and restarted in this stage.
+    /// The node is unchanged and was restarted in this stage.
     Restarted,
-    /// A command failed or had no effect: the node counts as unavailable and is left to the operator.
+    /// A command failed or had no effect; the node counts as unavailable and is left to the operator.
     Abandoned,
 }
 
 impl NodePhase {
-    /// Whether a command of this controller runs, or its effect is awaited.
+    /// Whether a command of this controller runs, or its effect is not confirmed yet.
     pub fn is_in_transition(self) -> bool {
         matches!(
             self,
@@ -29,7 +29,7 @@
         )
     }
 
-    /// Whether the node runs what it ran before the change.
+    /// Whether the change is not applied to the node.
     pub fn is_unchanged(self) -> bool {
         matches!(self, NodePhase::Unchanged | NodePhase::Restarted)
     }
@@ -38,18 +38,18 @@
 /// State of a node.
 pub(super) struct NodeState {
     pub phase: NodePhase,
-    /// When it entered its phase; 0 for one from an earlier controller.
+    /// Time at which the node entered its phase; 0 if an earlier controller recorded the phase.
     pub phase_since: Nanos,
-    /// Its latest report.
-    pub latest: Option<Report>,
-    /// When the latest report came; 0 before the first.
+    /// Latest report of the node.
+    pub latest_report: Option<Report>,
+    /// Time at which the latest report was received; 0 before the first report.
     pub reported_at: Nanos,
-    /// Its first report to this controller.
-    pub first: Option<Report>,
-    /// Its report at the end of the last sample of the stage.
-    pub sampled: Option<Report>,
-    /// Its report at the last observation of the whole fleet.
-    pub observed: Option<Report>,
+    /// First report that this controller received.
+    pub first_report: Option<Report>,
+    /// Report at the end of the last sample of the stage.
+    pub sampled_report: Option<Report>,
+    /// Report at the last observation of the whole fleet.
+    pub observed_report: Option<Report>,
 }
 
 impl Default for NodeState {
@@ -57,32 +57,32 @@
         NodeState {
             phase: NodePhase::Unchanged,
             phase_since: 0,
-            latest: None,
+            latest_report: None,
             reported_at: 0,
-            first: None,
-            sampled: None,
-            observed: None,
+            first_report: None,
+            sampled_report: None,
+            observed_report: None,
         }
     }
 }
 
 impl NodeState {
-    /// Enters a phase at a moment of this controller.
+    /// Enters a phase at time `now`.
     pub fn enter(&mut self, phase: NodePhase, now: Nanos) {
         self.phase = phase;
         self.phase_since = now;
     }
 
-    /// Enters a phase that a report has confirmed; samples start from that report.
+    /// Enters a phase that a report has confirmed; the next sample starts from that report.
     pub fn confirm(&mut self, phase: NodePhase, now: Nanos) {
         self.enter(phase, now);
-        self.sampled = self.latest.clone();
+        self.sampled_report = self.latest_report.clone();
     }
 
-    /// Keeps a report as the latest one.
+    /// Stores a report as the latest one.
     pub fn record_report(&mut self, report: Report, now: Nanos) {
         self.reported_at = now;
-        self.first.get_or_insert_with(|| report.clone());
-        self.latest = Some(report);
+        self.first_report.get_or_insert_with(|| report.clone());
+        self.latest_report = Some(report);
     }
 }
--- a/crates/sparrouter-rollout/src/controller/restore.rs
+++ b/crates/sparrouter-rollout/src/controller/restore.rs
@@ -4,7 +4,7 @@
 use crate::record::{CommandKind, Entry};
 
 impl RolloutController {
-    /// Applies one entry of the log.
+    /// Applies one entry of the log to the state.
     pub(super) fn restore(&mut self, entry: &Entry) {
         match entry {
             Entry::Plan { .. } | Entry::StagePassed { .. } => {}
@@ -12,7 +12,7 @@
             Entry::Stage { stage } => {
                 self.stage = *stage;
                 self.phase = Phase::ChangingNodes;
-                // Each stage restarts its unchanged nodes anew.
+                // Each stage restarts its unchanged nodes again.
                 let restarted = NodePhase::AwaitingReport(CommandKind::Restart);
                 for node in &mut self.nodes {
                     if node.phase == restarted {
--- a/crates/sparrouter-rollout/src/controller/stage.rs
+++ b/crates/sparrouter-rollout/src/controller/stage.rs
@@ -1,4 +1,4 @@
-//! Learns the baseline, and changes the nodes of a stage.
+//! Phases `LearningBaseline` and `ChangingNodes`: measures the baseline, and changes the nodes of a stage.
 use super::node::NodePhase;
 use super::{Phase, RolloutController};
 use crate::Nanos;
@@ -6,19 +6,19 @@
 use crate::judge::Judge;
 use crate::record::{CommandKind, Entry, Outcome};
 
-/// So many intervals after a node's start its fetches show.
-const FETCHES_SHOW_INTERVALS: u64 = 4;
+/// Number of sample intervals after a node's start until the rate of fetches reflects its cache misses.
+const FETCHES_DELAY_INTERVALS: u64 = 4;
 
-/// The nodes that are compared in a stage.
+/// The two groups of nodes that are compared in a stage.
 pub(super) struct Groups {
-    /// Those that the stage changes, in order.
+    /// Nodes that the stage changes, in order.
     pub changed: Vec<usize>,
-    /// As many of the last in the order, as far as there are, which stay unchanged.
+    /// Nodes that stay unchanged in the stage: the last nodes in the order, as many as `changed` if enough remain.
     pub unchanged: Vec<usize>,
 }
 
 impl Groups {
-    /// All nodes in alternation, so that both groups are as fresh when they are compared.
+    /// Returns the commands of both groups in alternation, so that both groups have the same uptime when compared.
     fn alternating(&self) -> Vec<(usize, CommandKind)> {
         let mut nodes = Vec::new();
         for index in 0..self.changed.len().max(self.unchanged.len()) {
@@ -32,23 +32,23 @@
 }
 
 impl RolloutController {
-    /// The phase `LearningBaseline`: waits for the bake time and a report of each node.
+    /// Runs one tick of the phase `LearningBaseline`: waits for the bake time and a report of each node.
     pub(super) fn learn_baseline(&mut self, now: Nanos) {
         let started_at = self.started_at(now);
         if now < started_at + self.plan.bake_time {
             return;
         }
-        if self.nodes.iter().any(|node| node.latest.is_none()) {
+        if self.nodes.iter().any(|node| node.latest_report.is_none()) {
             if now > started_at + self.plan.max_wait {
-                let missing = self.names_where(|node| self.nodes[node].latest.is_none());
-                self.finish(Outcome::Left(format!(
-                    "nothing done: no report from {missing}"
+                let missing = self.names_where(|node| self.nodes[node].latest_report.is_none());
+                self.finish(Outcome::LeftToOperator(format!(
+                    "no node was changed: no report from {missing}"
                 )));
             }
             return;
         }
         let activity = |node: &super::NodeState| {
-            let (first, latest) = (node.first.as_ref()?, node.latest.as_ref()?);
+            let (first, latest) = (node.first_report.as_ref()?, node.latest_report.as_ref()?);
             Some(NodeActivity::between(first, latest))
         };
         let activities: Vec<Option<NodeActivity>> = self.nodes.iter().map(activity).collect();
@@ -98,10 +98,10 @@
         }
     }
 
-    /// The phase `ChangingNodes`.
+    /// Runs one tick of the phase `ChangingNodes`.
     pub(super) fn change_nodes(&mut self, now: Nanos) {
         let groups = self.groups();
-        // What an earlier controller left interrupted goes first: it counts as unavailable.
+        // Commands that an earlier controller left interrupted are run first, as their nodes count as unavailable.
         let is_interrupted =
             |node: &usize| matches!(self.nodes[*node].phase, NodePhase::Interrupted(_));
         if let Some(node) = (0..self.nodes.len()).find(is_interrupted) {
@@ -127,9 +127,9 @@
                 .filter(is_unchanged)
                 .collect(),
         };
-        let wanted = remaining.alternating();
-        if !wanted.is_empty() {
-            return self.start_changes(wanted, now);
+        let commands = remaining.alternating();
+        if !commands.is_empty() {
+            return self.start_changes(commands, now);
         }
         let is_ready = |node: &usize| {
             matches!(
@@ -142,19 +142,19 @@
         }
     }
 
-    /// Starts the next commands of a stage, unless the fleet or the origin suffers.
-    fn start_changes(&mut self, mut wanted: Vec<(usize, CommandKind)>, now: Nanos) {
+    /// Starts the next commands of a stage, unless the fleet has a fault or the origin is overloaded.
+    fn start_changes(&mut self, mut commands: Vec<(usize, CommandKind)>, now: Nanos) {
         if let Some(since) = self.health.fault_since {
             if now > since + self.plan.max_wait {
                 let fault = self.describe_fleet_fault();
-                self.start_rollback(format!("{fault}, while nodes are changed and for too long"));
+                self.start_rollback(format!("{fault}, for too long while nodes are changed"));
             }
             return;
         }
         if let Some(since) = self.health.overload_since {
             if now > since + self.plan.max_wait {
                 self.start_rollback(
-                    "more fetches than the origin can bear while nodes are changed, and for too long"
+                    "more fetches than the origin can serve, for too long while nodes are changed"
                         .to_string(),
                 );
             }
@@ -162,22 +162,25 @@
         }
         let last_transition_at = self.last_transition_at();
         if self.plan.changes_placement {
-            // One node at a time, and its cost to the origin shows before the next: of nodes that were started together
-            // all keys missed before any of it showed.
-            let shows_at = last_transition_at + FETCHES_SHOW_INTERVALS * self.plan.sample_interval;
-            if self.is_any_in_transition() || now < shows_at {
+            // Nodes are changed one at a time, and the next one waits until the fetches reflect the last one. If nodes were
+            // started together, all their keys would miss before the overload is visible.
+            let fetches_visible_at =
+                last_transition_at + FETCHES_DELAY_INTERVALS * self.plan.sample_interval;
+            if self.is_any_in_transition() || now < fetches_visible_at {
                 return;
             }
-            wanted.truncate(1);
+            commands.truncate(1);
         }
-        let has_started = self.start_commands(&wanted, now);
+        let has_started = self.start_commands(&commands, now);
         if !has_started && now > last_transition_at + self.plan.max_wait {
-            let name = self.name(wanted[0].0);
-            self.start_rollback(format!("{name} could not be taken down: others are"));
+            let name = self.name(commands[0].0);
+            self.start_rollback(format!(
+                "{name} could not be taken down: other nodes are unavailable"
+            ));
         }
     }
 
-    /// Begins to watch the stage.
+    /// Starts to watch the stage.
     fn start_baking(&mut self, now: Nanos) {
         self.phase = Phase::Baking {
             since: now,
@@ -185,7 +188,7 @@
         };
         self.next_sample_at = now + self.plan.sample_interval;
         for node in &mut self.nodes {
-            node.sampled = node.latest.clone();
+            node.sampled_report = node.latest_report.clone();
         }
         let judge = self.judge.get_or_insert_with(|| {
             Judge::new(
--- a/crates/sparrouter-rollout/src/history.rs
+++ b/crates/sparrouter-rollout/src/history.rs
@@ -1,5 +1,5 @@
-//! History of a rollout, kept beside the log for its page. No decision depends on it, so nothing waits for its writes,
-//! and their errors stop nothing.
+//! History of a rollout for its HTML page, stored next to the log. No decision depends on the history, so its writes are
+//! not synced and its write errors are ignored.
 use crate::controller::Observation;
 use crate::record::Outcome;
 use serde::{Deserialize, Serialize};
@@ -8,42 +8,42 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// One line of the history, as JSON with the names of earlier versions. Times are seconds since 1970.
+/// One line of the history file, as JSON whose names are those of earlier versions. Times are in seconds since 1970.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum HistoryLine {
     /// A line was printed for the operator.
     #[serde(rename = "Said")]
     Printed {
-        /// When.
+        /// Time of the event, in seconds since 1970.
         #[serde(rename = "at")]
         time: f64,
-        /// The line.
+        /// Text of the line.
         text: String,
     },
-    /// An interval of the fleet was observed.
+    /// The fleet was observed for one interval.
     #[serde(rename = "Seen")]
     Observed {
-        /// When.
+        /// Time of the event, in seconds since 1970.
         #[serde(rename = "at")]
         time: f64,
-        /// What it showed.
+        /// Measurements of the interval.
         #[serde(rename = "seen")]
         observation: Observation,
     },
     /// The rollout ended.
     #[serde(rename = "Ended")]
     Finished {
-        /// When.
+        /// Time of the event, in seconds since 1970.
         #[serde(rename = "at")]
         time: f64,
-        /// How.
+        /// Outcome of the rollout.
         #[serde(rename = "how")]
         outcome: Outcome,
     },
 }
 
 impl HistoryLine {
-    /// When the line was written, in seconds since 1970.
+    /// Time at which the line was written, in seconds since 1970.
     pub fn time(&self) -> f64 {
         match self {
             HistoryLine::Printed { time, .. }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Wall-clock time in seconds since 1970.
+/// Current wall-clock time in seconds since 1970.
 pub fn unix_time() -> f64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.unwrap_or_default().as_secs_f64()
@@ -65,11 +65,11 @@
     PathBuf::from(name)
 }
 
-/// The history file, if it could be opened.
+/// The open history file; `None` if it could not be opened.
 pub struct History(Option<File>);
 
 impl History {
-    /// Opens the history beside a log, and creates it if there is none.
+    /// Opens the history file of a log, and creates it if it does not exist.
     pub fn open(log: &Path) -> History {
         let file = OpenOptions::new()
             .create(true)
@@ -78,7 +78,7 @@
         History(file.ok())
     }
 
-    /// Adds a line. Where it cannot be written, the page will miss it.
+    /// Appends a line. A line that cannot be written is missing from the page.
     pub fn add(&mut self, line: &HistoryLine) {
         if let (Some(file), Ok(mut text)) = (&mut self.0, serde_json::to_vec(line)) {
             text.push(b'\n');
@@ -87,7 +87,7 @@
     }
 }
 
-/// The lines of the history beside a log, without those that cannot be read, such as an incomplete last one.
+/// Reads the history of a log. Lines that cannot be parsed, such as an incomplete last line, are skipped.
 pub fn read(log: &Path) -> Vec<HistoryLine> {
     let text = std::fs::read(history_path(log)).unwrap_or_default();
     text.split(|byte| *byte == b'\n')
--- a/crates/sparrouter-rollout/src/judge.rs
+++ b/crates/sparrouter-rollout/src/judge.rs
@@ -1,57 +1,59 @@
-//! Tells harm from chance: changed nodes against unchanged ones that were restarted just as lately, in the same
-//! intervals, with the node as the unit.
+//! Sequential test that distinguishes harm from random variation. It compares changed nodes with unchanged nodes that
+//! were restarted at about the same time, over the same intervals; the unit of observation is the node.
 //!
-//! A sequential test by betting (Waudby-Smith and Ramdas, "Estimating means of bounded random variables by betting",
-//! 2024): in each interval a stake is laid on the changed nodes doing worse than the others by more than a margin.
-//! Where they do not, the expected wealth never grows, so that by Ville's inequality (1939) it reaches 1/a for at most a
-//! fraction a of all harmless changes, however often one looks. Two groups of one size drawn by hash may be swapped:
-//! their difference is as likely to be x as -x, also when clamped to a range, so its mean is 0. Nodes differ for good:
-//! each is compared with its own baseline, and the margin holds what the unchanged still differ by.
+//! The method is a sequential test by betting (Waudby-Smith and Ramdas, "Estimating means of bounded random variables by
+//! betting", 2024). In each interval the test bets that the changed nodes are worse than the unchanged ones by more than
+//! a margin. If they are not, the expected wealth never grows, and by Ville's inequality (1939) the wealth reaches 1/a
+//! for at most a fraction a of all harmless changes, however often the test is evaluated.
+//!
+//! Two groups of the same size selected by hash are exchangeable: without harm their difference is as likely to be x as
+//! -x, also when clamped to a range, so its mean is 0. Nodes differ permanently, so each node is compared with its own
+//! baseline, and the margin covers the remaining differences among unchanged nodes.
 use crate::baseline::{Baseline, Measurements};
 
-/// Stakes, as fractions of the most that may be laid.
+/// Stakes of the bets, as fractions of the maximum stake.
 const STAKES: [f64; 3] = [0.9, 0.45, 0.15];
-/// The margin holds so many standard deviations of what unchanged nodes differ by.
+/// Width of the margin beyond `min_harm`, in standard deviations of the differences among unchanged nodes.
 const MARGIN_DEVIATIONS: f64 = 3.0;
-/// Differences are clamped to so many margins.
-const CLAMP: f64 = 3.0;
-/// The same for measures of rare events, which come in bursts.
-const BURSTY_CLAMP: f64 = 30.0;
+/// Multiple of the margin to which differences are clamped.
+const CLAMP_MARGINS: f64 = 3.0;
+/// Multiple of the margin to which differences of bursty measures are clamped.
+const BURSTY_CLAMP_MARGINS: f64 = 30.0;
 
-/// A node's measurements in one interval.
+/// Measurements of a node in one interval.
 #[derive(Clone, Debug)]
 pub struct NodeSample {
     /// Index of the node.
     pub node: usize,
-    /// Its values.
+    /// The node's value of each measure.
     pub values: Measurements,
 }
 
-/// The measure that speaks most for harm.
+/// The measure with the strongest evidence of harm.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// Its name.
+    /// Name of the measure.
     pub measure: String,
-    /// What its stakes have grown to from 1.
+    /// Wealth of the bets on this measure, initially 1.
     pub wealth: f64,
-    /// The wealth as a fraction of what the test requires: from 1 on it is harm.
+    /// The wealth as a fraction of the required wealth; 1 or more means harm.
     pub evidence: f64,
-    /// By how much changed nodes were worse in the last interval.
+    /// Amount by which changed nodes were worse in the last interval, as a fraction.
     pub difference: f64,
 }
 
-/// How a node's value of one measure differs from its baseline.
+/// Deviation of a node's value of one measure from its baseline.
 #[derive(Clone, Copy)]
 struct Deviation {
     node: usize,
     value: f64,
 }
 
-/// The changed and the unchanged nodes in one interval, by one measure.
+/// Comparison of the changed and the unchanged nodes in one interval by one measure.
 struct Comparison {
-    /// By how much the changed ones are worse.
+    /// Amount by which the changed nodes are worse.
     difference: f64,
-    /// What the difference has to exceed to count as harm.
+    /// Minimum difference that counts as harm.
     margin: f64,
 }
 
@@ -83,39 +85,40 @@
     values
 }
 
-/// The difference of the two groups' medians, those that lie closest: the lower median of the changed, the upper one of
-/// the unchanged. A node may enter a state by chance and stay there (connections that it takes for short-lived, for
-/// example): then intervals are not independent, and one such node had the whole change rolled back.
+/// Returns the difference of the lower median of the changed nodes and the upper median of the unchanged nodes; `None` if
+/// a group has fewer than two nodes. Medians are used because a node may enter a state by chance and stay in it (it
+/// treats its connections as short-lived, for example). Intervals are not independent then, and with means one such node
+/// caused the whole change to be rolled back.
 fn median_difference(changed: &[Deviation], unchanged: &[Deviation]) -> Option<f64> {
     let (changed, unchanged) = (ascending(changed), ascending(unchanged));
     let are_groups = changed.len() > 1 && unchanged.len() > 1;
     are_groups.then(|| changed[(changed.len() - 1) / 2] - unchanged[unchanged.len() / 2])
 }
 
-/// The test of one rollout.
+/// The sequential test of one rollout.
 pub struct Judge {
     baseline: Baseline,
     measure_names: Vec<String>,
-    /// By measure, the harm up to which a change is not stopped.
+    /// Harm up to which a change is not stopped, by measure.
     min_harm: Vec<f64>,
-    /// By stage so far and measure, the wealth of each stake of the test begun with that stage. They are averaged, with
-    /// those of stages to come at 1: evidence of earlier stages counts on, and harm that begins late meets a stake that
-    /// has not shrunk.
+    /// Wealth of each stake, by stage and measure; a new test starts with each stage. The wealth of all stages is
+    /// averaged, where future stages count as 1. Evidence from earlier stages thus still counts, and for harm that starts
+    /// late there is a test whose wealth has not shrunk.
     wealth: Vec<Vec<[f64; STAKES.len()]>>,
     stages: usize,
-    /// By measure and node, the mean difference of unchanged nodes from their baseline.
+    /// Mean deviation of unchanged nodes from their baseline, by measure and node.
     unchanged_means: Vec<Vec<RunningMean>>,
-    /// The wealth that the test requires.
+    /// Wealth from which a change counts as harmful.
     required_wealth: f64,
-    /// Intervals of this stage in which both groups were compared.
+    /// Number of intervals of this stage in which both groups were compared.
     compared_intervals: usize,
 }
 
 impl Judge {
-    /// A test before its first stage.
+    /// Creates a test before its first stage.
     ///
-    /// `min_harm`: fraction of the billed value up to which harm is not worth a stop. `false_stop_rate`: fraction of the
-    /// harmless changes that may be stopped, in all `stages` together.
+    /// `min_harm` is the harm up to which a change is not stopped, as a fraction of the billed value. `false_stop_rate` is
+    /// the maximum fraction of harmless changes that are stopped, over all `stages` together.
     pub fn new(
         baseline: Baseline,
         nodes: usize,
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Begins the test of a stage.
+    /// Starts the test of a stage.
     pub fn begin_stage(&mut self) {
         if self.wealth.len() < self.stages {
             let measures = self.min_harm.len();
@@ -148,12 +151,13 @@
         self.compared_intervals = 0;
     }
 
-    /// Intervals of this stage in which both groups were compared.
+    /// Returns the number of intervals of this stage in which both groups were compared.
     pub fn compared_intervals(&self) -> usize {
         self.compared_intervals
     }
 
-    /// Takes what changed and unchanged nodes did in one interval. One in which a group is empty says nothing.
+    /// Compares the samples of changed and unchanged nodes of one interval, and returns the measure with the strongest
+    /// evidence. An interval in which a group is empty is ignored.
     pub fn compare(&mut self, changed: &[NodeSample], unchanged: &[NodeSample]) -> Option<Finding> {
         if changed.is_empty() || unchanged.is_empty() {
             return None;
@@ -199,7 +203,7 @@
         if changed.is_empty() || unchanged.is_empty() {
             return None;
         }
-        // The margin by what was seen before this interval: a stake may not know the outcome that it is laid on.
+        // The margin depends only on earlier intervals: a bet must not depend on the outcome that it bets on.
         let standard_deviation = self.standard_deviation(measure);
         for deviation in &unchanged {
             self.unchanged_means[measure][deviation.node].add(deviation.value);
@@ -215,16 +219,16 @@
         Some(Comparison { difference, margin })
     }
 
-    /// Lays each stake of each stage's test on the difference exceeding the margin.
+    /// Bets each stake of each stage's test that the difference exceeds the margin.
     fn bet(&mut self, measure: usize, comparison: &Comparison) {
         let Comparison { difference, margin } = *comparison;
         let clamp = if Baseline::is_bursty(measure) {
-            BURSTY_CLAMP
+            BURSTY_CLAMP_MARGINS
         } else {
-            CLAMP
+            CLAMP_MARGINS
         };
         let excess = difference.clamp(-clamp * margin, clamp * margin) - margin;
-        // With a larger stake the wealth could fall below 0.
+        // With a larger stake the wealth could become negative.
         let max_stake = 1.0 / ((clamp + 1.0) * margin);
         for stage in &mut self.wealth {
             for (wealth, stake) in stage[measure].iter_mut().zip(STAKES) {
@@ -233,22 +237,23 @@
         }
     }
 
-    /// The wealth of a measure, averaged over stakes and stages; stages to come count as 1.
+    /// Returns the wealth of a measure, averaged over stakes and stages; future stages count as 1.
     fn mean_wealth(&self, measure: usize) -> f64 {
-        let begun = self.wealth.iter().flat_map(|stage| &stage[measure]);
-        let begun = begun.sum::<f64>() / STAKES.len() as f64;
-        let to_come = (self.stages - self.wealth.len()) as f64;
-        (begun + to_come) / self.stages as f64
+        let started = self.wealth.iter().flat_map(|stage| &stage[measure]);
+        let started = started.sum::<f64>() / STAKES.len() as f64;
+        let future = (self.stages - self.wealth.len()) as f64;
+        (started + future) / self.stages as f64
     }
 
-    /// The intervals that the clearest harm takes to be found.
+    /// Returns the number of intervals after which the strongest possible harm is detected.
     pub fn min_intervals(&self) -> usize {
-        let growth = 1.0 + STAKES[0] * (CLAMP - 1.0) / (CLAMP + 1.0);
+        let growth = 1.0 + STAKES[0] * (CLAMP_MARGINS - 1.0) / (CLAMP_MARGINS + 1.0);
         let required = self.required_wealth * (STAKES.len() * self.stages) as f64;
         (required.ln() / growth.ln()).ceil() as usize
     }
 
-    /// Standard deviation of the unchanged nodes' means; with fewer than two of them the least harm worth a stop.
+    /// Returns the standard deviation of the unchanged nodes' means, or `min_harm` of the measure with fewer than two
+    /// nodes.
     fn standard_deviation(&self, measure: usize) -> f64 {
         let means: Vec<f64> = self.unchanged_means[measure]
             .iter()
@@ -267,10 +272,11 @@
 mod tests {
     use super::*;
 
-    /// Index of the measure of connections opened.
+    /// Index of the measure `opened` (connections opened).
     const OPENED: usize = 5;
 
-    /// The highest evidence in 200 intervals with these values of connections opened; nothing else differs.
+    /// Returns the highest evidence over 200 intervals in which the nodes have these values of `opened` and 0 for all
+    /// other measures.
     fn max_evidence(changed: &[f64], unchanged: &[f64]) -> f64 {
         let nodes = changed.len() + unchanged.len();
         let measures = Baseline::default().measure_count();
@@ -299,10 +305,10 @@
             .fold(0.0, f64::max)
     }
 
-    /// A harmless change was rolled back as one node opened connections again and again: intervals are not independent
-    /// where a node stays in a state that it entered by chance.
+    /// Guards against the rollback of a harmless change because one node keeps opening connections: intervals are not
+    /// independent if a node stays in a state that it entered by chance.
     #[test]
-    fn one_node_in_a_lasting_state_is_no_harm_and_all_of_them_are() {
+    fn one_outlier_node_is_not_harm_but_all_changed_nodes_are() {
         assert!(max_evidence(&[1.0], &[0.0]) < 1.0);
         assert!(max_evidence(&[1.0, 0.0], &[0.0, 0.0]) < 1.0);
         assert!(max_evidence(&[1.0, 1.0], &[1.0, 0.0]) < 1.0);
--- a/crates/sparrouter-rollout/src/lib.rs
+++ b/crates/sparrouter-rollout/src/lib.rs
@@ -1,18 +1,19 @@
-//! Progressive delivery: a change of many nodes in stages, judged against unchanged nodes and rolled back where it harms.
+//! Progressive delivery: changes the nodes of a fleet in stages, compares them with unchanged nodes, and rolls back a
+//! harmful change.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`plan`] | the plan file: what is changed at which nodes, in which stages, and what stops it |
+//! | [`plan`] | the plan file: nodes, commands, stages, and the limits that stop a rollout |
 //! | [`stages`] | the order of the nodes and the sizes of the stages |
-//! | [`baseline`] | what the fleet was like before the change, and the measures that are compared |
-//! | [`judge`] | sequential test that tells harm from chance |
-//! | [`controller`] | decides what is done next: events and the clock in, actions out |
-//! | [`record`] | the controller's log on disk, written before each action |
-//! | [`run`] | carries the actions out: commands, report files, log |
-//! | [`history`] | what was seen and printed, kept for the page |
-//! | [`page`] | the HTML page of a change |
+//! | [`baseline`] | measurements of the fleet before the change, and the measures that are compared |
+//! | [`judge`] | sequential test that distinguishes harm from random variation |
+//! | [`controller`] | state machine of a rollout: takes events and the time, returns actions |
+//! | [`record`] | write-ahead log of the controller on disk |
+//! | [`run`] | executes the actions: commands, report files, log |
+//! | [`history`] | observations and printed lines, stored for the page |
+//! | [`page`] | the HTML page of a rollout |
 //!
-//! All but the last four are without I/O and clock. Uses upper to lower: `run` uses all others.
+//! All modules but the last four are free of I/O and read no clock. `run` uses all other modules.
 pub mod baseline;
 pub mod controller;
 pub mod history;
@@ -25,7 +26,7 @@
 
 pub use sparrouter_report as report;
 
-/// A moment or a length of time in nanoseconds, of a clock that only advances.
+/// Point in time or duration in nanoseconds, by a monotonic clock.
 pub type Nanos = u64;
 
 /// One second in nanoseconds.
--- a/crates/sparrouter-rollout/src/main.rs
+++ b/crates/sparrouter-rollout/src/main.rs
@@ -1,6 +1,7 @@
-//! The program `sparrouter-rollout`: changes many nodes in stages; see docs/operating/rollout.md.
+//! The program `sparrouter-rollout`, which changes many nodes in stages; see docs/operating/rollout.md.
 //!
-//! Exit status 0: every node is changed; 1: rolled back or left to the operator; 2: an error.
+//! The exit status is 0 if every node is changed, 1 if the change was rolled back or left to the operator, and 2 for an
+//! error.
 use clap::{Parser, Subcommand};
 use sparrouter_rollout::plan::Plan;
 use sparrouter_rollout::record::{Entry, Outcome, RecordError};
@@ -12,7 +13,7 @@
 #[derive(Parser)]
 #[command(
     version,
-    about = "Changes many nodes in stages, and takes the change back where a stage does worse"
+    about = "Changes many nodes in stages, and rolls the change back if a stage is harmful"
 )]
 struct Cli {
     #[command(subcommand)]
@@ -21,33 +22,33 @@
 
 #[derive(Subcommand)]
 enum Operation {
-    /// Say what would be done, and do nothing
+    /// Print the stages of a plan without changing any node
     Plan { plan: PathBuf },
-    /// Begin a change and see it through
+    /// Start a rollout and run it to its end
     Run {
         plan: PathBuf,
         #[arg(long)]
         log: Option<PathBuf>,
     },
-    /// Go on where a conductor was ended
+    /// Continue a rollout whose controller was stopped
     Resume {
         plan: PathBuf,
         #[arg(long)]
         log: Option<PathBuf>,
     },
-    /// Take a change back: asks the conductor at work, or does it itself
+    /// Roll a change back: requests it from the running controller, or does it itself
     Back {
         plan: PathBuf,
         #[arg(long)]
         log: Option<PathBuf>,
     },
-    /// Have the conductor at work stop and leave all as it is
+    /// Request the running controller to stop and leave all nodes as they are
     Stop {
         plan: PathBuf,
         #[arg(long)]
         log: Option<PathBuf>,
     },
-    /// Write the page of a change, with its plots and reasons: PLAN.html beside the plan
+    /// Write the HTML page of a rollout with plots and decisions, by default PLAN.html next to the plan
     Page {
         plan: PathBuf,
         #[arg(long)]
@@ -55,7 +56,7 @@
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Say how far a change has come
+    /// Print the progress of a rollout
     Status {
         plan: PathBuf,
         #[arg(long)]
@@ -63,16 +64,16 @@
     },
 }
 
-/// The log's path: as given, or beside the plan.
+/// Returns the path of the log: `log`, or by default a file next to the plan.
 fn log_path(plan: &Path, log: Option<PathBuf>) -> PathBuf {
     log.unwrap_or_else(|| plan.with_extension("log"))
 }
 
-/// Names and zones of these nodes.
+/// Formats the names and zones of these nodes.
 fn describe_nodes(plan: &Plan, nodes: &[usize]) -> String {
     let describe = |&node: &usize| format!("{} ({})", plan.nodes[node].name, plan.nodes[node].zone);
-    let described: Vec<String> = nodes.iter().map(describe).collect();
-    described.join(", ")
+    let descriptions: Vec<String> = nodes.iter().map(describe).collect();
+    descriptions.join(", ")
 }
 
 fn print_plan(plan: &Plan) {
@@ -89,12 +90,12 @@
     for (stage, size) in sizes.into_iter().enumerate() {
         let unchanged = (size - previous_size).min(order.len() - size);
         let compared_with = match unchanged {
-            0 => "the fleet's own past".to_string(),
+            0 => "the baseline of the fleet".to_string(),
             _ => describe_nodes(plan, &order[order.len() - unchanged..]),
         };
         let changed = describe_nodes(plan, &order[previous_size..size]);
         println!("stage {}: changes {changed}", stage + 1);
-        println!("         beside {compared_with}");
+        println!("         compared with {compared_with}");
         previous_size = size;
     }
 }
@@ -102,7 +103,7 @@
 fn print_entry(entry: &Entry) {
     match entry {
         Entry::Baseline { baseline } => println!(
-            "before: {:.2} % of the billed value lost",
+            "baseline: {:.2} % of the billed value lost",
             100.0 * baseline.lost
         ),
         Entry::Plan { name, .. } => println!("plan {name}"),
@@ -113,15 +114,11 @@
             command,
             succeeded,
         } => {
-            let result = if *succeeded {
-                "over"
-            } else {
-                "came to nothing"
-            };
+            let result = if *succeeded { "succeeded" } else { "failed" };
             println!("  {node}: {command} {result}");
         }
         Entry::StagePassed { stage } => println!("stage {} passed", stage + 1),
-        Entry::RollbackStarted { reason } => println!("going back: {reason}"),
+        Entry::RollbackStarted { reason } => println!("rolling back: {reason}"),
         Entry::Finished { outcome } => println!("ended: {outcome}"),
     }
 }
@@ -130,7 +127,7 @@
     let entries = run::read_log(log)?;
     entries.iter().for_each(print_entry);
     if !matches!(entries.last(), Some(Entry::Finished { .. })) {
-        println!("not ended: a conductor is at work, or `resume` goes on");
+        println!("not ended: a controller is running, or `resume` continues");
     }
     Ok(())
 }
@@ -148,9 +145,9 @@
     run::run(plan, log, mode, |line| println!("{line}"))
 }
 
-/// Takes the change back; asks the controller at work to do it, if there is one.
-fn take_back(plan: &Path, log: &Path) -> Result<Option<Outcome>, RunError> {
-    match run_rollout(plan, log, Mode::Back) {
+/// Rolls the change back, or requests it from the running controller if there is one.
+fn roll_back(plan: &Path, log: &Path) -> Result<Option<Outcome>, RunError> {
+    match run_rollout(plan, log, Mode::RollBack) {
         Err(RunError::Record(RecordError::Busy { .. })) => {
             submit(OperatorRequest::RollBack, log).map(|()| None)
         }
@@ -160,11 +157,11 @@
 
 fn submit(request: OperatorRequest, log: &Path) -> Result<(), RunError> {
     request.submit(log)?;
-    println!("asked; `status` tells");
+    println!("request submitted; `status` prints the progress");
     Ok(())
 }
 
-/// Does what the command line asks for; the outcome of a rollout that ended.
+/// Executes the operation of the command line. Returns the outcome of the rollout, if one ended.
 fn perform(operation: Operation) -> Result<Option<Outcome>, RunError> {
     match operation {
         Operation::Plan { plan } => print_plan(&run::load(&plan)?.plan),
@@ -178,7 +175,7 @@
         }
         Operation::Back { plan, log } => {
             let log = log_path(&plan, log);
-            return take_back(&plan, &log);
+            return roll_back(&plan, &log);
         }
         Operation::Stop { plan, log } => submit(OperatorRequest::Stop, &log_path(&plan, log))?,
         Operation::Page { plan, log, out } => {
@@ -195,7 +192,7 @@
         Ok(None) => ExitCode::SUCCESS,
         Ok(Some(outcome)) => {
             println!("{outcome}");
-            if outcome == Outcome::Through {
+            if outcome == Outcome::Completed {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::from(1)
--- a/crates/sparrouter-rollout/src/page.rs
+++ b/crates/sparrouter-rollout/src/page.rs
@@ -1,4 +1,4 @@
-//! The HTML page of a rollout: what was observed, interval by interval, and the reason for each decision.
+//! HTML page of a rollout: plots of the observations, and a table of the decisions with their reasons.
 mod plot;
 
 use crate::controller::{Observation, PhaseName};
@@ -18,7 +18,7 @@
         .replace('>', "&gt;")
 }
 
-/// The page as text. `entries` are those of the log; the history is read from beside it.
+/// Returns the page as HTML. `entries` are the entries of the log; the history file is read from next to the log.
 pub fn page(plan: &Plan, log: &Path, entries: &[Entry]) -> String {
     let page = Page::new(plan, history::read(log), entries);
     [
@@ -31,19 +31,19 @@
     .concat()
 }
 
-/// What the page is made of.
+/// Data of the page.
 struct Page<'a> {
     plan: &'a Plan,
     entries: &'a [Entry],
     lines: Vec<HistoryLine>,
-    /// Time of the first line, from which the page counts.
+    /// Time of the first line, in seconds since 1970; times on the page are relative to it.
     start: f64,
-    /// Where stages began and the change was stopped.
+    /// Times at which stages started and the rollout was stopped.
     markers: Vec<Marker>,
 }
 
-/// The interval that came nearest to a stop since the last printed line.
-struct NearestToStop<'a> {
+/// The observation with the strongest evidence of harm since the last printed line.
+struct StrongestEvidence<'a> {
     seconds: f64,
     observation: &'a Observation,
 }
@@ -81,13 +81,15 @@
         }
     }
 
-    /// The class and the text of how the rollout ended.
+    /// Returns the CSS class and the text of the rollout's outcome.
     fn outcome(&self) -> (&'static str, String) {
         match self.entries.last() {
             Some(Entry::Finished { outcome }) => match outcome {
-                Outcome::Through => ("through", "Every node is changed.".to_string()),
-                Outcome::Back(reason) => ("back", format!("Taken back: {reason}")),
-                Outcome::Left(reason) => ("left", format!("Left for a person: {reason}")),
+                Outcome::Completed => ("through", "Every node is changed.".to_string()),
+                Outcome::RolledBack(reason) => ("back", format!("Taken back: {reason}")),
+                Outcome::LeftToOperator(reason) => {
+                    ("left", format!("Left to the operator: {reason}"))
+                }
             },
             _ => ("", "Not ended.".to_string()),
         }
@@ -107,7 +109,7 @@
         )
     }
 
-    /// A value of all observations that have it, over time.
+    /// Returns one value of the observations over time; observations without the value are skipped.
     fn points(&self, value: impl Fn(&Observation) -> Option<f64>) -> Vec<Point> {
         let point = |line: &HistoryLine| match line {
             HistoryLine::Observed { time, observation } => {
@@ -141,7 +143,7 @@
         });
         let bound = baseline_loss.map(|loss| Level {
             value: 100.0 * (loss + self.plan.max_fleet_loss),
-            label: "bound of the whole fleet",
+            label: "maximum loss of the whole fleet",
         });
         let percent = |fraction: Option<f64>| fraction.map(|x| 100.0 * x);
         let curves = [
@@ -187,42 +189,43 @@
                 color: RED,
             },
             Curve {
-                name: "down or silent",
+                name: "unavailable",
                 points: self.points(|o| Some(o.unavailable_nodes as f64)),
                 color: GREY,
             },
         ];
         let level = Level {
             value: self.plan.max_unavailable as f64,
-            label: "down at once",
+            label: "maximum unavailable",
         };
         self.section("Nodes", "nodes", &curves, Some(level))
     }
 
-    /// The table of printed lines, with what came nearest to a stop before each.
+    /// Returns the table of printed lines; before each line stands the strongest evidence of harm since the previous one.
     fn decisions(&self) -> String {
-        let mut rows = String::from("<h2>What was done, and why</h2><table>");
-        let mut nearest: Option<NearestToStop> = None;
+        let mut rows = String::from("<h2>Decisions</h2><table>");
+        let mut strongest: Option<StrongestEvidence> = None;
         for line in &self.lines {
             match line {
                 HistoryLine::Observed { time, observation } => {
-                    let evidence = nearest.as_ref().map(|n| n.observation.evidence);
-                    let is_nearer = evidence.is_none_or(|evidence| evidence < observation.evidence);
-                    if observation.phase == PhaseName::Baking && is_nearer {
-                        nearest = Some(NearestToStop {
+                    let evidence = strongest.as_ref().map(|n| n.observation.evidence);
+                    let is_stronger =
+                        evidence.is_none_or(|evidence| evidence < observation.evidence);
+                    if observation.phase == PhaseName::Baking && is_stronger {
+                        strongest = Some(StrongestEvidence {
                             seconds: time - self.start,
                             observation,
                         });
                     }
                 }
                 HistoryLine::Printed { time, text } => {
-                    rows.extend(nearest.take().and_then(|nearest| nearest.row()));
+                    rows.extend(strongest.take().and_then(|strongest| strongest.row()));
                     rows.push_str(&table_row(time - self.start, text));
                 }
                 HistoryLine::Finished { .. } => {}
             }
         }
-        rows.extend(nearest.and_then(|nearest| nearest.row()));
+        rows.extend(strongest.and_then(|strongest| strongest.row()));
         rows.extend(self.last_row());
         rows.push_str("</table></html>");
         rows
@@ -236,12 +239,14 @@
     }
 }
 
-impl NearestToStop<'_> {
+impl StrongestEvidence<'_> {
     fn row(&self) -> Option<String> {
         let Observation {
             measure, evidence, ..
         } = self.observation;
-        let text = format!("nearest to a stop: {measure} at {evidence:.2} of the bound");
+        let text = format!(
+            "strongest evidence of harm: {measure} at {evidence:.2} of the required evidence"
+        );
         (!measure.is_empty()).then(|| table_row(self.seconds, &text))
     }
 }
--- a/crates/sparrouter-rollout/src/page/plot.rs
+++ b/crates/sparrouter-rollout/src/page/plot.rs
@@ -1,16 +1,15 @@
-//! Curves over time as SVG.
+//! Plots curves over time as SVG.
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
 use std::error::Error;
 
-/// Neutral, first and second colour of curves.
 pub(super) const GREY: RGBColor = RGBColor(127, 127, 127);
 pub(super) const BLUE: RGBColor = RGBColor(31, 119, 180);
 pub(super) const RED: RGBColor = RGBColor(214, 39, 40);
 const SIZE: (u32, u32) = (1100, 260);
 const FONT: (&str, i32) = ("sans-serif", 13);
 
-/// Seconds from the start and a value.
+/// A point of a curve: seconds since the start, and the value.
 pub(super) type Point = (f64, f64);
 
 pub(super) struct Curve {
@@ -19,13 +18,13 @@
     pub color: RGBColor,
 }
 
-/// A horizontal line with its label.
+/// A horizontal line with a label.
 pub(super) struct Level {
     pub value: f64,
     pub label: &'static str,
 }
 
-/// A vertical line with its label.
+/// A vertical line with a label.
 pub(super) struct Marker {
     pub seconds: f64,
     pub label: String,
@@ -42,7 +41,7 @@
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
 impl Plot<'_> {
-    /// The SVG element; an empty picture where drawing fails.
+    /// Returns the SVG element; an empty image if drawing fails.
     pub fn to_svg(&self) -> String {
         let mut svg = String::new();
         {
@@ -55,7 +54,7 @@
         svg
     }
 
-    /// End of the time axis and top of the value axis.
+    /// Returns the end of the time axis and the top of the value axis.
     fn ranges(&self) -> Point {
         let points = || self.curves.iter().flat_map(|curve| &curve.points);
         let end = points().map(|point| point.0).fold(1.0, f64::max);
@@ -79,9 +78,9 @@
             .y_desc(self.title)
             .draw()?;
         for marker in self.markers {
-            let foot = (marker.seconds, 0.0);
-            let head = (marker.seconds, top);
-            draw_line(&mut chart, [foot, head], 0.35, head, &marker.label)?;
+            let bottom = (marker.seconds, 0.0);
+            let top_end = (marker.seconds, top);
+            draw_line(&mut chart, [bottom, top_end], 0.35, top_end, &marker.label)?;
         }
         if let Some(level) = &self.level {
             let (left, right) = ((0.0, level.value), (end, level.value));
--- a/crates/sparrouter-rollout/src/plan/file.rs
+++ b/crates/sparrouter-rollout/src/plan/file.rs
@@ -1,4 +1,4 @@
-//! Reads a plan file: its TOML form, and the checks of its values.
+//! Parses a plan file (TOML) and validates its values.
 use super::{Command, FieldProblem, Node, Plan, PlanError};
 use crate::{Nanos, SECOND};
 use serde::Deserialize;
@@ -43,7 +43,7 @@
     down_at_once: Spanned<usize>,
 }
 
-/// A value that does not stand in the file.
+/// A default value for a field that is missing in the file.
 fn default<T>(value: T) -> Spanned<T> {
     Spanned::new(0..0, value)
 }
@@ -102,9 +102,9 @@
     }
 }
 
-/// A value that is not allowed, before its line is known.
+/// A rejected value, located by its byte offset; the line number is computed later.
 struct Rejection {
-    /// Offset of the value in the file.
+    /// Byte offset of the value in the file.
     offset: usize,
     field: &'static str,
     problem: FieldProblem,
@@ -118,7 +118,7 @@
     }
 }
 
-/// A time in seconds, over 0 and at most 1,000,000.
+/// Converts a time in seconds, which must be above 0 and at most 1,000,000.
 fn time(field: &'static str, value: &Spanned<f64>) -> Result<Nanos, Rejection> {
     match *value.get_ref() {
         seconds if seconds > 0.0 && seconds <= 1e6 => Ok((seconds * SECOND as f64) as Nanos),
@@ -126,7 +126,7 @@
     }
 }
 
-/// A fraction between 0 and 1, both excluded.
+/// Returns a fraction, which must be between 0 and 1, both excluded.
 fn fraction(field: &'static str, value: &Spanned<f64>) -> Result<f64, Rejection> {
     match *value.get_ref() {
         x if x > 0.0 && x < 1.0 => Ok(x),
@@ -137,10 +137,10 @@
 impl StagesSection {
     fn check(&self) -> Result<(), Rejection> {
         let fractions = self.fractions.get_ref();
-        let rises = fractions.windows(2).all(|pair| pair[0] < pair[1]);
+        let ascends = fractions.windows(2).all(|pair| pair[0] < pair[1]);
         let is_positive = fractions.first().is_some_and(|first| *first > 0.0);
-        if !rises || !is_positive || fractions.last() != Some(&1.0) {
-            let problem = FieldProblem::StagesDoNotRise(fractions.clone());
+        if !ascends || !is_positive || fractions.last() != Some(&1.0) {
+            let problem = FieldProblem::StagesNotAscending(fractions.clone());
             return Err(reject(&self.fractions, "stages.parts", problem));
         }
         let bake_time = time("stages.hold_s", &self.hold_s)?;
@@ -150,7 +150,7 @@
             return Err(reject(&self.longest_s, "stages.longest_s", problem));
         }
         if *self.down_at_once.get_ref() == 0 {
-            let problem = FieldProblem::NoneAtOnce;
+            let problem = FieldProblem::ZeroMaxUnavailable;
             return Err(reject(&self.down_at_once, "stages.down_at_once", problem));
         }
         Ok(())
@@ -167,7 +167,8 @@
         Ok(())
     }
 
-    /// Every key that moves is a miss at its new place: without a bound the origin gets all of them at once.
+    /// Requires a fetch limit if keys may move: every moved key is a miss at its new cache server, and without the limit
+    /// the origin gets all of these misses at once.
     fn check_placement(&self, bounds: &BoundsSection) -> Result<(), Rejection> {
         match &self.placement {
             Some(placement) if *placement.get_ref() && bounds.fetches_per_s.is_none() => {
@@ -191,8 +192,8 @@
     }
 }
 
-/// Checks that names are unique, commands are not empty, and there are two nodes to compare. `end` is the length of
-/// the file: what is missing is reported there.
+/// Checks that names are unique, commands are not empty, and there are at least two nodes to compare. `end` is the
+/// length of the file in bytes; missing nodes are reported at this offset.
 fn check_nodes(nodes: &[NodeSection], end: usize) -> Result<(), Rejection> {
     let mut names = BTreeSet::new();
     for node in nodes {
@@ -225,7 +226,7 @@
 }
 
 impl PlanFile {
-    /// Checks all values and converts them. `length` is that of the file in bytes.
+    /// Validates and converts all values. `length` is the length of the file in bytes.
     fn into_plan(self, length: usize) -> Result<Plan, Rejection> {
         self.stages.check()?;
         self.change.check_generation()?;
@@ -255,20 +256,20 @@
 }
 
 impl Plan {
-    /// Reads a plan file.
+    /// Parses and validates the text of a plan file.
     ///
-    /// Ranges: stages rise within (0, 1] to 1; times are over 0; bounds lie within (0, 1); there are at least two nodes,
-    /// each named once, without an empty command.
+    /// Stage fractions ascend within (0, 1] to 1, times are above 0, and `bounds` are within (0, 1). There are at least
+    /// two nodes with unique names and no empty command.
     ///
     /// # Errors
     ///
-    /// [`PlanError::Form`] where the text is not of the file's form, [`PlanError::Field`] for a value out of range.
+    /// [`PlanError::Form`] if the text does not parse, [`PlanError::Field`] if a value is out of range.
     pub fn read(text: &str) -> Result<Plan, PlanError> {
         let file: PlanFile = toml::from_str(text)?;
         file.into_plan(text.len()).map_err(|rejection| {
-            let before = &text[..rejection.offset.min(text.len())];
+            let preceding = &text[..rejection.offset.min(text.len())];
             PlanError::Field {
-                line: before.matches('\n').count() + 1,
+                line: preceding.matches('\n').count() + 1,
                 field: rejection.field,
                 problem: rejection.problem,
             }
--- a/crates/sparrouter-rollout/src/record.rs
+++ b/crates/sparrouter-rollout/src/record.rs
@@ -1,9 +1,9 @@
-//! The controller's log on disk: each entry is safe there before the controller acts on it.
+//! Write-ahead log of the controller: each entry is synced to disk before the controller acts on it.
 //!
-//! A record is the length of its text, the CRC-32 (IEEE) of these four bytes, the CRC-32 of the text, each as four
-//! bytes little-endian, and the text: an [`Entry`] as JSON. An incomplete record at the end is cut off, as nothing was
-//! done by it; anything else that does not fit is refused. The file is locked while it is open. Logs of earlier
-//! versions must stay readable, so the JSON keeps their names where the Rust names differ.
+//! A record consists of the length of its text, the CRC-32 (IEEE) of these four bytes, the CRC-32 of the text, each as
+//! four bytes little-endian, and the text: an [`Entry`] as JSON. An incomplete record at the end is truncated, as the
+//! controller has not acted on it yet; any other corruption is an error. The file is locked while it is open. Logs of
+//! earlier versions must stay readable, so the JSON keeps their names where the Rust names differ.
 use crate::baseline::Baseline;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -12,20 +12,20 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Which of a node's commands is run.
+/// Kind of a node's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandKind {
-    /// Puts the change in force.
+    /// Applies the change.
     Change,
-    /// Restarts an unchanged node as it is.
+    /// Restarts a node without a change.
     Restart,
-    /// Takes the change back.
+    /// Rolls the change back.
     #[serde(rename = "back")]
     RollBack,
 }
 
-/// The names that operators read in the printed lines.
+/// Formats the name as it appears in lines for the operator.
 impl fmt::Display for CommandKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -36,52 +36,51 @@
     }
 }
 
-/// How a rollout ended.
+/// Outcome of a rollout. The JSON keeps the variant names of earlier versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     /// Every node is changed.
-    Through,
+    #[serde(rename = "through")]
+    Completed,
     /// Every node is rolled back, for this reason.
-    Back(String),
-    /// The nodes are left as they are for an operator, for this reason.
-    Left(String),
+    #[serde(rename = "back")]
+    RolledBack(String),
+    /// The rollout stopped for this reason, and an operator has to decide about the nodes.
+    #[serde(rename = "left")]
+    LeftToOperator(String),
 }
 
-/// The line that operators read at the end.
+/// Formats the last line for the operator.
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Outcome::Through => f.write_str("every node is changed"),
-            Outcome::Back(reason) => write!(f, "taken back: {reason}"),
-            Outcome::Left(reason) => write!(f, "left for a person: {reason}"),
+            Outcome::Completed => f.write_str("every node is changed"),
+            Outcome::RolledBack(reason) => write!(f, "taken back: {reason}"),
+            Outcome::LeftToOperator(reason) => write!(f, "left to the operator: {reason}"),
         }
     }
 }
 
-// The earlier name of the type, which other packages still use.
-#[doc(hidden)]
-pub use Outcome as How;
-
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "is", rename_all = "snake_case")]
 pub enum Entry {
-    /// The rollout begins.
+    /// The rollout has started.
     Plan {
         /// Name of the plan.
         name: String,
-        /// CRC-32 of the plan file's text: another plan may not continue with this log.
+        /// CRC-32 of the plan file's text. A plan with another digest must not continue this log.
         digest: u32,
     },
     /// The baseline has been learnt.
     #[serde(rename = "past")]
     Baseline {
-        /// What the fleet was like before the change.
+        /// Measurements of the fleet before the change.
         #[serde(rename = "past")]
         baseline: Baseline,
     },
-    /// A stage begins.
+    /// A stage has started.
     Stage {
         /// Index of the stage, from 0.
         stage: usize,
@@ -103,7 +102,7 @@
         /// The command.
         #[serde(rename = "doing")]
         command: CommandKind,
-        /// Whether it ended with success and in time.
+        /// Whether the command succeeded within its time limit.
         #[serde(rename = "ok")]
         succeeded: bool,
     },
@@ -113,23 +112,23 @@
         /// Index of the stage, from 0.
         stage: usize,
     },
-    /// The rollback begins.
+    /// The rollback has started.
     #[serde(rename = "back")]
     RollbackStarted {
-        /// Why the change is taken back.
+        /// Reason for the rollback.
         #[serde(rename = "why")]
         reason: String,
     },
     /// The rollout has ended.
     #[serde(rename = "done")]
     Finished {
-        /// How it ended.
+        /// Outcome of the rollout.
         #[serde(rename = "how")]
         outcome: Outcome,
     },
 }
 
-/// Why the log cannot be used.
+/// Error of the log.
 #[derive(Debug, Error)]
 pub enum RecordError {
     /// The file cannot be opened, read or written.
@@ -141,48 +140,48 @@
         source: std::io::Error,
     },
     /// Another process has locked the log.
-    #[error("{path}: another conductor has it open; only one may act")]
+    #[error("{path}: another controller has locked the log; only one may run")]
     Busy {
         /// The log.
         path: String,
     },
-    /// The bytes are not what was written.
+    /// The log is corrupt.
     #[error(
-        "{path}: byte {offset} is not what was written ({problem}); nothing is done, look at the nodes by hand"
+        "{path}: corrupt record at byte {offset} ({problem}); nothing was done, check the nodes by hand"
     )]
     Corrupt {
         /// The log.
         path: String,
-        /// Offset of the record that does not fit.
+        /// Offset of the corrupt record in bytes.
         offset: usize,
-        /// What of it does not fit.
+        /// Part of the record that is corrupt.
         problem: &'static str,
     },
 }
 
-/// What a log's bytes hold.
+/// The decoded content of a log.
 pub struct DecodedLog {
-    /// The complete entries in order.
+    /// Entries of all complete records, in order.
     pub entries: Vec<Entry>,
-    /// Number of bytes that these entries take; what follows is an incomplete record.
+    /// Length of the complete records in bytes; any bytes after them are an incomplete record.
     pub complete_bytes: usize,
 }
 
-/// A log that is open and locked.
+/// An opened and locked log with its entries.
 pub struct OpenedLog {
-    /// The log, to append to.
+    /// The log, for appending.
     pub log: Log,
-    /// What it holds.
+    /// Entries that the log contains.
     pub entries: Vec<Entry>,
 }
 
-/// The open log. Its lock ends when it is dropped.
+/// The open log. Dropping it releases the lock.
 pub struct Log {
     file: File,
     path: String,
-    /// Bytes of complete records; the next one is written here.
+    /// Length of the complete records in bytes; the next record is written at this offset.
     length: u64,
-    /// A write failed: what is on disk is not known any more, and nothing is appended.
+    /// Whether a write has failed. The content on disk is unknown then, and nothing more is appended.
     failed: bool,
 }
 
@@ -193,14 +192,14 @@
     u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
 
-/// The text of the record at the start of `bytes`; `None` for an incomplete one.
+/// Returns the text of the record at the start of `bytes`; `None` if the record is incomplete.
 fn decode_text(bytes: &[u8]) -> Result<Option<&[u8]>, &'static str> {
-    // A machine that lost power may leave a file that is longer by zeros.
+    // A power failure may leave zeros at the end of the file.
     if bytes.len() < HEADER_LENGTH || bytes.iter().all(|b| *b == 0) {
         return Ok(None);
     }
     if u32_at(bytes, 4) != crc32fast::hash(&bytes[..4]) {
-        return Err("length");
+        return Err("checksum of the length");
     }
     let end = HEADER_LENGTH + u32_at(bytes, 0) as usize;
     if bytes.len() < end {
@@ -211,7 +210,7 @@
     match (u32_at(bytes, 8) == crc32fast::hash(text), is_last) {
         (true, _) => Ok(Some(text)),
         (false, true) => Ok(None),
-        (false, false) => Err("text"),
+        (false, false) => Err("checksum of the text"),
     }
 }
 
@@ -219,7 +218,7 @@
 ///
 /// # Errors
 ///
-/// [`RecordError::Corrupt`] where a record but the last does not fit its checksums, or its entry is not known.
+/// [`RecordError::Corrupt`] if a record other than the last has a wrong checksum, or an entry is unknown.
 pub fn decode(bytes: &[u8], path: &str) -> Result<DecodedLog, RecordError> {
     let mut entries = Vec::new();
     let mut offset = 0;
@@ -232,8 +231,7 @@
         let Some(text) = decode_text(&bytes[offset..]).map_err(corrupt)? else {
             break;
         };
-        let entry = serde_json::from_slice(text)
-            .map_err(|_| corrupt("an entry that this version does not know"))?;
+        let entry = serde_json::from_slice(text).map_err(|_| corrupt("unknown entry"))?;
         entries.push(entry);
         offset += HEADER_LENGTH + text.len();
     }
@@ -243,7 +241,7 @@
     })
 }
 
-/// [`decode`] under the name and form that other packages still use.
+/// As [`decode`], but returns the entries and the length of the complete records as a tuple.
 ///
 /// # Errors
 ///
@@ -253,13 +251,13 @@
     decode(bytes, path).map(|log| (log.entries, log.complete_bytes))
 }
 
-/// The bytes of an entry's record.
+/// Encodes an entry as a record.
 ///
 /// # Panics
 ///
-/// Never: an entry is plain values, which can always be written as JSON.
+/// Never: an entry consists of plain values, which always serialize to JSON.
 pub fn encode(entry: &Entry) -> Vec<u8> {
-    let text = serde_json::to_vec(entry).expect("an entry is plain values");
+    let text = serde_json::to_vec(entry).expect("an entry consists of plain values");
     let length = (text.len() as u32).to_le_bytes();
     let mut bytes = length.to_vec();
     bytes.extend(crc32fast::hash(&length).to_le_bytes());
@@ -268,7 +266,7 @@
     bytes
 }
 
-/// Opens a file without truncating it, creates it if need be, and reads it while holding its lock.
+/// Opens or creates a file, locks it and reads its content; `None` if another process has locked it.
 fn open_locked(path: &Path) -> std::io::Result<Option<(File, Vec<u8>)>> {
     let mut file = OpenOptions::new()
         .read(true)
@@ -284,19 +282,19 @@
     Ok(Some((file, bytes)))
 }
 
-/// Makes the file's name in its folder safe on disk.
+/// Syncs the folder of a file, so that the file's name is on disk.
 fn sync_folder(path: &Path) -> std::io::Result<()> {
     let folder = path.parent().filter(|p| !p.as_os_str().is_empty());
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
 }
 
 impl Log {
-    /// Opens and locks the log, creates it if there is none, and cuts off an incomplete record at its end.
+    /// Opens and locks the log, creates it if it does not exist, and truncates an incomplete record at its end.
     ///
     /// # Errors
     ///
-    /// [`RecordError::Busy`] where another process has it open, [`RecordError::Corrupt`] where it cannot be decoded,
-    /// [`RecordError::Io`] for errors of the system.
+    /// [`RecordError::Busy`] if another process has locked the log, [`RecordError::Corrupt`] if it cannot be decoded,
+    /// [`RecordError::Io`] for I/O errors.
     pub fn open(path: &Path) -> Result<OpenedLog, RecordError> {
         let name = path.display().to_string();
         let io = |source| RecordError::Io {
@@ -325,11 +323,12 @@
         })
     }
 
-    /// Appends an entry, and returns once it is safe on disk.
+    /// Appends an entry, and returns once it is synced to disk.
     ///
     /// # Errors
     ///
-    /// [`RecordError::Io`] where it could not be written. Then nothing more is appended, and the caller must not act.
+    /// [`RecordError::Io`] if the entry could not be written. No further entry is appended then, and the caller must not
+    /// act on the entry.
     pub fn append(&mut self, entry: &Entry) -> Result<(), RecordError> {
         let bytes = encode(entry);
         if let Err(source) = self.write(&bytes) {
@@ -346,7 +345,7 @@
 
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         if self.failed {
-            return Err(std::io::Error::other("an earlier write came to nothing"));
+            return Err(std::io::Error::other("an earlier write to the log failed"));
         }
         self.file.seek(SeekFrom::Start(self.length))?;
         self.file.write_all(bytes)?;
--- a/crates/sparrouter-rollout/src/run.rs
+++ b/crates/sparrouter-rollout/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries out what the controller decides: writes the log, runs commands, reads reports. It decides nothing.
+//! Executes the controller's actions: writes the log, runs commands and reads reports. It makes no decisions itself.
 mod commands;
 mod operator_request;
 mod report_tail;
@@ -14,21 +14,21 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Why a rollout cannot be run.
+/// Error that prevents or aborts a rollout.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// The plan file is not valid.
     #[error("{path}: {source}")]
     Plan {
-        /// The plan file.
+        /// Path of the plan file.
         path: String,
-        /// What is wrong with it.
+        /// Error in the plan file.
         source: PlanError,
     },
     /// A file cannot be read or written.
     #[error("{path}: {source}")]
     Io {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// The system's error.
         source: std::io::Error,
@@ -36,23 +36,21 @@
     /// The log cannot be used.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// The log, named here, belongs to another plan.
+    /// The log at this path belongs to another plan.
     #[error(
-        "{0}: its log was begun with another plan; take that one back first, or name another log"
+        "{0}: the log belongs to another plan; roll that rollout back first, or choose another log"
     )]
     OtherPlan(String),
-    /// The log, named here, holds a rollout already.
-    #[error(
-        "{0}: a change was begun and not ended; `resume` goes on with it, `back` takes it back"
-    )]
-    AlreadyBegun(String),
-    /// The log, named here, is empty.
-    #[error("{0}: nothing was begun here; `run` begins")]
-    NothingBegun(String),
+    /// The log at this path already contains a rollout.
+    #[error("{0}: the log already contains a rollout; `resume` continues it, `back` rolls it back")]
+    AlreadyStarted(String),
+    /// The log at this path is empty.
+    #[error("{0}: the log contains no rollout; `run` starts one")]
+    NotStarted(String),
 }
 
 impl RunError {
-    /// An error of the system with the file that it concerns.
+    /// Creates an I/O error with the path of the affected file.
     pub fn io(path: &Path, source: std::io::Error) -> RunError {
         RunError::Io {
             path: path.display().to_string(),
@@ -61,21 +59,21 @@
     }
 }
 
-/// What to do with the rollout of a log.
+/// Mode in which a rollout is run.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// Begin one; the log has to be empty.
+    /// Start a rollout; the log must be empty.
     Run,
-    /// Continue where an earlier controller ended.
+    /// Continue where an earlier controller stopped.
     Resume,
-    /// Take the change back, also after an end.
-    Back,
+    /// Roll the change back, even if the rollout has ended.
+    RollBack,
 }
 
-/// Time between two looks at reports, commands and requests.
+/// Interval at which reports, commands and operator requests are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A plan with what identifies it in the log.
+/// A plan with the digest that identifies it in the log.
 pub struct LoadedPlan {
     /// The plan.
     pub plan: Plan,
@@ -87,7 +85,7 @@
 ///
 /// # Errors
 ///
-/// [`RunError::Io`] where it cannot be read, [`RunError::Plan`] where it is not valid.
+/// [`RunError::Io`] if the file cannot be read, [`RunError::Plan`] if the plan is not valid.
 pub fn load(path: &Path) -> Result<LoadedPlan, RunError> {
     let text = std::fs::read_to_string(path).map_err(|source| RunError::io(path, source))?;
     let plan = Plan::read(&text).map_err(|source| RunError::Plan {
@@ -100,37 +98,37 @@
     })
 }
 
-/// Reads the entries of a log without locking it, also while a controller is at work.
+/// Reads the entries of a log without locking it, so that it works while a controller is running.
 ///
 /// # Errors
 ///
-/// [`RunError::Io`] where it cannot be read, [`RunError::Record`] where its bytes are not what was written.
+/// [`RunError::Io`] if the file cannot be read, [`RunError::Record`] if the log is corrupt.
 pub fn read_log(path: &Path) -> Result<Vec<Entry>, RunError> {
     let bytes = std::fs::read(path).map_err(|source| RunError::io(path, source))?;
     Ok(record::decode(&bytes, &path.display().to_string())?.entries)
 }
 
-/// Runs a rollout to its end. `print` gets each line for the operator.
+/// Runs a rollout to its end. `print` is called with each line for the operator.
 ///
 /// # Errors
 ///
-/// Any [`RunError`]. After an error of the log nothing more is done; `Mode::Resume` continues.
+/// Any [`RunError`]. After an error of the log no further action is executed; [`Mode::Resume`] continues the rollout.
 pub fn run(
     plan: &Path,
     log: &Path,
     mode: Mode,
     print: impl FnMut(&str),
 ) -> Result<Outcome, RunError> {
-    run_by(plan, log, mode, print, || {})
+    run_with_checkpoints(plan, log, mode, print, || {})
 }
 
-/// As [`run`]; `checkpoint` is called before and after each write of the log and each start of a command: at the points
-/// where a controller that is killed leaves different states behind.
+/// As [`run`], and calls `checkpoint` before and after each log write and each command start. These are the points at
+/// which a killed controller leaves different states behind.
 ///
 /// # Errors
 ///
 /// As [`run`].
-pub fn run_by(
+pub fn run_with_checkpoints(
     plan: &Path,
     log: &Path,
     mode: Mode,
@@ -151,8 +149,8 @@
     if let (Some(Entry::Finished { outcome }), Mode::Resume) = (opened.entries.last(), mode) {
         return Ok(outcome.clone());
     }
-    if mode == Mode::Back {
-        // After an end the nodes are as the log says, and the rollback continues from there.
+    if mode == Mode::RollBack {
+        // If the rollout has ended, the rollback starts from the state of the nodes that the log records.
         let is_end = |entry: &Entry| matches!(entry, Entry::Finished { .. });
         opened.entries.retain(|entry| !is_end(entry));
     }
@@ -167,7 +165,7 @@
         commands: Commands::new(nodes, timeout),
         controller: RolloutController::new(loaded.plan, &opened.entries),
         events: match mode {
-            Mode::Back => vec![Event::RollbackRequested],
+            Mode::RollBack => vec![Event::RollbackRequested],
             Mode::Run | Mode::Resume => Vec::new(),
         },
         print,
@@ -176,7 +174,7 @@
     runner.run()
 }
 
-/// Whether the log may be used in this mode: an empty one by `Run`, one of the same plan by the others.
+/// Checks that the log fits the mode: `Run` requires an empty log, the other modes a log of the same plan.
 fn check_log(
     loaded: &LoadedPlan,
     entries: &[Entry],
@@ -186,25 +184,25 @@
     let name = log.display().to_string();
     match (entries.first(), mode) {
         (None, Mode::Run) => Ok(()),
-        (None, _) => Err(RunError::NothingBegun(name)),
+        (None, _) => Err(RunError::NotStarted(name)),
         (Some(Entry::Plan { digest, .. }), _) if *digest != loaded.digest => {
             Err(RunError::OtherPlan(name))
         }
-        (Some(_), Mode::Run) => Err(RunError::AlreadyBegun(name)),
+        (Some(_), Mode::Run) => Err(RunError::AlreadyStarted(name)),
         _ => Ok(()),
     }
 }
 
-/// A rollout at work.
+/// A running rollout.
 struct Runner<'a, Print, Checkpoint> {
     log_path: &'a Path,
     log: Log,
     history: History,
-    /// By node.
+    /// Report file of each node, by node index.
     reports: Vec<ReportTail>,
     commands: Commands,
     controller: RolloutController,
-    /// What the controller is informed of next.
+    /// Events for the next tick of the controller.
     events: Vec<Event>,
     print: Print,
     checkpoint: Checkpoint,
@@ -215,11 +213,11 @@
         let started = Instant::now();
         loop {
             self.collect_events();
-            // Never 0, which stands for a moment before this controller.
+            // The time is never 0, which means that an earlier controller recorded the event.
             let now = started.elapsed().as_nanos() as u64 + crate::SECOND;
             let events = std::mem::take(&mut self.events);
             for action in self.controller.tick(now, events) {
-                if let Some(outcome) = self.carry_out(action)? {
+                if let Some(outcome) = self.execute(action)? {
                     return Ok(outcome);
                 }
             }
@@ -238,9 +236,9 @@
         self.events.extend(self.commands.take_ended());
     }
 
-    /// Carries out one action, and returns the outcome with the last. After an error of the log the following actions
-    /// are not carried out, as they were not logged.
-    fn carry_out(&mut self, action: Action) -> Result<Option<Outcome>, RunError> {
+    /// Executes one action, and returns the outcome if it is the last one. After an error of the log the following
+    /// actions are not executed, as they are not logged.
+    fn execute(&mut self, action: Action) -> Result<Option<Outcome>, RunError> {
         let time = history::unix_time();
         match action {
             Action::Log(entry) => {
--- a/crates/sparrouter-rollout/src/run/commands.rs
+++ b/crates/sparrouter-rollout/src/run/commands.rs
@@ -1,4 +1,4 @@
-//! Runs the nodes' commands within their time.
+//! Runs the nodes' commands as child processes with a time limit.
 use crate::controller::{CommandError, Event};
 use crate::plan::{Command, Node};
 use crate::record::CommandKind;
@@ -12,7 +12,7 @@
     deadline: Instant,
 }
 
-/// The nodes' commands, of which at most one a node runs.
+/// The nodes' commands. At most one command runs per node.
 pub(super) struct Commands {
     nodes: Vec<Node>,
     timeout: Duration,
@@ -29,7 +29,7 @@
 }
 
 impl RunningCommand {
-    /// The result, if the command has ended; one that is past its deadline is killed.
+    /// Returns the result if the command has ended. Kills a command that is past its deadline.
     fn poll(&mut self, timeout: Duration) -> Option<Result<(), CommandError>> {
         match self.child.try_wait() {
             Ok(Some(status)) if status.success() => Some(Ok(())),
@@ -46,7 +46,7 @@
 }
 
 impl Commands {
-    /// No command runs. `timeout` is how long each may take.
+    /// Creates the runner. `timeout` is the time limit of each command.
     pub fn new(nodes: Vec<Node>, timeout: Duration) -> Commands {
         Commands {
             nodes,
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// The commands that have ended since the last call, in order of the nodes.
+    /// Returns the commands that have ended since the last call, ordered by node.
     pub fn take_ended(&mut self) -> Vec<Event> {
         let mut ended = Vec::new();
         self.running.retain(|&node, running| {
--- a/crates/sparrouter-rollout/src/run/operator_request.rs
+++ b/crates/sparrouter-rollout/src/run/operator_request.rs
@@ -1,14 +1,14 @@
-//! Requests of an operator to the controller at work, left in a file beside its log.
+//! Requests of an operator to the running controller, passed in a file next to its log.
 use super::RunError;
 use crate::controller::Event;
 use std::path::{Path, PathBuf};
 
-/// What an operator asks the controller at work for.
+/// A request of an operator to the running controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorRequest {
     /// Stop, and leave all nodes as they are.
     Stop,
-    /// Take the change back.
+    /// Roll the change back.
     RollBack,
 }
 
@@ -19,7 +19,7 @@
 }
 
 impl OperatorRequest {
-    /// The text in the file.
+    /// Returns the content of the request file.
     fn text(self) -> &'static str {
         match self {
             OperatorRequest::Stop => "stop",
@@ -27,18 +27,18 @@
         }
     }
 
-    /// Leaves the request for the controller that works with this log.
+    /// Writes the request file for the controller that runs with this log.
     ///
     /// # Errors
     ///
-    /// [`RunError::Io`] where the file cannot be written.
+    /// [`RunError::Io`] if the file cannot be written.
     pub fn submit(self, log: &Path) -> Result<(), RunError> {
         let path = request_path(log);
         std::fs::write(&path, self.text()).map_err(|source| RunError::io(&path, source))
     }
 }
 
-/// Takes the request that was left, if any; an unknown one is dropped.
+/// Removes the request file and returns its request; `None` if there is no file or the request is unknown.
 pub(super) fn take(log: &Path) -> Option<Event> {
     let path = request_path(log);
     let text = std::fs::read_to_string(&path).ok()?;
--- a/crates/sparrouter-rollout/src/run/report_tail.rs
+++ b/crates/sparrouter-rollout/src/run/report_tail.rs
@@ -4,20 +4,21 @@
 use std::io::{Read, Seek, SeekFrom};
 use std::path::PathBuf;
 
-/// Longest line that is read; a longer one is passed over.
-const MAX_LINE: usize = 1 << 20;
+/// Maximum length of a line in bytes; longer lines are skipped.
+const MAX_LINE_LENGTH: usize = 1 << 20;
 
-/// Position in a report file that grows. A file that was begun anew is read from its start.
+/// Read position in a growing report file. A file that has been truncated or replaced by a shorter one is read from its
+/// start.
 pub(super) struct ReportTail {
     path: PathBuf,
-    /// Bytes read so far.
+    /// Number of bytes read so far.
     offset: u64,
-    /// The incomplete line at the end.
+    /// Content of the incomplete last line.
     incomplete: Vec<u8>,
 }
 
 impl ReportTail {
-    /// The start of a file, which need not be there yet.
+    /// Starts at the beginning of a file, which need not exist yet.
     pub fn new(path: PathBuf) -> ReportTail {
         ReportTail {
             path,
@@ -26,26 +27,26 @@
         }
     }
 
-    /// The newest report that was added since the last call.
+    /// Returns the newest report appended since the last call.
     pub fn newest(&mut self) -> Option<Report> {
         let mut file = File::open(&self.path).ok()?;
         let length = file.metadata().ok()?.len();
         if length < self.offset {
             self.skip_to(0);
         }
-        // Only the newest report counts: what was added meanwhile is skipped.
-        if length - self.offset > MAX_LINE as u64 {
-            self.skip_to(length - MAX_LINE as u64);
+        // Only the newest report is needed, so older content is skipped.
+        if length - self.offset > MAX_LINE_LENGTH as u64 {
+            self.skip_to(length - MAX_LINE_LENGTH as u64);
         }
         file.seek(SeekFrom::Start(self.offset)).ok()?;
         let read = file
-            .take(MAX_LINE as u64)
+            .take(MAX_LINE_LENGTH as u64)
             .read_to_end(&mut self.incomplete)
             .ok()?;
         self.offset += read as u64;
         let end = self.incomplete.iter().rposition(|byte| *byte == b'\n')?;
         let complete: Vec<u8> = self.incomplete.drain(..=end).collect();
-        if self.incomplete.len() > MAX_LINE {
+        if self.incomplete.len() > MAX_LINE_LENGTH {
             self.incomplete.clear();
         }
         complete
--- a/crates/sparrouter-rollout/tests/fleet/mod.rs
+++ b/crates/sparrouter-rollout/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet: nodes that report each second, run commands, and are good or bad by their generation.
+//! Simulated fleet: nodes report each second, run commands, and have a defect if they run the new generation.
 #![allow(dead_code, reason = "the tests and the example use different parts")]
 mod traffic;
 
@@ -8,31 +8,31 @@
 use sparrouter_rollout::report::Report;
 use sparrouter_rollout::{Nanos, SECOND};
 
-/// What the new version does wrong.
+/// Defect of the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Defect {
     None,
-    /// Crashes after this time, and is restarted by its supervisor.
+    /// The process crashes after this time and is restarted by its supervisor.
     CrashesAfter(Nanos),
-    /// Crashes after this time, and is not restarted.
+    /// The process crashes after this time and is not restarted.
     DiesAfter(Nanos),
     NeverReady,
-    /// Answers slower by this fraction.
+    /// Latency is higher by this fraction.
     Slower(f64),
-    /// Answers this fraction of the requests with an error.
+    /// This fraction of the requests is answered with an error.
     Errors(f64),
-    /// Loses this fraction of the second operation alone.
+    /// This fraction of the requests of the second operation is lost.
     SecondOperationWorse(f64),
     LeaksMemory,
-    /// Chooses other cache servers for keys.
+    /// Keys are mapped to other cache servers.
     MovesKeys,
-    /// Harms all nodes alike, by this fraction once all are changed.
+    /// All nodes lose requests equally, proportionally to the changed nodes: this fraction once all are changed.
     HarmsFleet(f64),
-    /// Loses this fraction once it has run for so long.
+    /// This fraction of the requests is lost once the process has run for this time.
     WorseWhenWarm(Nanos, f64),
 }
 
-/// All nodes lose this fraction more in this time, which is not the change's fault.
+/// A fault unrelated to the change: between `from` and `to` all nodes additionally lose this fraction of the requests.
 #[derive(Clone, Copy)]
 pub struct FleetFault {
     pub from: Nanos,
@@ -40,7 +40,7 @@
     pub loss: f64,
 }
 
-/// Reports of the nodes below this index do not arrive in this time.
+/// A network partition: between `from` and `to` the reports of the nodes with an index below `nodes` do not arrive.
 #[derive(Clone, Copy)]
 pub struct Partition {
     pub from: Nanos,
@@ -64,7 +64,7 @@
     Plan::read(&text).expect("a valid plan")
 }
 
-/// A command that runs at a node.
+/// A command in progress at a node.
 #[derive(Clone, Copy)]
 struct RunningCommand {
     command: CommandKind,
@@ -76,9 +76,9 @@
     pub started_at: Nanos,
     pub report: Report,
     pub is_dead: bool,
-    /// Its commands fail.
+    /// Whether all commands of the node fail.
     pub commands_fail: bool,
-    /// Fraction that it loses whatever its version.
+    /// Fraction of the requests that the node loses in every version.
     own_loss: f64,
     running: Option<RunningCommand>,
 }
@@ -91,18 +91,19 @@
     pub fault: Option<FleetFault>,
     pub partition: Option<Partition>,
     /// Nodes whose reports never arrive.
-    pub muted: Vec<usize>,
-    /// Mean requests of each of the two operations that a node gets in a second.
+    pub unreported: Vec<usize>,
+    /// Mean requests per second and node, of each of the two operations.
     pub requests_per_s: [usize; 2],
     pub log: Vec<Entry>,
     pub printed: Vec<String>,
     pub observations: Vec<Observation>,
-    /// Billed value of all requests, and what of it was lost.
+    /// Billed value of all requests.
     pub requested: f64,
+    /// Billed value of the lost requests.
     pub lost: f64,
-    /// Most nodes that were under a command at once.
+    /// Maximum number of nodes at which a command was in progress at the same time.
     pub max_down: usize,
-    /// The controller is killed after so many actions, before the next is logged or done, once.
+    /// Number of actions after which the controller is killed once, before the next action is logged or executed.
     pub kill_after: Option<usize>,
     action_count: usize,
     rng: fastrand::Rng,
@@ -136,7 +137,7 @@
             now: 100 * SECOND,
             defect,
             fault: None,
-            muted: vec![],
+            unreported: vec![],
             partition: None,
             requests_per_s: [60, 8],
             rng,
@@ -163,8 +164,8 @@
         node.report = report(node.report.name.clone(), generation, placement);
     }
 
-    /// Lets the nodes crash that do so by the defect.
-    fn crash(&mut self, index: usize) {
+    /// Crashes a node if the defect requires it now.
+    fn apply_crash(&mut self, index: usize) {
         let node = &self.nodes[index];
         let age = self.now.saturating_sub(node.started_at);
         match self.defect {
@@ -183,17 +184,17 @@
         self.partition.as_ref().is_some_and(is_active)
     }
 
-    /// One second of all nodes.
+    /// Simulates one second of all nodes.
     fn run_second(&mut self) {
         for index in 0..self.nodes.len() {
-            self.crash(index);
+            self.apply_crash(index);
             let node = &self.nodes[index];
             let is_ready = !(node.is_changed && self.defect == Defect::NeverReady);
             if node.is_dead || node.running.is_some() || !is_ready {
                 continue;
             }
             self.serve(index);
-            if !self.muted.contains(&index) && !self.is_partitioned(index) {
+            if !self.unreported.contains(&index) && !self.is_partitioned(index) {
                 let report = Box::new(self.nodes[index].report.clone());
                 self.events.push(Event::Report {
                     node: index,
@@ -206,7 +207,7 @@
         self.max_down = self.max_down.max(down);
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Log(entry) => self.log.push(entry),
             Action::Print(text) => self.printed.push(text),
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Commands are safe to run again: one with nothing to do takes half a second.
+    /// Starts a command. Commands are idempotent: one that has nothing to do takes half a second, any other two seconds.
     fn start_command(&mut self, index: usize, command: CommandKind) {
         let node = &mut self.nodes[index];
         let is_done = match command {
@@ -223,10 +224,10 @@
             CommandKind::RollBack => !node.is_changed,
             CommandKind::Restart => false,
         };
-        let length = if is_done { SECOND / 2 } else { 2 * SECOND };
+        let duration = if is_done { SECOND / 2 } else { 2 * SECOND };
         node.running = Some(RunningCommand {
             command,
-            ends_at: self.now + length,
+            ends_at: self.now + duration,
         });
     }
 
@@ -239,7 +240,7 @@
             node.running = None;
             let command = running.command;
             let result = if node.commands_fail {
-                Err(std::io::Error::other("would not").into())
+                Err(std::io::Error::other("simulated command failure").into())
             } else {
                 let is_changed = command == CommandKind::Change;
                 if command == CommandKind::Restart || node.is_changed != is_changed {
@@ -255,8 +256,8 @@
         }
     }
 
-    /// Plays a rollout to its end, with the controller killed and replaced where that is asked for.
-    pub fn play(&mut self) -> Outcome {
+    /// Runs a rollout to its end. The controller is killed and replaced as `kill_after` says.
+    pub fn run_rollout(&mut self) -> Outcome {
         let mut controller = RolloutController::new(self.plan.clone(), &self.log);
         let mut started_at = self.now;
         for step in 0..40_000u64 {
@@ -275,7 +276,7 @@
                     .kill_after
                     .is_some_and(|count| self.action_count >= count)
                 {
-                    // Its commands go on, and nobody is informed of their end.
+                    // Commands of the killed controller continue, but their results reach no controller.
                     self.kill_after = None;
                     controller = RolloutController::new(self.plan.clone(), &self.log);
                     started_at = self.now;
@@ -286,26 +287,26 @@
                 if let Action::Finish(outcome) = &action {
                     return outcome.clone();
                 }
-                self.carry_out(action);
+                self.execute(action);
             }
             if let Some(Entry::Finished { outcome }) = self.log.last() {
                 return outcome.clone();
             }
         }
-        panic!("no end: {:?}", self.printed);
+        panic!("rollout did not end: {:?}", self.printed);
     }
 
     pub fn changed_nodes(&self) -> usize {
         self.nodes.iter().filter(|node| node.is_changed).count()
     }
 
-    /// Number of stages that began.
-    pub fn stages_begun(&self) -> usize {
+    /// Returns the number of stages that have started.
+    pub fn stages_started(&self) -> usize {
         let is_stage = |entry: &&Entry| matches!(entry, Entry::Stage { .. });
         self.log.iter().filter(is_stage).count()
     }
 
-    /// Number of actions of a play: the points at which the controller may be killed.
+    /// Returns the number of actions so far, each a point at which the controller may be killed.
     pub fn action_count(&self) -> usize {
         self.action_count
     }
--- a/crates/sparrouter-rollout/tests/fleet/traffic.rs
+++ b/crates/sparrouter-rollout/tests/fleet/traffic.rs
@@ -1,20 +1,20 @@
-//! A second of traffic at one node.
+//! Simulates the traffic of one node.
 use super::{Defect, Fleet, FleetFault, Node};
 use sparrouter_rollout::report::{BUCKETS, Operation, Report, bucket};
 use sparrouter_rollout::{Nanos, SECOND};
 
-/// How a node answers in this second, as fractions of its requests.
+/// Behavior of a node in one second. Losses, errors and fetches are fractions of its requests.
 #[derive(Default)]
 struct Behavior {
-    /// Lost for reasons other than the defect.
+    /// Loss for reasons other than the defect.
     other_loss: f64,
     loss: f64,
     second_operation_loss: f64,
     errors: f64,
-    /// Requests to the origin.
+    /// Fraction of the requests that is fetched from the origin.
     fetched: f64,
-    /// Latency, as a factor.
-    slowness: f64,
+    /// Factor of the latency, 1 without a defect.
+    latency_factor: f64,
 }
 
 fn operation<'a>(report: &'a mut Report, name: &str) -> &'a mut Operation {
@@ -37,12 +37,12 @@
             return;
         }
         match defect {
-            Defect::Slower(fraction) => behavior.slowness += fraction,
+            Defect::Slower(fraction) => behavior.latency_factor += fraction,
             Defect::Errors(fraction) => behavior.errors = fraction,
             Defect::SecondOperationWorse(loss) => behavior.second_operation_loss = loss,
             Defect::LeaksMemory => self.report.memory_kib += 400,
             Defect::WorseWhenWarm(after, loss) if age > after => behavior.loss = loss,
-            // Keys that moved miss at their new cache server until they have been fetched.
+            // Moved keys miss at their new cache server until they have been fetched.
             Defect::MovesKeys => {
                 behavior.fetched += 0.8 * 0.5f64.powf(age as f64 / (20 * SECOND) as f64);
             }
@@ -52,7 +52,7 @@
 }
 
 impl Fleet {
-    /// What the defect costs all nodes alike.
+    /// Returns the loss that the defect causes equally at all nodes.
     fn fleet_harm(&self) -> f64 {
         match self.defect {
             Defect::HarmsFleet(loss) => {
@@ -72,12 +72,12 @@
         let fault_loss = self.fault_loss();
         let node = &mut self.nodes[index];
         let age = self.now - node.started_at;
-        // A fresh process loses more by itself.
+        // A process that has just started loses more, in any version.
         let start_loss = if age < 5 * SECOND { 0.03 } else { 0.0 };
         let mut behavior = Behavior {
             other_loss: node.own_loss + start_loss + fleet_harm + fault_loss,
             fetched: 0.1,
-            slowness: 1.0,
+            latency_factor: 1.0,
             ..Behavior::default()
         };
         node.apply_defect(self.defect, age, &mut behavior);
@@ -87,7 +87,7 @@
         behavior
     }
 
-    /// A second of traffic at one node.
+    /// Simulates one second of traffic at one node.
     pub(super) fn serve(&mut self, index: usize) {
         let behavior = self.behavior(index);
         let operation_losses = [0.0, behavior.second_operation_loss];
@@ -121,7 +121,7 @@
         }
         operation.succeeded += 1;
         operation.in_time += 1.0;
-        let ms = behavior.slowness * 40.0 * (-rng.f64().max(1e-9).ln());
+        let ms = behavior.latency_factor * 40.0 * (-rng.f64().max(1e-9).ln());
         operation.latency[bucket((ms * 1000.0) as u64)] += 1;
     }
 }
--- a/crates/sparrouter-rollout/tests/history.rs
+++ b/crates/sparrouter-rollout/tests/history.rs
@@ -1,9 +1,9 @@
-//! The history file: the form that earlier versions wrote.
+//! Format of the history file, which must stay compatible with earlier versions.
 use sparrouter_rollout::history::HistoryLine;
 
-/// Golden: lines as earlier versions wrote them, which must be read and written unchanged.
+/// Golden test: lines written by earlier versions must be parsed, and serialized to the same text.
 #[test]
-fn the_text_of_lines_does_not_change() {
+fn given_history_lines_of_earlier_versions_when_read_and_written_then_the_text_is_unchanged() {
     for text in [
         r#"{"Said":{"at":1.5,"text":"n0: Change"}}"#,
         r#"{"Seen":{"at":2.5,"seen":{"stage":1,"phase":"watching","all":0.5,"fetches_per_s":3.0,"changed":null,"unchanged":0.25,"new":2,"down":1,"measure":"lost","reached":0.125}}}"#,
--- a/crates/sparrouter-rollout/tests/plan.rs
+++ b/crates/sparrouter-rollout/tests/plan.rs
@@ -1,7 +1,7 @@
 //! Errors of plan files.
 use sparrouter_rollout::plan::Plan;
 
-/// The stages of a plan without an error.
+/// The valid start of a plan, without its nodes.
 const STAGES: &str = "name = \"a\"\nchange = { generation = \"new\", from = \"old\" }\n[stages]\nparts = [0.5, 1.0]\nhold_s = 5\nlongest_s = 9\n";
 
 fn node(name: &str) -> String {
@@ -14,20 +14,20 @@
     node("a") + &node("b")
 }
 
-/// The plan is rejected by an error that has these words.
+/// Asserts that the plan is rejected with an error that contains `expected`.
 fn assert_rejected(text: &str, expected: &str) {
     let error = Plan::read(text).unwrap_err().to_string();
     assert!(error.contains(expected), "{error}");
 }
 
 #[test]
-fn a_plan_without_an_error_is_read() {
+fn given_a_valid_plan_when_read_then_it_is_accepted() {
     assert!(Plan::read(&(STAGES.to_owned() + &two_nodes())).is_ok());
 }
 
 #[test]
-fn errors_of_stages_and_change_name_line_and_field() {
-    for (right, wrong, expected) in [
+fn given_invalid_stages_or_change_when_read_then_the_error_names_line_and_field() {
+    for (valid, invalid, expected) in [
         (
             "parts = [0.5, 1.0]",
             "parts = [0.5, 0.2]",
@@ -43,13 +43,13 @@
             "line 2, change.placement",
         ),
     ] {
-        assert!(STAGES.contains(right), "{right}");
-        assert_rejected(&(STAGES.replace(right, wrong) + &two_nodes()), expected);
+        assert!(STAGES.contains(valid), "{valid}");
+        assert_rejected(&(STAGES.replace(valid, invalid) + &two_nodes()), expected);
     }
 }
 
 #[test]
-fn errors_of_nodes_and_bounds_name_line_and_field() {
+fn given_invalid_nodes_or_bounds_when_read_then_the_error_names_line_and_field() {
     let bounds = "[bounds]\nfetches_per_s = -3\n".to_owned();
     for (rest, expected) in [
         (node("a") + &node("a"), "line 14, node.name"),
--- a/crates/sparrouter-rollout/tests/program.rs
+++ b/crates/sparrouter-rollout/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program itself, with nodes that are no more than files: what it prints, how it ends, and a full disk.
+//! Tests of the program with nodes that consist only of files: printed lines, exit status, and a full disk.
 use sparrouter_rollout::report::{BUCKETS, Operation, Report};
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -10,20 +10,20 @@
 use std::time::{Duration, Instant};
 
 const NODES: usize = 4;
-/// Shell script of all commands: writes the node's generation, and the moment of its start.
+/// Shell script of all commands: writes the node's generation and the time of its start.
 const COMMAND: &str = "printf %s \"$2\" > \"$1.state.new\" && mv \"$1.state.new\" \"$1.state\"; date +%s%N > \"$1.began\"";
 
-/// The generation that a node runs.
+/// Reads the generation that a node runs.
 fn generation(folder: &Path, node: usize) -> String {
     std::fs::read_to_string(folder.join(format!("n{node}.state"))).unwrap_or_default()
 }
 
-/// A node that writes reports.
+/// A simulated node that writes reports.
 struct ReportingNode {
     folder: PathBuf,
     index: usize,
-    /// Content of the file that a command writes at a start.
-    start: String,
+    /// Content of the file that a command writes when it starts the node.
+    start_marker: String,
     started_at: Instant,
     report: Report,
 }
@@ -44,26 +44,26 @@
         ReportingNode {
             folder: folder.to_path_buf(),
             index,
-            start: String::new(),
+            start_marker: String::new(),
             started_at: Instant::now(),
             report: empty_report(),
         }
     }
 
-    /// Begins with empty counters, if a command has started a process anew.
+    /// Resets the counters if a command has started a new process.
     fn detect_start(&mut self) {
         let path = self.folder.join(format!("n{}.began", self.index));
-        let start = std::fs::read_to_string(path).unwrap_or_default();
-        if self.start != start {
-            self.start = start;
+        let start_marker = std::fs::read_to_string(path).unwrap_or_default();
+        if self.start_marker != start_marker {
+            self.start_marker = start_marker;
             self.started_at = Instant::now();
             self.report = empty_report();
         }
     }
 
-    /// Serves ten requests, of which a changed node answers so many with an error, and writes a report.
+    /// Serves ten requests and writes a report. A changed node answers `errors_of_changed` of them with an error.
     fn serve(&mut self, errors_of_changed: u64) {
-        // The generation is read first: a start that comes between belongs to the next report.
+        // The generation is read first, so that a start after this point belongs to the next report.
         let generation = generation(&self.folder, self.index);
         self.detect_start();
         let errors = if generation == "new" {
@@ -100,7 +100,7 @@
     }
 }
 
-/// A fleet of files, whose nodes report each tenth of a second until it is dropped.
+/// A fleet of nodes that consist of files and write a report every 100 ms until the fleet is dropped.
 struct FileFleet {
     folder: tempfile::TempDir,
     is_over: Arc<AtomicBool>,
@@ -114,18 +114,18 @@
     }
 }
 
-/// The end of the program.
-struct Ended {
+/// Result of a run of the program.
+struct ProgramResult {
     status: i32,
-    /// What it printed to both outputs.
+    /// Text on standard output followed by the text on standard error.
     printed: String,
 }
 
-impl From<Output> for Ended {
-    fn from(output: Output) -> Ended {
+impl From<Output> for ProgramResult {
+    fn from(output: Output) -> ProgramResult {
         let stdout = String::from_utf8_lossy(&output.stdout);
         let stderr = String::from_utf8_lossy(&output.stderr);
-        Ended {
+        ProgramResult {
             status: output.status.code().unwrap_or(-1),
             printed: format!("{stdout}{stderr}"),
         }
@@ -184,8 +184,8 @@
         self.folder.path().join("plan.toml")
     }
 
-    /// Runs the program with these arguments before the plan.
-    fn run(&self, arguments: &[&str]) -> Ended {
+    /// Runs the program with these arguments and the path of the plan.
+    fn run(&self, arguments: &[&str]) -> ProgramResult {
         Command::new(env!("CARGO_BIN_EXE_sparrouter-rollout"))
             .args(arguments)
             .arg(self.plan_path())
@@ -195,14 +195,14 @@
     }
 
     fn page(&self) -> String {
-        let ended = self.run(&["page"]);
-        assert_eq!(ended.status, 0, "{}", ended.printed);
+        let result = self.run(&["page"]);
+        assert_eq!(result.status, 0, "{}", result.printed);
         std::fs::read_to_string(self.folder.path().join("plan.html")).unwrap()
     }
 
-    /// Asserts that all nodes run this generation.
+    /// Asserts that all nodes run the `expected` generation.
     #[track_caller]
-    fn assert_all(&self, expected: &str, context: &Ended) {
+    fn assert_all(&self, expected: &str, context: &ProgramResult) {
         let generations: Vec<String> = (0..NODES)
             .map(|node| generation(self.folder.path(), node))
             .collect();
@@ -211,90 +211,91 @@
 }
 
 #[test]
-fn a_harmless_change_ends_with_0_and_leaves_a_page() {
+fn given_a_harmless_change_when_run_then_the_exit_status_is_0_and_the_page_shows_the_rollout() {
     let fleet = FileFleet::new(0);
-    let ended = fleet.run(&["run"]);
-    assert_eq!(ended.status, 0, "{}", ended.printed);
-    fleet.assert_all("new", &ended);
+    let result = fleet.run(&["run"]);
+    assert_eq!(result.status, 0, "{}", result.printed);
+    fleet.assert_all("new", &result);
     assert!(
-        ended.printed.contains("every node is changed"),
+        result.printed.contains("every node is changed"),
         "{}",
-        ended.printed
+        result.printed
     );
     let page = fleet.page();
     for text in [
         "Every node is changed.",
         "stage 2 of 2",
         "<svg",
-        "nearest to a stop",
+        "strongest evidence of harm",
         "unchanged",
     ] {
         assert!(page.contains(text), "{text}");
     }
-    // It has ended: nothing is begun again under its log, and `resume` repeats how it ended.
-    let ended = fleet.run(&["run"]);
+    // The rollout has ended: `run` does not start again with the same log, and `resume` returns the same outcome.
+    let result = fleet.run(&["run"]);
     assert!(
-        ended.status == 2 && ended.printed.contains("was begun"),
+        result.status == 2 && result.printed.contains("already contains a rollout"),
         "{}",
-        ended.printed
+        result.printed
     );
     assert_eq!(fleet.run(&["resume"]).status, 0);
-    let ended = fleet.run(&["back"]);
-    assert_eq!(ended.status, 1);
-    fleet.assert_all("old", &ended);
+    let result = fleet.run(&["back"]);
+    assert_eq!(result.status, 1);
+    fleet.assert_all("old", &result);
 }
 
 #[test]
-fn a_change_with_errors_ends_with_1_and_the_page_says_why() {
+fn given_a_change_that_causes_errors_when_run_then_the_exit_status_is_1_and_the_page_names_the_reason()
+ {
     let fleet = FileFleet::new(3);
-    let ended = fleet.run(&["run"]);
-    assert_eq!(ended.status, 1, "{}", ended.printed);
-    fleet.assert_all("old", &ended);
+    let result = fleet.run(&["run"]);
+    assert_eq!(result.status, 1, "{}", result.printed);
+    fleet.assert_all("old", &result);
     let page = fleet.page();
     assert!(
         page.contains("Taken back: errored") || page.contains("Taken back: lost"),
         "{}",
-        ended.printed
+        result.printed
     );
     let status = fleet.run(&["status"]).printed;
     assert!(status.contains("ended: taken back"), "{status}");
 }
 
-/// A log that cannot grow: nothing is done that is not logged, and another controller continues once there is space.
+/// If the log cannot grow, no unlogged action is executed, and another controller continues once there is space.
 #[test]
-fn a_full_disk_stops_it_before_it_acts_and_it_continues_after() {
+fn given_a_full_disk_when_run_then_no_node_is_changed_and_resume_completes_the_rollout() {
     let fleet = FileFleet::new(0);
-    // 512 bytes a file; the baseline of four nodes is longer.
+    // Files are limited to 512 bytes; the log entry with the baseline of four nodes is longer.
     let script = "trap '' XFSZ; ulimit -f 1; exec \"$0\" run \"$1\"";
-    let ended: Ended = Command::new("sh")
+    let result: ProgramResult = Command::new("sh")
         .args(["-c", script, env!("CARGO_BIN_EXE_sparrouter-rollout")])
         .arg(fleet.plan_path())
         .output()
         .unwrap()
         .into();
     assert!(
-        ended.status == 2 && ended.printed.contains("plan.log"),
+        result.status == 2 && result.printed.contains("plan.log"),
         "{} {}",
-        ended.status,
-        ended.printed
+        result.status,
+        result.printed
     );
-    fleet.assert_all("old", &ended);
-    let ended = fleet.run(&["resume"]);
-    assert_eq!(ended.status, 0, "{}", ended.printed);
-    fleet.assert_all("new", &ended);
+    fleet.assert_all("old", &result);
+    let result = fleet.run(&["resume"]);
+    assert_eq!(result.status, 0, "{}", result.printed);
+    fleet.assert_all("new", &result);
 }
 
 #[test]
-fn a_log_that_cannot_be_created_is_named_and_nothing_is_done() {
+fn given_a_log_that_cannot_be_created_when_run_then_the_error_names_it_and_no_node_is_changed() {
     let fleet = FileFleet::new(0);
     for log in ["/proc/none.log", "/nowhere/none.log"] {
-        let ended = fleet.run(&["run", "--log", log]);
+        let result = fleet.run(&["run", "--log", log]);
         assert!(
-            ended.status == 2 && ended.printed.contains(log),
+            result.status == 2 && result.printed.contains(log),
             "{} {}",
-            ended.status,
-            ended.printed
+            result.status,
+            result.printed
         );
-        fleet.assert_all("old", &ended);
+        fleet.assert_all("old", &result);
     }
 }
--- a/crates/sparrouter-rollout/tests/record.rs
+++ b/crates/sparrouter-rollout/tests/record.rs
@@ -1,4 +1,4 @@
-//! The log on disk: damaged and incomplete logs, its lock, and the form that earlier versions wrote.
+//! The log on disk: corrupt and truncated logs, the lock, and the format of earlier versions.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sparrouter_rollout::baseline::{Baseline, OperationBaseline};
@@ -33,7 +33,7 @@
     ]
 }
 
-/// A folder for a log, which is deleted with this value.
+/// A log in a temporary folder, which is deleted when this value is dropped.
 struct LogFile {
     _folder: TempDir,
     path: PathBuf,
@@ -54,9 +54,10 @@
     }
 }
 
-/// Cut at every byte: complete entries are read, the incomplete end is cut off, and writing continues behind them.
+/// Truncates the log at every byte: complete entries are read, the incomplete record is removed, and new entries are
+/// appended after the complete ones.
 #[test]
-fn a_log_cut_at_any_byte_is_recovered() {
+fn given_a_log_truncated_at_any_byte_when_opened_then_complete_entries_are_recovered() {
     let file = LogFile::new();
     let all = entries();
     let bytes: Vec<u8> = all.iter().flat_map(record::encode).collect();
@@ -66,7 +67,7 @@
             let mut torn = bytes[..length].to_vec();
             torn.resize(length + zeros, 0);
             std::fs::write(&file.path, &torn).unwrap();
-            // A length that was cut and filled with zeros looks like a damaged one: it is refused.
+            // A truncated length that is filled with zeros is indistinguishable from a corrupt one: opening fails.
             let Ok(mut opened) = file.open() else {
                 continue;
             };
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn a_second_controller_and_a_damaged_log_are_refused() {
+fn given_a_locked_or_a_corrupt_log_when_opened_then_an_error_is_returned() {
     let file = LogFile::new();
     let mut first = file.open().unwrap();
     entries()
@@ -95,9 +96,9 @@
     let intact = std::fs::read(&file.path).unwrap();
     let first_record = record::encode(&entries()[0]).len();
     for offset in 0..first_record {
-        let mut damaged = intact.clone();
-        damaged[offset] ^= 0x20;
-        std::fs::write(&file.path, damaged).unwrap();
+        let mut corrupt = intact.clone();
+        corrupt[offset] ^= 0x20;
+        std::fs::write(&file.path, corrupt).unwrap();
         assert!(
             matches!(file.open(), Err(RecordError::Corrupt { offset: 0, .. })),
             "byte {offset}"
@@ -105,13 +106,13 @@
     }
 }
 
-/// Golden: the text of each entry as earlier versions wrote it, which must be read and written unchanged.
+/// Golden test: entries written by earlier versions must be parsed, and serialized to the same text.
 #[test]
 #[allow(
     clippy::too_many_lines,
-    reason = "one table of entries and their texts"
+    reason = "one table of all entries and their texts"
 )]
-fn the_text_of_entries_does_not_change() {
+fn given_entries_of_earlier_versions_when_read_and_written_then_the_text_is_unchanged() {
     let baseline = Baseline {
         operations: vec![OperationBaseline {
             name: "get".into(),
@@ -156,15 +157,15 @@
             r#"{"is":"back","why":"r"}"#,
         ),
         (
-            finished(Outcome::Through),
+            finished(Outcome::Completed),
             r#"{"is":"done","how":"through"}"#,
         ),
         (
-            finished(Outcome::Back("r".into())),
+            finished(Outcome::RolledBack("r".into())),
             r#"{"is":"done","how":{"back":"r"}}"#,
         ),
         (
-            finished(Outcome::Left("r".into())),
+            finished(Outcome::LeftToOperator("r".into())),
             r#"{"is":"done","how":{"left":"r"}}"#,
         ),
     ] {
@@ -182,7 +183,7 @@
     })]
 
     #[test]
-    fn a_log_of_random_bytes_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn given_random_bytes_when_decoded_as_a_log_then_nothing_panics(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = record::decode(&bytes, "x");
     }
 }
--- a/crates/sparrouter-rollout/tests/rollout.rs
+++ b/crates/sparrouter-rollout/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Harmless and harmful changes of simulated fleets, with the controller killed at every point.
+//! Rollouts of harmless and harmful changes in simulated fleets, also with the controller killed at every point.
 mod fleet;
 use fleet::*;
 use sparrouter_rollout::SECOND;
@@ -6,45 +6,45 @@
 use sparrouter_rollout::record::Outcome;
 use sparrouter_rollout::stages;
 
-/// A rollout that was played to its end.
-struct Played {
+/// A rollout that has ended.
+struct EndedRollout {
     outcome: Outcome,
     fleet: Fleet,
 }
 
-fn play(nodes: usize, defect: Defect, seed: u64) -> Played {
+fn run_rollout(nodes: usize, defect: Defect, seed: u64) -> EndedRollout {
     let mut fleet = Fleet::new(plan(nodes, 2), defect, seed);
-    let outcome = fleet.play();
-    Played { outcome, fleet }
+    let outcome = fleet.run_rollout();
+    EndedRollout { outcome, fleet }
 }
 
 /// Asserts that the change was rolled back for a reason that contains this text.
 #[track_caller]
 fn assert_rolled_back(outcome: &Outcome, text: &str) {
     assert!(
-        matches!(outcome, Outcome::Back(reason) if reason.contains(text)),
+        matches!(outcome, Outcome::RolledBack(reason) if reason.contains(text)),
         "{outcome:?}"
     );
 }
 
-/// Asserts that the nodes were left to the operator for a reason that contains this text.
+/// Asserts that the rollout was left to the operator for a reason that contains this text.
 #[track_caller]
-fn assert_left(outcome: &Outcome, text: &str) {
+fn assert_left_to_operator(outcome: &Outcome, text: &str) {
     assert!(
-        matches!(outcome, Outcome::Left(reason) if reason.contains(text)),
+        matches!(outcome, Outcome::LeftToOperator(reason) if reason.contains(text)),
         "{outcome:?}"
     );
 }
 
 #[test]
-fn a_harmless_change_reaches_every_node_within_the_disruption_budget() {
-    let Played { outcome, fleet } = play(16, Defect::None, 1);
-    assert_eq!((outcome, fleet.changed_nodes()), (Outcome::Through, 16));
+fn given_a_harmless_change_when_run_then_every_node_is_changed_within_the_disruption_budget() {
+    let EndedRollout { outcome, fleet } = run_rollout(16, Defect::None, 1);
+    assert_eq!((outcome, fleet.changed_nodes()), (Outcome::Completed, 16));
     assert!(fleet.max_down <= 2, "{}", fleet.max_down);
 }
 
 #[test]
-fn injected_defects_are_stopped_by_the_second_stage_and_rolled_back() {
+fn given_injected_defects_when_run_then_the_change_is_rolled_back_by_the_second_stage() {
     for defect in [
         Defect::CrashesAfter(3 * SECOND),
         Defect::DiesAfter(3 * SECOND),
@@ -54,41 +54,42 @@
         Defect::SecondOperationWorse(0.3),
         Defect::WorseWhenWarm(10 * SECOND, 0.2),
     ] {
-        let Played { outcome, fleet } = play(16, defect, 2);
+        let EndedRollout { outcome, fleet } = run_rollout(16, defect, 2);
         assert!(
-            matches!(outcome, Outcome::Back(_)),
+            matches!(outcome, Outcome::RolledBack(_)),
             "{defect:?}: {outcome:?}"
         );
         assert!(
-            fleet.stages_begun() <= 2 && fleet.changed_nodes() == 0,
+            fleet.stages_started() <= 2 && fleet.changed_nodes() == 0,
             "{defect:?} in stage {}: {outcome:?}",
-            fleet.stages_begun()
+            fleet.stages_started()
         );
         let lost = fleet.lost / fleet.requested;
         assert!(lost < 0.05, "{defect:?} lost {lost}");
     }
 }
 
-/// Nodes whose zones alternate were changed one after another, whatever the disruption budget.
+/// Guards against changing nodes one at a time, regardless of the disruption budget, when their zones alternate.
 #[test]
-fn a_fleet_of_alternating_zones_uses_the_whole_disruption_budget() {
+fn given_nodes_of_alternating_zones_when_run_then_the_whole_disruption_budget_is_used() {
     let mut fleet = Fleet::new(plan(60, 3), Defect::None, 12);
     fleet.plan.max_unavailable = 10;
     let started_at = fleet.now;
-    assert_eq!(fleet.play(), Outcome::Through);
+    assert_eq!(fleet.run_rollout(), Outcome::Completed);
     assert!(
         fleet.max_down <= 10 && fleet.max_down >= 8,
         "{}",
         fleet.max_down
     );
-    // Four stages bake for 40 s, and the baseline takes as long; the rest is for 60 changes and 30 restarts.
+    // Four stages bake for 40 s each, and the baseline takes 40 s; the rest is the time for 60 changes and 30 restarts.
     let seconds = (fleet.now - started_at) / SECOND;
     assert!(seconds < 260, "{seconds} s");
 }
 
-/// A controller that is partitioned from half of the nodes waits, takes none of them down, and continues after.
+/// A controller that is partitioned from half of the nodes takes none of them down, and continues when the partition
+/// heals.
 #[test]
-fn a_controller_without_reports_of_half_of_the_nodes_takes_none_of_them_down() {
+fn given_a_partition_from_half_of_the_nodes_when_run_then_the_disruption_budget_holds() {
     for seconds in [150, 190] {
         let mut fleet = Fleet::new(plan(16, 2), Defect::None, 13);
         fleet.partition = Some(Partition {
@@ -96,51 +97,52 @@
             to: (seconds + 30) * SECOND,
             nodes: 8,
         });
-        let outcome = fleet.play();
-        // A changed node that does not report is rolled back: no report is not taken for a good one.
-        if outcome != Outcome::Through {
-            assert_rolled_back(&outcome, "silent");
+        let outcome = fleet.run_rollout();
+        // A changed node that does not report causes a rollback: a missing report does not count as healthy.
+        if outcome != Outcome::Completed {
+            assert_rolled_back(&outcome, "stopped reporting");
         }
         assert!(fleet.max_down <= 2, "{}", fleet.max_down);
     }
 }
 
-/// Harm to all nodes alike does not show between the two groups: the fleet's baseline tells.
+/// Harm that is equal at all nodes does not show as a difference of the two groups, only against the baseline.
 #[test]
-fn harm_to_the_whole_fleet_is_stopped_by_its_baseline() {
-    let Played { outcome, fleet } = play(16, Defect::HarmsFleet(0.6), 3);
+fn given_a_change_that_harms_all_nodes_equally_when_run_then_the_baseline_causes_a_rollback() {
+    let EndedRollout { outcome, fleet } = run_rollout(16, Defect::HarmsFleet(0.6), 3);
     assert_rolled_back(&outcome, "whole fleet");
     assert_eq!(fleet.changed_nodes(), 0);
 }
 
-/// Old and new nodes that disagree on a key's cache server: refused at the first node, unless the plan allows it.
+/// If changed and unchanged nodes map keys to different cache servers, the change is rolled back at the first node,
+/// unless the plan allows it.
 #[test]
-fn a_change_of_placement_is_refused_unless_allowed() {
-    let Played { outcome, fleet } = play(8, Defect::MovesKeys, 9);
-    assert_rolled_back(&outcome, "places keys otherwise");
-    assert_eq!((fleet.changed_nodes(), fleet.stages_begun()), (0, 1));
+fn given_a_change_of_key_placement_when_run_then_it_is_rolled_back_unless_the_plan_allows_it() {
+    let EndedRollout { outcome, fleet } = run_rollout(8, Defect::MovesKeys, 9);
+    assert_rolled_back(&outcome, "maps keys to other cache servers");
+    assert_eq!((fleet.changed_nodes(), fleet.stages_started()), (0, 1));
     let mut allowed = plan(8, 2);
     allowed.changes_placement = true;
-    // The plan allows that they fetch more in the first half minute: only losses are tested here.
+    // The bound is raised because changed nodes fetch more in the first 30 s; only losses are tested here.
     allowed.min_harm = 0.2;
     let mut fleet = Fleet::new(allowed, Defect::MovesKeys, 9);
-    assert_eq!(fleet.play(), Outcome::Through);
+    assert_eq!(fleet.run_rollout(), Outcome::Completed);
 }
 
-/// Keys that move are misses at the origin: the change goes no faster than it can bear.
+/// Moved keys are cache misses that load the origin: the rollout must not exceed the origin's fetch limit.
 #[test]
-fn a_change_of_placement_goes_as_fast_as_the_origin_bears() {
+fn given_a_change_of_key_placement_when_fetches_are_limited_then_the_rollout_keeps_the_limit() {
     let max_fetches = |bound: f64| {
         let mut allowed = plan(24, 1);
         allowed.changes_placement = true;
         allowed.min_harm = 0.2;
-        // 24 nodes with 68 requests a second each, a tenth of them fetched: some 165 a second without the change. One
-        // changed node fetches 54 more at first: the bound may be exceeded by so much.
+        // 24 nodes get 68 requests per second each and fetch a tenth: about 165 fetches per second without the change.
+        // One changed node fetches 54 more at first, so the limit may be exceeded by 54.
         allowed.max_fetches_per_s = Some(bound);
         allowed.max_unavailable = 6;
         allowed.max_wait = 200 * SECOND;
         let mut fleet = Fleet::new(allowed, Defect::MovesKeys, 15);
-        assert_eq!(fleet.play(), Outcome::Through);
+        assert_eq!(fleet.run_rollout(), Outcome::Completed);
         let fetches = fleet.observations.iter().map(|o| o.fetches_per_s);
         fetches.fold(0.0, f64::max)
     };
@@ -151,21 +153,27 @@
     );
 }
 
-/// While all nodes suffer no more are changed, also before a stage is complete.
+/// During a fault of the whole fleet no further nodes are changed, even in the middle of a stage.
 #[test]
-fn no_more_nodes_are_changed_during_a_fault_of_the_whole_fleet() {
-    let harmless = play(60, Defect::None, 14).fleet;
+fn given_a_fault_of_the_whole_fleet_when_nodes_are_being_changed_then_no_further_nodes_are_changed()
+{
+    let harmless = run_rollout(60, Defect::None, 14).fleet;
     let changes_last_stage = |o: &Observation| o.stage == 3 && o.phase == PhaseName::ChangingNodes;
     let observations = harmless.observations.iter();
     let last_stage = observations.clone().position(changes_last_stage).unwrap() as u64;
     let mut fleet = Fleet::new(plan(60, 2), Defect::None, 14);
-    // In the middle of the last stage's changes.
+    // The fault starts in the middle of the last stage's changes.
     fleet.fault = Some(FleetFault {
         from: (104 + last_stage) * SECOND,
         to: (144 + last_stage) * SECOND,
         loss: 0.4,
     });
-    assert_eq!(fleet.play(), Outcome::Through, "{:?}", fleet.printed);
+    assert_eq!(
+        fleet.run_rollout(),
+        Outcome::Completed,
+        "{:?}",
+        fleet.printed
+    );
     let suffers = |o: &&Observation| o.fleet_loss.is_some_and(|loss| loss > 0.3);
     let during: Vec<&Observation> = fleet.observations.iter().filter(suffers).collect();
     let is_changing = |o: &&Observation| o.phase == PhaseName::ChangingNodes;
@@ -176,12 +184,17 @@
     );
     let first = during[3].changed_nodes;
     let last = during[during.len() - 1].changed_nodes;
-    assert!(last <= first + 2, "{first} to {last} changed meanwhile");
+    assert!(
+        last <= first + 2,
+        "{first} changed nodes became {last} during the fault"
+    );
 }
 
-/// A fault of the fleet in the middle of a stage is not blamed on the change: it waits, and continues after.
+/// A fault of the whole fleet in the middle of a stage is not attributed to the change: the rollout waits until the fault
+/// ends, and then continues.
 #[test]
-fn a_harmless_change_waits_out_a_fault_of_the_fleet() {
+fn given_a_fault_of_the_whole_fleet_when_the_change_is_harmless_then_the_rollout_waits_and_completes()
+ {
     for seconds in [140, 200, 260] {
         let mut fleet = Fleet::new(plan(16, 2), Defect::None, 4);
         fleet.fault = Some(FleetFault {
@@ -189,78 +202,86 @@
             to: (seconds + 40) * SECOND,
             loss: 0.4,
         });
-        assert_eq!(fleet.play(), Outcome::Through, "{:?}", fleet.printed);
+        assert_eq!(
+            fleet.run_rollout(),
+            Outcome::Completed,
+            "{:?}",
+            fleet.printed
+        );
     }
 }
 
 #[test]
-fn nothing_begins_while_a_node_is_unresponsive() {
+fn given_an_unresponsive_node_when_the_rollout_starts_then_no_node_is_changed() {
     let mut fleet = Fleet::new(plan(8, 1), Defect::None, 5);
-    fleet.muted = vec![3];
-    assert_left(&fleet.play(), "no report from n3");
+    fleet.unreported = vec![3];
+    assert_left_to_operator(&fleet.run_rollout(), "no report from n3");
     assert_eq!(fleet.changed_nodes(), 0);
 }
 
 #[test]
-fn a_node_whose_commands_fail_is_named_and_the_others_are_rolled_back() {
+fn given_a_node_whose_commands_fail_when_run_then_it_is_named_and_the_others_are_rolled_back() {
     let mut fleet = Fleet::new(plan(8, 1), Defect::None, 6);
     let first = stages::order(&fleet.plan)[0];
     fleet.nodes[first].commands_fail = true;
-    let outcome = fleet.play();
-    assert_left(&outcome, &fleet.plan.nodes[first].name);
+    let outcome = fleet.run_rollout();
+    assert_left_to_operator(&outcome, &fleet.plan.nodes[first].name);
     assert_eq!(fleet.changed_nodes(), 0);
 }
 
-/// Somebody else changed a node: it reports the new generation without a command.
+/// A node that was changed outside the rollout reports the new generation before its command.
 #[test]
-fn a_node_that_somebody_else_changed_ends_the_rollout() {
+fn given_a_node_changed_outside_the_rollout_when_run_then_the_rollout_is_left_to_the_operator() {
     let mut fleet = Fleet::new(plan(8, 1), Defect::None, 7);
     let last = *stages::order(&fleet.plan).last().unwrap();
     fleet.nodes[last].report.generation = "new".into();
-    assert_left(&fleet.play(), "not changed yet");
+    assert_left_to_operator(&fleet.run_rollout(), "not changed yet");
     assert_eq!(fleet.changed_nodes(), 0);
 }
 
-/// The controller is killed before each of its actions in turn, and another continues: it ends as it would have.
+/// The controller is killed before each of its actions in turn, and another one continues with the same outcome.
 #[test]
-fn killed_at_any_point_it_ends_as_it_would_have() {
+fn given_a_controller_killed_at_any_action_when_another_continues_then_the_outcome_is_the_same() {
     for defect in [Defect::None, Defect::Errors(0.2)] {
-        let undisturbed = play(6, defect, 8);
+        let without_kill = run_rollout(6, defect, 8);
         let changed = if defect == Defect::None { 6 } else { 0 };
-        for kill in 0..undisturbed.fleet.action_count() {
+        for kill in 0..without_kill.fleet.action_count() {
             let mut fleet = Fleet::new(plan(6, 2), defect, 8);
             fleet.kill_after = Some(kill);
-            let outcome = fleet.play();
+            let outcome = fleet.run_rollout();
             assert_eq!(
                 std::mem::discriminant(&outcome),
-                std::mem::discriminant(&undisturbed.outcome),
-                "killed at {kill}: {outcome:?}"
+                std::mem::discriminant(&without_kill.outcome),
+                "killed at action {kill}: {outcome:?}"
             );
-            assert_eq!(fleet.changed_nodes(), changed, "killed at {kill}");
+            assert_eq!(fleet.changed_nodes(), changed, "killed at action {kill}");
             assert!(
                 fleet.max_down <= 2,
-                "killed at {kill}: {} down",
+                "killed at action {kill}: {} down",
                 fleet.max_down
             );
         }
     }
 }
 
-/// A/A test: the change changes nothing, and the nodes differ for good. Few runs may be stopped, however often one
-/// looks.
+/// A/A test: the change has no effect, and nodes differ permanently. Few rollouts may be stopped, however often the
+/// sequential test is evaluated.
 #[test]
-fn harmless_changes_are_seldom_stopped() {
+fn given_harmless_changes_when_run_150_times_then_at_most_3_are_stopped() {
     let stopped: Vec<String> = (0..150)
-        .filter_map(|seed| match play(8, Defect::None, 1000 + seed).outcome {
-            Outcome::Through => None,
-            outcome => Some(format!("{seed}: {outcome:?}")),
-        })
+        .filter_map(
+            |seed| match run_rollout(8, Defect::None, 1000 + seed).outcome {
+                Outcome::Completed => None,
+                outcome => Some(format!("{seed}: {outcome:?}")),
+            },
+        )
         .collect();
     assert!(stopped.len() <= 3, "{stopped:?}");
 }
 
 #[test]
-fn stages_are_nested_spread_over_zones_and_end_with_all_nodes() {
+fn given_nodes_of_four_zones_when_staged_then_every_stage_is_spread_over_zones_and_the_last_has_all_nodes()
+ {
     let plan = plan(40, 4);
     let order = stages::order(&plan);
     let sizes = stages::sizes(&plan.stage_fractions, 40);
