--- a/crates/sparrouter-lab/src/stand_ins/peer_network.rs
+++ b/crates/sparrouter-lab/src/stand_ins/peer_network.rs
@@ -3,7 +3,7 @@
 use super::Lab;
 use crate::nanos;
 use crate::scenario::arrivals::scramble;
-use sparrouter_shares::note::{QuotaMessage, QuotaRows};
+use sparrouter_shares::message::{QuotaMessage, QuotaRows};
 use sparrouter_shares::size::ClusterSizeView;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/sparrouter-node/src/routing/quota.rs
+++ b/crates/sparrouter-node/src/routing/quota.rs
@@ -5,7 +5,7 @@
 use sparrouter_report::Share;
 use sparrouter_settings::{Settings, Tenant, hash};
 use sparrouter_shares::shares::ClusterPosition;
-use sparrouter_shares::{Limit, QuotaShares, SECOND, note};
+use sparrouter_shares::{Limit, QuotaShares, SECOND, message};
 
 /// Nanoseconds of a millisecond.
 const MS: Nanos = 1_000_000;
@@ -112,7 +112,7 @@
 
     /// Whether a gossip datagram is a quota message.
     pub fn is_quota_message(text: &[u8]) -> bool {
-        text.first() == Some(&note::FIRST_BYTE)
+        text.first() == Some(&message::FIRST_BYTE)
     }
 
     /// Handles a quota message. Returns the answer to its sender, if there is one.
@@ -142,12 +142,12 @@
             rows.push(Share {
                 limit: name.clone(),
                 per_s: counts.per_s,
-                part: counts.part,
-                held: counts.held,
-                lent: counts.lent,
-                need: counts.need,
+                part: counts.rate,
+                held: counts.borrowed,
+                lent: counts.loaned,
+                need: counts.needed,
                 arrived: counts.arrived,
-                within: counts.within,
+                within: counts.admitted,
             });
         }
         rows
--- a/crates/sparrouter-shares/examples/fleets.rs
+++ b/crates/sparrouter-shares/examples/fleets.rs
@@ -1,5 +1,7 @@
-//! How well clusters of several sizes keep one limit, in three ways: by leases, by the number of nodes alone, and as
-//! before leases, by gossip about the arrivals of the last second. Same seeds, same arrival rates, no sockets.
+//! Compares how well clusters of several sizes enforce one limit in three modes: with leases, with equal shares by the
+//! number of nodes, and with the algorithm before leases, gossip about the arrivals of the last second. All modes use the
+//! same seeds and arrival rates, and no sockets.
+//!
 //! `NODES=4,16 cargo run --release -p sparrouter-shares --example fleets`
 #[path = "../tests/cluster/mod.rs"]
 mod cluster;
@@ -9,44 +11,44 @@
 use sparrouter_shares::{Nanos, SECOND};
 use std::collections::BTreeMap;
 
-/// Arrivals a second at a node, before or after traffic has moved: a quarter of the nodes get most of them.
+/// Returns the arrivals per second at a node, before or after traffic has moved. A quarter of the nodes get most arrivals.
 fn demand(node: usize, moved: bool) -> f64 {
     let is_busy = (node + usize::from(moved)).is_multiple_of(4);
     if is_busy { 24.0 } else { 4.0 }
 }
 
-/// The measured times, in order.
+/// Measurements of the phases of a run, in order.
 struct Phases {
     steady: Measurement,
-    /// The five seconds after traffic has moved.
+    /// The five seconds after traffic has moved to other nodes.
     moved: Measurement,
-    /// The next six.
+    /// The six seconds after `moved`.
     after: Measurement,
-    /// Halves that do not hear each other.
+    /// A partition into two halves.
     partitioned: Measurement,
-    /// One node requests a thousandfold.
+    /// One node requests 1000 times the rate that it needs.
     greedy: Measurement,
 }
 
-/// A run, with the highest sum of rates as a fraction of the limit where it is known.
+/// Measurements of a run, with the highest sum of rates as a fraction of the limit (NaN if unknown).
 struct Run {
     phases: Phases,
     max_rate_sum: f64,
 }
 
-/// A phase of the run before leases.
+/// Parameters of a phase with the gossip algorithm.
 struct GossipPhase {
-    /// Seconds before the measurement.
+    /// Warm-up before the measurement, in seconds.
     settling: u32,
-    /// Seconds of the measurement.
+    /// Length of the measurement in seconds.
     measured: u32,
     moved: bool,
     partitioned: bool,
     greedy: bool,
 }
 
-/// A node before leases: each second it reports its arrivals to two random peers, and moves its fraction of the limit
-/// towards its fraction of the arrivals; a peer not heard of for three seconds counts as the mean.
+/// A node with the gossip algorithm. Each second it reports its arrivals to two random peers, and adjusts its fraction of
+/// the limit towards its fraction of the arrivals. A peer without a report for three seconds counts as the mean.
 struct GossipNode {
     fraction: f64,
     reports: BTreeMap<usize, (Nanos, f64)>,
@@ -109,15 +111,15 @@
         }
     }
 
-    /// Arrivals of a second in order of time, a twentieth of a second at a node at once; what arrived and what was
-    /// admitted by node.
+    /// Simulates the arrivals of one second in steps of a twentieth of a second, and returns the arrived and the admitted
+    /// units of each node.
     fn serve_second(&mut self, moved: bool) -> (Vec<f64>, Vec<f64>) {
         let nodes = self.nodes.len();
         let (mut arrived, mut admitted) = (vec![0.0; nodes], vec![0.0; nodes]);
         for step in 0..20 {
-            let at = self.now + step * SECOND / 20;
+            let step_time = self.now + step * SECOND / 20;
             for (index, node) in self.nodes.iter_mut().enumerate() {
-                node.bucket.fill(node.fraction * self.per_s, at);
+                node.bucket.fill(node.fraction * self.per_s, step_time);
                 for _ in 0..poisson(&mut self.rng, demand(index, moved) / 20.0) {
                     node.arrived += 1.0;
                     arrived[index] += 1.0;
@@ -164,7 +166,7 @@
     }
 }
 
-/// A Poisson count, by exponential gaps.
+/// Draws a Poisson count by summing exponential gaps.
 fn poisson(rng: &mut Rng, mean: f64) -> usize {
     let mut remaining = mean;
     let mut count = 0;
@@ -233,13 +235,13 @@
     }
 }
 
-fn print_row(nodes: usize, way: &str, runs: &[Run]) {
+fn print_row(nodes: usize, mode: &str, runs: &[Run]) {
     let mean = |f: &dyn Fn(&Phases) -> f64| {
         runs.iter().map(|r| f(&r.phases)).sum::<f64>() / runs.len() as f64
     };
     let max = runs.iter().map(|r| r.max_rate_sum).fold(f64::NAN, f64::max);
     println!(
-        "{nodes:>6} {way:<8}{max:>8.3} |         {:>5.3} {:>5.3} {:>5.3} |        {:>5.3} {:>5.3} |        {:>5.3} {:>5.3} |        {:>5.3} |         {:>5.3} | {:>6.0}",
+        "{nodes:>6} {mode:<8}{max:>8.3} |         {:>5.3} {:>5.3} {:>5.3} |        {:>5.3} {:>5.3} |        {:>5.3} {:>5.3} |        {:>5.3} |         {:>5.3} | {:>6.0}",
         mean(&|p| p.steady.of_limit),
         mean(&|p| p.steady.used),
         mean(&|p| p.steady.fairness),
@@ -255,21 +257,21 @@
 
 fn main() {
     println!(
-        "{:>6} {:<8}{:>8} | steady: over  used  Jain | moved: over  used | after: used  Jain | halves: over | a liar: used | bytes/s",
-        "nodes", "way", "parts"
+        "{:>6} {:<8}{:>8} | steady: rate  used  Jain | moved: rate  used | after: used  Jain | halves: rate | greedy: used | bytes/s",
+        "nodes", "mode", "sum"
     );
     let sizes = std::env::var("NODES").unwrap_or_else(|_| "4,16,48,300,3000".into());
     for nodes in sizes.split(',').filter_map(|n| n.parse::<usize>().ok()) {
-        // All nodes together demand 9 a second and node; 8 are allowed.
+        // The mean demand is 9 per second and node; the limit is 8 per second and node.
         let per_s = 8.0 * nodes as f64;
         let seeds: u64 = if nodes > 300 { 1 } else { 5 };
-        for way in ["leases", "count", "before"] {
-            let run = |seed: u64| match way {
+        for mode in ["leases", "count", "before"] {
+            let run = |seed: u64| match mode {
                 "before" => run_gossip(nodes, 100 + seed, per_s),
-                _ => run_shares(nodes, 100 + seed, per_s, way == "leases"),
+                _ => run_shares(nodes, 100 + seed, per_s, mode == "leases"),
             };
             let runs: Vec<Run> = (0..seeds).map(run).collect();
-            print_row(nodes, way, &runs);
+            print_row(nodes, mode, &runs);
         }
     }
 }
--- a/crates/sparrouter-shares/src/bucket.rs
+++ b/crates/sparrouter-shares/src/bucket.rs
@@ -1,15 +1,15 @@
-//! Token bucket over a sliding window: in any window no more is spent than the rate came to in that window.
+//! Token bucket over a sliding window: in any window no more tokens are spent than were earned in that window.
 //!
-//! Tokens that are not spent expire with their window. A bucket that fills while nobody takes from it lets all nodes
-//! together take twice the limit in the first window after a quiet one (measured: 1.38 times the limit in the second in
-//! which traffic moved to other nodes).
+//! Tokens that are not spent expire with their window. If an idle bucket kept its tokens, all nodes together could admit
+//! twice the limit in the first window after an idle one (measured: 1.38 times the limit in the second in which traffic
+//! moved to other nodes).
 use crate::{Nanos, SECOND};
 use fastrand::Rng;
 
-/// A window is counted in this many slices; the sum over any window is exact but for one slice.
+/// Number of slices per window. The sum over any window is exact up to one slice.
 const SLICES: u64 = 32;
 
-/// Tokens of one slice of the window.
+/// Tokens earned and spent in one slice of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     earned: f64,
@@ -20,20 +20,20 @@
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     slice_length: Nanos,
-    /// The last slices; slice number `n` stands at index `n % SLICES`.
+    /// Ring of the latest slices; slice number `n` is stored at index `n % SLICES`.
     slices: [Slice; SLICES as usize],
-    /// Up to here the rate has been added to the slices.
+    /// Time up to which earned tokens have been added to the slices.
     filled_until: Nanos,
-    /// A fraction of a token, in [0, 1), added to what was earned and drawn anew for each window: of many small shares
-    /// about as many round up to one token as they are worth in sum.
+    /// Random fraction of a token, in [0, 1), that is added to the earned tokens and drawn again for each window. Of many
+    /// small shares, the expected number that round up to one token equals their sum.
     rounding: f64,
-    /// Number of the window that `rounding` was drawn for.
+    /// Number of the window for which `rounding` was drawn.
     rounding_window: u64,
     rng: Rng,
 }
 
 impl TokenBucket {
-    /// An empty bucket. `window` is the length of the window; `rng` draws the rounding.
+    /// Creates an empty bucket. `window` is the length of the sliding window; `rng` draws the rounding.
     pub fn new(window: Nanos, rng: Rng, now: Nanos) -> TokenBucket {
         TokenBucket {
             slice_length: (window / SLICES).max(1),
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Adds the tokens earned since the last call at `per_s`, the rate in force since then. Call it before the rate changes.
+    /// Adds the tokens earned since the last call at `per_s` tokens per second, the rate that was in force since then. Must
+    /// be called before the rate changes.
     pub fn fill(&mut self, per_s: f64, now: Nanos) {
         let now = now.max(self.filled_until);
         let first = self.filled_until / self.slice_length;
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Spends one token if there is one, and returns whether there was.
+    /// Spends one token if one is available, and returns whether it did.
     pub fn try_acquire(&mut self) -> bool {
         let earned = self.slices.iter().fold(0.0, |sum, s| sum + s.earned);
         let spent = self.slices.iter().fold(0.0, |sum, s| sum + s.spent);
@@ -88,9 +89,10 @@
 
     const MS: Nanos = 1_000_000;
 
-    /// Two hundred shares of 0.2 a second each, idle for long, then all used at once: they earn 40 a second together.
+    /// 200 shares of 0.2 tokens per second each earn 40 per second together. After a long idle time they must not all
+    /// admit a request at the same time.
     #[test]
-    fn small_shares_that_were_idle_do_not_all_admit_at_once() {
+    fn given_200_small_idle_shares_when_all_are_used_then_they_admit_about_their_sum() {
         let mut buckets: Vec<TokenBucket> = (0..200)
             .map(|n| TokenBucket::new(SECOND, Rng::with_seed(n), 0))
             .collect();
@@ -104,12 +106,12 @@
             }
             assert!(
                 (20..=65).contains(&admitted),
-                "{admitted} in second {second}"
+                "{admitted} admitted in second {second}"
             );
         }
     }
 
-    /// A rate that was in force for a time.
+    /// A rate that was in force between two points in time.
     struct RatePeriod {
         from: Nanos,
         to: Nanos,
@@ -117,7 +119,7 @@
     }
 
     impl RatePeriod {
-        /// Tokens earned by this rate in the window that ends at `end`.
+        /// Returns the tokens earned by this rate in the window that ends at `end`.
         fn earned_in_window(&self, end: Nanos) -> f64 {
             let from = self.from.max(end.saturating_sub(SECOND));
             self.per_s * self.to.min(end).saturating_sub(from) as f64 / SECOND as f64
@@ -126,10 +128,10 @@
 
     proptest! {
         #![proptest_config(ProptestConfig { cases: 100, ..ProptestConfig::default() })]
-        /// For any rates and any arrivals: no window spends more than was earned in it, but for one slice and the token
-        /// that rounding adds.
+        /// For any rates and any arrivals, no more tokens are spent in a window than were earned in it, up to one slice and
+        /// the one token that rounding may add.
         #[test]
-        fn no_window_spends_more_than_was_earned(
+        fn given_any_rates_and_arrivals_when_spent_then_no_window_exceeds_its_earned_tokens(
             seed in any::<u64>(), steps in prop::collection::vec((1u64..200, 0.0..50.0f64, 0u32..30), 1..60),
         ) {
             let mut bucket = TokenBucket::new(SECOND, Rng::with_seed(seed), 0);
@@ -150,7 +152,7 @@
                 let from = end.saturating_sub(SECOND - SECOND / 32);
                 let spent = spent_at.iter().filter(|s| **s > from && **s <= end).count() as f64;
                 let earned: f64 = periods.iter().map(|p| p.earned_in_window(end)).sum();
-                prop_assert!(spent <= earned + 1.0 + 1e-6, "{} of {}", spent, earned);
+                prop_assert!(spent <= earned + 1.0 + 1e-6, "spent {} tokens of {} earned", spent, earned);
             }
         }
     }
--- a/crates/sparrouter-shares/src/leases.rs
+++ b/crates/sparrouter-shares/src/leases.rs
@@ -1,20 +1,21 @@
-//! Shares that a node has loaned to others and borrowed from others, as leases with an expiry.
+//! Leases of shares that a node has loaned to and borrowed from other nodes.
 //!
-//! The rule that keeps the sum of all rates: a lender counts a lease as loaned for at least as long as its borrower may
-//! use it, whatever the network does. The borrower's time counts from when it sent its request, by its own clock, and
-//! is shortened by a tenth for clocks that run at different speeds; the lender's counts from when it answered, which is
-//! never earlier.
+//! The sum of all rates stays within the limit because a lender counts a lease as loaned for at least as long as its
+//! borrower may use it, regardless of message loss and delay. The borrower's lease starts when it sends its request, by
+//! its own clock, and is shortened by a tenth to allow for clock drift. The lender's lease starts when it answers, which
+//! is never earlier.
 use crate::{Nanos, NodeIx};
 use std::collections::BTreeMap;
 
-/// One part in this many of a lease is left for clock drift: up to a twentieth for each of the two clocks.
+/// Divisor of the lease length that gives the margin for clock drift: a tenth, up to a twentieth for each of the two
+/// clocks.
 const DRIFT_DIVISOR: Nanos = 10;
-/// Peers that a node lends to, and peers that it borrows from, for one limit.
+/// Maximum number of peers that a node lends to, and also of peers that it borrows from, per limit.
 pub const MAX_LEASES: usize = 64;
-/// Grants to one borrower that may be in force at once.
+/// Maximum number of unexpired grants to one borrower.
 const MAX_GRANTS: usize = 6;
 
-/// A rate in units a second and the moment from which it is not in force any more.
+/// A lease of a rate in units per second; it has expired from `expires_at` on.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     per_s: f64,
@@ -22,67 +23,67 @@
 }
 
 impl Lease {
-    fn is_live(&self, now: Nanos) -> bool {
+    fn is_unexpired(&self, now: Nanos) -> bool {
         self.expires_at > now
     }
 }
 
 /// Shares loaned to other nodes.
 ///
-/// A borrower uses one grant at a time, but the lender cannot know which: an answer may be lost or late. It therefore
-/// keeps every grant until it expires and reserves the highest of them.
+/// A borrower uses one grant at a time, but the lender does not know which, as an answer may be lost or delayed. The
+/// lender therefore keeps every grant until it expires, and reserves the highest one.
 #[derive(Clone, Debug, Default)]
 pub struct LoanedShares {
-    /// By borrower, grants in the order in which they were made.
+    /// Grants of each borrower, oldest first.
     grants: BTreeMap<NodeIx, Vec<Lease>>,
 }
 
 impl LoanedShares {
     fn remove_expired(&mut self, now: Nanos) {
         self.grants.retain(|_, grants| {
-            grants.retain(|lease| lease.is_live(now));
+            grants.retain(|lease| lease.is_unexpired(now));
             !grants.is_empty()
         });
     }
 
-    fn highest(grants: &[Lease], now: Nanos) -> f64 {
+    fn highest_grant(grants: &[Lease], now: Nanos) -> f64 {
         grants
             .iter()
-            .filter(|lease| lease.is_live(now))
+            .filter(|lease| lease.is_unexpired(now))
             .map(|lease| lease.per_s)
             .fold(0.0, f64::max)
     }
 
-    /// The rate that all borrowers together may still use: the highest live grant of each.
+    /// Returns the rate that all borrowers together may still use: the sum of their highest unexpired grants.
     pub fn reserved_total(&self, now: Nanos) -> f64 {
         self.grants
             .values()
-            .map(|grants| LoanedShares::highest(grants, now))
+            .map(|grants| LoanedShares::highest_grant(grants, now))
             .sum()
     }
 
-    /// The rate that one borrower may still use.
+    /// Returns the rate that one borrower may still use.
     pub fn reserved_for(&self, borrower: NodeIx, now: Nanos) -> f64 {
         self.grants
             .get(&borrower)
-            .map_or(0.0, |grants| LoanedShares::highest(grants, now))
+            .map_or(0.0, |grants| LoanedShares::highest_grant(grants, now))
     }
 
-    /// The latest grant to a borrower, 0 where it has expired: what the lender means it to use.
+    /// Returns the latest grant to a borrower, which is the rate that it should use now; 0 if the grant has expired.
     pub fn latest_grant(&self, borrower: NodeIx, now: Nanos) -> f64 {
         let latest = self.grants.get(&borrower).and_then(|grants| grants.last());
         latest
-            .filter(|lease| lease.is_live(now))
+            .filter(|lease| lease.is_unexpired(now))
             .map_or(0.0, |lease| lease.per_s)
     }
 
-    /// Sum of the latest grants of all borrowers; at most [`LoanedShares::reserved_total`].
+    /// Returns the sum of the latest grants of all borrowers; at most [`LoanedShares::reserved_total`].
     pub fn latest_grants_total(&self, now: Nanos) -> f64 {
         self.grants.keys().map(|b| self.latest_grant(*b, now)).sum()
     }
 
-    /// Whether one more grant to this borrower fits the bounds of the table. Removes expired grants first.
-    pub fn has_capacity_for(&mut self, borrower: NodeIx, now: Nanos) -> bool {
+    /// Removes expired grants, and returns whether the bounded table has room for another grant to this borrower.
+    pub fn has_room_for(&mut self, borrower: NodeIx, now: Nanos) -> bool {
         self.remove_expired(now);
         match self.grants.get(&borrower) {
             Some(grants) => grants.len() < MAX_GRANTS,
@@ -90,32 +91,32 @@
         }
     }
 
-    /// Records a grant of `per_s` units a second.
+    /// Records a grant of `per_s` units per second.
     pub fn grant(&mut self, borrower: NodeIx, per_s: f64, expires_at: Nanos) {
         let lease = Lease { per_s, expires_at };
         self.grants.entry(borrower).or_default().push(lease);
     }
 }
 
-/// Shares borrowed from other nodes, one lease a lender, of at most [`MAX_LEASES`] lenders.
+/// Shares borrowed from other nodes: one lease per lender, from at most [`MAX_LEASES`] lenders.
 #[derive(Clone, Debug, Default)]
 pub struct BorrowedShares {
     leases: BTreeMap<NodeIx, Lease>,
 }
 
 impl BorrowedShares {
-    /// The borrowed rate in units a second.
+    /// Returns the borrowed rate in units per second.
     pub fn total(&self, now: Nanos) -> f64 {
         self.leases
             .values()
-            .filter(|lease| lease.is_live(now))
+            .filter(|lease| lease.is_unexpired(now))
             .map(|lease| lease.per_s)
             .sum()
     }
 
-    /// Replaces the lease of a lender by its new grant; a grant of 0 or one that has expired only ends the old lease.
+    /// Replaces the lease of a lender by its new grant. A grant of 0 or an expired grant only ends the previous lease.
     ///
-    /// `requested_at` is when this node sent the request, by its own clock; the lease counts from then.
+    /// `requested_at` is the time at which this node sent the request, by its own clock; the lease starts then.
     pub fn accept(
         &mut self,
         lender: NodeIx,
@@ -124,32 +125,32 @@
         lease_length: Nanos,
         now: Nanos,
     ) {
-        self.leases.retain(|_, lease| lease.is_live(now));
+        self.leases.retain(|_, lease| lease.is_unexpired(now));
         let expires_at = requested_at + lease_length - lease_length / DRIFT_DIVISOR;
         let lease = Lease { per_s, expires_at };
-        let has_capacity = self.leases.contains_key(&lender) || self.leases.len() < MAX_LEASES;
-        if per_s > 0.0 && lease.is_live(now) && has_capacity {
+        let has_room = self.leases.contains_key(&lender) || self.leases.len() < MAX_LEASES;
+        if per_s > 0.0 && lease.is_unexpired(now) && has_room {
             self.leases.insert(lender, lease);
         } else {
             self.leases.remove(&lender);
         }
     }
 
-    /// When the first of the live leases expires; [`Nanos::MAX`] where there is none.
+    /// Returns the time at which the first unexpired lease expires; [`Nanos::MAX`] if there is none.
     pub fn next_expiry(&self, now: Nanos) -> Nanos {
         self.leases
             .values()
-            .filter(|lease| lease.is_live(now))
+            .filter(|lease| lease.is_unexpired(now))
             .map(|lease| lease.expires_at)
             .min()
             .unwrap_or(Nanos::MAX)
     }
 
-    /// Lenders whose live lease expires no later than `deadline`, in order of their index.
+    /// Returns the lenders whose unexpired lease expires no later than `deadline`, ordered by index.
     pub fn lenders_expiring_by(&self, deadline: Nanos, now: Nanos) -> impl Iterator<Item = NodeIx> {
         self.leases
             .iter()
-            .filter(move |(_, lease)| lease.is_live(now) && lease.expires_at <= deadline)
+            .filter(move |(_, lease)| lease.is_unexpired(now) && lease.expires_at <= deadline)
             .map(|(lender, _)| *lender)
     }
 }
--- a/crates/sparrouter-shares/src/message.rs
+++ b/crates/sparrouter-shares/src/message.rs
@@ -4,22 +4,22 @@
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 0 | 0xA5, which readers of other datagrams between nodes reject |
-//! | 1 | 1, the format |
-//! | 2 | 0: a request, 1: a grant |
-//! | 3, 4 | fingerprint of the limits |
-//! | 5, 6 | number of nodes as the sender counts it |
-//! | 7, 8 | number of nodes that it counted before, 0 for none |
-//! | 9, 10 | tenths of a second for which the number has not changed |
-//! | 11 to 14 | sequence number of the request; a grant repeats it |
-//! | then rows | request: limit (1 byte), rate in use, rate needed (4-byte floats); grant: limit (1 byte), rate (4-byte float) |
+//! | 0 | 0xA5; no other type of datagram between nodes starts with it |
+//! | 1 | format number, 1 |
+//! | 2 | 0 for a request, 1 for a grant |
+//! | 3, 4 | fingerprint of the names of the limits |
+//! | 5, 6 | number of nodes in the sender's view |
+//! | 7, 8 | previous number of nodes in the sender's view, 0 if none |
+//! | 9, 10 | tenths of a second for which the number of nodes has not changed |
+//! | 11 to 14 | sequence number of the request, repeated in the grant |
+//! | then rows | request: index of the limit (1 byte), rate in use, rate needed (4-byte floats); grant: index of the limit (1 byte), rate (4-byte float) |
 //! | last 2 | low half of the CRC-32 of all bytes before |
 //!
-//! Nodes of different versions run side by side: the bytes must not change under this format number.
+//! Nodes of different versions exchange messages, so the bytes must not change under this format number.
 use crate::size::ClusterSizeView;
 use crate::{Nanos, SECOND};
 
-/// First byte of every message, which no other datagram between nodes starts with.
+/// First byte of every message. No other type of datagram between nodes starts with it.
 pub const FIRST_BYTE: u8 = 0xA5;
 const FORMAT: u8 = 1;
 const REQUEST: u8 = 0;
@@ -29,31 +29,31 @@
 const MAX_LENGTH: usize = 256;
 const REQUEST_ROW_LENGTH: usize = 9;
 const GRANT_ROW_LENGTH: usize = 5;
-/// Rows that fit one request.
+/// Maximum number of rows of a request.
 pub const MAX_ROWS: usize = (MAX_LENGTH - HEADER_LENGTH - CHECKSUM_LENGTH) / REQUEST_ROW_LENGTH;
 
-/// Unit of the time in a message.
+/// Unit of times in a message, in nanoseconds.
 const TENTH_OF_SECOND: Nanos = SECOND / 10;
 
-/// The rows of a message: rates in units a second by index of the limit.
+/// Rows of a message. Each row starts with the index of a limit; rates are in units per second.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QuotaRows {
-    /// A request for shares. Each row: limit, rate that the sender may use now, rate that it needs.
+    /// Request for shares. Each row is a limit, the rate that the sender may use now, and the rate that it needs.
     Request(Vec<(u8, f64, f64)>),
-    /// The answer to a request. Each row: limit, rate granted; 0 ends an earlier grant.
-    Give(Vec<(u8, f64)>),
+    /// Response to a request. Each row is a limit and the granted rate; a rate of 0 ends the previous grant.
+    Grant(Vec<(u8, f64)>),
 }
 
 /// A request for quota shares, or the grant that answers it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaMessage {
-    /// Fingerprint of the limits' names in their order; nodes ignore messages with another one.
+    /// Fingerprint of the ordered names of the limits. Nodes ignore messages with a different fingerprint.
     pub fingerprint: u16,
     /// The sender's view of the cluster's size.
     pub size_view: ClusterSizeView,
-    /// Random number of the request. A grant counts only under the number of the request that is outstanding.
+    /// Random number of the request. A grant is accepted only if it repeats the number of the outstanding request.
     pub sequence: u32,
-    /// What is requested or granted; rows beyond [`MAX_ROWS`] are not written.
+    /// Requested or granted rates. Rows beyond [`MAX_ROWS`] are not written.
     pub rows: QuotaRows,
 }
 
@@ -74,7 +74,7 @@
     ])
 }
 
-/// A rate, which must be finite and not negative.
+/// Reads a rate; `None` if it is not finite or negative.
 fn rate_at(bytes: &[u8], offset: usize) -> Option<f64> {
     let rate = f64::from(f32::from_bits(u32_at(bytes, offset)));
     (rate.is_finite() && rate >= 0.0).then_some(rate)
@@ -90,10 +90,10 @@
                     bytes.extend((*needed as f32).to_le_bytes());
                 }
             }
-            QuotaRows::Give(rows) => {
+            QuotaRows::Grant(rows) => {
                 for (limit, granted) in rows.iter().take(MAX_ROWS) {
                     bytes.push(*limit);
-                    // Rounded down: the borrower must not use more than the lender reserved.
+                    // The rate is rounded down, as the borrower must not use more than the lender has reserved.
                     bytes.extend((*granted as f32).next_down().max(0.0).to_le_bytes());
                 }
             }
@@ -111,18 +111,18 @@
                 .chunks_exact(GRANT_ROW_LENGTH)
                 .map(|row| Some((row[0], rate_at(row, 1)?)))
                 .collect::<Option<_>>()
-                .map(QuotaRows::Give),
+                .map(QuotaRows::Grant),
             _ => None,
         }
     }
 }
 
 impl QuotaMessage {
-    /// The bytes of the message, as the head of this module describes them.
+    /// Encodes the message in the format that the module documentation describes.
     pub fn write(&self) -> Vec<u8> {
         let kind = match self.rows {
             QuotaRows::Request(_) => REQUEST,
-            QuotaRows::Give(_) => GRANT,
+            QuotaRows::Grant(_) => GRANT,
         };
         let unchanged_tenths = (self.size_view.unchanged_for / TENTH_OF_SECOND) as usize;
         let mut bytes = vec![FIRST_BYTE, FORMAT, kind];
@@ -136,8 +136,8 @@
         bytes
     }
 
-    /// Reads a message; `None` for another kind of datagram, a truncated or damaged one, an unknown format, and a rate
-    /// that is negative or not finite.
+    /// Decodes a message. Returns `None` for another type of datagram, a truncated or corrupt datagram, an unknown format,
+    /// or a rate that is negative or not finite.
     pub fn read(datagram: &[u8]) -> Option<QuotaMessage> {
         let (bytes, checksum) = datagram.split_last_chunk::<CHECKSUM_LENGTH>()?;
         let is_intact = (crc32fast::hash(bytes) as u16).to_le_bytes() == *checksum;
@@ -178,9 +178,9 @@
         }
     }
 
-    /// Golden bytes, which a node of another version must still read.
+    /// Golden test: nodes of other versions must be able to decode these bytes.
     #[test]
-    fn the_format_does_not_change() {
+    fn given_a_request_when_encoded_then_the_bytes_are_golden_and_truncated_ones_are_rejected() {
         let request = message(QuotaRows::Request(vec![(2, 1.5, 4.0)]));
         let bytes = request.write();
         let golden = [
@@ -199,13 +199,13 @@
     proptest! {
         #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
         #[test]
-        fn random_bytes_are_no_message_and_a_grant_is_never_read_as_more(
+        fn given_random_bytes_when_decoded_then_nothing_panics_and_a_decoded_grant_is_never_higher(
             mut random in prop::collection::vec(any::<u8>(), 0..300), granted in 0.0..1e6f64,
         ) {
             random.truncate(256);
             let _ = QuotaMessage::read(&random);
-            let grant = message(QuotaRows::Give(vec![(0, granted)]));
-            let Some(QuotaMessage { rows: QuotaRows::Give(rows), .. }) = QuotaMessage::read(&grant.write()) else { panic!() };
+            let grant = message(QuotaRows::Grant(vec![(0, granted)]));
+            let Some(QuotaMessage { rows: QuotaRows::Grant(rows), .. }) = QuotaMessage::read(&grant.write()) else { panic!() };
             prop_assert!(rows[0].1 <= granted);
         }
     }
--- a/crates/sparrouter-shares/src/shares/borrowing.rs
+++ b/crates/sparrouter-shares/src/shares/borrowing.rs
@@ -1,20 +1,21 @@
-//! The borrower's side: which peers a node requests shares of, and how it takes their grants.
+//! Borrower side: selects the peers to request shares from, and accepts their grants.
 use super::{OutstandingRequest, QuotaShares, TICKS_PER_LEASE, TICKS_PER_REQUEST};
 use crate::message::{MAX_ROWS, QuotaMessage, QuotaRows};
 use crate::size::ClusterSizeView;
 use crate::{Nanos, NodeIx};
 
-/// Requests that a node sends at once.
+/// Maximum number of requests that a node sends per tick.
 const MAX_REQUESTS: usize = 16;
 
-/// A limit in which this node needs more than its own share.
+/// A limit for which this node needs more than its own share.
 struct Shortage {
     limit: usize,
     needed: f64,
 }
 
 impl QuotaShares {
-    /// Requests for more shares, and for peers' views while the size is not agreed, each with the peer it goes to.
+    /// Creates requests for shares, and for peers' views while the size is not agreed, each with the index of its
+    /// recipient.
     pub(super) fn create_requests(&mut self, now: Nanos) -> Vec<(NodeIx, Vec<u8>)> {
         let is_agreed = self.size.is_agreed(now);
         let timeout = self.lease_length / 2;
@@ -27,15 +28,15 @@
         let lacks_rate = shortages
             .iter()
             .any(|s| s.needed > self.own_rate(s.limit, now));
-        // Where a message cannot hold all, the limits that need most come first.
+        // If not all rows fit a message, the limits with the highest needed rate are sent.
         shortages.sort_by(|a, b| b.needed.total_cmp(&a.needed));
         shortages.truncate(MAX_ROWS);
         let peers = self.request_candidates(&shortages, lacks_rate, is_agreed, now);
         self.write_requests(&peers, &shortages, now)
     }
 
-    /// The limits in which this node needs more than its own share. A node that needs less only takes back what it has
-    /// loaned, by not renewing it: when such nodes borrowed, they passed shares around in a ring.
+    /// Returns the limits for which this node needs more than its own share. A node that needs less only recovers its
+    /// loaned shares by not renewing the leases: when such nodes also borrowed, shares circulated in a ring.
     fn shortages(&mut self, now: Nanos) -> Vec<Shortage> {
         let mut shortages = Vec::new();
         for limit in 0..self.limits.len() {
@@ -48,8 +49,8 @@
         shortages
     }
 
-    /// Peers to send a request to, the most useful first, with repetitions: lenders whose lease ends, then peers whose
-    /// view of the size is missing, then random ones.
+    /// Returns candidate peers for requests by priority, possibly with duplicates: lenders whose lease is about to expire,
+    /// then peers whose view of the size is missing, then random peers.
     fn request_candidates(
         &mut self,
         shortages: &[Shortage],
@@ -85,7 +86,7 @@
         peers
     }
 
-    /// Writes one request to each of the first candidates, and records it as outstanding.
+    /// Encodes one request to each of the first [`MAX_REQUESTS`] candidates, and records it as outstanding.
     fn write_requests(
         &mut self,
         candidates: &[NodeIx],
@@ -121,8 +122,8 @@
         requests
     }
 
-    /// Takes the grants of a peer, if they answer the outstanding request to it. Each request is answered once:
-    /// repeated, late and invented grants are ignored.
+    /// Accepts the grants of a peer if they answer the outstanding request to it. Each request is answered at most once:
+    /// duplicated, late and forged grants are ignored.
     pub(super) fn accept_grants(
         &mut self,
         lender: NodeIx,
@@ -137,7 +138,8 @@
         let Some(request) = expected else {
             return;
         };
-        // A new number makes the answer unrepeatable; the entry stays, so that other peers are asked next.
+        // A new sequence number makes a duplicate of the answer invalid. The entry remains, so that other peers are asked
+        // next.
         request.sequence = self.rng.u32(..);
         let requested_at = request.sent_at;
         self.size.record_view(lender, size_view);
--- a/crates/sparrouter-shares/src/shares/lending.rs
+++ b/crates/sparrouter-shares/src/shares/lending.rs
@@ -1,4 +1,4 @@
-//! The lender's side: how much of its own share a node grants to a peer that requests some.
+//! Lender side: computes how much of its own share a node grants to a peer that requests a share.
 use super::limit::{BorrowRequest, LimitState};
 use super::{MAX_LOANED_FRACTION, QuotaShares};
 use crate::leases::MAX_LEASES;
@@ -6,25 +6,26 @@
 use crate::message::{QuotaMessage, QuotaRows};
 use crate::{Nanos, NodeIx};
 
-/// Fraction of its own share that a node which needs all of it lends to peers that have less: this bounds what a peer
-/// with false requests can take.
-const SPARED_FRACTION: f64 = 0.125;
-/// A peer has less where its rate is below this fraction of the own share.
-const POOR_FRACTION: f64 = 0.8;
-/// A grant is renewed unchanged where its target differs by less than this fraction of it.
+/// Fraction of its own share that a node without spare rate still lends to peers that have much less. It bounds the rate
+/// that a peer with false requests can obtain.
+const NON_IDLE_LOAN_FRACTION: f64 = 0.125;
+/// Fraction of the own share below which a peer's rate counts as much less.
+const LOW_RATE_FRACTION: f64 = 0.8;
+/// Relative difference of the target below which a grant is renewed unchanged.
 const STEADY_FRACTION: f64 = 0.25;
-/// Fraction of the difference by which a grant moves towards its target at once: many lenders see the same need.
+/// Fraction of the difference to the target by which a grant changes per request. Damping is needed because many lenders
+/// see the same demand.
 const STEP_FRACTION: f64 = 0.5;
-/// Grants below this fraction of the own share are not worth the messages that renew them.
+/// Fraction of the own share below which a grant does not justify the messages that renew it.
 const NEGLIGIBLE_FRACTION: f64 = 1e-3;
-/// Requests answered between two ticks.
+/// Maximum number of requests answered between two ticks.
 const MAX_ANSWERS: usize = 64;
-/// Requests of one peer answered between two ticks.
+/// Maximum number of requests of one peer answered between two ticks.
 const MAX_ANSWERS_TO_PEER: usize = 2;
 
 impl QuotaShares {
-    /// Grants what a peer requests as far as this node can lend it, and returns the answer. A peer that sends requests
-    /// without end is ignored until the next tick, so that others are answered.
+    /// Grants the requested rates as far as this node can lend them, and returns the answer. A peer that exceeds its
+    /// number of answers is ignored until the next tick, so that other peers are answered.
     pub(super) fn answer_request(
         &mut self,
         peer: NodeIx,
@@ -53,7 +54,7 @@
             fingerprint: self.fingerprint,
             size_view: self.size.own_view(self.loans_fit(now), now),
             sequence,
-            rows: QuotaRows::Give(grants),
+            rows: QuotaRows::Grant(grants),
         };
         Some(message.write())
     }
@@ -64,7 +65,7 @@
         let own_share = self.own_share(limit, now);
         let state = &mut self.limits[limit];
         state.record_request(peer, request, self.lease_length);
-        if !state.loaned.has_capacity_for(peer, now) {
+        if !state.loaned.has_room_for(peer, now) {
             return 0.0;
         }
         let spare = state.spare_rate(own_share, request);
@@ -78,7 +79,7 @@
 }
 
 impl LimitState {
-    /// Records a request, as far as the bounded table has capacity, and removes those older than a lease.
+    /// Removes requests older than a lease, and records this request if the bounded table has room.
     fn record_request(&mut self, peer: NodeIx, request: BorrowRequest, lease_length: Nanos) {
         let now = request.received_at;
         self.borrowers
@@ -88,21 +89,21 @@
         }
     }
 
-    /// The rate that may be loaned to all peers together: what is idle here; where nothing is, a little for a peer that
-    /// has far less.
+    /// Returns the rate that may be loaned to all peers together: the idle rate of this node or, if there is none, a small
+    /// fraction of its share for a peer that has much less.
     fn spare_rate(&self, own_share: f64, request: BorrowRequest) -> f64 {
         let usable = own_share + self.borrowed.total(request.received_at);
         let idle = usable - self.needed_rate();
         if idle > 0.0 {
             idle.min(MAX_LOANED_FRACTION * own_share)
-        } else if request.in_use < POOR_FRACTION * own_share {
-            SPARED_FRACTION * own_share
+        } else if request.in_use < LOW_RATE_FRACTION * own_share {
+            NON_IDLE_LOAN_FRACTION * own_share
         } else {
             0.0
         }
     }
 
-    /// The rate to grant: a step from the latest grant towards the target, within what may be loaned.
+    /// Returns the rate to grant: a step from the latest grant towards the target, limited to the rate that may be loaned.
     fn grant_size(&self, peer: NodeIx, request: BorrowRequest, own_share: f64, spare: f64) -> f64 {
         let now = request.received_at;
         let latest = self.loaned.latest_grant(peer, now);
@@ -113,8 +114,9 @@
         } else {
             latest + STEP_FRACTION * (target - latest)
         };
-        // Two bounds: what peers may still use of all grants must fit what may be loaned at all; the latest grants must
-        // fit what is spare. With the first alone, each of many borrowers was cut by all that one of them was to lose.
+        // Two bounds apply: the reserved rate of all unexpired grants must fit the maximum loaned fraction, and the latest
+        // grants must fit the spare rate. With only the first bound, each of many borrowers was reduced by the whole
+        // amount that one of them had to lose.
         let reserved_for_others =
             self.loaned.reserved_total(now) - self.loaned.reserved_for(peer, now);
         let unreserved = MAX_LOANED_FRACTION * own_share - reserved_for_others;
@@ -128,24 +130,24 @@
         }
     }
 
-    /// The grant at which the peer would be at the max-min fair level, were the rates of all borrowers and what is
-    /// unused here divided among them.
+    /// Returns the grant with which the peer reaches the max-min fair level, at which the rates of all borrowers and the
+    /// unused rate of this node are divided among the borrowers.
     fn target_grant(&self, request: BorrowRequest, latest: f64, own_share: f64, spare: f64) -> f64 {
         let now = request.received_at;
         let unused = (spare - self.loaned.latest_grants_total(now)).max(0.0);
         let in_use: f64 = self.borrowers.values().map(|b| b.in_use).sum();
         let level = level(in_use + unused, self.borrowers.values().map(|b| b.needed));
-        let lacking = request.needed.min(level) - request.in_use;
-        if lacking < 0.0 {
-            // The peer's other lenders see the same excess: each takes back its own part of it.
+        let deficit = request.needed.min(level) - request.in_use;
+        if deficit < 0.0 {
+            // The peer's other lenders see the same excess, so each lender withdraws a proportional part of it.
             let borrowed = (request.in_use - own_share).max(latest);
-            return latest * (1.0 + lacking / borrowed.max(f64::MIN_POSITIVE)).max(0.0);
+            return latest * (1.0 + deficit / borrowed.max(f64::MIN_POSITIVE)).max(0.0);
         }
-        let all_lacking: f64 = self
+        let total_deficit: f64 = self
             .borrowers
             .values()
             .map(|b| (b.needed.min(level) - b.in_use).max(0.0))
             .sum();
-        latest + lacking.min(unused * lacking / all_lacking.max(f64::MIN_POSITIVE))
+        latest + deficit.min(unused * deficit / total_deficit.max(f64::MIN_POSITIVE))
     }
 }
--- a/crates/sparrouter-shares/src/size.rs
+++ b/crates/sparrouter-shares/src/size.rs
@@ -1,60 +1,60 @@
-//! Agreement on the number of nodes, as far as it is certain enough to compute an own share from it.
+//! Agreement on the number of nodes, which a node needs before it may use its own share.
 //!
-//! When a node is informed of more nodes, its share shrinks at once; informed of fewer, its share grows only when the
-//! nodes that left can use nothing any more. A process that has just started has no own share until nobody can still
-//! be using the larger share of a smaller cluster: after the time in which every node is informed, or sooner by what
-//! peers report.
+//! When the number of nodes increases, a node's share shrinks at once. When it decreases, the share grows only after all
+//! shares and leases of the removed nodes have expired. A process that has just started has no own share until no node can
+//! still use the larger share of a smaller cluster: after the time within which every node is informed, or earlier if the
+//! reports of peers confirm it.
 use crate::{Nanos, NodeIx};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a node reports of the cluster's size as it counts it.
+/// A node's view of the cluster size, as it reports it to peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClusterSizeView {
-    /// Number of nodes: the sender's own share is at most one over it.
+    /// Number of nodes. The sender's own share is at most the limit divided by it.
     pub nodes: usize,
-    /// The number that the sender counted before, 0 where it never counted another.
+    /// Previous number of nodes, 0 if the sender has seen no other number.
     pub previous_nodes: usize,
-    /// For how long `nodes` has not changed; 0 where the sender's process cannot know.
+    /// Time for which `nodes` has not changed; 0 if the sender does not know it.
     pub unchanged_for: Nanos,
 }
 
-/// Bound of peers whose views are stored and of larger sizes that still bind. A cluster where more would be needed
-/// agrees by time alone.
+/// Maximum number of stored peer views, and of larger sizes that are still in force. If agreement needs more views, it is
+/// reached only by waiting.
 const MAX_VIEWS: usize = 64;
-/// Peers with a long unchanged view that suffice to agree; one alone is not believed.
-const REQUIRED_VOUCHERS: usize = 2;
+/// Number of peers with a long unchanged view that is sufficient for agreement. A single peer is not trusted.
+const REQUIRED_CONFIRMATIONS: usize = 2;
 
-/// A number of nodes from before that still bounds the own share.
+/// An earlier, larger number of nodes that still limits the own share.
 #[derive(Clone, Copy, Debug)]
 struct LargerSize {
     nodes: usize,
-    binding_until: Nanos,
+    in_force_until: Nanos,
 }
 
 /// One node's knowledge of the cluster's size.
 #[derive(Clone, Debug)]
 pub struct ClusterSize {
     own: NodeIx,
-    /// The number of nodes last informed of; at least 1.
+    /// Latest number of nodes that this node was informed of; at least 1.
     nodes: usize,
-    /// Since when `nodes` has been in force here.
+    /// Time at which this node was informed of `nodes`.
     changed_at: Nanos,
-    /// The number before `nodes`, 0 for none.
+    /// Number of nodes before `nodes`, 0 if none.
     previous_nodes: usize,
-    /// Numbers above `nodes` that still bind, oldest first; at most [`MAX_VIEWS`].
+    /// Larger numbers of nodes that are still in force, oldest first; at most [`MAX_VIEWS`].
     larger: VecDeque<LargerSize>,
-    /// After so long every node has been informed of a change and all leases from before it have expired.
+    /// Time after a change until every node has been informed of it and all earlier leases have expired.
     convergence_time: Nanos,
-    /// When this process started to count, or lost its knowledge.
-    counting_since: Nanos,
-    /// Whether this node may use an own share.
+    /// Time since which this process has tracked the size without interruption.
+    tracked_since: Nanos,
+    /// Whether this node may use its own share.
     agreed: bool,
-    /// Views of peers since `counting_since`; used only until `agreed`.
+    /// Views received from peers since `tracked_since`; used only until `agreed`.
     views: BTreeMap<NodeIx, ClusterSizeView>,
 }
 
 impl ClusterSize {
-    /// A process that starts. A single node agrees with itself at once.
+    /// Creates the state of a starting process. A cluster of one node has agreement at once.
     pub fn new(own: NodeIx, nodes: usize, convergence_time: Nanos, now: Nanos) -> ClusterSize {
         let nodes = nodes.max(1);
         ClusterSize {
@@ -64,37 +64,37 @@
             previous_nodes: 0,
             larger: VecDeque::new(),
             convergence_time,
-            counting_since: now,
+            tracked_since: now,
             agreed: nodes == 1,
             views: BTreeMap::new(),
         }
     }
 
-    /// This node's index.
+    /// Returns this node's index.
     pub fn own(&self) -> NodeIx {
         self.own
     }
 
-    /// The number of nodes last informed of.
+    /// Returns the latest number of nodes that this node was informed of.
     pub fn nodes(&self) -> usize {
         self.nodes
     }
 
-    /// When this process started to count, or lost its knowledge by [`ClusterSize::reset`].
-    pub fn counting_since(&self) -> Nanos {
-        self.counting_since
+    /// Returns the time since which this process has tracked the size: its start or the last [`ClusterSize::reset`].
+    pub fn tracked_since(&self) -> Nanos {
+        self.tracked_since
     }
 
-    /// Takes a new number of nodes, or a new index of this node.
+    /// Applies a new number of nodes or a new index of this node.
     pub fn update(&mut self, own: NodeIx, nodes: usize, now: Nanos) {
         let nodes = nodes.max(1);
         if nodes == self.nodes && own == self.own {
             return;
         }
         if nodes < self.nodes {
-            self.keep_larger_binding(now);
+            self.keep_larger_in_force(now);
         }
-        // The share of another index is another node's share: this process is as if just started.
+        // The share of the new index belonged to another node, so this process must wait as after a start.
         if own != self.own {
             self.reset(now);
         }
@@ -105,39 +105,39 @@
         self.views.clear();
     }
 
-    /// Keeps the present number binding until nodes that left can use nothing any more.
-    fn keep_larger_binding(&mut self, now: Nanos) {
+    /// Keeps the current number of nodes in force until all shares and leases of the removed nodes have expired.
+    fn keep_larger_in_force(&mut self, now: Nanos) {
         self.larger.push_back(LargerSize {
             nodes: self.nodes,
-            binding_until: now + self.convergence_time,
+            in_force_until: now + self.convergence_time,
         });
-        // The list is bounded: where sizes change without end, the largest of the oldest two binds for both.
+        // The list is bounded: if sizes change too often, the oldest two are merged and the larger one stays in force.
         if self.larger.len() > MAX_VIEWS {
             let oldest = self.larger.pop_front().map_or(0, |size| size.nodes);
             self.larger[0].nodes = self.larger[0].nodes.max(oldest);
         }
     }
 
-    /// Drops what this process knows, which may be outdated: its clock advanced while it did not run, for example.
+    /// Drops the knowledge of this process, which may be outdated, for example because the process was paused.
     pub fn reset(&mut self, now: Nanos) {
-        self.counting_since = now;
+        self.tracked_since = now;
         self.agreed = self.nodes == 1;
         self.views.clear();
     }
 
-    /// Into how many equal shares a limit is divided now: the largest number of nodes that still binds.
+    /// Returns the number of equal shares that a limit is divided into: the largest number of nodes that is in force.
     pub fn share_count(&mut self, now: Nanos) -> usize {
-        self.larger.retain(|size| size.binding_until > now);
+        self.larger.retain(|size| size.in_force_until > now);
         self.larger
             .iter()
             .map(|size| size.nodes)
             .fold(self.nodes, usize::max)
     }
 
-    /// The view that this node reports to others.
+    /// Returns the view that this node reports to peers.
     ///
-    /// `loans_fit`: the loaned shares fit the own share by the present number of nodes. Until they do, the present
-    /// number is not in force, as borrowers still use loans of the larger share.
+    /// `loans_fit` is whether the loaned shares fit the own share under the current number of nodes. Until they do, the
+    /// current number is not in force, as borrowers still use loans of the larger share.
     pub fn own_view(&mut self, loans_fit: bool, now: Nanos) -> ClusterSizeView {
         if !loans_fit {
             return ClusterSizeView {
@@ -147,9 +147,9 @@
             };
         }
         let nodes = self.share_count(now);
-        // A smaller number that is not in force yet is not vouched for.
+        // A smaller number of nodes that is not in force yet must not be confirmed to peers.
         let unchanged_for = if self.agreed && nodes == self.nodes {
-            now - self.changed_at.max(self.counting_since)
+            now - self.changed_at.max(self.tracked_since)
         } else {
             0
         };
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Records a peer's view, as it was when this node sent its request or later.
+    /// Records the view of a peer. The view must not be older than this node's request.
     pub fn record_view(&mut self, peer: NodeIx, view: ClusterSizeView) {
         if self.agreed || peer == self.own {
             return;
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Peers whose view would help to agree.
+    /// Returns the peers whose view is still needed for agreement.
     pub fn peers_without_view(&self) -> impl Iterator<Item = NodeIx> {
         let earlier_nodes = self.max_earlier_nodes();
         let relevant = if self.agreed || earlier_nodes > MAX_VIEWS {
@@ -183,8 +183,8 @@
         (0..relevant).filter(|n| *n != self.own && !self.views.contains_key(n))
     }
 
-    /// Nodes below this index may have been there before this process: by the views of peers that counted another
-    /// number before or have counted this one for long; all nodes, where no peer knows.
+    /// Returns the maximum number of nodes that may have run before this process started. It is derived from peers whose
+    /// view contains a previous number or has long been unchanged; without such a peer it is the number of all nodes.
     fn max_earlier_nodes(&self) -> usize {
         let is_informed = |view: &&ClusterSizeView| {
             view.previous_nodes > 0 || view.unchanged_for >= self.convergence_time
@@ -201,23 +201,23 @@
         max.unwrap_or(self.nodes).min(self.nodes)
     }
 
-    /// Whether this node may use an own share. Once true it stays so until [`ClusterSize::reset`].
+    /// Whether this node may use its own share. Once true, it stays true until [`ClusterSize::reset`].
     pub fn is_agreed(&mut self, now: Nanos) -> bool {
         if self.agreed {
             return true;
         }
-        let has_waited = now >= self.counting_since.max(self.changed_at) + self.convergence_time;
-        // A peer that has counted the number for so long knows that every node has been informed.
-        let vouchers = self
+        let has_converged = now >= self.tracked_since.max(self.changed_at) + self.convergence_time;
+        // A view that has been unchanged for the convergence time proves that every node has been informed.
+        let confirmations = self
             .views
             .values()
             .filter(|view| view.unchanged_for >= self.convergence_time)
             .count();
-        let required = REQUIRED_VOUCHERS.min(self.nodes - 1);
+        let required = REQUIRED_CONFIRMATIONS.min(self.nodes - 1);
         let knows_all_views = self.views.len() >= required
             && self.max_earlier_nodes() <= MAX_VIEWS
             && self.peers_without_view().next().is_none();
-        self.agreed = has_waited || vouchers >= required || knows_all_views;
+        self.agreed = has_converged || confirmations >= required || knows_all_views;
         self.agreed
     }
 }
--- a/crates/sparrouter-shares/tests/cluster/measure.rs
+++ b/crates/sparrouter-shares/tests/cluster/measure.rs
@@ -1,28 +1,28 @@
-//! What a simulated cluster's nodes may use, and what they admitted over a time.
+//! Measures the rates in force and the admitted units of a simulated cluster.
 use super::{Behavior, Cluster, Node};
 use sparrouter_shares::{Nanos, SECOND};
 
-/// A node's demand and what it admitted, each a second.
+/// Demand, arrivals and admissions of a node, in units per second.
 struct NodeRates {
     demand: f64,
     arrived: f64,
     admitted: f64,
 }
 
-/// How well a cluster kept a limit over a time.
+/// Use and fairness of a cluster over an interval.
 #[derive(Clone, Copy, Debug)]
 pub struct Measurement {
-    /// Admitted, as a fraction of the limit.
+    /// Admitted units as a fraction of the limit.
     pub of_limit: f64,
-    /// Admitted, as a fraction of what arrived or of the limit, whichever is less.
+    /// Admitted units as a fraction of the arrived units or of the limit, whichever is less.
     pub used: f64,
-    /// Jain's index of what the nodes with more demand than their share admitted: 1 where they admitted equal rates.
+    /// Jain's fairness index of the rates admitted by nodes whose demand exceeds their share; 1 if all rates are equal.
     pub fairness: f64,
-    /// Bytes of messages a second and node.
+    /// Message bytes per second and node.
     pub bytes: f64,
 }
 
-/// Jain's index of fairness: (sum x)² / (n sum x²).
+/// Computes Jain's fairness index: (sum x)² / (n sum x²).
 pub fn fairness(rates: &[f64]) -> f64 {
     let sum = rates.iter().fold(0.0, |sum, x| sum + x);
     let squares = rates.iter().fold(0.0, |sum, x| sum + x * x);
@@ -34,7 +34,7 @@
 }
 
 impl Cluster {
-    /// The rate that each node may use now; 0 where none runs.
+    /// Returns the rate that each node may use now; 0 if its process is paused or does not run.
     pub fn rates(&mut self) -> Vec<f64> {
         let clocks: Vec<Nanos> = (0..self.nodes.len()).map(|n| self.clock(n)).collect();
         let per_s = self.limit.per_s;
@@ -47,12 +47,12 @@
         self.nodes.iter_mut().zip(clocks).map(rate).collect()
     }
 
-    /// Sum of all nodes' rates.
+    /// Returns the sum of the rates of all nodes.
     pub fn rate_sum(&mut self) -> f64 {
         self.rates().iter().sum()
     }
 
-    /// Runs for a time and measures it.
+    /// Runs the cluster for `length`, and measures the interval.
     pub fn measure(&mut self, length: Nanos) -> Measurement {
         let before: Vec<(u64, u64)> = self.nodes.iter().map(|n| (n.arrived, n.admitted)).collect();
         let bytes_before: u64 = self.nodes.iter().map(|n| n.sent_bytes).sum();
--- a/crates/sparrouter-shares/tests/cluster/mod.rs
+++ b/crates/sparrouter-shares/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated cluster that shares one limit: clocks, messages, arrivals and faults by seed, in one process.
+//! Simulated cluster that shares one limit. Clocks, messages, arrivals and faults are derived from a seed.
 #![allow(dead_code, reason = "the tests and the example use different parts")]
 mod measure;
 
@@ -9,39 +9,37 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-#[allow(
-    unused_imports,
-    reason = "the example alone computes fairness by itself"
-)]
+#[allow(unused_imports, reason = "only the example uses `fairness` directly")]
 pub use measure::{Measurement, fairness};
 
 pub const MS: Nanos = 1_000_000;
-/// A paused node handles an event so much later.
+/// Time after which an event at a paused node is tried again.
 const PAUSED_DELAY: Nanos = 10 * MS;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Behavior {
     Correct,
-    /// Requests a thousandfold of what it needs from everybody, and reports that it has nothing.
+    /// The node requests at least 1000 times the rate that it needs from every peer, and claims a rate of 0.
     Greedy,
-    /// Runs the version before leases: uses its own share by the number of nodes, and sends nothing.
+    /// The node runs the version before leases: it uses an equal share by the number of nodes, and sends no messages.
     Legacy,
 }
 
 pub struct Node {
-    /// The running process, if any.
+    /// State of the running process; `None` if no process runs.
     pub shares: Option<QuotaShares>,
     pub behavior: Behavior,
-    /// Arrivals a second.
+    /// Mean arrivals per second.
     pub demand: f64,
     pub paused: bool,
-    /// The number of nodes that its process was informed of.
+    /// Number of nodes that the process was informed of.
     pub informed_size: usize,
     pub arrived: u64,
     pub admitted: u64,
     pub sent_bytes: u64,
-    /// Its clock runs so much faster than the simulation's, and started at another value.
+    /// Speed of the node's clock relative to the simulated time.
     clock_rate: f64,
+    /// Value of the node's clock at simulated time 0.
     clock_offset: Nanos,
     incarnation: u32,
 }
@@ -75,11 +73,11 @@
     /// Probability that a message is lost.
     pub loss: f64,
     pub delay: [Nanos; 2],
-    /// Nothing passes between the nodes below this index and the others; 0 for no partition.
+    /// Index below which nodes are partitioned from all other nodes; 0 for no partition.
     pub partition: usize,
-    /// Messages out of the nodes below `partition` still arrive.
+    /// Whether messages from nodes below `partition` to the other nodes still arrive.
     pub one_way: bool,
-    /// Each message is delivered a second time so much later.
+    /// Delay after which each message is delivered a second time; `None` for no duplicates.
     pub duplicate_after: Option<Nanos>,
 }
 
@@ -93,9 +91,9 @@
     pub sends_messages: bool,
     pub size: usize,
     pub rng: Rng,
-    /// Highest sum of all rates in force so far, as a fraction of the limit.
+    /// Highest sum of all rates in force during the simulation, as a fraction of the limit.
     pub max_rate_sum: f64,
-    /// Checks the sum after every event, not only every few milliseconds.
+    /// Whether the sum is checked after every event, and not only every 5 ms.
     pub checks_every_event: bool,
     events: BinaryHeap<Reverse<(Nanos, u64, Event)>>,
     event_count: u64,
@@ -161,12 +159,12 @@
         }
     }
 
-    fn schedule(&mut self, at: Nanos, event: Event) {
+    fn schedule(&mut self, due_at: Nanos, event: Event) {
         self.event_count += 1;
-        self.events.push(Reverse((at, self.event_count, event)));
+        self.events.push(Reverse((due_at, self.event_count, event)));
     }
 
-    /// The time by a node's own clock.
+    /// Returns the time of a node's own clock.
     pub fn clock(&self, node: usize) -> Nanos {
         let node = &self.nodes[node];
         node.clock_offset + (self.now as f64 * node.clock_rate) as Nanos
@@ -182,7 +180,7 @@
         }
     }
 
-    /// Starts a process at a node, informed of the present size.
+    /// Starts a process at a node; it is informed of the current size.
     pub fn start(&mut self, index: usize) {
         self.add_machines(index + 1);
         let mut position = self.position(index, self.size);
@@ -203,7 +201,7 @@
         self.schedule(first, Event::Arrival { node, incarnation });
     }
 
-    /// Restarts all nodes, as with other settings.
+    /// Restarts all nodes, which applies changed settings.
     pub fn restart_all(&mut self) {
         (0..self.size).for_each(|node| self.start(node));
     }
@@ -218,20 +216,20 @@
         self.nodes[node].shares = None;
     }
 
-    /// Stops a node's process for a time; events for it wait.
+    /// Pauses a node's process for `length`; its events are delayed.
     pub fn pause(&mut self, node: usize, length: Nanos) {
         self.nodes[node].paused = true;
         self.schedule(self.now + length, Event::Resume { node });
     }
 
-    /// Starts or ends the nodes that differ at once; the others are informed within `max_delay`.
+    /// Starts added nodes and kills removed nodes at once; the other nodes are informed within `max_delay`.
     pub fn resize(&mut self, nodes: usize, max_delay: Nanos) {
         let before = self.size;
         self.size = nodes;
         (nodes..before).for_each(|node| self.kill(node));
         for node in 0..before.min(nodes) {
-            let at = self.now + self.rng.u64(0..=max_delay);
-            self.schedule(at, Event::SizeInformed { node, size: nodes });
+            let informed_at = self.now + self.rng.u64(0..=max_delay);
+            self.schedule(informed_at, Event::SizeInformed { node, size: nodes });
         }
         (before..nodes).for_each(|node| self.start(node));
     }
@@ -240,10 +238,10 @@
         let end = self.now + length;
         let mut next_check = self.now;
         while self.events.peek().is_some_and(|event| event.0.0 <= end) {
-            let Some(Reverse((at, _, event))) = self.events.pop() else {
+            let Some(Reverse((due_at, _, event))) = self.events.pop() else {
                 break;
             };
-            self.now = at;
+            self.now = due_at;
             self.handle(event);
             if self.checks_every_event || self.now >= next_check {
                 let sum = self.rate_sum() / self.limit.per_s;
@@ -325,7 +323,7 @@
             node.admitted += u64::from(shares.try_acquire(0, clock));
         }
         let demand = node.demand;
-        // Drawn in any case, so that the seed's draws do not depend on the demand.
+        // A value is always drawn, so that the random sequence of a seed does not depend on the demand.
         let exponential = -(1.0 - self.rng.f64()).ln();
         let wait = if demand > 0.0 {
             exponential / demand * SECOND as f64
@@ -364,18 +362,18 @@
         if self.rng.f64() < network.loss || is_separated || to >= self.nodes.len() {
             return;
         }
-        let at = self.now + self.rng.u64(network.delay[0]..=network.delay[1]);
-        if let Some(later) = network.duplicate_after {
+        let delivered_at = self.now + self.rng.u64(network.delay[0]..=network.delay[1]);
+        if let Some(delay) = network.duplicate_after {
             let datagram = datagram.clone();
-            self.schedule(at + later, Event::Deliver { from, to, datagram });
+            self.schedule(delivered_at + delay, Event::Deliver { from, to, datagram });
         }
-        self.schedule(at, Event::Deliver { from, to, datagram });
+        self.schedule(delivered_at, Event::Deliver { from, to, datagram });
     }
 }
 
-/// A request for a thousandfold of what any node needs, by a node that claims to have nothing.
+/// Returns a request for at least 1000 times the rate that any node needs, from a node that claims a rate of 0.
 fn exaggerated(request: &[u8]) -> Vec<u8> {
-    let mut message = QuotaMessage::read(request).expect("an own request");
+    let mut message = QuotaMessage::read(request).expect("a valid request");
     if let QuotaRows::Request(rows) = &mut message.rows {
         rows.clear();
         rows.push((0, 0.0, 1e6));
--- a/crates/sparrouter-shares/tests/fleets.rs
+++ b/crates/sparrouter-shares/tests/fleets.rs
@@ -1,4 +1,4 @@
-//! Clusters under faults: the sum of the rates in force never exceeds the limit, and what can be used is used.
+//! Clusters under faults: the sum of the rates in force never exceeds the limit, and the limit is well used.
 mod cluster;
 use cluster::{Behavior, Cluster, MS, Measurement};
 use proptest::prelude::*;
@@ -7,15 +7,15 @@
 use sparrouter_shares::size::ClusterSizeView;
 use sparrouter_shares::{Nanos, QuotaShares, SECOND};
 
-/// The limit itself, and what sums of floating-point numbers may differ by.
-const LIMIT: f64 = 1.0 + 1e-9;
+/// Maximum sum of rates as a fraction of the limit, with a tolerance for floating-point rounding.
+const MAX_RATE_SUM: f64 = 1.0 + 1e-9;
 
-/// A cluster whose nodes have an own share of 10 a second each.
+/// Creates a cluster whose nodes have an own share of 10 units per second each.
 fn cluster(nodes: usize, seed: u64) -> Cluster {
     Cluster::new(nodes, 10.0 * nodes as f64, true, seed)
 }
 
-/// Such a cluster of 16 nodes that has run for a time with this demand.
+/// Creates a cluster of 16 nodes, and runs it with this demand for `length`.
 fn loaded_cluster(seed: u64, demand: impl Fn(usize) -> f64, length: Nanos) -> Cluster {
     let mut cluster = cluster(16, seed);
     cluster.set_demand(demand);
@@ -23,12 +23,12 @@
     cluster
 }
 
-/// A demand of `busy` at every `n`-th node, and of `quiet` at the others.
+/// Returns a demand of `busy` at every `n`-th node and of `quiet` at the others.
 fn every_nth(n: usize, busy: f64, quiet: f64) -> impl Fn(usize) -> f64 {
     move |node| if node % n == 0 { busy } else { quiet }
 }
 
-/// Asserts that the limit held throughout, and that more than these fractions of use and fairness were measured.
+/// Asserts that the sum of rates never exceeded the limit, and that use and fairness are above these fractions.
 #[track_caller]
 fn assert_limit_use_and_fairness(
     cluster: &Cluster,
@@ -38,34 +38,37 @@
     context: &str,
 ) {
     assert!(
-        cluster.max_rate_sum <= LIMIT && measured.used > used && measured.fairness > fairness,
+        cluster.max_rate_sum <= MAX_RATE_SUM
+            && measured.used > used
+            && measured.fairness > fairness,
         "{context}: {} {measured:?}",
         cluster.max_rate_sum
     );
 }
 
-/// As [`assert_limit_use_and_fairness`], without a bound for fairness.
+/// As [`assert_limit_use_and_fairness`], without a lower bound for fairness.
 #[track_caller]
 fn assert_limit_and_use(cluster: &Cluster, measured: Measurement, used: f64, context: &str) {
     assert_limit_use_and_fairness(cluster, measured, used, f64::NEG_INFINITY, context);
 }
 
 #[test]
-fn a_cluster_that_starts_at_once_has_its_shares_within_two_seconds() {
+fn given_nodes_started_at_the_same_time_when_2500_ms_pass_then_the_limit_is_used_fairly() {
     let mut cluster = loaded_cluster(1, |_| 20.0, 2500 * MS);
     let measured = cluster.measure(4 * SECOND);
     assert_limit_use_and_fairness(&cluster, measured, 0.9, 0.95, "after the start");
 }
 
 #[test]
-fn one_node_with_half_of_all_arrivals_gets_what_the_others_leave() {
+fn given_one_node_with_half_of_all_arrivals_when_run_then_it_borrows_the_idle_shares_of_the_others()
+{
     let mut cluster = loaded_cluster(2, |node| if node == 3 { 65.0 } else { 5.0 }, 6 * SECOND);
     let measured = cluster.measure(5 * SECOND);
     assert_limit_and_use(&cluster, measured, 0.87, "one busy node");
 }
 
 #[test]
-fn traffic_that_moves_within_a_second_is_followed_within_five() {
+fn given_traffic_that_moves_to_other_nodes_when_5_s_pass_then_shares_have_followed() {
     let mut cluster = cluster(16, 3);
     for busy in 0..4 {
         cluster.set_demand(|node| if node % 4 == busy { 32.0 } else { 2.0 });
@@ -76,7 +79,8 @@
 }
 
 #[test]
-fn from_4_to_16_to_48_to_6_nodes_the_sum_holds_and_use_recovers() {
+fn given_a_cluster_resized_from_4_to_16_to_48_to_6_nodes_when_run_then_the_limit_holds_and_use_recovers()
+ {
     let mut cluster = Cluster::new(4, 160.0, true, 4);
     cluster.informed = 1500 * MS;
     cluster.restart_all();
@@ -92,7 +96,7 @@
 }
 
 #[test]
-fn partitioned_halves_and_single_nodes_keep_the_sum_and_there_is_no_second_wave() {
+fn given_partitions_and_flapping_when_they_heal_then_the_limit_holds_and_use_recovers() {
     for (partition, one_way, flaps) in [(8, false, 1), (1, false, 1), (8, true, 1), (8, false, 6)] {
         let mut cluster = loaded_cluster(5 + partition as u64, every_nth(2, 25.0, 3.0), 5 * SECOND);
         for _ in 0..flaps {
@@ -110,7 +114,8 @@
 }
 
 #[test]
-fn half_of_the_messages_lost_costs_little_and_nineteen_of_twenty_break_nothing() {
+fn given_message_loss_of_50_or_95_percent_when_run_then_the_limit_holds_and_use_degrades_gracefully()
+ {
     for (loss, used) in [(0.5, 0.7), (0.95, 0.45)] {
         let mut cluster = cluster(16, 9);
         cluster.run(8 * SECOND);
@@ -122,18 +127,19 @@
     }
 }
 
-/// What a paused node has borrowed has expired when it continues, however long it was paused, and its own loans go on.
+/// When a paused node resumes, its borrowed leases must have expired and its loans must still count, regardless of the
+/// length of the pause.
 #[test]
-fn paused_nodes_continue_without_a_share_that_is_anothers_by_now() {
+fn given_paused_nodes_in_a_growing_cluster_when_they_resume_then_the_limit_holds() {
     for length in [SECOND, 5 * SECOND, 20 * SECOND] {
         let mut cluster = loaded_cluster(11, every_nth(2, 30.0, 2.0), 5 * SECOND);
         (0..5).for_each(|node| cluster.pause(node, length));
         cluster.run(length / 2);
-        // The cluster grows meanwhile: paused nodes are informed of it when they continue.
+        // The cluster grows during the pause; paused nodes are informed of it when they resume.
         cluster.resize(24, MS);
         cluster.run(length + 4 * SECOND);
         assert!(
-            cluster.max_rate_sum <= LIMIT,
+            cluster.max_rate_sum <= MAX_RATE_SUM,
             "{length}: {}",
             cluster.max_rate_sum
         );
@@ -141,7 +147,7 @@
 }
 
 #[test]
-fn nodes_killed_repeatedly_use_no_share_twice() {
+fn given_nodes_killed_and_restarted_repeatedly_when_run_then_no_share_is_used_twice() {
     let mut cluster = loaded_cluster(12, every_nth(3, 40.0, 2.0), 5 * SECOND);
     for first in 0..8 {
         let killed: Vec<usize> = (0..5).map(|n| (n * 3 + first) % 16).collect();
@@ -154,21 +160,22 @@
     cluster.run(4 * SECOND);
     let measured = cluster.measure(3 * SECOND);
     assert_limit_and_use(&cluster, measured, 0.85, "after the kills");
-    // Two nodes remain, and are not informed: they use their own shares only.
+    // Two nodes remain and are not informed of the new size, so they use only their own shares.
     (2..16).for_each(|node| cluster.kill(node));
     cluster.set_demand(|_| 100.0);
     cluster.run(5 * SECOND);
     let in_force = cluster.rate_sum() / cluster.limit.per_s;
     assert!(
-        cluster.max_rate_sum <= LIMIT && (in_force - 2.0 / 16.0).abs() < 1e-6,
+        cluster.max_rate_sum <= MAX_RATE_SUM && (in_force - 2.0 / 16.0).abs() < 1e-6,
         "{} {in_force}",
         cluster.max_rate_sum
     );
 }
 
-/// Two processes under one index, of which one hears nobody: they exceed the limit by one own share and no more.
+/// Two processes with the same index, one of which receives no messages, exceed the limit by at most one own share.
 #[test]
-fn two_processes_under_one_index_exceed_the_limit_by_one_own_share() {
+fn given_two_processes_with_one_index_when_run_then_they_exceed_the_limit_by_at_most_one_own_share()
+{
     let mut cluster = cluster(16, 22);
     cluster.set_demand(|_| 20.0);
     let position = ClusterPosition {
@@ -193,15 +200,15 @@
         let rate = twin.own_rate(0, cluster.now);
         assert!(
             rate <= own_share && cluster.rate_sum() + rate <= limit.per_s + own_share + 1e-6,
-            "{rate} after {step}"
+            "rate {rate} after step {step}"
         );
     }
     assert!(twin.own_rate(0, cluster.now) > 0.99 * own_share);
 }
 
-/// A peer that sends ten thousand requests at once gets two answers, and the others still get theirs.
+/// A peer that sends ten thousand requests between two ticks gets two answers, and all other peers still get answers.
 #[test]
-fn a_flood_of_requests_from_one_peer_leaves_answers_for_the_others() {
+fn given_a_flood_of_requests_from_one_peer_when_answered_then_other_peers_still_get_answers() {
     let mut cluster = cluster(16, 21);
     cluster.run(8 * SECOND);
     let clock = cluster.clock(0);
@@ -223,13 +230,13 @@
         .filter(|n| lender.receive(5, &request(*n), clock).is_some())
         .count();
     assert_eq!(answers, 2);
-    let mut others = (1..16).filter(|peer| *peer != 5);
-    assert!(others.all(|peer| lender.receive(peer, &request(1), clock).is_some()));
+    let mut other_peers = (1..16).filter(|peer| *peer != 5);
+    assert!(other_peers.all(|peer| lender.receive(peer, &request(1), clock).is_some()));
 }
 
-/// A node with false requests gets what is idle and an eighth of what others need: that is the bound.
+/// A node with false requests obtains at most the idle rate and an eighth of the other nodes' shares.
 #[test]
-fn a_greedy_node_takes_no_more_than_what_is_idle_and_an_eighth() {
+fn given_a_node_with_false_requests_when_run_then_the_others_keep_seven_eighths_of_their_shares() {
     let mut cluster = cluster(16, 13);
     cluster.set_demand(|_| 20.0);
     cluster.nodes[5].behavior = Behavior::Greedy;
@@ -241,15 +248,15 @@
         rates.remove(5);
         let lowest = rates.into_iter().fold(f64::MAX, f64::min);
         assert!(
-            lowest >= 0.87 * own_share && cluster.max_rate_sum <= LIMIT,
-            "{lowest} of {own_share}, {}",
+            lowest >= 0.87 * own_share && cluster.max_rate_sum <= MAX_RATE_SUM,
+            "lowest rate {lowest}, own share {own_share}, sum {}",
             cluster.max_rate_sum
         );
     }
 }
 
 #[test]
-fn duplicated_and_late_messages_change_nothing() {
+fn given_duplicated_and_late_messages_when_run_then_the_limit_holds_and_is_used() {
     let mut cluster = cluster(16, 14);
     cluster.set_demand(every_nth(2, 25.0, 3.0));
     cluster.network.duplicate_after = Some(3 * SECOND);
@@ -260,7 +267,7 @@
 }
 
 #[test]
-fn nodes_of_the_version_before_do_not_disturb_others() {
+fn given_nodes_of_the_previous_version_when_run_then_the_limit_holds_and_is_used() {
     let mut cluster = cluster(16, 15);
     (0..6).for_each(|node| cluster.downgrade(node));
     cluster.set_demand(|_| 14.0);
@@ -269,9 +276,10 @@
     assert_limit_and_use(&cluster, measured, 0.85, "mixed versions");
 }
 
-/// Without messages a share follows from the number of nodes; growth shows until all nodes are informed of it.
+/// Without messages a node's share depends only on the number of nodes, so the sum may exceed the limit after the cluster
+/// grows, until all nodes are informed.
 #[test]
-fn without_messages_the_sum_stays_under_five_quarters() {
+fn given_no_messages_when_the_cluster_is_resized_then_the_sum_of_rates_stays_below_125_percent() {
     let mut cluster = Cluster::new(4, 160.0, false, 16);
     cluster.set_demand(|_| 80.0);
     cluster.run(8 * SECOND);
@@ -320,7 +328,7 @@
     ]
 }
 
-/// A cluster that takes random steps, and ignores those that are not possible in its state.
+/// A cluster that executes random steps and skips steps that are impossible in its state.
 struct RandomRun {
     cluster: Cluster,
     resized_at: u64,
@@ -336,7 +344,8 @@
         self.is_running(node) && !self.cluster.nodes[node].paused
     }
 
-    /// Two changes of size are further apart than it takes to inform every node, as the operator has to ensure.
+    /// Whether the cluster may be resized. The operator must wait until every node has been informed of the previous
+    /// change of size.
     fn may_resize(&self) -> bool {
         let is_converged = self.cluster.now > self.resized_at + 4 * SECOND;
         is_converged && !self.cluster.nodes.iter().any(|node| node.paused)
@@ -382,17 +391,17 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(31),
         ..ProptestConfig::default()
     })]
-    /// For any faults in any order, the sum holds after every event.
+    /// For any faults in any order, the sum of rates is within the limit after every event.
     #[test]
-    fn the_sum_holds_under_any_faults(
+    fn given_any_faults_in_any_order_when_run_then_the_sum_of_rates_never_exceeds_the_limit(
         nodes in 2usize..24, seed: u64, steps in prop::collection::vec(step(), 1..40),
     ) {
         let mut run = RandomRun { cluster: cluster(nodes, seed), resized_at: 0 };
         for step in &steps {
             run.apply(step);
-            prop_assert!(run.cluster.max_rate_sum <= LIMIT, "{}", run.cluster.max_rate_sum);
+            prop_assert!(run.cluster.max_rate_sum <= MAX_RATE_SUM, "{}", run.cluster.max_rate_sum);
         }
         run.cluster.run(SECOND);
-        prop_assert!(run.cluster.max_rate_sum <= LIMIT, "{}", run.cluster.max_rate_sum);
+        prop_assert!(run.cluster.max_rate_sum <= MAX_RATE_SUM, "{}", run.cluster.max_rate_sum);
     }
 }
