--- a/crates/sparrouter-rollout/src/baseline.rs
+++ b/crates/sparrouter-rollout/src/baseline.rs
@@ -13,8 +13,8 @@
 /// A measure by which nodes are compared.
 struct Measure {
     name: &'static str,
-    /// Harm that stops a rollout, as a multiple of the plan's `min_harm`. The factor of errors is low, because far fewer
-    /// wrong answers matter.
+    /// Minimum harm of this measure that stops a rollout, as a multiple of the plan's `min_harm`. The factor is low for
+    /// errors, because these are wrong answers: far fewer of them matter.
     harm_factor: f64,
 }
 
@@ -239,7 +239,7 @@
         of_node.chain(of_operations).collect()
     }
 
-    /// Returns the harm of a measure that stops a rollout, as a multiple of the plan's `min_harm`.
+    /// Returns the minimum harm of a measure that stops a rollout, as a multiple of the plan's `min_harm`.
     pub(crate) fn harm_factor(measure: usize) -> f64 {
         match measure.checked_sub(NODE_MEASURES.len()) {
             None => NODE_MEASURES[measure].harm_factor,
--- a/crates/sparrouter-rollout/src/controller/disruption.rs
+++ b/crates/sparrouter-rollout/src/controller/disruption.rs
@@ -10,21 +10,21 @@
     /// Nodes with a command of this controller or an earlier one in progress.
     under_command: Vec<usize>,
     /// Nodes that are unresponsive or abandoned.
-    other: Vec<usize>,
+    faulty: Vec<usize>,
 }
 
 impl Unavailable {
     /// Returns the number of unavailable nodes.
     pub fn len(&self) -> usize {
-        self.under_command.len() + self.other.len()
+        self.under_command.len() + self.faulty.len()
     }
 
     fn contains(&self, node: usize) -> bool {
-        self.under_command.contains(&node) || self.other.contains(&node)
+        self.under_command.contains(&node) || self.faulty.contains(&node)
     }
 
     fn put_under_command(&mut self, node: usize) {
-        self.other.retain(|&other| other != node);
+        self.faulty.retain(|&other| other != node);
         self.under_command.retain(|&other| other != node);
         self.under_command.push(node);
     }
@@ -38,8 +38,8 @@
                 NodePhase::Interrupted(_)
                 | NodePhase::RunningCommand(_)
                 | NodePhase::AwaitingReport(_) => unavailable.under_command.push(node),
-                NodePhase::Abandoned => unavailable.other.push(node),
-                _ if self.is_unresponsive(node, now) => unavailable.other.push(node),
+                NodePhase::Abandoned => unavailable.faulty.push(node),
+                _ if self.is_unresponsive(node, now) => unavailable.faulty.push(node),
                 _ => {}
             }
         }
@@ -60,8 +60,8 @@
         if unavailable.contains(node) {
             return others(under_command) < max && in_zone(under_command);
         }
-        let all_others = others(under_command) + others(&unavailable.other);
-        all_others < max && in_zone(under_command) && in_zone(&unavailable.other)
+        let all_others = others(under_command) + others(&unavailable.faulty);
+        all_others < max && in_zone(under_command) && in_zone(&unavailable.faulty)
     }
 
     /// Starts as many of these commands as the disruption budget allows, in order, and returns whether any was started.
--- a/crates/sparrouter-rollout/src/controller/events.rs
+++ b/crates/sparrouter-rollout/src/controller/events.rs
@@ -6,20 +6,21 @@
 use crate::record::{CommandKind, Entry, Outcome};
 use crate::report::Report;
 
-/// Number of sample intervals without a report after which a node is unresponsive.
+/// Number of sample intervals without a report after which a node is unresponsive. A missing report must not count as a
+/// healthy one.
 const UNRESPONSIVE_INTERVALS: u64 = 5;
 
 /// Result of comparing a report with the node's previous report and the plan.
-struct ReportFacts {
+struct ReportEvaluation {
     is_new_generation: bool,
     is_old_generation: bool,
-    /// A different process wrote it than the previous report.
+    /// Whether a different process wrote the report than the previous one.
     is_restarted: bool,
-    /// An invariant was violated since the previous report.
+    /// Whether an invariant was violated since the previous report.
     has_violation: bool,
-    /// It was written by the process that the command stops.
+    /// Whether the report is from the process that the command was to replace.
     is_stale: bool,
-    /// The node maps keys to other cache servers than unchanged nodes do, and the plan does not allow this.
+    /// Whether the node maps keys to other cache servers than unchanged nodes do, and the plan does not allow this.
     moves_keys: bool,
 }
 
@@ -61,52 +62,52 @@
     }
 
     pub(super) fn on_report(&mut self, node: usize, report: Report, now: Nanos) {
-        let facts = self.evaluate_report(node, &report, now);
+        let evaluation = self.evaluate_report(node, &report, now);
         self.nodes[node].record_report(report, now);
         let name = self.name(node);
         let state = &mut self.nodes[node];
         match state.phase {
-            NodePhase::AwaitingReport(CommandKind::Change) if facts.is_new_generation => {
+            NodePhase::AwaitingReport(CommandKind::Change) if evaluation.is_new_generation => {
                 state.confirm(NodePhase::Changed, now);
-                if facts.moves_keys {
+                if evaluation.moves_keys {
                     self.start_rollback(format!(
                         "{name} maps keys to other cache servers, which the plan does not allow"
                     ));
                 }
             }
-            NodePhase::AwaitingReport(CommandKind::RollBack) if facts.is_old_generation => {
+            NodePhase::AwaitingReport(CommandKind::RollBack) if evaluation.is_old_generation => {
                 state.confirm(NodePhase::Unchanged, now);
             }
             NodePhase::AwaitingReport(CommandKind::Restart)
-                if facts.is_old_generation && !facts.is_stale =>
+                if evaluation.is_old_generation && !evaluation.is_stale =>
             {
                 state.confirm(NodePhase::Restarted, now);
             }
-            NodePhase::Changed if facts.is_old_generation => {
+            NodePhase::Changed if evaluation.is_old_generation => {
                 let generation = &self.plan.old_generation;
                 self.finish(Outcome::LeftToOperator(format!(
                     "{name} was changed but reports {generation}: it was modified outside this rollout"
                 )));
             }
-            NodePhase::Unchanged | NodePhase::Restarted if facts.is_new_generation => {
+            NodePhase::Unchanged | NodePhase::Restarted if evaluation.is_new_generation => {
                 let generation = &self.plan.new_generation;
                 self.finish(Outcome::LeftToOperator(format!(
                     "{name} reports {generation} but was not changed yet"
                 )));
             }
-            NodePhase::Changed if facts.is_restarted => {
+            NodePhase::Changed if evaluation.is_restarted => {
                 self.start_rollback(format!(
                     "{name} crashed: its process restarted without a command"
                 ));
             }
-            NodePhase::Changed if facts.has_violation => {
+            NodePhase::Changed if evaluation.has_violation => {
                 self.start_rollback(format!("{name} reports an invariant violation"));
             }
             _ => {}
         }
     }
 
-    fn evaluate_report(&self, node: usize, report: &Report, now: Nanos) -> ReportFacts {
+    fn evaluate_report(&self, node: usize, report: &Report, now: Nanos) -> ReportEvaluation {
         let plan = &self.plan;
         let state = &self.nodes[node];
         let is_restarted = state
@@ -122,7 +123,7 @@
         let uptime = report.uptime_ms.saturating_mul(1_000_000);
         let max_uptime = now.saturating_sub(state.phase_since) + 2 * plan.sample_interval;
         let placement = self.unchanged_placement();
-        ReportFacts {
+        ReportEvaluation {
             is_new_generation: report.generation == plan.new_generation,
             is_old_generation: report.generation == plan.old_generation,
             is_restarted,
--- a/crates/sparrouter-rollout/src/controller/rollback.rs
+++ b/crates/sparrouter-rollout/src/controller/rollback.rs
@@ -52,7 +52,7 @@
         if now > since + self.plan.max_wait {
             let unresponsive = self.unresponsive_names(now);
             return self.finish(Outcome::LeftToOperator(format!(
-                "{reason}; {changed} nodes are still changed, as {unresponsive} do not report"
+                "{reason}; {changed} nodes are still changed, as no reports arrive from {unresponsive}"
             )));
         }
         let abandoned = self.abandoned_names();
--- a/crates/sparrouter-rollout/src/page.rs
+++ b/crates/sparrouter-rollout/src/page.rs
@@ -86,7 +86,7 @@
         match self.entries.last() {
             Some(Entry::Finished { outcome }) => match outcome {
                 Outcome::Completed => ("through", "Every node is changed.".to_string()),
-                Outcome::RolledBack(reason) => ("back", format!("Taken back: {reason}")),
+                Outcome::RolledBack(reason) => ("back", format!("Rolled back: {reason}")),
                 Outcome::LeftToOperator(reason) => {
                     ("left", format!("Left to the operator: {reason}"))
                 }
--- a/crates/sparrouter-rollout/src/record.rs
+++ b/crates/sparrouter-rollout/src/record.rs
@@ -56,7 +56,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Outcome::Completed => f.write_str("every node is changed"),
-            Outcome::RolledBack(reason) => write!(f, "taken back: {reason}"),
+            Outcome::RolledBack(reason) => write!(f, "rolled back: {reason}"),
             Outcome::LeftToOperator(reason) => write!(f, "left to the operator: {reason}"),
         }
     }
