--- a/crates/sparrouter-rollout/src/controller/events.rs
+++ b/crates/sparrouter-rollout/src/controller/events.rs
@@ -166,7 +166,7 @@
                     self.nodes[node].phase = NodePhase::Changed;
                     let generation = &self.plan.new_generation;
                     self.start_rollback(format!(
-                        "{name} was changed but did not report {generation} in time"
+                        "{name} was changed but never reported {generation}"
                     ));
                 }
                 NodePhase::AwaitingReport(command) if is_overdue => {
