--- a/crates/sparrouter-rendezvous/src/slot_table.rs
+++ b/crates/sparrouter-rendezvous/src/slot_table.rs
@@ -80,8 +80,9 @@
         self.owner_index(key).map(|index| self.members[index])
     }
 
-    /// Number of scores that were computed to build this table from the previous one. Tests use it to show that an
-    /// update is cheap.
+    /// Number of scores that were computed for members that joined and for orphaned slots when this table was built
+    /// from the previous one. Scores of owners that stay aren't counted. Tests use the number to show that an update is
+    /// cheap.
     pub fn scores_computed(&self) -> u64 {
         self.scores_computed
     }
