--- a/crates/sparrouter-balancer/tests/admission.rs
+++ b/crates/sparrouter-balancer/tests/admission.rs
@@ -87,7 +87,10 @@
     };
     assert_eq!(throttled(false), 0);
     let throttled_in_overload = throttled(true);
-    assert!(throttled_in_overload > 5, "{throttled_in_overload}");
+    assert!(
+        throttled_in_overload > 5,
+        "{throttled_in_overload} reads throttled"
+    );
 }
 
 /// Guards against shedding for as long as evidence of an overload lasts: after four seconds of four times the usual
@@ -105,7 +108,11 @@
         }
     }
     let throttled = |node: &Harness| node.count_actions(|a| matches!(a, Action::Throttle { .. }));
-    assert!(throttled(&node) > 600, "{}", throttled(&node));
+    assert!(
+        throttled(&node) > 600,
+        "{} reads throttled",
+        throttled(&node)
+    );
     node.play_good_reads(1500 * MS);
     let before = throttled(&node);
     node.play_good_reads(2 * SECOND);
--- a/crates/sparrouter-balancer/tests/election.rs
+++ b/crates/sparrouter-balancer/tests/election.rs
@@ -70,7 +70,10 @@
             node.end_all();
         }
     }
-    assert!(used.len() > 1 && used.len() <= 8, "{used:?}");
+    assert!(
+        used.len() > 1 && used.len() <= 8,
+        "cache servers used: {used:?}"
+    );
 }
 
 /// If each of hundreds of nodes sent one forward to a hot key's first cache server, they would overload it.
@@ -89,5 +92,5 @@
     };
     let targets = [0, 30, 60, 90].map(first_target);
     let used: std::collections::BTreeSet<_> = targets.into_iter().collect();
-    assert!(used.len() > 1, "{used:?}");
+    assert!(used.len() > 1, "cache servers used: {used:?}");
 }
--- a/crates/sparrouter-balancer/tests/endpoint_list.rs
+++ b/crates/sparrouter-balancer/tests/endpoint_list.rs
@@ -88,7 +88,7 @@
         node.advance(50 * MS);
     }
     // During one minute the cache server is checked at increasing intervals.
-    assert!((1..=10).contains(&forwards), "{forwards}");
+    assert!((1..=10).contains(&forwards), "{forwards} forwards");
 }
 
 /// Half of the cache servers are listed as removed although they run, half as ready: both keep their keys.
@@ -133,7 +133,7 @@
         answered += usize::from(node.is_answered(index) && is_forwarded);
         node.advance(20 * MS);
     }
-    assert!(answered > 590, "{answered}");
+    assert!(answered > 590, "{answered} reads answered");
 }
 
 fn count_list_requests(node: &Harness) -> usize {
@@ -150,7 +150,7 @@
         node.advance(500 * MS);
     }
     let requests = count_list_requests(&node);
-    assert!((10..=40).contains(&requests), "{requests}");
+    assert!((10..=40).contains(&requests), "{requests} list requests");
 }
 
 /// Requests for the list fail immediately, or are never answered: the next one is made within the poll interval.
@@ -178,6 +178,6 @@
                 "no request within the poll interval after {requests} requests; requests time out: {times_out}"
             );
         }
-        assert!(requests > 6, "{requests}");
+        assert!(requests > 6, "{requests} list requests");
     }
 }
--- a/crates/sparrouter-balancer/tests/gossip.rs
+++ b/crates/sparrouter-balancer/tests/gossip.rs
@@ -114,7 +114,7 @@
         keys: (0..6).map(row).map(key_row).collect(),
         ..sample(Some(1))
     };
-    assert!(full.encode().len() <= 256, "{}", full.encode().len());
+    assert!(full.encode().len() <= 256, "{} bytes", full.encode().len());
     assert_eq!(GossipMessage::decode(&full.encode()), Some(full));
 }
 
--- a/crates/sparrouter-balancer/tests/origin.rs
+++ b/crates/sparrouter-balancer/tests/origin.rs
@@ -60,15 +60,15 @@
     for index in [first, second] {
         node.end(index, 0, Outcome::Miss);
     }
-    let (within, beyond) = if first.is_multiple_of(2) {
+    let (within_quota, above_quota) = if first.is_multiple_of(2) {
         (first, second)
     } else {
         (second, first)
     };
     node.end(fetching[0], 1, Outcome::Succeeded);
-    let last_target_within = node.targets(within).last().copied();
-    let has_fetched_beyond = node.targets(beyond).contains(&3);
-    assert_eq!((last_target_within, has_fetched_beyond), (Some(3), false));
+    let last_target_within = node.targets(within_quota).last().copied();
+    let has_fetched_above = node.targets(above_quota).contains(&3);
+    assert_eq!((last_target_within, has_fetched_above), (Some(3), false));
 }
 
 /// Guards against a queue entry that is lost while no origin is listed, so that its client times out.
--- a/crates/sparrouter-balancer/tests/overdue.rs
+++ b/crates/sparrouter-balancer/tests/overdue.rs
@@ -22,7 +22,10 @@
             node.end(second, 0, if breaks { outcome } else { Outcome::Succeeded });
             node.end_all();
         }
-        assert!(at_winner > 36, "{outcome:?}: {at_winner}");
+        assert!(
+            at_winner > 36,
+            "{outcome:?}: {at_winner} reads at the key's cache server"
+        );
     }
 }
 
--- a/crates/sparrouter-balancer/tests/peers.rs
+++ b/crates/sparrouter-balancer/tests/peers.rs
@@ -36,7 +36,7 @@
     let mut node = Harness::new(gossiping_setup(700, 3), servers(4));
     node.advance(10 * SECOND);
     let sent = sent_gossip(&node).len();
-    assert!((10..=20).contains(&sent), "{sent}");
+    assert!((10..=20).contains(&sent), "{sent} gossip messages sent");
 }
 
 /// A long queue stays full if no single node sends enough forwards to notice it: the outcomes that one node reports
@@ -72,7 +72,10 @@
             .count()
     };
     let (with_report, without) = (keys_at_winner(true), keys_at_winner(false));
-    assert!(with_report * 10 < without * 9, "{with_report} {without}");
+    assert!(
+        with_report * 10 < without * 9,
+        "{with_report} keys won with the report, {without} without"
+    );
 }
 
 /// Results of reads while some peers send false overload reports.
@@ -81,9 +84,9 @@
     shed_fraction: f64,
 }
 
-/// Plays 400 reads at 20 per second at one of 16 nodes. The first `false_reporters` peers report twenty times per second that
-/// they shed nine tenths of their load, the others report once per second that they shed nothing. If `is_answered`,
-/// reads succeed; otherwise their clients disconnect.
+/// Plays 400 reads at 20 per second at one of 16 nodes. The first `false_reporters` peers report twenty times per
+/// second that they shed nine tenths of their load, the others report once per second that they shed nothing. If
+/// `is_answered`, reads succeed; otherwise their clients disconnect.
 fn run_with_false_reports(false_reporters: usize, is_answered: bool) -> FalseReportRun {
     let mut node = Harness::new(gossiping_setup(16, 0), servers(6));
     let mut throttled = 0;
@@ -118,14 +121,20 @@
     let one = run_with_false_reports(1, true).throttled;
     let three = run_with_false_reports(3, true).throttled;
     let twelve = run_with_false_reports(12, true);
-    assert!(one < 8 && three < 8, "{one} {three}");
+    assert!(
+        one < 8 && three < 8,
+        "{one} reads throttled with one false reporter, {three} with three"
+    );
     // A node without any answers follows the reports.
     let without_answers = run_with_false_reports(12, false).throttled;
-    assert!(without_answers > 100, "{without_answers}");
+    assert!(
+        without_answers > 100,
+        "{without_answers} unanswered reads throttled"
+    );
     // The node follows the majority of peers. Its own answers in time limit the shedding, but at first it has none.
     assert!(
         twelve.shed_fraction > 0.5 && (8..100).contains(&twelve.throttled),
-        "{} {}",
+        "{} reads throttled, shed fraction {}",
         twelve.throttled,
         twelve.shed_fraction
     );
@@ -141,5 +150,5 @@
     node.apply_settings(setup().operations, setup().limits, 16);
     node.receive_gossip(9, shed_report(0.9));
     let shed_fraction = node.policy.counts().shed_fraction;
-    assert!(shed_fraction < 0.1, "{shed_fraction}");
+    assert!(shed_fraction < 0.1, "shed fraction {shed_fraction}");
 }
--- a/crates/sparrouter-balancer/tests/retries.rs
+++ b/crates/sparrouter-balancer/tests/retries.rs
@@ -26,7 +26,10 @@
         }
         let targets = node.targets(index);
         if fails {
-            assert!(targets.len() <= 2 && !targets.contains(&6), "{targets:?}");
+            assert!(
+                targets.len() <= 2 && !targets.contains(&6),
+                "forwarded to {targets:?}"
+            );
         } else {
             rejected += usize::from(targets.is_empty());
         }
@@ -140,7 +143,7 @@
             })
         });
     }
-    assert!(crashed.len() <= 4, "{crashed:?}");
+    assert!(crashed.len() <= 4, "crashed cache servers: {crashed:?}");
     // After the servers have restarted, none is suspected any more.
     let run = node.play_good_reads(10 * SECOND);
     assert!(run.first_success.is_some());
@@ -166,6 +169,6 @@
     let targets = node.targets(index);
     assert!(
         targets.len() == 3 && targets[0] == targets[1] && targets[2] != targets[0],
-        "{targets:?}"
+        "forwarded to {targets:?}"
     );
 }
--- a/crates/sparrouter-balancer/tests/suspicion.rs
+++ b/crates/sparrouter-balancer/tests/suspicion.rs
@@ -52,7 +52,7 @@
             assert!(
                 run.first_success
                     .is_some_and(|time| time <= max_recovery_time),
-                "{failure:?} for {period} s: {:?}",
+                "failure {failure:?}, period {period} s: first success after {:?} ns",
                 run.first_success
             );
         }
@@ -105,5 +105,5 @@
         node.arrive(Request::read(key).timeout(2 * SECOND));
     }
     let after = node.in_flight().len();
-    assert!(after <= before + 2, "{after}");
+    assert!(after <= before + 2, "{after} forwards in flight");
 }
--- a/crates/sparrouter-balancer/tests/warm_up.rs
+++ b/crates/sparrouter-balancer/tests/warm_up.rs
@@ -70,7 +70,10 @@
         forwards
     };
     let (few, many) = (forwards_to_new(3), forwards_to_new(40));
-    assert!(few > 4 && many * 4 <= few, "{few}, {many}");
+    assert!(
+        few > 4 && many * 4 <= few,
+        "{few} forwards from one of 3 nodes, {many} from one of 40"
+    );
 }
 
 /// Plays half a second of reads and returns how many had a forward to cache server 2. Once the list has shrunk,
@@ -151,7 +154,10 @@
     let forwards: usize = (100..260).map(|key| play(&mut node, key, 3 * MS)).sum();
     // In half a second: 40 answers from 8 servers are 5 per unit of weight, so the budget is 0.15 x 3 x one half of
     // that per second.
-    assert!(forwards <= 2, "{forwards}");
+    assert!(
+        forwards <= 2,
+        "{forwards} forwards to the cache server that is warming up"
+    );
 }
 
 /// The list doesn't show the restart of the process, so the harness can't check rule 4 here; the node has to detect
