--- a/crates/sparrouter-balancer/src/gossip.rs
+++ b/crates/sparrouter-balancer/src/gossip.rs
@@ -112,8 +112,8 @@
     if !matches!(tail.len(), TAIL_LEN | LATER_TAIL_LEN) {
         return None;
     }
-    let (before, sum) = message.split_at(message.len() - 2);
-    (checksum(before) == sum).then_some(Some(u16::from_le_bytes([tail[0], tail[1]])))
+    let (preceding, sum) = message.split_at(message.len() - 2);
+    (checksum(preceding) == sum).then_some(Some(u16::from_le_bytes([tail[0], tail[1]])))
 }
 
 impl GossipMessage {
--- a/crates/sparrouter-balancer/src/policy/admission.rs
+++ b/crates/sparrouter-balancer/src/policy/admission.rs
@@ -6,9 +6,9 @@
 use super::quota::Quota;
 use crate::types::{Nanos, SECOND};
 
-/// Change of the shed fraction per arrival and unit of excess badness.
+/// Minimum change of the shed fraction per arrival and unit of excess badness; the maximum is four times as much.
 const STEP_PER_ARRIVAL: f64 = 0.06;
-/// Change of the shed fraction per second and unit of excess badness, if arrivals are rare.
+/// Change of the shed fraction per second and unit of excess badness, between the minimum and maximum per arrival.
 const STEP_PER_S: f64 = 2.0;
 /// Mean badness of the forwards up to which the shed fraction doesn't rise.
 const TOLERATED_BADNESS: f64 = 0.1;
@@ -33,7 +33,8 @@
     2 * operations
 }
 
-/// Index of the band of an operation's invocations that are within quota or exceed it.
+/// Index of the band of an operation's invocations that are within their tenants' quotas, or of those that exceed
+/// them if `is_within_quota` is false.
 pub fn band_index(operation: usize, is_within_quota: bool) -> usize {
     2 * operation + usize::from(is_within_quota)
 }
--- a/crates/sparrouter-balancer/src/policy/arrival.rs
+++ b/crates/sparrouter-balancer/src/policy/arrival.rs
@@ -80,7 +80,7 @@
     }
 
     /// Expected work of an invocation, in nanoseconds: as announced, otherwise the mean latency of its operation,
-    /// otherwise a guess.
+    /// otherwise a quarter of the latency target as a guess.
     fn expected_work(&self, arrival: &Arrival) -> f64 {
         let operation = &self.operations[arrival.operation];
         match arrival.work {
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Reason for rejecting an arrival; `None` if it is admitted. `deadline` is the client's. A random number is
-    /// drawn only if the decision depends on it.
+    /// Reason for rejecting an arrival; `None` if it is admitted. `deadline` is the client's. Random numbers are
+    /// drawn only for a key with more than one recent failure, and for the overload decision if no other reason applies.
     fn rejection(&mut self, key: u64, deadline: Nanos, shed_chance: f64) -> Option<ShedReason> {
         let stats = self.keys.get_mut(key);
         let key_chance = stats.map_or(1.0, |s| s.admission_chance(self.now));
--- a/crates/sparrouter-balancer/src/policy/caches/health.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/health.rs
@@ -5,8 +5,9 @@
 use crate::policy::fading::decay_factor;
 use crate::types::{CacheIndex, Nanos};
 
-/// Factor by which evidence ages faster in the mean over all cache servers than in the state of one.
-const STALENESS: Nanos = 6;
+/// Factor by which the age of evidence is multiplied in the mean over all cache servers: its half-life there is a sixth
+/// of a second.
+const MEAN_AGE_FACTOR: Nanos = 6;
 
 impl CacheSet {
     /// Mean badness of the ready cache servers, from 0 to 1.
@@ -21,7 +22,8 @@
         let mut sums = OutcomeSums::default();
         for cache in all.filter(with_evidence) {
             let age = now - cache.outcomes_at;
-            let weight = (cache.recent.total * decay_factor(STALENESS * age)).min(OUTCOME_GAIN);
+            let weight =
+                (cache.recent.total * decay_factor(MEAN_AGE_FACTOR * age)).min(OUTCOME_GAIN);
             sums.bad += weight * cache.recent.bad / cache.recent.total;
             sums.total += weight;
         }
--- a/crates/sparrouter-balancer/src/policy/caches/mod.rs
+++ b/crates/sparrouter-balancer/src/policy/caches/mod.rs
@@ -21,18 +21,18 @@
 
 /// The endpoint set.
 ///
-/// Invariant: `ready` and `origin` contain exactly the listed servers that are ready, in order of their index;
-/// `origin` is the first server of the origin's kind, `ready` contains the servers of all other kinds.
+/// Invariant: `ready` contains exactly the servers whose state is ready and whose kind isn't the origin's, in order of
+/// their index; `origin` is the first ready server of the origin's kind.
 #[derive(Default)]
 pub struct CacheSet {
     caches: Vec<Option<Cache>>,
     /// Cache servers that may receive forwards, in order of their index.
     pub ready: Vec<CacheIndex>,
-    /// The origin; `None` if no ready origin is listed.
+    /// The origin; `None` if no origin is ready.
     pub origin: Option<CacheIndex>,
     /// Parameters of the safety rules.
     pub rules: Rules,
-    /// Kind of the origin; `None` if the cache servers fetch by themselves.
+    /// Kind of the origin; `None` if the cache servers fetch missing values themselves.
     pub origin_kind: Option<usize>,
     /// Whether listed weights follow the current load, in which case they are ignored.
     live_weights: bool,
@@ -112,7 +112,7 @@
     /// Applies a complete list of cache servers, or changes to it.
     pub fn apply_list(&mut self, kind: ListKind, records: &[CacheRecord], now: Nanos) {
         let is_advisory = self.rules.removal_is_advisory;
-        // Answers so far came from the old members.
+        // The answers so far came from the old members, so they are divided among those.
         self.update_answer_rate(now);
         if kind != ListKind::Changes {
             for cache in self.caches.iter_mut().flatten() {
--- a/crates/sparrouter-balancer/src/policy/completion.rs
+++ b/crates/sparrouter-balancer/src/policy/completion.rs
@@ -17,8 +17,8 @@
         invocation.is_completed = true;
         self.shed_counts[reason as usize] += 1;
         let operation = &self.operations[invocation.arrival.operation];
-        // Soon enough for the client's next attempt to succeed within its deadline, or as late as allowed if that is
-        // impossible.
+        // The advised delay is short enough for the client's retry to be answered in time, or as long as allowed if no
+        // retry could be.
         let max_retry_after = operation.limits.max_retry_after.unwrap_or(0);
         let latency_target = operation.settings.latency_target;
         let time_left = invocation.answer_deadline.saturating_sub(self.now);
@@ -118,7 +118,7 @@
             .map(|f| (f.cache, f.sent_at))
             .collect();
         let deadline = invocation.arrival.deadline;
-        let last_moment = deadline.saturating_sub(self.environment.tick);
+        let last_tick = deadline.saturating_sub(self.environment.tick);
         let operation = &self.operations[invocation.arrival.operation].settings;
         let may_be_running = !in_flight.is_empty() && !gate::may_throttle(invocation, operation);
         for (cache, sent_at) in in_flight {
@@ -126,10 +126,11 @@
                 self.record_timeout(cache, sent_at);
             }
         }
-        if may_be_running && self.now < last_moment {
-            // The invocation can't be cancelled, and the client still learns its outcome if an answer arrives.
+        if may_be_running && self.now < last_tick {
+            // The invocation may be running and can't be taken back. The node waits for an answer until the last tick
+            // before the client times out, so that the client can still learn the outcome.
             let timer = Timer::AnswerDeadline { invocation: index };
-            return self.set_timer(last_moment, timer);
+            return self.set_timer(last_tick, timer);
         }
         self.shed(index, ShedReason::DeadlineExceeded);
     }
--- a/crates/sparrouter-balancer/src/policy/forwarding.rs
+++ b/crates/sparrouter-balancer/src/policy/forwarding.rs
@@ -32,7 +32,8 @@
         }
         match self.select(index) {
             Some(cache) => self.forward(index, cache, Continuation::Cache),
-            // Not if all cache servers are overloaded: the origin would be overloaded next.
+            // The origin is used only if all cache servers are idle: if they were overloaded, it would be overloaded
+            // next.
             None if can_fetch && self.caches.are_all_idle() => self.fetch(index),
             None => self.shed(index, ShedReason::NoCapacity),
         }
--- a/crates/sparrouter-balancer/src/policy/hot_keys.rs
+++ b/crates/sparrouter-balancer/src/policy/hot_keys.rs
@@ -27,7 +27,7 @@
     pub arrivals: f64,
     /// Sum over the key's forwards of the fraction of the latency target that each took, at most 1 each.
     slowness: f64,
-    /// Invocations that failed at every cache server since the last success of an invocation with this key, decayed
+    /// Number of invocations with this key that failed at every cache server since the last success or miss, decayed
     /// until `failed_at`.
     failures: f64,
     failed_at: Nanos,
@@ -114,8 +114,8 @@
     pub fn spread(&self, key: u64, caches: usize) -> usize {
         let known = self.counts.get(&short_hash(key));
         let stats = known.copied().unwrap_or_default();
-        // The current arrival is excluded: this gives the mean fraction of a key that was seen this often if
-        // popularity is proportional to 1/rank.
+        // The current arrival is excluded: if popularity is proportional to 1/rank, the number of earlier arrivals gives
+        // the mean fraction of a key that was seen this often.
         let earlier_arrivals = stats.arrivals - 1.0;
         if earlier_arrivals <= 0.0 {
             return 1;
--- a/crates/sparrouter-balancer/src/policy/origin/limit.rs
+++ b/crates/sparrouter-balancer/src/policy/origin/limit.rs
@@ -9,8 +9,8 @@
 /// Maximum difference between the limit and the number of fetches in flight.
 const HEADROOM: f64 = 3.0;
 
-/// Weight of a new answer. It increases with the `age` of the previous one, in nanoseconds: in a deployment of many
-/// nodes each node sees few answers.
+/// Weight of a new answer in a smoothed value: at least `base`. It increases with the time since the previous answer,
+/// `age`, in nanoseconds, because each node sees few answers in a deployment of many nodes.
 fn gain(base: f64, age: f64) -> f64 {
     base.max(1.0 - decay_factor((age / base / 10.0) as Nanos))
 }
@@ -65,7 +65,7 @@
     }
 
     /// Updates the estimate of the latency without congestion. It starts at half of the tolerated latency and decays
-    /// back to it, so that congestion at the start isn't permanently taken for the usual latency. Long answers raise
+    /// back to it, so that congestion at the start isn't permanently taken for the usual latency. Slow answers raise
     /// the estimate more if the limit is low, because few fetches can't cause congestion.
     fn learn_uncongested_latency(&mut self, fast_gain: f64, age: f64) {
         let initial_estimate = self.tolerated_latency / 2.0;
--- a/crates/sparrouter-balancer/src/policy/overdue.rs
+++ b/crates/sparrouter-balancer/src/policy/overdue.rs
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Sends a hedged request if the budget permits. The budget is small: if all servers are slow, hedging would
-    /// double the load.
+    /// Sends a hedged request if the budget permits. Without a budget, hedging would double the load if all servers
+    /// are slow.
     fn hedge(&mut self, index: InvocationIndex, forwards_left: usize) {
         if self.hedge_tokens < 1.0 || forwards_left <= 1 {
             return;
--- a/crates/sparrouter-balancer/src/policy/timer.rs
+++ b/crates/sparrouter-balancer/src/policy/timer.rs
@@ -39,16 +39,16 @@
 impl Timer {
     /// Encodes the timer as a token.
     pub fn token(self) -> u64 {
-        let of_forward = |kind: u64, invocation: InvocationIndex, forward_index: usize| {
+        let forward_token = |kind: u64, invocation: InvocationIndex, forward_index: usize| {
             kind | (forward_index as u64) << FORWARD_SHIFT
                 | u64::from(invocation) << INVOCATION_SHIFT
         };
         match self {
-            Timer::AnswerDeadline { invocation } => of_forward(ANSWER_DEADLINE, invocation, 0),
+            Timer::AnswerDeadline { invocation } => forward_token(ANSWER_DEADLINE, invocation, 0),
             Timer::Overdue {
                 invocation,
                 forward_index,
-            } => of_forward(OVERDUE, invocation, forward_index),
+            } => forward_token(OVERDUE, invocation, forward_index),
             Timer::ListRequest => LIST_REQUEST,
             Timer::Gossip => GOSSIP,
             Timer::Origin => ORIGIN,
--- a/crates/sparrouter-balancer/src/types/action.rs
+++ b/crates/sparrouter-balancer/src/types/action.rs
@@ -63,7 +63,7 @@
 /// Reason for throttling an invocation or answering it with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShedReason {
-    /// Shed on arrival, because too many forwards fail over all cache servers.
+    /// Shed on arrival, because too many forwards to the cache servers end badly: rejected, late or unanswered.
     Overload,
     /// Every cache server is suspected, at its limit, or warming up with its budget exhausted.
     NoCapacity,
--- a/crates/sparrouter-balancer/src/types/event.rs
+++ b/crates/sparrouter-balancer/src/types/event.rs
@@ -16,7 +16,7 @@
 /// An entry of the list of cache servers.
 #[derive(Clone, Debug)]
 pub struct CacheRecord {
-    /// Its index.
+    /// Index of the server.
     pub cache: CacheIndex,
     /// Hash of the server's id; the same at every node.
     pub id_hash: u64,
@@ -109,7 +109,7 @@
 /// An invocation as it arrives from a client.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
-    /// Its index.
+    /// Index of the invocation.
     pub inv: InvocationIndex,
     /// Index of the operation.
     pub operation: usize,
--- a/crates/sparrouter-balancer/src/types/settings.rs
+++ b/crates/sparrouter-balancer/src/types/settings.rs
@@ -116,7 +116,7 @@
     pub peers: bool,
     /// Resolution of this node's timers, in nanoseconds.
     pub tick: Nanos,
-    /// Whether the list of cache servers is sent only to nodes that request it.
+    /// Whether the list of cache servers is sent only to nodes that request it; otherwise it is pushed to all nodes.
     pub list_is_polled: bool,
     /// Whether listed weights follow the current load, so that they don't indicate the size of a server.
     pub live_weights: bool,
