--- a/crates/sparrouter-balancer/src/policy/quota.rs
+++ b/crates/sparrouter-balancer/src/policy/quota.rs
@@ -25,8 +25,8 @@
 }
 
 impl Quota {
-    /// Creates the bucket of a node that gets this fraction of the tenant's traffic, filled with one second of its
-    /// quota.
+    /// Creates the bucket of a node that gets this fraction of the tenant's traffic, filled with one second of
+    /// this node's part of the quota.
     pub fn new(per_s: f64, fraction: f64) -> Quota {
         Quota {
             per_s,
--- a/crates/sparrouter-balancer/tests/harness/mod.rs
+++ b/crates/sparrouter-balancer/tests/harness/mod.rs
@@ -397,7 +397,10 @@
         let slack = self.setup.rules.answer_slack;
         self.advance(last.saturating_sub(self.now) + slack + MS);
         for (index, invocation) in &self.model.invocations {
-            assert!(!invocation.is_open(), "rule 1: {index} was never answered");
+            assert!(
+                !invocation.is_open(),
+                "rule 1: invocation {index} was never answered"
+            );
         }
     }
 }
--- a/crates/sparrouter-balancer/tests/harness/model.rs
+++ b/crates/sparrouter-balancer/tests/harness/model.rs
@@ -90,7 +90,7 @@
         for (index, invocation) in &self.model.invocations {
             assert!(
                 !invocation.is_open() || self.now <= invocation.deadline + slack,
-                "rule 1: {index} was not answered in time"
+                "rule 1: invocation {index} was not answered in time"
             );
         }
     }
@@ -149,7 +149,10 @@
 
     fn check_final_answer(&mut self, index: InvocationIndex) {
         let invocation = self.model_invocation(index);
-        assert!(invocation.is_open(), "rule 1: {index} answered twice");
+        assert!(
+            invocation.is_open(),
+            "rule 1: invocation {index} answered twice"
+        );
         invocation.is_answered = true;
     }
 
@@ -166,7 +169,7 @@
         };
         assert!(
             is_harmless,
-            "rule 2: {index} was throttled although it may have run"
+            "rule 2: invocation {index} was throttled although it may have run"
         );
     }
 
@@ -180,22 +183,22 @@
         let invocation = known.expect("rule 1: unknown invocation");
         assert!(
             invocation.is_open(),
-            "rule 1: {index} forwarded after its answer"
+            "rule 1: invocation {index} forwarded after its answer"
         );
         assert!(
             invocation.forwards.len() < invocation.limits.max_forwards,
-            "more forwards than `max_forwards`"
+            "invocation {index} has more forwards than `max_forwards`"
         );
         let target = &self.model.records[&cache];
         assert_eq!(
             target.state,
             LifecycleState::Ready,
-            "rule 3: forward to a cache server that is draining or removed"
+            "rule 3: invocation {index} forwarded to server {cache}, which is draining or removed"
         );
         let overlaps = invocation.forwards.iter().any(|f| f.is_in_flight);
         assert!(
             invocation.limits.allows_hedging || !overlaps,
-            "rule 2: overlapping forwards"
+            "rule 2: invocation {index} has overlapping forwards"
         );
         self.check_repeats(index, invocation, target, send_deadline);
         let is_origin =
@@ -217,7 +220,10 @@
         match self.setup.operations[invocation.operation].effect {
             Effect::Idempotent => {}
             Effect::NonIdempotent => {
-                assert!(earlier.next().is_none(), "rule 2: {index} may run twice");
+                assert!(
+                    earlier.next().is_none(),
+                    "rule 2: invocation {index} may run twice"
+                );
             }
             Effect::Deduplicated { group, window } => {
                 for forward in earlier {
@@ -229,17 +235,18 @@
                     };
                     assert!(
                         is_same_group,
-                        "rule 2: {index} was repeated outside its deduplication group"
+                        "rule 2: invocation {index} was repeated outside its deduplication group"
                     );
                     let window_end = forward.sent_at + window;
                     assert!(
                         self.now < window_end,
-                        "rule 2: {index} was sent after its deduplication window"
+                        "rule 2: invocation {index} was sent after its deduplication window"
                     );
-                    let is_sent_in_time = send_deadline.is_some_and(|m| m <= window_end);
+                    let is_sent_in_time =
+                        send_deadline.is_some_and(|deadline| deadline <= window_end);
                     assert!(
                         is_sent_in_time,
-                        "rule 2: {index} may be sent after its deduplication window"
+                        "rule 2: invocation {index} may be sent after its deduplication window"
                     );
                 }
             }
