--- a/crates/sparrouter-fleet/src/control/actions.rs
+++ b/crates/sparrouter-fleet/src/control/actions.rs
@@ -1,4 +1,4 @@
-//! The task that runs the registers: their timers, what the disk has written, and the actions that they ask for.
+//! The task that runs the registers: timers, completed disk writes, and the actions that the registers request.
 use super::{CONFIG, Control, LEASE_SHARDS, MAX_MESSAGE_BYTES};
 use crate::control::configuration_state::{ConfigurationState, NamedVersion};
 use crate::control::disk::{WriteOutcome, WriteRequest};
@@ -12,18 +12,18 @@
 
 /// Longest time between two ticks of the registers, in nanoseconds.
 const MAX_TICK_INTERVAL: u64 = 1_000_000_000;
-/// Shortest time between two ticks, so that registers that are due all the time leave time for other tasks.
+/// Shortest time between two ticks, so that registers with constant work leave time for other tasks.
 const MIN_TICK_INTERVAL: Duration = Duration::from_micros(200);
 
 impl Control {
-    /// Runs the registers for as long as the process lives. `written` brings what became of writes to disk.
+    /// Runs the registers until the process ends. `written` receives the outcomes of disk writes.
     pub(super) async fn run_registers(
         self: Rc<Self>,
         mut written: UnboundedReceiver<WriteOutcome>,
     ) {
         loop {
-            // In this order, so that the same seed gives the same run; the timer first, since messages may come without
-            // end.
+            // The fixed order makes runs with the same seed identical. The timer comes first because messages may never
+            // stop arriving.
             tokio::select! {
                 biased;
                 () = tokio::time::sleep(self.until_next_tick()) => self.tick_registers(),
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Tells a register whether its record is on disk.
+    /// Reports to a register whether its record was written to disk.
     fn confirm_write(&self, shard: u16, token: u64, is_written: bool) {
         let now = self.node.now();
         self.registers.borrow_mut()[usize::from(shard)].stored(token, is_written, now);
     }
 
-    /// Carries out what the registers ask for, until they ask for nothing more.
+    /// Carries out the requested actions until the registers request no more.
     pub(super) fn carry_out_actions(&self) {
         for shard in 0..=LEASE_SHARDS {
             loop {
@@ -121,7 +121,7 @@
             bytes,
         };
         if !self.disk.submit(request) {
-            // Without a disk nothing is promised beyond this incarnation, whose disk id ends with it.
+            // Without a disk, promises hold only for this incarnation, and its disk id is never used again.
             self.confirm_write(shard, token, true);
         }
     }
@@ -160,13 +160,14 @@
     }
 }
 
-/// Register slots start at 0; nodes count from 1, so that 0 means that nothing is known yet.
+/// Converts a register slot to a configuration slot: register slots start at 0, nodes count from 1 and use 0 for
+/// "unknown".
 fn slot_at_nodes(slot: u64) -> u64 {
     slot + 1
 }
 
-/// A named version as the register has it, which stores no times: it counts as named now unless this node knows it
-/// already, since the earliest moment counts.
+/// Converts a named version of the register, which stores no times. The version counts as named now unless this node
+/// knows it already, since the earliest time applies.
 fn just_named(named: &NamedVersion) -> ModelUpdate {
     ModelUpdate {
         name: named.model.clone(),
--- a/crates/sparrouter-fleet/src/control/change.rs
+++ b/crates/sparrouter-fleet/src/control/change.rs
@@ -1,4 +1,4 @@
-//! One change of a shard, made through whichever member can make it.
+//! Makes one change of a shard through any member that can make it.
 use super::Control;
 use crate::control::configuration_state::{Change, Verdict};
 use crate::node::Node;
@@ -11,43 +11,44 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// No attempt begins with less time than this.
+/// Shortest time that an attempt may be given; with less time remaining, none begins.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(10);
-/// Part of the remaining time that an attempt gets while other members may be asked after it.
+/// Ratio of the remaining time that an attempt may use while other members can be tried after it.
 const ATTEMPT_TIME_RATIO: f64 = 0.6;
-/// How much longer than the member itself this node waits for its reply.
+/// How much longer than the member's own time-out this node waits for its reply.
 const REPLY_MARGIN: Duration = Duration::from_millis(20);
 
-/// What a quorum answered to a change.
+/// The answer of a quorum to a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeAnswer {
     /// The answer of the shard's state machine.
     pub answer: Vec<u8>,
-    /// An earlier attempt of the same call ended without an answer: its copy may still be judged, on a later state.
+    /// Whether an earlier attempt of the same call ended without an answer. Its copy may still be applied, to a later
+    /// state.
     pub has_copies_in_flight: bool,
 }
 
-/// Why a change has no answer, and so what its caller may do.
+/// Why a change has no answer. The variant decides what the caller may do next.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// Not applied; another node may know a member.
-    #[error("no node that keeps the control state is known here: ask another one")]
+    /// The change was not applied. Another node may know a member.
+    #[error("this node knows no node that keeps the control state: ask another node")]
     NoMember,
-    /// Not applied, and it never will be by this call: it may be sent again.
+    /// The change was not applied, and this call will not apply it later: the caller may retry.
     #[error("{}", with_remedy(*.rejection, .disk_failure.as_deref()))]
     Rejected {
-        /// Why this node's register rejected it.
+        /// Why this node's register rejected the change.
         rejection: Rejection,
-        /// Why this node's disk fails, with the remedy, if it does.
+        /// Why this node's disk fails, with the remedy; `None` if the disk works.
         disk_failure: Option<String>,
     },
-    /// The same from another member.
+    /// Another member rejected the change: it was not applied and may be retried.
     #[error("{reason}")]
     RejectedByPeer {
-        /// As the member says it, for people.
+        /// The member's reason, as text for the operator.
         reason: String,
     },
-    /// It may be applied or not; the same change sent again gets a definite answer.
+    /// The change may or may not be applied; sending the same change again gives a definite answer.
     #[error(
         "no quorum answered in time: the change may be in force or not; send it again unchanged"
     )]
@@ -61,21 +62,21 @@
     }
 }
 
-/// What became of one attempt.
+/// The outcome of one attempt.
 enum AttemptOutcome {
     Answered(Vec<u8>),
-    /// It proved that the change is not applied by this attempt.
+    /// The attempt proved that it did not apply the change.
     Rejected(ChangeError),
     /// The change did not reach a register.
     Unsent,
     Unknown,
 }
 
-/// Makes a change of a shard through this node's register or that of another member, the shard's owner first.
+/// Makes a change of a shard through this node's register or another member's, the shard's owner first.
 ///
 /// # Errors
 ///
-/// [`ChangeError::Unknown`] if any attempt may have been applied; else why the last one was rejected.
+/// [`ChangeError::Unknown`] if any attempt may have been applied; otherwise the reason of the last rejection.
 pub async fn change(
     node: &Rc<Node>,
     control: Option<&Rc<Control>>,
@@ -112,7 +113,7 @@
                 });
             }
             AttemptOutcome::Unknown => error = ChangeError::Unknown,
-            // An earlier attempt may still be applied, whatever this one proved of itself.
+            // An earlier attempt may still be applied, even though this one proved that it was not.
             AttemptOutcome::Rejected(_) if error == ChangeError::Unknown => {}
             AttemptOutcome::Rejected(rejected) => error = rejected,
             AttemptOutcome::Unsent => {}
@@ -121,8 +122,8 @@
     Err(error)
 }
 
-/// The internal addresses of the nodes to ask, in this order: the members by their rank for the shard, unresponsive and
-/// leaving ones last; where no group is known here, all control nodes.
+/// The internal addresses of the nodes to try, in order: the members by their rank for the shard, with unresponsive and
+/// leaving ones last. If this node knows no group, all control nodes.
 fn addresses_to_ask(node: &Node, control: Option<&Rc<Control>>, shard: u16) -> Vec<SocketAddr> {
     let own_address = node.own_record.borrow().internal_address.clone();
     let members = control.map(|c| c.members(shard)).unwrap_or_default();
@@ -153,10 +154,10 @@
     control_nodes.into_iter().map(|n| n.address).collect()
 }
 
-/// One change, for each node that is asked to make it.
+/// One change, as it is sent to each node that is tried.
 struct Attempt<'a> {
     node: &'a Rc<Node>,
-    /// Where this node is a member.
+    /// This node's control state; `None` if the node is no member.
     own_register: Option<&'a Rc<Control>>,
     shard: u16,
     change: &'a [u8],
@@ -199,18 +200,18 @@
             Ok(Reply::NotApplied(reason)) => {
                 AttemptOutcome::Rejected(ChangeError::RejectedByPeer { reason })
             }
-            Err(LinkError::Unreachable | LinkError::Crowded) => AttemptOutcome::Unsent,
+            Err(LinkError::Unreachable | LinkError::QueueFull) => AttemptOutcome::Unsent,
             _ => AttemptOutcome::Unknown,
         }
     }
 }
 
-/// Reads the answer of the configuration's shard; `None` if it is of a release that this one does not know.
+/// Decodes the answer of the configuration's shard; `None` if it has the format of another release.
 pub fn decode_verdict(answer: &[u8]) -> Option<Verdict> {
     sparrouter_codec::read(answer)
 }
 
-/// The bytes of a change of the configuration's shard.
+/// Encodes a change of the configuration's shard.
 pub fn encode(change: &Change) -> Vec<u8> {
     nanoserde::SerBin::serialize_bin(change)
 }
--- a/crates/sparrouter-fleet/src/control/configuration_state.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state.rs
@@ -1,12 +1,12 @@
-//! What a change means to the configuration's shard: configurations by compare-and-set, named versions of weights.
+//! State machine of the configuration's shard: configurations by compare-and-set, and named versions of weights.
 //!
-//! `history` recognizes an order that is sent again; `format` has the bytes of the state. Design and invariants:
+//! `history` recognizes orders that are sent again; `format` defines the encoding of the state. Design and invariants:
 //! docs/design/control-state/orders.md.
 
 mod format;
 mod history;
 
-pub use format::{FORM, StateFormatError};
+pub use format::{FORMAT_VERSION, StateFormatError};
 pub use history::{AppliedOrder, MAX_KNOWN_ORDERS, OrderFate, OrderHistory};
 
 use crate::platform::defects::rules;
@@ -15,15 +15,15 @@
 use sparrouter_config::{Accepted, ConfigError, Document, Method, Order, base_version};
 use sparrouter_consensus::{Applied, Machine, Settings};
 
-/// Most models that versions are named for.
+/// Maximum number of models with named versions.
 const MAX_MODELS: usize = 4_096;
-/// Longest name of a model, bytes.
+/// Longest name of a model, in bytes.
 const MAX_MODEL_NAME_BYTES: usize = 256;
 
-/// HTTP status where nothing proves that the order was applied, nothing that it was lost.
+/// HTTP status if there is proof neither that the order was applied nor that it was lost.
 const STATUS_UNKNOWN: u16 = 504;
 
-/// The version of a model's weights that servers are brought to.
+/// The version of a model's weights to which servers are updated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct NamedVersion {
     /// Name of the model.
@@ -35,29 +35,29 @@
 /// The value of the configuration's shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct ConfigurationState {
-    /// The version in force, 0 before the first one.
+    /// The version in force; 0 before the first configuration.
     pub version: u64,
-    /// The configuration in force, without white space between tokens.
+    /// The text of the configuration in force, without white space between tokens.
     pub text: String,
-    /// The orders that made the last versions. Invariant: the newest made the one in force.
+    /// The orders that made the latest versions. Invariant: the newest one made the version in force.
     pub orders: OrderHistory,
-    /// The newest named version of each model, at most 4,096, each model once.
+    /// The newest named version of each model: at most 4,096 entries, one for each model.
     pub models: Seq<NamedVersion>,
 }
 
-/// A call of an operator, as it travels between nodes.
+/// A request of an operator, as it is sent between nodes.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Change {
     /// Replaces the configuration.
     Put {
-        /// The version that it builds on; 0 or `None`: there is none yet.
+        /// The version on which the configuration is based; 0 or `None` if there is no configuration yet.
         if_match: Option<u64>,
         /// The new configuration, JSON.
         body: Blob,
     },
     /// Adds, replaces and removes items of the configuration.
     Patch {
-        /// The version that it builds on.
+        /// The version on which the patch is based.
         if_match: Option<u64>,
         /// The patch, JSON.
         body: Blob,
@@ -69,19 +69,19 @@
         /// The version, 1 or more.
         version: u64,
     },
-    /// Reads the configuration in force at the moment of the call.
+    /// Reads the configuration that is in force when the call is made.
     Get,
 }
 
-/// The answer to the caller.
+/// The answer to an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Verdict {
     /// HTTP status.
     pub status: u16,
-    /// For people; of a read the configuration.
+    /// Message for the operator; the configuration if the request was a read.
     pub text: String,
-    /// Whether it holds for every copy of the same order that is still on its way. Only the refusal of an order whose
-    /// base has not been in force yet does not: a copy that arrives later may find that base in force.
+    /// Whether the answer also holds for every copy of the order that is still in flight. It does not if the order is
+    /// refused because its base has not been in force yet: a copy that arrives later may find that base in force.
     pub binding: bool,
 }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Its bytes between nodes.
+    /// The encoding that is sent between nodes.
     pub fn encode(&self) -> Vec<u8> {
         self.serialize_bin()
     }
@@ -115,8 +115,8 @@
         })
     }
 
-    /// Judges an order: it is applied if it builds on the version in force and is valid. One that builds on another
-    /// version was applied before, is refused, or nobody knows.
+    /// Evaluates an order: it is applied if it is valid and its base is the version in force. Otherwise the history
+    /// decides whether the order was applied before, is refused, or has an unknown outcome.
     fn submit(&mut self, method: Method, if_match: Option<u64>, body: &[u8]) -> Verdict {
         let if_match = if rules::order_base_checked() {
             if_match
@@ -139,18 +139,18 @@
         Verdict::new(200, "taken")
     }
 
-    /// Answers an order that does not build on the version in force, and so changes nothing.
+    /// Answers an order whose base is not the version in force. It changes nothing.
     fn recognize(&self, method: Method, if_match: Option<u64>, body: &[u8]) -> Verdict {
         let stale = ConfigError::Stale {
             sent: if_match,
             current: self.version,
         };
-        // What can't be read was never applied.
+        // An order that cannot be parsed was never applied.
         let Ok(order) = sparrouter_config::read_order(method, body, if_match) else {
             return stale.into();
         };
         match self.fate_of(&order) {
-            OrderFate::Applied => Verdict::new(200, "taken before"),
+            OrderFate::Applied => Verdict::new(200, "applied before"),
             OrderFate::Lost => stale.into(),
             OrderFate::Ahead => Verdict {
                 binding: false,
@@ -159,8 +159,8 @@
             OrderFate::Unknown => Verdict::new(
                 STATUS_UNKNOWN,
                 format!(
-                    "it builds on version {}, which was overtaken too long ago to tell whether this change was taken: \
-                     read the configuration and build a new change on version {}",
+                    "the change is based on version {}, which was superseded too long ago to tell whether the change \
+                     was applied: read the configuration and base a new change on version {}",
                     order.base, self.version
                 ),
             ),
@@ -185,7 +185,7 @@
         }
         let is_full = self.models.len() >= MAX_MODELS;
         match self.models.iter_mut().find(|m| m.model == model) {
-            // An older one that arrives late was acknowledged or overtaken: either way there is nothing to do.
+            // An older version that arrives late was acknowledged or superseded: in both cases nothing is to be done.
             Some(known) => known.version = known.version.max(version),
             None if is_full => {
                 return Verdict::new(422, "versions are named for too many models: name fewer");
@@ -200,7 +200,7 @@
 
     fn get(&self) -> Verdict {
         if self.version == 0 {
-            Verdict::new(404, "no configuration has been taken yet")
+            Verdict::new(404, "no configuration has been submitted yet")
         } else {
             Verdict::new(200, self.text.clone())
         }
@@ -216,7 +216,7 @@
     }
 }
 
-/// The machine of the configuration's shard.
+/// The state machine of the configuration's shard.
 pub struct ConfigurationMachine;
 
 impl Machine for ConfigurationMachine {
@@ -229,7 +229,10 @@
             Err(error) => return unchanged(Verdict::new(500, error.to_string())),
         };
         let Some(change) = sparrouter_codec::read::<Change>(change) else {
-            return unchanged(Verdict::new(400, "no change that this release knows"));
+            return unchanged(Verdict::new(
+                400,
+                "this release cannot decode the change: bring all nodes to one release",
+            ));
         };
         let mut after = before.clone();
         let verdict = after.apply(&change);
@@ -239,7 +242,7 @@
         let body = after.encode();
         let limit = Settings::default().max_body_bytes;
         if body.len() > limit {
-            // The register would not take it either, but has no clear answer for the caller.
+            // The register would reject a state of this size too, but without a clear answer for the caller.
             let refusal = ConfigError::TooLarge {
                 bytes: body.len(),
                 limit,
--- a/crates/sparrouter-fleet/src/control/configuration_state/format.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state/format.rs
@@ -1,13 +1,13 @@
-//! The bytes of the configuration's shard, on disk and between nodes, with the number of their form.
+//! Encoding of the configuration's shard, on disk and between nodes, with the number of its format.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
-//! | 8 | `HEADER`, which no older form begins with |
-//! | 4 | number of the form, little-endian |
+//! | 8 | `HEADER`, with which no older format begins |
+//! | 4 | number of the format, little-endian |
 //! | rest | the state, in `nanoserde`'s binary form |
 //!
-//! Form 1 had neither header nor number and began with the version in force. It is read and converted; its 64-bit digests
-//! prove nothing and are dropped, so that orders applied before are neither confirmed nor refused.
+//! Format 1 had neither header nor number and began with the version in force. It is read and converted. Its 64-bit
+//! digests prove nothing and are dropped, so that orders applied before are neither confirmed nor refused.
 
 use super::history::OrderHistory;
 use super::{ConfigurationState, NamedVersion};
@@ -15,73 +15,73 @@
 use nanoserde::{DeBin, SerBin};
 use sparrouter_codec::Seq;
 
-/// As the version number that form 1 begins with, this would be above 18 * 10^18.
+/// Read as the version number with which format 1 begins, this header would be above 18 * 10^18.
 const HEADER: [u8; 8] = *b"config\xff\xff";
-/// The form that this release writes.
-pub const FORM: u32 = 2;
+/// The number of the format that this release writes.
+pub const FORMAT_VERSION: u32 = 2;
 
 const HEAD_BYTES: usize = HEADER.len() + size_of::<u32>();
 
-/// Why bytes are not read as the configuration's state.
+/// Why bytes cannot be read as the configuration's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateFormatError {
-    /// A newer release wrote them.
+    /// A newer release wrote the bytes.
     #[error(
-        "the configuration's shard has form {found}, this release reads forms 1 to {FORM}: bring all nodes to one \
-         release, the newest that runs"
+        "the configuration's shard has format {found}, this release reads formats 1 to {FORMAT_VERSION}: bring all nodes to \
+         one release, the newest that runs"
     )]
     Newer {
-        /// Number of their form.
+        /// Number of the format found.
         found: u32,
     },
-    /// They are damaged, or of a form that no release before this one wrote.
+    /// The bytes are damaged, or no earlier release wrote their format.
     #[error(
-        "the configuration's shard is of a release that this one does not know: bring all nodes to one release"
+        "the configuration's shard has a format that this release does not know: bring all nodes to one release"
     )]
     Unreadable,
 }
 
-/// Form 1.
+/// The state in format 1.
 #[derive(DeBin)]
-struct FirstForm {
+struct FirstFormat {
     version: u64,
     text: String,
-    #[expect(dead_code, reason = "part of form 1; 64-bit digests prove nothing")]
-    taken: Seq<FirstFormOrder>,
+    #[expect(dead_code, reason = "part of format 1; 64-bit digests prove nothing")]
+    taken: Seq<FirstFormatOrder>,
     models: Seq<NamedVersion>,
 }
 
-/// One of the orders that form 1 remembered; decoded only to be skipped.
+/// An applied order as stored in format 1; decoded only to be skipped.
 #[derive(DeBin)]
-struct FirstFormOrder {
-    #[expect(dead_code, reason = "part of form 1")]
+struct FirstFormatOrder {
+    #[expect(dead_code, reason = "part of format 1")]
     digest: u64,
-    #[expect(dead_code, reason = "part of form 1")]
+    #[expect(dead_code, reason = "part of format 1")]
     version: u64,
 }
 
 impl ConfigurationState {
-    /// Reads a body; an empty one is the state before the first change.
+    /// Decodes a state; an empty body is the state before the first change.
     ///
     /// # Errors
     ///
-    /// A [`StateFormatError`] where the body is of a newer form or damaged.
+    /// A [`StateFormatError`] if the body is damaged or has a newer format.
     pub fn read(body: &[u8]) -> Result<ConfigurationState, StateFormatError> {
         if body.is_empty() {
             return Ok(ConfigurationState::default());
         }
         match body.strip_prefix(&HEADER) {
             Some(rest) => read_with_header(rest),
-            None => read_first_form(body),
+            None => read_first_format(body),
         }
     }
 
-    /// The bytes in the form of this release.
+    /// Encodes the state in the format of this release.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(HEAD_BYTES + self.text.len());
         out.extend_from_slice(&HEADER);
         let form = if rules::state_form_is_known() {
-            FORM
+            FORMAT_VERSION
         } else {
             u32::MAX
         };
@@ -96,8 +96,8 @@
         return Err(StateFormatError::Unreadable);
     };
     match u32::from_le_bytes(*form) {
-        FORM => read_state(state),
-        found if found > FORM => Err(StateFormatError::Newer { found }),
+        FORMAT_VERSION => read_state(state),
+        found if found > FORMAT_VERSION => Err(StateFormatError::Newer { found }),
         _ => Err(StateFormatError::Unreadable),
     }
 }
@@ -112,8 +112,8 @@
     }
 }
 
-fn read_first_form(body: &[u8]) -> Result<ConfigurationState, StateFormatError> {
-    let first: FirstForm = sparrouter_codec::read(body).ok_or(StateFormatError::Unreadable)?;
+fn read_first_format(body: &[u8]) -> Result<ConfigurationState, StateFormatError> {
+    let first: FirstFormat = sparrouter_codec::read(body).ok_or(StateFormatError::Unreadable)?;
     Ok(ConfigurationState {
         version: first.version,
         text: first.text,
--- a/crates/sparrouter-fleet/src/control/configuration_state/history.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state/history.rs
@@ -1,50 +1,52 @@
-//! The orders that were applied, and what is known of one that is sent again.
+//! The history of applied orders, which decides whether an order that is sent again was applied before.
 //!
-//! Version numbers rise strictly and each applied order builds on the version in force, so the versions form a
-//! chain: every version but the newest has exactly one successor, made by exactly one order. An order that builds on an
-//! overtaken version was therefore applied if and only if it *is* the successor of that version. The newest links of the
-//! chain are stored with the digests of their orders; of an order that builds on an older one nothing is claimed.
+//! Version numbers rise strictly and each applied order is based on the version in force, so the versions form a chain:
+//! every version but the newest has exactly one successor, made by exactly one order. An order that is based on a
+//! superseded version was therefore applied if and only if it *is* the successor of that version. The newest links of
+//! the chain are stored with the digests of their orders. Nothing is claimed about an order that is based on an older
+//! version.
 
 use crate::platform::defects::rules;
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use sparrouter_codec::Seq;
 use sparrouter_config::{ORDER_DIGEST_BYTES, Order, OrderDigest};
 
-/// Applied orders that are known exactly. 40 KB of the shard's body when full; three hours of changes at 7,800 a day.
+/// Maximum number of orders in the history. A full history takes 40 KB of the shard's body, and covers three hours at
+/// 7,800 changes a day.
 pub const MAX_KNOWN_ORDERS: usize = 1_024;
 
-/// One link of the chain: the order that made a version. Its base is the number of the link before.
+/// One link of the chain: the order that made a version. Its base is the version of the previous link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppliedOrder {
-    /// The version that it made.
+    /// The version that the order made.
     pub number: u64,
     /// Digest of the order.
     pub digest: OrderDigest,
 }
 
-/// What the chain proves of an order whose base is not the version in force.
+/// What the chain proves about an order whose base is not the version in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFate {
-    /// This very order made a version; it may have been overtaken since.
+    /// This order made a version, which may have been superseded since.
     Applied,
-    /// It never made a version and can't any more.
+    /// The order never made a version and cannot make one any more.
     Lost,
-    /// Its base has not been in force yet.
+    /// The base of the order has not been in force yet.
     Ahead,
-    /// Its base was overtaken before the oldest link that is stored: it was applied or lost.
+    /// The base of the order was superseded before the oldest stored link: the order was either applied or lost.
     Unknown,
 }
 
-/// The newest links of the chain. Invariant: their numbers rise strictly from above `base`.
+/// The newest links of the chain. Invariant: their version numbers rise strictly and are above `base`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct OrderHistory {
-    /// The version that the oldest link builds on.
+    /// The base of the oldest link.
     base: u64,
     links: Seq<AppliedOrder>,
 }
 
 impl OrderHistory {
-    /// A chain of which nothing is known up to `version`.
+    /// A chain that starts at `version`, with no knowledge of earlier orders.
     pub fn unknown_before(version: u64) -> OrderHistory {
         OrderHistory {
             base: version,
@@ -52,17 +54,17 @@
         }
     }
 
-    /// The version in force, 0 before the first one.
+    /// The version in force; 0 before the first configuration.
     pub fn newest(&self) -> u64 {
         self.links.last().map_or(self.base, |link| link.number)
     }
 
-    /// How many orders are known exactly.
+    /// Number of orders in the history.
     pub fn known(&self) -> usize {
         self.links.len()
     }
 
-    /// Appends an order that builds on the newest version.
+    /// Appends an order whose base is the newest version.
     pub fn push(&mut self, order: &Order) {
         debug_assert!(order.version > self.newest());
         if self.links.len() >= MAX_KNOWN_ORDERS {
@@ -74,7 +76,7 @@
         });
     }
 
-    /// What is known of an order that does not build on the newest version.
+    /// Decides the fate of an order whose base is not the newest version.
     pub fn fate(&self, order: &Order) -> OrderFate {
         if order.base > self.newest() {
             return OrderFate::Ahead;
@@ -93,7 +95,7 @@
         }
     }
 
-    /// The link that builds on `base`; `None` where no such version is known to have been in force.
+    /// The link whose base is `base`; `None` if no such version is known to have been in force.
     fn successor(&self, base: u64) -> Option<&AppliedOrder> {
         if base == self.base {
             return self.links.first();
--- a/crates/sparrouter-fleet/src/control/disk.rs
+++ b/crates/sparrouter-fleet/src/control/disk.rs
@@ -1,6 +1,8 @@
-//! What a process has on disk: read once at the start, then written by a writer that alone waits for the disk.
+//! The data directory of a process: read once at the start, then written by a writer, so that only the writer blocks on
+//! the disk.
 //!
-//! The program's writer is a thread. The simulation's is a task in virtual time, over a disk that injects faults.
+//! The program's writer is a thread. The simulation's writer is a task in virtual time, with a disk that injects
+//! faults.
 use crate::control::LEASE_SHARDS;
 use crate::platform::defects::rules;
 use crate::platform::log_buffer::LogBuffer;
@@ -21,23 +23,23 @@
 /// The name on disk of the record with the ages of named versions.
 const VERSION_AGES_RECORD: &str = "version-ages";
 
-/// Why the data directory cannot be used as it is. Each variant has the cause with its remedy, as text of the layer that
-/// found it.
+/// Why the data directory cannot be used. Each variant contains the cause with its remedy, as the layer that detected
+/// it describes them.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// A newer release wrote it. It stays untouched, since that release can use it.
+    /// A newer release wrote the directory. It stays unchanged, since that release can use it.
     #[error("{0}")]
     Newer(String),
-    /// What this node promised or accepted may be lost, so that nothing in it may count.
+    /// Promises or accepted proposals of this node may be lost, so that no record in the directory may be used.
     #[error("{0}")]
     Damaged(String),
-    /// It cannot be read, so that this process does without a disk.
+    /// The directory cannot be read, so that this process runs without a disk.
     #[error("{0}")]
     Unreadable(String),
 }
 
 impl DiskError {
-    /// The same error with the folder named.
+    /// Adds the path of the folder to the message.
     fn in_folder(self, folder: &Path) -> DiskError {
         let named = |cause: String| format!("{}: {cause}", folder.display());
         match self {
@@ -59,74 +61,74 @@
     }
 }
 
-/// One thing to write.
+/// One write to the disk.
 #[derive(Debug)]
 pub enum WriteRequest {
     /// A shard's record.
     Shard {
         /// Number of the shard.
         shard: u16,
-        /// By which its register knows this write.
+        /// The token by which the shard's register identifies this write.
         token: u64,
         /// The record.
         bytes: Vec<u8>,
     },
-    /// The first record of a shard. Nobody waits for it, since any later record is written after it.
+    /// The first record of a shard. Its write reports no outcome, since any later record is written after it.
     Bootstrap {
         /// Number of the shard.
         shard: u16,
         /// The record.
         bytes: Vec<u8>,
     },
-    /// The membership, for the next start.
+    /// The membership, which the next start reads.
     Rows(Vec<u8>),
-    /// How long ago versions of weights were named, for the next start.
+    /// How long ago versions of weights were named, which the next start reads.
     VersionAges(Vec<u8>),
 }
 
-/// What became of a write.
+/// The outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Of a shard's record.
+    /// The outcome for a shard's record.
     Shard {
         /// Number of the shard.
         shard: u16,
-        /// By which its register knows the write.
+        /// The token by which the shard's register identifies the write.
         token: u64,
-        /// Why it is not on disk, with the remedy; `None`: it is.
+        /// Why the record is not on disk, with the remedy; `None` if it is on disk.
         error: Option<String>,
     },
-    /// Of the membership, written or not: a start does without it.
+    /// The write of the membership ended, with or without success: the next start does not need it.
     Rows,
-    /// Of the ages of versions, written or not: a start does without them, at the price of later time limits.
+    /// The write of the version ages ended, with or without success: without them, a start sets later time limits.
     VersionAges,
 }
 
-/// Carries out writes one after the other, in the order in which they are requested.
+/// Carries out writes one at a time, in the order in which they are requested.
 pub trait DiskWriter {
-    /// Starts it. Returns where requests go; `outcomes` gets what became of each.
+    /// Starts the writer. Returns the queue of requests; `outcomes` receives the outcome of each.
     fn start(self: Box<Self>, outcomes: UnboundedSender<WriteOutcome>) -> WriteQueue;
 }
 
-/// Takes requests for a [`DiskWriter`].
+/// The queue of write requests to a [`DiskWriter`].
 pub type WriteQueue = Box<dyn Fn(WriteRequest)>;
 
-/// What is on this node's disk when it starts. `W`: the writer, as the thread that opens the disk hands it over.
+/// Content of this node's disk at the start. `W` is the type of the writer that the opening thread passes on.
 pub struct DiskContents<W = Box<dyn DiskWriter>> {
-    /// Id of the disk since it was last emptied: drawn at random where it has none. Never 0.
+    /// Id of the disk since it was last emptied, never 0. A disk without an id gets a random one.
     pub disk_id: u64,
-    /// The record of each shard by its number; `None` where there is none.
+    /// The records of the shards, indexed by shard number; `None` if the disk has no record of the shard.
     pub records: Vec<Option<Vec<u8>>>,
-    /// The membership as it was last written; its record is named `rows`, on disk too.
+    /// The last written membership; its record on disk is named `rows`.
     pub rows: Option<Vec<u8>>,
-    /// The ages of named versions as they were last written; `None` also where an earlier release wrote the folder.
+    /// The last written ages of named versions; `None` also if an earlier release wrote the folder.
     pub version_ages: Option<Vec<u8>>,
-    /// `None`: nothing outlives the process.
+    /// Writer to the disk; `None` if the process has no disk and its state ends with it.
     pub writer: Option<W>,
 }
 
 impl<W> DiskContents<W> {
-    /// The contents for a process without a disk, or whose disk cannot be used.
+    /// The contents for a process without a disk or with an unusable one.
     pub fn empty(rng: &mut Rng) -> DiskContents<W> {
         let records = vec![None; usize::from(LEASE_SHARDS) + 1];
         DiskContents {
@@ -138,13 +140,13 @@
         }
     }
 
-    /// The contents of a folder; `writer` makes the writer to it.
+    /// Reads the contents of a folder; `writer` creates the writer to it.
     ///
     /// # Errors
     ///
-    /// [`DiskError::Newer`] and [`DiskError::Damaged`] where a shard's record is no record of this release. A register
-    /// that began without it would have forgotten its promises under the disk's old id.
-    pub fn of<F: Files>(
+    /// [`DiskError::Newer`] and [`DiskError::Damaged`] if this release cannot read a shard's record. A register that
+    /// started without the record would have forgotten its promises under the disk's old id.
+    pub fn from_store<F: Files>(
         mut store: Store<F>,
         opened: Opened,
         log_buffer: &LogBuffer,
@@ -156,7 +158,7 @@
             Opened::Existing(records) => records,
         };
         let disk_id = disk_id_of(&records).unwrap_or_else(|| {
-            // Without the disk's id nothing on it may count.
+            // Without the disk's id, no record on the disk may be used.
             records.clear();
             draw_disk_id(&mut store, log_buffer, rng)
         });
@@ -177,7 +179,7 @@
         })
     }
 
-    /// The same with any writer in the place of one kind.
+    /// Converts the writer to a trait object.
     fn boxed(self) -> DiskContents
     where
         W: DiskWriter + 'static,
@@ -199,7 +201,7 @@
     Some(u64::from_le_bytes(bytes.try_into().ok()?))
 }
 
-/// A new id for the disk, written to it.
+/// Draws a new disk id and writes it to the disk.
 fn draw_disk_id<F: Files>(store: &mut Store<F>, log_buffer: &LogBuffer, rng: &mut Rng) -> u64 {
     let disk_id = rng.u64(1..);
     if let Err(error) = store.save(DISK_ID_RECORD, &disk_id.to_le_bytes()) {
@@ -208,7 +210,7 @@
     disk_id
 }
 
-/// Checks that this release reads a shard's record.
+/// Checks that this release can read a shard's record.
 fn check_record(shard: u16, record: &[u8]) -> Result<(), DiskError> {
     if !rules::unreadable_records_rejected() {
         return Ok(());
@@ -235,7 +237,7 @@
     format!("part-{shard}")
 }
 
-/// Carries out one write; blocks until the disk has answered. `None` where nobody waits for the outcome.
+/// Carries out one write; blocks until the disk has answered. Returns `None` if the request reports no outcome.
 pub fn write<F: Files>(store: &mut Store<F>, request: WriteRequest) -> Option<WriteOutcome> {
     match request {
         WriteRequest::Shard {
@@ -271,16 +273,16 @@
     }
 }
 
-/// Opens the data directory as [`open_with`] does, on a thread of its own: that thread waits for the disk, nothing else
-/// does. `data`: `None` for a process without one.
+/// Opens the data directory as [`open_with`] does, on a separate thread, so that only that thread blocks on the disk.
+/// `data` is `None` for a process without a data directory.
 ///
 /// # Errors
 ///
-/// [`DiskError::Newer`] alone.
+/// Only [`DiskError::Newer`].
 ///
 /// # Panics
 ///
-/// If the thread did.
+/// If the thread panicked.
 pub async fn open(
     data: Option<&Path>,
     log_buffer: &LogBuffer,
@@ -293,31 +295,31 @@
     let (sender, opened) = oneshot::channel();
     std::thread::spawn(move || {
         let files = || RealFiles::open(&data);
-        let opened = open_for(files, &log_buffer, &mut rng, ThreadWriter);
-        // A process that is told to end meanwhile does not wait for its disk.
+        let opened = open_with_writer(files, &log_buffer, &mut rng, ThreadWriter);
+        // A process that receives SIGTERM before the disk is open does not wait for it.
         let _ = sender.send(opened.map_err(|error| error.in_folder(&data)));
     });
     let opened = opened.await.expect("the thread sends what it opened");
     opened.map(DiskContents::boxed)
 }
 
-/// Reads a folder, made by `files`. One that is damaged is emptied, since a vote that may be forgotten must not count
-/// under the old disk id. One that cannot be read stays as it is, and this process does without a disk.
+/// Reads a folder that `files` opens. A damaged folder is emptied, since a vote that may be forgotten must not count
+/// under the old disk id. An unreadable folder stays unchanged, and this process runs without a disk.
 ///
 /// # Errors
 ///
-/// [`DiskError::Newer`] alone. The folder stays as it is, for the release that wrote it.
+/// Only [`DiskError::Newer`]. The folder stays unchanged, for the release that wrote it.
 pub fn open_with<F: Files>(
     files: impl Fn() -> io::Result<F>,
     log_buffer: &LogBuffer,
     rng: &mut Rng,
     writer: impl Fn(Store<F>) -> Box<dyn DiskWriter>,
 ) -> Result<DiskContents, DiskError> {
-    open_for(files, log_buffer, rng, writer)
+    open_with_writer(files, log_buffer, rng, writer)
 }
 
-/// The same for one kind of writer, which may cross threads where any writer may not.
-fn open_for<F: Files, W>(
+/// Does the work of [`open_with`] for one type of writer, which may be `Send`; a boxed writer is not.
+fn open_with_writer<F: Files, W>(
     files: impl Fn() -> io::Result<F>,
     log_buffer: &LogBuffer,
     rng: &mut Rng,
@@ -352,7 +354,7 @@
 ) -> Result<DiskContents<W>, DiskError> {
     let files = files().map_err(|error| DiskError::Unreadable(error.to_string()))?;
     let (store, opened) = Store::open(files)?;
-    DiskContents::of(store, opened, log_buffer, rng, writer)
+    DiskContents::from_store(store, opened, log_buffer, rng, writer)
 }
 
 fn empty<F: Files>(mut files: F) -> io::Result<()> {
@@ -362,13 +364,14 @@
     files.sync_folder()
 }
 
-/// A writer on a thread of its own: that thread waits for the disk, nothing else does. It ends once the queue or the
+/// A writer on a separate thread, so that only that thread blocks on the disk. The thread ends once the queue or the
 /// receiver of the outcomes is dropped.
 struct ThreadWriter(Store<RealFiles>);
 
 impl DiskWriter for ThreadWriter {
     fn start(self: Box<Self>, outcomes: UnboundedSender<WriteOutcome>) -> WriteQueue {
-        // Unbounded, as each register has one record in flight at a time and the membership is skipped while it has.
+        // The queue is unbounded: each register has at most one record in flight, and the membership is skipped while a
+        // write of it is pending.
         let (requests, queue) = std::sync::mpsc::channel();
         let mut store = self.0;
         std::thread::spawn(move || {
@@ -381,7 +384,7 @@
             }
         });
         Box::new(move |request| {
-            // The thread ends with the process only.
+            // The thread ends only with the process.
             let _ = requests.send(request);
         })
     }
--- a/crates/sparrouter-fleet/src/control/disk_queue.rs
+++ b/crates/sparrouter-fleet/src/control/disk_queue.rs
@@ -1,17 +1,17 @@
-//! The writes that this process has requested of its disk, and why the disk last failed.
+//! The pending disk writes of this process, and the last write error.
 use super::Control;
 use crate::control::disk::{WriteQueue, WriteRequest};
 use std::cell::{Cell, RefCell};
 
-/// The way to the disk, and what is known of it.
+/// The queue of disk writes, and the state of the disk.
 pub(super) struct DiskQueue {
-    /// `None`: nothing outlives the process.
+    /// `None` if the process has no disk and its state ends with it.
     queue: Option<WriteQueue>,
     /// Why the last write of a shard's record failed, with the remedy; `None` if it succeeded.
     failure: RefCell<Option<String>>,
-    /// Whether the disk has not finished a write of the membership.
+    /// Whether a write of the membership is pending.
     pub(super) is_writing_membership: Cell<bool>,
-    /// The same of the ages of versions.
+    /// Whether a write of the version ages is pending.
     pub(super) is_writing_version_ages: Cell<bool>,
 }
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Asks for a write; false without a disk. Writes are carried out in the order in which they are submitted.
+    /// Requests a write; returns false without a disk. Writes are carried out in the order in which they are submitted.
     pub(super) fn submit(&self, request: WriteRequest) -> bool {
         let Some(submit) = &self.queue else {
             return false;
@@ -34,7 +34,7 @@
         true
     }
 
-    /// Records what became of the last write, and logs when that changed.
+    /// Records the outcome of the last write, and logs when the disk starts or stops failing.
     pub(super) fn record_failure(&self, failure: Option<String>) {
         match (&failure, &*self.failure.borrow()) {
             (Some(failure), None) => log::warn!("disk write failed: {failure}"),
@@ -44,14 +44,14 @@
         *self.failure.borrow_mut() = failure;
     }
 
-    /// Why the last write failed, with the remedy.
+    /// Why the last write of a shard's record failed, with the remedy; `None` if it succeeded.
     pub(super) fn failure(&self) -> Option<String> {
         self.failure.borrow().clone()
     }
 }
 
 impl Control {
-    /// A message for an operator, with the remedy added where this node's disk fails.
+    /// A message for an operator, with the remedy added if this node's disk fails.
     pub fn with_disk_failure(&self, message: &str) -> String {
         match self.disk.failure() {
             Some(failure) => format!("{message}; {failure}"),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Writes the membership to disk for the next start; skipped while the disk is behind.
+    /// Writes the membership to disk for the next start; skipped while an earlier write of it is pending.
     pub fn write_membership(&self, bytes: Vec<u8>) {
         let is_writing = &self.disk.is_writing_membership;
         if !is_writing.get() && self.disk.submit(WriteRequest::Rows(bytes)) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Writes the ages of named versions to disk for the next start; skipped while the disk is behind.
+    /// Writes the ages of named versions to disk for the next start; skipped while an earlier write of them is pending.
     pub fn write_version_ages(&self, bytes: Vec<u8>) {
         let is_writing = &self.disk.is_writing_version_ages;
         if !is_writing.get() && self.disk.submit(WriteRequest::VersionAges(bytes)) {
--- a/crates/sparrouter-fleet/src/control/groups.rs
+++ b/crates/sparrouter-fleet/src/control/groups.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the shards' groups: the first groups, catching up with them, and what is observed of other nodes.
+//! Membership of the shards' groups: the first groups, finding a group, and the observations of other nodes.
 use super::{Control, LEASE_SHARDS, ShardMachine, open_register};
 use crate::control::disk::WriteRequest;
 use crate::node::Node;
@@ -15,21 +15,23 @@
 
 /// Time between two observations of the other nodes.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(200);
-/// The first group is formed once its members have been the same for this long ...
+/// The first group is formed once its candidates have been the same for this long, and [`MAX_WAIT_FOR_COUNTED`] allows
+/// it.
 const STABLE_FOR: Duration = Duration::from_millis(900);
-/// ... and one of them counts toward the quorum, or this much time has passed since the start.
+/// Longest time after the start to wait for a node that counts toward the quorum before the first group is formed.
 const MAX_WAIT_FOR_COUNTED: Duration = Duration::from_millis(4_000);
-/// Time between two checks of who may be a member of the first group.
+/// Time between two checks of the candidates for the first group.
 const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(50);
-/// Most members of the first group.
+/// Maximum number of members of the first group.
 const MAX_FIRST_MEMBERS: usize = 9;
-/// How often the first records are sent to a member, the time for each attempt, and the time between two.
+/// Number of attempts to send the first records to a member. Each attempt has the time-out [`BOOTSTRAP_TIMEOUT`], and
+/// [`BOOTSTRAP_RETRY`] is the mean delay between two.
 const BOOTSTRAP_ATTEMPTS: usize = 200;
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(500);
 const BOOTSTRAP_RETRY: Duration = Duration::from_millis(50);
 
 impl Control {
-    /// Maintains who belongs to the groups, and asks another node for the groups that this one does not know.
+    /// Maintains the membership of the groups, and requests the groups that this node does not know from another node.
     pub(super) async fn maintain_groups(self: Rc<Self>) {
         loop {
             tokio::time::sleep(self.node.jitter(OBSERVATION_INTERVAL)).await;
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Reports slots of which two states were called chosen. No node that keeps to the protocol causes one.
+    /// Reports slots for which two states were reported as chosen. Nodes that follow the protocol never cause one.
     fn report_conflicts(&self) {
         let conflicts = self.conflicts();
         if conflicts > self.reported_conflicts.replace(conflicts) {
@@ -57,7 +59,8 @@
         }
     }
 
-    /// Lets the registers know the other nodes: those with a group, whom to take in or out; those without, whom to ask.
+    /// Passes the observed nodes to the registers. A register with a group decides which nodes to add and remove; one
+    /// without a group requests the state from another node.
     fn observe_nodes(&self) {
         let now = self.node.now();
         let observations = self.observations();
@@ -72,7 +75,7 @@
         }
     }
 
-    /// A random other node, where a register here knows no group.
+    /// A random other node from which to request state; `None` if every register here knows its group.
     fn source_of_groups(&self, observations: &[NodeObservation]) -> Option<Member> {
         let others: Vec<&Member> = observations
             .iter()
@@ -86,7 +89,7 @@
         Some(others[index].clone())
     }
 
-    /// The nodes that may keep control state, as this one observes them.
+    /// The nodes that may keep control state, as this node observes them.
     fn observations(&self) -> Vec<NodeObservation> {
         let live = self.node.live_nodes();
         let now = self.node.now();
@@ -100,7 +103,7 @@
         with_disk.map(observation).collect()
     }
 
-    /// Nanoseconds for which a node has been unresponsive to this one; `None` where it was never heard from.
+    /// Nanoseconds for which a node has been unresponsive to this one; `None` if this node has never heard from it.
     fn since_last_contact(&self, node: &NodeRecord, now: u64) -> Option<u64> {
         if node.disk_id == self.own_member.disk_id {
             return Some(0);
@@ -110,8 +113,8 @@
         Some(window.unresponsive_for(contacted_at, now))
     }
 
-    /// Takes the first groups' records, one for each shard. False where they are none that this node can be a member
-    /// by; true also where it has a group already.
+    /// Accepts the first groups' records, one for each shard. Returns false if the records do not make this node a
+    /// member of each group. Returns true also if this node already has a group.
     pub fn accept_bootstrap(&self, records: &[Blob]) -> bool {
         if self.is_bootstrapped.get() {
             return true;
@@ -122,7 +125,7 @@
         *self.registers.borrow_mut() = registers;
         self.is_bootstrapped.set(true);
         for (shard, record) in (0..).zip(records) {
-            // On disk before any later record is, as writes are carried out in order.
+            // The bootstrap record is on disk before any later record, since writes are carried out in order.
             self.disk.submit(WriteRequest::Bootstrap {
                 shard,
                 bytes: record.0.clone(),
@@ -132,7 +135,7 @@
         true
     }
 
-    /// The registers that begin with these records; `None` unless this node is a member by each of them.
+    /// Opens the registers with these records; `None` unless this node is a member by each of them.
     fn registers_of(&self, records: &[Blob]) -> Option<Vec<Register<ShardMachine>>> {
         if records.len() != usize::from(LEASE_SHARDS) + 1 {
             return None;
@@ -159,8 +162,8 @@
     }
 }
 
-/// Forms the first groups: on the first start of the whole system, by the first of the seeds alone, so that there are
-/// never two.
+/// Forms the first groups at the first start of the whole system. Only the first of the seeds does so, so that there
+/// are never two first groups.
 pub async fn bootstrap(node: Rc<Node>) {
     let members = stable_candidates(&node).await;
     let record = Record::bootstrap(members.clone(), Vec::new()).encode();
@@ -176,7 +179,7 @@
     }
 }
 
-/// Waits until the candidates for the first groups have stayed the same for a while.
+/// Waits until the candidates for the first groups have been the same for [`STABLE_FOR`].
 async fn stable_candidates(node: &Node) -> Vec<Member> {
     let started = Instant::now();
     let mut candidates: Vec<Member> = Vec::new();
@@ -198,7 +201,7 @@
     }
 }
 
-/// The control nodes with a disk; where any of them count toward the quorum, those alone.
+/// The control nodes with a disk. If any of them counts toward the quorum, only those that do.
 fn candidates_in(membership: &MembershipTable) -> Vec<Member> {
     let is_control = |n: &&NodeRecord| !n.control_address.is_empty();
     let any_counted = membership
@@ -212,7 +215,7 @@
         .collect()
 }
 
-/// Sends the first records to a member until it has them: it is needed for the first quorum.
+/// Sends the first records to a member until it acknowledges them, since it is needed for the first quorum.
 async fn send_bootstrap(node: Rc<Node>, address: SocketAddr, call: Rc<Call>) {
     for _ in 0..BOOTSTRAP_ATTEMPTS {
         let reply = node.links.call(address, &call, BOOTSTRAP_TIMEOUT).await;
--- a/crates/sparrouter-fleet/src/control/handover.rs
+++ b/crates/sparrouter-fleet/src/control/handover.rs
@@ -1,14 +1,14 @@
-//! A member that shuts down hands its control state over to the other members before it ends.
+//! Handover: a member that shuts down makes sure that the other members have its control state before it ends.
 use super::{CONFIG, Control};
 use crate::platform::defects::rules;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between two questions to the other members about what they have.
+/// Time between two requests to the other members for their state.
 const HANDOVER_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Control {
-    /// Asks the other members what they have, until this process ends.
+    /// Asks the other members which states they have, until this process ends.
     pub async fn hand_over(self: Rc<Self>) {
         loop {
             let now = self.node.now();
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Whether the other members have everything that this one has and can act without it, and no call waits for an
-    /// answer of a group here.
+    /// Whether the other members have all the state of this member and can act without it, and no call waits here for
+    /// an answer of a group.
     pub fn is_handed_over(&self) -> bool {
         if !rules::shutdown_awaits_handover() {
             return true;
@@ -29,7 +29,7 @@
         self.operations.is_empty() && self.shards_not_handed_over().is_empty()
     }
 
-    /// The shards that are not handed over, by the names that operators know them by.
+    /// The shards that are not handed over, by the names that operators see.
     pub fn shards_not_handed_over(&self) -> Vec<String> {
         let now = self.node.now();
         let registers = self.registers.borrow();
--- a/crates/sparrouter-fleet/src/control/liveness.rs
+++ b/crates/sparrouter-fleet/src/control/liveness.rs
@@ -1,4 +1,4 @@
-//! Which members and pollers this node hears from, and which member comes first for a lease.
+//! Which members and pollers this node hears from, and which member ranks first for a lease.
 use super::{CONFIG, Control};
 use crate::platform::defects::rules;
 use crate::settings::nanos;
@@ -6,26 +6,31 @@
 use sparrouter_consensus::lease::{Lease, LeaseHolder};
 use std::time::Duration;
 
-/// Control nodes poll each other so often that one without a frame for this long is unreachable.
+/// A control node from which no frame arrives for this long counts as unreachable; control nodes poll each other more
+/// often.
 const PEER_CONTACT_WINDOW: Duration = Duration::from_millis(1_600);
-/// A node that polled here and has not for this long counts as unresponsive.
+/// A node that polled this one counts as unresponsive if it does not poll again for this long.
 const POLL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// What this node knows of another node that has a lease.
+/// Liveness of another node that holds a lease, as this node sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum OtherHolder {
-    /// It was heard from lately.
-    Heard,
-    /// It was not heard from lately, and no node says that it is away.
-    HeardByOthers,
-    /// It leaves, is unresponsive, or no member any more.
+pub(crate) enum HolderLiveness {
+    /// This node recently received a frame from the holder.
+    Reachable,
+    /// This node recently received no frame from the holder, but no node reports it as unresponsive or leaving.
+    ReachableByOthers,
+    /// The holder is leaving, unresponsive, or no longer a member.
     Gone,
 }
 
 impl Control {
-    /// What this node knows of the holder of a shard's lease, by the newest state of the lease that it has; `None` where
-    /// that names nobody, or `own`.
-    pub(crate) fn other_lease_holder(&self, shard: u16, own: &LeaseHolder) -> Option<OtherHolder> {
+    /// Liveness of the holder of a shard's lease, by the newest state of the lease on this node; `None` if that state
+    /// names no holder, or `own`.
+    pub(crate) fn lease_holder_liveness(
+        &self,
+        shard: u16,
+        own: &LeaseHolder,
+    ) -> Option<HolderLiveness> {
         let holder = self.unconfirmed_lease(shard)?.holder?;
         if holder == *own {
             return None;
@@ -33,18 +38,18 @@
         let members = self.members(shard);
         let is_holder = |m: &&Member| holder.name == format!("{}@{}", m.name, m.address);
         let Some(member) = members.iter().find(is_holder) else {
-            return Some(OtherHolder::Gone);
+            return Some(HolderLiveness::Gone);
         };
         let membership = self.node.membership.borrow();
-        let is_away = membership
+        let is_gone = membership
             .node(&member.name)
             .is_none_or(|record| record.leaving || record.unresponsive);
-        Some(if is_away {
-            OtherHolder::Gone
+        Some(if is_gone {
+            HolderLiveness::Gone
         } else if self.is_in_contact(member) {
-            OtherHolder::Heard
+            HolderLiveness::Reachable
         } else {
-            OtherHolder::HeardByOthers
+            HolderLiveness::ReachableByOthers
         })
     }
 
@@ -55,18 +60,18 @@
             .insert(name.to_owned(), self.node.now());
     }
 
-    /// Records that a node polled this one, which is one of its sources and so watches it.
+    /// Records that a node polled this one, and so expects this one to monitor it.
     pub fn record_poll(&self, name: &str) {
         self.last_polls
             .borrow_mut()
             .insert(name.to_owned(), self.node.now());
     }
 
-    /// Marks nodes that stopped polling as unresponsive. One that polls elsewhere refutes it.
+    /// Marks nodes that stopped polling as unresponsive. A node that polls another source refutes it.
     pub fn mark_unresponsive_pollers(&self) {
         let now = self.node.now();
         if !self.has_quorum_contact() && rules::watching_needs_contact() {
-            // This node was cut off or frozen: its pollers ask other sources.
+            // This node was partitioned or frozen: its pollers have moved to other sources.
             self.last_polls.borrow_mut().clear();
         }
         let mut overdue = Vec::new();
@@ -90,14 +95,14 @@
         }
     }
 
-    /// The newest lease of a shard on this node's disk, which a quorum may have replaced since: it is a hint, by which
-    /// nothing but injected defects counts as held.
+    /// The newest lease of a shard on this node's disk, which a quorum may have replaced since. It is a hint: except
+    /// under injected defects, it never proves that a node holds the lease.
     pub fn unconfirmed_lease(&self, shard: u16) -> Option<Lease> {
         let registers = self.registers.borrow();
         Lease::decode(&registers.get(usize::from(shard))?.unconfirmed()?.body)
     }
 
-    /// Whether this node comes first among the live members of the shard, and so should hold its lease.
+    /// Whether this node ranks first among the live members of the shard, and so should hold its lease.
     pub fn is_first(&self, shard: u16) -> bool {
         let members = self.members(shard);
         let is_leaving = |name: &str| {
@@ -112,7 +117,7 @@
             .is_some_and(|m| self.is_own(m))
     }
 
-    /// Whether frames of a majority arrived lately. This is no proof of contact: see `quorum_contact`.
+    /// Whether frames of a majority arrived recently. This does not prove quorum contact: see `quorum_contact`.
     pub(super) fn hears_majority(&self) -> bool {
         let members = self.members(CONFIG);
         let in_contact = members
@@ -126,7 +131,7 @@
         member.disk_id == self.own_member.disk_id
     }
 
-    /// Whether a frame of another member arrived lately.
+    /// Whether a frame of another member arrived recently.
     fn is_in_contact(&self, member: &Member) -> bool {
         let now = self.node.now();
         self.last_contacts
--- a/crates/sparrouter-fleet/src/control/mod.rs
+++ b/crates/sparrouter-fleet/src/control/mod.rs
@@ -1,24 +1,24 @@
-//! The control state at one node: configuration and rollout leases by quorum, what is on disk, contact with the quorum.
+//! Control state of one node: the replicated configuration, the rollout leases, their storage, and quorum contact.
 //!
-//! What must hold is decided in `sparrouter-consensus`; here the actions that its registers ask for are carried out.
+//! `sparrouter-consensus` decides the protocol; this module carries out the actions that its registers request.
 //!
 //! | module | its job |
 //! | --- | --- |
 //! | `actions` | the task that runs the registers and carries out their actions |
-//! | `change` | one change, through whichever member can make it |
+//! | `change` | makes one change through any member that can make it |
 //! | `operations` | one change or read through this node's own register |
-//! | [`configuration_state`] | what a change means to the configuration |
-//! | [`disk`] | what is on disk |
-//! | `disk_queue` | what this process has asked of its disk |
-//! | `groups` | who belongs to the shards' groups, and the first groups |
-//! | `handover` | leaving the groups without loss |
-//! | `liveness` | which members and pollers this node hears from, and who is first for a lease |
-//! | [`observation_window`] | since when this process could have heard from the other members |
+//! | [`configuration_state`] | the state machine of the configuration's shard |
+//! | [`disk`] | reading and writing the data directory |
+//! | `disk_queue` | pending disk writes and the last write error |
+//! | `groups` | membership of the shards' groups, and the bootstrap of the first groups |
+//! | `handover` | handing state over to the other members before shutdown |
+//! | `liveness` | which members and pollers this node hears from, and which member ranks first for a lease |
+//! | [`observation_window`] | since when this process has run without a pause |
 //! | `shard_lease` | the lease of one shard at this node |
-//! | `quorum_reads` | the reads that quorum contact rests on |
+//! | `quorum_reads` | the reads on which quorum contact is based |
 //! | [`quorum_contact`] | whether this member is in contact with a quorum |
 //!
-//! Owns the registers and their disk. Uses [`Node`] and, through its links, the other members; nothing below uses it.
+//! Owns the registers and their disk. Uses [`Node`] and, through its links, the other members; no lower module uses it.
 mod actions;
 mod change;
 pub mod configuration_state;
@@ -58,7 +58,7 @@
 
 /// Number of the configuration's shard.
 pub const CONFIG: u16 = 0;
-/// Shards of rollout leases, numbered from 1: each has the leases of a part of the services.
+/// Number of shards of rollout leases. They are numbered from 1, and each has the leases of a subset of the services.
 pub const LEASE_SHARDS: u16 = 4;
 /// Largest message of a register, in bytes.
 const MAX_MESSAGE_BYTES: usize = 10 << 20;
@@ -81,7 +81,7 @@
     }
 }
 
-/// The settings of this node's registers.
+/// Settings of this node's registers.
 fn register_settings(node: &Node) -> Settings {
     Settings {
         contact_timeout: nanos(node.settings.borrow().bounds.contact),
@@ -90,36 +90,36 @@
     }
 }
 
-/// The control state at one node.
+/// Control state of one node.
 ///
-/// Its tasks, started by [`Control::start`], run until the process ends; nobody cancels them. All of them run on one
-/// thread, and no borrow of a `RefCell` here is held across an `await`, so that a borrow never meets another one.
+/// The tasks that [`Control::start`] spawns run until the process ends and are never cancelled. They all run on one
+/// thread, and no borrow of a `RefCell` here is held across an `await`, so that borrows never conflict.
 pub struct Control {
     node: Rc<Node>,
-    /// This node as a member: the id of its disk, its name, its internal address.
+    /// This node as a member: its disk id, name and internal address.
     own_member: Member,
-    /// The register of each shard, by its number; as many as there are shards, always.
+    /// The registers, indexed by shard number. Invariant: there is one for each shard.
     registers: RefCell<Vec<Register<ShardMachine>>>,
-    /// Whether the first group is known: from then on no other bootstrap is taken.
+    /// Whether the first group is known. From then on, further bootstrap calls are ignored.
     is_bootstrapped: Cell<bool>,
     operations: PendingOperations,
     disk: DiskQueue,
     /// Wakes the task that carries out actions.
     wake: Notify,
-    /// When each control node last sent a frame, by name.
+    /// When each control node last sent a frame, by node name.
     last_contacts: RefCell<HashMap<String, Nanos>>,
-    /// Since when this process could have heard from the others.
+    /// Since when this process has run without a pause, and so could have heard from the other members.
     observation_window: Cell<ObservationWindow>,
-    /// The nodes that poll this one, and when each last did, by name.
+    /// When each node that polls this one last did so, by node name.
     last_polls: RefCell<BTreeMap<String, Nanos>>,
-    /// Whether a quorum lately confirmed what is in force.
+    /// Whether a quorum recently confirmed the configuration in force.
     quorum_contact: RefCell<QuorumContact>,
-    /// [`Control::conflicts`] as it was last reported.
+    /// The value of [`Control::conflicts`] at the last report.
     reported_conflicts: Cell<u64>,
 }
 
 impl Control {
-    /// Starts the registers with what is on disk, and their tasks.
+    /// Opens the registers with the records on disk, and spawns their tasks.
     pub fn start(node: Rc<Node>, contents: DiskContents) -> Rc<Control> {
         let own_member = own_member(&node, contents.disk_id);
         let registers = open_registers(&node, &own_member, &contents.records);
@@ -148,7 +148,7 @@
         control
     }
 
-    /// Whether this node is a member of the configuration's group: its vote counts.
+    /// Whether this node is a member of the configuration's group, so that its vote counts.
     pub fn is_member(&self) -> bool {
         self.registers.borrow()[usize::from(CONFIG)].is_member()
     }
@@ -162,7 +162,8 @@
             .unwrap_or_default()
     }
 
-    /// Slots of all shards of which two states were called chosen, as far as this node saw: 0 while agreement holds.
+    /// Number of slots, over all shards, for which this node saw two states reported as chosen: 0 while agreement
+    /// holds.
     pub fn conflicts(&self) -> u64 {
         self.registers
             .borrow()
@@ -171,7 +172,7 @@
             .sum()
     }
 
-    /// Injected: what this node accepted before its restart counts as chosen.
+    /// Injected defect: a proposal that this node accepted before its restart counts as chosen.
     fn inject_accepted_proposal(&self, records: &[Option<Vec<u8>>]) {
         if let Some(record) = records.first().and_then(Option::as_deref)
             && let Some(vote) = Record::decode(record, MAX_MESSAGE_BYTES)
@@ -192,7 +193,7 @@
     }
 }
 
-/// The registers of all shards, each with its record on disk.
+/// Opens the registers of all shards, each with its record on disk.
 fn open_registers(
     node: &Node,
     own_member: &Member,
@@ -200,7 +201,7 @@
 ) -> Vec<Register<ShardMachine>> {
     let open = |(shard, record): (u16, &Option<Vec<u8>>)| {
         open_register(node, own_member, shard, record.as_deref(), 0).unwrap_or_else(|error| {
-            // The disk's records were checked when they were read.
+            // The records were checked when the disk was read.
             node.log_buffer.report_violation(&error.to_string());
             open_register(node, own_member, shard, None, 0).expect("there is no record to misread")
         })
@@ -208,7 +209,7 @@
     (0..).zip(records).map(open).collect()
 }
 
-/// The register of one shard.
+/// Opens the register of one shard.
 fn open_register(
     node: &Node,
     own_member: &Member,
--- a/crates/sparrouter-fleet/src/control/operations.rs
+++ b/crates/sparrouter-fleet/src/control/operations.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The operations that callers wait for, by their number.
+/// The pending operations of callers, by operation number.
 ///
-/// Invariant: an entry is there from before its register knows the operation until the register completes it.
+/// Invariant: an entry exists from before its register receives the operation until the register completes it.
 #[derive(Default)]
 pub(super) struct PendingOperations {
     waiting: RefCell<HashMap<u64, oneshot::Sender<Outcome>>>,
@@ -17,7 +17,7 @@
 }
 
 impl PendingOperations {
-    /// A new operation: its number, and what brings its outcome.
+    /// Registers a new operation. Returns its number and the channel that receives its outcome.
     fn begin(&self) -> (u64, oneshot::Receiver<Outcome>) {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
@@ -26,7 +26,7 @@
         (id, completed)
     }
 
-    /// Gives the caller of an operation its outcome.
+    /// Sends the outcome of an operation to its caller.
     pub(super) fn complete(&self, id: u64, outcome: Outcome) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&id) {
             // The caller may have stopped waiting.
@@ -50,7 +50,7 @@
         self.operate(shard, None, timeout).await
     }
 
-    /// `change`: `None` reads.
+    /// Submits a change, or a read if `change` is `None`.
     async fn operate(&self, shard: u16, change: Option<Vec<u8>>, timeout: Duration) -> Outcome {
         let now = self.node.now();
         let completed = {
--- a/crates/sparrouter-fleet/src/control/shard_lease.rs
+++ b/crates/sparrouter-fleet/src/control/shard_lease.rs
@@ -1,6 +1,6 @@
 //! The lease of one shard at this node: while it is valid, no other node orders servers of the shard's services to load
 //! weights, or grants permits of the shard's quotas.
-use super::liveness::OtherHolder;
+use super::liveness::HolderLiveness;
 use super::{Control, change};
 use crate::node::Node;
 use crate::node::quotas::GrantingLease;
@@ -13,40 +13,40 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a change of the lease may take.
+/// Time-out of a change of the lease.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// A lease that was renewed longer ago is renewed before a server is stopped for an order.
-pub(crate) const FRESH_FOR: Duration = Duration::from_millis(400);
-/// A holder that lives gets this long to give the lease back before it is taken from it: who takes it has to wait for the
-/// whole lease, and nobody orders or grants meanwhile.
+/// Maximum age of the last renewal when a server is stopped for an order; a lease with an older one is renewed first.
+pub(crate) const MAX_RENEWAL_AGE: Duration = Duration::from_millis(400);
+/// How long a live holder may take to release the lease before another node acquires it: the new holder has to wait for
+/// the whole lease, and no node orders or grants during that time.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The same for a holder that others hear from and this node does not. Two that do not hear each other would otherwise take
-/// the lease from each other in turn, and neither would ever have waited long enough to act.
+/// The release time-out for a holder that other nodes hear from and this node does not. Two nodes that do not hear each
+/// other would otherwise take the lease from each other in turn, and neither would ever have waited long enough to act.
 const UNHEARD_RELEASE_TIMEOUT: Duration = Duration::from_secs(12);
-/// How long permits of quotas are granted after the start of the last renewal that a quorum confirmed; a shorter lease ends
-/// it sooner. A successor waits this long, and no longer, before it grants. All releases that run side by side have the
+/// How long permits of quotas are granted after the start of the last renewal that a quorum confirmed; a shorter lease
+/// ends it sooner. A successor waits exactly this long before it grants. All releases that run side by side have the
 /// same value.
 const GRANTING_TIME: Duration = Duration::from_secs(2);
-/// The wait for the lease before this one is extended by this part of it, for clocks that differ in speed.
+/// The wait for the previous lease is extended by its length divided by this, for clocks that differ in speed.
 const CLOCK_MARGIN_DIVISOR: u64 = 10;
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// The lease as this node has it.
+/// The lease as this node holds it.
 #[derive(Clone, Copy)]
 pub(crate) struct ActiveLease {
     pub(crate) fencing_token: u64,
-    /// Nothing is ordered before: the lease of the holder before this one may still be valid.
+    /// Nothing is ordered before this time: the previous holder's lease may still be valid.
     pub(crate) acts_from: Nanos,
-    /// No permit is granted before: the holder before this one may still grant.
+    /// No permit is granted before this time: the previous holder may still grant.
     pub(crate) grants_from: Nanos,
 }
 
-/// A wait, extended for clocks that differ in speed.
+/// Extends a wait for clocks that differ in speed.
 fn with_clock_margin(wait: Nanos) -> Nanos {
     wait + wait / CLOCK_MARGIN_DIVISOR
 }
 
-/// What this node knows of its lease of a shard. Without renewal it runs out by itself.
+/// State of a shard's lease at this node. A lease that is not renewed expires.
 pub(crate) struct ShardLease {
     node: Rc<Node>,
     control: Rc<Control>,
@@ -54,12 +54,12 @@
     active: Cell<Option<ActiveLease>>,
     /// When the last renewal that a quorum confirmed began.
     renewed_at: Cell<Nanos>,
-    /// Since when this node would acquire the lease, if it would.
-    wanted_since: Cell<Option<Nanos>>,
+    /// Since when this node has been a candidate for the lease; `None` if it is not.
+    candidate_since: Cell<Option<Nanos>>,
 }
 
 impl ShardLease {
-    /// The lease of a shard, which this node does not have yet.
+    /// A shard's lease that this node does not hold yet.
     pub(crate) fn new(node: &Rc<Node>, control: &Rc<Control>, shard: u16) -> Rc<ShardLease> {
         Rc::new(ShardLease {
             node: node.clone(),
@@ -67,7 +67,7 @@
             shard,
             active: Cell::new(None),
             renewed_at: Cell::new(0),
-            wanted_since: Cell::new(None),
+            candidate_since: Cell::new(None),
         })
     }
 
@@ -80,14 +80,14 @@
         self.active.get()
     }
 
-    /// Whether this is still the lease that this node has.
+    /// Whether this node still holds this lease.
     pub(crate) fn is_active(&self, lease: ActiveLease) -> bool {
         let active = self.active.get();
         active.is_some_and(|active| active.fencing_token == lease.fencing_token)
     }
 
-    /// This node as a lease holder. A process that restarts on its machine is the same holder, since the one before it
-    /// has ended for certain; on another machine it is another one.
+    /// This node as a lease holder. A process that restarts on the same machine is the same holder, since the previous
+    /// process has certainly ended; on another machine it is a different holder.
     pub(crate) fn holder(&self) -> LeaseHolder {
         let own = self.node.own_record.borrow();
         LeaseHolder {
@@ -96,12 +96,12 @@
         }
     }
 
-    /// For how long permits are granted after a renewal.
+    /// How long permits are granted after a renewal.
     pub(crate) fn granting_time(&self) -> Duration {
         self.duration().min(GRANTING_TIME)
     }
 
-    /// For how long a lease is valid after its renewal.
+    /// How long a lease is valid after its renewal.
     pub(crate) fn duration(&self) -> Duration {
         self.node.settings.borrow().bounds.lease
     }
@@ -118,28 +118,31 @@
         LeaseAnswer::decode(&changed.ok()?.answer)
     }
 
-    /// Whether this node should acquire the lease now, given that it comes first for it: not while another holder that lives
-    /// may still give it back.
+    /// Whether this node, which ranks first for the lease, should acquire it now. It waits while another live holder
+    /// may still release the lease.
     pub(crate) fn may_acquire(&self) -> bool {
         let now = self.node.now();
-        let since = self.wanted_since.get().unwrap_or(now);
-        self.wanted_since.set(Some(since));
-        let patience = match self.control.other_lease_holder(self.shard, &self.holder()) {
+        let since = self.candidate_since.get().unwrap_or(now);
+        self.candidate_since.set(Some(since));
+        let release_timeout = match self
+            .control
+            .lease_holder_liveness(self.shard, &self.holder())
+        {
             None => return true,
-            Some(OtherHolder::Heard) => RELEASE_TIMEOUT,
-            Some(OtherHolder::HeardByOthers) => UNHEARD_RELEASE_TIMEOUT,
-            Some(OtherHolder::Gone) => Duration::ZERO,
+            Some(HolderLiveness::Reachable) => RELEASE_TIMEOUT,
+            Some(HolderLiveness::ReachableByOthers) => UNHEARD_RELEASE_TIMEOUT,
+            Some(HolderLiveness::Gone) => Duration::ZERO,
         };
-        now.saturating_sub(since) >= nanos(patience)
+        now.saturating_sub(since) >= nanos(release_timeout)
     }
 
-    /// This node does not come first for the lease any more.
-    pub(crate) fn stop_wanting(&self) {
-        self.wanted_since.set(None);
+    /// Records that this node no longer ranks first for the lease.
+    pub(crate) fn withdraw_candidacy(&self) {
+        self.candidate_since.set(None);
     }
 
-    /// Acquires the lease with a new fencing token that a quorum chose. Neither the disk nor memory of an earlier process
-    /// gives a token. `None` without the answer of a quorum.
+    /// Acquires the lease with a new fencing token that a quorum chose. A token never comes from the disk or from the
+    /// memory of an earlier process. Returns `None` without the answer of a quorum.
     pub(crate) async fn acquire(&self) -> Option<ActiveLease> {
         if !rules::fencing_tokens_come_from_quorum() && self.inject_from_disk() {
             return self.active.get();
@@ -168,13 +171,13 @@
             grants_from: now + with_clock_margin(takeover_wait.min(nanos(GRANTING_TIME))),
         };
         self.active.set(Some(lease));
-        self.wanted_since.set(None);
+        self.candidate_since.set(None);
         self.confirm_validity(lease, began);
         self.log_acquired(lease);
         Some(lease)
     }
 
-    /// Whether permits of quotas are granted by the lease: then changes of holders are worth a line.
+    /// Whether the lease grants permits of quotas: only then are changes of its holder logged.
     fn grants_permits(&self) -> bool {
         let active = self.node.active_configuration();
         let table = active.table.as_deref();
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Injected: the lease on this node's disk counts as lease.
+    /// Injected defect: the lease on this node's disk counts as held.
     fn inject_from_disk(&self) -> bool {
         let lease = self.control.unconfirmed_lease(self.shard);
         let Some(lease) = lease.filter(|l| l.holder.as_ref() == Some(&self.holder())) else {
@@ -217,7 +220,7 @@
         true
     }
 
-    /// Gives the lease back. If that is lost, the lease runs out by itself.
+    /// Releases the lease. If the release is lost, the lease expires.
     pub(crate) async fn release(&self, lease: ActiveLease) {
         self.log_ended("released");
         self.forget();
@@ -229,22 +232,22 @@
         self.change(&release).await;
     }
 
-    /// From now on nothing is ordered or granted under the lease.
+    /// Drops the lease locally: nothing is ordered or granted under it from now on.
     fn forget(&self) {
         self.active.set(None);
         self.node.quotas.end_lease(self.shard);
     }
 
-    /// Whether a quorum confirmed this node's lease not long ago, if need be by a renewal now.
+    /// Whether a quorum recently confirmed this node's lease; if not, tries a renewal first.
     pub(crate) async fn is_fresh(&self, lease: ActiveLease) -> bool {
-        self.since_renewal() < nanos(FRESH_FOR) || self.renew(lease).await
+        self.since_renewal() < nanos(MAX_RENEWAL_AGE) || self.renew(lease).await
     }
 
     pub(crate) fn since_renewal(&self) -> Nanos {
         self.node.now().saturating_sub(self.renewed_at.get())
     }
 
-    /// Renews the lease; false without the confirmation of a quorum.
+    /// Renews the lease; returns false without the confirmation of a quorum.
     pub(crate) async fn renew(&self, lease: ActiveLease) -> bool {
         let began = self.node.now();
         if !rules::orders_renew_lease() || !rules::fencing_tokens_come_from_quorum() {
@@ -261,7 +264,7 @@
                 self.confirm_validity(lease, began);
                 true
             }
-            // An answer that comes late says nothing of a lease that was acquired since.
+            // A late answer says nothing about a lease that was acquired since.
             Some(LeaseAnswer::Rejected { .. }) if self.is_active(lease) => {
                 self.log_ended("taken over");
                 self.forget();
@@ -271,10 +274,10 @@
         }
     }
 
-    /// A quorum confirmed, by an answer to what began at `began`, that this node has the lease: from then on it may grant
-    /// permits for a while.
+    /// Records that a quorum confirmed this node's lease by the answer to a request that began at `began`: permits may
+    /// be granted for [`ShardLease::granting_time`] from then on.
     fn confirm_validity(&self, lease: ActiveLease, began: Nanos) {
-        // It may have been given back, or acquired anew, while the quorum answered.
+        // The lease may have been released, or acquired again, while the quorum answered.
         if !self.is_active(lease) {
             return;
         }
--- a/crates/sparrouter-fleet/src/node/configuration.rs
+++ b/crates/sparrouter-fleet/src/node/configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration in force: applied as a complete text or as edits of the one before, and sent to other nodes.
+//! The configuration in force: applied from a complete text or from edits of the previous text, and sent to other
+//! nodes.
 use super::Node;
 use crate::node::configuration_lease::ConfigurationLease;
 use crate::peer::messages::{ConfigUpdate, EditUpdate, ModelUpdate, TextUpdate, VersionsUpdate};
@@ -14,30 +15,31 @@
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// The configuration that this process goes by. Never changed: a newer one replaces it.
+/// The configuration in force at this process. It is immutable; a newer configuration replaces it.
 pub struct ActiveConfiguration {
-    /// Number of the state of the configuration's shard, from 1; 0 before anything is known.
+    /// Number of the state of the configuration's shard, from 1; 0 if no state is known yet.
     pub slot: u64,
-    /// Version of the configuration; 0 before the first.
+    /// Version of the configuration; 0 if there is none yet.
     pub version: u64,
-    /// Its text, JSON.
+    /// Text of the configuration, JSON.
     pub text: Rc<str>,
-    /// Digest of the text; 0 before there is one.
+    /// Digest of the text; 0 if there is no configuration yet.
     pub digest: u64,
-    /// What requests are routed by; `None` before there is a configuration.
+    /// Route table, by which requests are routed; `None` if there is no configuration yet.
     pub table: Option<Rc<RouteTable>>,
-    /// The table is that of the text; false where this release cannot read the text.
+    /// Whether this release can read the text. If not, `table` is still the table of an earlier text.
     pub is_readable: bool,
 }
 
-/// The configuration of a process, and what is known of its age.
+/// The configuration of a process, and its lease.
 pub(crate) struct Configuration {
     active: RefCell<Rc<ActiveConfiguration>>,
-    /// The last changes of the text, for nodes that have an earlier one. Recorded by nodes with control state alone.
+    /// The latest edits of the text, for nodes that have an earlier text. Only nodes with control state record them.
     edits: RefCell<EditHistory>,
-    /// Whether it is fresh enough for requests with API keys.
+    /// Lease by which the configuration is recent enough for requests with API keys.
     pub(crate) lease: RefCell<ConfigurationLease>,
-    /// The highest slot whose state this release cannot read, numbered as in [`ActiveConfiguration::slot`]; 0: none.
+    /// The highest slot whose state this release cannot read, numbered as in [`ActiveConfiguration::slot`]; 0 if there
+    /// is none.
     unreadable_slot: Cell<u64>,
 }
 
@@ -59,7 +61,7 @@
         }
     }
 
-    /// How long a poll of a source may wait there: `usual`, or less for a short lease.
+    /// How long a poll may wait at its source: `usual`, or less if the lease is short.
     pub(crate) fn poll_wait(&self, usual: Duration) -> Duration {
         self.lease.borrow().poll_wait(usual)
     }
@@ -71,8 +73,8 @@
         self.configuration.active.borrow().clone()
     }
 
-    /// The configuration in force; where this process has just started and has none, or none that is confirmed, the one
-    /// at `deadline` at the latest.
+    /// Returns the configuration in force. If this process has just started and has no confirmed configuration yet,
+    /// waits for one until `deadline`, and then returns the configuration that it has.
     pub async fn first_configuration(&self, deadline: Instant) -> Rc<ActiveConfiguration> {
         let mut changes = self.subscribe();
         let is_unconfirmed =
@@ -85,31 +87,32 @@
         self.active_configuration()
     }
 
-    /// Whether requests with API keys may go by the configuration in force.
+    /// Whether requests with API keys may be forwarded by the configuration in force.
     pub fn has_configuration_lease(&self) -> bool {
         self.configuration.lease.borrow().is_valid(self.now())
     }
 
-    /// Whether a quorum confirmed the configuration in force since this process started, and lately where API keys need
-    /// it. Readiness rests on it.
+    /// Whether a quorum confirmed the configuration in force since this process started, and, if API keys need a lease,
+    /// recently enough. Readiness depends on it.
     pub fn is_confirmed(&self) -> bool {
         self.fleet_contact.is_informed() && self.has_configuration_lease()
     }
 
-    /// Records that a quorum chose a state that this release cannot read. Until a newer one is in force here, reads by a
-    /// quorum confirm nothing of the configuration that is.
+    /// Records that a quorum chose a state that this release cannot read. Until a newer state is in force here, reads
+    /// by a quorum do not confirm the configuration in force.
     pub fn record_unreadable_state(&self, slot: u64) {
         let unreadable = &self.configuration.unreadable_slot;
         unreadable.set(unreadable.get().max(slot));
     }
 
-    /// Whether this release reads the newest state that it knows a quorum to have chosen.
+    /// Whether this release can read the newest state that it knows to be chosen by a quorum.
     pub fn reads_newest_state(&self) -> bool {
         self.configuration.unreadable_slot.get() <= self.active_configuration().slot
             || !rules::unreadable_states_confirm_nothing()
     }
 
-    /// Renews the lease on the configuration: all that was acknowledged before `confirmed_at` is in force here.
+    /// Renews the lease on the configuration: every change that was acknowledged before `confirmed_at` is in force
+    /// here.
     pub fn confirm_configuration(&self, confirmed_at: Timestamp) {
         let now = self.now();
         if !self.active_configuration().is_readable || !self.reads_newest_state() {
@@ -121,13 +124,13 @@
             .borrow_mut()
             .confirm(confirmed_at, now);
         if !had_lease && self.has_configuration_lease() {
-            // Requests wait for it.
+            // Requests wait for the lease.
             self.notify_subscribers();
         }
     }
 
-    /// Applies a state of the configuration's shard; one that is older than the state in force changes nothing. False
-    /// where it has edits of a text that this node does not have: then it needs the complete text.
+    /// Applies a state of the configuration's shard; a state older than the one in force changes nothing. Returns false
+    /// if the update has edits of a text that this node does not have, so that it needs the complete text.
     pub fn apply_configuration(&self, update: ConfigUpdate) -> bool {
         let known = self.active_configuration();
         let is_newer = update.slot > known.slot
@@ -178,8 +181,8 @@
         self.notify_subscribers();
     }
 
-    /// The route table of a text; `None` if this release cannot read it. It was checked before it was chosen, so only
-    /// another release can have written such a text.
+    /// The route table of a text; `None` if this release cannot read it. Since a text is validated before it is chosen,
+    /// only another release can have written such a text.
     fn read_table(&self, version: u64, text: &str, known_text: &str) -> Option<Rc<RouteTable>> {
         let document = Document {
             version,
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Records the versions of weights that were named, as another node or the shard's state reports them.
+    /// Records the named versions of weights, as another node or the shard's state reports them.
     fn record_versions(&self, update: &VersionsUpdate) {
         let now = self.now();
         if let Some(age) = update.core_changed_age_ms {
@@ -206,8 +209,8 @@
         self.record_models(&update.models);
     }
 
-    /// The same for the versions alone. Where a node that polls knows a version that this process has forgotten, the
-    /// earliest moment counts.
+    /// Records only the named versions. If a polling node knows a version that this process has forgotten, the earliest
+    /// time applies.
     pub fn record_models(&self, models: &[ModelUpdate]) {
         let now = self.now();
         let versions = &mut self.server_table.borrow_mut().versions;
@@ -229,7 +232,7 @@
         }
     }
 
-    /// The configuration in force, for a node that has the text with this digest.
+    /// The configuration in force, as an update for a node whose text has this digest.
     pub fn config_update(&self, digest: u64) -> ConfigUpdate {
         let active = self.active_configuration();
         let edits = self.configuration.edits.borrow();
@@ -244,7 +247,7 @@
         }
     }
 
-    /// The versions of weights that were named and when the core last changed, for another node.
+    /// The named versions of weights and when the core last changed, for another node.
     fn versions_update(&self) -> VersionsUpdate {
         let core_changed_at = self.server_table.borrow().versions.core_changed_at();
         VersionsUpdate {
@@ -253,13 +256,13 @@
         }
     }
 
-    /// Whether a time limit of a version that was named still lies ahead.
+    /// Whether the time limit of any named version is still in the future.
     pub fn has_pending_version_limits(&self) -> bool {
         let now = self.now();
         self.server_table.borrow().versions.has_pending(now)
     }
 
-    /// The versions of weights that were named, for another node.
+    /// The named versions of weights, for another node.
     pub fn model_updates(&self) -> Seq<ModelUpdate> {
         let now = self.now();
         let model = |(name, required): (&str, RequiredVersion)| ModelUpdate {
@@ -272,7 +275,7 @@
     }
 }
 
-/// The text that an update makes of the known one; `None` if its edits are of another text.
+/// Applies the update to the known text; `None` if its edits are of another text.
 fn text_of(update: TextUpdate, known: &Rc<str>) -> Option<Rc<str>> {
     match update {
         TextUpdate::Complete(text) => Some(text.into()),
@@ -287,7 +290,7 @@
     ms.saturating_mul(NANOS_PER_MS)
 }
 
-/// How long ago a moment was, in whole milliseconds.
+/// Time from `at` until now, in whole milliseconds.
 fn age_ms(at: Timestamp, now: Nanos) -> u64 {
     if !rules::version_ages_reported() {
         return 0;
--- a/crates/sparrouter-fleet/src/node/fleet_contact.rs
+++ b/crates/sparrouter-fleet/src/node/fleet_contact.rs
@@ -1,4 +1,5 @@
-//! When this process last heard from a node with quorum contact, and whether it has since its start.
+//! When this process last heard from a node with quorum contact, and whether a quorum has confirmed its state since its
+//! start.
 use sparrouter_routing::Nanos;
 use std::cell::Cell;
 
@@ -11,22 +12,22 @@
 }
 
 impl FleetContact {
-    /// Records that a node with quorum contact was heard from at `now`, this node included.
+    /// Records that a node with quorum contact, which may be this node, was heard from at `now`.
     pub(crate) fn record(&self, now: Nanos) {
         self.last_at.set(now);
     }
 
-    /// When a node with quorum contact was last heard from; 0 if none was.
+    /// When a node with quorum contact was last heard from; 0 if never.
     pub(crate) fn last_at(&self) -> Nanos {
         self.last_at.get()
     }
 
-    /// Whether a quorum has confirmed what is in force here since this process started.
+    /// Whether a quorum has confirmed the configuration in force since this process started.
     pub(crate) fn is_informed(&self) -> bool {
         self.is_informed.get()
     }
 
-    /// A quorum confirmed what is in force here.
+    /// Records that a quorum confirmed the configuration in force.
     pub(crate) fn mark_informed(&self) {
         self.is_informed.set(true);
     }
--- a/crates/sparrouter-fleet/src/node/live_nodes.rs
+++ b/crates/sparrouter-fleet/src/node/live_nodes.rs
@@ -1,5 +1,5 @@
-//! What follows from all node records at once, as a snapshot that is made anew only when one of them changes: who owns
-//! which keys, who keeps control state, how many nodes take clients.
+//! Snapshot derived from all node records: owners of keys, control nodes, and the number of ingress nodes. It is
+//! rebuilt only when a node record changes.
 use super::Node;
 use crate::platform::defects::rules;
 use sparrouter_membership::{MembershipTable, NodeRecord};
@@ -9,16 +9,16 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Where a node that keeps control state is.
+/// Name and address of a node that keeps control state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlNode {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its internal address.
+    /// Internal address of the node.
     pub address: SocketAddr,
 }
 
-/// A node that keeps control state, as far as a difference in it is a change of the core.
+/// The properties of a control node whose change is a change of the core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlNodeState {
     name: String,
@@ -27,10 +27,9 @@
     is_leaving: bool,
 }
 
-/// Whether the core changed between two observations of it: a node joined, restarted, left, became unresponsive or
-/// responds again. That a record was forgotten of a node that had left or become unresponsive before is no change.
-/// `learns_existing`: this process has just started and learns for the first time of nodes that have been there all
-/// along.
+/// Whether the core changed between two observations: a node joined, restarted, left, became unresponsive or responds
+/// again. Forgetting the record of a node that had left or become unresponsive before is no change. `learns_existing`:
+/// this process has just started, so that nodes which it sees for the first time were part of the core before.
 pub(super) fn has_core_changed(
     before: &[ControlNodeState],
     after: &[ControlNodeState],
@@ -50,31 +49,32 @@
     after.iter().any(is_changed) || before.iter().any(is_missing)
 }
 
-/// The snapshot. Never changed: other node records make another one.
+/// The snapshot. It is immutable; a change of the node records creates another snapshot.
 #[derive(Debug, Default)]
 pub struct LiveNodes {
-    /// `MembershipTable::node_changes` when it was made.
+    /// `MembershipTable::node_changes` when the snapshot was made.
     node_changes: u64,
-    /// Owners of keys: the nodes that take clients and are neither unresponsive nor leaving.
+    /// Owners of keys: the nodes that take client requests and are neither unresponsive nor leaving.
     owners: Rc<SlotTable>,
     /// Internal addresses of the owners, in the order of the table's members; `None` for this node itself.
     owner_addresses: Vec<Option<SocketAddr>>,
-    /// Nodes that take clients, unresponsive ones included.
+    /// Number of nodes that take client requests, including unresponsive ones.
     proxy_count: usize,
-    /// How many of them come before this node by name.
+    /// Number of these nodes that precede this node by name.
     proxy_rank: usize,
     /// Nodes that keep control state.
     control_nodes: Vec<ControlNode>,
-    /// The same nodes' records.
+    /// Records of the nodes that keep control state.
     control_records: Vec<NodeRecord>,
-    /// Of those that count toward the quorum, what decides whether the core changed.
+    /// For the nodes that count toward the quorum, the properties that decide whether the core changed.
     counted_states: Vec<ControlNodeState>,
 }
 
 impl LiveNodes {
-    /// The snapshot of these records. The owner table is that of the snapshot before, as far as its members are the same.
+    /// Builds the snapshot of these records. It reuses the previous snapshot's owner table for the members that stay
+    /// the same.
     fn new(records: &MembershipTable, own_name: &str, before: &LiveNodes) -> LiveNodes {
-        // Walked once: there may be thousands of nodes, and each change of one makes a snapshot.
+        // The records are walked only once: there may be thousands of nodes, and each change of one builds a snapshot.
         let nodes: Vec<&NodeRecord> = records.nodes().collect();
         let (owners, owner_addresses) = key_owners(&nodes, own_name, before);
         let control_records = control_records(&nodes);
@@ -96,28 +96,28 @@
         }
     }
 
-    /// Owners of keys, as a table.
+    /// The owner table of keys.
     pub fn owners(&self) -> &Rc<SlotTable> {
         &self.owners
     }
 
-    /// Internal address of the owner of a key; `None` for this node itself, and where no owner is known.
+    /// Internal address of a key's owner; `None` if it is this node or no owner is known.
     pub fn owner_address(&self, key: u64) -> Option<SocketAddr> {
         self.owner_address_at(self.owners.owner_index(key)?)
     }
 
-    /// Internal address of the owner at an index of [`LiveNodes::owners`]; `None` for this node itself.
+    /// Internal address of the owner at an index of [`LiveNodes::owners`]; `None` if it is this node.
     pub fn owner_address_at(&self, index: usize) -> Option<SocketAddr> {
         self.owner_addresses.get(index).copied().flatten()
     }
 
-    /// How many nodes take clients, unresponsive ones included.
+    /// Number of nodes that take client requests, including unresponsive ones.
     pub fn proxy_count(&self) -> usize {
         self.proxy_count
     }
 
-    /// This node's place among the nodes that divide the slack of retry budgets: all that take clients. Unresponsive ones
-    /// count too, since they may still spend their share.
+    /// This node's index and the number of nodes among which the slack of retry budgets is divided: all nodes that take
+    /// client requests. Unresponsive ones count too, since they may still spend their share.
     pub fn slack_division(&self) -> SlackDivision {
         SlackDivision {
             nodes: self.proxy_count.max(1),
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The nodes that keep control state, as far as they are known.
+    /// The known nodes that keep control state.
     pub fn control_nodes(&self) -> &[ControlNode] {
         &self.control_nodes
     }
@@ -135,14 +135,14 @@
         &self.control_records
     }
 
-    /// Of the nodes that count toward the quorum, what decides whether the core changed.
+    /// For the nodes that count toward the quorum, the properties that decide whether the core changed.
     pub fn counted_states(&self) -> &[ControlNodeState] {
         &self.counted_states
     }
 }
 
 impl Node {
-    /// Internal address of the node that owns a key, among those that take clients; `None` for this node itself.
+    /// Internal address of a key's owner among the nodes that take client requests; `None` if it is this node.
     pub fn owner(&self, key: u64) -> Option<SocketAddr> {
         self.live_nodes().owner_address(key)
     }
@@ -152,7 +152,7 @@
         self.owner(key).is_none()
     }
 
-    /// The snapshot of the node records as they are now.
+    /// The snapshot of the current node records.
     pub fn live_nodes(&self) -> Rc<LiveNodes> {
         let records = self.membership.borrow();
         let mut live = self.live_nodes.borrow_mut();
@@ -164,7 +164,7 @@
     }
 }
 
-/// How many nodes that take clients come before this one by name, in which order all nodes agree.
+/// Number of nodes taking client requests that precede this one by name, an order that is the same on all nodes.
 fn proxy_rank(nodes: &[&NodeRecord], own_name: &str) -> usize {
     let proxies = nodes.iter().filter(|record| record.serves_clients);
     proxies
@@ -172,7 +172,7 @@
         .count()
 }
 
-/// The owners of keys as a table, and their addresses in its order.
+/// The owner table of keys, and the owners' addresses in the order of the table.
 fn key_owners(
     nodes: &[&NodeRecord],
     own_name: &str,
@@ -203,7 +203,7 @@
     (table, in_order)
 }
 
-/// The nodes with control state; where any of them count toward the quorum, those alone.
+/// The nodes with control state. If any of them counts toward the quorum, only those that do.
 fn control_records<'a>(nodes: &[&'a NodeRecord]) -> Vec<&'a NodeRecord> {
     let mut control: Vec<&NodeRecord> = nodes
         .iter()
@@ -216,7 +216,7 @@
     control
 }
 
-/// Keys are divided among the nodes that take clients.
+/// Whether a node is an owner of keys: keys are divided among the nodes that take client requests.
 fn owns_keys(record: &NodeRecord) -> bool {
     record.serves_clients && !record.unresponsive && !record.leaving
 }
--- a/crates/sparrouter-fleet/src/node/mod.rs
+++ b/crates/sparrouter-fleet/src/node/mod.rs
@@ -1,21 +1,21 @@
-//! The state of one process that the folders above share, cut by who owns it.
+//! State of one process, shared by the modules above and divided by owner.
 //!
-//! | module | its state |
+//! | module | state |
 //! | --- | --- |
 //! | `configuration` | the configuration in force, its edits and its lease |
-//! | [`configuration_lease`] | whether it is fresh enough for requests with API keys |
-//! | `counters` | what is counted as it happens |
+//! | [`configuration_lease`] | whether the configuration is recent enough for requests with API keys |
+//! | `counters` | event counters for the metrics |
 //! | `fleet_contact` | when a node with quorum contact was last heard from |
-//! | `live_nodes` | what follows from the node records: owners of keys, control nodes |
-//! | `owned_keys` | what this node counts for the keys that it owns |
-//! | `publication` | when changed records are published, and to whom |
-//! | `quotas` | permits of tenants' quotas: what this node knows, and what it grants as a lease holder |
-//! | `records` | records that arrive: merging, and what follows from a change |
+//! | `live_nodes` | snapshot derived from the node records: owners of keys, control nodes |
+//! | `owned_keys` | tables for the keys that this node owns |
+//! | `publication` | publishing changed records to pollers |
+//! | `quotas` | quotas of tenants: remembered refusals, and the leases and buckets by which this node grants permits |
+//! | `records` | merging received records, and the consequences of a change |
 //! | [`shutdown`] | the schedule of a graceful shutdown |
-//! | [`tenant_counts`] | what this node counts of each tenant's quota |
+//! | [`tenant_counts`] | request counts of each tenant's quota |
 //! | `traffic` | client requests: retry budgets, durations, requests in flight |
 //!
-//! Uses the messages and connections of `peer`, the settings and the platform; nothing above.
+//! Uses the messages and connections of `peer`, the settings and the platform, but no module above.
 mod configuration;
 pub mod configuration_lease;
 pub(crate) mod counters;
@@ -59,19 +59,19 @@
 use tokio::time::Instant;
 use traffic::Traffic;
 
-/// How long records of servers and nodes that left are remembered.
+/// How long records of servers and nodes that left are kept.
 const TOMBSTONE_RETENTION: Nanos = 60_000_000_000;
-/// Most records of each kind.
+/// Maximum number of records of each kind.
 const MAX_RECORDS: usize = 20_000;
-/// Part of the bounds on versions after which no request begins on older weights. The rest is for updates that arrive
-/// late and for the way to the server.
+/// Ratio of the bounds on versions after which no request begins on older weights. The rest allows for updates that
+/// arrive late and for the transmission to the server.
 const VERSION_LIMIT_RATIO: f64 = 0.75;
 
-/// One process: its settings, its tables, its connections to other nodes.
+/// One process: its settings, tables, and connections to other nodes.
 ///
-/// It lives on one thread. Tables that are replaced, such as the configuration, are immutable and swapped as a whole.
-/// `RefCell` guards those that change in place: a borrow lasts for a few statements, is never held across an `await`, and
-/// so never meets another one.
+/// A process has a single thread. Tables that are replaced, such as the configuration, are immutable and swapped as a
+/// whole. `RefCell` guards tables that change in place: a borrow lasts for a few statements and is never held across an
+/// `await`, so that borrows never conflict.
 pub struct Node {
     /// Settings of the process. Only the seeds change while it runs.
     pub settings: RefCell<ProcessSettings>,
@@ -81,25 +81,25 @@
     pub net: SharedNet,
     /// Connections to other nodes.
     pub links: Rc<Links>,
-    /// Connections to holders of quotas.
+    /// Connections to lease holders of quotas.
     pub quota_links: Rc<Links>,
     /// Source of all random numbers of this process.
     pub rng: RefCell<Rng>,
     /// The log; invariant violations are reported to it.
     pub log_buffer: LogBuffer,
-    /// What is counted as it happens.
+    /// Event counters.
     pub counters: Counters,
     /// Records of all nodes and servers.
     pub membership: RefCell<MembershipTable>,
     /// This node's own record. Invariant: the membership has it, with no lower incarnation.
     pub own_record: RefCell<NodeRecord>,
-    /// The name in `own_record`, which never changes.
+    /// The name in `own_record`, which is constant.
     own_name: String,
-    /// What follows from the node records, until one of them changes.
+    /// Snapshot of the node records; replaced when one of them changes.
     live_nodes: RefCell<Rc<LiveNodes>>,
-    /// The control nodes as they were last observed, to notice changes of the core.
+    /// The last observed control nodes, by which changes of the core are detected.
     observed_core: RefCell<Vec<ControlNodeState>>,
-    /// The servers of the membership, as requests are routed by them.
+    /// The servers of the membership, in the form used for routing.
     pub server_table: RefCell<ServerTable>,
     /// The configuration in force.
     pub(crate) configuration: Configuration,
@@ -109,20 +109,20 @@
     pub(crate) publication: Publication,
     /// Client requests.
     pub(crate) traffic: Traffic,
-    /// What this node counts for the keys that it owns.
+    /// Tables for the keys that this node owns.
     pub(crate) owned_keys: OwnedKeys,
     /// Quotas of tenants.
     pub(crate) quotas: Quotas,
-    /// What became of requests of tenants with quotas.
+    /// Outcomes of requests of tenants with quotas.
     pub(crate) tenant_counts: TenantCounts,
-    /// The schedule of the shutdown, once it has begun.
+    /// The schedule of the shutdown; `None` until it begins.
     pub(crate) shutdown: Cell<Option<GracefulShutdown>>,
-    /// Whether this node has announced that it leaves.
+    /// Whether this node has announced that it is leaving.
     is_leaving: Cell<bool>,
 }
 
 impl Node {
-    /// A process that knows nothing but its settings. `disk_id`: id of its disk; 0 where it keeps no control state.
+    /// Creates a process that knows only its settings. `disk_id`: id of its disk; 0 if it keeps no control state.
     pub fn new(
         settings: ProcessSettings,
         disk_id: u64,
@@ -143,7 +143,7 @@
             settings: RefCell::new(settings),
             started: Instant::now(),
             links: Links::new(net.clone()),
-            quota_links: Links::speaking(QUOTA_HELLO, net.clone()),
+            quota_links: Links::with_hello(QUOTA_HELLO, net.clone()),
             net,
             rng: RefCell::new(rng),
             log_buffer,
@@ -170,7 +170,7 @@
         nanos(self.started.elapsed())
     }
 
-    /// A random duration from half to one and a half of `mean`, so that nodes don't act in step.
+    /// A random duration from half to one and a half of `mean`, so that nodes don't act in lockstep.
     pub fn jitter(&self, mean: Duration) -> Duration {
         mean.mul_f64(0.5 + self.rng.borrow_mut().f64())
     }
@@ -181,24 +181,24 @@
         settings.internal_of(settings.ip)
     }
 
-    /// Whether this node has announced that it leaves.
+    /// Whether this node has announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving.get()
     }
 
-    /// The nodes that keep control state, as far as they are known.
+    /// The known nodes that keep control state.
     pub fn control_nodes(&self) -> Vec<ControlNode> {
         self.live_nodes().control_nodes().to_vec()
     }
 
-    /// How many nodes share the retry budget: all that take clients. Unresponsive ones count too, since they may still
-    /// spend their share.
+    /// The number of nodes that share the retry budget: all that take client requests. Unresponsive ones count too,
+    /// since they may still spend their share.
     pub fn proxy_count(&self) -> usize {
         self.live_nodes().proxy_count().max(1)
     }
 }
 
-/// The record of a node that starts.
+/// The record of this node at its start.
 fn own_record(settings: &ProcessSettings, disk_id: u64, rng: &mut Rng) -> NodeRecord {
     let text = |address: Option<SocketAddr>| address.map(|a| a.to_string()).unwrap_or_default();
     NodeRecord {
@@ -217,7 +217,7 @@
     }
 }
 
-/// How long requests may begin on older weights.
+/// Longest time for which requests may begin on older weights.
 fn version_limits(settings: &ProcessSettings) -> OutdatedVersionLimits {
     let limit = |bound: Duration| nanos(bound.mul_f64(VERSION_LIMIT_RATIO));
     let total = settings.bounds.version_all;
--- a/crates/sparrouter-fleet/src/node/publication.rs
+++ b/crates/sparrouter-fleet/src/node/publication.rs
@@ -1,4 +1,4 @@
-//! When changed records are published to the nodes that poll this one, and how those wait for them.
+//! Publishes changed records to the nodes that poll this one, and wakes pollers that wait for changes.
 use super::Node;
 use sparrouter_membership::PublishSchedule;
 use sparrouter_routing::Nanos;
@@ -7,36 +7,36 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Most records in one reply to a poll: after a start all pollers ask for everything at once.
-const MAX_RECORDS_A_REPLY: usize = 400;
-/// Most packed replies that are cached until the records change, for pollers that ask for the same.
+/// Maximum number of records in one reply to a poll: after a start all pollers request everything at once.
+const MAX_RECORDS_PER_REPLY: usize = 400;
+/// Maximum number of packed replies that are cached until the records change, for pollers with the same revision.
 const MAX_CACHED_REPLIES: usize = 16;
-/// Shortest time between two syncs of the server table, so that one sync covers several changes: a base and a time for
-/// each server.
+/// Shortest time between two syncs of the server table, so that one sync covers several changes: a fixed time, plus
+/// `SYNC_INTERVAL_PER_SERVER` for each server.
 const SYNC_INTERVAL: Nanos = 5_000_000;
-const SYNC_INTERVAL_A_SERVER: Nanos = 8_000;
+const SYNC_INTERVAL_PER_SERVER: Nanos = 8_000;
 
-/// Counts changes that pollers wait for. They are woken in the order in which they began to wait; the `watch` of tokio
-/// wakes in a random one, with which no simulated day would run twice alike.
+/// Counts the changes for which pollers wait. Waiters are woken in the order in which they began to wait; tokio's
+/// `watch` wakes them in random order, so that simulated runs with the same seed would differ.
 #[derive(Default)]
 struct Changes {
     count: Cell<u64>,
     raised: Notify,
 }
 
-/// Waits for changes that come after those that it has observed.
+/// Waits for changes that happen after the last observed one.
 pub struct ChangeSubscription {
     changes: Rc<Changes>,
     observed: u64,
 }
 
 impl ChangeSubscription {
-    /// Counts all changes until now as observed.
+    /// Marks all changes until now as observed.
     pub fn mark_unchanged(&mut self) {
         self.observed = self.changes.count.get();
     }
 
-    /// Waits until there is a change that was not observed, and counts it as observed. Safe to cancel.
+    /// Waits until there is a change that was not observed, and marks it as observed. Cancel-safe.
     pub async fn changed(&mut self) {
         while self.changes.count.get() == self.observed {
             self.changes.raised.notified().await;
@@ -45,28 +45,29 @@
     }
 }
 
-/// A packed reply to polls from one revision.
+/// A cached packed reply to polls with the same revision.
 struct CachedReply {
     from_revision: u64,
     packed: Vec<u8>,
 }
 
-/// The state of publication.
+/// State of the publication of records.
 pub(crate) struct Publication {
     changes: Rc<Changes>,
-    /// Which revision is published, and when the next one is.
+    /// The published revision, and when the next one is published.
     schedule: RefCell<PublishSchedule>,
-    /// Invariant: cleared with each published revision.
+    /// Cached replies. Invariant: cleared with each published revision.
     replies: RefCell<Vec<CachedReply>>,
-    /// How many nodes poll this one.
+    /// Number of nodes that poll this one.
     poller_count: Cell<usize>,
     /// Whether records changed since the server table was last synced.
     is_sync_pending: Cell<bool>,
-    /// When it was last synced.
+    /// When the server table was last synced; `None` if never.
     synced_at: Cell<Option<Nanos>>,
-    /// When the task of [`Node::carry_out`] wakes by itself; the largest number: not before it is woken.
+    /// When the task of [`Node::run_publication`] next wakes without a notification; [`Nanos::MAX`] if it waits for
+    /// one.
     wakes_at: Cell<Nanos>,
-    /// Wakes that task.
+    /// Wakes the task of [`Node::run_publication`].
     wake: Notify,
 }
 
@@ -86,7 +87,7 @@
 }
 
 impl Publication {
-    /// Sets how many nodes poll this one.
+    /// Sets the number of nodes that poll this one.
     pub(crate) fn set_poller_count(&self, count: usize) {
         self.poller_count.set(count);
     }
@@ -107,7 +108,8 @@
         changes.raised.notify_waiters();
     }
 
-    /// Records changed: the server table is synced and pollers get them, now or together with the next changes.
+    /// Publishes changed records: syncs the server table and sends them to pollers, now or together with the next
+    /// changes.
     pub fn publish_changes(&self) {
         self.publication.is_sync_pending.set(true);
         if let Some(next_at) = self.publish_pending()
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Does what is due after a change of records; returns when the rest is.
+    /// Runs the parts of the publication that are due; returns when the next part is due, `None` if none is pending.
     fn publish_pending(&self) -> Option<Nanos> {
         let sync_at = self.sync_servers();
         let publish_at = self.publish_records();
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Syncs the server table with the records unless it was synced just now; returns when that is due.
+    /// Syncs the server table with the records, unless the last sync was too recent; then returns when the next is due.
     fn sync_servers(&self) -> Option<Nanos> {
         let publication = &self.publication;
         if !publication.is_sync_pending.get() {
@@ -135,7 +137,7 @@
         }
         let now = self.now();
         let records = self.membership.borrow();
-        let interval = SYNC_INTERVAL + SYNC_INTERVAL_A_SERVER * records.server_count() as Nanos;
+        let interval = SYNC_INTERVAL + SYNC_INTERVAL_PER_SERVER * records.server_count() as Nanos;
         let next_at = publication.synced_at.get().map_or(now, |at| at + interval);
         if next_at > now {
             return Some(next_at);
@@ -146,7 +148,7 @@
         None
     }
 
-    /// Publishes the newest revision if that is due; else returns when it is.
+    /// Publishes the newest revision if it is due; otherwise returns when it is due.
     fn publish_records(&self) -> Option<Nanos> {
         let now = self.now();
         let publication = &self.publication;
@@ -162,8 +164,8 @@
         None
     }
 
-    /// The task that publishes what a change of records left for later. It runs until the process ends.
-    pub async fn carry_out(self: Rc<Self>) {
+    /// The task that publishes changes which were deferred to a later time. It runs until the process ends.
+    pub async fn run_publication(self: Rc<Self>) {
         let publication = &self.publication;
         loop {
             let next_at = self.publish_pending();
@@ -173,13 +175,12 @@
                 continue;
             };
             let remaining = Duration::from_nanos(next_at.saturating_sub(self.now()));
-            // Either the time has come, or something is due sooner.
+            // The deadline has passed, or an earlier one was set.
             let _ = tokio::time::timeout(remaining, publication.wake.notified()).await;
         }
     }
 
-    /// The packed records that a poller with this epoch and revision does not have; `None` while it has all that are
-    /// published.
+    /// The packed records that a poller with this epoch and revision lacks; `None` if it has all published records.
     pub fn packed_delta_since(&self, epoch: u64, revision: u64) -> Option<Vec<u8>> {
         let records = self.membership.borrow();
         let published = self.publication.schedule.borrow().published();
@@ -197,7 +198,7 @@
             records.epoch(),
             from_revision,
             published,
-            MAX_RECORDS_A_REPLY,
+            MAX_RECORDS_PER_REPLY,
         );
         let packed = delta.pack();
         if replies.len() < MAX_CACHED_REPLIES {
--- a/crates/sparrouter-fleet/src/node/quotas.rs
+++ b/crates/sparrouter-fleet/src/node/quotas.rs
@@ -1,5 +1,5 @@
-//! Permits of tenants' quotas: what this node knows as one that forwards requests, and what it grants as a lease holder.
-//! The `quota` folder decides by it.
+//! Quota state of this node: what it remembers of lease holders when it forwards requests, and the leases and buckets
+//! by which it grants permits. The `quota` folder makes the decisions.
 use sparrouter_quota::{BucketTable, PermitTable};
 use sparrouter_routing::Nanos;
 use std::cell::{Cell, RefCell};
@@ -10,55 +10,55 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GrantingLease {
     pub(crate) fencing_token: u64,
-    /// Nothing is granted before: the lease of another holder may still be valid.
+    /// No permit is granted before this time: another holder's lease may still be valid.
     pub(crate) active_from: Nanos,
-    /// Nothing is granted from then on: another holder may have the lease.
+    /// No permit is granted from this time on: another holder may have the lease.
     pub(crate) valid_until: Nanos,
 }
 
-/// The buckets of one shard, and by which state of the configuration their limits are.
+/// The buckets of one shard, and the configuration state that set their limits.
 pub(crate) struct GrantingShard {
     pub(crate) buckets: BucketTable,
-    /// Number of that state.
+    /// Number of the configuration state, as in [`ActiveConfiguration::slot`](crate::node::ActiveConfiguration::slot).
     pub(crate) config_slot: u64,
 }
 
-/// The quotas at one node.
+/// The quota state of one node.
 #[derive(Default)]
 pub(crate) struct Quotas {
-    /// Refusals that this node knows of.
+    /// Refusals and unavailable shards that this node remembers.
     pub(crate) permits: RefCell<PermitTable>,
-    /// By shard, the node that last granted or refused a permit.
+    /// For each shard, the node that last granted or refused a permit.
     pub(crate) holders: RefCell<BTreeMap<u16, SocketAddr>>,
-    /// The node that last asked a holder in this one's place.
+    /// The node that last relayed a call to a lease holder for this one.
     pub(crate) relay: Cell<Option<SocketAddr>>,
-    /// Until when nodes are not asked for permits, because they did not answer.
+    /// For each unresponsive node, until when it is not asked for permits.
     suspected_until: RefCell<BTreeMap<SocketAddr, Nanos>>,
-    /// By shard, the leases that this node has.
+    /// For each shard, the lease that this node holds.
     leases: RefCell<BTreeMap<u16, GrantingLease>>,
-    /// By shard, the buckets. Invariant: used only under the lease whose fencing token they name.
+    /// For each shard, its buckets. Invariant: used only under the lease whose fencing token they name.
     pub(crate) shards: RefCell<BTreeMap<u16, GrantingShard>>,
 }
 
 impl Quotas {
-    /// A node did not answer: it is not asked for permits until then.
+    /// Records that a node did not answer: it is not asked for permits until `until`.
     pub(crate) fn suspect(&self, address: SocketAddr, until: Nanos) {
         self.suspected_until.borrow_mut().insert(address, until);
     }
 
-    /// Whether a node did not answer lately.
+    /// Whether a node recently failed to answer, so that it is not asked at `now`.
     pub(crate) fn is_suspected(&self, address: SocketAddr, now: Nanos) -> bool {
         let mut suspected_until = self.suspected_until.borrow_mut();
         suspected_until.retain(|_, until| *until > now);
         suspected_until.contains_key(&address)
     }
 
-    /// This node's lease of a shard, valid or not; `None` where it has none.
+    /// This node's lease of a shard, valid or not; `None` if it holds none.
     pub(crate) fn lease(&self, shard: u16) -> Option<GrantingLease> {
         self.leases.borrow().get(&shard).copied()
     }
 
-    /// A quorum confirmed a lease. An answer that comes late shortens nothing.
+    /// Records that a quorum confirmed a lease. A late answer never shortens the lease.
     pub(crate) fn confirm_lease(&self, shard: u16, lease: GrantingLease) {
         let mut leases = self.leases.borrow_mut();
         let known = leases.entry(shard).or_insert(lease);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// This node has no lease of the shard any more, and grants nothing from now on.
+    /// Records that this node no longer holds the shard's lease: it grants no more permits.
     pub(crate) fn end_lease(&self, shard: u16) {
         self.leases.borrow_mut().remove(&shard);
         self.shards.borrow_mut().remove(&shard);
--- a/crates/sparrouter-fleet/src/node/records.rs
+++ b/crates/sparrouter-fleet/src/node/records.rs
@@ -1,4 +1,4 @@
-//! Records that arrive at this node: merging them, and what follows from a change.
+//! Merges records that arrive at this node, and handles the consequences of a change.
 use super::Node;
 use super::live_nodes::has_core_changed;
 use crate::node::counters::count;
@@ -6,8 +6,8 @@
 use crate::settings::nanos;
 use sparrouter_membership::{MembershipDelta, ServerDirective};
 
-/// Keys of directives on stores begin so, followed by the store's address.
-const STORE_DIRECTIVES: &str = "store/";
+/// Prefix of the keys of directives on stores; the store's address follows.
+const STORE_DIRECTIVE_PREFIX: &str = "store/";
 
 impl Node {
     /// Merges records that were made here or sent by another node.
@@ -30,8 +30,8 @@
         });
     }
 
-    /// Refutes records of others that call this node unresponsive, or that are of an earlier process of its name, by a
-    /// higher incarnation.
+    /// Refutes records from other nodes that report this node as unresponsive, or that belong to an earlier process of
+    /// its name, by raising the incarnation.
     fn raise_incarnation(&self) {
         let mut own = self.own_record.borrow_mut();
         let mut membership = self.membership.borrow_mut();
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Announces that this node leaves.
+    /// Announces that this node is leaving.
     pub fn announce_leaving(&self) {
         self.is_leaving.set(true);
         let record = {
@@ -55,7 +55,8 @@
         self.publish_changes();
     }
 
-    /// Notices when control nodes join, leave, or become unresponsive: such a change restarts the time limits of versions.
+    /// Detects that control nodes joined, left, or became unresponsive: such a change restarts the time limits of
+    /// versions.
     fn observe_core(&self) {
         let live = self.live_nodes();
         let states = live.counted_states();
@@ -75,12 +76,12 @@
         *observed = states.to_vec();
     }
 
-    /// Forgets the prefixes of stores that came back empty.
+    /// Removes the cached prefixes of stores that were restarted empty.
     fn apply_store_directives(&self) {
         let membership = self.membership.borrow();
         let mut epochs = self.owned_keys.store_epochs.borrow_mut();
-        for (directive, _) in membership.directives_with_prefix(STORE_DIRECTIVES) {
-            let address = &directive.key[STORE_DIRECTIVES.len()..];
+        for (directive, _) in membership.directives_with_prefix(STORE_DIRECTIVE_PREFIX) {
+            let address = &directive.key[STORE_DIRECTIVE_PREFIX.len()..];
             let store = sparrouter_rendezvous::hash(address.as_bytes());
             let known = epochs.insert(store, directive.version);
             if known.is_some_and(|known| known != directive.version) {
--- a/crates/sparrouter-fleet/src/node/tenant_counts.rs
+++ b/crates/sparrouter-fleet/src/node/tenant_counts.rs
@@ -1,46 +1,46 @@
-//! What this node counts of each tenant's quota: requests sent, and refusals by their reason.
+//! Request counts of each tenant's quota at this node: requests sent, and refusals by reason.
 use super::ActiveConfiguration;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// What a node counted of one tenant, since the process began or the tenant came into the configuration.
+/// Request counts of one tenant, since the process started or the tenant was added to the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TenantCount {
-    /// Requests that were sent under a permit; one that ran nowhere and was sent again counts again.
+    /// Requests that were sent under a permit. A request that was not run and is sent again counts again.
     pub sent: u64,
     /// Requests that were refused because the limit is used up.
     pub refused: u64,
-    /// Requests that were refused because no holder of the limit could be asked.
+    /// Requests that were refused because no holder of the limit answered.
     pub unavailable: u64,
 }
 
-/// What became of a request of a tenant with a limit.
+/// The outcome of a request of a tenant with a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaEvent {
-    /// It was sent under a permit.
+    /// The request was sent under a permit.
     Sent,
-    /// The limit is used up.
+    /// The request was refused because the limit is used up.
     Refused,
-    /// No holder of the limit could be asked.
+    /// The request was refused because no holder of the limit answered.
     Unavailable,
 }
 
-/// The counts of a process.
+/// Request counts of all tenants at this process.
 ///
-/// Invariant: only tenants of the configuration in force have an entry, from their first request on.
+/// Invariant: only tenants of the configuration in force have an entry, which their first request adds.
 #[derive(Debug, Default)]
 pub struct TenantCounts {
     by_tenant: RefCell<BTreeMap<String, TenantCount>>,
-    /// Version of the configuration that the entries were last compared with.
+    /// Version of the configuration with which the entries were last compared.
     compared_version: Cell<u64>,
 }
 
 impl TenantCounts {
-    /// Counts what became of a request. The caller has looked the tenant up in `active`.
+    /// Counts the outcome of a request. The caller has looked the tenant up in `active`.
     pub fn record(&self, tenant: &str, event: QuotaEvent, active: &ActiveConfiguration) {
         self.drop_absent(active);
         let mut by_tenant = self.by_tenant.borrow_mut();
-        // Only the first request of a tenant makes a copy of the name.
+        // The name is copied only at a tenant's first request.
         if !by_tenant.contains_key(tenant) {
             by_tenant.insert(tenant.to_owned(), TenantCount::default());
         }
@@ -54,12 +54,12 @@
         }
     }
 
-    /// What was counted of a tenant; `None` of one that sent nothing.
+    /// The counts of a tenant; `None` if it has sent no request.
     pub fn of(&self, tenant: &str) -> Option<TenantCount> {
         self.by_tenant.borrow().get(tenant).copied()
     }
 
-    /// All entries of tenants that `active` has, by name.
+    /// The entries of all tenants in `active`, sorted by name.
     pub fn all(&self, active: &ActiveConfiguration) -> Vec<(String, TenantCount)> {
         self.drop_absent(active);
         let by_tenant = self.by_tenant.borrow();
@@ -69,7 +69,7 @@
             .collect()
     }
 
-    /// Drops the entries of tenants that the configuration does not have, once for each configuration.
+    /// Drops the entries of tenants that are not in the configuration, once for each configuration version.
     fn drop_absent(&self, active: &ActiveConfiguration) {
         if self.compared_version.replace(active.version) == active.version {
             return;
--- a/crates/sparrouter-fleet/src/node/traffic.rs
+++ b/crates/sparrouter-fleet/src/node/traffic.rs
@@ -1,4 +1,4 @@
-//! Client requests at this node: retry budgets, how long requests last, how many are in flight.
+//! Client requests at this node: retry budgets, durations, and the number of open requests.
 use super::Node;
 use crate::platform::defects::rules;
 use crate::settings::nanos;
@@ -6,28 +6,28 @@
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 
-/// What is measured of client requests.
+/// Measurements of client requests.
 #[derive(Default)]
 pub(crate) struct Traffic {
-    /// This node's share of each service's retry budget. Invariant: only services of the configuration in force, and the
-    /// one that was last used.
+    /// This node's share of each service's retry budget. Invariant: entries exist only for services of the
+    /// configuration in force, and for the last service that was used.
     retry_budgets: RefCell<HashMap<String, RetryBudget>>,
-    /// How much requests usually generate.
+    /// Typical output lengths of requests.
     pub(crate) typical_output: RefCell<TypicalOutput>,
-    /// How long requests of each route last.
+    /// Request durations of each route.
     pub(crate) durations: RefCell<RouteDurations>,
-    /// Requests that are being read or served.
+    /// Number of requests that are being read or served.
     open_requests: Cell<usize>,
 }
 
 impl Traffic {
-    /// How many requests are being read or served.
+    /// Number of requests that are being read or served.
     pub(crate) fn open_requests(&self) -> usize {
         self.open_requests.get()
     }
 }
 
-/// A request that is being read or served: counted as open until this is dropped.
+/// A request that is being read or served. It counts as open until this is dropped.
 pub(crate) struct OpenRequest<'a>(&'a Traffic);
 
 impl<'a> OpenRequest<'a> {
@@ -50,9 +50,9 @@
         self.with_retry_budget(service, |budget, now| budget.record_request(now));
     }
 
-    /// Takes one retry from this node's share of a service's budget, if there is one left. In its first window a process
-    /// has none: the one before it may have spent all that its requests had earned, and the window that is judged holds
-    /// both.
+    /// Takes one retry from this node's share of a service's budget, if any remains. A process has none in its first
+    /// window: the previous process may have spent all retries that its requests had earned, and the window by which
+    /// the budget is judged includes both processes.
     pub fn may_retry(&self, service: &str) -> bool {
         let window = nanos(self.settings.borrow().bounds.budget_window);
         let is_past_first_window = self.now() >= window || !rules::restarts_renew_no_retry_slack();
@@ -67,7 +67,7 @@
         use_budget: impl FnOnce(&mut RetryBudget, Nanos) -> T,
     ) -> T {
         let settings = self.settings.borrow();
-        // The slack waits for a window, since a process before this one may have spent it.
+        // The slack is available only after one window, since a previous process may have spent it.
         let head_start = if rules::restarts_renew_no_retry_slack() {
             0
         } else {
@@ -75,7 +75,7 @@
         };
         let now = self.now() + head_start;
         let mut budgets = self.traffic.retry_budgets.borrow_mut();
-        // Services that the configuration no longer has leave no counts behind.
+        // Budgets of services that are no longer configured are dropped.
         let table = self.active_configuration().table.clone();
         budgets.retain(|name, _| {
             name == service || table.as_ref().is_none_or(|t| t.service(name).is_some())
--- a/crates/sparrouter-fleet/src/peer/frames.rs
+++ b/crates/sparrouter-fleet/src/peer/frames.rs
@@ -5,33 +5,33 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, ReadHalf, WriteHalf};
 use tokio::sync::mpsc;
 
-/// Bytes of the length, which counts what follows it.
+/// Size of the length field, which counts the bytes that follow it.
 const LENGTH_BYTES: usize = size_of::<u32>();
-/// Bytes of the call id.
+/// Size of the call id.
 const ID_BYTES: usize = size_of::<u64>();
-/// Frames that wait are written together up to this many bytes: each write costs.
+/// Queued frames are written together until they reach this size, since each write has a fixed cost.
 const MAX_WRITE_BYTES: usize = 64 << 10;
-/// Most frames that wait to be written on a connection; more are refused at once.
+/// Maximum number of frames in a connection's write queue; further frames are rejected at once.
 pub(super) const MAX_QUEUED_FRAMES: usize = 512;
 
-/// A frame that has arrived.
+/// A received frame.
 pub(super) struct Frame {
     /// Id of the call.
     pub(super) id: u64,
-    /// The call or its reply.
+    /// The encoded call or reply.
     pub(super) body: Vec<u8>,
 }
 
-/// How much of a frame has arrived.
+/// How much of the current frame has been received.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Progress {
     /// Id of the call.
     pub(super) id: u64,
-    /// Bytes of the body.
+    /// Bytes of the body that have been received.
     pub(super) bytes: usize,
 }
 
-/// The bytes of a frame.
+/// Encodes a frame.
 pub(super) fn encode(id: u64, body: &impl SerBin) -> Vec<u8> {
     let mut out = vec![0; LENGTH_BYTES + ID_BYTES];
     body.ser_bin(&mut out);
@@ -41,8 +41,8 @@
     out
 }
 
-/// The next frame; `None` where the connection ends or its bytes are no frame. `observe` is called with each chunk that
-/// arrives.
+/// Reads the next frame; `None` if the connection ends or its bytes are not a valid frame. `observe` is called with
+/// each received chunk.
 pub(super) async fn read(
     from: &mut BufReader<ReadHalf<Stream>>,
     observe: impl Fn(Progress),
@@ -53,7 +53,7 @@
     }
     let id = from.read_u64_le().await.ok()?;
     let expected = length - ID_BYTES;
-    // Grows as bytes arrive, not as a hostile length claims.
+    // The buffer grows with the received bytes, not with the length field, which a hostile peer may set.
     let mut body = Vec::new();
     while body.len() < expected {
         let chunk = from.fill_buf().await.ok()?;
--- a/crates/sparrouter-fleet/src/peer/links.rs
+++ b/crates/sparrouter-fleet/src/peer/links.rs
@@ -1,4 +1,4 @@
-//! Calls to other nodes: one connection a peer, many calls on it at a time, each with its own time-out.
+//! Calls to other nodes: one connection for each peer, with many concurrent calls that have separate time-outs.
 use super::frames::{self, MAX_QUEUED_FRAMES, Progress};
 use crate::peer::messages::{Call, HELLO, Reply};
 use crate::platform::defects::rules;
@@ -13,71 +13,73 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// Time-outs of the attempts to connect, one after the other. A first packet that finds a machine without power is not
-/// sent again for a second, and the machine may be back sooner.
+/// Time-outs of the successive attempts to connect. TCP resends the first packet to a machine without power only after
+/// a second, and the machine may be back sooner.
 const CONNECT_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(80),
     Duration::from_millis(160),
     Duration::from_millis(400),
 ];
-/// A reply that is arriving is awaited beyond its time-out, as long as more of it arrives, up to this. Without that nodes
-/// that ask for a large configuration at once over narrow links would each give up on it and ask again, for ever.
+/// Longest total wait for a reply that is arriving: its time-out is extended while more bytes arrive. Without the
+/// extension, nodes that request a large configuration at once over narrow links would each time out and retry for
+/// ever.
 const MAX_REPLY_TIME: Duration = Duration::from_secs(20);
 
 /// Why a call has no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LinkError {
-    /// It was not sent: it may be repeated.
+    /// The call was not sent: it may be retried.
     #[error(
-        "no connection to the node came up: check that it runs and that its internal port is open"
+        "no connection to the node was established: check that it runs and that its internal port is open"
     )]
     Unreachable,
-    /// It may have been carried out or not.
+    /// The call may or may not have been carried out.
     #[error("the node did not answer in time: it may be frozen or cut off")]
     TimedOut,
-    /// It may have been carried out or not.
-    #[error("the connection to the node broke: it may have ended")]
+    /// The call may or may not have been carried out.
+    #[error("the connection to the node broke: its process may have ended")]
     Broken,
-    /// It was not sent: it may be repeated.
-    #[error("too many calls wait for the node: it reads too slowly")]
-    Crowded,
+    /// The call was not sent: it may be retried.
+    #[error("too many calls are queued for the node: it reads too slowly")]
+    QueueFull,
 }
 
-/// The callers that wait for replies, by the id of their call.
+/// The callers of pending calls, by call id.
 type PendingCalls = RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>;
 
 /// One connection, from the first call on it until it breaks.
 struct Link {
-    /// Frames to write, at most [`MAX_QUEUED_FRAMES`].
+    /// Frames to be written, at most [`MAX_QUEUED_FRAMES`].
     queue: mpsc::Sender<Vec<u8>>,
     pending: PendingCalls,
-    /// Whether the connection came up.
+    /// Whether the connection was established.
     is_connected: Cell<bool>,
-    /// The reply that is arriving.
+    /// Progress of the reply that is being received.
     arriving: Cell<Progress>,
 }
 
-/// This node's connections to others.
+/// This node's connections to other nodes.
 ///
-/// Each connection has a task that owns it. It ends when the connection breaks or does not come up; then callers that
-/// wait get an error, and the next call makes a new one. No borrow is held across an `await`.
+/// Each connection has a task that owns it. The task ends when the connection breaks or cannot be established; then
+/// pending calls get an error, and the next call opens a new connection. No borrow is held across an `await`.
 pub struct Links {
     net: SharedNet,
-    /// First bytes of each connection.
+    /// First bytes that are sent on each connection.
     hello: &'static [u8; 8],
-    /// Invariant: a link is here as long as its task runs.
+    /// Invariant: a link has an entry as long as its task runs.
     links: RefCell<BTreeMap<SocketAddr, Rc<Link>>>,
     next_id: Cell<u64>,
 }
 
 impl Links {
-    /// No connections yet.
+    /// Creates the links, without connections, for the protocol version [`HELLO`].
     pub fn new(net: SharedNet) -> Rc<Links> {
-        Links::speaking(HELLO, net)
+        Links::with_hello(HELLO, net)
     }
 
-    /// No connections yet; each will begin with `hello`, the name and version of the protocol.
-    pub fn speaking(hello: &'static [u8; 8], net: SharedNet) -> Rc<Links> {
+    /// Creates the links, without connections; each connection will begin with `hello`, the name and version of the
+    /// protocol.
+    pub fn with_hello(hello: &'static [u8; 8], net: SharedNet) -> Rc<Links> {
         Rc::new(Links {
             net,
             hello,
@@ -86,7 +88,7 @@
         })
     }
 
-    /// The link to an address, made where there is none.
+    /// The link to an address; opens one if there is none.
     fn link(self: &Rc<Self>, to: SocketAddr) -> Rc<Link> {
         if let Some(link) = self.links.borrow().get(&to) {
             return link.clone();
@@ -103,7 +105,7 @@
         link
     }
 
-    /// The task of a link.
+    /// Runs the task of a link.
     async fn run_link(
         self: Rc<Self>,
         to: SocketAddr,
@@ -111,7 +113,7 @@
         queued: mpsc::Receiver<Vec<u8>>,
     ) {
         link.run(&self.net, self.hello, to, queued).await;
-        // Callers learn of it by the drop of their sender.
+        // Dropping the senders reports the error to the callers.
         link.pending.borrow_mut().clear();
         let mut links = self.links.borrow_mut();
         if links.get(&to).is_some_and(|l| Rc::ptr_eq(l, &link)) {
@@ -119,7 +121,8 @@
         }
     }
 
-    /// A number that no other call of this process has, on any connection: a reply that arrives late finds nobody.
+    /// Returns an id that is unique among all calls of this process on any connection, so that a late reply matches no
+    /// other call.
     fn next_id(&self) -> u64 {
         let id = self.next_id.get();
         if rules::call_ids_are_unique() {
@@ -132,7 +135,7 @@
     ///
     /// # Errors
     ///
-    /// A [`LinkError`], which says whether the call may be repeated.
+    /// A [`LinkError`], which tells whether the call may be retried.
     pub async fn call(
         self: &Rc<Self>,
         to: SocketAddr,
@@ -145,7 +148,7 @@
         link.pending.borrow_mut().insert(id, reply);
         if link.queue.try_send(frames::encode(id, call)).is_err() {
             link.pending.borrow_mut().remove(&id);
-            return Err(LinkError::Crowded);
+            return Err(LinkError::QueueFull);
         }
         let began = Instant::now();
         loop {
@@ -164,8 +167,8 @@
         }
     }
 
-    /// Sends a call that has no reply. It is lost where the peer can't be reached or reads too slowly: whoever depends on
-    /// it sends it again.
+    /// Sends a call that has no reply. The call is lost if the peer is unreachable or reads too slowly; a sender that
+    /// depends on it must send it again.
     pub fn cast(self: &Rc<Self>, to: SocketAddr, call: &Call) {
         let link = self.link(to);
         let id = self.next_id();
@@ -174,7 +177,7 @@
 }
 
 impl Link {
-    /// The error of calls that wait on it when it ends.
+    /// The error for calls that are pending when the connection ends.
     fn error(&self) -> LinkError {
         if self.is_connected.get() {
             LinkError::Broken
@@ -183,7 +186,7 @@
         }
     }
 
-    /// How much of the reply to a call has arrived, while it is the one that is arriving.
+    /// Number of received bytes of the reply to a call; 0 unless that reply is being received now.
     fn arrived_bytes(&self, id: u64) -> usize {
         let arriving = self.arriving.get();
         if arriving.id == id && rules::arriving_replies_extend_timeout() {
@@ -209,7 +212,7 @@
         }
         self.is_connected.set(true);
         let (from, into) = split(stream);
-        // In this order, so that the same seed gives the same run.
+        // The fixed order makes runs with the same seed identical.
         tokio::select! {
             biased;
             () = self.read_replies(BufReader::new(from)) => {}
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Gives each reply to its caller until the connection breaks.
+    /// Passes each reply to its caller until the connection breaks.
     async fn read_replies(&self, mut from: BufReader<ReadHalf<Stream>>) {
         while let Some(frame) =
             frames::read(&mut from, |progress| self.arriving.set(progress)).await
@@ -233,7 +236,7 @@
     }
 }
 
-/// A new connection; `None` where the peer refuses or no attempt succeeds in time.
+/// Opens a connection; `None` if the peer refuses it or no attempt succeeds in time.
 async fn connect(net: &SharedNet, to: SocketAddr) -> Option<Stream> {
     for attempt_timeout in CONNECT_TIMEOUTS {
         if let Ok(connected) = timeout(attempt_timeout, net.dial(to)).await {
--- a/crates/sparrouter-fleet/src/peer/messages.rs
+++ b/crates/sparrouter-fleet/src/peer/messages.rs
@@ -1,7 +1,7 @@
 //! Calls between nodes and their replies: `nanoserde` binary in frames over TCP.
 //!
-//! The order of fields and variants is the protocol, since nodes of two releases run side by side: only their names are
-//! free. `tests/recorded_bytes.rs` has the bytes.
+//! The order of fields and variants is the wire format, since nodes of two releases run side by side; their names are
+//! not sent. `tests/recorded_bytes.rs` checks the bytes.
 use nanoserde::{DeBin, SerBin};
 use sparrouter_codec::{Blob, Seq};
 use sparrouter_config::{Edit, Hunk};
@@ -9,42 +9,43 @@
 
 /// First bytes of a connection: name and version of this protocol.
 pub const HELLO: &[u8; 8] = b"sprtrfl5";
-/// The same of the next version, which adds the calls of quotas. Only those are sent on its connections, so that a node
-/// of an earlier release refuses the connection and not one that other calls wait on.
+/// First bytes of a connection in the next version of the protocol, which adds the calls of quotas. Only these calls
+/// are sent on such connections, so that a node of an earlier release refuses this connection but not one with other
+/// pending calls.
 pub const QUOTA_HELLO: &[u8; 8] = b"sprtrfl6";
-/// Longest frame, in bytes: the largest configuration with a margin.
+/// Maximum length of a frame, in bytes: the largest configuration with a margin.
 pub const MAX_FRAME: usize = 12 << 20;
 
-/// What a node has, as it asks a source for what is newer.
+/// A poll: the state that a node has, by which a source replies with newer state.
 #[derive(Clone, Debug, Default, SerBin, DeBin)]
 pub struct Poll {
-    /// Name of the node that asks.
+    /// Name of the polling node.
     pub name: String,
-    /// Its record, until the source has it.
+    /// Record of the polling node; sent until the source has it.
     pub record: Option<NodeRecord>,
-    /// Which process of the source `revision` is of.
+    /// Epoch of the source's process to which `revision` belongs.
     pub epoch: u64,
-    /// Revision of the source's records that the node has; 0: none.
+    /// Revision of the source's records that the node has; 0 if it has none.
     pub revision: u64,
-    /// Number of the state of the configuration's shard that the node has, from 1; 0: none.
+    /// Number of the configuration state that the node has, from 1; 0 if it has none.
     pub config_slot: u64,
-    /// Digest of the configuration's text that the node has; 0 asks for the complete text.
+    /// Digest of the node's configuration text; 0 requests the complete text.
     pub config_digest: u64,
-    /// How long the source may wait with its reply while there is nothing new, in milliseconds.
+    /// How long the source may delay its reply while there is nothing new, in milliseconds.
     pub max_wait_ms: u32,
-    /// The versions of weights that this node knows to be named, for a source that may have just started; sent with the
+    /// The named versions of weights that the node knows, for a source that may have just started; sent with the
     /// record.
     pub models: Seq<ModelUpdate>,
 }
 
-/// A version of a model's weights that was named.
+/// A named version of a model's weights.
 #[derive(Clone, Debug, Default, SerBin, DeBin)]
 pub struct ModelUpdate {
     /// Name of the model.
     pub name: String,
     /// The version, 1 or more.
     pub version: u64,
-    /// For how long the sender has known of it, in milliseconds.
+    /// How long ago the sender learned of the version, in milliseconds.
     pub age_ms: u64,
 }
 
@@ -55,14 +56,14 @@
     pub slot: u64,
     /// Version of the newest configuration; 0 before the first.
     pub version: u64,
-    /// Its text; empty before the first.
+    /// Text of the configuration; empty before the first.
     pub text: TextUpdate,
     /// The named versions of weights.
     pub versions: VersionsUpdate,
 }
 
-/// The versions of weights that were named, and what their time limits go by. A model has one entry for each version
-/// whose limit has not passed.
+/// The named versions of weights, and the data for their time limits. A model has one entry for each version whose
+/// limit has not passed.
 #[derive(Clone, Debug, Default, SerBin, DeBin)]
 pub struct VersionsUpdate {
     /// The named versions.
@@ -71,12 +72,12 @@
     pub core_changed_age_ms: Option<u64>,
 }
 
-/// The configuration's text, for one that has it, an earlier one, or none that is known.
+/// The configuration's text, complete or as edits of the text that the receiver has.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum TextUpdate {
     /// The complete text.
     Complete(String),
-    /// From the text with the digest that the poll named to the one in force; empty where that is it.
+    /// Edits from the text whose digest the poll named to the text in force; empty if the texts are the same.
     Edits(Seq<EditUpdate>),
 }
 
@@ -86,32 +87,32 @@
     }
 }
 
-/// A change of a text, as [`Edit`].
+/// An edit of a text, encoded; see [`Edit`].
 #[derive(Clone, Debug, Default, SerBin, DeBin)]
 pub struct EditUpdate {
-    /// Digest of the text before.
+    /// Digest of the text before the edit.
     pub from: u64,
-    /// Digest of the text after.
+    /// Digest of the text after the edit.
     pub to: u64,
-    /// The changes.
+    /// The replaced ranges.
     pub hunks: Seq<HunkUpdate>,
 }
 
-/// A range of a text that is replaced, as [`Hunk`].
+/// A replaced range of a text, encoded; see [`Hunk`].
 #[derive(Clone, Debug, Default, SerBin, DeBin)]
 pub struct HunkUpdate {
     /// Offset of the range in bytes.
     pub start: u32,
-    /// Its length in bytes.
+    /// Length of the range in bytes.
     pub length: u32,
-    /// What replaces it.
+    /// The replacement.
     pub text: String,
 }
 
 impl From<&Edit> for EditUpdate {
     fn from(edit: &Edit) -> EditUpdate {
         let hunk = |hunk: &Hunk| HunkUpdate {
-            // Texts are shorter than a frame.
+            // The cast is lossless, since texts are shorter than a frame.
             start: hunk.start as u32,
             length: hunk.length as u32,
             text: hunk.text.clone(),
@@ -139,14 +140,14 @@
     }
 }
 
-/// What is newer at a source than what the node that polled has.
+/// The state of a source that is newer than the polling node's.
 #[derive(Clone, Debug, Default, SerBin, DeBin)]
 pub struct Update {
-    /// Records, packed: the same bytes for all nodes that had the same revision.
+    /// Packed records: the same bytes for all nodes with the same revision.
     pub records: Blob,
     /// The configuration, if it is newer.
     pub config: Option<ConfigUpdate>,
-    /// The read by which a quorum lately confirmed the configuration in force at the source; `None`: none did.
+    /// The read by which a quorum recently confirmed the configuration in force at the source; `None` if there is none.
     pub confirmed: Option<ConfirmedRead>,
 }
 
@@ -160,7 +161,8 @@
 /// A read of the configuration that a quorum confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ConfirmedRead {
-    /// When the read began, in milliseconds after the poll arrived, rounded down; negative: before it.
+    /// When the read began, in milliseconds after the poll arrived, rounded down; negative if it began before the poll
+    /// arrived.
     pub began_ms: i64,
 }
 
@@ -169,97 +171,98 @@
 pub struct CachedBlock {
     /// Hash of salt and block id.
     pub key: u64,
-    /// Tokens that are cached of it; 0: it was removed.
+    /// Number of cached tokens of the block; 0 if it was removed.
     pub tokens: u32,
 }
 
-/// A call of one node to another.
+/// A call from one node to another.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Call {
-    /// Asks for what is newer; answered by [`Reply::Update`].
+    /// Requests newer state; answered by [`Reply::Update`].
     Poll(Poll),
-    /// Records that changed at the sender, for a source.
+    /// Records that changed at the sender, sent to a source.
     Notify(MembershipDelta),
     /// A message of a shard's register. No reply.
     Consensus {
         /// Number of the shard.
         shard: u16,
-        /// Disk id of the member that sends it.
+        /// Disk id of the sending member.
         disk_id: u64,
-        /// Its name.
+        /// Name of the sending member.
         name: String,
-        /// Its internal address.
+        /// Internal address of the sending member.
         address: String,
-        /// The message.
+        /// The encoded message.
         message: Blob,
     },
-    /// A change of a shard, for a member of its group.
+    /// A change of a shard, sent to a member of its group.
     Change {
         /// Number of the shard.
         shard: u16,
-        /// The change, as the shard's state machine reads it.
+        /// The change, in the encoding of the shard's state machine.
         change: Blob,
-        /// How long the member may take, in milliseconds.
+        /// Time-out of the change at the member, in milliseconds.
         timeout_ms: u32,
     },
-    /// A prompt whose prefix ends with this block is about to go to a server: asks the block's owner where it is cached.
+    /// Asks the owner of a block where it is cached, before a prompt whose prefix ends with the block is sent to a
+    /// server.
     QueryPrefix {
         /// Key of the block.
         key: u64,
         /// Hash of the server's id.
         server: u64,
-        /// Hash of the address of the store that may save it; 0: none.
+        /// Hash of the address of the store that may save the prefix; 0 if there is none.
         store: u64,
     },
-    /// What a server or store caches now, for the owner of the blocks. No reply.
+    /// Reports changes in the blocks that a server or store caches to their owner. No reply.
     CachedBlocks {
         /// Hash of the server's id or the store's address.
         source: u64,
-        /// Whatever was reported of the source before is void.
+        /// Whether all earlier reports of the source are void.
         replaces_all: bool,
         /// The blocks that changed.
         blocks: Seq<CachedBlock>,
     },
-    /// Asks the server's owner how long a prompt would wait there; it is counted as waiting unless it would wait longer
-    /// than `max_wait_ms`.
+    /// Asks the server's owner how long a prompt would wait there. The prompt is counted as pending unless it would
+    /// wait longer than `max_wait_ms`.
     EstimateWait {
         /// Hash of the server's id.
         server: u64,
-        /// By which the prompt is known until it has begun.
+        /// Token that identifies the prompt until it has begun.
         token: u64,
         /// Tokens to prefill.
         cost: u32,
-        /// Class of urgency, 0 for the most urgent.
+        /// Urgency class; 0 is the most urgent.
         urgency: u8,
-        /// Longest wait, in milliseconds.
+        /// Longest accepted wait, in milliseconds.
         max_wait_ms: u32,
     },
-    /// A prompt that was counted as waiting has begun, or ended without. No reply.
+    /// Reports that a prompt that was counted as pending has begun, or ended without beginning. No reply.
     PromptFinished {
         /// Hash of the server's id.
         server: u64,
         /// The token of [`Call::EstimateWait`].
         token: u64,
-        /// Whether it has begun.
+        /// Whether the prompt has begun.
         began: bool,
     },
-    /// A request failed at a server, for the server's owner. No reply.
+    /// Reports to the server's owner that a request failed at the server. No reply.
     RequestFailed {
         /// Hash of the server's id.
         server: u64,
-        /// The key by which the request's server was selected.
+        /// The key by which the server was selected for the request.
         key: u64,
-        /// Requests that the server answered to the sender lately, in thousandths.
+        /// Number of the sender's requests that the server recently answered, in thousandths of a request.
         answered_milli: u32,
     },
-    /// A request that failed at a server was answered by another, for the first one's owner. No reply.
+    /// Reports to the first server's owner that a request which failed there was completed by another server. No reply.
     ServedElsewhere {
         /// Hash of the first server's id.
         server: u64,
     },
-    /// The records of the first groups.
+    /// The records of the first groups, sent to their members.
     Bootstrap {
-        /// One for each shard, by its number.
+        /// The records, indexed by shard number.
         records: Seq<Blob>,
     },
     /// Asks the holder of a shard's lease for permits of a tenant's quota; answered by [`Reply::Permits`],
@@ -269,29 +272,29 @@
         shard: u16,
         /// Name of the tenant.
         tenant: String,
-        /// How many at most; 1 or more.
+        /// Maximum number of permits; 1 or more.
         wanted: u32,
     },
-    /// The same for a node that cannot reach the holder: asks the receiver to ask in its place.
+    /// Asks the receiver to relay [`Call::TakePermits`] to the holder, which the sender cannot reach.
     RelayTakePermits {
         /// Number of the shard.
         shard: u16,
         /// Name of the tenant.
         tenant: String,
-        /// How many at most; 1 or more.
+        /// Maximum number of permits; 1 or more.
         wanted: u32,
     },
-    /// Permits that were granted and will never be used. No reply.
+    /// Returns permits that were granted and will never be used. No reply.
     ReturnPermits {
         /// Number of the shard.
         shard: u16,
         /// Name of the tenant.
         tenant: String,
-        /// Fencing token of the lease under which they were granted.
+        /// Fencing token of the lease under which the permits were granted.
         fencing_token: u64,
-        /// When they were granted, as the reply said.
+        /// When the permits were granted, as given in the reply.
         granted_at: u64,
-        /// How many.
+        /// Number of permits.
         count: u32,
     },
 }
@@ -299,51 +302,52 @@
 /// The reply to a call.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Reply {
-    /// To [`Call::Poll`].
+    /// Reply to [`Call::Poll`].
     Update(Update),
     /// The call was carried out.
     Acknowledged,
-    /// To [`Call::Change`]: the answer of the shard's state machine.
+    /// Reply to [`Call::Change`]: the answer of the shard's state machine.
     Applied(Blob),
-    /// To [`Call::Change`]: it was not applied and never will be by this call; the reason, for people.
+    /// Reply to [`Call::Change`]: the change was not applied, and this call will not apply it later. Contains the
+    /// reason as text.
     NotApplied(String),
-    /// To [`Call::Change`]: it may be applied or not.
+    /// Reply to [`Call::Change`]: the change may or may not be applied.
     Unknown,
-    /// To [`Call::QueryPrefix`].
+    /// Reply to [`Call::QueryPrefix`].
     PrefixLocation {
-        /// The store should save the prefix.
+        /// Whether the store should save the prefix.
         save: bool,
-        /// The server has it.
+        /// Whether the server caches the prefix.
         is_cached: bool,
-        /// The servers and stores that have it, by their hashes.
+        /// Hashes of the servers and stores that cache the prefix.
         cached_at: Seq<u64>,
-        /// The server that prefills it now, by its hash; 0: none is known.
+        /// Hash of the server that is prefilling the prefix now; 0 if none is known.
         prefilling_server: u64,
     },
-    /// To [`Call::EstimateWait`].
+    /// Reply to [`Call::EstimateWait`].
     Wait {
-        /// The wait in milliseconds.
+        /// The expected wait, in milliseconds.
         ms: u32,
     },
-    /// The call cannot be carried out here; the reason, for people.
+    /// The call cannot be carried out here. Contains the reason as text.
     Rejected(String),
-    /// To [`Call::TakePermits`].
+    /// Reply to [`Call::TakePermits`]: the permits are granted.
     Permits {
-        /// Fencing token of the lease under which they are granted.
+        /// Fencing token of the lease under which the permits are granted.
         fencing_token: u64,
-        /// When, in nanoseconds of the holder's steady clock.
+        /// When the permits are granted, in nanoseconds of the holder's steady clock.
         granted_at: u64,
-        /// How many; 1 or more.
+        /// Number of permits; 1 or more.
         count: u32,
     },
-    /// To [`Call::TakePermits`]: none is left.
+    /// Reply to [`Call::TakePermits`]: the quota is used up.
     QuotaExhausted {
-        /// When to come back, in milliseconds.
+        /// Delay after which to retry, in milliseconds.
         retry_after_ms: u32,
     },
-    /// To [`Call::TakePermits`]: another node has the lease, or this one may not grant yet.
+    /// Reply to [`Call::TakePermits`]: another node holds the lease, or this one may not grant yet.
     NotLeaseHolder {
-        /// When this node may grant, in milliseconds; `None`: it has no lease.
+        /// Time until this node may grant, in milliseconds; `None` if it does not hold the lease.
         active_in_ms: Option<u32>,
     },
 }
--- a/crates/sparrouter-fleet/src/peer/server.rs
+++ b/crates/sparrouter-fleet/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Calls of other nodes: their connections, and the tasks that answer.
+//! Server side of calls between nodes: accepting connections, and the tasks that answer calls.
 use super::frames::{self, MAX_QUEUED_FRAMES};
 use crate::peer::messages::{Call, HELLO, QUOTA_HELLO, Reply};
 use crate::platform::net::{self, Listener, Stream};
@@ -11,15 +11,15 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Most calls of one connection that are answered at a time.
+/// Maximum number of calls of one connection that are answered concurrently.
 const MAX_CONCURRENT_CALLS: usize = 128;
-/// Most connections of other nodes.
+/// Maximum number of connections from other nodes.
 const MAX_CONNECTIONS: usize = 1_200;
-/// How long the first bytes of a connection may take.
+/// Time-out for the first bytes of a connection.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Accepts connections of other nodes and answers their calls by `answer`, until the process ends. `None` as an answer:
-/// the call has no reply.
+/// Accepts connections of other nodes and answers their calls with `answer`, until the process ends. `answer` returns
+/// `None` for a call that has no reply.
 pub async fn serve<F, A>(listener: Box<dyn Listener>, answer: F)
 where
     F: Fn(SocketAddr, Call) -> A + Clone + 'static,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Serves one connection until it breaks. Calls that are being answered then run to their end, without a reply.
+/// Serves one connection until it breaks. Calls that are being answered then are completed, without a reply.
 async fn serve_connection<F, A>(stream: Stream, peer: SocketAddr, answer: F)
 where
     F: Fn(SocketAddr, Call) -> A + Clone + 'static,
@@ -51,7 +51,7 @@
         return;
     }
     let (queue, queued) = mpsc::channel(MAX_QUEUED_FRAMES);
-    // In this order, so that the same seed gives the same run.
+    // The fixed order makes runs with the same seed identical.
     tokio::select! {
         biased;
         () = read_calls(from, queue, move |call| answer(peer, call)) => {}
@@ -66,7 +66,7 @@
     matches!(read, Ok(Ok(_))) && [HELLO, QUOTA_HELLO].contains(&&hello)
 }
 
-/// Reads calls until the connection breaks; each is answered by a task of its own.
+/// Reads calls until the connection breaks; each is answered in a separate task.
 async fn read_calls<A>(
     mut from: BufReader<ReadHalf<Stream>>,
     replies: mpsc::Sender<Vec<u8>>,
@@ -85,7 +85,7 @@
         let (answering, replies) = (answer(call), replies.clone());
         spawn_local(async move {
             if let Some(reply) = answering.await {
-                // The peer may have left meanwhile.
+                // The peer may have disconnected before the reply.
                 let _ = replies.send(frames::encode(frame.id, &reply)).await;
             }
             drop(permit);
--- a/crates/sparrouter-fleet/src/platform/background_writer.rs
+++ b/crates/sparrouter-fleet/src/platform/background_writer.rs
@@ -1,29 +1,29 @@
-//! Writes by a thread of its own, so that an output that nobody reads does not hold the process up.
+//! Writes an output on a separate thread, so that an output whose reader is slow or absent does not block the process.
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 use std::time::Duration;
 
-/// How long a flush waits for the output. A reader that is there is not slower.
+/// How long a flush waits for the output. An active reader is faster than this.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the thread is asked to do.
+/// A command to the writer thread.
 enum Request {
     Write(Vec<u8>),
-    /// Flush, then answer.
+    /// Flushes the output, then notifies the sender.
     Flush(Sender<()>),
 }
 
-/// An output that is written by a thread, which starts with the first write and ends with the process. Nothing bounds what
-/// may wait to be written: for outputs that are bounded by who writes.
+/// An output that is written on a separate thread, which starts with the first write and ends with the process. The
+/// queue of pending writes is unbounded: the writer must limit its own output.
 pub struct BackgroundWriter<W> {
-    /// Until the thread starts.
+    /// The output; `None` once the thread has started.
     output: Option<W>,
     requests: Option<Sender<Request>>,
 }
 
 impl<W: Write + Send + 'static> BackgroundWriter<W> {
-    /// A writer to this output.
+    /// Creates a writer to this output.
     pub fn new(output: W) -> BackgroundWriter<W> {
         BackgroundWriter {
             output: Some(output),
@@ -38,7 +38,7 @@
             self.requests = Some(sender);
         }
         if let Some(requests) = &self.requests {
-            // The thread ends with the process only.
+            // The thread ends only with the process.
             let _ = requests.send(request);
         }
     }
@@ -47,13 +47,13 @@
 fn write_all(mut output: impl Write, requests: &Receiver<Request>) {
     for request in requests {
         match request {
-            // An output that fails loses what is written to it, as it would without the thread.
+            // If the output fails, the data is lost, as it would be without the thread.
             Request::Write(bytes) => {
                 let _ = output.write_all(&bytes);
             }
             Request::Flush(done) => {
                 let _ = output.flush();
-                // Nobody waits any more where the time-out was shorter.
+                // The receiver is gone if its time-out has passed.
                 let _ = done.send(());
             }
         }
@@ -66,7 +66,7 @@
         Ok(bytes.len())
     }
 
-    /// Waits until all is written, but no longer than the time-out: the rest is written later.
+    /// Waits until all pending data is written, up to the time-out; the rest is written later.
     fn flush(&mut self) -> io::Result<()> {
         let (done, is_done) = channel();
         self.request(Request::Flush(done));
--- a/crates/sparrouter-fleet/src/platform/defects.rs
+++ b/crates/sparrouter-fleet/src/platform/defects.rs
@@ -1,14 +1,14 @@
-//! Injected defects: mistakes made on purpose, one at a time, so that tests can show that they would find them.
+//! Injected defects: deliberate mistakes, one at a time, by which tests show that they would detect them.
 //!
-//! Sound code does not name a defect. Where a guard depends on one, the code asks for the *rule* that the defect
-//! switches off, such as `rules::relay_needs_contact`: a rule holds always, unless its defect is injected. Without the
-//! feature `injected-defects`, which tests alone enable, each rule is the constant `true` and nothing of this remains
-//! in the program. The injected defect is a state of the thread, so that all nodes of a simulation share it.
+//! Correct code does not name a defect. A guard that a defect disables asks for a *rule*, such as
+//! `rules::relay_needs_contact`: a rule holds unless its defect is injected. Without the feature `injected-defects`,
+//! which only tests enable, each rule is the constant `true`, and the program contains no injection code. The injected
+//! defect is thread-local, so that all nodes of a simulation share it.
 
 /// Defines [`Defect`], its list [`Defect::ALL`], and a rule for each variant from one table: `DEFECT => rule`.
 macro_rules! defects {
     ($($(#[$doc:meta])* $defect:ident => $rule:ident,)*) => {
-        /// A mistake that can be injected.
+        /// A defect that can be injected.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Defect {
             $($(#[$doc])* $defect,)*
@@ -19,7 +19,7 @@
             pub const ALL: &[Defect] = &[$(Defect::$defect,)*];
         }
 
-        /// The rules that hold unless the defect is injected which switches them off.
+        /// The rules; each holds unless the defect that disables it is injected.
         pub(crate) mod rules {
             $(
                 /// Whether the rule holds.
@@ -38,7 +38,7 @@
 defects! {
     /// Promises and accepted proposals are sent before they are on disk.
     AckBeforeSync => acks_follow_sync,
-    /// A disk that was wiped comes back under its old id, and its node votes.
+    /// A wiped disk is used again under its old id, and its node votes.
     WipedDiskVotes => wiped_disks_get_new_ids,
     /// Majorities are counted over the first group that the node knew.
     OldGroupCounts => only_current_group_counts,
@@ -48,7 +48,7 @@
     AnsweredBeforeChosen => answers_follow_choice,
     /// A proposal that this node accepted is in force after its restart, chosen or not.
     LosingProposalInForce => only_chosen_state_applies,
-    /// A change that is sent again is judged anew.
+    /// A change that is sent again is evaluated again.
     SameBodyRefused => repeated_orders_recognized,
     /// A change that no quorum answered is acknowledged.
     MinorityAcks => acks_need_quorum,
@@ -66,17 +66,17 @@
     AckWithoutReplica => acks_need_replica,
     /// A rollout lease counts as valid without renewal.
     LeaseUnrenewed => orders_renew_lease,
-    /// A restarted process gets the slack of its retry budget anew.
+    /// A restarted process gets the slack of its retry budget again.
     RetrySlackRenewedByRestart => restarts_renew_no_retry_slack,
     /// The cache salt leaves out the version of the weights.
     SaltWithoutVersion => salt_names_version,
-    /// The cache salt leaves out the tenant that is isolated.
+    /// The cache salt leaves out the isolated tenant.
     SaltWithoutTenant => salt_names_tenant,
-    /// Requests do not name the server that they are for.
+    /// Requests do not name the server for which they are meant.
     ExpectedInstanceOmitted => requests_name_instance,
-    /// A request that may have run is retried, whatever its route allows.
+    /// A request that may have run is retried even if its route forbids it.
     NonIdempotentRetried => only_idempotent_retried,
-    /// 503, which promises that a request has not run, answers one that may have run.
+    /// A request that may have run is answered by 503, which promises that it has not run.
     NeverRunPromiseBroken => retry_later_proves_not_run,
     /// A stream that broke off is closed as if it were complete.
     BrokenStreamClosedAsComplete => broken_streams_stay_incomplete,
@@ -88,13 +88,13 @@
     RequestsAdmittedWhileLeaving => shutdown_limits_admission,
     /// Where no server is ready the client gets the status of an unknown route.
     NoServerReportedAsNoRoute => missing_server_is_no_missing_route,
-    /// A repeated order is recognized by its base and number alone.
+    /// A repeated order is recognized only by its base and number.
     OrderDigestIgnored => order_digests_compared,
-    /// An order is judged on the version in force, whatever version it builds on.
+    /// An order is evaluated on the version in force, even if it has another base.
     BaseIgnored => order_base_checked,
     /// Applied orders are forgotten once a newer version is in force.
     AppliedOrdersForgotten => applied_orders_remembered,
-    /// An order that is too old to tell whether it was applied is refused.
+    /// An order that is too old to decide whether it was applied is refused.
     OldOrderRefused => old_orders_stay_unknown,
     /// An order whose base has not been in force is refused, though a copy of it is still in flight.
     EarlyReplicaRejected => early_copies_stay_unknown,
@@ -112,7 +112,7 @@
     ErrorInStream => only_success_resumes_stream,
     /// A reset ends a response without a length as if it were complete.
     ResetTreatedAsEnd => resets_are_no_end,
-    /// An order to load weights does not name the server that it is for.
+    /// An order to load weights does not name the server for which it is meant.
     OrderInstanceOmitted => orders_name_instance,
     /// A request is sent though its client has left or its deadline has passed.
     SentAfterClientLeft => client_checked_before_send,
@@ -124,7 +124,7 @@
     CallIdReused => call_ids_are_unique,
     /// A node joins a group before its disk holds the group's state.
     UnconfirmedJoins => joins_need_stored_state,
-    /// A member ends without handing over what only it has.
+    /// A member ends without handing over the state that only it has.
     LeavesWithoutHandover => shutdown_awaits_handover,
     /// Members don't compare their states with each other.
     AntiEntropyDisabled => members_compare_states,
@@ -136,7 +136,7 @@
     LateAnswerConfirms => reads_count_from_their_start,
     /// The reply to a poll that waited in a frozen process counts as contact now.
     StaleAnswerInforms => late_poll_replies_ignored,
-    /// A process that starts is ready with a configuration that no quorum confirmed.
+    /// A process that starts is ready with a configuration that no quorum has confirmed.
     UnconfirmedReady => readiness_needs_quorum,
     /// A node without quorum contact acknowledges records to the node that sends them.
     NotifyWithoutContact => notified_node_needs_contact,
@@ -148,15 +148,15 @@
     RelayWithoutContact => relay_needs_contact,
     /// A node without quorum contact marks nodes that stopped polling it as unresponsive.
     MarksUnresponsiveWithoutContact => watching_needs_contact,
-    /// A reply that is arriving times out like one that is not.
+    /// The time-out of a reply that is arriving is not extended.
     VersionLimitNotRestarted => arriving_replies_extend_timeout,
     /// A request goes to more servers than its route allows.
     AttemptsUncounted => attempts_are_limited,
     /// A process that shuts down still counts as ready.
     ReadyWhileLeaving => leaving_nodes_are_not_ready,
-    /// A response is relayed on although its client has left.
+    /// A response is still relayed after its client has left.
     ClientUnwatched => client_watched_while_relaying,
-    /// A newly named version removes the time limit of the one before it.
+    /// A newly named version removes the time limit of the previous version.
     LimitReplaced => older_limits_stay,
     /// A process that starts counts the nodes that it learns of as changes of the core, which restart time limits.
     StartMovesLimits => start_moves_no_limits,
@@ -182,25 +182,25 @@
     LeaseFromAnySource => lease_needs_quorum,
     /// The lease on the configuration is not checked before a request is forwarded.
     LeaseUnchecked => keys_need_lease,
-    /// A request whose key was removed meanwhile still goes to a further server.
+    /// A request whose key was removed in the meantime is still sent to another server.
     RemovedKeyRetries => retries_need_known_key,
-    /// No node learns of a server that fails requests which others would serve.
+    /// No node learns of a server that fails requests which other servers complete.
     OutlierUnreported => outliers_are_reported,
-    /// A permit's time runs from the holder's answer.
+    /// A permit's lifetime starts at the holder's answer.
     PermitFromAnswer => permits_run_from_asking,
-    /// A permit is spent whenever its request is sent.
+    /// A permit is used for a request even after it has expired.
     PermitUnchecked => permits_checked_before_send,
-    /// A lease holder grants permits though its lease is over.
+    /// A lease holder grants permits although its lease has expired.
     GrantAfterLease => grants_need_valid_lease,
-    /// Buckets are full when a lease is taken over.
+    /// Buckets are full after the takeover of a lease.
     FullAfterTakeover => takeovers_start_empty,
-    /// Buckets are full when a lease is acquired that nobody else has.
+    /// Buckets are full after a lease is acquired that no other node holds.
     FullAfterRestart => restarts_start_empty,
-    /// A lease is used at once that another holder may still use.
+    /// A lease that another holder may still use takes effect at once.
     TakeoverAtOnce => takeovers_wait,
-    /// A permit that is given back counts twice.
+    /// A returned permit counts twice.
     PermitReturnedTwice => permits_returned_once,
-    /// A permit is given back though it was spent.
+    /// A permit is returned although it was spent.
     SpentPermitReturned => spent_permits_kept,
     /// Only the first attempt of a request needs a permit.
     RetryWithoutPermit => retries_need_permit,
@@ -226,9 +226,9 @@
     false
 }
 
-/// Whether a defect is injected that the reads for quorum contact hide. It is injected together with the absence of those
-/// reads once a process has caught up: a member that reads learns what it missed, and one that cannot read gives up the
-/// proposal with which it could go on without the old group.
+/// Whether the injected defect would be hidden by the reads for quorum contact. It is therefore injected together with
+/// the absence of those reads once a process has caught up: a member that reads learns the state that it missed, and a
+/// member that cannot read gives up the proposal with which it could proceed without the old group.
 pub(crate) fn hidden_by_reads() -> bool {
     !rules::both_groups_asked() || !rules::members_compare_states()
 }
@@ -246,7 +246,7 @@
     }
 }
 
-/// The text of a new configuration; where `MixedSnapshot` is injected, with the tenants of the one known before.
+/// The text of a new configuration; if `MixedSnapshot` is injected, combined with the tenants of the previous one.
 pub(crate) fn snapshot_text(text: &str, known: &str) -> String {
     let tenants_at = |of: &str| of.find("\"tenants\":");
     match (tenants_at(text), tenants_at(known)) {
--- a/crates/sparrouter-fleet/src/platform/http.rs
+++ b/crates/sparrouter-fleet/src/platform/http.rs
@@ -1,4 +1,5 @@
-//! HTTP messages as a whole, and responses of our own: for the frontend, the control endpoint and calls to servers.
+//! Complete HTTP messages and the responses of this process, for the frontend, the control endpoint and calls to
+//! servers.
 use bytes::{Bytes, BytesMut};
 use sparrouter_http::chunks::{ChunkDecoder, ChunkEvent};
 use sparrouter_http::head::{self, Framing, RequestHead};
@@ -8,26 +9,26 @@
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt};
 use tokio::time::{Instant, timeout_at};
 
-/// How long a connection is read on after our side is closed.
+/// How long the process continues to read a connection after it has closed its own side.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Limits for what a caller sends.
+/// Limits on a client's request.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadLimits {
-    /// Longest head, in bytes.
+    /// Maximum length of the head, in bytes.
     pub max_head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum length of the body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for the head, from its first byte.
+    /// Time-out of the head, from its first byte.
     pub header_timeout: Duration,
 }
 
-/// Why there is no request.
+/// Why no request was read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RequestReadError {
-    /// The connection ended, so that nobody waits for a response.
+    /// The connection ended, so that there is no client to respond to.
     Left,
-    /// It is answered with this status and text, and the connection ends.
+    /// The request is answered with this status and text, and the connection is closed.
     Refused(u16, &'static str),
 }
 
@@ -46,20 +47,20 @@
 /// A complete request.
 #[derive(Debug)]
 pub struct Request {
-    /// Its head.
+    /// The request's head.
     pub head: RequestHead,
-    /// Its body.
+    /// The request's body.
     pub body: Bytes,
 }
 
 impl Request {
-    /// The path of its target, without the query.
+    /// The path of the request's target, without the query.
     pub fn path(&self) -> &str {
         let target = std::str::from_utf8(&self.head.target).unwrap_or("/");
         target.split('?').next().unwrap_or("/")
     }
 
-    /// The value of a parameter of the query.
+    /// The value of a query parameter.
     pub fn query(&self, name: &str) -> Option<&str> {
         let target = std::str::from_utf8(&self.head.target).ok()?;
         let (_, query) = target.split_once('?')?;
@@ -75,7 +76,7 @@
 ///
 /// # Errors
 ///
-/// A [`ReadError`] where the connection ends before, or the framing is malformed.
+/// A [`ReadError`] if the connection ends early or the framing is malformed.
 pub async fn read_body(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -114,18 +115,18 @@
     }
 }
 
-/// Reads the rest of a request of which a byte is in the buffer. `deadline`: when it must be complete.
+/// Reads the rest of a request whose first byte is in the buffer. `deadline`: when the request must be complete.
 ///
 /// # Errors
 ///
-/// A [`RequestReadError`], which says how to answer it.
+/// A [`RequestReadError`], which contains the response, if any.
 pub async fn read_request(
     stream: &mut (impl AsyncRead + AsyncWrite + Unpin),
     buffer: &mut BytesMut,
     limits: ReadLimits,
     deadline: Instant,
 ) -> Result<Request, RequestReadError> {
-    let timed_out = |_| RequestReadError::Refused(408, "the request did not come in time");
+    let timed_out = |_| RequestReadError::Refused(408, "the request did not arrive in time");
     let head_deadline = deadline.min(Instant::now() + limits.header_timeout);
     let bytes = timeout_at(
         head_deadline,
@@ -183,23 +184,23 @@
     }
 }
 
-/// A response of our own.
+/// A response that this process generates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// Whether the body is JSON; else plain text.
+    /// Whether the body is JSON; otherwise it is plain text.
     pub json: bool,
-    /// Its body.
+    /// Body of the response.
     pub body: String,
-    /// After which time the client may come back.
+    /// Value of `Retry-After`: the delay after which the client may retry.
     pub retry_after: Option<Duration>,
-    /// Where a redirect leads.
+    /// Target of a redirect.
     pub location: Option<String>,
 }
 
 impl Response {
-    /// A response with a text.
+    /// Creates a response with a plain text.
     pub fn plain(status: u16, text: impl Into<String>) -> Response {
         Response {
             status,
@@ -210,7 +211,7 @@
         }
     }
 
-    /// A response with JSON.
+    /// Creates a response with JSON.
     pub fn json(status: u16, body: impl Into<String>) -> Response {
         Response {
             json: true,
@@ -218,7 +219,7 @@
         }
     }
 
-    /// The response to a request that has not run and never will: the client may come back after this time.
+    /// Creates the response to a request that has not run and never will; the client may retry after this delay.
     pub fn retry_later(after: Duration) -> Response {
         Response {
             retry_after: Some(after),
@@ -226,7 +227,7 @@
         }
     }
 
-    /// 429: the request has not run and never will, since its client has used up what it may use.
+    /// Creates a 429: the request has not run and never will, since its client has used up its quota.
     pub fn too_many_requests(text: &str, after: Duration) -> Response {
         Response {
             retry_after: Some(after),
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Its bytes. `keep_alive`: the connection carries another request after it.
+    /// Encodes the response. `keep_alive`: whether the connection carries another request after it.
     pub fn bytes(&self, keep_alive: bool) -> Bytes {
         let mut out = String::with_capacity(160 + self.body.len());
         let kind = if self.json {
@@ -242,7 +243,7 @@
         } else {
             "text/plain"
         };
-        // Writing into a String does not fail.
+        // Writing into a `String` never fails.
         let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
         let _ = write!(
             out,
@@ -264,8 +265,8 @@
     }
 }
 
-/// Closes our side and reads on for a moment: closing a connection with unread bytes would reset it, and the client would
-/// lose the response.
+/// Closes the write side, then reads on for `DRAIN_TIMEOUT`: closing a connection with unread bytes would reset it,
+/// and the client would lose the response.
 pub async fn drain_until_closed(mut stream: impl AsyncRead + AsyncWrite + Unpin) {
     let _ = stream.shutdown().await;
     let deadline = Instant::now() + DRAIN_TIMEOUT;
--- a/crates/sparrouter-fleet/src/platform/log_buffer.rs
+++ b/crates/sparrouter-fleet/src/platform/log_buffer.rs
@@ -1,4 +1,4 @@
-//! The log: the newest lines in memory, written to standard error only when something goes wrong.
+//! The log: the newest lines in memory, written to standard error only after a violation or a panic.
 use super::background_writer::BackgroundWriter;
 use simplelog::{ConfigBuilder, LevelFilter, WriteLogger};
 use std::collections::VecDeque;
@@ -6,22 +6,22 @@
 use std::panic;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Most lines that are buffered.
-pub const LINES: usize = 256;
-/// Most bytes that are buffered of a line, so that the buffer has at most 60 KiB.
-pub const LONGEST: usize = 240;
-/// Most times that the lines are written out, so that a fault that repeats does not fill a disk.
+/// Maximum number of buffered lines.
+pub const MAX_LINES: usize = 256;
+/// Maximum number of buffered bytes of a line, so that the buffer has at most 60 KiB.
+pub const MAX_LINE_BYTES: usize = 240;
+/// Maximum number of dumps, so that a recurring fault does not fill a disk.
 pub const MAX_DUMPS: u32 = 8;
 
 type Sink = Box<dyn Write + Send>;
 
 struct State {
     lines: VecDeque<Vec<u8>>,
-    /// The line that is being written.
+    /// The line that is being formatted.
     unfinished: Vec<u8>,
     dumps: u32,
     sink: Sink,
-    /// If set, violations are collected here and nothing is written out: for the simulation.
+    /// Collects violations instead of dumping the log if set, for the simulation.
     collected: Option<Vec<String>>,
 }
 
@@ -29,7 +29,7 @@
 #[derive(Clone)]
 pub struct LogBuffer(Arc<Mutex<State>>);
 
-/// To standard error. A dump waits for its reader for a moment only.
+/// Writes dumps to standard error. A dump waits only briefly for a slow reader.
 impl Default for LogBuffer {
     fn default() -> LogBuffer {
         LogBuffer::to(BackgroundWriter::new(io::stderr()))
@@ -37,7 +37,7 @@
 }
 
 impl LogBuffer {
-    /// A log that is written out to `sink`, and that no logger writes into.
+    /// Creates a log that is dumped to `sink` and is not connected to the `log` macros.
     pub fn to(sink: impl Write + Send + 'static) -> LogBuffer {
         let state = State {
             lines: VecDeque::new(),
@@ -49,7 +49,8 @@
         LogBuffer(Arc::new(Mutex::new(state)))
     }
 
-    /// A log that the macros of the crate `log` write into. A second call in a process gives one that nothing writes into.
+    /// Creates the log into which the macros of the crate `log` write. A second call in a process returns a log without
+    /// input.
     pub fn install(level: LevelFilter) -> LogBuffer {
         let log_buffer = LogBuffer::default();
         let config = ConfigBuilder::new()
@@ -59,7 +60,7 @@
         log_buffer
     }
 
-    /// Installs a panic hook that writes the log out.
+    /// Installs a panic hook that dumps the log.
     pub fn dump_on_panic(&self) {
         let (log_buffer, before) = (self.clone(), panic::take_hook());
         panic::set_hook(Box::new(move |info| {
@@ -68,25 +69,26 @@
         }));
     }
 
-    /// A log that writes nothing out; [`LogBuffer::breaches`] gives what it would have been written out for.
-    pub fn gathering() -> LogBuffer {
+    /// Creates a log that is never dumped; [`LogBuffer::violations`] returns the violations that would have caused a
+    /// dump.
+    pub fn collecting() -> LogBuffer {
         let log_buffer = LogBuffer::to(io::sink());
         log_buffer.state().collected = Some(Vec::new());
         log_buffer
     }
 
-    /// The violations since the start, of a log made by [`LogBuffer::gathering`].
-    pub fn breaches(&self) -> Vec<String> {
+    /// The violations so far, of a log made by [`LogBuffer::collecting`].
+    pub fn violations(&self) -> Vec<String> {
         self.state().collected.clone().unwrap_or_default()
     }
 
-    /// Reports a violation of something that must always hold: logs it and writes the log out.
+    /// Reports a violation of an invariant: logs it and dumps the log.
     pub fn report_violation(&self, violation: &str) {
         log::error!("{violation}");
         self.dump(violation);
     }
 
-    /// Writes the lines out and clears them; after [`MAX_DUMPS`] times it only clears them.
+    /// Dumps the buffered lines and clears them; after [`MAX_DUMPS`] dumps, only clears them.
     pub fn dump(&self, reason: &str) {
         let mut state = self.state();
         if let Some(collected) = &mut state.collected {
@@ -111,11 +113,11 @@
             out.extend_from_slice(line);
             out.push(b'\n');
         }
-        // A process that cannot write its log still serves.
+        // A process that cannot write its log continues to serve.
         let _ = state.sink.write_all(&out).and_then(|()| state.sink.flush());
     }
 
-    /// A thread that panicked with the lock lost a line at worst, so the log stays usable.
+    /// Locks the log, also if it is poisoned: a thread that panicked with the lock lost at most one line.
     fn state(&self) -> MutexGuard<'_, State> {
         self.0
             .lock()
@@ -129,11 +131,11 @@
         for &byte in bytes {
             if byte == b'\n' {
                 let line = std::mem::take(&mut state.unfinished);
-                if state.lines.len() == LINES {
+                if state.lines.len() == MAX_LINES {
                     state.lines.pop_front();
                 }
                 state.lines.push_back(line);
-            } else if state.unfinished.len() < LONGEST {
+            } else if state.unfinished.len() < MAX_LINE_BYTES {
                 state.unfinished.push(byte);
             }
         }
--- a/crates/sparrouter-fleet/src/platform/mod.rs
+++ b/crates/sparrouter-fleet/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! What lies below everything else: the network, HTTP messages, connections to servers, the log, and the defects that
-//! tests inject. The simulation puts a network of its own in place of the sockets.
+//! The lowest layer: the network, HTTP messages, connections to servers, the log, and the defects that tests inject.
+//! The simulation replaces the sockets by its own network.
 pub mod background_writer;
 pub mod defects;
 pub mod http;
