--- a/crates/sparrouter-fleet/src/platform/net.rs
+++ b/crates/sparrouter-fleet/src/platform/net.rs
@@ -1,5 +1,5 @@
-//! Connections to other machines, as traits: real sockets here, an in-memory network in the simulation. No other module
-//! opens sockets.
+//! Connections to other machines, as traits with two implementations: real sockets here, and an in-memory network in
+//! the simulation. No other module opens sockets.
 use sparrouter_http::reading;
 use std::future::Future;
 use std::io;
@@ -10,34 +10,34 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// After so long without an acknowledgement a connection breaks, since a machine that lost power closes none.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
-/// Connections that the system holds until they are accepted.
-const BACKLOG: u32 = 1024;
+/// Time without an acknowledgement after which a connection breaks, since a machine that lost power closes none.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum number of connections that the operating system queues until they are accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
 
 /// Pause before another attempt to accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// One connection.
 pub trait Connection: AsyncRead + AsyncWrite + Unpin {
-    /// Reads what has arrived, without waiting; see [`reading::read_available`].
+    /// Reads the available bytes without waiting; see [`reading::read_available`].
     fn read_available(&self, buffer: &mut [u8]) -> Option<io::Result<usize>>;
 }
 
 /// A connection of any kind.
 pub type Stream = Box<dyn Connection>;
-/// A boxed future, so that the traits here can be used as objects.
+/// A boxed future, which makes the traits here usable as trait objects.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// An address that connections are accepted on.
+/// A socket that accepts connections on one address.
 pub trait Listener {
-    /// Waits for the next connection; gives it with the peer's address.
+    /// Waits for the next connection and returns it with the peer's address.
     fn accept(&self) -> BoxFuture<'_, io::Result<(Stream, SocketAddr)>>;
 }
 
-/// The network as one machine sees it.
+/// The network, as one machine uses it.
 pub trait Net {
-    /// Connects to an address. Callers bound the time.
+    /// Connects to an address. The caller sets the time-out.
     ///
     /// # Errors
     ///
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// The error of the operating system, such as an address that is in use.
+    /// The error of the operating system, for example if the address is in use.
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>>;
 }
 
@@ -62,9 +62,10 @@
 
 /// Sets the options of a new connection.
 fn configure(stream: TcpStream) -> Stream {
-    // If these fail the connection works all the same, but sends later and notices a dead machine later.
+    // Errors are ignored: without these options the connection works, but sends with delay and detects a failed peer
+    // later.
     let _ = stream.set_nodelay(true);
-    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     Box::new(stream)
 }
 
@@ -80,7 +81,7 @@
         };
         socket.set_reuseaddr(true)?;
         socket.bind(at)?;
-        Ok(Box::new(socket.listen(BACKLOG)?))
+        Ok(Box::new(socket.listen(ACCEPT_BACKLOG)?))
     }
 }
 
@@ -96,12 +97,12 @@
 /// The network, shared by the tasks of a process.
 pub type SharedNet = Rc<dyn Net>;
 
-/// Waits for the next connection. After an error, such as too few descriptors, the attempt is repeated until one succeeds.
+/// Waits for the next connection. After an error, such as too few file descriptors, it retries until it succeeds.
 pub async fn accept(listener: &dyn Listener) -> (Stream, SocketAddr) {
     loop {
         match listener.accept().await {
             Ok(connection) => return connection,
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
--- a/crates/sparrouter-fleet/src/platform/query.rs
+++ b/crates/sparrouter-fleet/src/platform/query.rs
@@ -1,21 +1,21 @@
-//! Values of a URL's query in percent-encoding (RFC 3986, section 2.1).
+//! Percent-encoding of values in a URL's query (RFC 3986, section 2.1).
 use std::fmt::Write;
 
-/// A value as it may stand in a query: all but letters, digits, `-`, `.`, `_` and `~` are encoded.
+/// Encodes a value for a query: all bytes but letters, digits, `-`, `.`, `_` and `~` are encoded.
 pub fn encode(value: &str) -> String {
     let mut encoded = String::new();
     for byte in value.bytes() {
         if byte.is_ascii_alphanumeric() || b"-._~".contains(&byte) {
             encoded.push(char::from(byte));
         } else {
-            // Writing to a string does not fail.
+            // Writing into a `String` never fails.
             let _ = write!(encoded, "%{byte:02X}");
         }
     }
     encoded
 }
 
-/// The value that was encoded; `None` where it is no percent-encoding of UTF-8.
+/// Decodes a value; `None` if it is not a percent-encoding of UTF-8.
 pub fn decode(encoded: &str) -> Option<String> {
     let mut bytes = Vec::new();
     let mut rest = encoded.as_bytes();
--- a/crates/sparrouter-fleet/src/platform/upstream.rs
+++ b/crates/sparrouter-fleet/src/platform/upstream.rs
@@ -1,7 +1,8 @@
-//! Connections to servers: one exchange at a time, pooled while the server keeps them open, and checked before each use.
+//! Connections to servers: one exchange at a time, pooled while the server keeps them open, and checked before each
+//! use.
 //!
-//! A request may have run as soon as one byte of it was accepted by the transport ([`SendOutcome::Begun`]): a later write error,
-//! reset or time-out proves nothing. Nothing here sends a request a second time.
+//! A request may have run as soon as one byte of it was accepted by the transport ([`SendOutcome::Begun`]): a later
+//! write error, reset or time-out proves nothing. This module never retries a request.
 use crate::platform::defects::rules;
 use crate::platform::net::{Net, Stream};
 use bytes::{Buf, Bytes, BytesMut};
@@ -17,39 +18,40 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, timeout};
 
-/// How long a connection may take to come up.
+/// Time-out of establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a connection is pooled if the server does not say how long it keeps it open.
+/// How long a connection is pooled if the server does not announce its keep-alive time-out.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(400);
-/// A connection is dropped this long before the server may close it: a request that meets the close may have run.
+/// How long before the server's keep-alive time-out a connection is dropped: a request that is sent while the server
+/// closes the connection may have run.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(600);
-/// Most pooled connections to one server.
+/// Maximum number of pooled connections to one server.
 const MAX_POOLED: usize = 32;
-/// Bodies of fewer bytes leave in one write with their head: each write costs.
+/// Bodies shorter than this are written together with their head, since each write has a fixed cost.
 const MIN_SEPARATE_BODY: usize = 16 << 10;
-/// Bytes of an early response that are read at a time while the request is still being written.
+/// Size of a read of an early response, while the request is still being written.
 const EARLY_READ_BYTES: usize = 4 << 10;
 
-/// What of a request has left.
+/// How much of a request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// No byte: the server cannot have run it.
-    Nothing,
-    /// Some or all of it: only the server's own response can prove that it has not run.
+    /// No byte was sent: the server cannot have run the request.
+    NotSent,
+    /// Some or all bytes were sent: only the server's own response can prove that the request has not run.
     Begun,
 }
 
-/// A connection that writes the rest of a request while the response is read: a server may respond before it has read a
-/// long body, and read on only later.
+/// A connection that writes the rest of a request while the response is read, since a server may respond before it has
+/// read a long body, and read the rest only later.
 pub struct RequestStream {
     stream: Stream,
     unwritten: VecDeque<Bytes>,
-    /// A write failed: the request on it will never be complete.
+    /// Whether a write failed, so that the request on the connection will never be complete.
     write_failed: bool,
 }
 
 impl RequestStream {
-    /// Writes what remains until the transport accepts no more. Returns whether any byte was accepted.
+    /// Writes the remaining bytes until the transport accepts no more. Returns whether any byte was accepted.
     fn poll_unwritten(&mut self, context: &mut Context<'_>) -> (bool, Poll<()>) {
         let mut accepted = false;
         while let Some(next) = self.unwritten.front_mut() {
@@ -84,7 +86,7 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // Whether the rest of the request gets through is seen by its response, or by the end of the connection.
+        // If the rest of the request cannot be written, the response or the end of the connection shows it.
         let _ = self.poll_unwritten(context);
         Pin::new(&mut self.stream).poll_read(context, buffer)
     }
@@ -94,16 +96,16 @@
 pub struct Upstream {
     /// The connection.
     pub stream: RequestStream,
-    /// Bytes that were read ahead from it.
+    /// Bytes that were read ahead from the connection.
     pub buffer: BytesMut,
-    /// It has carried an exchange before, so that a request on it may meet its close.
+    /// Whether the connection has carried an exchange before, so that the server may close it while a request is sent.
     pub was_used: bool,
-    /// Until when it may be used again.
+    /// Until when the connection may be used again.
     reusable_until: Instant,
 }
 
 impl Upstream {
-    /// A new connection; `None` if none comes up in time. No byte has left on it.
+    /// Opens a connection; `None` if it is not established in time. No byte has been sent on it.
     pub async fn dial(net: &dyn Net, to: SocketAddr) -> Option<Upstream> {
         let stream = timeout(CONNECT_TIMEOUT, net.dial(to)).await.ok()?.ok()?;
         Some(Upstream {
@@ -118,8 +120,9 @@
         })
     }
 
-    /// Writes a request until it is complete, a response to it begins, or the connection breaks. What remains after an early
-    /// response has begun is written while that is read. Dropping the future leaves the connection unfit for another request.
+    /// Writes a request until it is complete, a response begins, or the connection breaks. After an early response has
+    /// begun, the remaining bytes are written while it is read. Dropping the future makes the connection unusable for
+    /// another request.
     pub async fn send(&mut self, head: &Bytes, body: &Bytes) -> SendOutcome {
         if body.len() < MIN_SEPARATE_BODY {
             let mut joined = BytesMut::with_capacity(head.len() + body.len());
@@ -133,12 +136,12 @@
         poll_fn(|context| self.poll_send(context, &mut begun)).await;
         let failed = self.stream.write_failed;
         if !begun || (failed && !rules::partial_sends_may_have_run()) {
-            return SendOutcome::Nothing;
+            return SendOutcome::NotSent;
         }
         SendOutcome::Begun
     }
 
-    /// Ready once nothing remains to write, the connection broke, or a response has begun.
+    /// Ready once the request is written, the connection broke, or a response has begun.
     fn poll_send(&mut self, context: &mut Context<'_>, begun: &mut bool) -> Poll<()> {
         let (accepted, written) = self.stream.poll_unwritten(context);
         *begun |= accepted;
@@ -156,14 +159,14 @@
         Poll::Ready(())
     }
 
-    /// Whether the connection is open and nothing has arrived on it, as on one between requests: bytes on it belong to no
-    /// request of ours.
+    /// Whether the connection is open and no bytes have arrived on it, as between two exchanges: such bytes belong to
+    /// no request of this process.
     pub fn is_idle(&self) -> bool {
         self.buffer.is_empty() && self.stream.stream.read_available(&mut [0]).is_none()
     }
 
-    /// Whether it may carry another request after this response, which has been read to its end. Never while the last request is
-    /// unfinished: the server would take the next one's bytes for the rest of that body.
+    /// Whether the connection may carry another request after this response, which has been read to its end. It may not
+    /// while the last request is unfinished: the server would read the next request's bytes as the rest of that body.
     pub fn is_reusable(&self, head: &ResponseHead) -> bool {
         let finished = self.stream.is_finished() || !rules::pooled_connections_are_finished();
         finished && head.keep_alive && self.buffer.is_empty()
@@ -184,14 +187,14 @@
     }
 }
 
-/// Connections between requests, by the id of the server that they lead to.
+/// Idle connections between exchanges, by server id.
 #[derive(Default)]
 pub struct Pool {
     idle: RefCell<BTreeMap<String, Vec<Upstream>>>,
 }
 
 impl Pool {
-    /// A connection to this server that can carry an exchange, the last used first.
+    /// An idle connection to this server that can carry an exchange, the most recently used first.
     pub fn take(&self, instance: &str) -> Option<Upstream> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(instance)?;
@@ -205,7 +208,7 @@
         None
     }
 
-    /// Pools a connection whose response is complete, unless something of the last request is still expected on it.
+    /// Pools a connection whose response is complete, unless part of the last request or response is outstanding.
     pub fn put(&self, instance: &str, mut connection: Upstream, head: &ResponseHead) {
         let time = pooling_time(head);
         if !connection.is_reusable(head) || time.is_zero() {
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Closes connections that are too old, and all to servers that do not exist any more.
+    /// Closes connections whose pooling time has passed, and all connections to servers that no longer exist.
     pub fn sweep(&self, exists: impl Fn(&str) -> bool) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|instance, connections| {
--- a/crates/sparrouter-fleet/src/prefix_cache/event_page.rs
+++ b/crates/sparrouter-fleet/src/prefix_cache/event_page.rs
@@ -50,7 +50,7 @@
             "GET /api/kv-events?since_time={since} HTTP/1.1\r\nHost: {address}\r\nWait-Ms: {MAX_WAIT_MS}\r\n\r\n"
         );
         let sent = upstream.send(&Bytes::from(head), &Bytes::new()).await;
-        if sent == SendOutcome::Nothing {
+        if sent == SendOutcome::NotSent {
             return None;
         }
         let (stream, buffer) = (&mut upstream.stream, &mut upstream.buffer);
--- a/crates/sparrouter-fleet/src/process/run.rs
+++ b/crates/sparrouter-fleet/src/process/run.rs
@@ -192,7 +192,7 @@
     if let Some(stored) = contents.version_ages.as_deref() {
         version_ages::restore(&node, stored);
     }
-    spawn_local(node.clone().carry_out());
+    spawn_local(node.clone().run_publication());
     let control = has_control_state.then(|| Control::start(node.clone(), contents));
     if let Some(control) = &control {
         let leases: Vec<Rc<ShardLease>> = (1..=LEASE_SHARDS)
--- a/crates/sparrouter-fleet/src/proxy/exchange/attempt.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/attempt.rs
@@ -123,7 +123,7 @@
                 continue;
             }
             match connection.send(&head, &self.request.body).await {
-                SendOutcome::Nothing => {
+                SendOutcome::NotSent => {
                     // No byte was sent, so the server can't have run the request.
                     self.undo_permit();
                     // The server may just have closed a pooled connection.
--- a/crates/sparrouter-fleet/src/rollout/load.rs
+++ b/crates/sparrouter-fleet/src/rollout/load.rs
@@ -4,7 +4,7 @@
 use super::order::Order;
 use super::server_calls::{Report, request_report};
 use super::{RolloutTask, TargetVersion};
-use crate::control::shard_lease::{ActiveLease, FRESH_FOR};
+use crate::control::shard_lease::{ActiveLease, MAX_RENEWAL_AGE};
 use crate::settings::nanos;
 use sparrouter_membership::LifecycleState;
 use sparrouter_routing::Nanos;
@@ -210,7 +210,7 @@
             }
             // No quorum confirms the lease. The server should serve requests again instead of waiting.
             None if order.accepted_before.is_none()
-                && self.lease.since_renewal() > nanos(FRESH_FOR * 2) =>
+                && self.lease.since_renewal() > nanos(MAX_RENEWAL_AGE * 2) =>
             {
                 NextStep::Abandon
             }
--- a/crates/sparrouter-fleet/src/rollout/mod.rs
+++ b/crates/sparrouter-fleet/src/rollout/mod.rs
@@ -90,7 +90,7 @@
                 && self.control.has_quorum_contact()
                 && !self.node.is_leaving();
             if !should_have_lease {
-                self.lease.stop_wanting();
+                self.lease.withdraw_candidacy();
             }
             match (should_have_lease, self.lease.active()) {
                 (true, None) if self.lease.may_acquire() => self.acquire_lease().await,
--- a/crates/sparrouter-fleet/src/rollout/order.rs
+++ b/crates/sparrouter-fleet/src/rollout/order.rs
@@ -71,7 +71,7 @@
         let sent = connection
             .send(&Bytes::from(head), &Bytes::from(body))
             .await;
-        if sent == SendOutcome::Nothing {
+        if sent == SendOutcome::NotSent {
             return None;
         }
         let status = read_reply(&mut connection).await.map(|reply| reply.status);
--- a/crates/sparrouter-fleet/src/rollout/server_calls.rs
+++ b/crates/sparrouter-fleet/src/rollout/server_calls.rs
@@ -51,7 +51,7 @@
     let mut connection = Upstream::dial(net, address).await?;
     let head = format!("GET /api/report HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
     let sent = connection.send(&Bytes::from(head), &Bytes::new()).await;
-    if sent == SendOutcome::Nothing {
+    if sent == SendOutcome::NotSent {
         return None;
     }
     let reply = read_reply(&mut connection).await?;
--- a/crates/sparrouter-fleet/tests/configuration_format.rs
+++ b/crates/sparrouter-fleet/tests/configuration_format.rs
@@ -1,30 +1,32 @@
-//! Bytes of the configuration's shard: the form of an earlier release is converted, that of a later one refused.
+//! Encoding of the configuration's shard: a state in the format of an earlier release is converted, and one in the
+//! format of a later release is refused.
 use nanoserde::SerBin;
 use sparrouter_codec::{Blob, Seq};
 use sparrouter_consensus::{Applied, Machine};
 use sparrouter_fleet::control::configuration_state::{
-    Change, ConfigurationMachine, ConfigurationState, FORM, NamedVersion, StateFormatError, Verdict,
+    Change, ConfigurationMachine, ConfigurationState, FORMAT_VERSION, NamedVersion,
+    StateFormatError, Verdict,
 };
 
-/// Form 1, as releases up to 2026-12-01 wrote it.
+/// State in format 1, which releases up to 2026-12-01 wrote.
 #[derive(SerBin)]
-struct FirstForm {
+struct FirstFormat {
     version: u64,
     text: String,
-    taken: Seq<FirstFormOrder>,
+    taken: Seq<FirstFormatOrder>,
     models: Seq<NamedVersion>,
 }
 
 #[derive(SerBin)]
-struct FirstFormOrder {
+struct FirstFormatOrder {
     digest: u64,
     version: u64,
 }
 
 const TEXT: &str = "{\"version\":7,\"routes\":[],\"services\":[]}";
 
-fn first_form() -> Vec<u8> {
-    let taken = FirstFormOrder {
+fn first_format() -> Vec<u8> {
+    let taken = FirstFormatOrder {
         digest: 0x1234_5678_9abc_def0,
         version: 7,
     };
@@ -32,7 +34,7 @@
         model: "daka".to_owned(),
         version: 3,
     };
-    let state = FirstForm {
+    let state = FirstFormat {
         version: 7,
         text: TEXT.to_owned(),
         taken: vec![taken].into(),
@@ -53,29 +55,33 @@
         Applied::Changed { body, answer } => (Some(body), answer),
         Applied::Unchanged { answer } => (None, answer),
     };
-    (body, sparrouter_codec::read(&answer).expect("a verdict"))
+    (
+        body,
+        sparrouter_codec::read(&answer).expect("a decodable verdict"),
+    )
 }
 
 #[test]
-fn given_the_first_form_when_read_then_configuration_and_weights_stay_and_old_orders_are_unknown() {
-    let state = ConfigurationState::read(&first_form()).expect("form 1 is read");
+fn given_format_1_when_read_then_configuration_and_weights_are_kept_and_earlier_orders_are_unknown()
+{
+    let state = ConfigurationState::read(&first_format()).expect("a readable state in format 1");
     assert_eq!((state.version, state.text.as_str()), (7, TEXT));
     assert_eq!(
         (state.models[0].model.as_str(), state.models[0].version),
         ("daka", 3)
     );
     assert_eq!((state.orders.newest(), state.orders.known()), (7, 0));
-    // The 64-bit digests prove nothing: neither confirmed nor refused.
-    assert_eq!(apply(&first_form(), &put(5, TEXT)).1.status, 504);
+    // The 64-bit digests prove nothing: the order is neither confirmed nor refused.
+    assert_eq!(apply(&first_format(), &put(5, TEXT)).1.status, 504);
 }
 
 #[test]
-fn given_the_first_form_when_a_change_is_taken_then_the_new_form_is_written() {
+fn given_format_1_when_a_change_is_applied_then_the_current_format_is_written() {
     let next = TEXT.replace('7', "9");
-    let (body, verdict) = apply(&first_form(), &put(7, &next));
+    let (body, verdict) = apply(&first_format(), &put(7, &next));
     assert_eq!(verdict.status, 200);
-    let body = body.expect("a new state");
-    let state = ConfigurationState::read(&body).expect("what was written is read");
+    let body = body.expect("a changed state");
+    let state = ConfigurationState::read(&body).expect("a readable state");
     assert_eq!(
         (state.version, state.models.len(), state.orders.known()),
         (9, 1, 1)
@@ -92,12 +98,14 @@
 }
 
 #[test]
-fn given_a_newer_form_when_read_then_it_is_refused_with_its_remedy_and_nothing_is_written() {
+fn given_a_newer_format_when_read_then_the_error_names_the_remedy_and_the_state_is_unchanged() {
     let mut body = ConfigurationState::default().encode();
-    body[8..12].copy_from_slice(&(FORM + 1).to_le_bytes());
+    body[8..12].copy_from_slice(&(FORMAT_VERSION + 1).to_le_bytes());
     assert_eq!(
         ConfigurationState::read(&body),
-        Err(StateFormatError::Newer { found: FORM + 1 })
+        Err(StateFormatError::Newer {
+            found: FORMAT_VERSION + 1
+        })
     );
     let (written, verdict) = apply(&body, &put(0, TEXT));
     assert_eq!((written, verdict.status), (None, 500));
@@ -109,20 +117,20 @@
 }
 
 #[test]
-fn given_damaged_bytes_when_read_then_they_are_refused_without_a_panic() {
+fn given_damaged_bytes_when_read_then_decoding_does_not_panic() {
     let (body, _) = apply(&[], &put(0, TEXT));
-    let body = body.expect("the first configuration is taken");
+    let body = body.expect("the first configuration is applied");
     for length in 1..body.len() {
         assert!(
             ConfigurationState::read(&body[..length]).is_err(),
             "{length}"
         );
     }
-    // A chain that does not end at the version in force.
-    let mut other = ConfigurationState::read(&body).expect("what was written is read");
-    other.version += 1;
+    // A state whose order history does not end at the version in force.
+    let mut inconsistent = ConfigurationState::read(&body).expect("a readable state");
+    inconsistent.version += 1;
     assert_eq!(
-        ConfigurationState::read(&other.encode()),
+        ConfigurationState::read(&inconsistent.encode()),
         Err(StateFormatError::Unreadable)
     );
     let mut rng = fastrand::Rng::with_seed(7);
@@ -132,7 +140,7 @@
             let index = rng.usize(..body.len());
             body[index] = rng.u8(..);
         }
-        // Any result will do, a panic will not.
+        // Any result is accepted, as long as decoding does not panic.
         let _ = ConfigurationState::read(&body);
     }
 }
--- a/crates/sparrouter-fleet/tests/configuration_lease.rs
+++ b/crates/sparrouter-fleet/tests/configuration_lease.rs
@@ -1,4 +1,4 @@
-//! When a node may go by its configuration for requests with API keys.
+//! When the lease on the configuration lets a node forward requests with API keys.
 use sparrouter_fleet::node::configuration_lease::ConfigurationLease;
 use sparrouter_fleet::settings::ProcessSettings;
 use std::path::Path;
@@ -31,12 +31,12 @@
 }
 
 #[test]
-fn given_strict_revocation_when_nothing_is_confirmed_then_the_lease_is_not_valid() {
+fn given_strict_revocation_when_no_read_is_confirmed_then_the_lease_is_not_valid() {
     assert!(!lease(true, 5_000).is_valid(0));
 }
 
 #[test]
-fn given_a_confirmed_read_then_the_lease_ends_before_the_bound_counted_from_its_beginning() {
+fn given_a_confirmed_read_then_the_lease_expires_within_the_revoke_timeout_after_the_read_began() {
     let mut lease = lease(true, 5_000);
     lease.confirm(at(1_000), 4_000 * MS);
     assert!(lease.is_valid(5_499 * MS));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn given_an_older_read_that_is_confirmed_later_then_the_newer_one_counts() {
+fn given_an_older_read_that_is_confirmed_later_then_the_lease_runs_from_the_newer_read() {
     let mut lease = lease(true, 5_000);
     lease.confirm(at(1_000), 1_000 * MS);
     lease.confirm(at(-2_000), 1_100 * MS);
@@ -55,7 +55,8 @@
 }
 
 #[test]
-fn given_a_read_from_before_the_start_of_the_process_then_it_counts_for_the_rest_of_the_lease() {
+fn given_a_read_that_began_before_the_process_started_then_the_lease_is_valid_for_its_remaining_time()
+ {
     let mut lease = lease(true, 5_000);
     lease.confirm(at(-4_000), 0);
     assert!(lease.is_valid(499 * MS));
@@ -63,8 +64,8 @@
 }
 
 #[test]
-fn given_a_short_bound_then_reads_and_polls_come_several_times_within_it() {
+fn given_a_short_revoke_timeout_then_several_reads_and_polls_fit_into_the_lease() {
     let lease = lease(true, 1_000);
-    assert!(lease.renewal(Duration::from_millis(500)) * 8 <= Duration::from_millis(900));
+    assert!(lease.renewal_interval(Duration::from_millis(500)) * 8 <= Duration::from_millis(900));
     assert!(lease.poll_wait(Duration::from_millis(1_200)) * 4 <= Duration::from_millis(900));
 }
--- a/crates/sparrouter-fleet/tests/log_buffer.rs
+++ b/crates/sparrouter-fleet/tests/log_buffer.rs
@@ -1,6 +1,6 @@
 //! The log: bounded, and written out when something goes wrong.
 use sparrouter_fleet::platform::background_writer::BackgroundWriter;
-use sparrouter_fleet::platform::log_buffer::{LINES, LONGEST, LogBuffer, MAX_DUMPS};
+use sparrouter_fleet::platform::log_buffer::{LogBuffer, MAX_DUMPS, MAX_LINE_BYTES, MAX_LINES};
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
@@ -59,16 +59,16 @@
 #[test]
 fn given_more_lines_than_are_buffered_when_written_out_then_the_newest_are_there() {
     let (mut log_buffer, sink) = log_buffer();
-    for n in 0..LINES + 10 {
+    for n in 0..MAX_LINES + 10 {
         writeln!(log_buffer, "line {n}").expect("never fails");
     }
     log_buffer.dump("why");
     let text = sink.text();
-    assert_eq!(text.lines().count(), LINES + 1);
+    assert_eq!(text.lines().count(), MAX_LINES + 1);
     assert_eq!(text.lines().nth(1), Some("line 10"));
     assert_eq!(
         text.lines().last(),
-        Some(format!("line {}", LINES + 9).as_str())
+        Some(format!("line {}", MAX_LINES + 9).as_str())
     );
 }
 
@@ -81,7 +81,7 @@
     log_buffer.write_all(b"\nnext\n").expect("never fails");
     log_buffer.dump("why");
     let text = sink.text();
-    assert_eq!(text.lines().nth(1).map(str::len), Some(LONGEST));
+    assert_eq!(text.lines().nth(1).map(str::len), Some(MAX_LINE_BYTES));
     assert_eq!(text.lines().nth(2), Some("next"));
 }
 
--- a/crates/sparrouter-fleet/tests/peer_connections.rs
+++ b/crates/sparrouter-fleet/tests/peer_connections.rs
@@ -1,4 +1,4 @@
-//! Connections between nodes: the versions of the protocol that a node of this release accepts and speaks.
+//! Connections between nodes: the protocol versions that a node of this release accepts and uses.
 mod common;
 
 use common::Wired;
@@ -19,17 +19,17 @@
 use tokio::time::timeout;
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longer than a connection may take for its first bytes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than the time-out for the first bytes of a connection.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn peer() -> SocketAddr {
     "10.0.0.2:7360".parse().expect("an address")
 }
 
-/// Connections that the test makes.
-struct Arriving(RefCell<Vec<DuplexStream>>);
+/// A listener that accepts the connections of the test.
+struct TestListener(RefCell<Vec<DuplexStream>>);
 
-impl Listener for Arriving {
+impl Listener for TestListener {
     fn accept(&self) -> BoxFuture<'_, io::Result<(Stream, SocketAddr)>> {
         let next = self.0.borrow_mut().pop();
         Box::pin(async move {
@@ -41,10 +41,10 @@
     }
 }
 
-/// Each connection that is dialled comes out at the other end of the channel.
-struct Dialled(UnboundedSender<DuplexStream>);
+/// A network that passes the remote end of each dialled connection to the channel.
+struct TestNet(UnboundedSender<DuplexStream>);
 
-impl Net for Dialled {
+impl Net for TestNet {
     fn dial(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Stream>> {
         let (near, far) = duplex(1 << 20);
         let dialled = self.0.send(far);
@@ -66,7 +66,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-/// A call as an earlier or later node writes it: its bytes in a frame with the id 1.
+/// Encodes a call, as any release does: its bytes in a frame with the call id 1.
 fn frame(body: &[u8]) -> Vec<u8> {
     let mut frame = ((body.len() + 8) as u32).to_le_bytes().to_vec();
     frame.extend_from_slice(&1_u64.to_le_bytes());
@@ -82,14 +82,14 @@
     }
 }
 
-/// What a node of this release does with a connection that begins with these bytes and goes on with a call.
+/// Behaviour of a node of this release on a connection that begins with given bytes, followed by a call.
 #[derive(Debug, PartialEq)]
 struct Served {
-    /// Calls that it answered.
+    /// Number of calls that the node answered.
     answered: usize,
-    /// Bytes that it sent.
+    /// Bytes that the node sent.
     reply: Vec<u8>,
-    /// Whether it closed the connection.
+    /// Whether the node closed the connection.
     is_closed: bool,
 }
 
@@ -97,7 +97,7 @@
     let (near, mut far) = duplex(1 << 20);
     let answered = Rc::new(RefCell::new(0));
     let counted = answered.clone();
-    let listener = Box::new(Arriving(RefCell::new(vec![near])));
+    let listener = Box::new(TestListener(RefCell::new(vec![near])));
     spawn_local(server::serve(listener, move |_, _| {
         let counted = counted.clone();
         async move {
@@ -105,11 +105,11 @@
             Some(Reply::Acknowledged)
         }
     }));
-    far.write_all(hello).await.expect("a reader");
-    // The node may have closed the connection by now.
+    far.write_all(hello).await.expect("an open connection");
+    // The node may have closed the connection already.
     let _ = far.write_all(&frame(&take_permits().serialize_bin())).await;
     let mut reply = Vec::new();
-    let ended = timeout(PATIENCE, far.read_to_end(&mut reply)).await;
+    let ended = timeout(READ_TIMEOUT, far.read_to_end(&mut reply)).await;
     let answered = *answered.borrow();
     Served {
         answered,
@@ -118,9 +118,9 @@
     }
 }
 
-/// Guards against a release that refuses calls of nodes that were not upgraded yet, or calls of quotas.
+/// Guards against a release that refuses calls from nodes that are not upgraded yet, or calls of quotas.
 #[test]
-fn given_a_connection_of_either_version_when_it_is_made_then_its_calls_are_answered() {
+fn given_a_connection_of_either_supported_version_when_opened_then_its_calls_are_answered() {
     run(async {
         for hello in [HELLO, QUOTA_HELLO] {
             let expected = Served {
@@ -133,9 +133,9 @@
     });
 }
 
-/// Guards against calls of a later release that are taken for others of this one: their numbers may mean something else.
+/// Guards against calls of another release that are decoded as different calls: its variant numbers may differ.
 #[test]
-fn given_a_connection_of_another_version_when_it_is_made_then_it_is_closed_without_an_answer() {
+fn given_a_connection_of_an_unsupported_version_when_opened_then_it_is_closed_without_a_reply() {
     run(async {
         for hello in [
             b"sprtrfl4",
@@ -154,21 +154,21 @@
     });
 }
 
-/// Guards against a node that was not upgraded yet and closes the connection that its other calls wait on: calls of quotas
-/// have connections of their own, which begin with the version that knows them.
+/// Guards against a node of an earlier release that closes a connection with other pending calls: calls of quotas use
+/// separate connections, which begin with the protocol version that added these calls.
 #[test]
-fn given_calls_of_both_versions_when_sent_then_each_goes_by_a_connection_of_its_own_version() {
+fn given_calls_of_both_versions_when_sent_then_each_version_has_its_own_connection() {
     run(async {
-        let (give, mut dialled) = unbounded_channel();
-        let net = Rc::new(Dialled(give));
-        let earlier = Links::new(net.clone());
-        let quotas = Links::speaking(QUOTA_HELLO, net);
-        earlier.cast(peer(), &Call::ServedElsewhere { server: 1 });
-        quotas.cast(peer(), &take_permits());
+        let (sender, mut dialled) = unbounded_channel();
+        let net = Rc::new(TestNet(sender));
+        let links = Links::new(net.clone());
+        let quota_links = Links::with_hello(QUOTA_HELLO, net);
+        links.cast(peer(), &Call::ServedElsewhere { server: 1 });
+        quota_links.cast(peer(), &take_permits());
         for (hello, is_of_quotas) in [(HELLO, false), (QUOTA_HELLO, true)] {
             let mut stream = dialled.recv().await.expect("a connection");
             let mut read = [0; HELLO.len()];
-            stream.read_exact(&mut read).await.expect("a greeting");
+            stream.read_exact(&mut read).await.expect("the first bytes");
             assert_eq!(&read, hello);
             let length = stream.read_u32_le().await.expect("a frame") as usize;
             let mut body = vec![0; length];
@@ -180,22 +180,29 @@
     });
 }
 
-/// Guards against a request that waits for long where a holder of an earlier release closes the connection.
+/// Guards against a request that waits for its time-out although a holder of an earlier release closed the connection.
 #[test]
-fn given_a_node_of_an_earlier_release_when_it_is_asked_for_permits_then_the_call_ends_at_once() {
+fn given_a_node_of_an_earlier_release_when_asked_for_permits_then_the_call_fails_without_waiting_for_its_timeout()
+ {
     run(async {
-        let (give, mut dialled) = unbounded_channel();
-        let quotas = Links::speaking(QUOTA_HELLO, Rc::new(Dialled(give)));
+        let (sender, mut dialled) = unbounded_channel();
+        let quota_links = Links::with_hello(QUOTA_HELLO, Rc::new(TestNet(sender)));
         let call = take_permits();
-        let asking = quotas.call(peer(), &call, CALL_TIMEOUT);
+        let call_result = quota_links.call(peer(), &call, CALL_TIMEOUT);
         let closing = async {
             let mut stream = dialled.recv().await.expect("a connection");
             let mut hello = [0; HELLO.len()];
-            stream.read_exact(&mut hello).await.expect("a greeting");
+            stream
+                .read_exact(&mut hello)
+                .await
+                .expect("the first bytes");
         };
         let began = tokio::time::Instant::now();
-        let (asked, ()) = tokio::join!(asking, closing);
-        assert_eq!(asked.expect_err("closed"), LinkError::Broken);
+        let (result, ()) = tokio::join!(call_result, closing);
+        assert_eq!(
+            result.expect_err("the connection was closed"),
+            LinkError::Broken
+        );
         assert!(began.elapsed() < CALL_TIMEOUT, "{:?}", began.elapsed());
     });
 }
--- a/crates/sparrouter-fleet/tests/upstream.rs
+++ b/crates/sparrouter-fleet/tests/upstream.rs
@@ -149,14 +149,14 @@
         ..Script::default()
     });
     let mut upstream = dial(&connection).await;
-    assert_eq!(send_long_request(&mut upstream).await, SendOutcome::Nothing);
+    assert_eq!(send_long_request(&mut upstream).await, SendOutcome::NotSent);
     let outcome = upstream
         .send(
             &Bytes::from_static(b"GET / HTTP/1.1\r\n\r\n"),
             &Bytes::new(),
         )
         .await;
-    assert_eq!(outcome, SendOutcome::Nothing);
+    assert_eq!(outcome, SendOutcome::NotSent);
 }
 
 #[tokio::test]
@@ -336,5 +336,5 @@
             &Bytes::new(),
         )
         .await;
-    assert_eq!(sent, SendOutcome::Nothing);
+    assert_eq!(sent, SendOutcome::NotSent);
 }
--- a/crates/sparrouter-simulation/src/node_work.rs
+++ b/crates/sparrouter-simulation/src/node_work.rs
@@ -116,7 +116,7 @@
         let node = Node::new(
             process_settings(),
             0,
-            LogBuffer::gathering(),
+            LogBuffer::collecting(),
             Rc::new(UnreachableNetwork),
             fastrand::Rng::with_seed(7),
         );
@@ -127,7 +127,7 @@
             servers: (0..servers).map(|n| server_record(n, 1)).collect(),
             ..MembershipDelta::default()
         });
-        spawn_local(node.clone().carry_out());
+        spawn_local(node.clone().run_publication());
         spawn_local(event_follower::follow(node.clone()));
         sleep(UPDATE_DELAY).await;
         let mut source = Source::default();
--- a/crates/sparrouter-simulation/tests/configuration_changes.rs
+++ b/crates/sparrouter-simulation/tests/configuration_changes.rs
@@ -21,7 +21,7 @@
     Node::new(
         boot,
         seed,
-        LogBuffer::gathering(),
+        LogBuffer::collecting(),
         Rc::new(Sockets),
         fastrand::Rng::with_seed(seed),
     )
--- a/crates/sparrouter-simulation/tests/older_state.rs
+++ b/crates/sparrouter-simulation/tests/older_state.rs
@@ -2,7 +2,9 @@
 use nanoserde::SerBin;
 use sparrouter_codec::Seq;
 use sparrouter_consensus::{Record, SharedVote, Vote};
-use sparrouter_fleet::control::configuration_state::{ConfigurationState, FORM, NamedVersion};
+use sparrouter_fleet::control::configuration_state::{
+    ConfigurationState, FORMAT_VERSION, NamedVersion,
+};
 use sparrouter_simulation::cluster::{ClusterSettings, SimulatedCluster, initial_configuration};
 use sparrouter_simulation::configuration::Configuration;
 use sparrouter_simulation::operator::{Encoding, Order};
@@ -47,7 +49,7 @@
 
 fn as_newer_form(state: &ConfigurationState) -> Vec<u8> {
     let mut body = state.encode();
-    body[8..12].copy_from_slice(&(FORM + 1).to_le_bytes());
+    body[8..12].copy_from_slice(&(FORMAT_VERSION + 1).to_le_bytes());
     body
 }
 
@@ -152,7 +154,7 @@
             };
             let record = Record::decode(&records[RECORD], MAX_RECORD_BYTES).expect("a record");
             let body = &record.accepted.expect("a vote").state.body;
-            assert_eq!(body[8..12], (FORM + 1).to_le_bytes(), "{name}");
+            assert_eq!(body[8..12], (FORMAT_VERSION + 1).to_le_bytes(), "{name}");
         }
         cluster
     });
--- a/crates/sparrouter-simulation/tests/state_files.rs
+++ b/crates/sparrouter-simulation/tests/state_files.rs
@@ -76,7 +76,7 @@
 fn open(disk: &SimulatedFiles) -> Result<DiskContents, DiskError> {
     let mut rng = Rng::with_seed(7);
     let files = || Ok(disk.clone());
-    open_with(files, &LogBuffer::gathering(), &mut rng, |_| {
+    open_with(files, &LogBuffer::collecting(), &mut rng, |_| {
         Box::new(NoWriter)
     })
 }
