--- a/crates/sparrouter-fleet/tests/configuration_state.rs
+++ b/crates/sparrouter-fleet/tests/configuration_state.rs
@@ -1,4 +1,4 @@
-//! What changes mean to the configuration's shard: the same on every member, whatever order repeats come in.
+//! The state machine of the configuration's shard: every member gets the same result, also for repeated changes.
 use nanoserde::SerBin;
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Applied, Machine};
@@ -6,7 +6,7 @@
     Change, ConfigurationMachine, ConfigurationState, MAX_KNOWN_ORDERS, Verdict,
 };
 
-/// The shard's body as it goes from change to change.
+/// The encoded state of the shard; each change that is applied replaces it.
 #[derive(Default)]
 struct Shard(Vec<u8>);
 
@@ -14,36 +14,41 @@
     fn apply_bytes(&mut self, change: &[u8]) -> Verdict {
         match ConfigurationMachine.apply(&self.0, change) {
             Applied::Changed { body, answer } => {
-                assert_ne!(body, self.0, "what is called changed has changed");
+                assert_ne!(
+                    body, self.0,
+                    "the state reported as changed differs from the previous state"
+                );
                 self.0 = body;
-                sparrouter_codec::read(&answer).expect("a verdict")
+                sparrouter_codec::read(&answer).expect("a decodable verdict")
+            }
+            Applied::Unchanged { answer } => {
+                sparrouter_codec::read(&answer).expect("a decodable verdict")
             }
-            Applied::Unchanged { answer } => sparrouter_codec::read(&answer).expect("a verdict"),
         }
     }
     fn apply(&mut self, change: &Change) -> u16 {
         self.apply_bytes(&change.serialize_bin()).status
     }
-    fn statute(&self) -> ConfigurationState {
-        ConfigurationState::read(&self.0).expect("a statute")
+    fn state(&self) -> ConfigurationState {
+        ConfigurationState::read(&self.0).expect("a readable state")
     }
     fn version(&self) -> u64 {
-        self.statute().version
+        self.state().version
     }
 }
 
-fn put(on: u64, version: u64, note: &str) -> Change {
+fn put(base: u64, version: u64, note: &str) -> Change {
     let body =
         format!("{{\"version\":{version},\"routes\":[],\"services\":[],\"note\":\"{note}\"}}");
     Change::Put {
-        if_match: Some(on),
+        if_match: Some(base),
         body: Blob(body.into_bytes()),
     }
 }
 
-fn patch(on: u64, text: &str) -> Change {
+fn patch(base: u64, text: &str) -> Change {
     Change::Patch {
-        if_match: Some(on),
+        if_match: Some(base),
         body: Blob(text.as_bytes().to_vec()),
     }
 }
@@ -56,14 +61,14 @@
 }
 
 #[test]
-fn given_nothing_yet_when_read_then_it_is_404_and_nothing_changes() {
+fn given_no_configuration_when_read_then_the_answer_is_404_and_the_state_is_unchanged() {
     let mut shard = Shard::default();
     assert_eq!(shard.apply(&Change::Get), 404);
     assert!(shard.0.is_empty());
 }
 
 #[test]
-fn given_a_first_configuration_when_put_then_it_is_read_back_as_it_was_sent() {
+fn given_the_first_configuration_when_put_then_a_read_returns_the_same_text() {
     let mut shard = Shard::default();
     assert_eq!(shard.apply(&put(0, 3, "a")), 200);
     let read = shard.apply_bytes(&Change::Get.serialize_bin());
@@ -75,7 +80,8 @@
 }
 
 #[test]
-fn given_the_same_body_again_when_put_then_it_is_200_and_nothing_changes() {
+fn given_an_applied_configuration_when_put_again_then_the_answer_is_200_and_the_state_is_unchanged()
+{
     let mut shard = Shard::default();
     shard.apply(&put(0, 3, "a"));
     let before = shard.0.clone();
@@ -84,7 +90,8 @@
 }
 
 #[test]
-fn given_a_body_that_was_overtaken_when_it_comes_again_then_it_is_200_and_does_not_come_back() {
+fn given_a_superseded_configuration_when_put_again_then_the_answer_is_200_and_the_newer_version_stays()
+ {
     let mut shard = Shard::default();
     shard.apply(&put(0, 3, "a"));
     shard.apply(&put(3, 5, "b"));
@@ -93,7 +100,7 @@
 }
 
 #[test]
-fn given_two_on_one_version_when_put_then_one_wins_and_the_other_never_comes_in() {
+fn given_two_changes_with_the_same_base_when_put_then_the_second_is_always_rejected_with_412() {
     let mut shard = Shard::default();
     shard.apply(&put(0, 3, "a"));
     assert_eq!(shard.apply(&put(3, 5, "b")), 200);
@@ -101,35 +108,35 @@
         assert_eq!(shard.apply(&put(3, 7, "c")), 412);
     }
     assert_eq!(shard.version(), 5);
-    // Built on the winner it is another change.
+    // With the accepted version as its base, it is a different change.
     assert_eq!(shard.apply(&put(5, 7, "c")), 200);
 }
 
 #[test]
-fn given_two_of_one_number_when_put_then_one_wins() {
+fn given_two_configurations_with_the_same_version_when_put_then_the_first_is_accepted() {
     let mut shard = Shard::default();
     shard.apply(&put(0, 3, "a"));
     assert_eq!(shard.apply(&put(3, 5, "b")), 200);
     assert_eq!(shard.apply(&put(3, 5, "c")), 412);
-    assert!(shard.statute().text.contains("\"b\""));
+    assert!(shard.state().text.contains("\"b\""));
 }
 
 #[test]
-fn given_no_if_match_when_put_then_only_the_first_is_taken() {
+fn given_puts_without_if_match_when_applied_then_only_the_first_configuration_is_accepted() {
     let mut shard = Shard::default();
-    let bare = |version: u64| {
+    let put_without_base = |version: u64| {
         let body = format!("{{\"version\":{version},\"routes\":[],\"services\":[]}}");
         Change::Put {
             if_match: None,
             body: Blob(body.into_bytes()),
         }
     };
-    assert_eq!(shard.apply(&bare(1)), 200);
-    assert_eq!(shard.apply(&bare(2)), 412);
+    assert_eq!(shard.apply(&put_without_base(1)), 200);
+    assert_eq!(shard.apply(&put_without_base(2)), 412);
 }
 
 #[test]
-fn given_invalid_bodies_when_put_then_each_is_a_4xx_and_nothing_changes() {
+fn given_invalid_bodies_when_put_then_the_answer_is_400_or_422_and_the_state_is_unchanged() {
     let mut shard = Shard::default();
     shard.apply(&put(0, 3, "a"));
     let before = shard.0.clone();
@@ -154,7 +161,7 @@
 }
 
 #[test]
-fn given_a_patch_when_applied_then_its_items_come_and_go_and_its_repeat_is_200() {
+fn given_a_patch_when_applied_then_items_are_added_and_removed_and_its_retry_answers_200() {
     let mut shard = Shard::default();
     let complete = "{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"},{\"name\":\"t\"}],\"tenants\":[]}";
     shard.apply(&Change::Put {
@@ -164,7 +171,7 @@
     let text = "{\"version\":4,\"upsert_items\":{\"services\":[{\"name\":\"u\"}]},\
                 \"remove_names\":{\"services\":[\"s\"]}}";
     assert_eq!(shard.apply(&patch(1, text)), 200);
-    let after = shard.statute();
+    let after = shard.state();
     assert_eq!(after.version, 4);
     assert!(
         !after.text.contains("\"s\"") && after.text.contains("\"u\""),
@@ -173,7 +180,7 @@
     );
     assert_eq!(shard.apply(&patch(1, text)), 200);
     assert_eq!(shard.version(), 4);
-    // The same bytes as a complete configuration are another change.
+    // The same bytes sent as a complete configuration are a different change.
     assert_eq!(
         shard.apply(&Change::Put {
             if_match: Some(1),
@@ -184,7 +191,7 @@
 }
 
 #[test]
-fn given_nothing_yet_when_patched_then_it_is_refused() {
+fn given_no_configuration_when_patched_then_the_answer_is_422() {
     let mut shard = Shard::default();
     assert_eq!(
         shard.apply(&patch(0, "{\"version\":1,\"upsert_items\":{}}")),
@@ -193,13 +200,13 @@
 }
 
 #[test]
-fn given_versions_of_weights_when_named_then_they_only_rise() {
+fn given_named_versions_of_weights_when_an_older_one_is_named_then_the_newest_stays() {
     let mut shard = Shard::default();
     assert_eq!(shard.apply(&name("m", 2)), 200);
     assert_eq!(shard.apply(&name("m", 1)), 200);
     assert_eq!(shard.apply(&name("n", 1)), 200);
     let named: Vec<(String, u64)> = shard
-        .statute()
+        .state()
         .models
         .iter()
         .map(|m| (m.model.clone(), m.version))
@@ -211,23 +218,23 @@
 }
 
 #[test]
-fn given_a_configuration_when_weights_are_named_then_it_stays_as_it_was() {
+fn given_a_configuration_when_a_version_of_weights_is_named_then_the_configuration_is_unchanged() {
     let mut shard = Shard::default();
     shard.apply(&put(0, 3, "a"));
-    let text = shard.statute().text;
+    let text = shard.state().text;
     shard.apply(&name("m", 2));
-    assert_eq!((shard.version(), shard.statute().text), (3, text));
+    assert_eq!((shard.version(), shard.state().text), (3, text));
     assert_eq!(shard.apply(&put(3, 4, "b")), 200);
 }
 
 #[test]
-fn given_many_changes_when_taken_then_what_is_remembered_of_them_is_bounded_and_none_is_refused() {
+fn given_many_changes_when_applied_then_the_order_history_is_bounded_and_no_change_is_rejected() {
     const CHANGES: u64 = 3 * MAX_KNOWN_ORDERS as u64;
     let mut shard = Shard::default();
     for version in 1..=CHANGES {
         assert_eq!(shard.apply(&put(version - 1, version, "a")), 200);
     }
-    let state = shard.statute();
+    let state = shard.state();
     assert_eq!(state.orders.known(), MAX_KNOWN_ORDERS);
     let max_bytes = 40 * MAX_KNOWN_ORDERS + state.text.len() + 64;
     assert!(
@@ -237,19 +244,20 @@
     );
     let oldest_known = CHANGES - MAX_KNOWN_ORDERS as u64 + 1;
     for version in 1..=CHANGES {
-        let taken = shard.apply(&put(version - 1, version, "a"));
-        let lost = shard.apply(&put(version - 1, version, "b"));
+        let applied = shard.apply(&put(version - 1, version, "a"));
+        let conflicting = shard.apply(&put(version - 1, version, "b"));
         let expected = if version >= oldest_known {
             (200, 412)
         } else {
             (504, 504)
         };
-        assert_eq!((taken, lost), expected, "{version}");
+        assert_eq!((applied, conflicting), expected, "{version}");
     }
 }
 
 #[test]
-fn given_a_base_that_is_too_old_when_the_number_is_not_then_it_was_never_taken_and_is_refused() {
+fn given_a_base_older_than_the_history_when_the_version_is_not_then_the_change_is_rejected_with_412()
+ {
     const CHANGES: u64 = MAX_KNOWN_ORDERS as u64 + 10;
     let mut shard = Shard::default();
     for version in 1..=CHANGES {
@@ -261,13 +269,14 @@
 }
 
 #[test]
-fn given_bytes_of_another_release_when_applied_then_they_are_told_and_nothing_changes() {
+fn given_bytes_in_an_unknown_format_when_applied_then_an_error_is_reported_and_the_state_is_unchanged()
+ {
     let mut shard = Shard::default();
     assert_eq!(shard.apply_bytes(b"\xff\xff").status, 400);
-    let mut strange = Shard(vec![1, 2, 3]);
-    let reported = strange.apply_bytes(&Change::Get.serialize_bin());
+    let mut unreadable = Shard(vec![1, 2, 3]);
+    let reported = unreadable.apply_bytes(&Change::Get.serialize_bin());
     assert_eq!(
-        (reported.status, strange.0.as_slice()),
+        (reported.status, unreadable.0.as_slice()),
         (500, &[1, 2, 3][..])
     );
     assert!(reported.text.contains("bring all nodes to one"));
--- a/crates/sparrouter-fleet/tests/recorded_bytes.rs
+++ b/crates/sparrouter-fleet/tests/recorded_bytes.rs
@@ -1,6 +1,6 @@
-//! Bytes between nodes and in the configuration's shard, as the release of 2026-12-02 wrote them: nodes of two releases
-//! run side by side. Each line of the fixture is a name and the bytes in hexadecimal. The calls of quotas, which a later
-//! version of the protocol added, have a fixture of their own.
+//! Wire format between nodes and encoding of the configuration's shard, compared with recorded bytes of the release of
+//! 2026-12-02, since nodes of two releases run side by side. Each line of the fixture is a name and the bytes in
+//! hexadecimal. The calls of quotas, which a later version of the protocol added, have a separate fixture.
 use nanoserde::{DeBin, SerBin};
 use sparrouter_codec::Blob;
 use sparrouter_consensus::{Applied, Machine};
@@ -306,7 +306,7 @@
     ]
 }
 
-/// The state after one configuration and one named version, made by the machine that every member runs.
+/// The encoded state after one configuration and one named version, produced by the state machine.
 fn state() -> Vec<u8> {
     let apply = |body: &[u8], change: Vec<u8>| match ConfigurationMachine.apply(body, &change) {
         Applied::Changed { body, .. } => body,
@@ -361,26 +361,26 @@
     let digits = line.unwrap_or_else(|| panic!("the fixture has no `{name}`"));
     (0..digits.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal"))
+        .map(|index| u8::from_str_radix(&digits[index..index + 2], 16).expect("hexadecimal"))
         .collect()
 }
 
-fn reads_back<T: DeBin + SerBin>(name: &str) {
-    reads_back_from::<T>(&recorded(name), name);
+fn assert_round_trip<T: DeBin + SerBin>(name: &str) {
+    assert_round_trip_of::<T>(&recorded(name), name);
 }
 
-fn reads_back_from<T: DeBin + SerBin>(bytes: &[u8], name: &str) {
+fn assert_round_trip_of<T: DeBin + SerBin>(bytes: &[u8], name: &str) {
     let read: T = sparrouter_codec::read(bytes).expect(name);
     assert_eq!(hex(&read.serialize_bin()), hex(bytes), "{name}");
 }
 
 #[test]
-fn given_values_when_written_then_their_bytes_are_as_recorded() {
+fn given_values_when_encoded_then_the_bytes_equal_the_recorded_ones() {
     let values = values();
     assert_eq!(
         values.len(),
         RECORDED.lines().count(),
-        "every line is checked"
+        "every line of the fixture is checked"
     );
     for (name, written) in values {
         assert_eq!(hex(&written), hex(&recorded(name)), "bytes of {name}");
@@ -388,22 +388,22 @@
 }
 
 #[test]
-fn given_recorded_bytes_when_read_then_nothing_of_them_is_lost() {
+fn given_recorded_bytes_when_decoded_and_encoded_then_the_bytes_are_the_same() {
     for (name, _) in calls() {
-        reads_back::<Call>(name);
+        assert_round_trip::<Call>(name);
     }
     for (name, _) in replies() {
-        reads_back::<Reply>(name);
+        assert_round_trip::<Reply>(name);
     }
     for (name, _) in changes() {
-        reads_back::<Change>(name);
+        assert_round_trip::<Change>(name);
     }
-    reads_back::<Verdict>("verdict");
+    assert_round_trip::<Verdict>("verdict");
 }
 
 #[test]
-fn given_recorded_state_when_read_then_configuration_and_weights_are_there() {
-    let state = ConfigurationState::read(&recorded("state")).expect("readable");
+fn given_the_recorded_state_when_decoded_then_it_has_the_configuration_and_named_weights() {
+    let state = ConfigurationState::read(&recorded("state")).expect("a readable state");
     assert_eq!((state.version, state.text.as_str()), (1, DOCUMENT));
     let daka = NamedVersion {
         model: "daka".to_owned(),
@@ -413,21 +413,21 @@
 }
 
 #[test]
-fn given_recorded_rows_when_unpacked_then_they_are_the_rows_that_were_packed() {
+fn given_recorded_membership_records_when_unpacked_then_they_equal_the_packed_records() {
     assert_eq!(
         MembershipDelta::unpack(&recorded("rows-packed")),
         Some(delta())
     );
 }
 
-/// Guards against calls of quotas whose bytes change once nodes of two releases speak the version that added them.
+/// Guards against changes in the encoding of quota calls once two releases use the protocol version that added them.
 #[test]
-fn given_calls_and_replies_of_quotas_when_written_and_read_then_their_bytes_are_as_recorded() {
+fn given_quota_calls_and_replies_when_encoded_and_decoded_then_the_bytes_equal_the_recorded_ones() {
     let values = quota_values();
     assert_eq!(
         values.len(),
         RECORDED_QUOTAS.lines().count(),
-        "every line is checked"
+        "every line of the fixture is checked"
     );
     for (name, written) in &values {
         assert_eq!(
@@ -439,16 +439,17 @@
     for (name, _) in values {
         let bytes = recorded_in(RECORDED_QUOTAS, name);
         if name.starts_with("call-") {
-            reads_back_from::<Call>(&bytes, name);
+            assert_round_trip_of::<Call>(&bytes, name);
         } else {
-            reads_back_from::<Reply>(&bytes, name);
+            assert_round_trip_of::<Reply>(&bytes, name);
         }
     }
 }
 
-/// Guards against a call of quotas that an earlier release takes for another one: it must find none of that number.
+/// Guards against a quota call that an earlier release decodes as a different call: its variant number must be new.
 #[test]
-fn given_bytes_of_quotas_when_compared_with_earlier_ones_then_their_variants_are_new() {
+fn given_quota_calls_and_replies_when_compared_with_earlier_ones_then_their_variant_numbers_are_higher()
+ {
     let variant = |line: &str| {
         line.split(' ')
             .next_back()
@@ -465,9 +466,8 @@
     }
 }
 
-/// Guards against a version of the protocol that changes unnoticed: nodes of two releases then refuse each other.
+/// Guards against an accidental change of a protocol version, after which nodes of two releases refuse each other.
 #[test]
-fn given_the_versions_of_the_protocol_when_written_then_they_are_those_of_the_releases_in_service()
-{
+fn given_the_protocol_versions_when_sent_then_they_equal_the_versions_of_deployed_releases() {
     assert_eq!((HELLO, QUOTA_HELLO), (b"sprtrfl5", b"sprtrfl6"));
 }
--- a/crates/sparrouter-fleet/tests/stalled_disk.rs
+++ b/crates/sparrouter-fleet/tests/stalled_disk.rs
@@ -1,5 +1,5 @@
-//! A real process whose data directory takes long to open: a named pipe in the place of a file stalls it until the test
-//! writes into it, on an idle machine too.
+//! A real process whose data directory is slow to open: a named pipe in place of a file blocks the read until the test
+//! writes into the pipe, independent of the machine's load.
 use sparrouter_fleet::client::call::{Call, Outcome, Reply, send_once};
 use sparrouter_fleet::platform::net::Sockets;
 use sparrouter_fleet_lab::addresses::Addresses;
@@ -15,59 +15,62 @@
 use tokio::time::{Instant, sleep};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparrouter");
-const PATIENCE: Duration = Duration::from_secs(20);
-const GRACE: Duration = Duration::from_secs(2);
-/// For how long the disk is watched doing nothing.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const GRACE_PERIOD: Duration = Duration::from_secs(2);
+/// How long the disk stalls.
 const STALL: Duration = Duration::from_secs(3);
 
-fn block_on<T>(of: impl Future<Output = T>) -> T {
+fn block_on<T>(test: impl Future<Output = T>) -> T {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    LocalSet::new().block_on(&runtime, of)
+    LocalSet::new().block_on(&runtime, test)
 }
 
-/// A directory in memory where the system has a file system for that: the pipe alone decides how long the disk takes.
+/// A directory in memory if the system has such a file system, so that only the pipe delays the disk.
 fn directory_in_memory() -> tempfile::TempDir {
     let in_memory = tempfile::tempdir_in("/dev/shm");
     in_memory.unwrap_or_else(|_| tempfile::tempdir().expect("a directory"))
 }
 
-/// A machine whose data directory holds the record of its disk's id as a pipe that nobody has written into.
+/// A machine whose record of the disk's id is a pipe, which has no writer yet.
 fn machine_with_stalled_disk(directory: &Path) -> (Machine, PathBuf) {
     let addresses = Addresses::find(1, &mut fastrand::Rng::new()).expect("free ports");
     let program = Path::new(PROGRAM);
-    let machine = Machine::new(0, true, 1, addresses, directory, program, GRACE);
+    let machine = Machine::new(0, true, 1, addresses, directory, program, GRACE_PERIOD);
     let machine = machine.expect("settings are written");
     let pipe = directory.join(&machine.name).join("disk.1");
-    let made = Command::new("mkfifo").arg(&pipe).status();
-    assert!(made.expect("mkfifo runs").success(), "a pipe");
+    let mkfifo = Command::new("mkfifo").arg(&pipe).status();
+    assert!(
+        mkfifo.expect("mkfifo runs").success(),
+        "mkfifo creates the pipe"
+    );
     (machine, pipe)
 }
 
-async fn get(path: &str, at: SocketAddr) -> Outcome {
+async fn get(path: &str, address: SocketAddr) -> Outcome {
     let call = Call::get(path);
-    send_once(&Sockets, &call, &call.path, at).await
+    send_once(&Sockets, &call, &call.path, address).await
 }
 
-/// The answer of a process that listens there; waits until one does.
-async fn answer_of(path: &str, at: SocketAddr) -> Reply {
-    let deadline = Instant::now() + PATIENCE;
+/// The reply of the process that listens on an address; waits until one listens.
+async fn reply_from(path: &str, address: SocketAddr) -> Reply {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        match get(path, at).await {
+        match get(path, address).await {
             Outcome::Replied(reply) => return reply,
             Outcome::NotConnected(_) if Instant::now() < deadline => {
                 sleep(Duration::from_millis(20)).await;
             }
-            other => panic!("{path} at {at}: {other:?}"),
+            outcome => panic!("{path} at {address}: {outcome:?}"),
         }
     }
 }
 
-// Guards against callers without an answer while the disk is opened, and against service before it is read.
+// Guards against calls that get no reply while the disk is opened, and against serving before the disk is read.
 #[test]
-fn given_a_disk_that_stalls_when_a_process_starts_then_callers_are_answered_and_nothing_is_served_before_it_is_read()
+fn given_a_stalled_disk_when_a_process_starts_then_calls_get_503_and_no_client_is_served_until_the_disk_is_read()
  {
     let directory = directory_in_memory();
     let (machine, pipe) = machine_with_stalled_disk(directory.path());
@@ -75,35 +78,36 @@
         machine.start().expect("started");
         let began = Instant::now();
         while began.elapsed() < STALL {
-            let reply = answer_of("/api/config", machine.control()).await;
+            let reply = reply_from("/api/config", machine.control()).await;
             assert_eq!(reply.status, 503, "{reply:?}");
             assert!(reply.body.contains("check the disk"), "{reply:?}");
-            let reply = answer_of("/api/readiness", machine.readiness()).await;
+            let reply = reply_from("/api/readiness", machine.readiness()).await;
             assert_eq!(reply.status, 503, "{reply:?}");
             let outcome = get("/assign/1", machine.front()).await;
             assert!(matches!(outcome, Outcome::NotConnected(_)), "{outcome:?}");
         }
-        std::fs::write(&pipe, frame::write(1, &7u64.to_le_bytes())).expect("somebody reads");
-        let operator = Operator::new(vec![machine.control()], PATIENCE).expect("an operator");
+        std::fs::write(&pipe, frame::write(1, &7u64.to_le_bytes()))
+            .expect("the process reads the pipe");
+        let operator = Operator::new(vec![machine.control()], TEST_TIMEOUT).expect("an operator");
         let put = operator.put_first(1).await;
         assert!(put.is_ok(), "{put:?}: {}", machine.log_text());
         assert!(
             pipe.exists(),
-            "the disk keeps its id: {}",
+            "the record of the disk's id is kept: {}",
             machine.log_text()
         );
         assert!(machine.terminate().await, "{}", machine.log_text());
     });
 }
 
-// Guards against a process that cannot be ended in time because its disk is not open yet.
+// Guards against a process that ends too late because its disk is not open yet.
 #[test]
-fn given_a_disk_that_stalls_when_the_process_is_terminated_then_it_ends_in_time() {
+fn given_a_stalled_disk_when_the_process_is_terminated_then_it_ends_within_the_grace_period() {
     let directory = directory_in_memory();
     let (machine, _pipe) = machine_with_stalled_disk(directory.path());
     block_on(async {
         machine.start().expect("started");
-        answer_of("/api/readiness", machine.readiness()).await;
+        reply_from("/api/readiness", machine.readiness()).await;
         assert!(machine.terminate().await, "{}", machine.log_text());
     });
 }
