--- a/crates/sparrouter-fleet-lab/src/client.rs
+++ b/crates/sparrouter-fleet-lab/src/client.rs
@@ -275,7 +275,7 @@
         Framing::Chunked => loop {
             match chunks.next(buffer)? {
                 ChunkEvent::Data(piece) => body.extend_from_slice(&piece),
-                ChunkEvent::More => return Ok(false),
+                ChunkEvent::Incomplete => return Ok(false),
                 ChunkEvent::End => return Ok(true),
             }
         },
--- a/crates/sparrouter-fleet/src/platform/http.rs
+++ b/crates/sparrouter-fleet/src/platform/http.rs
@@ -98,7 +98,7 @@
                         return Ok(None);
                     }
                     ChunkEvent::Data(chunk) => body.extend_from_slice(&chunk),
-                    ChunkEvent::More => reading::more(stream, buffer).await?,
+                    ChunkEvent::Incomplete => reading::more(stream, buffer).await?,
                     ChunkEvent::End => return Ok(Some(body.freeze())),
                 }
             }
--- a/crates/sparrouter-fleet/src/proxy/exchange/response_body.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/response_body.rs
@@ -63,7 +63,7 @@
             }
             Framing::Chunked => match self.chunks.next(buffer).map_err(|_| MalformedBody)? {
                 ChunkEvent::Data(chunk) => BodyEvent::Data(chunk),
-                ChunkEvent::More => BodyEvent::NeedsMore,
+                ChunkEvent::Incomplete => BodyEvent::NeedsMore,
                 ChunkEvent::End => BodyEvent::End,
             },
             Framing::ToEnd if !buffer.is_empty() => BodyEvent::Data(buffer.split().freeze()),
--- a/crates/sparrouter-http/src/chunks.rs
+++ b/crates/sparrouter-http/src/chunks.rs
@@ -34,7 +34,7 @@
     /// Data of the body, at least one byte.
     Data(Bytes),
     /// The buffer contains no complete element. The caller must read more input.
-    More,
+    Incomplete,
     /// The body is complete. Bytes that remain in the buffer belong to the next message.
     End,
 }
@@ -80,14 +80,14 @@
             match self.0 {
                 Expected::Size => {
                     let Some(line) = split_line(buffer)? else {
-                        return Ok(ChunkEvent::More);
+                        return Ok(ChunkEvent::Incomplete);
                     };
                     self.0 = match parse_size(&line)? {
                         0 => Expected::Trailer,
                         size => Expected::Data(size),
                     };
                 }
-                Expected::Data(_) if buffer.is_empty() => return Ok(ChunkEvent::More),
+                Expected::Data(_) if buffer.is_empty() => return Ok(ChunkEvent::Incomplete),
                 Expected::Data(remaining) => {
                     let data = buffer.split_to(remaining.min(buffer.len())).freeze();
                     self.0 = match remaining - data.len() {
@@ -96,7 +96,7 @@
                     };
                     return Ok(ChunkEvent::Data(data));
                 }
-                Expected::DataEnd if buffer.len() < 2 => return Ok(ChunkEvent::More),
+                Expected::DataEnd if buffer.len() < 2 => return Ok(ChunkEvent::Incomplete),
                 Expected::DataEnd => {
                     if &buffer.split_to(2)[..] != b"\r\n" {
                         return Err(ParseError("chunk data is not followed by a line end"));
@@ -105,7 +105,7 @@
                 }
                 Expected::Trailer => {
                     let Some(line) = split_line(buffer)? else {
-                        return Ok(ChunkEvent::More);
+                        return Ok(ChunkEvent::Incomplete);
                     };
                     if line.is_empty() {
                         self.0 = Expected::Finished;
--- a/crates/sparrouter-http/tests/chunks.rs
+++ b/crates/sparrouter-http/tests/chunks.rs
@@ -11,7 +11,7 @@
     loop {
         match decoder.next(&mut buffer)? {
             ChunkEvent::Data(data) => body.extend_from_slice(&data),
-            ChunkEvent::More => panic!("the body is not complete: {text:?}"),
+            ChunkEvent::Incomplete => panic!("the body is not complete: {text:?}"),
             ChunkEvent::End => return Ok((body, buffer.len())),
         }
     }
@@ -28,7 +28,7 @@
     let (mut decoder, mut buffer) = (ChunkDecoder::default(), BytesMut::from(&b"5\r\nab"[..]));
     let data = ChunkEvent::Data(b"ab".to_vec().into());
     assert_eq!(decoder.next(&mut buffer), Ok(data));
-    assert_eq!(decoder.next(&mut buffer), Ok(ChunkEvent::More));
+    assert_eq!(decoder.next(&mut buffer), Ok(ChunkEvent::Incomplete));
 }
 
 #[test]
--- a/crates/sparrouter-node/src/protocol/tests.rs
+++ b/crates/sparrouter-node/src/protocol/tests.rs
@@ -81,7 +81,7 @@
             loop {
                 match chunks.next(&mut buffer).unwrap() {
                     ChunkEvent::Data(bytes) => decoded.extend(&bytes),
-                    ChunkEvent::More => buffer.extend_from_slice(segments.next().unwrap()),
+                    ChunkEvent::Incomplete => buffer.extend_from_slice(segments.next().unwrap()),
                     ChunkEvent::End => break,
                 }
             }
--- a/crates/sparrouter-node/src/transport/discovery.rs
+++ b/crates/sparrouter-node/src/transport/discovery.rs
@@ -121,7 +121,7 @@
                         self.text.extend_from_slice(&bytes);
                         return Ok(true);
                     }
-                    ChunkEvent::More => {
+                    ChunkEvent::Incomplete => {
                         reading::more(&mut self.stream, &mut self.buffer).await?;
                     }
                     ChunkEvent::End => return Ok(false),
--- a/crates/sparrouter-node/src/transport/reading.rs
+++ b/crates/sparrouter-node/src/transport/reading.rs
@@ -92,7 +92,7 @@
                 limit.check(body.len() + bytes.len())?;
                 body.extend_from_slice(&bytes);
             }
-            ChunkEvent::More => more(stream, buffer).await?,
+            ChunkEvent::Incomplete => more(stream, buffer).await?,
             ChunkEvent::End => return Ok(body.freeze()),
         }
     }
--- a/crates/sparrouter-simulation/src/client/response.rs
+++ b/crates/sparrouter-simulation/src/client/response.rs
@@ -117,7 +117,7 @@
     loop {
         match chunks.next(buffer)? {
             ChunkEvent::Data(bytes) => response.body.extend_from_slice(&bytes),
-            ChunkEvent::More => return Ok(()),
+            ChunkEvent::Incomplete => return Ok(()),
             ChunkEvent::End => {
                 response.is_complete = true;
                 return Ok(());
--- a/crates/sparrouter-simulation/tests/scripted/mod.rs
+++ b/crates/sparrouter-simulation/tests/scripted/mod.rs
@@ -440,7 +440,7 @@
     loop {
         match chunks.next(&mut buffer) {
             Ok(ChunkEvent::Data(piece)) => response.text.push_str(&String::from_utf8_lossy(&piece)),
-            Ok(ChunkEvent::More) => reading::more(stream, &mut buffer).await.ok()?,
+            Ok(ChunkEvent::Incomplete) => reading::more(stream, &mut buffer).await.ok()?,
             Ok(ChunkEvent::End) => {
                 response.is_complete = true;
                 return Some(());
