--- a/crates/sparrouter-fleet/src/membership/registry.rs
+++ b/crates/sparrouter-fleet/src/membership/registry.rs
@@ -184,7 +184,7 @@
     }
 
     /// Marks servers that have become unresponsive. `has_control_state`: whether this node also monitors servers whose
-    /// registrar is gone.
+    /// registrar is unresponsive or unknown.
     pub fn check_liveness(&self, node: &Rc<Node>, has_control_state: bool) {
         let now = node.now();
         let timeout = nanos(node.settings.borrow().heartbeat * MAX_MISSED_HEARTBEATS);
@@ -212,7 +212,7 @@
     }
 
     /// The servers that have this node as their registrar and whose heartbeats are overdue. Servers without a record,
-    /// or without a heartbeat for long, are removed from the registry.
+    /// or without a heartbeat for `REMOVE_AFTER_TIMEOUTS` time-outs, are removed from the registry.
     fn overdue_heartbeats(&self, check: &LivenessCheck<'_>) -> Vec<String> {
         let LivenessCheck {
             membership,
--- a/crates/sparrouter-fleet/src/rollout/selection.rs
+++ b/crates/sparrouter-fleet/src/rollout/selection.rs
@@ -18,12 +18,13 @@
 struct ServiceState {
     /// Ready servers that run an older version.
     outdated: Vec<OutdatedServer>,
-    /// Number of ready servers, whatever version they run.
+    /// Number of ready servers of any version.
     ready_count: usize,
 }
 
 impl RolloutTask {
-    /// Whether any server of this shard runs an older version than the newest.
+    /// Whether any server of this shard runs an older version than the newest. If none does, clears the set of
+    /// announced servers.
     pub(super) fn has_work(&self) -> bool {
         let server_table = self.node.server_table.borrow();
         let is_outdated = |server: &Server, model: &str, version: u64| {
@@ -83,7 +84,7 @@
             .collect()
     }
 
-    /// Starts updates of as many servers of each service as may be out of service at a time.
+    /// For each service, starts updates of as many servers as may be unavailable at the same time.
     pub(super) fn begin_loads(self: &Rc<Self>, lease: ActiveLease) {
         for target in self.targets() {
             for service in self.services() {
