--- a/crates/sparrouter-fleet/src/api/control.rs
+++ b/crates/sparrouter-fleet/src/api/control.rs
@@ -1,4 +1,4 @@
-//! The calls of servers and operators over HTTP.
+//! The HTTP endpoints for servers and operators.
 use crate::api::ControlServices;
 use crate::api::endpoint::{Matcher, PendingResponse};
 use crate::control::configuration_state::{Change, Verdict};
@@ -10,15 +10,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An operator's call waits a second for its response; a change has this much of it.
+/// Timeout of a configuration change; shorter than the second for which an operator's client waits for the response.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(900);
-/// A caller whose change was not applied may come back after this.
+/// Retry-After of a response to a change that was not applied.
 const RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// A handler: what it is answered with, the request, and the path segments that wildcards matched.
+/// A request handler. Its arguments are the services of the process, the request, and the path segments that wildcards
+/// matched.
 type Handler = fn(Rc<ControlServices>, Rc<Request>, Vec<String>) -> PendingResponse;
 
-/// The handlers of the calls of servers and operators.
+/// The tree of handlers for servers and operators.
 pub fn tree(services: &Rc<ControlServices>) -> Matcher {
     let with = |handler: Handler| {
         let services = services.clone();
@@ -81,19 +82,21 @@
     services.registry.leave(node, control, id).await
 }
 
-/// The version and the text of a configuration or patch.
+/// A configuration or patch as submitted: the version that it builds on, and its text.
 struct Submission {
     if_match: Option<u64>,
     body: Blob,
 }
 
 impl Submission {
+    /// Reads a submission from a request.
+    ///
     /// # Errors
     ///
-    /// The response to one that cannot be read.
+    /// The 4xx response to a request that is too large or has an invalid `If-Match`.
     fn read(request: &Request) -> Result<Submission, Response> {
         if request.body.len() > sparrouter_config::MAX_BYTES {
-            let text = "a configuration is at most 8 MiB: split the change";
+            let text = "a configuration or patch may have at most 8 MiB: split the change";
             return Err(Response::plain(413, text));
         }
         let field = request.head.fields.text("if-match");
@@ -101,7 +104,7 @@
             .map(|version| version.trim().trim_matches('"').parse())
             .transpose()
             .map_err(|_| {
-                let text = "If-Match is the number of the version that this builds on";
+                let text = "If-Match must be the number of the version that the change builds on";
                 Response::plain(400, text)
             })?;
         let body = Blob(request.body.to_vec());
@@ -136,7 +139,7 @@
 async fn name_version(services: Rc<ControlServices>, request: Rc<Request>) -> Response {
     let text = std::str::from_utf8(&request.body).unwrap_or_default();
     let Ok(body) = miniserde::json::from_str::<NamedVersionBody>(text) else {
-        let text = "a version is named by JSON with model and version";
+        let text = "the body must be a JSON object with model and version";
         return Response::plain(400, text);
     };
     let change = Change::Name {
@@ -146,17 +149,17 @@
     submit(&services, &change).await
 }
 
-/// Makes a change of the configuration's shard; the response says what became of it.
+/// Submits a change of the configuration; the response reports whether it was applied.
 async fn submit(services: &ControlServices, change: &Change) -> Response {
     match change_configuration(services, change).await {
         Ok(answer) => {
-            let is_unclear = |verdict: &Verdict| {
+            let is_unknown = |verdict: &Verdict| {
                 !verdict.binding
                     && answer.has_copies_in_flight
                     && rules::early_copies_stay_unknown()
             };
             match control::decode_verdict(&answer.answer) {
-                Some(verdict) if is_unclear(&verdict) => unknown_outcome(services),
+                Some(verdict) if is_unknown(&verdict) => unknown_outcome(services),
                 Some(verdict) => Response::plain(verdict.status, verdict.text),
                 None => other_release(),
             }
@@ -175,7 +178,7 @@
             Some(verdict) => Response::plain(verdict.status, verdict.text),
             None => other_release(),
         },
-        // A read changes nothing, so it may simply be repeated.
+        // A read is idempotent, so the caller may retry it.
         Err(ChangeError::Unknown) => retry_later(
             &services,
             "no quorum answered in time, so the newest configuration is not known here".to_owned(),
@@ -198,12 +201,13 @@
     .await
 }
 
+/// The response if the replica group's answer cannot be decoded.
 fn other_release() -> Response {
-    let text = "the answer is of another release: bring all nodes to one";
+    let text = "the answer has the format of another release: bring all nodes to one";
     Response::plain(500, text)
 }
 
-/// The response where a call had no effect and may be repeated.
+/// The response to a call that had no effect and may be retried.
 fn retry_later(services: &ControlServices, reason: String) -> Response {
     Response {
         body: reason,
@@ -211,7 +215,7 @@
     }
 }
 
-/// The response where nobody knows what became of a change.
+/// The response if it is unknown whether a change was applied.
 fn unknown_outcome(services: &ControlServices) -> Response {
     let reason = ChangeError::Unknown.to_string();
     let text = match &services.control {
--- a/crates/sparrouter-fleet/src/api/endpoint.rs
+++ b/crates/sparrouter-fleet/src/api/endpoint.rs
@@ -13,41 +13,41 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// Largest request body in bytes: a configuration with a margin.
+/// Maximum length of a request body, in bytes: the maximum length of a configuration, with a margin.
 const MAX_BODY_BYTES: usize = 9 << 20;
-/// Largest request head in bytes.
+/// Maximum length of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 32 << 10;
-/// Most connections at a time.
+/// Maximum number of concurrent connections of an endpoint.
 const MAX_CONNECTIONS: usize = 800;
-/// With more connections than this, each is closed after its response. Otherwise a thousand servers that leave connections
-/// open between their heartbeats would leave none for the operator.
+/// Maximum number of connections that are kept alive; above it, each connection is closed after its response. Otherwise a
+/// thousand servers that keep connections open between heartbeats would leave no connection for the operator.
 const MAX_IDLE_CONNECTIONS: usize = MAX_CONNECTIONS * 3 / 4;
-/// How long a connection may be idle between requests.
+/// Longest time that a connection may be idle between requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a request head may take to arrive.
+/// Longest time that a request head may take to arrive.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a complete request may take to arrive.
+/// Longest time that a complete request may take to arrive.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long the client may take to read the response.
+/// Longest time that the client may take to read the response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A response that a handler is working on.
+/// The future of a handler's response.
 pub type PendingResponse = Pin<Box<dyn Future<Output = Response>>>;
 type Handler = Rc<dyn Fn(Rc<Request>, Vec<String>) -> PendingResponse>;
 
-/// A node of the tree: the segments that may follow in the path, and the handlers by method.
+/// A node of the handler tree: the path segments that may follow, and the handlers by method.
 #[derive(Default)]
 pub struct Matcher {
     segments: Vec<(&'static str, Matcher)>,
-    /// Matches any segment that is not in `segments`.
+    /// The node for any segment that is not in `segments`.
     wildcard: Option<Box<Matcher>>,
     methods: Vec<(&'static str, Handler)>,
-    /// At the root: answers all paths and methods.
+    /// Set at the root only: the response to all paths and methods.
     all: Option<Response>,
 }
 
 impl Matcher {
-    /// A tree that answers every request with this response.
+    /// Builds a tree that answers every request with `response`.
     pub fn always(response: Response) -> Matcher {
         Matcher {
             all: Some(response),
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Adds a handler for a method and a path below this node. A segment `*` matches any segment, which is passed to the
-    /// handler; a literal segment takes precedence over it.
+    /// Adds a handler for a method and a path below this node. A segment `*` matches any segment and passes it to the
+    /// handler; a literal segment takes precedence over `*`.
     pub fn on<A: Future<Output = Response> + 'static>(
         mut self,
         method: &'static str,
@@ -82,7 +82,7 @@
         self
     }
 
-    /// The node of a path, and the segments that wildcards matched.
+    /// Finds the node of a path, and the segments that wildcards matched.
     fn find(&self, path: &str) -> Option<(&Matcher, Vec<String>)> {
         let (mut node, mut matched) = (self, Vec::new());
         for segment in path.split('/').filter(|s| !s.is_empty()) {
@@ -97,7 +97,7 @@
         Some((node, matched))
     }
 
-    /// The response of a request's handler: 404 for an unknown path, 405 for an unknown method.
+    /// Answers a request with its handler; the response is 404 for an unknown path and 405 for an unknown method.
     pub async fn respond(&self, request: Rc<Request>) -> Response {
         if let Some(response) = &self.all {
             return response.clone();
@@ -106,29 +106,29 @@
             .find(request.path())
             .filter(|(node, _)| !node.methods.is_empty())
         else {
-            return Response::plain(404, "nothing is served under this path");
+            return Response::plain(404, "no resource is served under this path");
         };
         let method = &request.head.method[..];
         let handler = node.methods.iter().find(|m| m.0.as_bytes() == method);
         match handler {
             Some((_, handle)) => handle(request, matched).await,
-            None => Response::plain(405, "this path takes other methods"),
+            None => Response::plain(405, "the method is not supported by this path"),
         }
     }
 }
 
-/// Serves a tree until the process ends. Connections are served by tasks of their own, which end by themselves.
+/// Serves a handler tree until the process ends. Each connection is served by its own task.
 pub async fn listen(listener: Box<dyn Listener>, tree: Rc<Matcher>) {
     serve_connections(&*listener, tree, MAX_IDLE_CONNECTIONS).await;
 }
 
-/// Serves a tree until the future is dropped. Each connection carries one request, so that the next one finds what serves
-/// the listener then.
+/// Serves a handler tree until the future is dropped. Each connection is closed after one request, so that the next
+/// request reaches the tree that serves the listener by then.
 pub async fn listen_meanwhile(listener: &dyn Listener, tree: Rc<Matcher>) {
     serve_connections(listener, tree, 0).await;
 }
 
-/// Accepts and serves connections. With more than `max_idle` of them, each is closed after its response.
+/// Accepts and serves connections. With more than `max_idle` connections, each is closed after its response.
 async fn serve_connections(listener: &dyn Listener, tree: Rc<Matcher>, max_idle: usize) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -145,7 +145,7 @@
     }
 }
 
-/// Serves the requests of one connection, one after the other.
+/// Serves the requests of one connection in sequence.
 async fn serve_connection(mut stream: Stream, tree: Rc<Matcher>, may_stay_open: impl Fn() -> bool) {
     let mut buffer = BytesMut::new();
     let limits = ReadLimits {
@@ -155,7 +155,7 @@
     };
     loop {
         if buffer.is_empty() {
-            // An idle connection holds no memory.
+            // Frees the buffer of an idle connection.
             buffer = BytesMut::new();
             let read = timeout(IDLE_TIMEOUT, reading::more(&mut stream, &mut buffer)).await;
             if !matches!(read, Ok(Ok(()))) {
@@ -175,7 +175,7 @@
                     (Response::plain(status, text), false)
                 }
             };
-        // A client that does not read its response must not occupy the connection for ever.
+        // The timeout closes the connection of a client that does not read its response.
         let written = timeout(WRITE_TIMEOUT, stream.write_all(&response.bytes(keep_alive))).await;
         if !matches!(written, Ok(Ok(()))) {
             return;
--- a/crates/sparrouter-fleet/src/api/metrics.rs
+++ b/crates/sparrouter-fleet/src/api/metrics.rs
@@ -1,9 +1,9 @@
 //! The metrics of a process, as text for a scraper or a person.
 //!
-//! One line a sample, `NAME{LABEL="VALUE",...} NUMBER`, after Prometheus' text format 0.0.4. Counters end in `_total` and
-//! start at 0 with the process. Samples are computed when they are requested, apart from [`Counters`], so that they cost
-//! nothing otherwise; their number grows with models, versions in use, servers and tenants that sent requests here, not
-//! with requests.
+//! Each sample is one line, `NAME{LABEL="VALUE",...} NUMBER`, in Prometheus' text format 0.0.4. Counters end in
+//! `_total` and start at 0 with the process. All samples but the [`Counters`] are computed on request, so that they
+//! cost nothing otherwise. The number of samples grows with the models, the versions in use, the servers and the
+//! tenants that sent requests to this node, not with the requests.
 use crate::control::{Control, LEASE_SHARDS};
 use crate::node::Node;
 use crate::node::counters::Counters;
@@ -15,7 +15,7 @@
 /// Nanoseconds in a second.
 const SECOND: f64 = 1e9;
 
-/// All metrics of a process. `control`: its control state, if it keeps one.
+/// All metrics of a process as text. `control` is its control state, if it has one.
 pub fn show(node: &Node, control: Option<&Control>) -> String {
     let mut page = Page::default();
     state_of_process(&mut page, node, control);
@@ -27,7 +27,7 @@
     page.text
 }
 
-/// Text under construction.
+/// Builder of the metrics text.
 #[derive(Default)]
 struct Page {
     text: String,
@@ -43,7 +43,7 @@
             true => String::new(),
             false => format!("{{{}}}", labels.join(",")),
         };
-        // Writing to a string does not fail.
+        // Writing to a String does not fail.
         let _ = writeln!(self.text, "sparrouter_{name}{labels} {value}");
     }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// A label's value, which may hold any text of an operator.
+/// Escapes a label's value, which may be any text of an operator.
 fn escaped(value: &str) -> String {
     value
         .replace('\\', "\\\\")
@@ -95,7 +95,8 @@
     }
 }
 
-/// Which versions of weights were named, and for how long requests may still begin on older ones; 0 and less: no more.
+/// The named versions of weights, and the remaining time in which requests may begin on older versions; 0 or negative if
+/// the time has passed.
 fn versions(page: &mut Page, node: &Node) {
     let now = node.now();
     let server_table = node.server_table.borrow();
@@ -120,7 +121,7 @@
     }
 }
 
-/// Servers by model and version, and those that get no requests.
+/// The number of servers by model and version, and of servers that get no requests, by reason.
 fn servers(page: &mut Page, node: &Node) {
     let server_table = node.server_table.borrow();
     let mut running: BTreeMap<(&str, u64), u32> = BTreeMap::new();
@@ -168,8 +169,9 @@
     line("quota_unavailable_total", &counters.quota_unavailable);
 }
 
-/// Quotas by shard: what this node grants where it has the lease, and whose holders it cannot ask. What was granted is
-/// counted anew from each acquire of the lease. Samples of one name stand together.
+/// Quotas by shard: the permits that this node grants if it holds the shard's lease, and whether the lease holder is
+/// unavailable. The counts of permits start at 0 each time the lease is acquired. The text format requires that samples
+/// of one name are adjacent.
 fn quotas(page: &mut Page, node: &Node, has_control_state: bool) {
     let unavailable = node.unavailable_shards();
     for shard in 1..=LEASE_SHARDS {
@@ -203,7 +205,7 @@
     }
 }
 
-/// Tenants with a limit that sent requests to this node.
+/// Counts of the tenants with a limit that sent requests to this node.
 fn tenants(page: &mut Page, node: &Node) {
     let counts = node.tenant_counts.all(&node.active_configuration());
     for (tenant, count) in &counts {
--- a/crates/sparrouter-fleet/src/api/mod.rs
+++ b/crates/sparrouter-fleet/src/api/mod.rs
@@ -1,15 +1,15 @@
-//! Calls from outside that are not client requests: of operators, servers and scrapers over HTTP, and of other nodes.
+//! Endpoints other than the proxy: for operators, servers and metrics scrapers over HTTP, and for other nodes.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `control` | the calls of servers and operators |
-//! | [`endpoint`] | HTTP endpoints as trees of handlers |
-//! | `metrics` | the metrics of a process as text |
-//! | `peer` | the calls of other nodes |
-//! | `readiness` | readiness checks |
+//! | `control` | the HTTP endpoints for servers and operators |
+//! | [`endpoint`] | an HTTP server with handlers by path and method |
+//! | `metrics` | the metrics of a process in Prometheus' text format |
+//! | `peer` | the answers to calls of other nodes |
+//! | `readiness` | the readiness endpoint |
 //! | `status` | the status of a node as JSON |
 //!
-//! Owns no state: each call is answered from the modules below it.
+//! The module owns no state: it answers each call from the state of the modules below it.
 pub(crate) mod control;
 pub mod endpoint;
 pub(crate) mod metrics;
--- a/crates/sparrouter-fleet/src/api/peer.rs
+++ b/crates/sparrouter-fleet/src/api/peer.rs
@@ -1,5 +1,5 @@
-//! Answers to the calls of other nodes: long polls, notifications, messages and changes of the control state, queries of
-//! cached prefixes and waiting prompts, permits of quotas.
+//! Answers to the calls of other nodes: long polls, membership notifications, consensus messages, relayed changes of the
+//! control state, queries of cached prefixes and waiting prompts, and quota permits.
 use crate::api::ControlServices;
 use crate::peer::messages::{Call, ConfirmedRead, Poll, Reply, Update};
 use crate::platform::defects::rules;
@@ -15,16 +15,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Longest time for which a poll waits for something new, in milliseconds.
+/// Longest time that a long poll waits for an update, in milliseconds.
 const MAX_POLL_WAIT_MS: u32 = 5_000;
-/// The same at a node without quorum contact: whoever polls it should soon poll another.
+/// Longest time that a long poll waits at a node without quorum contact, in milliseconds. It is short because the poller
+/// should soon poll another node.
 const MAX_POLL_WAIT_WITHOUT_CONTACT_MS: u32 = 300;
-/// Longest time that a relayed change may take, in milliseconds.
+/// Longest timeout of a relayed change, in milliseconds.
 const MAX_CHANGE_TIMEOUT_MS: u32 = 10_000;
 const NANOS_PER_MS: u64 = 1_000_000;
 
 #[expect(clippy::too_many_lines, reason = "a flat match of all calls")]
-/// Answers a call of another node; `None` where the call has no reply.
+/// Answers a call of another node; `None` if the call has no reply.
 pub async fn answer(services: Rc<ControlServices>, call: Call) -> Option<Reply> {
     let node = &services.node;
     match call {
@@ -133,7 +134,7 @@
     }
 }
 
-/// Answers a poll as soon as there is something new for its sender, or its wait is over.
+/// Answers a long poll as soon as there is an update for its sender, or the wait time has passed.
 async fn answer_poll(services: &ControlServices, poll: Poll) -> Reply {
     record_poll(services, &poll);
     if let Some(record) = poll.record.clone() {
@@ -153,16 +154,16 @@
         };
         let wait = Duration::from_millis(u64::from(poll.max_wait_ms.min(max_wait_ms)));
         let deadline = arrived_at + wait;
-        let is_over = Instant::now() >= deadline;
-        if let Some(update) = update(services, &poll, arrived_at_nanos, is_over) {
+        let is_expired = Instant::now() >= deadline;
+        if let Some(update) = update(services, &poll, arrived_at_nanos, is_expired) {
             return Reply::Update(update);
         }
-        // Either something new, or the end of the wait.
+        // Wakes up on a change or at the deadline; the loop checks which.
         let _ = timeout_at(deadline, changes.changed()).await;
     }
 }
 
-/// Records what a poll says of its sender.
+/// Records that the sender of a poll is alive, and the version ages that it reports.
 fn record_poll(services: &ControlServices, poll: &Poll) {
     if let Some(control) = &services.control {
         control.record_contact(&poll.name);
@@ -173,12 +174,12 @@
     }
 }
 
-/// What is new for the sender of a poll; `None` while there is nothing, unless `is_over`.
+/// The update for the sender of a poll; `None` if there is nothing new and the poll is not expired.
 fn update(
     services: &ControlServices,
     poll: &Poll,
     arrived_at: Nanos,
-    is_over: bool,
+    is_expired: bool,
 ) -> Option<Update> {
     let node = &services.node;
     let records = node.packed_delta_since(poll.epoch, poll.revision);
@@ -186,7 +187,7 @@
     let is_older = slot > 0 && slot < poll.config_slot;
     let sends_config =
         slot > poll.config_slot || (is_older && !rules::older_configurations_ignored());
-    if !sends_config && records.is_none() && !is_over {
+    if !sends_config && records.is_none() && !is_expired {
         return None;
     }
     Some(Update {
@@ -198,15 +199,16 @@
     })
 }
 
-/// Milliseconds from one moment to another, negative where the second comes first; rounded down.
+/// Milliseconds from `from` to `to`, rounded down; negative if `to` is earlier.
 fn ms_between(from: Nanos, to: Nanos) -> i64 {
     let nanos = i128::from(to) - i128::from(from);
     let ms = nanos.div_euclid(i128::from(NANOS_PER_MS));
     i64::try_from(ms).unwrap_or(i64::MIN)
 }
 
-/// Merges records that changed at the sender. It acknowledges to servers what this node confirms, so only a node with a
-/// quorum may confirm, from which the others get them.
+/// Merges membership records that changed at the sender. The sender acknowledges a server's change once this node has
+/// acknowledged the records, so a node acknowledges them only with quorum contact: all other nodes get the records from
+/// such a node.
 fn accept_notification(services: &ControlServices, delta: MembershipDelta) -> Reply {
     services.node.merge_records(delta);
     if services.has_quorum_contact() || !rules::notified_node_needs_contact() {
@@ -216,14 +218,14 @@
     }
 }
 
-fn handle_message(services: &ControlServices, shard: u16, from: Member, message: &Blob) {
+fn handle_message(services: &ControlServices, shard: u16, sender: Member, message: &Blob) {
     if let Some(control) = &services.control {
-        control.record_contact(&from.name);
-        control.handle_message(shard, from, message);
+        control.record_contact(&sender.name);
+        control.handle_message(shard, sender, message);
     }
 }
 
-/// Makes a change of a shard for another node, if this one is a member with quorum contact.
+/// Applies a change of a shard for another node, if this node is a member of the replica group with quorum contact.
 async fn relay_change(
     services: &ControlServices,
     shard: u16,
@@ -231,10 +233,12 @@
     timeout_ms: u32,
 ) -> Reply {
     let Some(control) = services.control.as_ref().filter(|c| c.is_member()) else {
-        return Reply::NotApplied("this node keeps no part of the control state".into());
+        return Reply::NotApplied(
+            "this node is not a member of the control state's replica group".into(),
+        );
     };
-    // Nothing was proposed, so the sender may ask another member at once. A call that waited in a frozen process ends here
-    // too: its sender gave it up long ago.
+    // Nothing was proposed, so the sender may ask another member at once. This also rejects a call that waited in a
+    // frozen process: its sender has timed out long ago.
     if control.lost_quorum_contact() && rules::relay_needs_contact() {
         return Reply::NotApplied(
             "this node has no contact with a quorum: see which members are down".into(),
@@ -271,7 +275,8 @@
     }
 }
 
-/// Times are rounded up: who comes back a little late finds a token.
+/// The reply with the result of a request for permits. Times are rounded up, so that a token is available when the caller
+/// retries.
 fn grant_reply(grant: Grant) -> Reply {
     let ms_of = |time: Nanos| u32::try_from(time.div_ceil(NANOS_PER_MS)).unwrap_or(u32::MAX);
     match grant {
--- a/crates/sparrouter-fleet/src/api/readiness.rs
+++ b/crates/sparrouter-fleet/src/api/readiness.rs
@@ -1,11 +1,11 @@
-//! Readiness checks of the platform, which sends clients to nodes that are ready.
+//! The readiness endpoint: the platform routes clients to ready nodes only.
 use crate::api::endpoint::Matcher;
 use crate::node::Node;
 use crate::platform::defects::rules;
 use crate::platform::http::Response;
 use std::rc::Rc;
 
-/// The handler of readiness checks.
+/// The handler of `GET /api/readiness`.
 pub fn readiness_tree(node: Rc<Node>) -> Matcher {
     Matcher::default().on("GET", "/api/readiness", move |_, _| {
         let response = if is_ready(&node) {
--- a/crates/sparrouter-fleet/src/api/status.rs
+++ b/crates/sparrouter-fleet/src/api/status.rs
@@ -1,7 +1,7 @@
 //! The status of a node as one JSON object, for operators.
 //!
-//! The operators' client parses it too, also that of an older release: fields are only added, and their names are those
-//! of the JSON object.
+//! The operators' client parses this object too, also the one of an older release: fields are only added, never removed,
+//! and the names of the Rust fields are the names in the JSON object.
 use crate::control::Control;
 use crate::node::Node;
 use crate::node::tenant_counts::TenantCount;
@@ -10,7 +10,8 @@
 use sparrouter_config::{Tenant, TenantQuota};
 use sparrouter_membership::{NodeRecord, ServerRecord};
 
-/// Most tenants that a status shows where none is named: those with the most refusals.
+/// Maximum number of tenants in a status that was requested without a tenant; the tenants with the most refusals are
+/// shown.
 const MAX_TENANTS: usize = 100;
 
 /// A model and a version of its weights.
@@ -22,112 +23,112 @@
     pub version: u64,
 }
 
-/// A server, as the node knows it.
+/// A server as known to the node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// Its instance id.
+    /// Instance id of the server.
     pub id: String,
-    /// Its service.
+    /// Service of the server.
     pub service: String,
-    /// Its address.
+    /// Address of the server.
     pub address: String,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// `ready`, `draining` or `gone`.
+    /// State of the server: `ready`, `draining` or `gone`.
     pub standing: String,
-    /// It is unresponsive: its heartbeats stopped.
+    /// The server is unresponsive: its heartbeats stopped.
     pub silent: bool,
-    /// The node could not connect to it.
+    /// The node could not connect to the server.
     pub suspected: bool,
-    /// It is loading new weights, or will at once.
+    /// The server is loading new weights, or is about to.
     pub loading: bool,
-    /// Requests of the node in flight there.
+    /// Number of the node's requests in flight at the server.
     pub in_flight: u32,
-    /// The models that it runs, as far as the node knows.
+    /// The models that the server runs, as known to the node.
     pub models: Vec<ModelStatus>,
 }
 
 /// Another node, or the node itself, by its record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its address for other nodes.
+    /// Address of the node for other nodes.
     pub internal: String,
-    /// Its address for servers and operators; empty if it serves none.
+    /// Address of the node for servers and operators; empty if it serves none.
     pub control: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// It counts toward the quorum.
+    /// The node counts toward the quorum.
     pub counted: bool,
-    /// It is shutting down.
+    /// The node is shutting down.
     pub leaving: bool,
-    /// It is unresponsive: it stopped polling.
+    /// The node is unresponsive: it stopped polling.
     pub silent: bool,
 }
 
-/// A shard of tenants' limits whose lease the node has. Counts begin with each acquire of the lease.
+/// A shard of tenant limits whose lease the node holds. The counts start at 0 each time the lease is acquired.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaShardStatus {
     /// Number of the shard.
     pub shard: u16,
     /// Fencing token of the lease.
     pub fencing_token: u64,
-    /// It may grant permits now. False: the lease is not valid yet, or not any more.
+    /// The node may grant permits of this shard now; false if the lease is not yet or no longer valid.
     pub active: bool,
-    /// Tenants with a part of their limit there.
+    /// Number of tenants with a part of their limit in this shard.
     pub tenants: u64,
-    /// Permits granted.
+    /// Number of permits granted.
     pub granted: u64,
-    /// Requests for permits that found their part empty.
+    /// Number of requests for permits that were refused because the part was empty.
     pub refused: u64,
-    /// Permits that came back unspent.
+    /// Number of permits that were returned unspent.
     pub returned: u64,
 }
 
-/// A part of a tenant's limit that the node may grant from now.
+/// A part of a tenant's limit from which the node may grant permits now.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaPartStatus {
-    /// Number of its shard.
+    /// Number of the shard.
     pub shard: u16,
-    /// Permits that it has.
+    /// Permits available in this part.
     pub level: f64,
-    /// Most permits that it holds.
+    /// Maximum number of permits in this part.
     pub capacity: f64,
 }
 
-/// A tenant's limit, and what the node counted of it since the process began.
+/// A tenant's limit, and the node's counts of the tenant's requests since the process started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantQuotaStatus {
     /// Name of the tenant.
     pub name: String,
-    /// Requests a second by the configuration in force at the node; `None`: no limit.
+    /// Limit in requests a second by the configuration in force at the node; `None` if the tenant has no limit.
     pub rate_per_s: Option<f64>,
-    /// Requests beyond the rate that may come together; `None`: no limit.
+    /// Burst size: requests that may exceed the rate at once; `None` if the tenant has no limit.
     pub burst_size: Option<f64>,
-    /// Shards that have the parts of the limit.
+    /// Numbers of the shards that hold the parts of the limit.
     pub shards: Vec<u16>,
-    /// The parts that the node may grant from now.
+    /// The parts from which the node may grant permits now.
     pub held: Vec<QuotaPartStatus>,
-    /// Requests that the node sent under a permit.
+    /// Number of requests that the node forwarded with a permit.
     pub sent: u64,
-    /// Requests that it refused because the limit is used up.
+    /// Number of requests that the node refused because the limit was used up.
     pub refused: u64,
-    /// Requests that it refused because no holder of the limit could be asked.
+    /// Number of requests that the node refused because no lease holder of the limit answered.
     pub unavailable: u64,
 }
 
-/// Quotas, as the node grants and uses them.
+/// Quotas as granted and used by the node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaStatus {
-    /// Shards whose leases the node has.
+    /// Shards whose leases the node holds.
     pub shards: Vec<QuotaShardStatus>,
-    /// Shards of which no holder answered the node in the last seconds, and none has since.
+    /// Shards of which no lease holder has answered the node in the last seconds.
     pub unavailable_shards: Vec<u16>,
-    /// Tenants with a limit that sent requests to the node, those with the most refusals first, a hundred at most. Where
-    /// the status of one tenant was asked for (`?tenant=NAME`): that one, if the configuration has it.
+    /// Tenants with a limit that sent requests to the node, in descending order of refusals, a hundred at most. If the
+    /// status of one tenant was requested (`?tenant=NAME`): only this tenant, if the configuration has it.
     pub tenants: Vec<TenantQuotaStatus>,
-    /// How many tenants with a limit sent requests to the node.
+    /// Number of tenants with a limit that sent requests to the node.
     pub tenants_counted: u64,
 }
 
@@ -136,32 +137,32 @@
 pub struct Status {
     /// Name of the node.
     pub node: String,
-    /// It takes requests of clients.
+    /// The node accepts client requests.
     pub ready: bool,
-    /// Version of the configuration in force; 0 before the first.
+    /// Version of the configuration in force; 0 before the first configuration.
     pub config_version: u64,
-    /// Digest of the configuration's text in hexadecimal, the same on all nodes with the same text. `None` from an older
-    /// release.
+    /// Digest of the configuration's text in hexadecimal, the same on all nodes with the same text. `None` if the
+    /// node runs an older release.
     pub config_digest: Option<String>,
-    /// It is a member of the configuration's replica group.
+    /// The node is a member of the configuration's replica group.
     pub member: bool,
-    /// It has quorum contact.
+    /// The node has quorum contact.
     pub in_touch: bool,
-    /// Milliseconds since it last heard from a node with quorum contact, itself included.
+    /// Milliseconds since the node last heard from a node with quorum contact, itself included.
     pub heard_ms_ago: u64,
-    /// Requests of clients that it is reading or serving.
+    /// Number of client requests that the node is reading or serving.
     pub open_requests: u64,
-    /// Names of the members of the configuration's replica group, as far as it knows.
+    /// Names of the members of the configuration's replica group, as known to the node.
     pub group: Vec<String>,
-    /// The newest versions of weights that were named.
+    /// The newest named version of each model's weights.
     pub models: Vec<ModelStatus>,
-    /// All nodes that it knows.
+    /// All nodes known to the node.
     pub nodes: Vec<NodeStatus>,
-    /// All servers that it knows.
+    /// All servers known to the node.
     pub servers: Vec<ServerStatus>,
-    /// What its settings keep it from, with the remedy. `None` from an older release.
+    /// Warnings about the node's settings, with the remedy. `None` if the node runs an older release.
     pub warnings: Option<Vec<String>>,
-    /// Quotas of tenants. `None` from an older release, which neither asks for permits nor grants any.
+    /// Quotas of tenants. `None` if the node runs an older release, which neither requests nor grants permits.
     pub quotas: Option<QuotaStatus>,
 }
 
@@ -172,7 +173,8 @@
     }
 }
 
-/// The status of a node as JSON. `control`: its control state, if it keeps one; `tenant`: the one whose quota is shown.
+/// The status of a node as JSON. `control` is the node's control state, if it has one; `tenant` limits the quotas shown
+/// to one tenant.
 pub fn show(node: &Node, control: Option<&Control>, tenant: Option<&str>) -> String {
     let active = node.active_configuration();
     let group = control
@@ -245,7 +247,7 @@
     membership.nodes().map(status).collect()
 }
 
-/// `tenant`: the one that is shown; otherwise those that sent requests here.
+/// The quotas of `tenant`; if it is `None`, of the tenants that sent requests to this node.
 fn quotas(node: &Node, tenant: Option<&str>) -> QuotaStatus {
     let active = node.active_configuration();
     let mut counts = node.tenant_counts.all(&active);
--- a/crates/sparrouter-fleet/src/process/endpoints.rs
+++ b/crates/sparrouter-fleet/src/process/endpoints.rs
@@ -1,4 +1,4 @@
-//! The listeners of a process, and what serves them.
+//! The listeners of a process, and the tasks that serve them.
 use crate::api::ControlServices;
 use crate::api::control as control_api;
 use crate::api::endpoint::{self, Matcher};
@@ -16,13 +16,14 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Descriptors that are reserved for files and for connections of the process's own. Of the rest clients have this part.
+/// Descriptors that are reserved for files and for the process's own connections.
 const RESERVED_DESCRIPTORS: u64 = 300;
+/// Part of the other descriptors that client connections may use, as a fraction.
 const CLIENT_PART_NUMERATOR: u64 = 6;
 const CLIENT_PART_DENOMINATOR: u64 = 10;
 
-/// The listeners that are open before anything else is done. A process with a data directory has that of control among
-/// them, which no second process of the same settings gets: it keeps the directory for this one.
+/// The listeners that are opened before all other work of the start. If the process has a data directory, the control
+/// listener also locks it: a second process with the same settings cannot open the same address.
 pub(super) struct FirstListeners {
     pub(super) readiness: Option<Box<dyn Listener>>,
     pub(super) control: Option<Box<dyn Listener>>,
@@ -36,7 +37,7 @@
 }
 
 impl FirstListeners {
-    /// Opens them as the role and the settings ask for.
+    /// Opens the readiness and control listeners that the settings name.
     pub(super) fn open(
         role: Role,
         settings: &ProcessSettings,
@@ -56,7 +57,8 @@
         })
     }
 
-    /// Opens those for clients and for other nodes. Until then both are refused there, and go to another node at once.
+    /// Opens the listeners for clients and for other nodes. Until then their connections are refused, so that they try
+    /// another node at once.
     pub(super) fn open_others(
         self,
         role: Role,
@@ -77,13 +79,13 @@
         .map_err(|source| RunError::Listen { address, source })
 }
 
-/// Starts the polls of sources and what serves each listener. Returns what announces the stages of a shutdown to the
-/// frontend.
+/// Starts polling other nodes, and a task for each listener. Returns the sender that announces the stages of a shutdown
+/// to the frontend.
 pub(super) fn start(services: &Rc<ControlServices>, listeners: Listeners) -> watch::Sender<Stage> {
     let node = &services.node;
-    let answering = services.clone();
+    let peer_services = services.clone();
     spawn_local(server::serve(listeners.internal, move |_, call| {
-        peer::answer(answering.clone(), call)
+        peer::answer(peer_services.clone(), call)
     }));
     polls::start(node, services.control.is_some());
     if should_bootstrap(&node.settings.borrow()) {
@@ -107,7 +109,8 @@
     stage
 }
 
-/// Whether this node forms the first groups: the first of the seeds does, on the first start of the whole fleet.
+/// Whether this node bootstraps the first replica groups: only the first seed does, on the first start of the whole
+/// fleet.
 fn should_bootstrap(settings: &ProcessSettings) -> bool {
     let first_seed = settings.seeds.first();
     settings.first_start && first_seed.is_none_or(|seed| seed.ip() == settings.ip)
@@ -118,7 +121,7 @@
     (available * CLIENT_PART_NUMERATOR / CLIENT_PART_DENOMINATOR) as usize
 }
 
-/// Serves the metrics of this process where a port for them is set. A port that is in use leaves the process without them.
+/// Serves the metrics of this process if a metrics port is set. If the port is in use, the process runs without metrics.
 fn serve_metrics(services: &Rc<ControlServices>) {
     let node = &services.node;
     let Some(address) = node.settings.borrow().listen.metrics else {
--- a/crates/sparrouter-fleet/src/process/error.rs
+++ b/crates/sparrouter-fleet/src/process/error.rs
@@ -1,26 +1,26 @@
-//! Why a process does not start.
+//! Errors that keep a process from starting.
 use crate::control::disk::DiskError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a process does not start.
+/// An error that keeps a process from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A listener cannot be opened.
     #[error("cannot listen at {address} ({source}): free the port or change listen_addresses")]
     Listen {
-        /// Its address.
+        /// The address to listen on.
         address: SocketAddr,
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The settings lack an address that the role needs: the field that gives it.
-    #[error("this role needs {0}: use a machine class and serves that give it")]
+    /// The settings lack an address that the role needs. Holds the name of the missing field.
+    #[error("this role needs {0}: use a machine class and served roles that provide it")]
     Role(&'static str),
-    /// Signals cannot be received.
+    /// Handlers for the signals of the operating system cannot be installed.
     #[error("signals cannot be received: {0}")]
     Signals(io::Error),
-    /// The data directory is of a newer release.
+    /// The data directory cannot be opened, for example because a newer release wrote it.
     #[error("the data directory is not touched: {0}")]
     Data(#[from] DiskError),
 }
--- a/crates/sparrouter-fleet/src/process/health_checks.rs
+++ b/crates/sparrouter-fleet/src/process/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers that could not be reached: connecting to them until one connection comes up.
+//! Health checks of unreachable servers: repeated attempts to connect until one succeeds.
 use crate::node::Node;
 use sparrouter_routing::ServerIndex;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 
 /// Time between two rounds of checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a connection may take to come up.
+/// Longest time that a connection attempt may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs the health checks until the process ends.
+/// Checks unreachable servers until the process ends.
 pub(super) async fn run(node: Rc<Node>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
@@ -26,7 +26,7 @@
     }
 }
 
-/// One check. Its result counts for the server that had the address when it began.
+/// Tries to connect to a server once. A success counts only if the server still has the same address afterwards.
 async fn check(node: Rc<Node>, server: ServerIndex, address: SocketAddr) {
     let connected = timeout(CONNECT_TIMEOUT, node.net.dial(address)).await;
     let is_same_server = address_of(&node, server) == Some(address);
--- a/crates/sparrouter-fleet/src/process/maintenance.rs
+++ b/crates/sparrouter-fleet/src/process/maintenance.rs
@@ -1,4 +1,5 @@
-//! Periodic work of a process: liveness of servers and nodes, expiry of records, the membership on disk.
+//! Periodic work of a process: checks the liveness of servers and nodes, drops expired records, and writes the
+//! membership to disk.
 use super::version_ages::VersionAgesWriter;
 use crate::api::ControlServices;
 use crate::control::Control;
@@ -10,12 +11,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between two runs.
+/// Time between two runs of the periodic work, before jitter.
 const INTERVAL: Duration = Duration::from_millis(250);
-/// The membership is written every so many runs, if it has changed.
-const RUNS_A_WRITE: u32 = 4;
-/// Records expire every so many runs.
-const RUNS_AN_EXPIRY: u32 = 16;
+/// Number of runs between two writes of the membership to disk.
+const RUNS_PER_WRITE: u32 = 4;
+/// Number of runs between two removals of expired records.
+const RUNS_PER_EXPIRY: u32 = 16;
 
 /// Runs the periodic work until the process ends.
 pub(super) async fn run(services: Rc<ControlServices>) {
@@ -33,21 +34,21 @@
         if let Some(control) = &services.control {
             control.mark_unresponsive_pollers();
             contact.observe(node, control);
-            if runs.is_multiple_of(RUNS_A_WRITE) {
+            if runs.is_multiple_of(RUNS_PER_WRITE) {
                 write_membership(node, control, &mut written_revision);
                 version_ages.write(node, control);
             }
         }
-        if runs.is_multiple_of(RUNS_AN_EXPIRY) {
+        if runs.is_multiple_of(RUNS_PER_EXPIRY) {
             let now = node.now();
             node.membership.borrow_mut().drop_expired(now);
-            // Publishes what changed without notification of other nodes, and applies that directives expire.
+            // Publishes changes that were made without notifying other nodes, and applies the expiry of directives.
             node.publish_changes();
         }
     }
 }
 
-/// Writes the membership for the next start, if it has changed.
+/// Writes the membership to disk for the next start, if it has changed since the last write.
 fn write_membership(node: &Node, control: &Control, written_revision: &mut u64) {
     let revision = node.membership.borrow().revision();
     if revision == *written_revision {
@@ -59,14 +60,14 @@
     control.write_membership(records.serialize_bin());
 }
 
-/// Notices when this member gets or loses contact with a quorum.
+/// Observes whether this member is in contact with a quorum, and reports a lasting loss.
 #[derive(Default)]
 struct ContactWatch {
-    /// Contact at the last observation.
+    /// Whether the member had quorum contact at the last observation.
     has_contact: bool,
-    /// There was contact, and its loss is not reported yet.
+    /// Whether a loss of contact is to be reported: true from the first contact until the loss is reported.
     reports_loss: bool,
-    /// Since when there has been none.
+    /// Time at which contact was lost; `None` while there is contact.
     lost_at: Option<Nanos>,
 }
 
@@ -75,7 +76,7 @@
         let has_contact = control.has_quorum_contact();
         if has_contact != self.has_contact {
             self.has_contact = has_contact;
-            // Nodes that poll this one wait for it.
+            // Wakes the pending long polls, whose wait time depends on quorum contact.
             node.notify_subscribers();
         }
         if has_contact {
@@ -95,8 +96,8 @@
     }
 }
 
-/// Reports it if no quorum was heard from within `contact_timeout` of the start. The process is not ready then, because
-/// the configuration that it got may be an old one, but it serves by that configuration what clients send it all the same.
+/// Reports if the process has heard from no quorum within `contact_timeout` of its start. The process is not ready in
+/// this state, because its configuration may be outdated, but it still serves client requests by that configuration.
 pub(super) async fn report_missing_quorum(node: Rc<Node>, contact_timeout: Duration) {
     tokio::time::sleep(contact_timeout).await;
     let has_configuration = node.active_configuration().table.is_some();
--- a/crates/sparrouter-fleet/src/process/mod.rs
+++ b/crates/sparrouter-fleet/src/process/mod.rs
@@ -1,17 +1,17 @@
-//! One process from start to end: its tasks, its signals, and the drain period in which it ends.
+//! The life cycle of a process: its start, its tasks, its signals, and its graceful shutdown.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `endpoints` | the listeners of a process, and what serves them |
-//! | `error` | why a process does not start |
-//! | `health_checks` | connecting to servers that could not be reached |
-//! | `maintenance` | periodic work: liveness, expiry, membership on disk |
-//! | `opening` | the time until the data directory is read |
+//! | `endpoints` | the listeners of a process, and the tasks that serve them |
+//! | `error` | the errors that keep a process from starting |
+//! | `health_checks` | health checks of unreachable servers |
+//! | `maintenance` | periodic work: liveness, expiry, writing the membership to disk |
+//! | `opening` | the start-up phase in which the data directory is opened |
 //! | [`run`] | the start of a process, and its signals |
-//! | `shutdown` | a graceful shutdown |
-//! | `version_ages` | how long ago versions were named, on disk |
+//! | `shutdown` | the graceful shutdown |
+//! | `version_ages` | the ages of named versions, stored on disk |
 //!
-//! Owns nothing that outlives a start. It wires the other modules together, so it may use all of them.
+//! The module owns no state beyond the start. It connects the other modules, so it may use all of them.
 mod endpoints;
 mod error;
 mod health_checks;
--- a/crates/sparrouter-fleet/src/process/opening.rs
+++ b/crates/sparrouter-fleet/src/process/opening.rs
@@ -1,4 +1,4 @@
-//! The time until the data directory is read: what callers are answered meanwhile, and the signals of that time.
+//! Start-up phase in which the data directory is opened: answers callers with 503 and handles signals.
 use super::endpoints::FirstListeners;
 use super::run::ProcessSignal;
 use crate::api::endpoint::{self, Matcher};
@@ -12,16 +12,17 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// What callers are told, and the log after [`REPORT_AFTER`].
+/// Body of the 503 responses, and the log line that is written after [`REPORT_AFTER`].
 const STILL_OPENING: &str =
     "the data directory is still being opened: if this lasts, check the disk of this machine";
-/// A caller may come back after this.
+/// Retry-After of the 503 responses.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
-/// An opening that takes longer than this is reported.
+/// Time after which the opening is reported as slow.
 const REPORT_AFTER: Duration = Duration::from_secs(5);
 
-/// Answers callers until `opening` has ended; `None` if the process is told to leave before. Nothing is served, voted on or
-/// acknowledged meanwhile, as all that needs the disk starts with what this returns.
+/// Answers callers with 503 until `opening` completes, and returns its output; `None` if the process gets the signal to
+/// shut down first. Until then the node serves no requests, casts no votes and acknowledges nothing, since all of these
+/// need the contents of the disk.
 pub(super) async fn answer_until_open<T>(
     opening: impl Future<Output = T>,
     listeners: &FirstListeners,
@@ -29,19 +30,19 @@
     log_buffer: &LogBuffer,
     settings: &mut ProcessSettings,
 ) -> Option<T> {
-    // In this order, so that the same seed gives the same run; the opening first, so that one that need not wait leaves no
-    // trace here.
+    // The fixed order makes runs with the same seed identical. The opening is polled first, so that one that completes
+    // at once has no other effect.
     tokio::select! {
         biased;
         opened = opening => Some(opened),
-        () = until_told_to_leave(signals, settings) => None,
+        () = wait_for_shutdown_signal(signals, settings) => None,
         () = refuse_callers(listeners) => None,
         () = report_delay(log_buffer) => None,
     }
 }
 
-/// Follows changes of the seeds until the process is told to leave.
-async fn until_told_to_leave(
+/// Applies changes of the seeds until the process gets the signal to shut down.
+async fn wait_for_shutdown_signal(
     signals: &mut mpsc::UnboundedReceiver<ProcessSignal>,
     settings: &mut ProcessSettings,
 ) {
@@ -52,7 +53,7 @@
     }
 }
 
-/// Answers all calls with 503, for ever.
+/// Answers all calls with 503; never returns.
 async fn refuse_callers(listeners: &FirstListeners) {
     let response = Response {
         retry_after: Some(RETRY_AFTER),
@@ -72,7 +73,7 @@
     }
 }
 
-/// Reports once that the disk takes long; never returns.
+/// Reports once that opening the data directory takes long; never returns.
 async fn report_delay(log_buffer: &LogBuffer) {
     tokio::time::sleep(REPORT_AFTER).await;
     log_buffer.report_violation(STILL_OPENING);
--- a/crates/sparrouter-fleet/src/process/run.rs
+++ b/crates/sparrouter-fleet/src/process/run.rs
@@ -1,5 +1,5 @@
-//! The start of a process, and its signals. [`run`] is the program's, with signals and files; [`serve`] is the same without
-//! either, for the simulation too.
+//! The start of a process, and its signals. The program calls [`run`], which uses the signals and files of the operating
+//! system; [`serve`] uses neither, so that the simulation can call it too.
 pub use super::error::RunError;
 use super::{endpoints, health_checks, maintenance, opening, shutdown, version_ages};
 use crate::api::ControlServices;
@@ -30,16 +30,16 @@
 /// Time between two checks whether the settings file has changed.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A signal to a process that runs.
+/// A signal to a running process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
     /// Shut down gracefully.
     Leave,
-    /// Other machines are the seeds now. All other settings are read at the start only.
+    /// Replace the seeds by these. All other settings are read only at the start.
     Seeds(Vec<SocketAddr>),
 }
 
-/// The program: runs until SIGTERM.
+/// Runs a process of the fleet until SIGTERM.
 ///
 /// # Errors
 ///
@@ -66,7 +66,7 @@
     }
 }
 
-/// Turns signals of the operating system, and changes of the settings file, into those of the process.
+/// Translates signals of the operating system and changes of the settings file into [`ProcessSignal`]s.
 struct SignalWatch {
     terminate: tokio::signal::unix::Signal,
     hang_up: tokio::signal::unix::Signal,
@@ -75,33 +75,33 @@
 }
 
 impl SignalWatch {
-    /// Forwards signals; never returns, since [`serve`] ends the process.
+    /// Forwards signals. Never returns, because [`serve`] ends the process.
     async fn forward(mut self) {
-        let mut modified_at = modified_at(&self.settings_path);
+        let mut last_modified_at = modified_at(&self.settings_path);
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => break,
                 _ = self.hang_up.recv() => self.send_seeds(),
                 () = tokio::time::sleep(SETTINGS_INTERVAL) => {
                     // The file may change without a signal.
-                    let now = self::modified_at(&self.settings_path);
-                    if now != modified_at {
-                        modified_at = now;
+                    let current = self::modified_at(&self.settings_path);
+                    if current != last_modified_at {
+                        last_modified_at = current;
                         self.send_seeds();
                     }
                 }
             }
         }
-        // A process that has ended already needs no signal.
+        // Sending fails only if the process has already ended.
         let _ = self.sender.send(ProcessSignal::Leave);
         std::future::pending().await
     }
 
-    /// Reads the settings again and sends their seeds.
+    /// Rereads the settings and sends their seeds.
     fn send_seeds(&self) {
         match ProcessSettings::read(&self.settings_path) {
             Ok(settings) => {
-                // As above.
+                // Sending fails only if the process has already ended.
                 let _ = self.sender.send(ProcessSignal::Seeds(settings.seeds));
             }
             Err(error) => log::warn!("settings stay as they were: {error}"),
@@ -113,8 +113,8 @@
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
 
-/// Serves until it is signalled to leave, or until the sender of signals is dropped. `open` reads the data directory; it
-/// must not block, since callers are answered meanwhile.
+/// Runs a process until it gets [`ProcessSignal::Leave`], or until the sender of signals is dropped. `open` reads the
+/// data directory; it must not block the thread, which answers callers during that time.
 ///
 /// # Errors
 ///
@@ -172,14 +172,15 @@
     Ok(())
 }
 
-/// Reports what keeps the node from its seeds: without this nobody would learn why a fleet never forms.
+/// Reports the seeds that the node cannot reach because of its settings: otherwise nothing shows why a fleet never forms.
 fn report_seed_warnings(node: &Node) {
     for warning in node.settings.borrow().seed_warnings() {
         node.log_buffer.report_violation(&warning);
     }
 }
 
-/// Starts what needs no listener: the membership of the last run, the control state, rollouts.
+/// Starts the parts that need no listener: restores the membership and version ages of the last run, and starts the
+/// control state, rollouts and quotas.
 fn start_node(
     node: Rc<Node>,
     contents: DiskContents,
--- a/crates/sparrouter-fleet/src/process/shutdown.rs
+++ b/crates/sparrouter-fleet/src/process/shutdown.rs
@@ -1,4 +1,5 @@
-//! A graceful shutdown: not ready at first, then no new connections, then the end once nothing is in flight.
+//! Graceful shutdown: the node reports that it is not ready, then stops accepting connections, and ends once no request
+//! is in flight.
 use crate::control::Control;
 use crate::node::Node;
 use crate::node::shutdown::GracefulShutdown;
@@ -9,12 +10,13 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Time between two checks whether anything is in flight, and how many in a row must find nothing.
+/// Time between two checks whether the node is idle.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of consecutive checks that must find the node idle.
 const IDLE_CHECKS: u32 = 6;
 
-/// Shuts the process down: all requests that were accepted are answered, and the control state is handed over. Ends at the
-/// end of the grace period at the latest, and reports what was left.
+/// Shuts the process down: answers all accepted requests and hands the control state over. Returns at the end of the
+/// grace period at the latest, and reports unfinished requests and shards.
 pub(super) async fn run(
     node: &Rc<Node>,
     control: Option<&Rc<Control>>,
@@ -35,7 +37,7 @@
     }
 }
 
-/// Waits until nothing is in flight; false if something still is at the deadline.
+/// Waits until no request is in flight and the control state is handed over; false if the deadline passes first.
 async fn is_idle_before(deadline: Instant, node: &Node, control: Option<&Rc<Control>>) -> bool {
     let mut idle_checks = 0;
     while Instant::now() < deadline {
--- a/crates/sparrouter-fleet/src/process/version_ages.rs
+++ b/crates/sparrouter-fleet/src/process/version_ages.rs
@@ -1,9 +1,10 @@
-//! How long ago versions of weights were named, on the disks of control nodes: it outlasts the loss of all processes.
+//! Ages of named versions of weights, stored on the disks of control nodes so that they survive the loss of all
+//! processes.
 //!
-//! The register stores no times, since clocks differ and step. Nodes report ages to each other, so one that survives is
-//! enough; only where all processes end at once would every time limit start anew. An age on disk is that of its last
-//! write. The time since then, without a process, is not added: a version's total limit adds up the time in which the core
-//! was stable, and it was not.
+//! The replicated register stores no timestamps, since clocks differ and may jump. Nodes report ages to each other, so
+//! one surviving node preserves them; without the copy on disk every time limit would restart if all processes ended at
+//! once. An age on disk is the age at its last write. The time since then, during which no process ran, is not added: a
+//! version's total limit adds up only the time in which the core was stable.
 use crate::control::Control;
 use crate::node::Node;
 use crate::peer::messages::ModelUpdate;
@@ -11,7 +12,7 @@
 use nanoserde::SerBin;
 use sparrouter_codec::Seq;
 
-/// Records the ages that the process before this one wrote. Malformed ones are ignored: the limits start anew.
+/// Restores the ages that the previous process wrote. Malformed data is ignored, and the time limits restart.
 pub(super) fn restore(node: &Node, stored: &[u8]) {
     if !rules::stored_version_ages_count() {
         return;
@@ -22,10 +23,11 @@
     }
 }
 
-/// Writes the ages of the versions whose time limits are pending, as they are now.
+/// Writes the current ages of the versions whose time limits are pending.
 #[derive(Default)]
 pub(super) struct VersionAgesWriter {
-    /// Whether the last ages that were written had pending limits: once all have passed, the ages are written once more.
+    /// Whether a limit was pending at the last call; if so, the ages are written one more time after all limits have
+    /// passed.
     had_pending: bool,
 }
 
--- a/crates/sparrouter-fleet/src/settings/bounds.rs
+++ b/crates/sparrouter-fleet/src/settings/bounds.rs
@@ -4,69 +4,70 @@
 use sparrouter_routing::RetryBudgetSettings;
 use std::time::Duration;
 
-/// Shortest bound on removed keys where revocation is strict: a lease of that length is renewed several times over while a
-/// quorum answers within some 100 ms.
+/// Minimum of `bounds.revoke_timeout_ms` with strict revocation: a lease of this length is renewed several times within
+/// its validity if a quorum answers within some 100 ms.
 const MIN_REVOKE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Shortest window of a quota, in seconds: a few lifetimes of a permit.
+/// Shortest quota window, in seconds: a few times the lifetime of a permit.
 const MIN_QUOTA_WINDOW_S: f64 = 1.0;
 
 /// The limits that the operators' RULES.md refers to, as set for this deployment (`bounds.*`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// How far the platform's list of seed addresses may lag behind.
+    /// Longest delay until the platform's list of seed addresses reflects a change.
     pub seed_lag: Duration,
-    /// Shortest time until the address of a server that left is given to another one.
+    /// Shortest time until the address of a removed server is reassigned to another server.
     pub address_reuse: Duration,
-    /// How long a node must have been in touch with a quorum, and how recently, for the rules to apply to it.
+    /// How long a node must have been in contact with a quorum, and how recently, for the rules to apply to it.
     pub contact: Duration,
-    /// Longest time until a change is acknowledged while a quorum is in touch.
+    /// Longest time until a change is acknowledged while there is quorum contact.
     pub ack_timeout: Duration,
-    /// How long a core machine that returned still counts as lost.
+    /// How long a core machine still counts as lost after it has returned.
     pub catch_up: Duration,
     /// Time after the acknowledgement of a drain within which requests may still reach the server.
     pub drain_timeout: Duration,
     /// Time from SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// Tolerance, around planned work, for requests that are cut off.
+    /// Tolerance, around planned maintenance, for requests that are interrupted.
     pub loss_slack: Duration,
     /// Time after the acknowledgement of a configuration within which every node must apply it.
     pub config_apply: Duration,
     /// Tolerance for a node that applies an older configuration after a newer one was seen.
     pub rollback_slack: Duration,
-    /// Longest time by which an unstable core may delay a configuration beyond `config_apply`.
+    /// Longest delay of a configuration beyond `config_apply` while the core is unstable.
     pub max_stretch: Duration,
-    /// A removed API key binds every node after `revoke_timeout`, also one that is cut off.
+    /// Every node rejects a removed API key after `revoke_timeout`, even a partitioned node.
     pub strict_revocation: bool,
-    /// Time after the acknowledgement of a configuration from which on nothing runs with a key that it removed.
+    /// Time after the acknowledgement of a configuration after which no request runs with a key that it removed.
     pub revoke_timeout: Duration,
     /// How long a rollout lease is valid without renewal.
     pub lease: Duration,
-    /// Time after a frozen process continues during which orders may still arrive out of turn.
+    /// Time after a frozen process resumes during which orders may still arrive out of turn.
     pub thaw: Duration,
-    /// Time after new weights are named within which requests may begin on older ones.
+    /// Time after new weights are named during which requests may begin on older weights.
     pub version: Duration,
-    /// The same as `version`, over several stretches in which the core is stable; 0: no limit.
+    /// Limit like `version`, but on the total of all periods in which the core is stable; 0 if there is no limit.
     pub version_all: Duration,
     /// Longest time that an event of a stream may take through the fleet.
     pub transit: Duration,
-    /// Time within which reading a shared part of a prompt again is priced. Informational: see docs/design/versions.md.
+    /// Period in which a repeated prefill of a shared prompt prefix is charged for. Informational: see
+    /// docs/design/versions.md.
     pub retry_after: Duration,
     /// Time after a final fault until requests must be served again.
     pub recovery: Duration,
-    /// Retries allowed a request; see [`RetryBudgetSettings::ratio`].
+    /// Retries allowed per request; see [`RetryBudgetSettings::ratio`].
     pub retry_budget_ratio: f64,
-    /// Further retries of all nodes in a window; see [`RetryBudgetSettings::slack`].
+    /// Additional retries that all nodes may make in a window; see [`RetryBudgetSettings::slack`].
     pub retry_budget_slack: f64,
     /// Window of the retry budget.
     pub budget_window: Duration,
     /// Servers refuse a fencing token lower than one they have seen.
     pub fencing: bool,
-    /// Span in which the requests of a tenant are held against its quota.
+    /// Window over which the requests of a tenant are compared with its quota.
     pub quota_window: Duration,
-    /// Part of a quota by which it may be exceeded. Informational: the fleet keeps to the quota itself.
+    /// Fraction of a quota by which it may be exceeded. Informational: the fleet enforces the quota without overage.
     pub quota_overage: f64,
-    /// Requests by which a quota may be exceeded. Informational, as `quota_overage`.
+    /// Number of requests by which a quota may be exceeded. Informational, like `quota_overage`.
     pub quota_grace: f64,
 }
 
@@ -118,15 +119,15 @@
         Ok(bounds)
     }
 
-    /// Strict revocation needs a bound that a lease can be renewed within.
+    /// Checks that strict revocation has a timeout that leaves time to renew a lease.
     fn check_revocation(&self, fields: &Fields) -> Result<(), SettingsError> {
         if !self.strict_revocation || self.revoke_timeout >= MIN_REVOKE_TIMEOUT {
             return Ok(());
         }
-        let (given, min) = (self.revoke_timeout, MIN_REVOKE_TIMEOUT.as_millis());
+        let (revoke_timeout, min) = (self.revoke_timeout, MIN_REVOKE_TIMEOUT.as_millis());
         Err(fields.invalid(
             "bounds.revoke_timeout_ms",
-            &given.as_millis().to_string(),
+            &revoke_timeout.as_millis().to_string(),
             format!("at least {min} where bounds.strict_revocation is true"),
         ))
     }
--- a/crates/sparrouter-fleet/src/settings/error.rs
+++ b/crates/sparrouter-fleet/src/settings/error.rs
@@ -1,11 +1,11 @@
-//! What can be wrong with a settings file.
+//! Errors of a settings file.
 
 use super::VARIABLE;
 
-/// Why a settings file cannot be used. Each message names the remedy.
+/// A reason why a settings file cannot be used. Each message names the remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The environment variable is not set.
+    /// The environment variable [`VARIABLE`] is not set.
     #[error("{VARIABLE} is not set: let it name the settings file")]
     NoVariable,
     /// The file cannot be read.
@@ -18,7 +18,7 @@
         /// The error of the operating system.
         reason: String,
     },
-    /// The file does not consist of settings.
+    /// The file is not a valid list of settings.
     #[error("{path}: not lines of a.b=value ({reason}): correct the line")]
     Malformed {
         /// Path of the file.
@@ -41,9 +41,9 @@
         path: String,
         /// Name of the field.
         field: String,
-        /// Its value, shortened.
+        /// Value of the field, shortened.
         value: String,
-        /// What it must be.
+        /// Description of the valid values.
         expected: String,
     },
 }
--- a/crates/sparrouter-fleet/src/settings/fields.rs
+++ b/crates/sparrouter-fleet/src/settings/fields.rs
@@ -9,12 +9,12 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Milliseconds in a second: the unit of a field that ends in `_ms`.
+/// Milliseconds in a second, the conversion of a field whose name ends in `_ms`.
 pub(super) const PER_MS: f64 = 1e3;
-/// Most characters of a value that an error message repeats.
+/// Maximum number of characters of a value that an error message quotes.
 const MAX_VALUE_CHARS: usize = 80;
 
-/// Longest duration, in its field's unit.
+/// Longest duration, in the unit of the field.
 const MAX_DURATION: f64 = 1e9;
 /// Largest whole number that an `f64` represents exactly, rounded down.
 const MAX_EXACT: f64 = 9e15;
@@ -23,7 +23,7 @@
 struct UsedField {
     field: String,
     value: String,
-    /// It is in the file; otherwise the value is the default.
+    /// Whether the file has the field; otherwise the value is the default.
     is_given: bool,
 }
 
@@ -62,7 +62,7 @@
         });
     }
 
-    /// The error for a value that cannot be used.
+    /// Builds the error for an invalid value.
     pub(super) fn invalid(
         &self,
         field: &str,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A field that must be present.
+    /// Reads a field that must be present.
     pub(super) fn required<T: FromStr + Display>(
         &self,
         field: &str,
@@ -95,7 +95,7 @@
             .ok_or_else(|| self.missing(field))
     }
 
-    /// A field that may be absent.
+    /// Reads a field that may be absent.
     pub(super) fn optional<T: FromStr + Display>(
         &self,
         field: &str,
@@ -111,23 +111,23 @@
         Ok(Some(value))
     }
 
-    /// Any text; empty if absent.
+    /// Reads a field of any text; empty if absent.
     pub(super) fn text(&self, field: &str) -> String {
         let text = self.map.get(field);
         self.record(field, text.map_or("", String::as_str), text.is_some());
         text.cloned().unwrap_or_default()
     }
 
-    /// `true` or `false`.
+    /// Reads a field that is `true` or `false`.
     pub(super) fn flag(&self, field: &str, default: bool) -> Result<bool, SettingsError> {
-        let given = self.optional(field, "true or false")?;
-        if given.is_none() {
+        let value = self.optional(field, "true or false")?;
+        if value.is_none() {
             self.record(field, default, false);
         }
-        Ok(given.unwrap_or(default))
+        Ok(value.unwrap_or(default))
     }
 
-    /// A number within a range.
+    /// Reads a number within a range.
     pub(super) fn number(
         &self,
         field: &str,
@@ -149,7 +149,7 @@
         Ok(value)
     }
 
-    /// A whole number within a range; `260.0` is one too.
+    /// Reads a whole number within a range; `260.0` is accepted too.
     pub(super) fn integer(
         &self,
         field: &str,
@@ -177,7 +177,7 @@
         Ok(value)
     }
 
-    /// A duration of at least `min`, written in a unit of which `per_second` make a second.
+    /// Reads a duration of at least `min`, in a unit of which `per_second` make a second.
     pub(super) fn duration(
         &self,
         field: &str,
@@ -190,7 +190,7 @@
         ))
     }
 
-    /// An address with a port above 0.
+    /// Reads an address with a port above 0; `None` if absent.
     pub(super) fn address(&self, field: &str) -> Result<Option<SocketAddr>, SettingsError> {
         let expected = "an address such as 10.1.0.21:8683";
         let address: Option<SocketAddr> = self.optional(field, expected)?;
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Values separated by commas; empty if absent.
+    /// Reads values separated by commas; empty if absent.
     pub(super) fn list<T: FromStr + Display>(
         &self,
         field: &str,
@@ -225,7 +225,7 @@
         Ok(all)
     }
 
-    /// All fields whose name begins with `prefix`, without it.
+    /// Reads all fields whose name begins with `prefix`; the names are returned without the prefix.
     pub(super) fn with_prefix(&self, prefix: &str) -> Vec<(String, String)> {
         let fields = self.map.iter().filter(|(k, _)| k.starts_with(prefix));
         fields
@@ -236,7 +236,8 @@
             .collect()
     }
 
-    /// The settings as text of a settings file: those given, those with their default, and the names of unknown fields.
+    /// The settings as text of a settings file: the given fields, the fields with default values, and the names of
+    /// unknown fields.
     pub(super) fn show(self) -> String {
         let used = self.used.into_inner();
         let known: BTreeSet<&str> = used.iter().map(|n| n.field.as_str()).collect();
--- a/crates/sparrouter-fleet/src/settings/mod.rs
+++ b/crates/sparrouter-fleet/src/settings/mod.rs
@@ -1,11 +1,11 @@
-//! The settings file of a process: parsed with a library, then validated as a whole. Each error names its field; unknown
-//! fields are ignored. Source: the operators' DEPLOY.md, "Settings of a process".
+//! The settings file of a process. It is parsed with a library, then validated as a whole. Each error names its field;
+//! unknown fields are ignored. Source: the operators' DEPLOY.md, "Settings of a process".
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `bounds` | the limits of the rules |
-//! | `error` | what can be wrong with a file |
-//! | `fields` | typed access to the fields |
+//! | `bounds` | the limits that the operators' rules refer to |
+//! | `error` | the errors of a settings file |
+//! | `fields` | typed access to the fields of a settings file |
 mod bounds;
 mod error;
 mod fields;
@@ -19,10 +19,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Which endpoints a process serves beside the one for other nodes.
+/// The endpoints that a process serves in addition to the one for other nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Serves clients; servers and operators too where the settings say so.
+    /// Serves clients; also servers and operators if the settings have a control address.
     Proxy,
     /// Serves servers and operators only.
     Control,
@@ -31,27 +31,27 @@
 /// The environment variable that holds the path of the settings file.
 pub const VARIABLE: &str = "SPARROUTER_BOOT";
 
-/// The addresses that this process listens on. Without an address the endpoint is not served.
+/// The addresses that a process listens on. An endpoint without an address is not served.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listen {
-    /// For clients.
+    /// Address for clients.
     pub front: Option<SocketAddr>,
-    /// For readiness checks of the platform.
+    /// Address for readiness checks of the platform.
     pub readiness: Option<SocketAddr>,
-    /// For servers and operators.
+    /// Address for servers and operators.
     pub control: Option<SocketAddr>,
-    /// For scrapers of metrics. Not a field of the file: an option of the command line gives the port.
+    /// Address for metrics scrapers. It is not a field of the file; a command-line option sets its port.
     pub metrics: Option<SocketAddr>,
 }
 
 /// The settings of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessSettings {
-    /// Path of the settings file, for messages.
+    /// Path of the settings file, for messages and to reread the seeds.
     pub path: PathBuf,
     /// Name of the node, the same after a restart.
     pub node_name: String,
-    /// Role in the deploy file. Informational: the subcommand decides what the process does.
+    /// Role in the deploy file. Informational: the subcommand sets the role of the process.
     pub role: String,
     /// Class of the machine in the deploy file. Informational.
     pub machine_class: String,
@@ -69,27 +69,27 @@
     pub listen: Listen,
     /// First of the ports for connections between nodes, the same on all machines.
     pub internal_port: u16,
-    /// Last of these ports.
+    /// Last of the ports for connections between nodes.
     pub last_internal_port: u16,
-    /// Control addresses of nodes to contact first.
+    /// Control addresses of the seed nodes, which this node contacts first.
     pub seeds: Vec<SocketAddr>,
-    /// The whole fleet starts for the first time, on empty disks.
+    /// Whether the whole fleet starts for the first time, on empty disks.
     pub first_start: bool,
-    /// The node counts toward the quorum.
+    /// Whether the node counts toward the quorum.
     pub counts_toward_quorum: bool,
     /// Share of a processor core that the machine has.
     pub cpu_share: f64,
-    /// Speed of that core, as a multiple of a reference core.
+    /// Speed of the machine's processor core, as a multiple of a reference core.
     pub cpu_cores: f64,
     /// Memory of the machine in MB.
     pub memory_mb: u64,
-    /// Most open file descriptors.
+    /// Maximum number of open file descriptors.
     pub open_files: u64,
     /// Bandwidth of the machine's link, in megabits a second.
     pub link_mbps: f64,
-    /// Size of the disk in MB; 0: no disk.
+    /// Size of the disk in MB; 0 if there is no disk.
     pub disk_mb: u64,
-    /// Directory for what must survive a restart; `None`: nothing does.
+    /// Directory for data that must survive a restart; `None` if the process keeps no data.
     pub data_directory: Option<PathBuf>,
     /// How servers are found. Informational.
     pub discovery: String,
@@ -99,22 +99,22 @@
     pub heartbeat: Duration,
     /// Groups of rules that are in force.
     pub active_contracts: Vec<String>,
-    /// How many counted machines may be lost at a time.
+    /// Maximum number of machines counted toward the quorum that may be lost at the same time.
     pub tolerated_machines: u32,
-    /// How many zones may be lost at a time.
+    /// Maximum number of zones that may be lost at the same time.
     pub tolerated_zones: u32,
-    /// How many regions may be lost at a time.
+    /// Maximum number of regions that may be lost at the same time.
     pub tolerated_regions: u32,
-    /// Limits of the rules.
+    /// Limits that the rules refer to.
     pub bounds: Bounds,
 }
 
-/// A duration in nanoseconds; `u64::MAX` if it is longer than that.
-pub fn nanos(of: Duration) -> u64 {
-    of.as_nanos().min(u128::from(u64::MAX)) as u64
+/// A duration in nanoseconds; at most `u64::MAX`.
+pub fn nanos(duration: Duration) -> u64 {
+    duration.as_nanos().min(u128::from(u64::MAX)) as u64
 }
 
-/// What a list of names must be, in error messages.
+/// Description of a list of names in error messages.
 const NAMES: &str = "names joined by commas";
 /// Largest whole number in a settings file.
 const MAX_INTEGER: u64 = 1_000_000_000;
@@ -149,7 +149,8 @@
         ProcessSettings::show_text(path, &text_of(path)?)
     }
 
-    /// The same for a text; `path` is for error messages only.
+    /// The settings of a settings file's text with defaults filled in, as [`ProcessSettings::show`] returns them;
+    /// `path` is for error messages only.
     ///
     /// # Errors
     ///
@@ -160,7 +161,7 @@
         Ok(fields.show())
     }
 
-    /// Parses and validates a text; `path` is for error messages only.
+    /// Parses and validates the text of a settings file; `path` is for error messages only.
     ///
     /// # Errors
     ///
@@ -212,9 +213,9 @@
         })
     }
 
-    /// What keeps this node from reaching its seeds, with the remedy; empty if nothing does. A seed is given by its control
-    /// address, and its address for other nodes follows from that and this node's own internal port: another node on the
-    /// same IP address can't have that port too.
+    /// Warnings about seeds that this node cannot reach, with the remedy. The settings name a seed by its control
+    /// address; its internal address is derived from that IP address and this node's own internal port. Another node on
+    /// this node's IP address is therefore unreachable, since it cannot listen on the same port.
     pub fn seed_warnings(&self) -> Vec<String> {
         let is_other_node = |seed: &&SocketAddr| {
             seed.ip() == self.ip && self.listen.control.is_none_or(|own| own != **seed)
@@ -232,13 +233,13 @@
             .collect()
     }
 
-    /// The address for connections between nodes on another machine.
+    /// The address on `machine` for connections between nodes.
     pub fn internal_of(&self, machine: IpAddr) -> SocketAddr {
         SocketAddr::new(machine, self.internal_port)
     }
 }
 
-/// Who and where the node is.
+/// Name, role and location of the node.
 struct Identity {
     node_name: String,
     role: String,
@@ -284,7 +285,7 @@
     })
 }
 
-/// The first and the last port for connections between nodes.
+/// Reads the first and the last port for connections between nodes.
 fn internal_ports(fields: &Fields) -> Result<(u16, u16), SettingsError> {
     const FIELD: &str = "internal_port_range";
     const EXPECTED: &str = "two ports above 0, the lower first, such as 7360,7375";
