--- a/crates/sparrouter-fleet/src/client/call.rs
+++ b/crates/sparrouter-fleet/src/client/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call to one node.
+//! A single HTTP call to one node.
 use crate::platform::http;
 use crate::platform::net::{Net, Stream};
 use bytes::BytesMut;
@@ -10,16 +10,17 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout;
 
-/// How long connecting may take, and the reply to a call without a body.
+/// Time-out for connecting, and for the reply to a call without a body.
 const TIMEOUT: Duration = Duration::from_secs(1);
-/// A body adds to the timeout by its length, at this speed.
+/// Speed at which a body is expected to be sent; its length extends the reply time-out accordingly.
 const BYTES_PER_SECOND: usize = 1 << 20;
-/// Longest head of a reply, in bytes.
+/// Maximum length of a reply's head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Longest body of a reply, in bytes: a configuration, with a margin for what a later release adds to it.
+/// Maximum length of a reply's body, in bytes: twice the maximum of a configuration, as a margin for fields of later
+/// releases.
 const MAX_BODY_BYTES: usize = 2 * sparrouter_config::MAX_BYTES;
 
-/// A call, the same whichever node it is sent to.
+/// An HTTP call that can be sent to any node.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// HTTP method.
@@ -28,12 +29,12 @@
     pub path: String,
     /// Value of the header field `If-Match`.
     pub if_match: Option<u64>,
-    /// Body, as JSON.
+    /// JSON body.
     pub body: Option<Vec<u8>>,
 }
 
 impl Call {
-    /// A GET without a body.
+    /// Builds a GET call without a body.
     pub fn get(path: &str) -> Call {
         Call {
             method: "GET",
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The request on the wire.
+    /// The bytes of the HTTP request for `path` of the node at `to`.
     fn bytes(&self, path: &str, to: SocketAddr) -> Vec<u8> {
         let mut text = format!(
             "{} {path} HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\n",
@@ -70,16 +71,16 @@
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// The body; bytes that are not UTF-8 are replaced.
+    /// The body as text; bytes that are not UTF-8 are replaced.
     pub body: String,
-    /// Address and path that a redirect points to.
+    /// Target address and path of a redirect.
     pub location: Option<(SocketAddr, String)>,
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The node answered.
+    /// The node sent a complete reply.
     Replied(Reply),
     /// No connection could be established, so nothing was sent. Holds the reason.
     NotConnected(String),
@@ -87,7 +88,7 @@
     NoAnswer(String),
 }
 
-/// Sends a call to one node. `path` replaces the call's own, for redirects.
+/// Sends a call to one node. `path` is sent in place of the call's path, so that redirects can be followed.
 pub async fn send_once(net: &dyn Net, call: &Call, path: &str, to: SocketAddr) -> Outcome {
     let mut stream = match timeout(TIMEOUT, net.dial(to)).await {
         Ok(Ok(stream)) => stream,
@@ -105,7 +106,7 @@
     }
 }
 
-/// Why a request that was sent, at least in part, has no reply.
+/// The reason why a request that was sent, at least in part, has no reply.
 #[derive(Debug, thiserror::Error)]
 enum ExchangeError {
     #[error("{0}")]
@@ -114,11 +115,11 @@
     Closed,
     #[error("the connection was reset")]
     Reset,
-    #[error("not an HTTP answer: {0}")]
+    #[error("the answer is not valid HTTP: {0}")]
     NotHttp(&'static str),
-    #[error("{0}")]
+    #[error("the head of the answer is invalid: {0}")]
     Head(&'static str),
-    #[error("the answer is too long")]
+    #[error("the answer exceeds the maximum length")]
     TooLong,
 }
 
@@ -127,7 +128,7 @@
         match error {
             ReadError::Closed => ExchangeError::Closed,
             ReadError::Reset => ExchangeError::Reset,
-            ReadError::Bad(bad) => ExchangeError::NotHttp(bad.0),
+            ReadError::Bad(error) => ExchangeError::NotHttp(error.0),
         }
     }
 }
@@ -137,7 +138,7 @@
     stream.write_all(request).await?;
     let mut buffer = BytesMut::new();
     let bytes = reading::head(stream, &mut buffer, head::REPLY, MAX_HEAD_BYTES).await?;
-    let head = head::parse_response(&bytes).map_err(|bad| ExchangeError::Head(bad.0))?;
+    let head = head::parse_response(&bytes).map_err(|error| ExchangeError::Head(error.0))?;
     let body = http::read_body(stream, &mut buffer, head.framing, MAX_BODY_BYTES).await?;
     let body = body.ok_or(ExchangeError::TooLong)?;
     Ok(Reply {
@@ -147,11 +148,12 @@
     })
 }
 
-/// Address and path of a URL such as `http://10.0.0.4:8080/path`; `None` for any other kind, which is not followed.
+/// Parses the address and path of a URL such as `http://10.0.0.4:8080/path`; `None` for any other form, which is not
+/// followed.
 fn location(text: &str) -> Option<(SocketAddr, String)> {
-    let rest = text.trim().strip_prefix("http://")?;
-    let path_offset = rest.find('/').unwrap_or(rest.len());
-    let (address, path) = rest.split_at(path_offset);
+    let target = text.trim().strip_prefix("http://")?;
+    let path_offset = target.find('/').unwrap_or(target.len());
+    let (address, path) = target.split_at(path_offset);
     Some((
         address.parse().ok()?,
         if path.is_empty() {
--- a/crates/sparrouter-fleet/src/client/commands.rs
+++ b/crates/sparrouter-fleet/src/client/commands.rs
@@ -1,11 +1,11 @@
-//! What each subcommand sends and prints: results on standard output, diagnostics on standard error.
+//! The subcommands of the operators' client. They print results on standard output and diagnostics on standard error.
 use crate::api::status::Status;
 use crate::client::call::Call;
 use crate::client::error::ClientError;
 use crate::client::fleet::Fleet;
 use crate::client::options::FleetCommand;
 use crate::client::page;
-use crate::client::quota::{Asked, Overview};
+use crate::client::quota::{NodeAnswers, Overview};
 use crate::platform::net::SharedNet;
 use crate::platform::query;
 use crate::settings::{ProcessSettings, SettingsError};
@@ -16,11 +16,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Where a subcommand writes.
+/// The outputs of a subcommand.
 pub struct Output<'a> {
-    /// The result.
+    /// Output for the result.
     pub result: &'a mut dyn Write,
-    /// Diagnostics.
+    /// Output for diagnostics.
     pub diagnostics: &'a mut dyn Write,
 }
 
@@ -31,12 +31,12 @@
     }
     /// Prints a diagnostic line.
     fn diagnose(&mut self, text: &str) {
-        // A diagnostic that cannot be written is no reason to stop.
+        // A diagnostic that cannot be written must not abort the command.
         let _ = writeln!(self.diagnostics, "sparrouter: {text}");
     }
 }
 
-/// Carries out a command that calls the fleet. Without addresses the nodes of the settings file are called.
+/// Executes a command that calls the fleet. If `addresses` is empty, the nodes in the settings file are called.
 ///
 /// # Errors
 ///
@@ -44,7 +44,7 @@
 pub async fn run(
     command: &FleetCommand,
     addresses: Vec<SocketAddr>,
-    patience: Duration,
+    retry_timeout: Duration,
     net: SharedNet,
     out: &mut Output<'_>,
 ) -> Result<(), ClientError> {
@@ -53,7 +53,7 @@
     } else {
         addresses
     };
-    let fleet = Fleet::new(net, addresses, patience)?;
+    let fleet = Fleet::new(net, addresses, retry_timeout)?;
     match command {
         FleetCommand::Get => {
             let (_, reply) = fleet.submit(&Call::get("/api/config")).await?;
@@ -73,7 +73,7 @@
     }
 }
 
-/// The control address of this machine, if it has one, and the seeds.
+/// The addresses in the settings file: the control address of this machine, if it has one, and the seeds.
 fn addresses_of_settings() -> Result<Vec<SocketAddr>, ClientError> {
     match ProcessSettings::load() {
         Ok(settings) => {
@@ -94,7 +94,8 @@
     })
 }
 
-/// Sends a PUT or PATCH. It is checked here first, as far as that is possible without the configuration in force.
+/// Sends a PUT or PATCH of the configuration. The change is validated locally first, as far as that is possible without
+/// the configuration in force.
 async fn change(
     fleet: &Fleet,
     method: Method,
@@ -110,7 +111,7 @@
     let base = match if_match {
         Some(version) => {
             if method == Method::Put {
-                // As a first configuration, since the one in force is not known here.
+                // Validated as a first configuration, since the one in force is not known here.
                 sparrouter_config::change(method, &body, Some(0), None).map_err(invalid)?;
             }
             version
@@ -145,7 +146,7 @@
     ))
 }
 
-/// The configuration in force; `None` before the first.
+/// Reads the configuration in force; `None` before the first configuration.
 async fn current(fleet: &Fleet) -> Result<Option<Document>, ClientError> {
     match fleet.submit(&Call::get("/api/config")).await {
         Ok((address, reply)) => match document(reply.body.as_bytes()) {
@@ -157,16 +158,16 @@
     }
 }
 
-/// The document of a complete configuration that was read back.
+/// Parses a complete configuration as the fleet returns it.
 fn document(body: &[u8]) -> Result<Document, ConfigError> {
     sparrouter_config::change(Method::Put, body, Some(0), None)
 }
 
-/// Checks a file as the fleet would: a complete configuration, or a patch of the configuration in `against`.
+/// Validates a file as the fleet would: a complete configuration, or a patch of the configuration in `against`.
 ///
 /// # Errors
 ///
-/// A [`ClientError`] that says what is wrong.
+/// A [`ClientError`] that describes the first problem.
 pub fn check(file: &Path, against: Option<&Path>, out: &mut Output<'_>) -> Result<(), ClientError> {
     let invalid = |path: &Path| {
         let path = path.display().to_string();
@@ -202,7 +203,7 @@
     ))
 }
 
-/// Whether a body looks like a patch.
+/// Whether a body is a patch, by the names of its fields.
 fn is_patch(body: &[u8]) -> bool {
     let tree = std::str::from_utf8(body)
         .ok()
@@ -211,7 +212,7 @@
         if o.contains_key("upsert_items") || o.contains_key("remove_names"))
 }
 
-/// Body of the call that names a version of weights.
+/// JSON body of the call that names a version of weights.
 #[derive(Serialize)]
 struct NameVersion<'a> {
     model: &'a str,
@@ -249,7 +250,7 @@
     ))
 }
 
-/// Prints the status of the first node that answers, and of all nodes it knows if asked to.
+/// Prints the status of the first node that answers; with `all`, also of all nodes that this node knows.
 async fn status(
     fleet: &Fleet,
     all: bool,
@@ -272,7 +273,7 @@
     Ok(())
 }
 
-/// Prints one tenant's quota over all nodes that the first one that answers knows.
+/// Prints one tenant's quota over all nodes known to the first node that answers.
 async fn quota(
     fleet: &Fleet,
     tenant: &str,
@@ -287,11 +288,11 @@
     }
     let path = format!("/api/status?tenant={}", query::encode(tenant));
     let (answers, failures) = ask_nodes(fleet, &path, true).await?;
-    let asked = Asked {
+    let node_answers = NodeAnswers {
         answers: answers.iter().map(|answer| &answer.status).collect(),
         no_answer: failures.iter().map(|(name, _)| name.clone()).collect(),
     };
-    let overview = Overview::of(tenant, &asked);
+    let overview = Overview::of(tenant, &node_answers);
     for (name, error) in failures {
         out.diagnose(&format!("{name}: {error}"));
     }
@@ -303,8 +304,8 @@
     }
 }
 
-/// The answers of the first node that gives one, and of all nodes that it knows if asked to, with the names of those that
-/// gave none.
+/// Calls nodes until one answers; with `all`, also calls all nodes that this node knows. Returns the answers, and the
+/// names and errors of the nodes that did not answer.
 async fn ask_nodes(
     fleet: &Fleet,
     path: &str,
@@ -316,7 +317,7 @@
     let mut failures = Vec::new();
     if all {
         for (name, address) in other_nodes(&answers[0]) {
-            let node = fleet.only(address, OTHER_NODE_PATIENCE);
+            let node = fleet.only(address, OTHER_NODE_RETRY_TIMEOUT);
             match node.submit(&call).await {
                 Ok((_, reply)) => answers.push(StatusAnswer::read(address, reply.body)?),
                 Err(error) => failures.push((name, error)),
@@ -326,10 +327,10 @@
     Ok((answers, failures))
 }
 
-/// How long the call to each further node is repeated.
-const OTHER_NODE_PATIENCE: Duration = Duration::from_secs(2);
+/// Time for which the call to each further node is retried.
+const OTHER_NODE_RETRY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A node's status, as text and parsed.
+/// A node's status, both as JSON text and parsed.
 struct StatusAnswer {
     address: SocketAddr,
     body: String,
@@ -348,7 +349,7 @@
     }
 }
 
-/// Name and address of the other nodes that a node knows and that serve operators.
+/// Names and addresses of the other nodes that the first node knows and that serve operators.
 fn other_nodes(first: &StatusAnswer) -> Vec<(String, SocketAddr)> {
     let nodes = first.status.nodes.iter();
     nodes
--- a/crates/sparrouter-fleet/src/client/error.rs
+++ b/crates/sparrouter-fleet/src/client/error.rs
@@ -1,10 +1,10 @@
-//! What can go wrong between an operator and the fleet. Each message names the remedy, each kind has an exit code.
+//! Errors of the operators' client. Each message names the remedy, and each kind has an exit code.
 use std::net::SocketAddr;
 
-/// Why a subcommand failed.
+/// The reason why a subcommand failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// No node to call is known.
+    /// Neither the command line nor the settings name a node to call.
     #[error(
         "no node is named: give --at ADDRESS[,ADDRESS..], or let SPARROUTER_BOOT name a settings file with seed_nodes"
     )]
@@ -25,7 +25,7 @@
     Invalid {
         /// The file.
         path: String,
-        /// What is wrong with it.
+        /// The validation error.
         refusal: sparrouter_config::ConfigError,
     },
     /// A patch cannot be checked without the configuration that it changes.
@@ -41,10 +41,10 @@
     InvalidArgument {
         /// The argument.
         argument: String,
-        /// What it must be.
+        /// Description of the valid values.
         expected: &'static str,
     },
-    /// The fleet refused the call for good.
+    /// The fleet refused the call, and a retry would be refused too.
     #[error("the fleet refuses this ({status}): {text}")]
     Refused {
         /// HTTP status.
@@ -65,7 +65,7 @@
     },
     /// No node could be reached, so nothing was sent.
     #[error(
-        "no node could be reached within {patience_s} s, nothing was sent (last: {address}: {last}): check --at against \
+        "no node could be reached within {retry_timeout_s} s, nothing was sent (last: {address}: {last}): check --at against \
          listen_addresses.control_plane of the nodes, and that they run"
     )]
     Unreachable {
@@ -74,11 +74,11 @@
         /// What happened there.
         last: String,
         /// How long the call was repeated, in seconds.
-        patience_s: u64,
+        retry_timeout_s: u64,
     },
-    /// All nodes declined in time, so nothing was changed.
+    /// All nodes that answered rejected the call without changing anything until the retry time-out.
     #[error(
-        "not done within {patience_s} s, and nothing was changed (last: {address}: {last}): look at `sparrouter status` \
+        "not done within {retry_timeout_s} s, and nothing was changed (last: {address}: {last}): look at `sparrouter status` \
          for a lost quorum, then send it again"
     )]
     NotApplied {
@@ -87,11 +87,11 @@
         /// What happened there.
         last: String,
         /// How long the call was repeated, in seconds.
-        patience_s: u64,
+        retry_timeout_s: u64,
     },
-    /// There is no definite answer: a change may be in force or not.
+    /// There was no definite answer, so a change may be in force or not.
     #[error(
-        "no clear answer within {patience_s} s (last: {address}: {last}): a change may be in force or not; send the \
+        "no clear answer within {retry_timeout_s} s (last: {address}: {last}): a change may be in force or not; send the \
          same again unchanged, or look with `sparrouter config get`"
     )]
     Unclear {
@@ -100,17 +100,17 @@
         /// What happened there.
         last: String,
         /// How long the call was repeated, in seconds.
-        patience_s: u64,
+        retry_timeout_s: u64,
     },
-    /// A node answered what this release cannot parse.
+    /// A node sent an answer that this release cannot parse.
     #[error(
-        "{address} answered what this release cannot read: use the client of the fleet's own release"
+        "{address} sent an answer that this release cannot read: use the client of the fleet's own release"
     )]
     UnreadableAnswer {
         /// The node.
         address: SocketAddr,
     },
-    /// The program cannot run tasks.
+    /// The async runtime cannot be started.
     #[error("no runtime ({0}): free descriptors and memory of this machine")]
     Runtime(std::io::Error),
     /// The result cannot be written.
@@ -119,7 +119,8 @@
 }
 
 impl ClientError {
-    /// Exit code of the program: 1 refused by the fleet or not known there, 2 invalid input, 3 no clear answer.
+    /// Exit code of the program: 1 if the fleet refused the call or does not know the tenant, 2 for invalid input, 3 if
+    /// there is no definite answer.
     pub fn exit_code(&self) -> u8 {
         match self {
             ClientError::Refused { .. } | ClientError::UnknownTenant { .. } => 1,
--- a/crates/sparrouter-fleet/src/client/fleet.rs
+++ b/crates/sparrouter-fleet/src/client/fleet.rs
@@ -1,4 +1,4 @@
-//! Sending the same call to one node after another until the answer is definite or the deadline has passed.
+//! Retries of a call: it is sent to one node after another until an answer is definite or the deadline has passed.
 use crate::client::call::{self, Call, Outcome, Reply};
 use crate::client::error::ClientError;
 use crate::platform::net::SharedNet;
@@ -6,36 +6,38 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Redirects that are followed for one attempt.
+/// Maximum number of redirects that one attempt follows.
 const MAX_REDIRECTS: usize = 2;
-/// First backoff between attempts; it doubles up to the longest.
+/// First backoff between attempts; the backoff doubles up to [`MAX_BACKOFF`].
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest backoff between attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// A 4xx that is not known to be final counts as final once it is returned this often.
+/// Number of [`Verdict::MaybeFinal`] answers (4xx statuses that are not known to be final) after which a refusal is
+/// final.
 const ATTEMPTS_UNTIL_FINAL: u32 = 3;
 
-/// What a call without a clear answer may have done, by rising uncertainty.
+/// The possible effect of a call without a definite answer, in order of rising uncertainty.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Effect {
-    /// No node got it.
+    /// No node received the call.
     NotSent,
-    /// Nodes got it, and said that they changed nothing.
+    /// Nodes received the call and answered that they changed nothing.
     Declined,
-    /// It may have been carried out.
+    /// A node may have applied the call.
     MaybeApplied,
 }
 
-/// What an answer means for the call.
+/// Meaning of an answer for the outcome of the call.
 enum Verdict {
     /// The call succeeded.
     Completed,
     /// The fleet refused the call; other nodes would too.
     Final,
-    /// A refusal that other nodes may see differently for a moment.
+    /// The node refused the call; other nodes may temporarily answer differently.
     MaybeFinal,
-    /// The node changed nothing; another one may.
+    /// The node changed nothing; a retry at another node may succeed.
     Declined,
-    /// Whether the node changed something is not known.
+    /// It is unknown whether the node changed anything.
     Unclear,
 }
 
@@ -55,19 +57,20 @@
 pub struct Fleet {
     net: SharedNet,
     addresses: Vec<SocketAddr>,
-    patience: Duration,
+    retry_timeout: Duration,
 }
 
 impl Fleet {
-    /// `addresses`: control_plane addresses, tried in this order; `patience`: how long a call is repeated.
+    /// Creates a fleet. `addresses` are control_plane addresses, tried in this order; a call is retried for
+    /// `retry_timeout`.
     ///
     /// # Errors
     ///
-    /// [`ClientError::NoAddress`] without an address.
+    /// [`ClientError::NoAddress`] if `addresses` is empty.
     pub fn new(
         net: SharedNet,
         addresses: Vec<SocketAddr>,
-        patience: Duration,
+        retry_timeout: Duration,
     ) -> Result<Fleet, ClientError> {
         if addresses.is_empty() {
             return Err(ClientError::NoAddress);
@@ -75,43 +78,43 @@
         Ok(Fleet {
             net,
             addresses,
-            patience,
+            retry_timeout,
         })
     }
 
-    /// One node of the same fleet.
-    pub fn only(&self, address: SocketAddr, patience: Duration) -> Fleet {
+    /// A fleet of one node, on the same network.
+    pub fn only(&self, address: SocketAddr, retry_timeout: Duration) -> Fleet {
         Fleet {
             net: self.net.clone(),
             addresses: vec![address],
-            patience,
+            retry_timeout,
         }
     }
 
-    /// Sends a call until a node answers with a 2xx; gives the answer and the node's address.
+    /// Sends a call until a node answers with a 2xx status; returns the node's address and the answer.
     ///
     /// # Errors
     ///
-    /// [`ClientError::Refused`] for a final refusal; otherwise, once time is up, [`ClientError::Unreachable`],
-    /// [`ClientError::NotApplied`] or [`ClientError::Unclear`] by what the call may have done.
+    /// [`ClientError::Refused`] for a final refusal; otherwise, after the deadline, [`ClientError::Unreachable`],
+    /// [`ClientError::NotApplied`] or [`ClientError::Unclear`], depending on the possible effect of the call.
     pub async fn submit(&self, call: &Call) -> Result<(SocketAddr, Reply), ClientError> {
-        let deadline = Instant::now() + self.patience;
-        let (mut backoff, mut maybe_final, mut effect) = (FIRST_BACKOFF, 0, Effect::NotSent);
+        let deadline = Instant::now() + self.retry_timeout;
+        let (mut backoff, mut maybe_final_count, mut effect) = (FIRST_BACKOFF, 0, Effect::NotSent);
         let mut last = (self.addresses[0], "not asked".to_owned());
         for address in self.addresses.iter().cycle() {
             let attempt = timeout_at(deadline, self.follow(call, *address)).await;
             let Ok((from, outcome)) = attempt else {
-                // How far it got is not known.
+                // The deadline interrupted the attempt, so its effect is unknown.
                 effect = Effect::MaybeApplied;
                 break;
             };
             let (attempt_effect, description) = match outcome {
                 Outcome::Replied(reply) => {
                     let verdict = Verdict::of(reply.status);
-                    maybe_final += u32::from(matches!(verdict, Verdict::MaybeFinal));
+                    maybe_final_count += u32::from(matches!(verdict, Verdict::MaybeFinal));
                     let attempt_effect = match verdict {
                         Verdict::Completed => return Ok((from, reply)),
-                        Verdict::MaybeFinal if maybe_final < ATTEMPTS_UNTIL_FINAL => {
+                        Verdict::MaybeFinal if maybe_final_count < ATTEMPTS_UNTIL_FINAL => {
                             Effect::Declined
                         }
                         Verdict::Final | Verdict::MaybeFinal => return Err(refused(&reply)),
@@ -135,30 +138,31 @@
         Err(self.unanswered(effect, last))
     }
 
-    /// The error for a call without a clear answer. `last`: the node that was tried last, and what happened there.
+    /// The error for a call without a definite answer. `last` is the node of the last attempt, and a description of its
+    /// outcome.
     fn unanswered(&self, effect: Effect, last: (SocketAddr, String)) -> ClientError {
         let (address, last) = last;
-        let patience_s = self.patience.as_secs();
+        let retry_timeout_s = self.retry_timeout.as_secs();
         match effect {
             Effect::NotSent => ClientError::Unreachable {
                 address,
                 last,
-                patience_s,
+                retry_timeout_s,
             },
             Effect::Declined => ClientError::NotApplied {
                 address,
                 last,
-                patience_s,
+                retry_timeout_s,
             },
             Effect::MaybeApplied => ClientError::Unclear {
                 address,
                 last,
-                patience_s,
+                retry_timeout_s,
             },
         }
     }
 
-    /// One attempt, with its redirects.
+    /// Makes one attempt and follows its redirects. Returns the address of the node that answered last, and the outcome.
     async fn follow(&self, call: &Call, address: SocketAddr) -> (SocketAddr, Outcome) {
         let (mut to, mut path) = (address, call.path.clone());
         for _ in 0..MAX_REDIRECTS {
@@ -166,10 +170,10 @@
             match outcome {
                 Outcome::Replied(Reply {
                     status: 307,
-                    location: Some((next, there)),
+                    location: Some((next, next_path)),
                     ..
                 }) => {
-                    (to, path) = (next, there);
+                    (to, path) = (next, next_path);
                 }
                 outcome => return (to, outcome),
             }
@@ -178,13 +182,16 @@
     }
 }
 
-/// The error for a final refusal, with a reason where the node gave none.
+/// The error for a final refusal, with a default reason if the node gave none.
 fn refused(reply: &Reply) -> ClientError {
     let status = reply.status;
     let text = match (reply.body.trim(), status) {
-        ("", 404) => "there is no such thing there: check --at and what was asked".to_owned(),
-        ("", 412) => "another version is in force: read it, build on it, send again".to_owned(),
-        ("", 413) => "it is too large: split it".to_owned(),
+        ("", 404) => {
+            "the node does not know this resource: check --at and the arguments".to_owned()
+        }
+        ("", 412) => "another version is in force: read it, rebase the change on it, send it again"
+            .to_owned(),
+        ("", 413) => "the change is too large: split it".to_owned(),
         ("", _) => {
             "no reason was given: check what was sent with `sparrouter config check`".to_owned()
         }
--- a/crates/sparrouter-fleet/src/client/mod.rs
+++ b/crates/sparrouter-fleet/src/client/mod.rs
@@ -1,16 +1,16 @@
-//! The operators' client, from the command line to an exit code.
+//! The operators' command-line client.
 //!
-//! | module | its one job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | [`options`] | the command line |
-//! | [`call`] | one call to one node |
-//! | [`fleet`] | the same call to one node after another, until the answer is clear |
-//! | [`commands`] | what each subcommand sends and prints |
-//! | [`page`] | a node's status as a table |
-//! | [`quota`] | one tenant's quota over the fleet |
-//! | [`error`] | what can go wrong, the remedy and the exit code |
+//! | [`call`] | a single HTTP call to one node |
+//! | [`fleet`] | retries of a call over the nodes until the answer is definite |
+//! | [`commands`] | the calls and the output of each subcommand |
+//! | [`page`] | the status of nodes as text tables |
+//! | [`quota`] | one tenant's quota, combined from the statuses of all nodes |
+//! | [`error`] | the errors of a subcommand, with remedy and exit code |
 //!
-//! Owns no state beyond one command. Uses the settings, the platform and the form of `crate::api::status`.
+//! The module owns no state beyond one command. It uses the settings, the platform and the types of `crate::api::status`.
 
 pub mod call;
 pub mod commands;
--- a/crates/sparrouter-fleet/src/client/options.rs
+++ b/crates/sparrouter-fleet/src/client/options.rs
@@ -1,38 +1,38 @@
-//! The command line: roles of a process, and the operators' commands.
+//! The command line: the subcommands that run a process, and the operators' commands.
 use crate::settings::Role;
 use bpaf::{OptionParser, Parser, construct, long, positional, pure};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A command line.
+/// A parsed command line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Run a process of the fleet.
     Run {
-        /// What it serves.
+        /// Role of the process.
         role: Role,
-        /// Port of the machine's address at which it serves its metrics; `None`: it does not.
+        /// Port on the machine's address at which the process serves metrics; `None` if it serves none.
         metrics_port: Option<u16>,
     },
     /// Call the fleet.
     Fleet {
-        /// What to do.
+        /// The command to execute.
         command: FleetCommand,
-        /// Addresses of nodes to call; empty: those of the settings file.
+        /// Addresses of the nodes to call; if empty, the addresses in the settings file.
         addresses: Vec<SocketAddr>,
-        /// How long the call is repeated, in seconds.
-        patience_s: u64,
+        /// Time for which the call is retried, in seconds.
+        retry_timeout_s: u64,
     },
     /// Check a configuration without calling the fleet.
     Check {
-        /// A whole configuration, or a patch.
+        /// A complete configuration, or a patch.
         file: PathBuf,
         /// The configuration that a patch changes.
         against: Option<PathBuf>,
     },
     /// Print the settings of a process.
     Show {
-        /// The settings file; `None`: the one that SPARROUTER_BOOT names.
+        /// The settings file; if `None`, the environment variable SPARROUTER_BOOT names it.
         file: Option<PathBuf>,
     },
 }
@@ -65,24 +65,24 @@
     },
     /// Print the status of nodes.
     Status {
-        /// Of all nodes, not only of the first that answers.
+        /// Show the status of all nodes, not only of the first node that answers.
         all: bool,
-        /// As JSON, not as a table.
+        /// Print JSON in place of tables.
         json: bool,
     },
     /// Print one tenant's quota over all nodes.
     Quota {
         /// Name of the tenant.
         tenant: String,
-        /// As JSON, not as tables.
+        /// Print JSON in place of tables.
         json: bool,
     },
 }
 
-/// Longest time that a call is repeated, in seconds.
-const MAX_PATIENCE_S: u64 = 3_600;
+/// Longest time for which a call may be retried, in seconds.
+const MAX_RETRY_TIMEOUT_S: u64 = 3_600;
 
-/// A text that is no address.
+/// A command-line argument that is not a valid address.
 #[derive(Debug, thiserror::Error)]
 #[error("{0} is not an address such as 10.1.0.21:8683")]
 struct InvalidAddress(String);
@@ -103,41 +103,41 @@
         .fallback(Vec::new())
 }
 
-fn patience() -> impl Parser<u64> {
+fn retry_timeout() -> impl Parser<u64> {
     long("patience")
         .help(
-            "repeat the call unchanged for so long until the answer is clear (seconds, default 10)",
+            "retry the unchanged call until the answer is definite, for this many seconds (default 10)",
         )
         .argument::<u64>("S")
         .guard(
-            |s| (1..=MAX_PATIENCE_S).contains(s),
+            |s| (1..=MAX_RETRY_TIMEOUT_S).contains(s),
             "give 1 to 3600 seconds",
         )
         .fallback(10)
 }
 
-/// Adds the options that all commands have which call the fleet.
+/// Adds the options that are common to all commands that call the fleet.
 fn fleet_command(command: impl Parser<FleetCommand>) -> impl Parser<Command> {
-    let (addresses, patience_s) = (addresses_option(), patience());
+    let (addresses, retry_timeout_s) = (addresses_option(), retry_timeout());
     construct!(Command::Fleet {
         addresses,
-        patience_s,
+        retry_timeout_s,
         command
     })
 }
 
 fn if_match() -> impl Parser<Option<u64>> {
     long("if-match")
-        .help("the version that this builds on (0: none yet); without it the one in force is read first")
+        .help("the version that the change builds on (0: none yet); by default the version in force, which is read first")
         .argument::<u64>("N")
         .optional()
 }
 
-fn file(about: &'static str) -> impl Parser<PathBuf> {
-    positional::<PathBuf>("FILE").help(about)
+fn file(help: &'static str) -> impl Parser<PathBuf> {
+    positional::<PathBuf>("FILE").help(help)
 }
 
-/// A subcommand with its help text.
+/// Builds a subcommand with its help text.
 fn subcommand(
     name: &'static str,
     about: &'static str,
@@ -212,7 +212,7 @@
 
 fn status() -> impl Parser<Command> {
     let all = long("all")
-        .help("ask every node that serves control_plane, not the first alone")
+        .help("ask every node that serves control_plane, not only the first")
         .switch();
     let json = long("json")
         .help("the nodes' own JSON, one node a line")
@@ -220,7 +220,7 @@
     let status = construct!(FleetCommand::Status { all, json });
     subcommand(
         "status",
-        "What nodes say of themselves, of one another and of the servers",
+        "The status of nodes, and the nodes and servers that they know",
         fleet_command(status),
     )
 }
@@ -231,7 +231,7 @@
     let quota = construct!(FleetCommand::Quota { json, tenant });
     subcommand(
         "quota",
-        "A tenant's quota over all nodes: its limit, who holds its count, who refuses",
+        "A tenant's quota over all nodes: its limit, the lease holders, and the refusals by node",
         fleet_command(quota),
     )
 }
@@ -248,7 +248,7 @@
     )
 }
 
-/// A subcommand that runs a process.
+/// Builds a subcommand that runs a process.
 fn process(name: &'static str, role: Role, help: &'static str) -> impl Parser<Command> {
     let metrics_port = long("metrics-port")
         .argument::<u16>("PORT")
@@ -258,12 +258,12 @@
     subcommand(name, help, construct!(Command::Run { role, metrics_port }))
 }
 
-/// The whole command line.
+/// The parser of the command line.
 pub fn command() -> OptionParser<Command> {
     let proxy = process(
         "proxy",
         Role::Proxy,
-        "Serve clients; also servers and operators where the settings say so",
+        "Serve clients; also servers and operators if the settings have a control_plane address",
     );
     let control = process(
         "control",
--- a/crates/sparrouter-fleet/src/client/page.rs
+++ b/crates/sparrouter-fleet/src/client/page.rs
@@ -1,9 +1,9 @@
-//! The status of nodes as text tables: the nodes that answered, and what the first of them knows of nodes and servers.
+//! The status of nodes as text tables: the nodes that answered, and the nodes and servers known to the first of them.
 use crate::api::status::{ModelStatus, NodeStatus, QuotaShardStatus, ServerStatus, Status};
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Rows of cells in columns as wide as their widest cell.
+/// Formats a table whose columns are as wide as their widest cell.
 pub(super) fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let width = |column: usize| {
         let cells = rows
@@ -27,7 +27,7 @@
     out
 }
 
-/// The names of the flags that are set; `-` if there is none.
+/// The names of the set flags; `-` if none is set.
 fn flags(named: &[(&str, bool)]) -> String {
     let set: Vec<&str> = named.iter().filter(|n| n.1).map(|n| n.0).collect();
     if set.is_empty() {
@@ -37,9 +37,9 @@
     }
 }
 
-/// Models with their versions; `-` if there is none.
-fn models(of: &[ModelStatus]) -> String {
-    let shown: Vec<String> = of
+/// Models with their versions; `-` if there are none.
+fn models(models: &[ModelStatus]) -> String {
+    let shown: Vec<String> = models
         .iter()
         .map(|m| format!("{}:{}", m.name, m.version))
         .collect();
@@ -50,8 +50,8 @@
     }
 }
 
-/// The tables. `answers`: the nodes that answered, with their addresses. Other nodes and the servers are shown as the first
-/// one sees them.
+/// Formats the tables. `answers` holds the statuses of the nodes that answered, with their addresses. The tables of all
+/// nodes and of the servers show the state known to the first node.
 pub fn of(answers: &[(SocketAddr, &Status)]) -> String {
     let mut out = answers_table(answers);
     out.push_str(&warnings(answers));
@@ -103,7 +103,7 @@
     table(&head, &answers.iter().map(row).collect::<Vec<_>>())
 }
 
-/// A line for each warning of each node that answered.
+/// One line for each warning of each node that answered.
 fn warnings(answers: &[(SocketAddr, &Status)]) -> String {
     let lines = answers.iter().flat_map(|(_, status)| {
         let warnings = status.warnings.iter().flatten();
@@ -160,8 +160,8 @@
     table(&head, &status.servers.iter().map(row).collect::<Vec<_>>())
 }
 
-/// The shards of quotas that the nodes which answered grant from, and those whose holders they cannot ask; empty where
-/// there are none.
+/// The quota shards whose leases the nodes that answered hold, and the shards whose lease holders do not answer these
+/// nodes; empty if there are neither.
 fn quotas(answers: &[(SocketAddr, &Status)]) -> String {
     let row = |node: &str, shard: &QuotaShardStatus| {
         vec![
--- a/crates/sparrouter-fleet/src/client/quota.rs
+++ b/crates/sparrouter-fleet/src/client/quota.rs
@@ -1,12 +1,13 @@
-//! One tenant's quota over the fleet, put together from the nodes' statuses: who refuses it, why, and who holds its count.
+//! One tenant's quota over the fleet, combined from the nodes' statuses: the nodes that refuse its requests, the
+//! reasons, and the lease holders of the parts of its limit.
 use crate::api::status::{QuotaStatus, Status, TenantQuotaStatus};
 use crate::client::error::ClientError;
 use crate::client::page::table;
 use miniserde::Serialize;
 
-/// What nodes answered.
-pub struct Asked<'a> {
-    /// Statuses that show the tenant; the first one is that of the node which named the others.
+/// The answers of the nodes to a request for the tenant's status.
+pub struct NodeAnswers<'a> {
+    /// Statuses that show the tenant, first the status of the node whose list of nodes was used to find the others.
     pub answers: Vec<&'a Status>,
     /// Names of nodes that did not answer.
     pub no_answer: Vec<String>,
@@ -15,36 +16,36 @@
 /// A part of the tenant's limit.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Part {
-    /// Number of its shard.
+    /// Number of the shard that holds the part.
     pub shard: u16,
-    /// The node that has the shard's lease; `None`: none that answered has it.
+    /// Name of the node that holds the shard's lease; `None` if no node that answered holds it.
     pub holder: Option<String>,
     /// Fencing token of the lease.
     pub fencing_token: Option<u64>,
-    /// The holder may grant now.
+    /// The lease holder may grant permits now.
     pub active: bool,
-    /// Permits that the part has; `None`: nobody grants from it.
+    /// Permits available in the part; `None` if no node grants permits from it.
     pub level: Option<f64>,
-    /// Most permits that it holds.
+    /// Maximum number of permits in the part; `None` if no node grants permits from it.
     pub capacity: Option<f64>,
-    /// Permits of all tenants of the shard that the holder granted under this lease.
+    /// Number of permits that the holder granted under this lease to all tenants of the shard.
     pub shard_granted: Option<u64>,
 }
 
-/// What one node counted of the tenant since its process began.
+/// One node's counts of the tenant's requests since its process started.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct NodeCount {
     /// Name of the node.
     pub node: String,
-    /// Version of the configuration in force there.
+    /// Version of the configuration in force at the node.
     pub config_version: u64,
-    /// Requests sent under a permit.
+    /// Number of requests that the node forwarded with a permit.
     pub sent: u64,
-    /// Requests refused because the limit is used up.
+    /// Number of requests refused because the limit was used up.
     pub refused: u64,
-    /// Requests refused because no holder of the limit could be asked.
+    /// Number of requests refused because no lease holder of the limit answered.
     pub unavailable: u64,
-    /// Shards of the limit without a holder that answers this node.
+    /// Shards of the limit whose lease holders do not answer the node.
     pub unavailable_shards: Vec<u16>,
 }
 
@@ -53,41 +54,41 @@
 pub struct Overview {
     /// Name of the tenant.
     pub tenant: String,
-    /// The newest version of the configuration at the nodes that answered and know of quotas; the limit is by it.
+    /// Newest configuration version of the nodes that answered and support quotas; the limit is from this version.
     pub config_version: u64,
-    /// Requests a second; `None`: no limit.
+    /// Limit in requests a second; `None` if the tenant has no limit.
     pub rate_per_s: Option<f64>,
-    /// Requests beyond the rate that may come together; `None`: no limit.
+    /// Burst size: requests that may exceed the rate at once; `None` if the tenant has no limit.
     pub burst_size: Option<f64>,
     /// The parts of the limit.
     pub parts: Vec<Part>,
-    /// Sum over the nodes that answered.
+    /// Number of requests forwarded with a permit, summed over the nodes that answered.
     pub sent: u64,
-    /// Sum over the nodes that answered.
+    /// Number of requests refused because the limit was used up, summed over the nodes that answered.
     pub refused: u64,
-    /// Sum over the nodes that answered.
+    /// Number of requests refused because no lease holder answered, summed over the nodes that answered.
     pub unavailable: u64,
-    /// Nodes that answered, those with the most refusals first.
+    /// Counts of the nodes that answered, in descending order of refusals.
     pub nodes: Vec<NodeCount>,
-    /// Nodes that did not answer: what they counted and hold is missing.
+    /// Names of the nodes that did not answer; their counts and parts are missing.
     pub no_answer: Vec<String>,
-    /// Nodes that serve no control_plane and were not asked: their metrics have what they counted.
+    /// Names of the nodes that were not asked, as they serve no control_plane; their metrics show their counts.
     pub not_asked: Vec<String>,
-    /// Nodes of an older release, which neither ask for permits nor grant any.
+    /// Names of the nodes of an older release, which neither request nor grant permits.
     pub older_release: Vec<String>,
 }
 
 impl Overview {
-    /// Puts the answers together.
+    /// Combines the answers into an overview.
     ///
     /// # Errors
     ///
-    /// [`ClientError::UnknownTenant`] where the newest configuration has no such tenant.
-    pub fn of(tenant: &str, asked: &Asked<'_>) -> Result<Overview, ClientError> {
-        let answers = &asked.answers;
-        // Nodes of an older release say nothing of limits, whatever configuration they have.
-        let knowing = answers.iter().filter(|status| status.quotas.is_some());
-        let newest = knowing.max_by_key(|status| status.config_version);
+    /// [`ClientError::UnknownTenant`] if the newest configuration does not have the tenant.
+    pub fn of(tenant: &str, node_answers: &NodeAnswers<'_>) -> Result<Overview, ClientError> {
+        let answers = &node_answers.answers;
+        // Nodes of an older release report no limits, whatever their configuration.
+        let with_quotas = answers.iter().filter(|status| status.quotas.is_some());
+        let newest = with_quotas.max_by_key(|status| status.config_version);
         let version = newest.map_or(0, |status| status.config_version);
         let limit = newest.and_then(|status| shown(status, tenant));
         if newest.is_some() && limit.is_none() {
@@ -107,7 +108,7 @@
             .map(|limit| limit.shards.as_slice())
             .unwrap_or_default();
         let part = |shard: &u16| part_of(*shard, tenant, answers);
-        let sum = |of: fn(&NodeCount) -> u64| nodes.iter().map(of).sum();
+        let sum = |count: fn(&NodeCount) -> u64| nodes.iter().map(count).sum();
         Ok(Overview {
             tenant: tenant.to_owned(),
             config_version: version,
@@ -118,7 +119,7 @@
             refused: sum(|count| count.refused),
             unavailable: sum(|count| count.unavailable),
             nodes,
-            no_answer: asked.no_answer.clone(),
+            no_answer: node_answers.no_answer.clone(),
             not_asked: without_control_plane(answers),
             older_release: answers
                 .iter()
@@ -128,7 +129,7 @@
         })
     }
 
-    /// It as text for a person.
+    /// Formats the overview as text tables.
     pub fn text(&self) -> String {
         let mut out = self.headline();
         if !self.parts.is_empty() {
@@ -185,7 +186,7 @@
         table(&head, &self.parts.iter().map(row).collect::<Vec<_>>())
     }
 
-    /// The nodes that counted something, and the sum.
+    /// The table of the nodes with counts above 0, and the sums.
     fn nodes_table(&self) -> String {
         let row = |name: &str, version: String, counts: [u64; 3]| {
             let mut row = vec![name.to_owned(), version];
@@ -204,7 +205,7 @@
         table(&head, &rows)
     }
 
-    /// What is missing, with the remedy.
+    /// Notes about missing data, outdated nodes and unavailable lease holders, with the remedy.
     fn notes(&self) -> Vec<String> {
         let mut notes = Vec::new();
         for part in self.parts.iter().filter(|part| part.holder.is_none()) {
@@ -253,34 +254,35 @@
     }
 }
 
-fn names(of: &[String]) -> Vec<&str> {
-    of.iter().map(String::as_str).collect()
+fn names(names: &[String]) -> Vec<&str> {
+    names.iter().map(String::as_str).collect()
 }
 
-/// The tenant as a node shows it; `None` where its configuration has none of that name, or its release has no quotas.
+/// The tenant in a node's status; `None` if the node's configuration does not have the tenant, or its release does not
+/// support quotas.
 fn shown<'a>(status: &'a Status, tenant: &str) -> Option<&'a TenantQuotaStatus> {
     let quotas = status.quotas.as_ref()?;
     quotas.tenants.iter().find(|shown| shown.name == tenant)
 }
 
-/// What a node counted; `None` from an older release.
+/// A node's counts of the tenant's requests; `None` if the node runs an older release.
 fn count_of(status: &Status, tenant: &str) -> Option<NodeCount> {
     let quotas = status.quotas.as_ref()?;
     let shown = shown(status, tenant);
-    let of = |count: fn(&TenantQuotaStatus) -> u64| shown.map_or(0, count);
+    let count = |field: fn(&TenantQuotaStatus) -> u64| shown.map_or(0, field);
     let unavailable_shards = quotas.unavailable_shards.iter().copied();
     let is_of_tenant = |shard: &u16| shown.is_some_and(|shown| shown.shards.contains(shard));
     Some(NodeCount {
         node: status.node.clone(),
         config_version: status.config_version,
-        sent: of(|shown| shown.sent),
-        refused: of(|shown| shown.refused),
-        unavailable: of(|shown| shown.unavailable),
+        sent: count(|shown| shown.sent),
+        refused: count(|shown| shown.refused),
+        unavailable: count(|shown| shown.unavailable),
         unavailable_shards: unavailable_shards.filter(is_of_tenant).collect(),
     })
 }
 
-/// A part and its holder: the node with the newest lease of the shard.
+/// A part of the tenant's limit and its holder, the node with the newest lease of the shard.
 fn part_of(shard: u16, tenant: &str, answers: &[&Status]) -> Part {
     let lease_of = |quotas: &QuotaStatus| {
         let lease = quotas.shards.iter().find(|held| held.shard == shard);
@@ -305,7 +307,7 @@
     }
 }
 
-/// Names of nodes that cannot be asked, as the first node that answered knows them.
+/// Names of the nodes that serve no control_plane and did not answer, from the node list of the first node that answered.
 fn without_control_plane(answers: &[&Status]) -> Vec<String> {
     let nodes = answers.first().map(|first| first.nodes.as_slice());
     let unasked = nodes
--- a/crates/sparrouter-fleet/src/main.rs
+++ b/crates/sparrouter-fleet/src/main.rs
@@ -49,18 +49,18 @@
     Ok(())
 }
 
-/// Carries out a command that calls the fleet.
+/// Executes a command that calls the fleet.
 fn call_fleet(
     command: &FleetCommand,
     addresses: Vec<SocketAddr>,
-    patience: Duration,
+    retry_timeout: Duration,
     out: &mut commands::Output,
 ) -> Result<(), ClientError> {
     let runtime = runtime().map_err(ClientError::Runtime)?;
     runtime.block_on(client::run(
         command,
         addresses,
-        patience,
+        retry_timeout,
         Rc::new(Sockets),
         out,
     ))
@@ -90,11 +90,11 @@
         Ok(command) => command,
         Err(failure) => {
             failure.print_message(100);
-            // Asking for help is no error; anything else is invalid input.
+            // `--help` and `--version` succeed; any other parse failure is invalid input.
             return ExitCode::from(if failure.exit_code() == 0 { 0 } else { 2 });
         }
     };
-    let finished = match command {
+    let outcome = match command {
         Command::Run { role, metrics_port } => {
             return match serve(role, metrics_port) {
                 Ok(()) => ExitCode::SUCCESS,
@@ -107,20 +107,20 @@
         Command::Fleet {
             command,
             addresses,
-            patience_s,
+            retry_timeout_s,
         } => call_fleet(
             &command,
             addresses,
-            Duration::from_secs(patience_s),
+            Duration::from_secs(retry_timeout_s),
             &mut out,
         ),
         Command::Check { file, against } => commands::check(&file, against.as_deref(), &mut out),
         Command::Show { file } => show(file, &mut out),
     };
-    let finished = finished.and_then(|()| out.result.flush().map_err(ClientError::Output));
-    match finished {
+    let outcome = outcome.and_then(|()| out.result.flush().map_err(ClientError::Output));
+    match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        // The reader of a pipe, such as `head`, has read enough.
+        // A broken pipe is not an error: its reader, such as `head`, needs no more output.
         Err(ClientError::Output(error)) if error.kind() == std::io::ErrorKind::BrokenPipe => {
             ExitCode::SUCCESS
         }
--- a/crates/sparrouter-fleet/tests/client.rs
+++ b/crates/sparrouter-fleet/tests/client.rs
@@ -1,4 +1,4 @@
-//! The operators' client: one call to scripted nodes until the reply is definite, in virtual time.
+//! The operators' client: retries of a call to scripted nodes until the reply is definite, in virtual time.
 mod common;
 
 use common::{Behavior, ScriptedNet, replies};
@@ -14,8 +14,11 @@
 const A: &str = "10.0.0.1:80";
 const B: &str = "10.0.0.2:80";
 
-fn addresses(of: &[&str]) -> Vec<SocketAddr> {
-    of.iter().map(|a| a.parse().expect("an address")).collect()
+fn addresses(texts: &[&str]) -> Vec<SocketAddr> {
+    texts
+        .iter()
+        .map(|a| a.parse().expect("an address"))
+        .collect()
 }
 
 fn change() -> Call {
@@ -28,7 +31,7 @@
     }
 }
 
-/// Sends a call for at most ten seconds; gives the answer and the calls that nodes got.
+/// Submits a call with a retry time-out of ten seconds; returns the answer and the calls that the nodes received.
 async fn submit(
     net: ScriptedNet,
     at: &[&str],
@@ -46,7 +49,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_node_that_answers_when_called_then_one_complete_call_is_sent() {
+async fn given_a_node_that_answers_when_a_call_is_submitted_then_one_complete_request_is_sent() {
     let net = ScriptedNet::default().node(A, &[replies(200, "taken")]);
     let (submitted, calls) = submit(net, &[A, B], change()).await;
     assert_eq!(submitted.expect("taken"), "taken");
@@ -55,7 +58,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_nodes_that_fail_when_called_then_the_next_gets_the_same_call() {
+async fn given_a_node_that_fails_when_a_call_is_submitted_then_it_is_retried_unchanged_at_the_next_node()
+ {
     for behavior in [
         Behavior::Refuse,
         Behavior::NoReply,
@@ -80,7 +84,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_an_unresponsive_node_when_called_then_the_next_is_asked_after_a_second() {
+async fn given_an_unresponsive_node_when_a_call_is_submitted_then_the_next_node_is_tried_after_one_second()
+ {
     let net = ScriptedNet::default()
         .node(A, &[Behavior::NoReply])
         .node(B, &[replies(200, "taken")]);
@@ -90,7 +95,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_final_refusal_when_called_then_no_other_node_is_asked() {
+async fn given_a_final_refusal_when_a_call_is_submitted_then_it_is_not_retried() {
     for status in [400, 409, 412, 413, 422] {
         let net = ScriptedNet::default().node(A, &[replies(status, "why and what to do")]);
         let (submitted, calls) = submit(net, &[A, B], change()).await;
@@ -101,7 +106,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_another_4xx_when_called_then_it_is_final_at_the_third_attempt() {
+async fn given_404_or_405_replies_when_a_call_is_submitted_then_the_third_one_is_final() {
     let net = ScriptedNet::default()
         .node(A, &[replies(405, "")])
         .node(B, &[replies(404, "")]);
@@ -114,7 +119,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_redirects_when_called_then_at_most_two_are_followed() {
+async fn given_redirects_when_a_call_is_submitted_then_an_attempt_follows_at_most_two() {
     let to = |at: &str| {
         Behavior::Reply(format!(
             "HTTP/1.1 307 Word\r\nLocation: http://{at}/api/config\r\nContent-Length: 0\r\n\r\n"
@@ -133,7 +138,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_no_definite_reply_when_the_time_is_over_then_the_possible_effect_is_reported_and_the_code_is_3()
+async fn given_no_definite_reply_when_the_deadline_passes_then_the_possible_effect_is_reported_with_exit_code_3()
  {
     let cases = [
         (Behavior::Refuse, "nothing was sent"),
@@ -163,7 +168,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_lost_reply_then_a_refusal_when_the_time_is_over_then_the_effect_is_unclear() {
+async fn given_a_lost_reply_and_later_refusals_when_the_deadline_passes_then_the_effect_is_unclear()
+{
     let net = ScriptedNet::default().node(A, &[Behavior::Disconnect, replies(503, "no quorum")]);
     assert!(matches!(
         submit(net, &[A], change()).await.0,
@@ -171,9 +177,10 @@
     ));
 }
 
-/// Guards against a question about one tenant that turns into one about none at the next node or behind a redirect.
+/// Guards against a request for one tenant's status that loses its query string at a retry or a redirect.
 #[tokio::test(start_paused = true)]
-async fn given_a_call_with_a_query_when_nodes_fail_or_redirect_then_the_query_is_kept() {
+async fn given_a_call_with_a_query_string_when_nodes_fail_or_redirect_then_the_query_string_is_kept()
+ {
     let path = "/api/status?tenant=kaje%2080";
     let redirect =
         format!("HTTP/1.1 307 Word\r\nLocation: http://{A}{path}\r\nContent-Length: 0\r\n\r\n");
@@ -182,8 +189,8 @@
         .node(B, &[Behavior::Reply(redirect)]);
     let (submitted, calls) = submit(net, &[A, B], Call::get(path)).await;
     assert_eq!(submitted.expect("answered"), "{}");
-    let asked: Vec<_> = calls.iter().map(|(to, _)| to.to_string()).collect();
-    assert_eq!(asked, [A, B, A]);
+    let called: Vec<_> = calls.iter().map(|(to, _)| to.to_string()).collect();
+    assert_eq!(called, [A, B, A]);
     let line = format!("GET {path} HTTP/1.1\r\n");
     assert!(
         calls.iter().all(|(_, text)| text.starts_with(&line)),
--- a/crates/sparrouter-fleet/tests/client_commands.rs
+++ b/crates/sparrouter-fleet/tests/client_commands.rs
@@ -15,30 +15,33 @@
 const B: &str = "10.0.0.2:80";
 const CONFIG: &str = "{\"version\":7,\"routes\":[],\"services\":[]}";
 
-fn addresses(of: &[&str]) -> Vec<SocketAddr> {
-    of.iter().map(|a| a.parse().expect("an address")).collect()
+fn addresses(texts: &[&str]) -> Vec<SocketAddr> {
+    texts
+        .iter()
+        .map(|a| a.parse().expect("an address"))
+        .collect()
 }
 
-/// Runs a subcommand; returns what it printed as its result and as diagnostics.
+/// Runs a subcommand; returns its outcome, the printed result and the printed diagnostics.
 async fn run(net: ScriptedNet, command: FleetCommand) -> (Result<(), ClientError>, String, String) {
     let (mut result, mut diagnostics) = (Vec::new(), Vec::new());
     let local = LocalSet::new();
-    let done = {
+    let outcome = {
         let mut out = Output {
             result: &mut result,
             diagnostics: &mut diagnostics,
         };
-        let asking = commands::run(
+        let running = commands::run(
             &command,
             addresses(&[A]),
             Duration::from_secs(5),
             Rc::new(net),
             &mut out,
         );
-        local.run_until(asking).await
+        local.run_until(running).await
     };
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
-    (done, text(result), text(diagnostics))
+    (outcome, text(result), text(diagnostics))
 }
 
 struct Files(tempfile::TempDir);
@@ -60,7 +63,7 @@
     let file = files.with("next.json", "{\"version\":9,\"routes\":[],\"services\":[]}");
     let net = ScriptedNet::default().node(A, &[replies(200, CONFIG), replies(200, "taken")]);
     let calls = net.calls.clone();
-    let (done, result, diagnostics) = run(
+    let (outcome, result, diagnostics) = run(
         net,
         FleetCommand::Put {
             file,
@@ -68,7 +71,7 @@
         },
     )
     .await;
-    done.expect("taken");
+    outcome.expect("taken");
     assert_eq!(
         diagnostics,
         "sparrouter: builds on version 7, which is in force now\n"
@@ -78,7 +81,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_no_configuration_yet_when_put_then_it_is_the_first() {
+async fn given_no_configuration_in_force_when_put_then_it_becomes_the_first_configuration() {
     let files = Files::new();
     let file = files.with("first.json", CONFIG);
     let behaviors = [
@@ -87,7 +90,7 @@
         replies(404, ""),
         replies(200, "taken"),
     ];
-    let (done, _, diagnostics) = run(
+    let (outcome, _, diagnostics) = run(
         ScriptedNet::default().node(A, &behaviors),
         FleetCommand::Put {
             file,
@@ -95,7 +98,7 @@
         },
     )
     .await;
-    done.expect("taken");
+    outcome.expect("taken");
     assert_eq!(
         diagnostics,
         "sparrouter: no configuration is in force yet: this is the first\n"
@@ -103,7 +106,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_configuration_that_is_invalid_when_put_then_nothing_is_sent_and_the_code_is_2() {
+async fn given_an_invalid_configuration_when_put_then_nothing_is_sent_and_the_exit_code_is_2() {
     let files = Files::new();
     let file = files.with(
         "bad.json",
@@ -111,7 +114,7 @@
     );
     let net = ScriptedNet::default().node(A, &[replies(200, "taken")]);
     let calls = net.calls.clone();
-    let (done, ..) = run(
+    let (outcome, ..) = run(
         net,
         FleetCommand::Put {
             file,
@@ -119,7 +122,7 @@
         },
     )
     .await;
-    let error = done.expect_err("invalid");
+    let error = outcome.expect_err("invalid");
     assert_eq!((error.exit_code(), calls.borrow().len()), (2, 0));
     assert!(
         error.to_string().contains("bad.json: routes[0] (`r`)"),
@@ -128,11 +131,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_patch_of_a_version_that_is_not_above_when_sent_then_it_is_refused_here() {
+async fn given_a_patch_whose_version_is_not_higher_when_submitted_then_the_client_refuses_it() {
     let files = Files::new();
     let file = files.with("patch.json", "{\"version\":7,\"upsert_items\":{}}");
     let net = ScriptedNet::default().node(A, &[replies(200, CONFIG)]);
-    let (done, ..) = run(
+    let (outcome, ..) = run(
         net,
         FleetCommand::Patch {
             file,
@@ -141,17 +144,18 @@
     )
     .await;
     assert!(
-        done.expect_err("refused")
+        outcome
+            .expect_err("refused")
             .to_string()
             .contains("`version` 7 is not above 7")
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_version_when_named_then_model_and_version_are_sent() {
+async fn given_a_model_and_a_version_when_version_put_runs_then_both_are_sent() {
     let net = ScriptedNet::default().node(A, &[replies(200, "named")]);
     let calls = net.calls.clone();
-    let (done, ..) = run(
+    let (outcome, ..) = run(
         net,
         FleetCommand::NameVersion {
             model: "m \"1\"".into(),
@@ -159,13 +163,13 @@
         },
     )
     .await;
-    done.expect("named");
+    outcome.expect("named");
     assert!(
         calls.borrow()[0]
             .1
             .ends_with("{\"model\":\"m \\\"1\\\"\",\"version\":2}")
     );
-    let (done, ..) = run(
+    let (outcome, ..) = run(
         ScriptedNet::default(),
         FleetCommand::NameVersion {
             model: "m".into(),
@@ -173,7 +177,7 @@
         },
     )
     .await;
-    assert_eq!(done.expect_err("bad input").exit_code(), 2);
+    assert_eq!(outcome.expect_err("bad input").exit_code(), 2);
 }
 
 const STATUS: &str = "{\"node\":\"core-0\",\"ready\":true,\"config_version\":7,\"member\":true,\"in_touch\":true,\
@@ -185,9 +189,9 @@
     \"loading\":false,\"in_flight\":2,\"models\":[{\"name\":\"m\",\"version\":1}]}]}";
 
 #[tokio::test(start_paused = true)]
-async fn given_a_status_when_shown_then_it_is_a_table() {
+async fn given_a_status_when_printed_then_it_is_formatted_as_tables() {
     let net = ScriptedNet::default().node(A, &[replies(200, STATUS)]);
-    let (done, result, diagnostics) = run(
+    let (outcome, result, diagnostics) = run(
         net,
         FleetCommand::Status {
             all: false,
@@ -195,7 +199,7 @@
         },
     )
     .await;
-    done.expect("answered");
+    outcome.expect("answered");
     assert_eq!(diagnostics, "");
     insta::assert_snapshot!(result, @r"
     ASKED   AT           CONFIG  IS                     HEARD_MS_AGO  OPEN  NAMED  GROUP
@@ -211,9 +215,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_node_that_is_down_when_all_are_asked_then_it_is_reported() {
+async fn given_an_unreachable_node_when_the_status_of_all_nodes_is_requested_then_it_is_reported() {
     let net = ScriptedNet::default().node(A, &[replies(200, STATUS)]);
-    let (done, result, diagnostics) = run(
+    let (outcome, result, diagnostics) = run(
         net,
         FleetCommand::Status {
             all: true,
@@ -221,7 +225,7 @@
         },
     )
     .await;
-    done.expect("answered");
+    outcome.expect("answered");
     assert_eq!(result, format!("{STATUS}\n"));
     assert!(
         diagnostics.starts_with("sparrouter: core-1: no node could be reached"),
@@ -229,7 +233,8 @@
     );
 }
 
-/// A node's status: `node`: its number; `version`: of its configuration; `quotas`: what it says of quotas, if anything.
+/// The status of a node as JSON. `node` is the number of the node, `version` the version of its configuration, and
+/// `quotas` the JSON field with its quotas, or empty.
 fn status_of(node: u8, version: u64, quotas: &str) -> String {
     let control = |n: u8| match n {
         3 => String::new(),
@@ -250,7 +255,7 @@
     )
 }
 
-/// What a node says of quotas. `shards`, `unavailable`, `tenants`: JSON lists without their brackets.
+/// The JSON field with a node's quotas. `shards`, `unavailable` and `tenants` are JSON lists without their brackets.
 fn quotas_of(shards: &str, unavailable: &str, tenants: &str) -> String {
     format!(
         ",\"quotas\":{{\"shards\":[{shards}],\"unavailable_shards\":[{unavailable}],\"tenants\":[{tenants}],\
@@ -258,7 +263,8 @@
     )
 }
 
-/// The tenant `kaje 80` as a node shows it. `held`: parts that the node holds; `counts`: sent, refused, unavailable.
+/// The JSON object of the tenant `kaje 80` in a node's status. `held` lists the parts that the node holds; `counts` are
+/// the sent, refused and unavailable counts.
 fn tenant_of(limit: &str, shards: &str, held: &str, counts: [u64; 3]) -> String {
     let [sent, refused, unavailable] = counts;
     format!(
@@ -275,14 +281,15 @@
                              \"refused\":0,\"returned\":0}";
 const PART: &str = "{\"shard\":1,\"level\":2.25,\"capacity\":6.5}";
 
-fn ask_for_quota(json: bool) -> FleetCommand {
+fn quota_command(json: bool) -> FleetCommand {
     FleetCommand::Quota {
         tenant: "kaje 80".to_owned(),
         json,
     }
 }
 
-/// Four nodes: n1 holds a part, n2 has an earlier configuration and an earlier lease, n3 serves no operators, n4 is down.
+/// A network of four nodes: n1 holds a part of the limit, n2 has an earlier configuration and an earlier lease, n3
+/// serves no operators, and n4 is unreachable.
 fn fleet_with_quotas() -> ScriptedNet {
     let first = tenant_of(LIMIT, "1,3", PART, [20, 5, 0]);
     let second = tenant_of(EARLIER_LIMIT, "1", "", [10, 0, 2]);
@@ -293,13 +300,15 @@
         .node(B, &[replies(200, &second)])
 }
 
-/// Guards against an operator who cannot see who refuses a tenant, why, and which machine holds its count.
+/// Guards against an overview that does not show which nodes refuse a tenant's requests, why, and which nodes hold the
+/// leases of its limit.
 #[tokio::test(start_paused = true)]
-async fn given_a_tenant_when_its_quota_is_asked_for_then_limit_holders_sums_and_gaps_are_shown() {
+async fn given_a_tenant_when_its_quota_is_requested_then_limit_lease_holders_sums_and_gaps_are_printed()
+ {
     let net = fleet_with_quotas();
     let calls = net.calls.clone();
-    let (done, result, diagnostics) = run(net, ask_for_quota(false)).await;
-    done.expect("answered");
+    let (outcome, result, diagnostics) = run(net, quota_command(false)).await;
+    outcome.expect("answered");
     for (_, text) in calls.borrow().iter() {
         assert!(
             text.starts_with("GET /api/status?tenant=kaje%2080 HTTP/1.1"),
@@ -329,51 +338,52 @@
     ");
 }
 
-/// Guards against a form for programs that lacks what the tables show.
+/// Guards against a JSON output that lacks data of the tables.
 #[tokio::test(start_paused = true)]
-async fn given_a_tenant_when_its_quota_is_asked_for_as_json_then_it_is_one_object() {
-    let (done, result, _) = run(fleet_with_quotas(), ask_for_quota(true)).await;
-    done.expect("answered");
+async fn given_a_tenant_when_its_quota_is_requested_as_json_then_one_object_is_printed() {
+    let (outcome, result, _) = run(fleet_with_quotas(), quota_command(true)).await;
+    outcome.expect("answered");
     assert_eq!(result.lines().count(), 1);
     insta::assert_snapshot!(result, @r#"{"tenant":"kaje 80","config_version":7,"rate_per_s":8.5,"burst_size":16.0,"parts":[{"shard":1,"holder":"n1","fencing_token":7,"active":true,"level":2.25,"capacity":6.5,"shard_granted":120},{"shard":3,"holder":null,"fencing_token":null,"active":false,"level":null,"capacity":null,"shard_granted":null}],"sent":30,"refused":5,"unavailable":2,"nodes":[{"node":"n1","config_version":7,"sent":20,"refused":5,"unavailable":0,"unavailable_shards":[]},{"node":"n2","config_version":6,"sent":10,"refused":0,"unavailable":2,"unavailable_shards":[1]}],"no_answer":["n4"],"not_asked":["n3"],"older_release":[]}"#);
 }
 
-/// Guards against a mistyped name that looks like a tenant without refusals.
+/// Guards against a mistyped tenant name that is reported as a tenant without refusals.
 #[tokio::test(start_paused = true)]
-async fn given_a_tenant_that_is_not_configured_when_asked_for_then_the_code_is_1_and_the_remedy_named()
+async fn given_an_unknown_tenant_when_its_quota_is_requested_then_the_exit_code_is_1_and_the_remedy_is_named()
  {
     let status = status_of(1, 7, &quotas_of(SHARD, "", ""));
     let net = ScriptedNet::default().node(A, &[replies(200, &status)]);
-    let (done, result, _) = run(net, ask_for_quota(false)).await;
-    let error = done.expect_err("unknown");
+    let (outcome, result, _) = run(net, quota_command(false)).await;
+    let error = outcome.expect_err("unknown");
     assert_eq!((error.exit_code(), result.as_str()), (1, ""));
     insta::assert_snapshot!(error, @"no tenant `kaje 80` is in the configuration in force (version 7): look for its name in `sparrouter config get`");
     let empty = FleetCommand::Quota {
         tenant: String::new(),
         json: false,
     };
-    let (done, ..) = run(ScriptedNet::default(), empty).await;
-    assert_eq!(done.expect_err("bad input").exit_code(), 2);
+    let (outcome, ..) = run(ScriptedNet::default(), empty).await;
+    assert_eq!(outcome.expect_err("bad input").exit_code(), 2);
 }
 
-/// Guards against a tenant without a limit that is taken for unknown, or for one with a limit of 0.
+/// Guards against a tenant without a limit that is reported as unknown, or as having a limit of 0.
 #[tokio::test(start_paused = true)]
-async fn given_a_tenant_without_a_limit_when_asked_for_then_that_is_said() {
+async fn given_a_tenant_without_a_limit_when_its_quota_is_requested_then_the_output_reports_no_limit()
+ {
     let tenant = tenant_of("\"rate_per_s\":null,\"burst_size\":null", "", "", [0; 3]);
     let status = status_of(1, 7, &quotas_of("", "", &tenant));
     let net = ScriptedNet::default().node(A, &[replies(200, &status)]);
-    let (done, result, _) = run(net, ask_for_quota(false)).await;
-    done.expect("answered");
+    let (outcome, result, _) = run(net, quota_command(false)).await;
+    outcome.expect("answered");
     insta::assert_snapshot!(result.lines().next().unwrap_or_default(), @"kaje 80: no limit by version 7; its requests need no permit");
 }
 
-/// Guards against a client that fails during an upgrade, when some nodes say nothing of quotas.
+/// Guards against a client that fails during an upgrade, when the statuses of some nodes have no quotas.
 #[tokio::test(start_paused = true)]
-async fn given_nodes_of_an_older_release_when_a_quota_is_asked_for_then_they_are_named() {
+async fn given_nodes_of_an_older_release_when_a_quota_is_requested_then_they_are_listed() {
     let older = status_of(1, 7, "");
     let net = ScriptedNet::default().node(A, &[replies(200, &older)]);
-    let (done, result, _) = run(net, ask_for_quota(false)).await;
-    done.expect("answered");
+    let (outcome, result, _) = run(net, quota_command(false)).await;
+    outcome.expect("answered");
     assert!(
         result.starts_with("kaje 80: no node that answered knows of quotas"),
         "{result}"
@@ -385,8 +395,8 @@
     let net = ScriptedNet::default()
         .node(A, &[replies(200, &older)])
         .node(B, &[replies(200, &newer)]);
-    let (done, result, _) = run(net, ask_for_quota(false)).await;
-    done.expect("answered");
+    let (outcome, result, _) = run(net, quota_command(false)).await;
+    outcome.expect("answered");
     assert!(
         result.starts_with("kaje 80: 8.5 requests a second"),
         "{result}"
@@ -394,17 +404,18 @@
     assert!(result.lines().any(|line| line == note), "{result}");
 }
 
-/// Guards against a status that hides which machine grants, or that nobody does.
+/// Guards against a status that does not show which node grants permits of a shard, or that no node does.
 #[tokio::test(start_paused = true)]
-async fn given_a_status_with_quotas_when_shown_then_shards_and_those_without_a_holder_are_there() {
+async fn given_a_status_with_quotas_when_printed_then_held_shards_and_shards_without_a_holder_are_listed()
+ {
     let status = status_of(1, 7, &quotas_of(SHARD, "3", ""));
     let net = ScriptedNet::default().node(A, &[replies(200, &status)]);
     let command = FleetCommand::Status {
         all: false,
         json: false,
     };
-    let (done, result, _) = run(net, command).await;
-    done.expect("answered");
+    let (outcome, result, _) = run(net, command).await;
+    outcome.expect("answered");
     let shown = result.split_once("HOLDER").map_or("", |(_, shown)| shown);
     insta::assert_snapshot!(format!("HOLDER{shown}"), @"
     HOLDER  SHARD  FENCING  IS      TENANTS  GRANTED  REFUSED  RETURNED
@@ -414,7 +425,7 @@
 }
 
 #[test]
-fn given_files_when_checked_then_verdict_and_remedy_are_printed() {
+fn given_configurations_and_patches_when_checked_then_result_or_error_with_remedy_is_printed() {
     let files = Files::new();
     let complete = files.with("whole.json", CONFIG);
     let patch = files.with(
@@ -428,10 +439,11 @@
             result: &mut result,
             diagnostics: &mut diagnostics,
         };
-        let done = commands::check(file, against.map(PathBuf::as_path), &mut out);
+        let outcome = commands::check(file, against.map(PathBuf::as_path), &mut out);
         let folder = file.parent().expect("a folder").display().to_string() + "/";
         let printed = String::from_utf8(result).expect("text");
-        done.map_or_else(|e| format!("{}: {e}", e.exit_code()), |()| printed)
+        outcome
+            .map_or_else(|e| format!("{}: {e}", e.exit_code()), |()| printed)
             .replace(&folder, "")
     };
     let all = [
@@ -455,7 +467,7 @@
 }
 
 #[test]
-fn given_command_lines_when_parsed_then_they_are_commands_or_errors() {
+fn given_valid_and_invalid_command_lines_when_parsed_then_commands_or_errors_are_returned() {
     use sparrouter_fleet::client::{Command, command};
     let read = |line: &str| {
         let arguments: Vec<&str> = line.split_whitespace().collect();
@@ -473,7 +485,7 @@
                 if_match: Some(4)
             },
             addresses,
-            patience_s: 3
+            retry_timeout_s: 3
         }
     );
     assert_eq!(
@@ -484,7 +496,7 @@
                 json: false
             },
             addresses: vec![],
-            patience_s: 10
+            retry_timeout_s: 10
         }
     );
     for wrong in [
@@ -499,9 +511,9 @@
     }
 }
 
-/// Guards against a tenant's name that is taken for an option, or a command without one that asks all nodes for nothing.
+/// Guards against a tenant name that is parsed as an option, and a quota command that is accepted without a tenant.
 #[test]
-fn given_a_command_line_for_a_quota_when_parsed_then_tenant_and_options_are_read() {
+fn given_a_quota_command_line_when_parsed_then_tenant_and_options_are_returned() {
     let read = |line: &str| {
         let arguments: Vec<&str> = line.split_whitespace().collect();
         sparrouter_fleet::client::command().run_inner(arguments.as_slice())
@@ -512,7 +524,7 @@
             json: true,
         },
         addresses: addresses(&[A]),
-        patience_s: 10,
+        retry_timeout_s: 10,
     };
     let parsed = read("quota --json --at 10.0.0.1:80 kaje80");
     assert_eq!(parsed.expect("a command"), expected);
@@ -522,7 +534,7 @@
 }
 
 #[test]
-fn given_a_port_for_metrics_when_a_process_is_started_then_it_is_used_and_an_invalid_one_refused() {
+fn given_a_metrics_port_when_the_command_line_is_parsed_then_an_invalid_port_is_rejected() {
     let parsed = |arguments: &[&str]| sparrouter_fleet::client::command().run_inner(arguments);
     let run = |role, metrics_port| Command::Run { role, metrics_port };
     assert_eq!(
--- a/crates/sparrouter-fleet/tests/common/mod.rs
+++ b/crates/sparrouter-fleet/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A network in memory of scripted nodes, for tests of what calls them.
+//! An in-memory network of scripted nodes, for tests of the code that calls nodes.
 #![allow(
     dead_code,
-    reason = "each test file is a program of its own and uses a part"
+    reason = "each test file is compiled as a separate program and uses a part of this module"
 )]
 use sparrouter_fleet::platform::net::{BoxFuture, Connection, Listener, Net, Stream};
 use std::cell::RefCell;
@@ -15,10 +15,10 @@
     AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, DuplexStream, ReadBuf, duplex,
 };
 
-/// One end of a pipe, as a connection.
-pub struct Wired(pub DuplexStream);
+/// One end of an in-memory pipe, as a connection.
+pub struct PipeConnection(pub DuplexStream);
 
-impl AsyncRead for Wired {
+impl AsyncRead for PipeConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -28,7 +28,7 @@
     }
 }
 
-impl AsyncWrite for Wired {
+impl AsyncWrite for PipeConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -44,26 +44,26 @@
     }
 }
 
-impl Connection for Wired {
+impl Connection for PipeConnection {
     fn read_available(&self, _: &mut [u8]) -> Option<io::Result<usize>> {
         None
     }
 }
 
-/// What a scripted node does with one connection.
+/// The behavior of a scripted node on one connection.
 #[derive(Clone, Debug)]
 pub enum Behavior {
-    /// Refuses the connection.
+    /// The node refuses the connection.
     Refuse,
-    /// Reads the call and never replies.
+    /// The node reads the call and never replies.
     NoReply,
-    /// Reads the call and closes the connection.
+    /// The node reads the call and closes the connection.
     Disconnect,
-    /// Replies with these bytes.
+    /// The node reads the call and replies with this text.
     Reply(String),
 }
 
-/// A reply with this status and body.
+/// The behavior that replies with this status and body.
 pub fn replies(status: u16, body: &str) -> Behavior {
     Behavior::Reply(format!(
         "HTTP/1.1 {status} Word\r\nContent-Length: {}\r\n\r\n{body}",
@@ -71,16 +71,16 @@
     ))
 }
 
-/// Nodes that behave as scripted, connection by connection; the last behavior repeats.
+/// A network of scripted nodes. Each connection to a node takes the node's next behavior; the last one repeats.
 #[derive(Default)]
 pub struct ScriptedNet {
     behaviors: RefCell<HashMap<SocketAddr, VecDeque<Behavior>>>,
-    /// The calls that arrived, in order.
+    /// The calls that nodes received, in order, with the address of the node.
     pub calls: Rc<RefCell<Vec<(SocketAddr, String)>>>,
 }
 
 impl ScriptedNet {
-    /// Adds a node.
+    /// Adds a node with its behaviors.
     pub fn node(self, address: &str, behaviors: &[Behavior]) -> ScriptedNet {
         self.behaviors.borrow_mut().insert(
             address.parse().expect("an address"),
@@ -94,11 +94,11 @@
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Stream>> {
         let behavior = {
             let mut behaviors = self.behaviors.borrow_mut();
-            let own = behaviors.entry(to).or_default();
-            if own.len() > 1 {
-                own.pop_front()
+            let scripted = behaviors.entry(to).or_default();
+            if scripted.len() > 1 {
+                scripted.pop_front()
             } else {
-                own.front().cloned()
+                scripted.front().cloned()
             }
         };
         let calls = self.calls.clone();
@@ -122,14 +122,14 @@
                     .push((to, String::from_utf8_lossy(&text).into_owned()));
                 match behavior {
                     Behavior::Reply(answer) => {
-                        // The caller may have left.
+                        // The write fails if the caller has closed the connection.
                         let _ = far.write_all(answer.as_bytes()).await;
                     }
                     Behavior::NoReply => std::future::pending().await,
                     Behavior::Disconnect | Behavior::Refuse => {}
                 }
             });
-            Ok(Box::new(Wired(near)) as Stream)
+            Ok(Box::new(PipeConnection(near)) as Stream)
         })
     }
 
--- a/crates/sparrouter-fleet/tests/endpoint.rs
+++ b/crates/sparrouter-fleet/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! The tree of handlers: which handler a request reaches, and what is not found.
+//! The handler tree of an HTTP endpoint: routing by path and method, 404 and 405, and limits on idle connections.
 use bytes::Bytes;
 use sparrouter_fleet::api::endpoint::{self, Matcher};
 use sparrouter_fleet::platform::http::{Request, Response};
@@ -19,7 +19,7 @@
     })
 }
 
-/// Each handler answers with its name and the segments that `*` matched.
+/// A tree in which each handler answers with its name and the segments that `*` matched.
 fn tree() -> Matcher {
     let handler = |name: &'static str| {
         move |_: Rc<Request>, segments: Vec<String>| async move {
@@ -41,14 +41,14 @@
 }
 
 #[tokio::test]
-async fn given_a_path_with_methods_when_called_then_the_handler_of_that_method_answers() {
+async fn given_a_path_with_several_methods_when_called_then_the_handler_of_the_method_answers() {
     assert_eq!(answer_to("GET", "/api/config").await, (200, "get ".into()));
     assert_eq!(answer_to("PUT", "/api/config").await, (200, "put ".into()));
     assert_eq!(answer_to("GET", "/").await, (200, "root ".into()));
 }
 
 #[tokio::test]
-async fn given_a_wildcard_when_called_then_its_segments_are_passed_in_order() {
+async fn given_wildcards_when_called_then_the_matched_segments_are_passed_in_order() {
     assert_eq!(
         answer_to("PUT", "/api/instances/i-1").await,
         (200, "heartbeat i-1".into())
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn given_a_literal_and_a_wildcard_when_called_then_the_literal_takes_precedence() {
+async fn given_a_literal_segment_and_a_wildcard_when_called_then_the_literal_takes_precedence() {
     assert_eq!(
         answer_to("GET", "/api/instances/all").await,
         (200, "all ".into())
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn given_a_query_or_extra_slashes_when_called_then_the_handler_is_the_same() {
+async fn given_a_query_string_or_extra_slashes_when_called_then_the_same_handler_answers() {
     assert_eq!(
         answer_to("GET", "/api/config?x=/y").await,
         (200, "get ".into())
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn given_an_unknown_path_when_called_then_it_is_404() {
+async fn given_an_unknown_path_when_called_then_the_status_is_404() {
     for path in [
         "/api",
         "/api/instances",
@@ -95,14 +95,14 @@
 }
 
 #[tokio::test]
-async fn given_another_method_when_called_then_it_is_405() {
+async fn given_an_unsupported_method_when_called_then_the_status_is_405() {
     for method in ["DELETE", "get", "PUTT", "PU"] {
         assert_eq!(answer_to(method, "/api/config").await.0, 405, "{method}");
     }
 }
 
 #[test]
-fn given_a_query_when_asked_for_a_name_then_its_value_is_given() {
+fn given_a_query_string_when_a_parameter_is_read_then_its_value_is_returned() {
     let request = request("GET", "/a/b?one=1&two=&three");
     assert_eq!(request.path(), "/a/b");
     assert_eq!(
@@ -115,7 +115,7 @@
     );
 }
 
-/// One call on a connection that stays open here; gives back the connection if the answer says that it stays.
+/// Makes one call that asks for a persistent connection; returns the connection if the response keeps it open.
 async fn call(endpoint: SocketAddr) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(endpoint)
         .await
@@ -123,17 +123,18 @@
     stream
         .write_all(b"GET /api/config HTTP/1.1\r\nHost: a\r\n\r\n")
         .await
-        .expect("it is read");
+        .expect("the request is sent");
     let mut buffer = [0; 1_024];
     let read = timeout(Duration::from_secs(5), stream.read(&mut buffer)).await;
-    let read = read.expect("an answer in time").expect("an answer");
+    let read = read.expect("a response in time").expect("a response");
     let response = String::from_utf8_lossy(&buffer[..read]).to_lowercase();
     assert!(response.starts_with("http/1.1 200"), "{response}");
     (!response.contains("connection: close")).then_some(stream)
 }
 
 #[tokio::test]
-async fn given_more_clients_than_connections_when_they_stay_idle_then_another_is_still_answered() {
+async fn given_more_idle_clients_than_the_connection_limit_when_another_client_calls_then_it_is_answered()
+ {
     LocalSet::new()
         .run_until(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -153,7 +154,7 @@
             sleep(Duration::from_millis(20)).await;
             assert!(
                 call(address).await.is_some(),
-                "connections may stay open again once others were closed"
+                "connections are kept alive again after idle ones were closed"
             );
             listening.abort();
         })
--- a/crates/sparrouter-fleet/tests/log_buffer.rs
+++ b/crates/sparrouter-fleet/tests/log_buffer.rs
@@ -1,4 +1,4 @@
-//! The log: bounded, and written out when something goes wrong.
+//! The log buffer: it is bounded, and is written out when a violation or a panic occurs.
 use sparrouter_fleet::platform::background_writer::BackgroundWriter;
 use sparrouter_fleet::platform::log_buffer::{LINES, LONGEST, LogBuffer, MAX_DUMPS};
 use std::io::Write;
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn given_lines_when_nothing_goes_wrong_then_nothing_is_written() {
+fn given_log_lines_when_no_violation_is_reported_then_nothing_is_written() {
     let (mut log_buffer, sink) = log_buffer();
     writeln!(log_buffer, "calm").expect("never fails");
     assert_eq!(sink.text(), "");
 }
 
 #[test]
-fn given_lines_when_a_violation_is_reported_then_both_are_written_once() {
+fn given_log_lines_when_a_violation_is_reported_then_violation_and_lines_are_written_once() {
     let (mut log_buffer, sink) = log_buffer();
     writeln!(log_buffer, "first").expect("never fails");
     write!(log_buffer, "sec").expect("never fails");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn given_more_lines_than_are_buffered_when_written_out_then_the_newest_are_there() {
+fn given_more_lines_than_the_buffer_holds_when_dumped_then_the_newest_lines_are_written() {
     let (mut log_buffer, sink) = log_buffer();
     for n in 0..LINES + 10 {
         writeln!(log_buffer, "line {n}").expect("never fails");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn given_a_line_without_end_when_written_out_then_it_is_cut() {
+fn given_a_line_above_the_maximum_length_when_dumped_then_it_is_truncated() {
     let (mut log_buffer, sink) = log_buffer();
     log_buffer
         .write_all(&vec![b'x'; 1 << 20])
@@ -86,7 +86,8 @@
 }
 
 #[test]
-fn given_endless_violations_when_reported_then_dumps_are_bounded_and_the_last_says_so() {
+fn given_a_thousand_violations_when_reported_then_dumps_are_limited_and_the_last_one_reports_the_limit()
+ {
     let (log_buffer, sink) = log_buffer();
     for n in 0..1_000 {
         log_buffer.report_violation(&format!("violation {n}"));
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn given_a_sink_that_refuses_when_written_out_then_the_process_goes_on() {
+fn given_an_output_whose_writes_fail_when_dumped_then_the_process_continues() {
     struct Full;
     impl Write for Full {
         fn write(&mut self, _: &[u8]) -> std::io::Result<usize> {
@@ -121,10 +122,10 @@
 }
 
 #[test]
-fn given_a_panic_when_the_hook_runs_then_the_lines_are_written_before_it_unwinds() {
+fn given_a_panic_when_the_panic_hook_runs_then_message_and_lines_are_written() {
     let (mut log_buffer, sink) = log_buffer();
     writeln!(log_buffer, "what led there").expect("never fails");
-    // The hook is the process's own: the other tests of this file do not panic.
+    // The panic hook is global to the process; the other tests of this file do not panic.
     log_buffer.dump_on_panic();
     let caught = std::thread::spawn(|| panic!("out of plums")).join();
     assert!(caught.is_err());
@@ -136,12 +137,12 @@
     );
 }
 
-/// An output whose reader is not there: it takes nothing until it is released.
+/// An output whose writes block until it is released, like a full pipe without a reader.
 struct StalledOutput(std::sync::mpsc::Receiver<()>, Sink);
 
 impl Write for StalledOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        // An error means that it was released for good.
+        // An error means that the sender was dropped, which releases all writes.
         let _ = self.0.recv();
         self.1.write(bytes)
     }
@@ -150,9 +151,10 @@
     }
 }
 
-/// The second dump of a process whose standard error was a full pipe held it up for good.
+/// Guards against a dump that blocks the process forever: this happened at the second dump when standard error was a full
+/// pipe.
 #[test]
-fn given_an_output_that_nobody_reads_when_dumped_then_the_process_goes_on_and_nothing_is_lost() {
+fn given_an_output_whose_writes_block_when_dumped_then_the_process_continues_and_no_dump_is_lost() {
     let (release, stalled) = std::sync::mpsc::channel();
     let sink = Sink::default();
     let output = BackgroundWriter::new(StalledOutput(stalled, sink.clone()));
@@ -164,7 +166,7 @@
     assert!(started.elapsed() < std::time::Duration::from_secs(5));
     assert_eq!(sink.text(), "");
     drop(release);
-    // A flush that ends has seen all that was written before it.
+    // A completed flush implies that all earlier lines were written.
     log_buffer.report_violation("released");
     assert_eq!(sink.text().matches("stalled").count(), 3);
     assert!(sink.text().contains("released"));
--- a/crates/sparrouter-fleet/tests/loopback.rs
+++ b/crates/sparrouter-fleet/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! Real processes on loopback, in the lab's shortest scenario. The test is in this package because cargo builds the
-//! program for tests of its own package only.
+//! Tests with real processes on loopback, among them the lab's shortest scenario. They are in this package because cargo
+//! provides the path of the program only to tests of its package.
 use sparrouter_fleet_lab::addresses::Addresses;
 use sparrouter_fleet_lab::client::{ClientRequest, Clients, Ending, check_readiness};
 use sparrouter_fleet_lab::ledger::Ledger;
@@ -16,40 +16,45 @@
 use tokio::time::{Instant, sleep};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparrouter");
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time-out of each step of a test.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn block_on<T>(of: impl Future<Output = T>) -> T {
+fn block_on<T>(task: impl Future<Output = T>) -> T {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    LocalSet::new().block_on(&runtime, of)
+    LocalSet::new().block_on(&runtime, task)
 }
 
-/// Puts data directories into memory where the system has a file system for that. Beside programs that write much, a sync
-/// of a disk takes seconds, and a process cannot end before the sync that it waits for; killed processes lose nothing that
-/// they wrote in either case.
+/// Places data directories in memory if the system has an in-memory file system. If other programs write much, a disk
+/// sync takes seconds, and a process cannot end before the sync that it waits for. Killed processes lose no written
+/// data in either case.
 fn keep_data_in_memory() {
-    let memory = Path::new("/dev/shm");
-    if tempfile::tempdir_in(memory).is_ok() {
-        // The other test of this process may have done it before.
-        let _ = tempfile::env::override_temp_dir(memory);
+    let in_memory = Path::new("/dev/shm");
+    if tempfile::tempdir_in(in_memory).is_ok() {
+        // This fails if the other test of this process has set the directory already.
+        let _ = tempfile::env::override_temp_dir(in_memory);
     }
 }
 
-async fn wait_until(condition: &str, done: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
-    while !done() {
-        assert!(Instant::now() < deadline, "{condition} within {PATIENCE:?}");
+async fn wait_until(condition: &str, is_met: impl Fn() -> bool) {
+    let deadline = Instant::now() + STEP_TIMEOUT;
+    while !is_met() {
+        assert!(
+            Instant::now() < deadline,
+            "not met within {STEP_TIMEOUT:?}: {condition}"
+        );
         sleep(Duration::from_millis(20)).await;
     }
 }
 
 #[test]
-fn given_a_fleet_on_loopback_when_the_quick_scenario_is_played_then_every_rule_holds() {
+fn given_a_fleet_on_loopback_when_the_quick_scenario_runs_then_no_rule_is_violated() {
     keep_data_in_memory();
-    let scenario = Scenario::quick().expect("valid");
-    let report = block_on(play(scenario, Path::new(PROGRAM), |_| {})).expect("it is played");
+    let scenario = Scenario::quick().expect("a valid scenario");
+    let report =
+        block_on(play(scenario, Path::new(PROGRAM), |_| {})).expect("the scenario completes");
     assert!(
         report.violations.is_empty(),
         "{:#?}\n{}",
@@ -64,20 +69,20 @@
     assert!(served * 10 >= report.results.len() * 9, "{}", report.table);
 }
 
-/// The only machine of a fleet.
+/// Creates the only machine of a fleet.
 fn only_machine(addresses: Addresses, directory: &Path, grace: Duration) -> Rc<Machine> {
     let machine = Machine::new(0, true, 1, addresses, directory, Path::new(PROGRAM), grace);
     Rc::new(machine.expect("settings are written"))
 }
 
-/// A server whose requests take longer than the test waits.
+/// Settings of a server whose requests take longer than the test's time-outs.
 fn endless_server(addresses: Addresses, machine: &Machine) -> ServerSettings {
     ServerSettings {
         id: "i-1".into(),
         zone: "zone-1".into(),
         address: addresses.server_at(0),
         slots: 1,
-        work: PATIENCE * 2,
+        work: STEP_TIMEOUT * 2,
         gap: Duration::ZERO,
         load: Duration::ZERO,
         events: 1,
@@ -102,10 +107,10 @@
         let server = ModelServer::start(settings, ledger.clone(), rng.fork())
             .await
             .expect("a server");
-        let operator = Operator::new(vec![machine.control()], PATIENCE).expect("an operator");
+        let operator = Operator::new(vec![machine.control()], STEP_TIMEOUT).expect("an operator");
         let put = operator.put_first(1).await;
         assert!(put.is_ok(), "{put:?}: {}", machine.log_text());
-        wait_until("ready", || machine.ready.get()).await;
+        wait_until("the machine is ready", || machine.ready.get()).await;
         let clients = Clients {
             ledger: ledger.clone(),
             machines: vec![machine.clone()],
@@ -115,19 +120,22 @@
         let request = ClientRequest {
             kind: kind_of(&path),
             path,
-            patience: PATIENCE,
+            patience: STEP_TIMEOUT,
         };
-        let asking = spawn_local(async move { clients.send(&request, Some(0)).await.ending });
-        wait_until("the server works on it", || {
+        let request_task = spawn_local(async move { clients.send(&request, Some(0)).await.ending });
+        wait_until("the server processes the request", || {
             !ledger.runs.borrow().is_empty()
         })
         .await;
         assert!(
             machine.terminate().await,
-            "it ends by itself, in time: {}",
+            "the process ends in time after SIGTERM: {}",
             machine.log_text()
         );
-        assert_ne!(asking.await.expect("it ends"), Ending::Served);
+        assert_ne!(
+            request_task.await.expect("the request ends"),
+            Ending::Served
+        );
         server.stop();
     });
     let log = machine.log_text();
--- a/crates/sparrouter-fleet/tests/peer_connections.rs
+++ b/crates/sparrouter-fleet/tests/peer_connections.rs
@@ -1,7 +1,7 @@
 //! Connections between nodes: the versions of the protocol that a node of this release accepts and speaks.
 mod common;
 
-use common::Wired;
+use common::PipeConnection;
 use nanoserde::{DeBin, SerBin};
 use sparrouter_fleet::peer::links::{LinkError, Links};
 use sparrouter_fleet::peer::messages::{Call, HELLO, QUOTA_HELLO, Reply};
@@ -34,7 +34,7 @@
         let next = self.0.borrow_mut().pop();
         Box::pin(async move {
             match next {
-                Some(stream) => Ok((Box::new(Wired(stream)) as Stream, peer())),
+                Some(stream) => Ok((Box::new(PipeConnection(stream)) as Stream, peer())),
                 None => pending().await,
             }
         })
@@ -50,7 +50,7 @@
         let dialled = self.0.send(far);
         Box::pin(async move {
             dialled.map_err(|_| io::Error::from(ErrorKind::ConnectionRefused))?;
-            Ok(Box::new(Wired(near)) as Stream)
+            Ok(Box::new(PipeConnection(near)) as Stream)
         })
     }
     fn listen(&self, _: SocketAddr) -> io::Result<Box<dyn Listener>> {
--- a/crates/sparrouter-fleet/tests/process_settings.rs
+++ b/crates/sparrouter-fleet/tests/process_settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is read, what is filled in, and how each error is reported.
+//! Settings files: parsing, default values, and error messages.
 use sparrouter_fleet::settings::{ProcessSettings, SettingsError};
 use std::path::Path;
 use std::time::Duration;
@@ -9,7 +9,7 @@
     ProcessSettings::parse(Path::new("boot.conf"), text)
 }
 
-/// The settings that a process needs at least, and this line.
+/// The required settings of a process, and `line`.
 fn minimal_with(line: &str) -> String {
     format!("node_name=n1\nip_address=10.1.0.21\ninternal_port_range=7360,7375\n{line}\n")
 }
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn given_the_example_of_the_deploy_page_when_read_then_every_field_has_its_value() {
+fn given_the_example_of_the_deploy_page_when_parsed_then_every_field_has_its_value() {
     let settings = parse(EXAMPLE).expect("valid");
     assert_eq!(settings.node_name, "frontend-lalitpur-hall-1");
     assert_eq!(
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn given_strict_revocation_with_a_bound_too_short_for_a_lease_when_read_then_it_is_rejected() {
+fn given_strict_revocation_with_a_timeout_too_short_for_a_lease_when_parsed_then_it_is_rejected() {
     let strict = "bounds.strict_revocation=true\nbounds.revoke_timeout_ms=";
     for short in ["0", "999"] {
         let message = error_of(&format!("{strict}{short}"));
@@ -92,7 +92,7 @@
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "a snapshot of all fields")]
-fn given_the_example_of_the_deploy_page_when_shown_then_every_field_is_named() {
+fn given_the_example_of_the_deploy_page_when_shown_then_every_field_is_printed() {
     insta::assert_snapshot!(ProcessSettings::show_text(Path::new("boot.conf"), EXAMPLE).expect("valid"), @r"
     # as given in boot.conf
     node_name=frontend-lalitpur-hall-1
@@ -159,7 +159,7 @@
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "a snapshot of all fields")]
-fn given_minimal_settings_when_shown_then_defaults_are_filled_in_and_unknown_fields_named() {
+fn given_minimal_settings_when_shown_then_default_values_and_unknown_fields_are_printed() {
     let text = minimal_with("later.field=7");
     insta::assert_snapshot!(ProcessSettings::show_text(Path::new("boot.conf"), &text).expect("valid"), @r"
     # as given in boot.conf
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn given_shown_settings_when_read_again_then_they_are_the_same() {
+fn given_the_output_of_show_when_parsed_then_the_settings_are_equal() {
     for text in [EXAMPLE.to_owned(), minimal_with("")] {
         let shown = ProcessSettings::show_text(Path::new("boot.conf"), &text).expect("valid");
         assert_eq!(parse(&shown).expect("valid"), parse(&text).expect("valid"));
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn given_a_field_of_a_later_release_when_read_then_it_is_ignored() {
+fn given_an_unknown_field_of_a_later_release_when_parsed_then_it_is_ignored() {
     assert_eq!(
         parse(&minimal_with("limits.gpus=eight")).expect("valid"),
         parse(&minimal_with("")).expect("valid")
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn given_an_empty_field_when_read_then_it_counts_as_left_out() {
+fn given_an_empty_field_when_parsed_then_it_has_its_default_value() {
     let settings = parse(&minimal_with(
         "data_directory=\nlimits.memory_mb= \nseed_nodes=",
     ))
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn given_a_whole_number_with_a_decimal_point_when_read_then_it_is_one() {
+fn given_a_whole_number_with_a_decimal_point_when_parsed_then_it_is_accepted() {
     assert_eq!(
         parse(&minimal_with("limits.memory_mb=260.0"))
             .expect("valid")
@@ -263,12 +263,12 @@
 }
 
 #[test]
-fn given_no_environment_variable_then_the_error_names_the_remedy() {
+fn given_no_environment_variable_when_the_error_is_printed_then_it_names_the_remedy() {
     insta::assert_snapshot!(SettingsError::NoVariable, @"SPARROUTER_BOOT is not set: let it name the settings file");
 }
 
 #[test]
-fn given_a_file_that_is_not_there_when_read_then_path_and_remedy_are_named() {
+fn given_a_missing_file_when_read_then_the_error_names_path_and_remedy() {
     let message = ProcessSettings::read(Path::new("/nowhere/boot.conf"))
         .expect_err("an error")
         .to_string();
@@ -276,12 +276,12 @@
 }
 
 #[test]
-fn given_a_line_that_cannot_be_read_when_parsed_then_it_is_named() {
+fn given_a_malformed_line_when_parsed_then_the_error_names_the_line() {
     insta::assert_snapshot!(error_of("a=\\uZZZZ"), @r"boot.conf: not lines of a.b=value (Malformed \uxxxx encoding: not hex. (line_number = 4)): correct the line");
 }
 
 #[test]
-fn given_no_name_when_parsed_then_the_field_is_named() {
+fn given_no_node_name_when_parsed_then_the_error_names_the_missing_field() {
     let message = parse("ip_address=10.1.0.21\ninternal_port_range=7360,7375")
         .expect_err("an error")
         .to_string();
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn given_a_value_of_the_wrong_kind_when_parsed_then_field_value_and_range_are_named() {
+fn given_an_invalid_value_when_parsed_then_the_error_names_field_value_and_valid_values() {
     let lines = [
         "ip_address=ten",
         "listen_addresses.front_http=10.1.0.21",
@@ -333,9 +333,9 @@
     ");
 }
 
-/// Guards against a window or a margin of quotas that lets everything or nothing pass.
+/// Guards against a quota window or margin with which all requests are admitted, or none.
 #[test]
-fn given_a_bound_of_quotas_out_of_range_when_parsed_then_field_value_and_range_are_named() {
+fn given_a_quota_bound_out_of_range_when_parsed_then_the_error_names_field_value_and_range() {
     let lines = [
         "bounds.quota_window_s=0",
         "bounds.quota_window_s=0.99",
@@ -365,16 +365,16 @@
     "#);
 }
 
-/// Guards against a bound that is read in another unit, or not at all.
+/// Guards against a quota bound that is parsed in a wrong unit or ignored.
 #[test]
-fn given_bounds_of_quotas_when_read_then_they_have_their_values_and_defaults_where_left_out() {
+fn given_quota_bounds_when_parsed_then_they_have_the_given_or_default_values() {
     let bounds = |lines: &str| parse(&minimal_with(lines)).expect(lines).bounds;
-    let given = bounds("bounds.quota_window_s=2.5\nbounds.quota_overage=0\nbounds.quota_grace=7");
-    assert_eq!(given.quota_window, Duration::from_millis(2_500));
-    assert_eq!((given.quota_overage, given.quota_grace), (0.0, 7.0));
-    let left_out = bounds("");
-    assert_eq!(left_out.quota_window, Duration::from_secs(5));
-    assert_eq!((left_out.quota_overage, left_out.quota_grace), (0.1, 20.0));
+    let custom = bounds("bounds.quota_window_s=2.5\nbounds.quota_overage=0\nbounds.quota_grace=7");
+    assert_eq!(custom.quota_window, Duration::from_millis(2_500));
+    assert_eq!((custom.quota_overage, custom.quota_grace), (0.0, 7.0));
+    let default = bounds("");
+    assert_eq!(default.quota_window, Duration::from_secs(5));
+    assert_eq!((default.quota_overage, default.quota_grace), (0.1, 20.0));
     assert_eq!(
         bounds("bounds.quota_window_s=1").quota_window,
         Duration::from_secs(1)
@@ -382,13 +382,14 @@
 }
 
 #[test]
-fn given_an_endless_value_when_parsed_then_the_error_stays_short() {
+fn given_a_value_of_100000_characters_when_parsed_then_the_error_message_is_short() {
     assert!(error_of(&format!("first_start={}", "x".repeat(100_000))).len() < 300);
 }
 
-/// Three nodes on one address with different ports never formed a fleet, and nothing said why.
+/// Guards against nodes with one IP address and different ports that never form a fleet without any message: this
+/// happened with three nodes.
 #[test]
-fn given_a_seed_on_the_own_address_with_another_port_then_a_warning_names_the_remedy() {
+fn given_a_seed_on_the_nodes_own_ip_address_when_parsed_then_a_warning_names_the_remedy() {
     let own = "listen_addresses.control_plane=10.1.0.21:8683\n";
     let warnings = |seeds: &str, listens: &str| {
         let text = minimal_with(&format!("{listens}seed_nodes={seeds}"));
--- a/crates/sparrouter-simulation/tests/links.rs
+++ b/crates/sparrouter-simulation/tests/links.rs
@@ -2,7 +2,7 @@
 #[path = "../../sparrouter-fleet/tests/common/mod.rs"]
 mod common;
 
-use common::Wired;
+use common::PipeConnection;
 use nanoserde::{DeBin, SerBin};
 use sparrouter_fleet::peer::links::{LinkError, Links};
 use sparrouter_fleet::peer::messages::{Call, HELLO, MAX_FRAME, Reply};
@@ -27,7 +27,7 @@
         let dialled = self.0.send(far);
         Box::pin(async move {
             dialled.map_err(|_| io::Error::from(ErrorKind::ConnectionRefused))?;
-            Ok(Box::new(Wired(near)) as Stream)
+            Ok(Box::new(PipeConnection(near)) as Stream)
         })
     }
     fn listen(&self, _: SocketAddr) -> io::Result<Box<dyn Listener>> {
