--- a/crates/sparrouter-balancer/src/policy/retry.rs
+++ b/crates/sparrouter-balancer/src/policy/retry.rs
@@ -58,7 +58,7 @@
     }
 
     /// Handles a forward to the origin that ended without a final answer. If another run does no harm, the invocation
-    /// is sent or queued again, but not after a time-out.
+    /// is sent or queued again, but not after a time-out: an origin that answers no invocation gets no further request.
     pub(super) fn after_origin(&mut self, ended: &ForwardOutcome) {
         let invocation = &self.invocations[&ended.inv];
         let to_origin = invocation
