--- a/crates/sparrouter-prefix-index/tests/index.rs
+++ b/crates/sparrouter-prefix-index/tests/index.rs
@@ -101,7 +101,8 @@
         10,
         "the server's follower would have reported the block by now"
     );
-    // A server without a follower is assumed to cache the block for the assumed retention.
+    // No follower reports what an unfollowed server caches, so the block is assumed to be cached there for the assumed
+    // retention.
     let unfollowed = PrefixQuery {
         key: 8,
         server: 13,
