--- a/crates/sparrouter-consensus/src/reconfiguration.rs
+++ b/crates/sparrouter-consensus/src/reconfiguration.rs
@@ -48,7 +48,8 @@
 pub struct Reconfiguration {
     /// The result of the last decision; `None` if the group needs no change or this node is not a member.
     intended: Option<IntendedChange>,
-    /// Time of the first decision. A member that was never heard from counts as unresponsive only since this time.
+    /// Time of the first decision, from which the silence of a member that was never heard from is counted: the process
+    /// may only not have heard from it yet.
     observing_since: Option<Nanos>,
     /// Confirmations of the candidates. Only a node whose disk is confirmed becomes a member.
     candidates: Candidates,
--- a/crates/sparrouter-consensus/tests/explore/scope.rs
+++ b/crates/sparrouter-consensus/tests/explore/scope.rs
@@ -1,4 +1,4 @@
-//! The scope of an exploration: its calls and faults, and their maximum numbers.
+//! The scope of an exploration: its calls and faults, and their maximum numbers. Nothing else is explored.
 use sparrouter_consensus::Defects;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
