--- a/crates/sparrouter-routing/src/rollout_order.rs
+++ b/crates/sparrouter-routing/src/rollout_order.rs
@@ -18,7 +18,7 @@
 pub struct OutdatedServer {
     /// The server's instance id.
     pub id: String,
-    /// Time limit after which no request may start on the server's version.
+    /// Time limit from which on no request may start on the server's version.
     pub limit: Timestamp,
     /// Whether the server is loading new weights.
     pub is_loading: bool,
--- a/crates/sparrouter-routing/src/selection.rs
+++ b/crates/sparrouter-routing/src/selection.rs
@@ -28,7 +28,8 @@
     pub server: ServerIndex,
     /// The version of the model that the server runs, if known.
     pub version: Option<u64>,
-    /// Number of eligible servers that rank before the selected one and were skipped because of their load.
+    /// Number of eligible servers that rank before the selected one and were skipped because of their load; 0 for the
+    /// first of the order.
     pub rank: usize,
 }
 
--- a/crates/sparrouter-routing/src/versions.rs
+++ b/crates/sparrouter-routing/src/versions.rs
@@ -20,7 +20,7 @@
 /// A point in time in nanoseconds by this process's clock, which starts at 0; negative if it is before the process start.
 pub type Timestamp = i64;
 
-/// A version announced for a model: after its time limit, requests must not start on older versions.
+/// A version announced for a model: from its time limit on, requests must not start on older versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequiredVersion {
     /// The announced version.
