--- a/crates/sparrouter-fleet/src/membership/sources.rs
+++ b/crates/sparrouter-fleet/src/membership/sources.rs
@@ -149,7 +149,8 @@
     }
 }
 
-/// The internal addresses of the configured seeds, except this node's own.
+/// The internal addresses of the configured seeds, except this node's own. They serve a node that knows no other node
+/// that answers.
 fn seeds(node: &Node) -> Vec<SocketAddr> {
     let own_address = node.own_address();
     let settings = node.settings.borrow();
--- a/crates/sparrouter-fleet/src/platform/upstream.rs
+++ b/crates/sparrouter-fleet/src/platform/upstream.rs
@@ -27,7 +27,7 @@
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(600);
 /// Maximum number of pooled connections to one server.
 const MAX_POOLED: usize = 32;
-/// Bodies shorter than this are written together with their head, since each write has a fixed cost.
+/// Bodies shorter than this, in bytes, are written together with their head, since each write has a fixed cost.
 const MIN_SEPARATE_BODY: usize = 16 << 10;
 /// Size of a read of an early response, while the request is still being written.
 const EARLY_READ_BYTES: usize = 4 << 10;
--- a/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/admission.rs
@@ -24,7 +24,7 @@
 /// first server of the rendezvous order, and at any other server.
 const UNCACHED_RATIO_AT_FIRST: f64 = 0.1;
 const UNCACHED_RATIO_AT_OTHERS: f64 = 0.4;
-/// Estimated time to prefill one token, in nanoseconds.
+/// Estimated time to prefill one token at a usual prefill rate, in nanoseconds.
 const PREFILL_NANOS_PER_TOKEN: u64 = 25_000;
 /// A `max_wait` that admits every prompt.
 const UNLIMITED_WAIT: Nanos = u64::MAX / 2;
--- a/crates/sparrouter-fleet/src/proxy/exchange/quota.rs
+++ b/crates/sparrouter-fleet/src/proxy/exchange/quota.rs
@@ -24,7 +24,8 @@
         let table = active.table.as_deref();
         let key = self.request.head.fields.text("sparrouter-key");
         let current_tenant = key.and_then(|key| table?.tenant_of(key));
-        // If the key was removed or given to another tenant, the quota of the accepted tenant still applies.
+        // A key that was removed or given to another tenant says nothing about the accepted tenant's limit, so the
+        // tenant's earlier quota still applies.
         let quota = match current_tenant {
             Some(current) if current.name == accepted.name => current.quota,
             _ => accepted.quota,
