--- a/crates/sparrouter-shares/examples/fleets.rs
+++ b/crates/sparrouter-shares/examples/fleets.rs
@@ -1,5 +1,5 @@
 //! Compares how well clusters of several sizes enforce one limit in three modes: with leases, with equal shares by the
-//! number of nodes, and with the algorithm before leases, gossip about the arrivals of the last second. All modes use the
+//! number of nodes, and with the earlier algorithm, gossip about the arrivals of the last second. All modes use the
 //! same seeds and arrival rates, and no sockets.
 //!
 //! `NODES=4,16 cargo run --release -p sparrouter-shares --example fleets`
@@ -48,7 +48,8 @@
 }
 
 /// A node with the gossip algorithm. Each second it reports its arrivals to two random peers, and adjusts its fraction of
-/// the limit towards its fraction of the arrivals. A peer without a report for three seconds counts as the mean.
+/// the limit towards its fraction of the arrivals. A peer without a report for three seconds is assumed to have
+/// the mean arrivals.
 struct GossipNode {
     fraction: f64,
     reports: BTreeMap<usize, (Nanos, f64)>,
--- a/crates/sparrouter-shares/src/bucket.rs
+++ b/crates/sparrouter-shares/src/bucket.rs
@@ -24,8 +24,9 @@
     slices: [Slice; SLICES as usize],
     /// Time up to which earned tokens have been added to the slices.
     filled_until: Nanos,
-    /// Random fraction of a token, in [0, 1), that is added to the earned tokens and drawn again for each window. Of many
-    /// small shares, the expected number that round up to one token equals their sum.
+    /// Random fraction of a token, in [0, 1), that is added to the earned tokens and drawn again for each window. If many
+    /// nodes earn a fraction of a token each, the expected number of tokens that they spend equals the sum of these
+    /// fractions.
     rounding: f64,
     /// Number of the window for which `rounding` was drawn.
     rounding_window: u64,
--- a/crates/sparrouter-shares/src/shares/borrowing.rs
+++ b/crates/sparrouter-shares/src/shares/borrowing.rs
@@ -35,8 +35,9 @@
         self.write_requests(&peers, &shortages, now)
     }
 
-    /// Returns the limits for which this node needs more than its own share. A node that needs less only recovers its
-    /// loaned shares by not renewing the leases: when such nodes also borrowed, shares circulated in a ring.
+    /// Returns the limits for which this node needs more than its own share. A node that needs less does not
+    /// borrow; it recovers loaned shares by not renewing their leases. When such nodes also borrowed, shares circulated in
+    /// a ring.
     fn shortages(&mut self, now: Nanos) -> Vec<Shortage> {
         let mut shortages = Vec::new();
         for limit in 0..self.limits.len() {
--- a/crates/sparrouter-shares/src/shares/lending.rs
+++ b/crates/sparrouter-shares/src/shares/lending.rs
@@ -9,9 +9,9 @@
 /// Fraction of its own share that a node without spare rate still lends to peers that have much less. It bounds the rate
 /// that a peer with false requests can obtain.
 const NON_IDLE_LOAN_FRACTION: f64 = 0.125;
-/// Fraction of the own share below which a peer's rate counts as much less.
+/// Fraction of the own share below which a peer's rate counts as much less than it.
 const LOW_RATE_FRACTION: f64 = 0.8;
-/// Relative difference of the target below which a grant is renewed unchanged.
+/// Relative difference between the target and the latest grant below which the grant is renewed unchanged.
 const STEADY_FRACTION: f64 = 0.25;
 /// Fraction of the difference to the target by which a grant changes per request. Damping is needed because many lenders
 /// see the same demand.
--- a/crates/sparrouter-shares/src/shares/limit.rs
+++ b/crates/sparrouter-shares/src/shares/limit.rs
@@ -104,7 +104,7 @@
         self.rate.per_s
     }
 
-    /// Adds the tokens to the bucket that `per_s` has earned since the last call.
+    /// Adds to the bucket the tokens earned at `per_s` tokens per second since the last call.
     pub fn fill_bucket(&mut self, per_s: f64, now: Nanos) {
         self.bucket.fill(per_s, now);
     }
--- a/crates/sparrouter-shares/src/size.rs
+++ b/crates/sparrouter-shares/src/size.rs
@@ -1,9 +1,9 @@
 //! Agreement on the number of nodes, which a node needs before it may use its own share.
 //!
 //! When the number of nodes increases, a node's share shrinks at once. When it decreases, the share grows only after all
-//! shares and leases of the removed nodes have expired. A process that has just started has no own share until no node can
-//! still use the larger share of a smaller cluster: after the time within which every node is informed, or earlier if the
-//! reports of peers confirm it.
+//! shares and leases of the removed nodes have expired. A process that has just started has no own share as long as
+//! another node may still use the larger share of a smaller cluster. This wait ends after the time within which every node
+//! is informed and earlier leases expire, or sooner if the views of peers confirm the size.
 use crate::{Nanos, NodeIx};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,7 +21,8 @@
 /// Maximum number of stored peer views, and of larger sizes that are still in force. If agreement needs more views, it is
 /// reached only by waiting.
 const MAX_VIEWS: usize = 64;
-/// Number of peers with a long unchanged view that is sufficient for agreement. A single peer is not trusted.
+/// Number of peers that suffices for agreement if their views have been unchanged for the convergence time. A single peer
+/// is not trusted.
 const REQUIRED_CONFIRMATIONS: usize = 2;
 
 /// An earlier, larger number of nodes that still limits the own share.
--- a/crates/sparrouter-shares/tests/fleets.rs
+++ b/crates/sparrouter-shares/tests/fleets.rs
@@ -328,7 +328,7 @@
     ]
 }
 
-/// A cluster that executes random steps and skips steps that are impossible in its state.
+/// A cluster that executes random steps and skips steps that its state does not allow.
 struct RandomRun {
     cluster: Cluster,
     resized_at: u64,
