--- a/crates/sparrouter-rollout/examples/power.rs
+++ b/crates/sparrouter-rollout/examples/power.rs
@@ -130,7 +130,7 @@
 }
 
 /// Prints the smallest loss that is stopped in nine of ten runs.
-fn print_least_harm(nodes: usize, requests_per_s: [usize; 2]) {
+fn print_smallest_detected_loss(nodes: usize, requests_per_s: [usize; 2]) {
     let losses = [0.01, 0.02, 0.03, 0.04, 0.06, 0.08, 0.12, 0.2, 0.3, 0.5];
     let found = losses.into_iter().find_map(|loss| {
         let summary = Series {
@@ -188,7 +188,7 @@
     );
     for requests_per_s in [[6, 1], [60, 8], [300, 40]] {
         for nodes in [4, 8, 16, 64] {
-            print_least_harm(nodes, requests_per_s);
+            print_smallest_detected_loss(nodes, requests_per_s);
         }
     }
 
--- a/crates/sparrouter-rollout/src/baseline.rs
+++ b/crates/sparrouter-rollout/src/baseline.rs
@@ -14,7 +14,7 @@
 struct Measure {
     name: &'static str,
     /// Minimum harm of this measure that stops a rollout, as a multiple of the plan's `min_harm`. The factor is low for
-    /// errors, because these are wrong answers: far fewer of them matter.
+    /// errors, because even a small fraction of wrong answers is harmful.
     harm_factor: f64,
 }
 
@@ -150,8 +150,8 @@
     fraction(weighted / BUCKETS as f64, operation.succeeded as f64)
 }
 
-/// Computes the slow bucket of each operation: the first bucket above all but the slowest [`SLOW_FRACTION`] of the
-/// responses of all nodes.
+/// Computes the slow bucket of each operation: the first bucket above the `1 - SLOW_FRACTION` quantile of the latency
+/// at all nodes.
 fn learn_operations<'a>(reports: impl Iterator<Item = &'a Report>) -> Vec<OperationBaseline> {
     let mut histograms: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for operation in reports.flat_map(|report| &report.operations) {
@@ -269,8 +269,8 @@
         let requested = sum(&|o| o.asked);
         let requests = requests(delta);
         let per_request = |count: u64, baseline: f64| {
-            let served_fraction = fraction(count as f64, requests);
-            served_fraction.and(relative_to(baseline, count as f64 / requests))
+            let count_per_request = fraction(count as f64, requests);
+            count_per_request.and(relative_to(baseline, count as f64 / requests))
         };
         let mut values = vec![
             fraction(requested - sum(&|o| o.in_time), requested),
--- a/crates/sparrouter-rollout/src/controller/bake.rs
+++ b/crates/sparrouter-rollout/src/controller/bake.rs
@@ -104,8 +104,8 @@
         self.nodes.iter_mut().map(take).collect()
     }
 
-    /// Returns the time for which the stage is watched: the plan's bake time, extended until the strongest possible harm
-    /// would have been detected. With eight intervals the test could never have stopped a change.
+    /// Returns the time for which the stage is watched: the plan's bake time, extended to the time in which the
+    /// strongest possible harm is detected. In a stage of only eight intervals, no change could be stopped.
     fn bake_time(&self) -> Nanos {
         let min_intervals = match &self.judge {
             Some(judge) if self.has_unchanged_group() => judge.min_intervals(),
--- a/crates/sparrouter-rollout/src/controller/events.rs
+++ b/crates/sparrouter-rollout/src/controller/events.rs
@@ -142,8 +142,8 @@
             .map(|report| report.placement.as_str())
     }
 
-    /// Whether a node has not reported for too long. The time counts at the earliest from the controller's start, and for
-    /// a changed node from its change.
+    /// Whether a node has not reported for too long. The time is counted from the latest of three events: its last report,
+    /// the start of this controller and, if the node is changed, its change.
     pub(super) fn is_unresponsive(&self, node: usize, now: Nanos) -> bool {
         let state = &self.nodes[node];
         let changed_at = if state.phase == NodePhase::Changed {
@@ -155,7 +155,7 @@
         now > since + UNRESPONSIVE_INTERVALS * self.plan.sample_interval
     }
 
-    /// Handles nodes without the expected report after a command, and changed nodes that have stopped reporting.
+    /// Handles nodes whose command was not confirmed by a report in time, and changed nodes that have stopped reporting.
     pub(super) fn check_timeouts(&mut self, now: Nanos) {
         for node in 0..self.nodes.len() {
             let since = self.nodes[node].phase_since.max(self.started_at(now));
@@ -172,7 +172,7 @@
                 NodePhase::AwaitingReport(command) if is_overdue => {
                     self.abandon(
                         node,
-                        &format!("no expected report after its command ({command})"),
+                        &format!("no report confirmed its command ({command}) in time"),
                     );
                 }
                 NodePhase::Changed if self.is_unresponsive(node, now) => {
--- a/crates/sparrouter-rollout/src/controller/fleet.rs
+++ b/crates/sparrouter-rollout/src/controller/fleet.rs
@@ -8,8 +8,8 @@
 /// Number of consecutive healthy observations that end a fault of the whole fleet. With 1, a stage passed in the middle
 /// of a fault that lost a quarter.
 const HEALTHY_OBSERVATIONS: usize = 8;
-/// Weight of an observation in the smoothed rate of fetches, equal to a mean over about four observations. Smoothing is
-/// needed because the reports of the nodes are not synchronized.
+/// Weight of an observation in the exponentially smoothed rate of fetches; 0.25 averages about four observations.
+/// Smoothing is needed because the reports of the nodes are not synchronized.
 const FETCHES_WEIGHT: f64 = 0.25;
 
 /// Phase of the rollout, as stored in the history file.
--- a/crates/sparrouter-rollout/src/history.rs
+++ b/crates/sparrouter-rollout/src/history.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// One line of the history file, as JSON whose names are those of earlier versions. Times are in seconds since 1970.
+/// One line of the history file, as JSON. The JSON keeps the names of earlier versions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum HistoryLine {
     /// A line was printed for the operator.
--- a/crates/sparrouter-rollout/src/judge.rs
+++ b/crates/sparrouter-rollout/src/judge.rs
@@ -85,8 +85,8 @@
     values
 }
 
-/// Returns the lower median of the changed nodes minus the upper median of the unchanged nodes, the closest pair of
-/// medians; `None` if a group has fewer than two nodes.
+/// Returns the lower median of the changed nodes minus the upper median of the unchanged nodes, which is the smallest
+/// difference of their medians; `None` if a group has fewer than two nodes.
 ///
 /// Medians are used because a node may enter a state by chance and stay in it (it treats its connections as short-lived,
 /// for example). Intervals are not independent then, and with means one such node caused the whole change to be rolled
@@ -254,8 +254,8 @@
         (required.ln() / growth.ln()).ceil() as usize
     }
 
-    /// Returns the standard deviation of the unchanged nodes' means, or `min_harm` of the measure with fewer than two
-    /// nodes.
+    /// Returns the standard deviation of the unchanged nodes' means. If fewer than two nodes have a mean, returns the
+    /// `min_harm` of the measure instead.
     fn standard_deviation(&self, measure: usize) -> f64 {
         let means: Vec<f64> = self.unchanged_means[measure]
             .iter()
--- a/crates/sparrouter-rollout/src/main.rs
+++ b/crates/sparrouter-rollout/src/main.rs
@@ -36,13 +36,13 @@
         #[arg(long)]
         log: Option<PathBuf>,
     },
-    /// Roll a change back: requests it from the running controller, or does it itself
+    /// Roll the change back: through the running controller if there is one, otherwise directly
     Back {
         plan: PathBuf,
         #[arg(long)]
         log: Option<PathBuf>,
     },
-    /// Request the running controller to stop and leave all nodes as they are
+    /// Ask the running controller to stop and leave all nodes as they are
     Stop {
         plan: PathBuf,
         #[arg(long)]
@@ -127,7 +127,7 @@
     let entries = run::read_log(log)?;
     entries.iter().for_each(print_entry);
     if !matches!(entries.last(), Some(Entry::Finished { .. })) {
-        println!("not ended: a controller is running, or `resume` continues");
+        println!("not ended: a controller is still running, or `resume` continues the rollout");
     }
     Ok(())
 }
--- a/crates/sparrouter-rollout/src/page.rs
+++ b/crates/sparrouter-rollout/src/page.rs
@@ -178,7 +178,12 @@
             label: "stop",
         };
         let title = "Evidence of harm: 1 stops the change";
-        self.section(title, "part of the bound", &curves, Some(level))
+        self.section(
+            title,
+            "fraction of the required evidence",
+            &curves,
+            Some(level),
+        )
     }
 
     fn nodes(&self) -> String {
--- a/crates/sparrouter-rollout/src/plan.rs
+++ b/crates/sparrouter-rollout/src/plan.rs
@@ -31,7 +31,7 @@
     #[error("time {0} is not above 0 and at most 1000000 s")]
     TimeOutOfRange(f64),
     /// The fraction is out of range.
-    #[error("fraction {0} is not between 0 and 1")]
+    #[error("fraction {0} is not above 0 and below 1")]
     FractionOutOfRange(f64),
     /// The stage fractions do not ascend to the whole fleet.
     #[error("stage fractions {0:?} do not ascend from above 0 to 1.0")]
@@ -106,8 +106,8 @@
     pub stage_fractions: Vec<f64>,
     /// Minimum time for which a stage is watched once its nodes are changed.
     pub bake_time: Nanos,
-    /// Maximum wait for the end of a fault or for enough evidence before the change is rolled back; at least
-    /// `bake_time`.
+    /// Maximum wait for the end of a fault before the change is rolled back; at least `bake_time`. A stage without enough
+    /// evidence is rolled back after at least twice this time.
     pub max_wait: Nanos,
     /// Time limit for a command, and again for the report that confirms its effect.
     pub command_timeout: Nanos,
--- a/crates/sparrouter-rollout/src/record.rs
+++ b/crates/sparrouter-rollout/src/record.rs
@@ -154,7 +154,7 @@
         path: String,
         /// Offset of the corrupt record in bytes.
         offset: usize,
-        /// Part of the record that is corrupt.
+        /// Name of the corrupt part of the record, or `unknown entry`.
         problem: &'static str,
     },
 }
@@ -218,7 +218,8 @@
 ///
 /// # Errors
 ///
-/// [`RecordError::Corrupt`] if a record other than the last has a wrong checksum, or an entry is unknown.
+/// [`RecordError::Corrupt`] if the checksum of a length is wrong, the checksum of a text other than the last is wrong,
+/// or an entry is unknown.
 pub fn decode(bytes: &[u8], path: &str) -> Result<DecodedLog, RecordError> {
     let mut entries = Vec::new();
     let mut offset = 0;
--- a/crates/sparrouter-rollout/src/run.rs
+++ b/crates/sparrouter-rollout/src/run.rs
@@ -213,7 +213,7 @@
         let started = Instant::now();
         loop {
             self.collect_events();
-            // The time is never 0, which means that an earlier controller recorded the event.
+            // One second is added because a time of 0 stands for a phase that an earlier controller recorded.
             let now = started.elapsed().as_nanos() as u64 + crate::SECOND;
             let events = std::mem::take(&mut self.events);
             for action in self.controller.tick(now, events) {
--- a/crates/sparrouter-rollout/src/stages.rs
+++ b/crates/sparrouter-rollout/src/stages.rs
@@ -2,7 +2,7 @@
 //! so a plan always gives the same result.
 use crate::plan::Plan;
 
-/// Finalizer of MurmurHash3: each bit of the input affects the whole output.
+/// Finalizer of splitmix64 (variant 13 of Stafford's mixers): each bit of the input affects the whole output.
 fn mix(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/sparrouter-rollout/tests/fleet/mod.rs
+++ b/crates/sparrouter-rollout/tests/fleet/mod.rs
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Runs a rollout to its end. The controller is killed and replaced as `kill_after` says.
+    /// Runs a rollout to its end. The controller is killed after `kill_after` actions, and another one continues.
     pub fn run_rollout(&mut self) -> Outcome {
         let mut controller = RolloutController::new(self.plan.clone(), &self.log);
         let mut started_at = self.now;
