--- a/crates/sparrouter-codec/tests/bounded_reads.rs
+++ b/crates/sparrouter-codec/tests/bounded_reads.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn given_bytes_after_the_value_when_decoded_then_it_is_rejected() {
+fn given_bytes_after_the_value_when_decoded_then_the_input_is_rejected() {
     let mut bytes = Blob(vec![1, 2, 3]).serialize_bin();
     assert!(sparrouter_codec::read::<Blob>(&bytes).is_some());
     bytes.push(0);
