--- a/crates/sparrouter-config/src/edit_history.rs
+++ b/crates/sparrouter-config/src/edit_history.rs
@@ -4,7 +4,7 @@
 
 /// Largest number of edits in a history.
 const MAX_EDITS: usize = 32;
-/// Largest total size of the encoded edits of a history, in bytes: 256 KiB.
+/// Largest approximate total size of the encoded edits of a history, in bytes: 256 KiB.
 const MAX_EDIT_BYTES: usize = 256 << 10;
 
 /// The most recent edits of a text, oldest first. Their number and total size are bounded.
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Total size of the encoded edits, in bytes.
+    /// Approximate total size of the encoded edits, in bytes.
     fn size(&self) -> usize {
         self.0.iter().map(Edit::size).sum()
     }
--- a/crates/sparrouter-config/src/json.rs
+++ b/crates/sparrouter-config/src/json.rs
@@ -34,7 +34,8 @@
     pub tree: Value,
 }
 
-/// Checks that the body is within the bounds, is one JSON value, and that no object contains a duplicate field.
+/// Parses a body. Rejects a body that exceeds a bound, is not exactly one JSON value, or contains an object with a duplicate
+/// field.
 pub(crate) fn read(body: &[u8]) -> Result<Json, ConfigError> {
     if body.len() > MAX_BYTES {
         return Err(ConfigError::TooLarge {
--- a/crates/sparrouter-config/src/json/scanner.rs
+++ b/crates/sparrouter-config/src/json/scanner.rs
@@ -119,15 +119,15 @@
     }
 }
 
-/// Returns the offset after a token that begins before `start` and is neither a string nor punctuation: a number, a literal
-/// such as `true`, or a run of bytes that is invalid JSON.
-fn end_of_bare_token(bytes: &[u8], start: usize) -> usize {
+/// Returns the offset after a token that is neither a string nor punctuation: a number, a literal such as `true`, or a run of
+/// bytes that is invalid JSON. `offset` is the offset after the token's first byte.
+fn end_of_bare_token(bytes: &[u8], offset: usize) -> usize {
     let ends_token = |byte: &u8| {
         matches!(
             byte,
             b' ' | b'\n' | b'\t' | b'\r' | b'"' | b'{' | b'[' | b'}' | b']' | b','
         )
     };
-    let length = bytes[start..].iter().position(ends_token);
-    length.map_or(bytes.len(), |length| start + length)
+    let remaining_length = bytes[offset..].iter().position(ends_token);
+    remaining_length.map_or(bytes.len(), |length| offset + length)
 }
--- a/crates/sparrouter-config/src/route_table.rs
+++ b/crates/sparrouter-config/src/route_table.rs
@@ -39,7 +39,7 @@
 
 impl RouteTable {
     /// Finds the route of a request: among the routes of `host`, selects the longest path prefix that matches `path`. Ignores
-    /// the host's case and port, and the path's query. `None` if no route matches.
+    /// the host's case and port, and the path's query and fragment. `None` if no route matches.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let prefixes = self.by_host.get(normalize_host(host).as_ref())?;
         let path = path.split(['?', '#']).next().unwrap_or(path);
@@ -69,7 +69,7 @@
     }
 }
 
-/// Converts a host to lower case and removes its port. Keeps the brackets of an IPv6 address.
+/// Converts a host to lower case, and removes its port and surrounding white space. Keeps the brackets of an IPv6 address.
 pub(crate) fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = host.trim();
     let end = if host.starts_with('[') {
@@ -238,7 +238,8 @@
     pub name: String,
     /// API keys of the tenant; may be empty. No two tenants share a key.
     pub api_keys: Vec<String>,
-    /// Priority of the tenant's requests, which overrides the route's priority; 0 is the highest.
+    /// Priority of the tenant's requests, which overrides the route's priority; 0 is the highest. `None` if the route's
+    /// priority applies.
     pub priority: Option<u8>,
     /// Whether the tenant's prompts share no KV cache with prompts of other tenants; false if absent.
     pub isolated: bool,
--- a/crates/sparrouter-config/tests/common/mod.rs
+++ b/crates/sparrouter-config/tests/common/mod.rs
@@ -29,7 +29,7 @@
     put(EXAMPLE).expect("the example in PROTOCOL.md is valid")
 }
 
-/// The route table of a configuration that is sent first.
+/// The route table of a configuration that is sent by PUT as the first configuration.
 pub fn table(body: &str) -> RouteTable {
     RouteTable::read(&put(body).expect("valid")).expect("readable")
 }
