--- a/crates/sparrouter-http/src/reading.rs
+++ b/crates/sparrouter-http/src/reading.rs
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// [`ReadError::Closed`] at the end of the stream, [`ReadError::Reset`] after any other error.
+/// [`ReadError::Closed`] at the end of the stream; [`ReadError::Reset`] if the read fails.
 pub async fn more(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
--- a/crates/sparrouter-http/tests/head.rs
+++ b/crates/sparrouter-http/tests/head.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn given_a_connection_field_or_http_1_0_then_keep_alive_is_determined() {
+fn given_connection_close_or_http_1_0_without_keep_alive_then_the_connection_is_not_kept_alive() {
     let keeps_alive = |text| request(text).unwrap().keep_alive;
     assert!(!keeps_alive(
         "GET / HTTP/1.1\r\nConnection: te, Close\r\n\r\n"
