--- a/crates/sparrouter-membership/src/publish_schedule.rs
+++ b/crates/sparrouter-membership/src/publish_schedule.rs
@@ -1,5 +1,5 @@
-//! Schedules the publication of changed records to polling nodes. Urgent changes are published with a short minimum interval
-//! between publications, which lets the first urgent change after a quiet period through immediately. Other changes are
+//! Schedules the publication of changed records to polling nodes. An urgent change is published as soon as a short minimum
+//! interval since the last publication has passed, so after a quiet period it is published immediately. Other changes are
 //! batched.
 //!
 //! Without batching, the start of a thousand servers would send a thousand messages to every polling node. All polling nodes
--- a/crates/sparrouter-membership/src/table.rs
+++ b/crates/sparrouter-membership/src/table.rs
@@ -243,13 +243,14 @@
         is_changed
     }
 
-    /// The changes after `revision`, oldest first, at most `max_records`. A revision of another epoch counts as 0.
+    /// The changes after `revision`, oldest first, at most `max_records`. A revision of another epoch, or above the
+    /// current revision, counts as 0.
     pub fn delta_since(&self, epoch: u64, revision: u64, max_records: usize) -> MembershipDelta {
         self.delta_between(epoch, revision, self.revision(), max_records)
     }
 
     /// The changes after `revision` up to and including `up_to`, oldest first, at most `max_records`. A revision of another epoch
-    /// counts as 0. Omits a record that changed again after `up_to`; a later delta contains it.
+    /// or above `up_to` counts as 0. Omits a record that changed again after `up_to`; a later delta contains it.
     pub fn delta_between(
         &self,
         epoch: u64,
--- a/crates/sparrouter-membership/tests/table.rs
+++ b/crates/sparrouter-membership/tests/table.rs
@@ -188,8 +188,8 @@
         selected
             .iter()
             .for_each(|p| poll_counts[names.iter().position(|n| n == p).unwrap()] += 1);
-        let without_contact = sources(&own, names.iter().map(|n| (n.as_str(), n != "c1")), 5);
-        assert!(!without_contact.contains(&"c1"));
+        let nodes_with_contact = sources(&own, names.iter().map(|n| (n.as_str(), n != "c1")), 5);
+        assert!(!nodes_with_contact.contains(&"c1"));
     }
     assert!(
         poll_counts.iter().all(|n| (150..250).contains(n)),
