--- a/crates/sparrouter-node/src/routing/decision/servers.rs
+++ b/crates/sparrouter-node/src/routing/decision/servers.rs
@@ -55,10 +55,7 @@
         if !records.is_empty() {
             log::info!("list: {kind:?}, {} entries", records.len());
         }
-        self.handle_event(Event::Listed {
-            form: kind,
-            records,
-        });
+        self.handle_event(Event::Listed { kind, records });
         self.release_departed();
     }
 
@@ -134,7 +131,7 @@
         for cache in 0..self.servers.len() {
             let server = self.servers[cache].as_ref().filter(|s| s.is_missing);
             let endpoint = server.map(|s| s.endpoint);
-            if let Some(endpoint) = endpoint.filter(|_| !self.policy.has_record(cache)) {
+            if let Some(endpoint) = endpoint.filter(|_| !self.policy.may_receive_forwards(cache)) {
                 self.update_server(cache, endpoint, LifecycleState::Left, false);
             }
         }
