--- a/crates/sparrouter-settings/src/convert.rs
+++ b/crates/sparrouter-settings/src/convert.rs
@@ -1,4 +1,4 @@
-//! The settings object read into the types of the decisions and of the program around them.
+//! Converts the settings object to the types of the routing policy and of the programs that use it.
 use crate::document::{Class, Settings};
 use crate::error::SettingsError;
 use crate::name_table::hash;
@@ -7,11 +7,12 @@
     Effect, Environment, ForwardLimits, Group, MICRO, Nanos, Operation, OriginMode, Rules, Tenant,
 };
 
-/// Microseconds of a field as nanoseconds.
+/// Converts the microseconds of a field to nanoseconds.
 ///
 /// # Errors
 ///
-/// [`SettingsError::Negative`] below 0, [`SettingsError::OutOfRange`] if the nanoseconds do not fit 64 bits.
+/// [`SettingsError::Negative`] if the value is below 0, [`SettingsError::OutOfRange`] if the nanoseconds do not fit
+/// into 64 bits.
 pub fn nanos(field: &'static str, us: i64) -> Result<Nanos, SettingsError> {
     let micros = u64::try_from(us).map_err(|_| SettingsError::Negative { field, us })?;
     micros
@@ -53,18 +54,18 @@
     })
 }
 
-/// Times of connections to cache servers, in nanoseconds; 0 where the settings do not state them.
+/// Parameters of connections to cache servers. Times are in nanoseconds; 0 if the settings do not state them.
 pub struct Connections {
-    /// A connection that is not established by then never is.
+    /// Connect timeout.
     pub dial: Nanos,
-    /// The other side closes an idle connection after this time at the latest.
+    /// Longest time after which the peer closes an idle connection.
     pub idle: Nanos,
-    /// Two forwards of one invocation may be in flight at once (hedged requests).
+    /// Whether two forwards of one invocation may be in flight at once (hedged requests).
     pub overlaps: bool,
 }
 
 impl Settings {
-    /// The operations, in the order of the object.
+    /// Returns the operations, in the order of the settings.
     ///
     /// # Errors
     ///
@@ -73,7 +74,7 @@
         self.classes.iter().map(operation).collect()
     }
 
-    /// The figures of the safety rules.
+    /// Returns the parameters of the safety rules.
     ///
     /// # Errors
     ///
@@ -90,7 +91,7 @@
         })
     }
 
-    /// Times of connections.
+    /// Returns the parameters of connections to cache servers.
     ///
     /// # Errors
     ///
@@ -103,7 +104,8 @@
         })
     }
 
-    /// How long after it learns that a cache server drains a node may still send there, in nanoseconds; 0 if not stated.
+    /// Returns the time for which a node may still send to a cache server after learning that it is draining, in
+    /// nanoseconds; 0 if not stated.
     ///
     /// # Errors
     ///
@@ -112,14 +114,14 @@
         nanos("DrainGraceUs", self.safety.drain_grace_us)
     }
 
-    /// Index of the origin's kind, if the node itself fetches from the origin.
+    /// Returns the index of the origin's kind; `None` if the node does not fetch from the origin itself.
     pub fn origin_kind(&self) -> Option<usize> {
         usize::try_from(self.family_info.origin_kind)
             .ok()
             .filter(|_| self.family_info.mode == "aside")
     }
 
-    /// Whether the list of cache servers has to be requested.
+    /// Whether the policy has to request the endpoint list.
     pub fn list_is_polled(&self) -> bool {
         self.discovery == "subscribe"
     }
@@ -129,13 +131,13 @@
         self.limits.peers
     }
 
-    /// A fingerprint of the tenants' names in their order.
+    /// Returns a hash of the tenants' names in their order.
     pub fn tenants_fingerprint(&self) -> u16 {
         let names: Vec<&str> = self.tenants.iter().map(|t| t.name.as_str()).collect();
         hash(names.join("\n").as_bytes()) as u16
     }
 
-    /// The decisions of one node, seeded by `seed`.
+    /// Creates the routing policy of one node with the random seed `seed`.
     ///
     /// # Errors
     ///
--- a/crates/sparrouter-settings/src/document.rs
+++ b/crates/sparrouter-settings/src/document.rs
@@ -1,44 +1,44 @@
-//! The settings object as the operators write it. Field names are those of the operators' pages in snake case; `serde` maps
-//! them. Times end in `_us` and are microseconds.
+//! The settings object in the operators' format. Field names are the operators' names in snake case, mapped by `serde`.
+//! Fields that end in `_us` are times in microseconds.
 use serde::Deserialize;
 
-/// The whole object.
+/// The settings object.
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Settings {
-    /// Names of zones.
+    /// Names of the availability zones.
     pub areas: Vec<String>,
-    /// How many nodes the deployment has.
+    /// Number of nodes in the deployment.
     #[serde(default = "one")]
     pub balancers: usize,
     /// The operations that clients invoke.
     pub classes: Vec<Class>,
-    /// How the list of cache servers arrives: `subscribe` if it has to be requested.
+    /// How a node gets the endpoint list: `subscribe` if the policy has to request it.
     #[serde(default)]
     pub discovery: String,
-    /// Where missing values come from.
+    /// The source of missing values.
     #[serde(default)]
     pub family_info: FamilyInfo,
-    /// Names of kinds of cache servers.
+    /// Names of the kinds of cache servers.
     #[serde(default)]
     pub kinds: Vec<String>,
-    /// What one invocation may cost.
+    /// Limits for invocations and connections.
     pub limits: Limits,
-    /// Fraction of its value that an invocation beyond its tenant's quota earns.
+    /// Fraction of the value that counts for an invocation beyond its tenant's quota.
     #[serde(default = "full")]
     pub over_share_worth: f64,
-    /// The figures of the safety rules.
+    /// Parameters of the safety rules.
     pub safety: Safety,
     /// Index of this node among all nodes.
     #[serde(default)]
     pub self_index: usize,
-    /// The tenants, with their quotas.
+    /// The tenants and their quotas.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// The finest time that this node can tell apart, in microseconds.
+    /// Resolution of this node's clock, in microseconds.
     #[serde(default)]
     pub tick_us: i64,
-    /// `live` if listed weights follow the load of the moment.
+    /// `live` if the listed weights follow the current load.
     #[serde(default)]
     pub weights: String,
 }
@@ -54,27 +54,27 @@
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Class {
-    /// Its name.
+    /// Name of the operation.
     pub name: String,
-    /// The latency target grows by this multiple of the invocation's own work.
+    /// Multiple of the invocation's own work that is added to the latency target.
     #[serde(default)]
     pub aim_stretch: f64,
-    /// Latency target, microseconds.
+    /// Latency target, in microseconds.
     pub objective_us: i64,
-    /// How long clients wait, microseconds.
+    /// Client timeout, in microseconds.
     pub deadline_us: i64,
-    /// `read_like`, `idempotency_key` or `non_idempotent`.
+    /// Idempotency class: `read_like`, `idempotency_key` or `non_idempotent`.
     pub effect: String,
-    /// Which cache servers drop a repeat: `all` (or empty), `zone` or `cell`.
+    /// Scope in which cache servers drop a repeated request: `all` (or empty), `zone` or `cell`.
     #[serde(default)]
     pub key_scope: String,
-    /// Fraction of the value that an answer after the latency target earns.
+    /// Fraction of the value that counts for an answer after the latency target.
     #[serde(default)]
     pub late_worth: f64,
-    /// Answers are streams.
+    /// Whether answers are streams.
     #[serde(default)]
     pub stream: bool,
-    /// How long repeats are dropped, microseconds.
+    /// Time for which repeated requests are dropped, in microseconds.
     #[serde(default)]
     pub window_us: i64,
     /// Billed value of one invocation.
@@ -82,7 +82,7 @@
     pub worth: f64,
 }
 
-/// Where missing values come from.
+/// The source of missing values.
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct FamilyInfo {
@@ -101,59 +101,60 @@
     }
 }
 
-/// What one invocation may cost, and how connections are used.
+/// Limits for invocations and connections.
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Limits {
-    /// Forwards may be withdrawn.
+    /// Whether forwards may be withdrawn.
     #[serde(default)]
     pub cancel: bool,
-    /// An idle connection is closed by the other side after this time, microseconds; 0: not stated.
+    /// Time after which the peer closes an idle connection, in microseconds; 0 if not stated.
     #[serde(default)]
     pub conn_idle_us: i64,
-    /// A connection that is not established by then never is, microseconds; 0: not stated.
+    /// Connect timeout, in microseconds; 0 if not stated.
     #[serde(default)]
     pub dial_timeout_us: i64,
-    /// Most forwards for one invocation.
+    /// Maximum number of forwards for one invocation.
     pub max_attempts: usize,
-    /// Longest `Retry-After`, microseconds.
+    /// Maximum `Retry-After`, in microseconds.
     #[serde(default)]
     pub max_retry_after_us: i64,
-    /// Nodes may send gossip to each other.
+    /// Whether nodes may send gossip to each other.
     #[serde(default)]
     pub peers: bool,
-    /// Health checks are allowed.
+    /// Whether health checks are allowed.
     #[serde(default)]
     pub may_probe: bool,
-    /// Throttling replies may carry `Retry-After`.
+    /// Whether throttling replies may carry `Retry-After`.
     #[serde(default)]
     pub retry_after: bool,
-    /// Hedged requests are allowed.
+    /// Whether hedged requests are allowed.
     #[serde(default)]
     pub second_copies: bool,
 }
 
-/// The figures of the safety rules.
+/// Parameters of the safety rules.
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Safety {
-    /// How long after a client's deadline its answer may still come, microseconds.
+    /// Time after a client's deadline at which an answer is still allowed, in microseconds.
     pub answer_slack_us: i64,
-    /// How often the list has to be requested at least, microseconds.
+    /// Longest time between two requests for the endpoint list, in microseconds.
     #[serde(default)]
     pub ask_every_us: i64,
-    /// How long after it learns that a cache server drains a node may still send there, microseconds.
+    /// Time for which a node may still send to a cache server after learning that it is draining, in microseconds.
     #[serde(default)]
     pub drain_grace_us: i64,
-    /// Capacity of a cache server at its start, as a fraction of that when it is warm.
+    /// Capacity of a cache server at its start, as a fraction of its warm capacity.
     pub start_capacity: f64,
-    /// Warm-up period of a cache server, microseconds.
+    /// Warm-up period of a cache server, in microseconds.
     pub cold_us: i64,
-    /// Multiple of its capacity above which a cache server that warms up collapses.
+    /// Multiple of its capacity above which a cache server collapses during its warm-up.
     pub fall_multiple: f64,
-    /// How long the load must stay above that multiple, microseconds.
+    /// Time for which the load has to exceed that multiple, in microseconds.
     pub fall_us: i64,
-    /// Only draining binds: a cache server that is listed as removed, or no more, may still get requests.
+    /// Whether removals from the list are advisory: only draining is binding, and a cache server that is listed as
+    /// removed or not listed may still get requests.
     #[serde(default)]
     pub gone_is_advice: bool,
 }
@@ -162,10 +163,10 @@
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Invocations a second that it may make, over all nodes.
+    /// Invocations per second that the tenant may make, over all nodes.
     pub quota_per_s: f64,
-    /// Its share of the capacity.
+    /// The tenant's share of the capacity.
     pub share: f64,
 }
--- a/crates/sparrouter-settings/src/error.rs
+++ b/crates/sparrouter-settings/src/error.rs
@@ -1,37 +1,37 @@
-//! Why a settings object or a list entry cannot be used.
+//! Errors of settings objects and endpoint list entries.
 use thiserror::Error;
 
-/// What is wrong, and in which field. The messages are part of what operators read.
+/// An invalid settings object or list entry. Operators read the messages.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// A time is negative.
     #[error("field {field}: {us} is below 0")]
     Negative {
-        /// The field, in the operators' words.
+        /// Name of the field in the operators' file.
         field: &'static str,
-        /// Its value in microseconds.
+        /// Value of the field in microseconds.
         us: i64,
     },
-    /// A time does not fit 64 bits of nanoseconds.
+    /// A time in nanoseconds does not fit into 64 bits.
     #[error("field {field}: {us} is out of range")]
     OutOfRange {
-        /// The field, in the operators' words.
+        /// Name of the field in the operators' file.
         field: &'static str,
-        /// Its value in microseconds.
+        /// Value of the field in microseconds.
         us: i64,
     },
-    /// A field with named values has none of them.
+    /// The value of an enumerated field is unknown.
     #[error("field {field}: unknown value {value}")]
     UnknownValue {
-        /// The field, in the operators' words.
+        /// Name of the field in the operators' file.
         field: &'static str,
-        /// The value that was found.
+        /// The unknown value.
         value: String,
     },
-    /// An entry of the list has a state that no page names.
+    /// The lifecycle state of a list entry is unknown.
     #[error("unknown state {state}")]
     UnknownState {
-        /// The state that was found.
+        /// The unknown state.
         state: String,
     },
 }
--- a/crates/sparrouter-settings/src/lib.rs
+++ b/crates/sparrouter-settings/src/lib.rs
@@ -1,13 +1,14 @@
-//! The settings object of the older proxy, as operators write it: the same in the simulator's messages and in the node's
-//! configuration file. It is read into the types of `sparrouter-balancer`; names become small indices.
+//! The settings object of the older proxy, which operators write. The simulator's messages and the node's configuration
+//! file use the same format. The object is converted to the types of `sparrouter-balancer`, with names mapped to
+//! indices.
 //!
-//! | module | its one job |
+//! | module | contents |
 //! | --- | --- |
-//! | `document` | the object, field by field |
-//! | `convert` | the object read into the types of the decisions |
-//! | `name_table` | names of operations, tenants and cache servers as indices |
-//! | `reload` | other settings for a node at work |
-//! | `error` | what is wrong with an object |
+//! | `document` | the settings object, field by field |
+//! | `convert` | converts the object to the types of the routing policy |
+//! | `name_table` | maps names of operations, tenants and cache servers to indices |
+//! | `reload` | compares and applies new settings in a running node |
+//! | `error` | errors of settings objects and list entries |
 mod convert;
 mod document;
 mod error;
--- a/crates/sparrouter-settings/src/name_table.rs
+++ b/crates/sparrouter-settings/src/name_table.rs
@@ -1,30 +1,30 @@
-//! Names of the operators' world as small indices, in the order in which they are first seen.
+//! Maps names of zones, kinds, operations, tenants and cache servers to small indices, numbered in order of first use.
 use crate::document::Settings;
 use crate::error::SettingsError;
 use sparrouter_balancer::types::{CacheIndex, CacheRecord, LifecycleState, Nanos};
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Hash of an id or a key; the same at every node.
+/// Returns the hash of an id or a key, equal on all nodes.
 pub fn hash(text: &[u8]) -> u64 {
     xxh3_64(text)
 }
 
-/// An entry of the list of cache servers, in the list's own words.
+/// An entry of the endpoint list, with the list's names.
 pub struct ListEntry<'a> {
-    /// Its id.
+    /// Id of the cache server.
     pub id: &'a str,
-    /// `in_service`, `terminating` or `terminated`.
+    /// Lifecycle state: `in_service`, `terminating` or `terminated`.
     pub state: &'a str,
-    /// Name of its zone.
+    /// Name of the zone.
     pub zone: &'a str,
-    /// Name of its kind.
+    /// Name of the kind.
     pub kind: &'a str,
-    /// Its cell within the zone.
+    /// Cell within the zone.
     pub cell: i64,
-    /// Its relative capacity.
+    /// Relative capacity.
     pub weight: f64,
-    /// When its process became ready, in nanoseconds; 0 if that is not listed.
+    /// Time at which the process became ready, in nanoseconds; 0 if it is not listed.
     pub ready_at: Nanos,
 }
 
@@ -36,7 +36,7 @@
     tenants: HashMap<Vec<u8>, usize>,
     caches: HashMap<String, CacheIndex>,
     ids: Vec<String>,
-    /// Indices of cache servers that were released, for reuse.
+    /// Released indices of cache servers, for reuse.
     free: Vec<CacheIndex>,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl NameTable {
-    /// A table with the names that the settings state.
+    /// Returns a table with the names in the settings.
     pub fn new(settings: &Settings) -> NameTable {
         let operations = settings
             .classes
@@ -70,15 +70,15 @@
             free: Vec::new(),
         }
     }
-    /// Index of an operation.
+    /// Returns the index of an operation; `None` if the name is unknown.
     pub fn operation(&self, name: &[u8]) -> Option<usize> {
         self.operations.get(name).copied()
     }
-    /// Index of a tenant.
+    /// Returns the index of a tenant; `None` if the name is unknown.
     pub fn tenant(&self, name: &[u8]) -> Option<usize> {
         self.tenants.get(name).copied()
     }
-    /// Indices of all operations, in no order.
+    /// Returns the indices of all operations, in unspecified order.
     pub fn operation_indices(&self) -> impl Iterator<Item = usize> + '_ {
         self.operations.values().copied()
     }
@@ -89,25 +89,25 @@
     ) {
         (self.operations, self.tenants) = (operations, tenants);
     }
-    /// Index of a cache server, if it was ever listed and not released.
+    /// Returns the index of a cache server; `None` if it was never listed or has been released.
     pub fn cache(&self, id: &str) -> Option<CacheIndex> {
         self.caches.get(id).copied()
     }
-    /// Id of the cache server at an index that [`NameTable::record`] gave out.
+    /// Returns the id of the cache server at an index that [`NameTable::record`] assigned.
     ///
     /// # Panics
     ///
-    /// If no cache server ever had the index.
+    /// Panics if the index was never assigned.
     pub fn id(&self, cache: CacheIndex) -> &str {
         &self.ids[cache]
     }
 
-    /// Forgets a cache server, whose index may be reused from now on. Without this, names and all that is stored by index
-    /// would pile up while cache servers are replaced under ever new ids.
+    /// Removes a cache server and makes its index available for reuse. Otherwise names and data stored by index would
+    /// accumulate while cache servers are replaced under new ids.
     ///
     /// # Panics
     ///
-    /// If no cache server ever had the index.
+    /// Panics if the index was never assigned.
     pub fn release(&mut self, cache: CacheIndex) {
         if self
             .caches
@@ -118,11 +118,11 @@
         }
     }
 
-    /// Translates an entry of the list, and gives its cache server an index if it has none.
+    /// Converts an entry of the list, and assigns an index to its cache server if it has none.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::UnknownState`] if the entry's state is none of those that the list may name.
+    /// [`SettingsError::UnknownState`] if the entry's lifecycle state is unknown.
     pub fn record(&mut self, entry: &ListEntry) -> Result<CacheRecord, SettingsError> {
         let state = match entry.state {
             "in_service" => LifecycleState::Ready,
--- a/crates/sparrouter-settings/src/reload.rs
+++ b/crates/sparrouter-settings/src/reload.rs
@@ -1,24 +1,24 @@
-//! Other settings for a node at work: which of them need a restart, and the indices of their operations and tenants.
+//! New settings for a running node: which changes need a restart, and the indices of operations and tenants.
 use crate::document::Settings;
 use crate::name_table::NameTable;
 use sparrouter_balancer::types::OperationMapping;
 
-/// The indices of new settings' operations and tenants, beside those that they had.
+/// Mapping of the operations and tenants from the old settings' indices to the new ones.
 #[derive(Debug, PartialEq)]
 pub struct SettingsChange {
-    /// One entry for each operation of the new settings.
+    /// Index mappings, one for each operation of the new settings.
     pub operations: Vec<OperationMapping>,
-    /// One entry for each tenant of the new settings: its index under the old ones, `None` for a new tenant.
+    /// Old index of each tenant of the new settings; `None` for a new tenant.
     pub tenants: Vec<Option<usize>>,
 }
 
 impl Settings {
-    /// The fields, in the operators' words, that differ in `new` and cannot change while the node runs.
+    /// Returns the operators' names of the fields that differ in `new` and cannot change while the node runs.
     pub fn restart_required(&self, new: &Settings) -> Vec<&'static str> {
         let origin = |s: &Settings| s.origin_kind().and_then(|k| s.kinds.get(k).cloned());
         let (a, b) = (&self.limits, &new.limits);
         [
-            // How the list arrives, and what it says of size, holds for the list that the node has, too.
+            // The delivery of the list and the meaning of its weights also apply to the list that the node already has.
             ("Discovery", self.discovery != new.discovery),
             ("Weights", self.weights != new.weights),
             (
@@ -26,7 +26,7 @@
                 self.family_info.mode != new.family_info.mode || origin(self) != origin(new),
             ),
             ("TickUs", self.tick_us != new.tick_us),
-            // Sockets and connections are created by these once.
+            // Sockets and connections are created from these fields once.
             ("Limits.Peers", a.peers != b.peers),
             (
                 "Limits.DialTimeoutUs",
@@ -38,7 +38,7 @@
                 "Safety.AskEveryUs",
                 self.safety.ask_every_us != new.safety.ask_every_us,
             ),
-            // Removals that were already acted upon would have to be undone.
+            // Removals that were already applied would have to be undone.
             (
                 "Safety.GoneIsAdvice",
                 self.safety.gone_is_advice != new.safety.gone_is_advice,
@@ -50,19 +50,20 @@
         .collect()
     }
 
-    /// Whether the operation at `old_index` here and the one at `new_index` of `new` follow the same rules.
+    /// Whether the operation at `old_index` of these settings and the operation at `new_index` of `new` have the same
+    /// rules.
     fn has_same_rules(&self, new: &Settings, old_index: usize, new_index: usize) -> bool {
         self.classes[old_index] == new.classes[new_index] && self.limits == new.limits
     }
 }
 
-/// The index of an operation that has not been given one yet.
+/// Placeholder for an operation without an assigned index.
 const UNASSIGNED: usize = usize::MAX;
 
 impl NameTable {
-    /// Takes over the operations and tenants of other settings. An operation whose rules change gets a new index, so that
-    /// open invocations end under the rules that they began with. `is_busy`: whether an invocation of the operation at an
-    /// index is still open; such an index is not reused.
+    /// Applies the operations and tenants of new settings. An operation whose rules change gets a new index, so that
+    /// open invocations complete under their original rules. `is_busy` returns whether an invocation of the operation
+    /// at an index is still open; such an index is not reused.
     pub fn apply_settings(
         &mut self,
         old: &Settings,
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Operations of `new`: those with the same rules keep their index, the others are [`UNASSIGNED`].
+    /// Returns mappings for the operations of `new`. Operations with unchanged rules keep their index, the others are
+    /// [`UNASSIGNED`].
     fn unchanged_operations(&self, old: &Settings, new: &Settings) -> Vec<OperationMapping> {
         let index_in_old = |name: &str| old.classes.iter().position(|c| c.name == name);
         let mapping = |(new_position, class): (usize, &crate::document::Class)| {
@@ -107,8 +109,8 @@
         new.classes.iter().enumerate().map(mapping).collect()
     }
 
-    /// Gives each unassigned operation the lowest free index. Indices in use before are not free: what was learnt under
-    /// them is copied from in the same step.
+    /// Assigns the lowest free index to each unassigned operation. Indices in use before the change are not free,
+    /// because their learned state is copied in the same step.
     fn assign_free_indices(
         &self,
         operations: &mut [OperationMapping],
--- a/crates/sparrouter-settings/tests/reload.rs
+++ b/crates/sparrouter-settings/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that are reloaded while a node works: which indices operations and tenants get, and what needs a restart.
+//! Reload of settings in a running node: indices of operations and tenants, and fields that need a restart.
 use sparrouter_balancer::types::OperationMapping;
 use sparrouter_settings::{NameTable, Settings};
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_changed_operation_gets_a_new_index_and_busy_ones_keep_theirs() {
+fn a_changed_operation_gets_a_new_index_and_busy_operations_keep_their_indices() {
     let old = settings(&[("get", 100), ("put", 200)], &["a", "b"], 3);
     let mut names = NameTable::new(&old);
     // One operation's latency target changes, one is removed, one is added; a tenant is added before the others.
@@ -44,7 +44,7 @@
         (None, Some(3))
     );
     assert_eq!((names.tenant(b"a"), names.tenant(b"c")), (None, Some(0)));
-    // No invocation of the first two is open any more: their indices may be reused.
+    // The first two operations have no open invocations, so their indices may be reused.
     let later = settings(&[("scan", 50), ("get", 400)], &["c", "b"], 3);
     let change = names.apply_settings(&new, &later, |_| false);
     assert_eq!(
@@ -60,7 +60,7 @@
     );
 }
 
-/// Whatever is reloaded while invocations are open, an index in use is never given to another operation.
+/// In any sequence of reloads with open invocations, an index in use is never assigned to another operation.
 #[test]
 fn indices_in_use_are_never_reassigned_and_stay_few() {
     let mut rng = fastrand::Rng::with_seed(5);
@@ -91,7 +91,7 @@
             for (_, rules) in open.iter().filter(|o| o.0 == t.new_index) {
                 assert_eq!(
                     *rules, under,
-                    "an index in use was given to another operation"
+                    "an index in use was assigned to another operation"
                 );
             }
             open.push((t.new_index, under));
