--- a/crates/sparrouter-node/src/invariant.rs
+++ b/crates/sparrouter-node/src/invariant.rs
@@ -1,23 +1,24 @@
-//! Invariants: asserted in debug builds; in release builds a violation is counted and logged, and the node goes on.
+//! Invariants: asserted in debug builds; in release builds a violation is counted and logged, and the node
+//! continues to serve.
 use std::cell::Cell;
 
-/// Counts how often something happened, and says when to log it: the first 8 times and then at each doubling, so that
-/// what repeats can't fill the log.
+/// Counts the occurrences of an event and limits how often they are logged: the first 8, then each time that the count
+/// reaches a power of two, so that a repeated event can't fill the log.
 #[derive(Default)]
 pub struct OccurrenceCounter(Cell<u64>);
 
 impl OccurrenceCounter {
-    /// A counter at 0.
+    /// Returns a counter with the count 0.
     pub const fn new() -> OccurrenceCounter {
         OccurrenceCounter(Cell::new(0))
     }
 
-    /// How often it happened so far.
+    /// Number of occurrences so far.
     pub fn count(&self) -> u64 {
         self.0.get()
     }
 
-    /// Counts one occurrence. Returns the new count if it is to be logged.
+    /// Counts one occurrence. Returns the new count if this occurrence has to be logged, otherwise `None`.
     pub fn increment(&self) -> Option<u64> {
         let count = self.0.get() + 1;
         self.0.set(count);
@@ -36,7 +37,8 @@
     }
 }
 
-/// Violations so far in this process. The node runs on one thread, so the count of the thread is that of the process.
+/// Number of violations so far in this process. The node runs on one thread, so the thread-local counter covers the
+/// process.
 pub fn violations() -> u64 {
     VIOLATIONS.with(OccurrenceCounter::count)
 }
--- a/crates/sparrouter-node/src/main.rs
+++ b/crates/sparrouter-node/src/main.rs
@@ -1,7 +1,8 @@
-//! One node of the older proxy: receives invocations on sockets, puts them to the policy, carries out its decisions.
+//! One node of the older proxy: receives invocations on sockets, passes them to the routing policy and carries out its
+//! decisions.
 //!
-//! By layer: `protocol` (bytes to messages, no I/O), `transport` (sockets), `routing` (actors, one of them the owner of
-//! the decisions), `program` (files, start, reload, shutdown).
+//! Layers: `protocol` (parses and encodes messages, no I/O), `transport` (sockets), `routing` (actors; the decision
+//! actor owns the policy), `program` (configuration files, start, reload, shutdown).
 mod invariant;
 mod program;
 mod protocol;
@@ -18,16 +19,16 @@
 use tokio::task::LocalSet;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 
-/// Log lines that may wait to be written, some 200 bytes each.
+/// Maximum number of log lines in the write queue, about 200 bytes each.
 const MAX_UNWRITTEN_LINES: usize = 4096;
-/// Exit code of a node that cannot start, or whose decision actor ended.
+/// Exit code of a node that cannot start, or whose decision actor has ended.
 const FAILURE: u8 = 2;
 
-/// One node. The file that PROXY_CONFIG names says what the platform wants of it.
+/// Runs one node. The environment variable PROXY_CONFIG names the platform's configuration file
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
-    /// The operator's file; without one the node says nothing of itself but its log
+    /// The operator's configuration file; without it the node writes a log but no report
     #[arg(long, env = "SPARROUTER_CONFIG", global = true)]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -36,11 +37,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Take invocations until told to stop (also without a word)
+    /// Serve invocations until SIGTERM or SIGINT (the default command)
     Serve,
-    /// Say whether an operator's file can be used
+    /// Check an operator's configuration file
     Check { file: PathBuf },
-    /// Say what an operator's file comes to, with all that it leaves out
+    /// Print an operator's configuration file with the defaults filled in
     Show { file: PathBuf },
 }
 
@@ -68,8 +69,9 @@
     }
 }
 
-/// Starts the log, written by a thread of its own: a standard error that nobody reads must not hold the node up. Lines
-/// beyond [`MAX_UNWRITTEN_LINES`] are dropped. What is unwritten when the guard is dropped gets a second.
+/// Initializes the log. A separate thread writes it, so that a blocked standard error can't block the node. Lines
+/// beyond [`MAX_UNWRITTEN_LINES`] are dropped. When the guard is dropped, the queued lines have one second to be
+/// written.
 fn start_log() -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(MAX_UNWRITTEN_LINES)
--- a/crates/sparrouter-node/src/program/config.rs
+++ b/crates/sparrouter-node/src/program/config.rs
@@ -1,4 +1,4 @@
-//! The platform's file: what a node gets at its start and rereads at SIGHUP.
+//! The platform's configuration file, which the node reads at its start and again at SIGHUP.
 use super::error::{FileError, NodeError};
 use crate::protocol::endpoint_list::ListUpdate;
 use crate::routing::endpoint_list;
@@ -7,42 +7,43 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The platform's file. The names of its fields are the wire's.
+/// The content of the platform's configuration file. The field names are part of the file format.
 #[derive(Deserialize)]
 pub struct Config {
     /// The node's name, for logs and reports.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which the node accepts clients.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Seed of the node's random numbers, hexadecimal.
+    /// Seed of the node's random number generator, hexadecimal.
     pub seed: String,
-    /// What the node may use of its machine.
+    /// Resource limits of the node.
     #[serde(default)]
     pub limits: Limits,
-    /// Where other nodes send gossip.
+    /// Address on which the node receives gossip from other nodes; `None` if it takes no part in gossip.
     pub peer_listen: Option<SocketAddr>,
-    /// Addresses of all nodes for gossip, by number.
+    /// Gossip addresses of all nodes, indexed by node number.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// The endpoint list as the node last had it.
+    /// The last endpoint list that the node is known to have had.
     #[serde(default)]
     pub known: ListUpdate,
-    /// The settings of the decisions.
+    /// The settings of the routing policy.
     pub settings: Settings,
-    /// A fingerprint of the settings, the same at all nodes that have the same.
+    /// Hash of the settings without the node's own index: equal on all nodes with the same settings.
     #[serde(skip)]
     pub fingerprint: u64,
 }
 
 impl Config {
-    /// How often a node that keeps a subscription by itself calls for a lost one: what drained meanwhile has to be known
-    /// within the drain grace of the settings, of which half is left for the call.
+    /// Longest time between two attempts to reopen a lost subscription, for a node that maintains its own subscription.
+    /// A server that started to drain in between has to be known within the drain grace of the settings; half of the
+    /// grace is reserved for the call.
     ///
     /// # Errors
     ///
-    /// The drain grace of the settings is no duration.
+    /// The drain grace of the settings is not a valid duration.
     pub fn retry_interval(&self) -> Result<Duration, SettingsError> {
         let grace = Duration::from_nanos(self.settings.drain_grace()?);
         Ok(if grace.is_zero() {
@@ -53,13 +54,13 @@
     }
 }
 
-/// What a node may use of its machine.
+/// Resource limits of a node.
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory in MiB.
+    /// Memory limit in MiB.
     pub memory_mb: usize,
-    /// Descriptors.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
 }
 
@@ -73,14 +74,14 @@
 }
 
 impl Limits {
-    /// Memory in bytes.
+    /// Memory limit in bytes.
     pub fn memory(&self) -> usize {
         self.memory_mb << 20
     }
 }
 
 impl Config {
-    /// The fields that differ in `new` and can't change while the node runs.
+    /// Returns the names of the fields that differ in `new` and take effect only at a restart.
     pub fn restart_required(&self, new: &Config) -> Vec<String> {
         let own = [
             ("name", self.name != new.name),
@@ -97,17 +98,17 @@
             .collect()
     }
 
-    /// The seed as a number.
+    /// Returns the seed as a number.
     ///
     /// # Errors
     ///
-    /// It is not hexadecimal.
+    /// The seed is not hexadecimal.
     pub fn seed(&self) -> Result<u64, NodeError> {
         u64::from_str_radix(&self.seed, 16).map_err(|_| NodeError::Seed(self.seed.clone()))
     }
 }
 
-/// Reads the file that `PROXY_CONFIG` names, as it is now.
+/// Reads the file that the environment variable `PROXY_CONFIG` names.
 ///
 /// # Errors
 ///
@@ -124,7 +125,7 @@
     let mut from = serde_json::Deserializer::from_str(text);
     let mut config: Config = serde_path_to_error::deserialize(&mut from)?;
     from.end()?;
-    // Keys in order, and without what each node has for itself: the same at all nodes under the same settings.
+    // Keys are sorted and the node's own index is left out, so that equal settings hash equally on all nodes.
     let mut document: serde_json::Value = serde_json::from_str(text)?;
     let mut settings = document["settings"].take();
     settings.as_object_mut().map(|s| s.remove("SelfIndex"));
--- a/crates/sparrouter-node/src/program/error.rs
+++ b/crates/sparrouter-node/src/program/error.rs
@@ -1,22 +1,22 @@
-//! Why a node cannot start or cannot apply a changed file. Operators read the texts.
+//! Errors of the node's start, run and reload. Operators read the messages.
 use sparrouter_settings::SettingsError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use tokio::task::JoinError;
 
-/// Why a node cannot start, has to end, or cannot apply a changed file.
+/// An error because of which a node cannot start, has to exit, or cannot apply a changed file.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The variable that names the platform's file is not set.
+    /// `PROXY_CONFIG`, which names the platform's file, is not set.
     #[error("PROXY_CONFIG is not set")]
     ConfigPathMissing,
     /// A file cannot be used.
     #[error("{path}: {error}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// The error in the file.
         error: FileError,
     },
     /// The seed of the platform's file is not a number.
@@ -25,70 +25,70 @@
     /// The settings cannot be used.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// No operation of the settings says how long clients wait.
+    /// No operation of the settings has a client timeout.
     #[error("settings: no operation with a client timeout")]
     NoClientTimeout,
-    /// A changed file names what only a restart can change: these fields.
+    /// A changed file differs in these fields, which take effect only at a restart.
     #[error("{} can't change in a running node", .0.join(", "))]
     RestartRequired(Vec<String>),
     /// The report's file cannot be opened.
     #[error("report {}: {error}", path.display())]
     Report {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
     /// The async runtime cannot be built.
-    #[error("{0}")]
+    #[error("cannot build the async runtime: {0}")]
     Runtime(io::Error),
     /// Signal handlers cannot be installed.
-    #[error("signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
-    /// The address for clients cannot be bound.
-    #[error("listen on {address}: {error}")]
+    /// The address on which clients are accepted cannot be bound.
+    #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// The address.
+        /// The address that cannot be bound.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
     /// The address for gossip cannot be bound.
-    #[error("datagrams on {address}: {error}")]
+    #[error("cannot bind the gossip address {address}: {error}")]
     Gossip {
-        /// The address.
+        /// The address that cannot be bound.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// The decision actor ended or panicked: nothing can be answered without it, so the node has to be restarted.
-    #[error("the module's actor ended: {0:?}")]
+    /// The decision actor ended or panicked. The node can't answer without it and has to be restarted.
+    #[error("the decision actor ended: {0:?}")]
     DecisionActorEnded(Result<(), JoinError>),
 }
 
-/// What is wrong with a file.
+/// An error in a configuration file.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{0}")]
     Read(#[from] io::Error),
-    /// It is no JSON of the expected form; the text names the path of the field.
+    /// A JSON field is invalid; the message names the path of the field.
     #[error("{0}")]
     Field(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// It is no JSON.
+    /// The text is not valid JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// It is no TOML of the expected form; the text names the line.
+    /// The TOML text or one of its fields is invalid; the message names the line.
     #[error("{0}")]
     Toml(#[from] toml::de::Error),
-    /// A number is out of its range.
+    /// A number is outside its allowed range.
     #[error("line {line}, {field}: {value} is not from {min} to {max}")]
     OutOfRange {
-        /// Line of the file, from 1.
+        /// Line number in the file, from 1.
         line: usize,
-        /// The field with its table.
+        /// Name of the field, with its table.
         field: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: u64,
         /// The smallest value allowed.
         min: u64,
@@ -98,7 +98,7 @@
 }
 
 impl FileError {
-    /// The error with the file's name.
+    /// Adds the path of the file to the error.
     pub fn in_file(self, path: impl Into<String>) -> NodeError {
         NodeError::File {
             path: path.into(),
--- a/crates/sparrouter-node/src/program/mod.rs
+++ b/crates/sparrouter-node/src/program/mod.rs
@@ -1,14 +1,14 @@
-//! The program: its files, start, reload, report and graceful shutdown.
+//! The node's process: configuration files, start, reload, report and graceful shutdown.
 //!
-//! | module | its one job |
+//! | module | contents |
 //! | --- | --- |
-//! | `config` | the platform's file |
-//! | `operator` | the operator's file |
-//! | `start` | from the files to a serving node |
-//! | `serve` | signals until the end, and the graceful shutdown |
-//! | `reload` | files that changed, in a running node |
-//! | `reporter` | the report in the operator's file |
-//! | `error` | why the node cannot start, or cannot apply a file |
+//! | `config` | the platform's configuration file |
+//! | `operator` | the operator's configuration file |
+//! | `start` | starts a node from its configuration files |
+//! | `serve` | signal handling and the graceful shutdown |
+//! | `reload` | applies changed files to a running node |
+//! | `reporter` | the report that the operator's file configures |
+//! | `error` | errors of start and reload |
 pub mod config;
 pub mod error;
 pub mod operator;
--- a/crates/sparrouter-node/src/program/operator.rs
+++ b/crates/sparrouter-node/src/program/operator.rs
@@ -1,43 +1,44 @@
-//! The operator's file: what the node's own operator wants of it, beside what the platform's file says. TOML; an
-//! unknown field is an error. Without the file the node neither reports nor shares quotas.
+//! The operator's configuration file (TOML): the report and the quota shares, which the platform's file does not cover.
+//! An unknown field is an error. Without the file the node neither reports nor shares quotas.
 use super::error::{FileError, NodeError};
 use serde::{Deserialize, Serialize};
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use toml::Spanned;
 
-/// The operator's file.
+/// The content of the operator's file.
 #[derive(Clone, Default, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorConfig {
-    /// What the node calls itself in its report.
+    /// The identity of the node in its report.
     pub identity: Identity,
-    /// The node's report; without it there is none.
+    /// Configuration of the node's report; `None` if the node writes no report.
     pub report: Option<ReportConfig>,
-    /// Tenants' quotas are kept by shares leased between the nodes; without it by each node's own estimate.
+    /// Enforces the tenants' quotas with shares that nodes lease to each other. If `None`, each node enforces them by
+    /// its own estimate.
     #[serde(rename = "shares")]
     pub quota_shares: Option<QuotaShareConfig>,
 }
 
-/// What the node calls itself in its report.
+/// The identity of the node in its report.
 #[derive(Clone, Default, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Identity {
-    /// Names the state of program and settings, as whoever changes them calls it.
+    /// Name that the operator gives to the deployed state of program and settings.
     pub generation: String,
 }
 
-/// Where the report goes.
+/// Configuration of the report's file.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReportConfig {
-    /// Lines of JSON are added here.
+    /// Path of the file to which lines of JSON are appended.
     pub path: PathBuf,
-    /// Between lines: 100 to 60,000 ms.
+    /// Interval between lines: 100 to 60,000 ms.
     #[serde(default = "second")]
     pub every_ms: Spanned<u64>,
-    /// A file grown beyond this is moved to `.1`, the one before it is lost: 64 to 1,048,576 KiB.
-    #[serde(default = "four_mib")]
+    /// Maximum size of the file: 64 to 1,048,576 KiB. A full file is renamed to `.1` and replaces the previous `.1`.
+    #[serde(default = "default_keep_kib")]
     pub keep_kib: Spanned<u64>,
 }
 
@@ -45,21 +46,23 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaShareConfig {
-    /// After a change of the number of nodes every node has its new settings within this: 100 to 600,000 ms.
+    /// Time within which every node has its new settings after the number of nodes changes: 100 to 600,000 ms.
     #[serde(default = "five_seconds")]
     pub informed_ms: Spanned<u64>,
-    /// A share that is lent to another node expires after this: 200 to 60,000 ms.
+    /// Duration of the lease of a share that is lent to another node: 200 to 60,000 ms.
     #[serde(default = "second")]
     pub lease_ms: Spanned<u64>,
-    /// A quota holds in any window of this length; what was not used in it is lost: 50 to 60,000 ms.
+    /// Length of the window over which a quota is enforced: 50 to 60,000 ms. Quota that is not used within the window
+    /// is lost.
     #[serde(default = "five_seconds")]
     pub window_ms: Spanned<u64>,
-    /// Shares are lent and borrowed by gossip, where the platform allows that; otherwise all nodes have equal shares.
-    #[serde(default = "yes")]
+    /// Whether nodes lend and borrow shares by gossip, if the platform allows gossip; otherwise all nodes have equal
+    /// shares.
+    #[serde(default = "default_notes")]
     pub notes: bool,
 }
 
-fn yes() -> bool {
+fn default_notes() -> bool {
     true
 }
 fn five_seconds() -> Spanned<u64> {
@@ -68,11 +71,11 @@
 fn second() -> Spanned<u64> {
     Spanned::new(0..0, 1000)
 }
-fn four_mib() -> Spanned<u64> {
+fn default_keep_kib() -> Spanned<u64> {
     Spanned::new(0..0, 4096)
 }
 
-/// A number of the file, with the values that it may have.
+/// A number in the file and its allowed range.
 struct Ranged<'a> {
     field: &'static str,
     value: &'a Spanned<u64>,
@@ -101,7 +104,7 @@
     ///
     /// # Errors
     ///
-    /// It cannot be read, is malformed, or has a number out of its range.
+    /// The file cannot be read, is malformed, or contains a number outside its range.
     pub fn load(path: &Path) -> Result<OperatorConfig, NodeError> {
         let config = std::fs::read_to_string(path)
             .map_err(FileError::from)
@@ -139,7 +142,7 @@
         report.chain(shares)
     }
 
-    /// The file as it is in force, with what was left out.
+    /// Returns the configuration as TOML, with the defaults of omitted fields.
     pub fn to_toml(&self) -> String {
         toml::to_string(self).unwrap_or_else(|e| format!("# {e}\n"))
     }
--- a/crates/sparrouter-node/src/program/reload.rs
+++ b/crates/sparrouter-node/src/program/reload.rs
@@ -1,4 +1,4 @@
-//! What a running node applies of files that have changed: all that can change, together, or nothing.
+//! Applies changed configuration files to a running node, either completely or not at all.
 use super::config::{self, Config};
 use super::error::NodeError;
 use super::operator::OperatorConfig;
@@ -7,21 +7,21 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The operator's file as it was last applied, and where it is.
+/// The operator's configuration in force, and its path.
 #[derive(Clone, Default)]
 pub struct ActiveOperatorConfig {
-    /// The file's content.
+    /// The content of the file; the defaults if there is no file.
     pub file: OperatorConfig,
-    /// Its path; none without a file.
+    /// Path of the file; `None` if there is no file.
     pub path: Option<PathBuf>,
 }
 
 impl ActiveOperatorConfig {
-    /// Reads the file, if there is one.
+    /// Reads the file at `path`, or uses the defaults if `path` is `None`.
     ///
     /// # Errors
     ///
-    /// As [`OperatorConfig::load`].
+    /// Returns the errors of [`OperatorConfig::load`].
     pub fn load(path: Option<PathBuf>) -> Result<ActiveOperatorConfig, NodeError> {
         let file = path
             .as_deref()
@@ -29,7 +29,7 @@
         Ok(ActiveOperatorConfig { file, path })
     }
 
-    /// The reporter that the file wants.
+    /// Opens the reporter that the file configures; `None` if it configures no report.
     ///
     /// # Errors
     ///
@@ -46,33 +46,33 @@
     }
 }
 
-/// All that is in force.
+/// The configuration in force in a running node.
 pub struct ActiveConfiguration {
-    /// The platform's file.
+    /// The platform's configuration.
     pub config: Config,
-    /// The operator's file.
+    /// The operator's configuration.
     pub operator: ActiveOperatorConfig,
-    /// What a reporter to another file goes on from.
+    /// Process-wide counts with which a reporter to another file continues.
     pub origin: ReporterOrigin,
-    /// Between calls for a lost subscription.
+    /// Longest time between two attempts to reopen a lost subscription.
     pub retry_interval: Duration,
 }
 
-/// Files that were read again and can be applied.
+/// Changed configuration files that were read and validated.
 pub struct Reload {
-    /// What is in force once it is applied.
+    /// The configuration in force after the reload.
     pub next: ActiveConfiguration,
-    /// What the decision actor applies.
+    /// The change that the decision actor applies.
     pub change: ConfigurationChange,
 }
 
 impl ActiveConfiguration {
-    /// Reads both files again. Guards against an incomplete change: where a file can't be read, or names what can't
-    /// change in a running node, all stays as it was.
+    /// Reads both files again. If a file can't be read, or differs in a field that needs a restart, nothing is applied:
+    /// this guards against an incomplete change.
     ///
     /// # Errors
     ///
-    /// A file cannot be used, or needs a restart.
+    /// A file is invalid, or a changed field needs a restart.
     pub fn reread(&self) -> Result<Reload, NodeError> {
         let config = config::load()?;
         let operator = ActiveOperatorConfig::load(self.operator.path.clone())?;
--- a/crates/sparrouter-node/src/program/reporter.rs
+++ b/crates/sparrouter-node/src/program/reporter.rs
@@ -1,5 +1,5 @@
-//! The node's report: a line of JSON at a time in a file of the operator's. Counts only rise, so a line that could not
-//! be written costs nothing.
+//! The node's report: lines of JSON that are appended to a file of the operator. All counts are cumulative, so a line
+//! that could not be written loses no information.
 use super::error::NodeError;
 use super::operator::{Identity, ReportConfig};
 use crate::invariant::{OccurrenceCounter, violations};
@@ -16,23 +16,23 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Milliseconds of a clock tick in `/proc`: 100 ticks a second, as on every Linux that Rust's standard library runs on
+/// Milliseconds per clock tick in `/proc`: 100 ticks per second, as on every Linux that Rust's standard library runs on
 /// by default.
 const TICK_MS: u64 = 10;
-/// KiB of a page of memory, as on every Linux that Rust's standard library runs on by default.
+/// Size of a memory page in KiB, as on every Linux that Rust's standard library runs on by default.
 const PAGE_KIB: u64 = 4;
 
-/// What the process counts over all its reports. A process that reports to another file has not started anew.
+/// Counts of the process that continue when the report's file changes.
 #[derive(Clone)]
 pub struct ReporterOrigin {
-    /// Connections opened by the whole node.
+    /// Number of connections that the node has opened to peers.
     pub opened: Rc<Cell<u64>>,
-    /// When the node started.
+    /// Time at which the node started.
     pub started_at: Instant,
 }
 
 impl ReporterOrigin {
-    /// Of a node that started then and whose connections the pool counts.
+    /// Returns the counts of a node that started at `started_at` and whose opened connections `pool` counts.
     pub fn new(pool: &Pool, started_at: Instant) -> ReporterOrigin {
         ReporterOrigin {
             opened: pool.opened.clone(),
@@ -41,17 +41,17 @@
     }
 }
 
-/// An operation of the settings with its index there.
+/// An operation of the settings and its index.
 pub struct OperationRules {
-    /// The decision actor's index.
+    /// Index of the operation in the decision actor.
     pub index: usize,
     /// The operation's name.
     pub name: String,
-    /// What the settings say of it.
+    /// The operation's values in the settings.
     pub rules: Rules,
 }
 
-/// What an answer of one operation counts, and its entry in the report.
+/// The value of an answer of one operation, and the index of its entry in the report.
 #[derive(Clone, Default)]
 struct OperationValue {
     entry: usize,
@@ -60,15 +60,15 @@
     latency_target: Nanos,
 }
 
-/// Writes the report.
+/// Collects the counts of the report and writes its lines.
 pub struct Reporter {
     config: ReportConfig,
     file: File,
-    /// Bytes in `file`.
+    /// Size of `file` in bytes.
     written: u64,
     origin: ReporterOrigin,
     next_line: Instant,
-    /// By the decision actor's index; an entry for each operation that was placed.
+    /// Values of the operations, indexed by the decision actor's operation index.
     values: Vec<OperationValue>,
     report: Report,
     lost_lines: OccurrenceCounter,
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// It cannot be opened.
+    /// The file cannot be opened.
     pub fn open(
         config: ReportConfig,
         name: &str,
@@ -115,13 +115,13 @@
         })
     }
 
-    /// Reports under another identity from now on.
+    /// Changes the identity in the report.
     pub fn identify(&mut self, identity: Identity) {
         self.report.generation = identity.generation;
     }
 
-    /// Settings with this fingerprint are in force: where each operation stands now. One that was reported before goes
-    /// on under its name.
+    /// Applies settings with this fingerprint: assigns each operation its entry in the report. An operation that was
+    /// reported before continues its entry, found by name.
     pub fn place_operations(&mut self, fingerprint: u64, operations: &[OperationRules]) {
         self.report.settings = format!("{fingerprint:016x}");
         for operation in operations {
@@ -145,7 +145,7 @@
         );
     }
 
-    /// The report's entry of an operation; a new one if there is none.
+    /// Returns the index of the operation's entry in the report, which is added if it is missing.
     fn entry(&mut self, name: &str) -> usize {
         let operations = &mut self.report.operations;
         operations
@@ -161,7 +161,7 @@
             })
     }
 
-    /// When the next line is due.
+    /// Time at which the next line is due.
     pub fn next_line(&self) -> Instant {
         self.next_line
     }
@@ -171,7 +171,7 @@
         Instant::now() >= self.next_line
     }
 
-    /// Counts an invocation that was accepted.
+    /// Counts an accepted invocation.
     pub fn count_arrival(&mut self, operation: usize) {
         let value = &self.values[operation];
         let entry = &mut self.report.operations[value.entry];
@@ -179,7 +179,7 @@
         entry.asked += value.billed_value;
     }
 
-    /// Counts an invocation that was answered with a value after this time.
+    /// Counts an invocation that was answered with a value, and its latency.
     pub fn count_success(&mut self, operation: usize, latency: Duration) {
         let value = &self.values[operation];
         let entry = &mut self.report.operations[value.entry];
@@ -194,7 +194,7 @@
         entry.latency[bucket(latency.as_micros() as u64)] += 1;
     }
 
-    /// Counts an invocation that got no value.
+    /// Counts an invocation that was answered without a value: throttled (503) or failed (502).
     pub fn count_failure(&mut self, operation: usize, is_throttled: bool) {
         let entry = &mut self.report.operations[self.values[operation].entry];
         if is_throttled {
@@ -204,13 +204,13 @@
         }
     }
 
-    /// Counts a forward. `is_fetch`: to the origin.
+    /// Counts a forward. `is_fetch` is true if the forward goes to the origin.
     pub fn count_forward(&mut self, is_fetch: bool) {
         self.report.forwards += 1;
         self.report.fetches += u64::from(is_fetch);
     }
 
-    /// Writes a line.
+    /// Writes one line. An I/O error is logged and the line is dropped.
     pub fn write(&mut self, policy: &PolicyCounts, shares: Vec<Share>) {
         let interval = *self.config.every_ms.get_ref();
         self.next_line = Instant::now() + Duration::from_millis(interval);
@@ -248,24 +248,24 @@
             self.file = open_for_append(&self.config.path)?;
             self.written = 0;
         }
-        // One call: a reader sees complete lines or the start of the last.
+        // A single write: a reader sees complete lines and at most a partial last line.
         self.file.write_all(&line)?;
         self.written += line.len() as u64;
         Ok(())
     }
 }
 
-/// Resident memory of this process in KiB; 0 where the system does not say.
+/// Resident memory of this process in KiB; 0 if `/proc` is not readable.
 fn resident_kib() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|p| p.parse::<u64>().ok());
     PAGE_KIB * pages.unwrap_or(0)
 }
 
-/// Processor time of this process, user and system, in milliseconds; 0 where the system does not say.
+/// CPU time of this process, user and system, in milliseconds; 0 if `/proc` is not readable.
 fn processor_ms() -> u64 {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // The name of the program, in parentheses, may contain blanks: the fields are counted from behind it.
+    // The program name, in parentheses, may contain spaces, so the fields are counted from the closing parenthesis.
     let fields = text.rsplit(')').next().unwrap_or_default();
     let ticks = fields
         .split_whitespace()
@@ -275,7 +275,7 @@
     ticks.sum::<u64>() * TICK_MS
 }
 
-/// Descriptors that this process has open; 0 where the system does not say.
+/// Number of open file descriptors of this process; 0 if `/proc` is not readable.
 fn open_descriptors() -> u64 {
     std::fs::read_dir("/proc/self/fd").map_or(0, |entries| entries.count() as u64)
 }
--- a/crates/sparrouter-node/src/program/serve.rs
+++ b/crates/sparrouter-node/src/program/serve.rs
@@ -1,4 +1,4 @@
-//! A serving node: applies changed files at SIGHUP, and shuts down gracefully at SIGTERM or SIGINT.
+//! Runs a started node: reloads its configuration at SIGHUP and shuts down gracefully at SIGTERM or SIGINT.
 use super::error::NodeError;
 use super::reload::{ActiveConfiguration, Reload};
 use crate::routing::Message;
@@ -13,14 +13,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// After SIGTERM clients go on connecting for up to 0.4 s; then connections between invocations are closed, and what is
-/// written to none of them is not this node's.
+/// Time from SIGTERM until idle connections are closed: clients may still connect for up to 0.4 s after SIGTERM.
 const DRAIN_PERIOD: Duration = Duration::from_millis(450);
-/// The node stays at least this long after that, so that what was just received is answered.
+/// Minimum time between closing idle connections and exit, so that invocations received at that moment are answered.
 const CLOSE_PERIOD: Duration = Duration::from_millis(150);
-/// Whoever stops the node may kill it after this time and the time that it needs to close, however long clients wait.
+/// Maximum time that the shutdown waits for clients: a supervisor may kill the node after this time plus the time that
+/// the node needs to close, even if client timeouts are longer.
 const KILL_DELAY: Duration = Duration::from_secs(3);
-/// Between looks whether all connections are closed.
+/// Interval between checks whether all connections are closed.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The signals that the node handles.
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// The system refuses one.
+    /// A handler cannot be installed.
     pub fn install() -> Result<Signals, NodeError> {
         let install = |kind| signal(kind).map_err(NodeError::Signals);
         Ok(Signals {
@@ -46,23 +46,23 @@
     }
 }
 
-/// A node whose actors run and whose clients are accepted.
+/// A started node: its actors run and it accepts clients.
 pub struct RunningNode {
-    /// The files in force.
+    /// The configuration in force.
     pub active: ActiveConfiguration,
     /// The decision actor's mailbox.
     pub mailbox: mpsc::Sender<Message>,
-    /// Discovery's address, for the actor that follows the endpoint list.
+    /// Publishes discovery's address to the endpoint list actor.
     pub discovery: watch::Sender<SocketAddr>,
-    /// Between calls for a lost subscription, for the same actor.
+    /// Longest time between two attempts to reopen a lost subscription, shared with the endpoint list actor.
     pub retry_interval: Rc<Cell<Duration>>,
-    /// The decision actor.
+    /// The task of the decision actor.
     pub decision_task: JoinHandle<()>,
-    /// How far the shutdown is, for client connections.
+    /// Publishes the stage of the shutdown to the client connections.
     pub stage: watch::Sender<ServingStage>,
-    /// What client connections share.
+    /// State shared by all client connections.
     pub context: Rc<ClientContext<Message>>,
-    /// The descriptors of clients.
+    /// Budget of file descriptors for client connections.
     pub clients: Rc<Budget>,
 }
 
@@ -78,9 +78,9 @@
                 Ok(reload) => node.apply(reload).await,
                 Err(error) => log::warn!("new configuration not taken up: {error}"),
             },
-            _ = signals.terminate.recv() => break log::info!("told to stop"),
-            _ = signals.interrupt.recv() => break log::info!("interrupted"),
-            // Nothing can be answered without it: the node has to be restarted.
+            _ = signals.terminate.recv() => break log::info!("received SIGTERM, shutting down"),
+            _ = signals.interrupt.recv() => break log::info!("received SIGINT, shutting down"),
+            // The node can't answer without the decision actor and has to be restarted.
             result = &mut node.decision_task => return Err(NodeError::DecisionActorEnded(result)),
         }
     }
@@ -89,11 +89,11 @@
 }
 
 impl RunningNode {
-    /// Applies files that were read again.
+    /// Applies a validated reload.
     async fn apply(&mut self, Reload { next, change }: Reload) {
         let timeouts = change.operations.iter().map(|o| o.client_timeout);
         let longest = timeouts.max().map(Duration::from_nanos).unwrap_or_default();
-        // Clients of operations that are in flight may wait as long as before.
+        // Clients with invocations in flight may still wait for the old timeout.
         let max_timeout = self.context.max_timeout.get().max(longest);
         self.context.max_timeout.set(max_timeout);
         self.retry_interval.set(next.retry_interval);
@@ -105,14 +105,14 @@
             .send_if_modified(|current| std::mem::replace(current, address) != address);
         self.active = next;
         log::info!(
-            "configuration read anew, discovery {}; generation {:?}, settings {:016x}",
-            if has_moved { "moved" } else { "as before" },
+            "configuration reloaded, discovery address {}; generation {:?}, settings {:016x}",
+            if has_moved { "changed" } else { "unchanged" },
             self.active.operator.file.identity.generation,
             self.active.config.fingerprint
         );
     }
 
-    /// Answers all that was received before the node ends.
+    /// Shuts the node down after the received invocations are answered.
     async fn shut_down(&self) {
         let max_timeout = self.context.max_timeout.get();
         let deadline = Instant::now() + DRAIN_PERIOD + max_timeout.min(KILL_DELAY) + CLOSE_PERIOD;
@@ -120,15 +120,16 @@
         self.stage.send_replace(ServingStage::Draining);
         sleep(DRAIN_PERIOD).await;
         self.stage.send_replace(ServingStage::Closing);
-        let latest_end = Instant::now() + max_timeout + CLOSE_PERIOD;
+        let exit_deadline = Instant::now() + max_timeout + CLOSE_PERIOD;
         sleep(CLOSE_PERIOD).await;
-        // Looked at twice: whoever connected at the moment of the first look is there at the second.
-        let mut quiet_looks = 0;
-        while quiet_looks < 2 && Instant::now() < latest_end {
-            quiet_looks = if self.clients.reserved() > 0 {
+        // Requires two consecutive checks without connections: a client that connects during the first is seen by the
+        // second.
+        let mut idle_checks = 0;
+        while idle_checks < 2 && Instant::now() < exit_deadline {
+            idle_checks = if self.clients.reserved() > 0 {
                 0
             } else {
-                quiet_looks + 1
+                idle_checks + 1
             };
             sleep(POLL_INTERVAL).await;
         }
--- a/crates/sparrouter-node/src/program/start.rs
+++ b/crates/sparrouter-node/src/program/start.rs
@@ -1,4 +1,4 @@
-//! From the files to a serving node.
+//! Starts a node from its configuration files.
 use super::config::Config;
 use super::error::NodeError;
 use super::reload::{ActiveConfiguration, ActiveOperatorConfig};
@@ -26,13 +26,13 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Between lines of counts in the log.
+/// Interval between lines of counts in the log.
 const COUNTS_INTERVAL: Duration = Duration::from_secs(5);
-/// An idle connection to a peer is closed after this fraction of the time that the other side may keep it.
+/// An idle connection to a peer is closed after this fraction of the peer's own idle timeout.
 const IDLE_FRACTION: f64 = 0.7;
-/// A call to discovery may take this fraction of the time after which the policy requests another.
+/// Timeout of a call to discovery, as a fraction of the time after which the policy requests the next call.
 const CALL_FRACTION: f64 = 0.9;
-/// Requests that the mailbox of the list's actor holds; it needs one of each kind.
+/// Capacity of the endpoint list actor's mailbox; it needs one place for each kind of request.
 const LIST_MAILBOX_CAPACITY: usize = 4;
 
 /// Runs until the node is stopped.
@@ -41,7 +41,7 @@
 ///
 /// The node cannot start, or its decision actor ended.
 pub async fn run(config: Config, operator: ActiveOperatorConfig) -> Result<(), NodeError> {
-    // First of all: until its handler is installed, SIGHUP would end the node.
+    // Install the signal handlers first: without a handler SIGHUP ends the process.
     let signals = Signals::install()?;
     let seed = config.seed()?;
     let started_at = Instant::now();
@@ -51,18 +51,18 @@
     serve::run(node, signals).await
 }
 
-/// What follows from the settings.
+/// Values that are derived from the settings.
 struct Plan {
     seed: u64,
     policy: Policy,
     operations: Vec<Operation>,
     /// The longest client timeout.
     max_timeout: Duration,
-    /// What bounds the work of a peer's actor.
+    /// Limits of a peer's actor.
     peer_limits: peer::PeerLimits,
-    /// How long a connection to a peer may stand idle.
+    /// Idle timeout of a connection to a peer.
     max_idle: Duration,
-    /// How long a call to discovery may take.
+    /// Timeout of a call to discovery.
     call_timeout: Duration,
 }
 
@@ -76,7 +76,7 @@
         let longest = longest.filter(|timeout| *timeout > 0);
         let max_timeout = Duration::from_nanos(longest.ok_or(NodeError::NoClientTimeout)?);
         let shortest_target = operations.iter().map(|o| o.latency_target).min();
-        // Where the settings do not say: as long as an invocation may take.
+        // Without a latency target in the settings, the longest client timeout applies.
         let shortest = duration_or(shortest_target.unwrap_or(0), max_timeout);
         Ok(Plan {
             seed,
@@ -94,15 +94,15 @@
     }
 }
 
-fn duration_or(nanos: Nanos, otherwise: Duration) -> Duration {
+fn duration_or(nanos: Nanos, default: Duration) -> Duration {
     if nanos > 0 {
         Duration::from_nanos(nanos)
     } else {
-        otherwise
+        default
     }
 }
 
-/// What the node listens on.
+/// The sockets on which the node listens.
 struct Sockets {
     listener: TcpListener,
     gossip: Option<Rc<GossipSocket>>,
@@ -129,7 +129,7 @@
     }
 }
 
-/// Starts all actors and tasks; clients are accepted last.
+/// Starts all actors and tasks. The client listener starts last.
 fn start_actors(
     config: Config,
     operator: ActiveOperatorConfig,
@@ -217,7 +217,7 @@
     })
 }
 
-/// What the decision actor reaches others by.
+/// Channels and sockets by which the decision actor reaches other actors and nodes.
 struct Links {
     start_peer: PeerStarter,
     list: mpsc::Sender<ListRequest>,
--- a/crates/sparrouter-node/src/protocol/endpoint_list.rs
+++ b/crates/sparrouter-node/src/protocol/endpoint_list.rs
@@ -1,32 +1,32 @@
-//! The endpoint list as discovery writes it: the full list, or what changed.
+//! Parser for the endpoint list in discovery's format: the full list, or changes to it.
 use super::json::Reader;
 use super::{MAX_UPDATE, ParseError, Parsed};
 use bytes::BytesMut;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A cache server or the origin.
+/// An entry of the endpoint list: a cache server or the origin.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Target {
-    /// Its id, which no other server ever has.
+    /// Unique id of the server, never reused.
     pub uid: String,
-    /// Its address.
+    /// Address of the server.
     pub endpoint: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the server.
     #[serde(default)]
     pub az: String,
-    /// Its kind, as the settings name it.
+    /// Kind of the server, as named in the settings.
     #[serde(default)]
     pub model: String,
-    /// Servers of one group share a failure domain.
+    /// Failure domain within the zone.
     #[serde(default)]
     pub pod_group: i64,
-    /// Its lifecycle state, as discovery names it.
+    /// Lifecycle state, as named by discovery.
     pub state: String,
-    /// Its capacity relative to others; 1 without the field.
+    /// Capacity relative to other servers; 1 if the field is missing.
     #[serde(default = "full_capacity")]
     pub capacity_hint: f64,
-    /// When it started, in milliseconds since 1970; 0 where that is not known.
+    /// Start time in milliseconds since 1970; 0 if unknown.
     #[serde(default)]
     pub boot_ms: u64,
 }
@@ -35,14 +35,14 @@
     1.0
 }
 
-/// The full list, or changes to it.
+/// The full endpoint list, or changes to it.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct ListUpdate {
     /// Version of the list.
     pub rev: u64,
-    /// It is the full list: what it does not name has left.
+    /// Whether this is the full list, in which a missing server has left.
     pub all: bool,
-    /// The servers.
+    /// The listed servers.
     pub targets: Vec<Target>,
 }
 
@@ -79,35 +79,36 @@
     })
 }
 
-/// What a stream of updates is split into.
+/// A unit of the update stream.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
-    /// One complete JSON value, or what is there instead.
+    /// The bytes of one value, which may be malformed JSON.
     Value(BytesMut),
-    /// An empty line, by which an idle discovery shows that it is there.
+    /// An empty line, which an idle discovery sends as a heartbeat.
     Empty,
-    /// More has to be read first.
+    /// The next unit is not complete yet.
     Incomplete,
 }
 
-/// Splits the text where a value ends: updates may be indented, so that the end of a line alone says nothing.
+/// Splits a stream of JSON values at their ends. Updates may be indented, so a line end does not mark the end of a
+/// value.
 #[derive(Debug, Default)]
 pub struct FrameSplitter {
-    /// How much of the text has been looked at.
+    /// Number of bytes already scanned.
     offset: usize,
-    /// Open braces and brackets.
+    /// Number of open braces and brackets.
     depth: usize,
-    /// The offset is within a string, and behind a backslash there.
+    /// Whether the offset is within a string; `is_escaped` if the previous byte is a backslash in it.
     is_string: bool,
     is_escaped: bool,
 }
 
 impl FrameSplitter {
-    /// The next frame, split off the text.
+    /// Splits the next frame off the start of `text`.
     ///
     /// # Errors
     ///
-    /// A line breaks in a string, or a value is longer than `MAX_UPDATE`.
+    /// A string contains a line break, or a value is longer than `MAX_UPDATE`.
     pub fn next(&mut self, text: &mut BytesMut) -> Parsed<Frame> {
         while let Some(&byte) = text.get(self.offset) {
             self.offset += 1;
@@ -135,7 +136,7 @@
         }
     }
 
-    /// What has been looked at, as a frame: also what remains at the end of the text.
+    /// Returns the scanned bytes as a frame; at the end of the stream this is its incomplete last value.
     pub fn rest(&mut self, text: &mut BytesMut) -> Frame {
         let value = text.split_to(self.offset);
         *self = FrameSplitter::default();
@@ -147,11 +148,11 @@
     }
 }
 
-/// Reads one update of a subscription, or the answer to a call for the full list.
+/// Parses one update of a subscription, or the answer to a request for the full list.
 ///
 /// # Errors
 ///
-/// It is malformed, or lacks a required field.
+/// The update is malformed or lacks a required field.
 pub fn parse(update: &[u8]) -> Parsed<ListUpdate> {
     let text = std::str::from_utf8(update).map_err(|_| ParseError("line is not UTF-8"))?;
     let mut r = Reader::new(text);
--- a/crates/sparrouter-node/src/protocol/json.rs
+++ b/crates/sparrouter-node/src/protocol/json.rs
@@ -1,8 +1,8 @@
-//! Just enough JSON for the endpoint list: read once, front to back, without a tree.
+//! A minimal streaming JSON reader for the endpoint list, which builds no document tree.
 use super::{ParseError, Parsed};
 use std::borrow::Cow;
 
-/// A value that is nested deeper than this is rejected.
+/// Maximum nesting depth of a skipped value.
 const MAX_DEPTH: usize = 16;
 
 /// Reads a JSON text value by value.
@@ -12,7 +12,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// A reader at the start of the text.
+    /// Returns a reader at the start of `text`.
     pub fn new(text: &'a str) -> Reader<'a> {
         Reader { text, offset: 0 }
     }
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// There is more.
+    /// The text continues after the value.
     pub fn end(&mut self) -> Parsed<()> {
         if self.peek().is_none() {
             Ok(())
@@ -47,11 +47,11 @@
         }
     }
 
-    /// Reads an object; `member` has to read or skip the value of each name.
+    /// Reads an object. `member` gets the name of each member and has to read or skip its value.
     ///
     /// # Errors
     ///
-    /// It is malformed, or `member` fails.
+    /// The object is malformed, or `member` fails.
     pub fn object(&mut self, mut member: impl FnMut(&mut Self, &str) -> Parsed<()>) -> Parsed<()> {
         self.need(b'{')?;
         if self.eat(b'}') {
@@ -67,11 +67,11 @@
         }
     }
 
-    /// Reads an array; `item` has to read or skip each value.
+    /// Reads an array. `item` has to read or skip each value.
     ///
     /// # Errors
     ///
-    /// It is malformed, or `item` fails.
+    /// The array is malformed, or `item` fails.
     pub fn array(&mut self, mut item: impl FnMut(&mut Self) -> Parsed<()>) -> Parsed<()> {
         self.need(b'[')?;
         if self.eat(b']') {
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// It is none, has no end, or has an unknown escape.
+    /// The value is not a string, is not terminated, or contains an unknown escape.
     pub fn string(&mut self) -> Parsed<Cow<'a, str>> {
         self.need(b'"')?;
         let rest = &self.text[self.offset..];
@@ -118,7 +118,7 @@
                     Some('u') => {
                         let mut digits = chars.by_ref().take(4).map(|(_, c)| c.to_digit(16));
                         let code = digits.try_fold(0, |n, d| Some(n * 16 + d?));
-                        // Half of a surrogate pair is no character: ids have none.
+                        // A lone surrogate is not a character; ids contain no surrogate pairs.
                         code.and_then(char::from_u32)
                             .unwrap_or(char::REPLACEMENT_CHARACTER)
                     }
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     ///
-    /// It is none.
+    /// The value is not a finite number.
     pub fn number(&mut self) -> Parsed<f64> {
         self.peek();
         let rest = &self.text[self.offset..];
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     ///
-    /// It is neither.
+    /// The value is neither `true` nor `false`.
     pub fn boolean(&mut self) -> Parsed<bool> {
         match self.literal()? {
             "true" => Ok(true),
@@ -174,11 +174,11 @@
         }
     }
 
-    /// Skips a value.
+    /// Skips a value of any type.
     ///
     /// # Errors
     ///
-    /// It is malformed, or nested too deep.
+    /// The value is malformed, or nested deeper than `MAX_DEPTH`.
     pub fn skip(&mut self) -> Parsed<()> {
         self.skip_nested(0)
     }
--- a/crates/sparrouter-node/src/protocol/messages.rs
+++ b/crates/sparrouter-node/src/protocol/messages.rs
@@ -1,18 +1,18 @@
-//! Messages of clients and cache servers: invocations read, forwards and answers written.
+//! Messages of clients and cache servers: parses invocations, encodes forwards and answers.
 use super::head::{RequestHead, ResponseHead};
 use super::{ParseError, Parsed};
 use bytes::{BufMut, Bytes, BytesMut};
 use sparrouter_balancer::types::{CacheResult, Nanos, Outcome};
 use std::net::SocketAddr;
 
-/// What a client sent, in slices of what was read.
+/// A client's request, in slices of the read buffer.
 #[derive(Clone, Debug)]
 pub struct Invocation {
     /// `GET` or `PUT`.
     pub method: Bytes,
     /// Path and query.
     pub target: Bytes,
-    /// The `Host` field; empty without one.
+    /// The `Host` field; empty if it is missing.
     pub host: Bytes,
     /// The `X-Request-Id` field; not empty.
     pub id: Bytes,
@@ -24,14 +24,14 @@
     pub tenant: Option<Bytes>,
     /// The `X-Deadline-Ms` field: how long the client waits, in milliseconds.
     pub client_timeout_ms: Option<u64>,
-    /// The `X-Retry` field is 1: the client sends it again.
+    /// Whether the client retries the request: the `X-Retry` field is 1.
     pub is_retry: bool,
-    /// The body.
+    /// The request's body.
     pub body: Bytes,
 }
 
 impl Invocation {
-    /// Reads an invocation from a request.
+    /// Creates an invocation from a request's head and body.
     ///
     /// # Errors
     ///
@@ -65,18 +65,18 @@
         })
     }
 
-    /// Whether it writes: a `PUT`.
+    /// Whether the invocation is a write (`PUT`).
     pub fn is_write(&self) -> bool {
         &self.method[..] == b"PUT"
     }
 
-    /// The last segment of the path; none where it is empty.
+    /// The cache key: the last segment of the path; `None` if it is empty.
     pub fn key(&self) -> Option<&[u8]> {
         let path = self.target.split(|&b| b == b'?').next()?;
         path.rsplit(|&b| b == b'/').next().filter(|k| !k.is_empty())
     }
 
-    /// Head of a forward whose answer the node waits for so long.
+    /// Encodes the head of a forward. `wait` is the time for which the node waits for the answer.
     pub fn forward(&self, wait: Nanos) -> Bytes {
         let mut out = BytesMut::with_capacity(256 + self.target.len());
         let mut put = |slices: &[&[u8]]| slices.iter().for_each(|s| out.put_slice(s));
@@ -104,12 +104,12 @@
     }
 }
 
-/// A bare GET, of a health check or to discovery.
+/// Encodes a GET without further fields, for health checks and discovery.
 pub fn get(target: &str, host: SocketAddr) -> Bytes {
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n").into()
 }
 
-/// What the complete answer of a cache server or the origin means.
+/// Maps a complete answer of a cache server or the origin to the outcome of the forward.
 pub fn outcome(head: &ResponseHead) -> Outcome {
     match head.status {
         200 => Outcome::Succeeded,
@@ -119,7 +119,7 @@
     }
 }
 
-/// What a cache server says of its cache.
+/// The cache result that a cache server reports; `None` if it reports none or an unknown one.
 pub fn cache_result(head: &ResponseHead) -> Option<CacheResult> {
     match head.fields.text("X-Cache")? {
         "hit" => Some(CacheResult::Hit),
@@ -134,23 +134,23 @@
 pub enum Answer {
     /// 200, with a value.
     Succeeded {
-        /// Its `Content-Type`.
+        /// `Content-Type` of the value.
         content_type: Option<Bytes>,
         /// The value.
         body: Bytes,
     },
-    /// 503: it has not run and may be retried.
+    /// 503: the invocation was not executed and may be retried.
     Throttled {
-        /// When, in nanoseconds from now; 0: not said.
+        /// Delay before a retry, in nanoseconds; 0 if none is stated.
         retry_after: Nanos,
     },
-    /// 502: it may have run.
+    /// 502: the invocation may have been executed.
     Errored,
-    /// 400: it is malformed, and so never was an invocation.
+    /// 400: the request is malformed and does not count as an invocation. The text is the answer's body.
     Bad(&'static str),
 }
 
-/// The go-ahead for a client that waits for it before it sends its body.
+/// The interim answer for a client that sent `Expect: 100-continue`.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 const SUCCEEDED: &str = "200 OK";
 const THROTTLED: &str = "503 Service Unavailable";
@@ -180,7 +180,7 @@
     out.freeze()
 }
 
-/// An answer as it is written.
+/// An encoded answer.
 pub struct EncodedAnswer {
     /// The head, with its empty line.
     pub head: Bytes,
@@ -188,7 +188,7 @@
     pub body: Bytes,
 }
 
-/// Encodes an answer. `keep_alive`: the connection stays open behind it.
+/// Encodes an answer. `keep_alive` is true if the connection stays open after it.
 pub fn answer(answer: &Answer, keep_alive: bool) -> EncodedAnswer {
     let without_body = |status, fields: &str| EncodedAnswer {
         head: head(status, None, 0, keep_alive, fields),
@@ -215,7 +215,7 @@
     }
 }
 
-/// An answer of the node's own that is no invocation's: readiness, malformed input.
+/// Encodes an answer with a plain text body: readiness, or the rejection of malformed input.
 fn plain(status: &str, text: &str, keep_alive: bool) -> EncodedAnswer {
     EncodedAnswer {
         head: head(status, Some(b"text/plain"), text.len(), keep_alive, ""),
--- a/crates/sparrouter-node/src/protocol/mod.rs
+++ b/crates/sparrouter-node/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! What the bytes mean: the endpoint list and messages of clients and cache servers. Heads and chunked bodies are
-//! `sparrouter-http`'s. No I/O here; malformed input is returned as `ParseError`, never as a panic.
+//! Parsers and encoders for the endpoint list and for messages of clients and cache servers. `sparrouter-http` parses
+//! heads and chunked bodies. The module does no I/O; malformed input yields a `ParseError` and never a panic.
 pub mod endpoint_list;
 pub mod json;
 pub mod messages;
@@ -9,9 +9,9 @@
 
 pub use sparrouter_http::{ParseError, Parsed, chunks, head};
 
-/// Longest head, in bytes.
+/// Maximum size of a message head, in bytes.
 pub const MAX_HEAD: usize = 16 << 10;
-/// Longest body, in bytes.
+/// Usual maximum size of a body, in bytes.
 pub const MAX_BODY: usize = 64 << 10;
-/// Longest update of the endpoint list, in bytes: thousands of cache servers.
+/// Maximum size of an endpoint list update, in bytes: enough for thousands of cache servers.
 pub const MAX_UPDATE: usize = 1 << 20;
--- a/crates/sparrouter-node/src/protocol/tests.rs
+++ b/crates/sparrouter-node/src/protocol/tests.rs
@@ -1,4 +1,4 @@
-//! The parsers against malformed input, and lists as discovery writes them.
+//! Tests of the parsers with malformed input, and with endpoint lists in discovery's format.
 use super::chunks::{ChunkDecoder, ChunkEvent};
 use super::{endpoint_list, head};
 use bytes::{Bytes, BytesMut};
@@ -14,7 +14,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]))
 }
 
-/// Text that is nearly valid: fragments of real messages between arbitrary bytes.
+/// Generates nearly valid text: fragments of real messages between arbitrary bytes.
 fn nearly_valid() -> impl Strategy<Value = Vec<u8>> {
     let fragment = prop_oneof![
         prop::sample::select(vec![
@@ -86,7 +86,7 @@
                 }
             }
             prop_assert_eq!(decoded, bodies.concat());
-            // What follows belongs to the next message.
+            // The following bytes belong to the next message.
             buffer.extend(segments.flatten());
             prop_assert_eq!(&buffer[..], b"next");
             Ok(())
--- a/crates/sparrouter-node/src/routing/clock.rs
+++ b/crates/sparrouter-node/src/routing/clock.rs
@@ -1,10 +1,10 @@
-//! The clock of the decisions: one reading of the wall clock at the start, carried on by the monotonic clock.
+//! The clock of the routing policy: the wall clock is read once at the start, then advanced by the monotonic clock.
 use sparrouter_balancer::types::Nanos;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Nanoseconds since 1970 as the wall clock stood at the start, carried on by the monotonic clock. Start times of cache
-/// servers need no further mapping, and the clock never steps back.
+/// Clock in nanoseconds since 1970: the wall clock at the start, advanced by the monotonic clock. It never steps back,
+/// and it is comparable to the start times of cache servers.
 #[derive(Clone, Copy)]
 pub struct Clock {
     wall_at_start: Nanos,
@@ -12,7 +12,7 @@
 }
 
 impl Clock {
-    /// Reads the wall clock.
+    /// Returns a clock that starts at the current wall clock time.
     pub fn new() -> Clock {
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -23,17 +23,17 @@
         }
     }
 
-    /// The moment as nanoseconds since 1970; the start for an earlier moment.
+    /// Converts an instant to nanoseconds since 1970. An instant before the start is converted to the start.
     pub fn nanos(&self, instant: Instant) -> Nanos {
         self.wall_at_start + instant.saturating_duration_since(self.start).as_nanos() as Nanos
     }
 
-    /// Now, in nanoseconds since 1970.
+    /// Returns the current time in nanoseconds since 1970.
     pub fn now(&self) -> Nanos {
         self.nanos(Instant::now())
     }
 
-    /// The moment of the runtime's clock; the start for an earlier time.
+    /// Converts nanoseconds since 1970 to the runtime's clock. A time before the start is converted to the start.
     pub fn instant(&self, time: Nanos) -> Instant {
         self.start + Duration::from_nanos(time.saturating_sub(self.wall_at_start))
     }
--- a/crates/sparrouter-node/src/routing/decision/actions.rs
+++ b/crates/sparrouter-node/src/routing/decision/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the policy orders.
+//! Carries out the actions of the policy.
 use super::DecisionActor;
 use crate::protocol::messages::Answer;
 use crate::routing::endpoint_list::ListRequest;
@@ -47,7 +47,7 @@
     }
 
     fn request_list(&mut self, request: ListRequest) {
-        // A full mailbox has such a request already.
+        // If the mailbox is full, the same request is already queued.
         let _ = self.list.try_send(request);
     }
 }
--- a/crates/sparrouter-node/src/routing/decision/counts.rs
+++ b/crates/sparrouter-node/src/routing/decision/counts.rs
@@ -1,23 +1,23 @@
 //! The log's line of counts, which operators search for.
 use super::DecisionActor;
 
-/// What happened since the last line. The log prints it with `Debug`: the names of the type and of its fields are a
-/// part of the line that operators read.
+/// Counts since the previous line. The log prints them with `Debug`, so the names of the type and its fields are part
+/// of the line that operators read.
 #[derive(Default, Debug)]
 pub struct Counts {
     /// Invocations accepted from clients.
     pub taken: u64,
-    /// Answered with a value.
+    /// Invocations answered with a value.
     pub succeeded: u64,
-    /// Answered 503.
+    /// Invocations answered with 503.
     pub throttled: u64,
-    /// Answered 502.
+    /// Invocations answered with 502.
     pub errored: u64,
-    /// Clients that left while their invocation was in flight.
+    /// Clients that disconnected while their invocation was in flight.
     pub gone: u64,
     /// Forwards ordered.
     pub forwards: u64,
-    /// Ends of forwards, by `Outcome`.
+    /// Ended forwards, indexed by `Outcome`.
     pub outcomes: [u64; 10],
     /// Health checks ordered.
     pub probes: u64,
@@ -26,7 +26,7 @@
 }
 
 impl DecisionActor {
-    /// Logs the counts and begins them anew.
+    /// Logs the counts and resets them.
     pub(super) fn log_counts(&mut self) {
         self.release_departed();
         let timers = self.timers.len();
--- a/crates/sparrouter-node/src/routing/decision/forwards.rs
+++ b/crates/sparrouter-node/src/routing/decision/forwards.rs
@@ -1,4 +1,4 @@
-//! Forwards: given to the actor of a cache server, counted until their end, and what the end means.
+//! Forwards in flight: passes them to the cache servers' actors, counts them, and handles their results.
 use super::DecisionActor;
 use crate::invariant;
 use crate::protocol::messages::Answer;
@@ -10,14 +10,14 @@
 use tokio::time::Instant;
 
 impl DecisionActor {
-    /// Gives a command to a cache server's actor. False where its mailbox is full, or there is none.
+    /// Sends a command to a cache server's actor. Returns false if its mailbox is full or the actor does not exist.
     pub(super) fn command_peer(&mut self, cache: CacheIndex, command: PeerCommand) -> bool {
         let server = self.servers.get_mut(cache).and_then(|s| s.as_mut());
         server.is_some_and(|s| s.peer.command(command))
     }
 
-    /// Forwards an invocation. `timeout`: how long the answer is waited for; `send_before`: the moment by which it is
-    /// written or never.
+    /// Forwards an invocation. `timeout` is the timeout of the answer, `send_before` the deadline for writing the
+    /// request.
     pub(super) fn forward(
         &mut self,
         inv: InvocationIndex,
@@ -28,7 +28,7 @@
         let pending = self.pending.get_mut(&inv);
         invariant!(
             pending.as_ref().is_some_and(|p| !p.is_answered.get()),
-            "nothing is sent for what is over"
+            "nothing is sent for a completed invocation"
         );
         let Some(pending) = pending else { return };
         let id = ForwardId {
@@ -59,7 +59,7 @@
         self.queue_not_sent(id);
     }
 
-    /// The mailbox is full, or the server has left: it is certain that the forward never ran.
+    /// Queues the result of a forward that was certainly not sent: the mailbox is full or the server has left.
     fn queue_not_sent(&mut self, ForwardId { inv, number, cache }: ForwardId) {
         if let Some(pending) = self.pending.get_mut(&inv) {
             pending.forwards_out -= 1;
@@ -77,7 +77,7 @@
         self.queued_events.push_back(Event::ForwardEnded(outcome));
     }
 
-    /// Withdraws a forward that is out.
+    /// Withdraws a forward that is in flight.
     pub(super) fn withdraw(&mut self, inv: InvocationIndex, number: usize) {
         let pending = self.pending.get(&inv);
         let cache = pending.and_then(|p| p.forwards.get(number)).copied();
@@ -86,7 +86,7 @@
         invariant!(is_sent, "a forward that is withdrawn was sent");
     }
 
-    /// Takes note of a forward's end; a value is the answer of its invocation if there is none yet.
+    /// Handles the end of a forward. A value becomes the invocation's answer if the invocation is not answered yet.
     pub(super) fn on_forward_ended(&mut self, forward: ForwardId, result: ForwardResult) {
         let ForwardId { inv, number, cache } = forward;
         self.counts.outcomes[result.outcome as usize] += 1;
@@ -121,10 +121,10 @@
             cache_result: result.cache_result,
             load: None,
         }));
-        self.remove_if_over(inv);
+        self.remove_if_complete(inv);
     }
 
-    /// One forward less is out at a cache server; one that left goes with its last forward.
+    /// Counts the end of a forward at a cache server. A server that has left is removed with its last forward.
     fn count_out(&mut self, cache: CacheIndex) {
         if let Some(server) = self.servers[cache].as_mut() {
             server.forwards_out -= 1;
--- a/crates/sparrouter-node/src/routing/decision/invocations.rs
+++ b/crates/sparrouter-node/src/routing/decision/invocations.rs
@@ -1,4 +1,4 @@
-//! Invocations in flight: from their arrival to their one answer and the end of their last forward.
+//! Invocations in flight, from their arrival to their only answer and the end of their last forward.
 use super::DecisionActor;
 use crate::invariant;
 use crate::protocol::messages::{Answer, Invocation};
@@ -14,11 +14,11 @@
 /// An invocation, until it is answered and all its forwards have ended.
 pub struct PendingInvocation {
     pub invocation: Rc<Invocation>,
-    /// None once the answer is given.
+    /// Receiver of the answer; `None` once the answer is sent.
     answer: Option<oneshot::Sender<ReservedAnswer>>,
-    /// Set once the answer is given; the actors of the peers look at it before they send.
+    /// Set once the answer is sent; the peers' actors check it before they send.
     pub is_answered: Rc<Cell<bool>>,
-    /// Where its forwards went, in order; the index is the forward's number.
+    /// Servers of the invocation's forwards, indexed by the number of the forward.
     pub forwards: Vec<CacheIndex>,
     /// Forwards that have not ended; at most `forwards.len()`.
     pub forwards_out: usize,
@@ -27,19 +27,19 @@
 }
 
 impl PendingInvocation {
-    /// Gives the one final answer.
+    /// Sends the final answer. A second call violates an invariant.
     pub fn conclude(&mut self, answer: Answer, memory: Vec<Reservation>) {
         invariant!(!self.is_answered.get(), "an invocation is answered once");
         self.is_answered.set(true);
         if let Some(receiver) = self.answer.take() {
-            // The client may have left this moment; its connection reports that.
+            // The client may have just disconnected; its connection reports that.
             let _ = receiver.send(ReservedAnswer { answer, memory });
         }
     }
 }
 
 impl DecisionActor {
-    /// Accepts an invocation, or rejects one that is no valid request.
+    /// Accepts an invocation, or rejects an invalid request.
     pub(super) fn on_invocation(
         &mut self,
         inv: InvocationIndex,
@@ -51,7 +51,7 @@
             let _ = answer.send(Answer::Bad("unknown X-Class").into());
             return;
         };
-        // Guards against a second forward under a request id whose first forward is still out.
+        // Guards against a second forward under a request id that still has a forward in flight.
         if !self.pending_ids.insert(invocation.id.clone()) {
             let _ = answer.send(Answer::Bad("X-Request-Id is open").into());
             return;
@@ -72,10 +72,10 @@
         };
         self.pending.insert(inv, pending);
         self.handle_event(Event::Arrived(arrival));
-        self.remove_if_over(inv);
+        self.remove_if_complete(inv);
     }
 
-    /// The invocation as the policy sees it.
+    /// Converts the invocation to the policy's representation.
     fn arrival(
         &mut self,
         inv: InvocationIndex,
@@ -83,7 +83,7 @@
         invocation: &Invocation,
         received_at: Instant,
     ) -> Arrival {
-        // Whatever it says, no client waits for longer than the settings allow.
+        // The client's own timeout is limited by the timeout in the settings.
         let longest = self.timeouts[operation];
         let client_timeout = invocation
             .client_timeout_ms
@@ -115,7 +115,7 @@
         let Some(pending) = self.pending.get_mut(&inv).filter(|p| !p.is_answered.get()) else {
             return;
         };
-        // For a client that closed its side alone: what was never forwarded may be retried.
+        // The client may have closed only its sending side. An invocation that was never forwarded may be retried.
         let answer = if pending.forwards.is_empty() {
             Answer::Throttled { retry_after: 0 }
         } else {
@@ -124,10 +124,10 @@
         pending.conclude(answer, Vec::new());
         self.counts.gone += 1;
         self.handle_event(Event::ClientLeft { inv });
-        self.remove_if_over(inv);
+        self.remove_if_complete(inv);
     }
 
-    /// Answers an invocation that gets no value.
+    /// Answers an invocation without a value.
     pub(super) fn conclude(&mut self, inv: InvocationIndex, answer: Answer) {
         let pending = self.pending.get_mut(&inv);
         invariant!(
@@ -141,16 +141,16 @@
             }
             pending.conclude(answer, Vec::new());
         }
-        // Guards against keeping for good what had no forward out when it was answered: by a timer, or because
-        // another's fetch failed.
-        self.remove_if_over(inv);
+        // Guards against a leak of invocations without forwards in flight, which are answered by a timer or because
+        // another invocation's fetch failed.
+        self.remove_if_complete(inv);
     }
 
-    /// Removes the invocation once it is answered and no forward is out.
-    pub(super) fn remove_if_over(&mut self, inv: InvocationIndex) {
+    /// Removes the invocation if it is answered and has no forward in flight.
+    pub(super) fn remove_if_complete(&mut self, inv: InvocationIndex) {
         let pending = self.pending.get(&inv);
-        let is_over = pending.is_some_and(|p| p.is_answered.get() && p.forwards_out == 0);
-        if is_over && let Some(pending) = self.pending.remove(&inv) {
+        let is_complete = pending.is_some_and(|p| p.is_answered.get() && p.forwards_out == 0);
+        if is_complete && let Some(pending) = self.pending.remove(&inv) {
             self.pending_ids.remove(&pending.invocation.id);
         }
     }
--- a/crates/sparrouter-node/src/routing/decision/mod.rs
+++ b/crates/sparrouter-node/src/routing/decision/mod.rs
@@ -1,13 +1,13 @@
 //! The decision actor: the sole owner of `Policy`. It turns messages and timers into the policy's events and carries
-//! out the policy's actions; it decides nothing itself.
+//! out the policy's actions; it makes no routing decision itself.
 //!
-//! | module | its one job |
+//! | module | contents |
 //! | --- | --- |
 //! | `invocations` | invocations in flight, from their arrival to the end of their last forward |
-//! | `forwards` | forwards out, and what their ends mean for the invocation |
-//! | `servers` | actors of the cache servers, started and ended as the endpoint list says |
-//! | `actions` | what the policy orders |
-//! | `reconfigure` | new settings in a running node |
+//! | `forwards` | forwards in flight, and the effect of their results on the invocation |
+//! | `servers` | starts and ends the actors of cache servers according to the endpoint list |
+//! | `actions` | carries out the policy's actions |
+//! | `reconfigure` | applies new settings to a running node |
 //! | `counts` | the log's line of counts |
 mod actions;
 mod counts;
@@ -51,57 +51,57 @@
 /// A timer of the policy: when it fires, and the policy's token for it.
 type Timer = Reverse<(Nanos, u64)>;
 
-/// What the decision actor is made of.
+/// Components of a decision actor.
 pub struct Parameters {
-    /// The decisions.
+    /// The routing policy.
     pub policy: Policy,
-    /// Names of the settings as the policy's indices.
+    /// Maps the names of the settings to the policy's indices.
     pub names: NameTable,
     /// The policy's clock.
     pub clock: Clock,
-    /// Client timeouts by operation.
+    /// Client timeouts, indexed by operation.
     pub timeouts: Vec<Nanos>,
     /// Starts the actor of a cache server.
     pub start_peer: PeerStarter,
-    /// Mailbox of the actor that follows the endpoint list.
+    /// Mailbox of the endpoint list actor.
     pub list: mpsc::Sender<ListRequest>,
-    /// The socket to the other nodes, if there are any.
+    /// The gossip socket; `None` if the node takes no part in gossip.
     pub gossip: Option<Rc<GossipSocket>>,
 }
 
-/// The decision actor's state. Only `run` and what it calls touch it.
+/// The decision actor's state, used only by the task that executes `run`.
 pub struct DecisionActor {
     policy: Policy,
     names: NameTable,
     clock: Clock,
-    /// By operation: how long a client waits that does not say so; never less than the settings have operations.
+    /// Default client timeouts, indexed by operation, with an entry for each operation of the settings.
     timeouts: Vec<Nanos>,
-    /// Invocations that are not answered, or have a forward out.
+    /// Invocations that are not answered or have a forward in flight.
     pending: HashMap<InvocationIndex, PendingInvocation>,
-    /// The clients' request ids of all that is in `pending`.
+    /// The clients' request ids of the invocations in `pending`.
     pending_ids: HashSet<Bytes>,
-    /// By cache index; none for one that left and has no forward out.
+    /// Servers, indexed by cache index; `None` after a server has left and its last forward has ended.
     servers: Vec<Option<Server>>,
-    /// Since when cache servers are out of the list. Their names are released once nothing can refer to them any more.
+    /// Times at which cache servers left the list. Their names are released once nothing can refer to them.
     left_at: HashMap<CacheIndex, Nanos>,
     start_peer: PeerStarter,
     list: mpsc::Sender<ListRequest>,
     gossip: Option<Rc<GossipSocket>>,
     timers: BinaryHeap<Timer>,
-    /// Events that the actor itself found while it carried out actions; empty between two messages.
+    /// Events that the actor's own actions produced; empty between two messages.
     queued_events: VecDeque<Event>,
     counts: Counts,
-    /// The policy's counts of shed invocations at the last line of counts.
+    /// The policy's counts of shed invocations at the previous line of counts.
     reported_shed: ShedCounts,
     reporter: Option<Reporter>,
     quotas: Option<TenantQuotas>,
-    /// The settings' index of the origin's kind, and the cache indices that are origins.
+    /// Index of the origin's kind in the settings, and the cache indices of origins.
     origin_kind: Option<usize>,
     origins: HashSet<CacheIndex>,
 }
 
 impl DecisionActor {
-    /// An actor that knows no cache server yet and does not report.
+    /// Returns an actor without cache servers, reporter or quotas.
     pub fn new(parameters: Parameters) -> DecisionActor {
         DecisionActor {
             policy: parameters.policy,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Reports to this as well. `origin_kind`: the settings' index of the origin's kind.
+    /// Adds a reporter. `origin_kind` is the index of the origin's kind in the settings.
     pub fn with_reporter(
         mut self,
         reporter: Option<Reporter>,
@@ -136,7 +136,7 @@
         self
     }
 
-    /// Keeps the tenants' quotas by shares leased between the nodes, if the operator wants that.
+    /// Enforces the tenants' quotas by leased shares, if the operator has configured them.
     pub fn with_quotas(
         mut self,
         config: Option<&QuotaShareConfig>,
@@ -147,8 +147,8 @@
         self
     }
 
-    /// Runs until all senders of the mailbox are dropped. `known`: the list as the node last had it.
-    /// `counts_interval`: between lines of counts in the log.
+    /// Runs until all senders of the mailbox are dropped. `known` is the last endpoint list that the
+    /// node is known to have had, `counts_interval` the interval between lines of counts in the log.
     pub async fn run(
         mut self,
         known: ListUpdate,
@@ -167,7 +167,7 @@
                 },
                 () = sleep_until(wake_at) => {}
             }
-            // After each message, so that a full mailbox can't keep timers from firing.
+            // Runs after each message, so that a full mailbox can't keep timers from firing.
             self.fire_timers();
             self.tick_quotas();
             self.write_report();
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The first moment at which something is due without a message.
+    /// Returns the time of the next timer, tick or report line.
     fn next_wake(&self, next_counts: Instant) -> Instant {
         let report = self.reporter.as_ref().map(Reporter::next_line);
         let quotas = self
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Sends the messages on quota shares that are due.
+    /// Sends the quota messages that are due.
     fn tick_quotas(&mut self) {
         let now = self.clock.now();
         let Some(quotas) = self.quotas.as_mut().filter(|q| q.next_tick() <= now) else {
@@ -230,7 +230,8 @@
         }
     }
 
-    /// Gives an event to the policy and carries out its actions, also for the events that those bring about.
+    /// Passes an event to the policy and carries out its actions, then does the same for the events that the actions
+    /// queue.
     fn handle_event(&mut self, event: Event) {
         self.queued_events.push_back(event);
         while let Some(event) = self.queued_events.pop_front() {
--- a/crates/sparrouter-node/src/routing/decision/reconfigure.rs
+++ b/crates/sparrouter-node/src/routing/decision/reconfigure.rs
@@ -1,4 +1,4 @@
-//! New settings in a running node: applied completely between two events.
+//! Applies new settings to a running node, completely and between two events.
 use super::DecisionActor;
 use crate::program::operator::{Identity, QuotaShareConfig};
 use crate::program::reporter::{OperationRules, Reporter};
@@ -8,40 +8,40 @@
 use sparrouter_settings::{Settings, SettingsChange};
 use std::net::SocketAddr;
 
-/// New settings for a running node, complete and checked.
+/// Validated new settings for a running node.
 pub struct ConfigurationChange {
     /// The settings in force.
     pub old: Settings,
     /// The settings to apply.
     pub new: Settings,
-    /// Made of the new settings.
+    /// The policy that is built from the new settings.
     pub policy: Policy,
-    /// The operations of the new settings, in their order.
+    /// The operations of the new settings, in the order of the settings.
     pub operations: Vec<Operation>,
-    /// Addresses of all nodes, by number.
+    /// Gossip addresses of all nodes, indexed by node number.
     pub nodes: Vec<SocketAddr>,
-    /// Settings and nodes are as before: only discovery or the operator's file changed.
+    /// Whether settings and nodes are unchanged, so that only discovery or the operator's file differs.
     pub is_same: bool,
-    /// What becomes of the report.
+    /// The change to the reporter.
     pub reporter: ReporterChange,
     /// The configuration of the quota shares, if quotas are kept by shares.
     pub quota_shares: Option<QuotaShareConfig>,
-    /// Seed of the node's random numbers.
+    /// Seed of the node's random number generator.
     pub seed: u64,
     /// Fingerprint of the new settings.
     pub fingerprint: u64,
 }
 
-/// What becomes of the report.
+/// The change to the reporter.
 pub enum ReporterChange {
-    /// It goes on, under this identity.
+    /// Keep the reporter, under this identity.
     Identify(Identity),
-    /// It goes to another file, or to none.
+    /// Replace the reporter by one to another file, or by none.
     Replace(Option<Box<Reporter>>),
 }
 
 impl DecisionActor {
-    /// Invocations in flight keep their operation's index and with it its rules.
+    /// Applies a change. Invocations in flight keep their operation's index and thereby its rules.
     pub(super) fn apply_change(&mut self, change: ConfigurationChange) {
         let pending = &self.pending;
         let mapping = self
@@ -63,7 +63,7 @@
             self.clock.now(),
         );
         if change.is_same {
-            // Nothing that the policy has learnt is touched.
+            // The policy keeps its learned state.
             return;
         }
         let now = self.clock.now();
@@ -95,7 +95,7 @@
     }
 }
 
-/// The operations of the new settings with their names and indices.
+/// Combines the operations of the new settings with their names and indices.
 fn place_operations(
     mapping: &SettingsChange,
     settings: &Settings,
--- a/crates/sparrouter-node/src/routing/decision/servers.rs
+++ b/crates/sparrouter-node/src/routing/decision/servers.rs
@@ -1,4 +1,4 @@
-//! The actors of the cache servers and the origin: started, moved and ended as the endpoint list says.
+//! Starts, updates and ends the actors of cache servers and the origin according to the endpoint list.
 use super::DecisionActor;
 use crate::protocol::endpoint_list::Target;
 use crate::routing::peer::PeerHandle;
@@ -7,22 +7,22 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// A cache server or the origin, from its first listing until it has left and no forward is out there.
+/// A cache server or the origin, from its first listing until it has left and its last forward has ended.
 pub struct Server {
     pub peer: PeerHandle,
     endpoint: SocketAddr,
-    /// Forwards that its actor has taken and not reported the end of.
+    /// Number of forwards that the actor has accepted and whose end it has not reported.
     pub forwards_out: usize,
-    /// It left for good. Never set together with `is_missing`.
+    /// Whether the server has left permanently. Never set together with `is_missing`.
     pub has_left: bool,
-    /// Listed as draining: that binds wherever removal from the list is advice.
+    /// Whether the server is listed as draining, which is binding even if removal from the list is only advisory.
     is_draining: bool,
-    /// Removed from the list, which is advice here: the policy may still send there.
+    /// Whether the server is removed from a list whose removals are advisory: the policy may still send to it.
     is_missing: bool,
 }
 
 impl DecisionActor {
-    /// Applies a list, or changes to one, and reports it to the policy.
+    /// Applies a full list or changes to it, and reports them to the policy.
     pub(super) fn apply_list(&mut self, kind: ListKind, targets: &[Target]) {
         if kind != ListKind::Changes {
             self.remove_unlisted(targets);
@@ -59,7 +59,7 @@
         self.release_departed();
     }
 
-    /// What a full list does not name has left.
+    /// Applies `LifecycleState::Left` to all servers that the full list does not contain.
     fn remove_unlisted(&mut self, targets: &[Target]) {
         let listed: HashSet<CacheIndex> = targets
             .iter()
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The state of a cache server by the list.
+    /// Applies the listed state of a cache server.
     fn set_state(&mut self, cache: CacheIndex, endpoint: SocketAddr, state: LifecycleState) {
         if self.servers.len() <= cache {
             self.servers.resize_with(cache + 1, || None);
@@ -87,7 +87,7 @@
         self.update_server(cache, endpoint, state, is_missing);
     }
 
-    /// Starts the server's actor if there is none, passes its state on, and ends it if nothing needs it any more.
+    /// Starts the server's actor if necessary, updates its state, and ends it if it is no longer needed.
     fn update_server(
         &mut self,
         cache: CacheIndex,
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Ends those that the policy has dropped, and releases the names of those that left twice as long ago as any
-    /// invocation lasts: nothing refers to them any more.
+    /// Ends the actors of servers that the policy has dropped. Releases the names of servers that left more than twice
+    /// the longest invocation time ago, since nothing can refer to them.
     pub(super) fn release_departed(&mut self) {
         for cache in 0..self.servers.len() {
             let server = self.servers[cache].as_ref().filter(|s| s.is_missing);
--- a/crates/sparrouter-node/src/routing/endpoint_list.rs
+++ b/crates/sparrouter-node/src/routing/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The actor that follows the endpoint list: keeps a subscription at discovery and reports what changes.
+//! The endpoint list actor: maintains a subscription at discovery and reports changes to the decision actor.
 use super::Message;
 use crate::invariant::OccurrenceCounter;
 use crate::protocol::ParseError;
@@ -13,23 +13,24 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// While nothing changes discovery writes an empty line this often.
+/// Interval at which discovery writes an empty line while the list is unchanged.
 pub const HEARTBEAT: Duration = Duration::from_secs(2);
-/// After so many heartbeats without a complete line the subscription counts as lost: a machine that is partitioned off
-/// writes nothing, and its connection stays open. What changes three heartbeats after the last one counts as known; the
-/// delay before the next call and the call itself, behind those of many nodes, need the rest.
+/// Number of heartbeats without a complete line after which the subscription counts as lost: the connection to a
+/// partitioned machine stays open without traffic. A change counts as known three heartbeats after the last line; the
+/// remaining time is needed for the delay before the next call and for the call itself, queued behind those of many
+/// nodes.
 const TIMEOUT_HEARTBEATS: f64 = 1.75;
 
-/// What the decision actor requests of the list's actor.
+/// A request from the decision actor to the endpoint list actor.
 #[derive(Debug)]
 pub enum ListRequest {
-    /// Open a subscription, in place of the one there is.
+    /// Open a subscription that replaces the current one.
     Subscribe,
     /// Fetch the full list once.
     FetchFull,
 }
 
-/// What the list's actor reports to the decision actor.
+/// An event from the endpoint list actor to the decision actor.
 pub enum ListEvent {
     /// The full list, or changes to it.
     Updated(ListUpdate),
@@ -37,35 +38,35 @@
     Failed,
 }
 
-/// The actor that follows the endpoint list.
+/// The endpoint list actor.
 pub struct EndpointListActor {
-    /// Discovery's address, and whether it has moved.
+    /// Discovery's current address, with change notification.
     pub discovery: watch::Receiver<SocketAddr>,
     /// The actor's mailbox. The actor ends when its senders are dropped.
     pub requests: mpsc::Receiver<ListRequest>,
     /// The decision actor's mailbox.
     pub decisions: mpsc::Sender<Message>,
-    /// Version of the list that the decision actor has.
+    /// Version of the decision actor's list.
     pub rev: u64,
-    /// A connection that is not established by then never is.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// How long a call may take.
+    /// Timeout of a call.
     pub call_timeout: Duration,
-    /// While nothing changes discovery writes this often.
+    /// Interval of discovery's heartbeats.
     pub heartbeat: Duration,
-    /// The policy does not request subscriptions: the actor keeps one by itself. What changes counts as known whether
-    /// or not the subscription is open, so that a lost one is opened again at once and then at least this often.
+    /// Whether the actor maintains the subscription without requests of the policy. Changes count as known even while
+    /// no subscription is open, so a lost subscription is reopened immediately, then at least every `retry_interval`.
     pub is_pushed: bool,
-    /// Longest time between two calls for a lost subscription.
+    /// Longest time between two attempts to reopen a lost subscription.
     pub retry_interval: Rc<Cell<Duration>>,
-    /// Keeps many nodes that lost their subscriptions at one moment from calling in step.
+    /// Random numbers for jitter, so that nodes that lost their subscriptions together don't call in step.
     pub rng: fastrand::Rng,
 }
 
-/// A call that is under way, if there is one. It is polled in place: it outlives whatever else the actor does.
+/// The call in flight, if any. It is polled in place, so that it continues while the actor handles other events.
 type PendingCall<T> = Option<Pin<Box<dyn Future<Output = Result<T, ReadError>>>>>;
 
-/// The result of the call; never ready where there is none. Cancel-safe.
+/// Waits for the result of the call in flight; pends forever if there is none. Cancel-safe.
 async fn completed<T>(pending: &mut PendingCall<T>) -> Result<T, ReadError> {
     match pending {
         Some(call) => {
@@ -77,7 +78,7 @@
     }
 }
 
-/// Which of the two calls for a subscription.
+/// Identifies one of the two concurrent subscription calls.
 #[derive(Clone, Copy, PartialEq)]
 enum Attempt {
     First,
@@ -89,23 +90,23 @@
 struct Calls {
     /// The open subscription.
     subscription: Option<DiscoveryCall>,
-    /// It has brought a first line, which answers the call also where it is empty.
+    /// Whether the subscription has received its first line, which answers the call even if it is empty.
     answered: bool,
-    /// When it last brought a complete line.
+    /// Time of the last complete line.
     last_line: Option<Instant>,
-    /// Calls for a subscription. The second runs beside the first: one may hang at a discovery that is down, and the
-    /// other finds it back.
+    /// Subscription calls. The second runs concurrently with the first, which may hang at a discovery that is down
+    /// while the second reaches it after its recovery.
     first: PendingCall<DiscoveryCall>,
     second: PendingCall<DiscoveryCall>,
-    /// The call for the full list, and the version that was known when it was made.
+    /// The call for the full list, and the version known when it was started.
     full: PendingCall<ListUpdate>,
     full_known_rev: u64,
-    /// When a subscription is to be called for again.
+    /// Time of the next attempt to open a subscription.
     retry_at: Option<Instant>,
-    /// When a lost subscription was last called for without a delay.
+    /// Time of the last attempt that was made without a delay.
     last_immediate: Option<Instant>,
     failures: OccurrenceCounter,
-    /// Subscriptions lost one after another before any brought a list.
+    /// Number of consecutive subscriptions that were lost before any list was received.
     lost_unanswered: OccurrenceCounter,
 }
 
@@ -128,20 +129,20 @@
         }))
     }
 
-    /// Calls for a subscription, in place of the one there is.
+    /// Starts a call for a subscription that replaces the current one.
     fn subscribe(&mut self, calls: &mut Calls) {
-        // Dropped first: one subscription at a time.
+        // The current subscription is dropped first: a node has one subscription at a time.
         calls.subscription = None;
         match calls.first {
             None => calls.first = self.open_subscription(self.call_timeout),
-            // Guards against a call that hangs until long after discovery is back.
+            // Guards against a call that hangs until long after discovery has recovered.
             Some(_) => calls.second = self.open_subscription(self.call_timeout),
         }
         let next = self.next_attempt();
         calls.retry_at = self.is_pushed.then_some(next);
     }
 
-    /// When a subscription is called for once more: each node at its own time.
+    /// Time of the next attempt to open a subscription, with jitter.
     fn next_attempt(&mut self) -> Instant {
         let interval = self.retry_interval.get();
         Instant::now() + interval.mul_f64(0.5 + 0.5 * self.rng.f64())
@@ -162,9 +163,9 @@
 
     fn on_moved(&mut self, calls: &mut Calls) {
         log::info!("list: discovery is at {} now", *self.discovery.borrow());
-        // Whatever is under way hangs at the old address, or brings what does not count any more.
+        // Calls in flight hang at the old address or return obsolete lists.
         *calls = Calls::default();
-        // Its versions may be counted anew: the full list is called for.
+        // The new discovery may number its versions from the start, so the full list is requested.
         self.rev = 0;
         self.subscribe(calls);
     }
@@ -204,7 +205,7 @@
         }
         calls.subscription = None;
         if self.is_pushed && self.may_call_immediately(calls) {
-            // What changes from now on counts as known. The next calls keep their distance.
+            // Changes from now on count as known. Later attempts are delayed.
             calls.last_immediate = Some(Instant::now());
             self.subscribe(calls);
         } else if self.is_pushed {
@@ -213,8 +214,9 @@
         self.report(ListEvent::Failed).await;
     }
 
-    /// A subscription that brought a line is called for at once when it is lost, but not more often than others are: a
-    /// discovery that ends each subscription as soon as it is open would be called without a pause.
+    /// Whether a lost subscription may be reopened without a delay: it has received a line, and the last immediate
+    /// attempt is at least a retry interval ago. Otherwise a discovery that ends each subscription at once would be
+    /// called in a busy loop.
     fn may_call_immediately(&self, calls: &Calls) -> bool {
         let is_recent = |time: Instant| time.elapsed() < self.retry_interval.get();
         calls.answered && !calls.last_immediate.is_some_and(is_recent)
@@ -222,7 +224,7 @@
 
     async fn on_line(&mut self, calls: &mut Calls, line: Result<Option<ListUpdate>, ReadError>) {
         match line {
-            // Changes to an older list than the known one would undo what is known of those that drain.
+            // Changes to an older list would undo known changes of draining servers.
             Ok(Some(update)) if !update.all && update.rev < self.rev => {
                 self.rev = 0;
                 let error = ParseError("changes go back in version");
@@ -250,7 +252,7 @@
 
     async fn on_full_list(&mut self, known_rev: u64, list: Result<ListUpdate, ReadError>) {
         match list {
-            // The subscription has brought later changes meanwhile.
+            // The subscription has received later changes during the call.
             Ok(list) if list.rev < self.rev && self.rev != known_rev => {}
             Ok(list) => self.report(ListEvent::Updated(list)).await,
             Err(error) => {
@@ -291,7 +293,7 @@
     }
 }
 
-/// The next line of the subscription; never ready where there is none.
+/// Waits for the next line of the subscription; pends forever if there is no subscription.
 async fn next_line(
     subscription: &mut Option<DiscoveryCall>,
 ) -> Result<Option<ListUpdate>, ReadError> {
@@ -301,7 +303,7 @@
     }
 }
 
-/// Sleeps until a moment; for good where there is none.
+/// Sleeps until `time`; pends forever if it is `None`.
 async fn sleep_until_some(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
--- a/crates/sparrouter-node/src/routing/mod.rs
+++ b/crates/sparrouter-node/src/routing/mod.rs
@@ -1,8 +1,9 @@
-//! The actors and their mailboxes: the decision actor, which alone owns the policy, one actor for each peer, and the
-//! one that follows the endpoint list.
+//! The actors and their mailboxes: the decision actor, which is the sole owner of the policy, one actor per peer, and
+//! the endpoint list actor.
 //!
-//! Every mailbox is bounded. Client connections, peers and the list wait while the decision actor's mailbox is full;
-//! gossip is dropped. The decision actor never waits: a command that a full mailbox refuses counts as not sent.
+//! Every mailbox is bounded. Client connections, peers and the endpoint list actor wait while the decision actor's
+//! mailbox is full; gossip is dropped. The decision actor never waits: a command that a full mailbox rejects counts as
+//! not sent.
 pub mod clock;
 pub mod decision;
 pub mod endpoint_list;
@@ -17,20 +18,20 @@
 use endpoint_list::ListEvent;
 use peer::PeerEvent;
 
-/// Messages that a mailbox holds before its senders wait.
+/// Capacity of a mailbox, in messages; senders wait while it is full.
 pub const MAILBOX_CAPACITY: usize = 256;
 
-/// What the decision actor receives from all other tasks.
+/// A message from another task to the decision actor.
 pub enum Message {
-    /// From a client's connection.
+    /// An event from a client's connection.
     Client(ClientEvent),
-    /// From another node.
+    /// A datagram from another node.
     Gossip(GossipEvent),
-    /// From the actor that follows the endpoint list.
+    /// An event from the endpoint list actor.
     List(ListEvent),
-    /// From the actor of a cache server or the origin.
+    /// An event from the actor of a cache server or the origin.
     Peer(PeerEvent),
-    /// SIGHUP: the files were read again and can be applied.
+    /// A validated configuration change after SIGHUP.
     ConfigurationChanged(Box<ConfigurationChange>),
 }
 
--- a/crates/sparrouter-node/src/routing/peer.rs
+++ b/crates/sparrouter-node/src/routing/peer.rs
@@ -1,5 +1,5 @@
-//! The actor of a peer, one for each cache server and the origin: carries out the decision actor's commands, and
-//! reports the end of each forward exactly once.
+//! The actor of a peer, one for each cache server and origin. It executes the decision actor's commands and reports the
+//! end of each forward exactly once.
 use super::{MAILBOX_CAPACITY, Message};
 use crate::invariant::OccurrenceCounter;
 use crate::protocol::head::ResponseHead;
@@ -19,18 +19,19 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A withdrawn forward's close counts as arrived at the other side after this time at least.
+/// Minimum time after which the close of a withdrawn forward counts as arrived at the peer.
 const MIN_CLOSE_DELAY: Duration = Duration::from_millis(1);
-/// A withdrawn forward's close counts as arrived after this fraction of the connect timeout at most: one in eight.
+/// The close of a withdrawn forward counts as arrived at the latest after the connect timeout divided by this: one
+/// eighth.
 const MAX_CLOSE_DELAY_DIVISOR: u32 = 8;
 
-/// What a peer's actor is ordered to do.
+/// A command to a peer's actor.
 pub enum PeerCommand {
     /// Send a forward.
     Forward(Forward),
-    /// Withdraw a forward; nothing happens if it has ended.
+    /// Withdraw a forward; no effect if it has ended.
     Withdraw {
-        /// The invocation.
+        /// Index of the invocation.
         inv: InvocationIndex,
         /// Number of the forward within its invocation.
         number: usize,
@@ -39,106 +40,106 @@
     CheckHealth,
 }
 
-/// One forward of an invocation.
+/// Identifies one forward of an invocation.
 #[derive(Clone, Copy)]
 pub struct ForwardId {
-    /// The invocation.
+    /// Index of the invocation.
     pub inv: InvocationIndex,
-    /// Number within the invocation, from 0.
+    /// Number of the forward within its invocation, from 0.
     pub number: usize,
-    /// Where it goes.
+    /// The server to which it is forwarded.
     pub cache: CacheIndex,
 }
 
 /// A forward to send.
 pub struct Forward {
-    /// Which one it is.
+    /// Identifies the forward.
     pub id: ForwardId,
-    /// What to send.
+    /// The invocation to send.
     pub invocation: Rc<Invocation>,
-    /// Set once the invocation has its final answer: nothing is sent for it from then on.
+    /// Set once the invocation has its final answer; nothing is sent for it afterwards.
     pub is_answered: Rc<Cell<bool>>,
-    /// When it was ordered.
+    /// Time of the decision actor's command.
     pub ordered_at: Instant,
-    /// How long the answer is waited for, from the order.
+    /// Timeout of the answer, from `ordered_at`.
     pub timeout: Duration,
-    /// Written by then or never: the server drops a retry of what may have run before only until then.
+    /// Deadline for writing the request: the server deduplicates a retry only until this time.
     pub send_before: Option<Instant>,
 }
 
-/// What a peer's actor reports to the decision actor.
+/// An event from a peer's actor to the decision actor.
 pub enum PeerEvent {
-    /// A forward ended; exactly one for each `PeerCommand::Forward`.
+    /// A forward ended; sent exactly once for each `PeerCommand::Forward`.
     ForwardEnded {
-        /// Which one.
+        /// Identifies the forward.
         forward: ForwardId,
-        /// How.
+        /// Result of the forward.
         result: ForwardResult,
     },
     /// A health check ended.
     HealthChecked {
-        /// Where.
+        /// The checked server.
         cache: CacheIndex,
-        /// It was answered 200 in time.
+        /// Whether it was answered with 200 in time.
         ok: bool,
     },
 }
 
-/// How a forward ended.
+/// Result of a forward.
 pub struct ForwardResult {
-    /// What is known of it.
+    /// Outcome of the forward.
     pub outcome: Outcome,
-    /// From the order to the end.
+    /// Time from the command to the end of the forward.
     pub latency: Duration,
-    /// What the cache server says of its cache.
+    /// The cache result that the server reported.
     pub cache_result: Option<CacheResult>,
     /// The answer's `Content-Type`.
     pub content_type: Option<Bytes>,
-    /// The answer's body; empty where there was no answer.
+    /// The answer's body; empty if there was no answer.
     pub body: Body,
 }
 
-/// What bounds a peer's work.
+/// Timeouts and limits of a peer's actor.
 #[derive(Clone, Copy)]
 pub struct PeerLimits {
-    /// A connection that is not established by then never is.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// A health check that is not answered by then has failed.
+    /// Timeout of a health check.
     pub health_check_timeout: Duration,
-    /// Two forwards of one invocation may be out at once.
+    /// Whether two forwards of one invocation may be in flight at once.
     pub allows_hedging: bool,
 }
 
-/// What the actor and its forwards share.
+/// State shared by a peer's actor and its forwards.
 struct Peer {
     cache: CacheIndex,
     endpoint: Cell<SocketAddr>,
-    /// By the list: nothing new is sent to a server that drains or has left.
+    /// Whether the endpoint list allows new forwards: false if the server is draining or has left.
     accepts_forwards: Cell<bool>,
     pool: Rc<Pool>,
     decisions: mpsc::Sender<Message>,
     limits: PeerLimits,
-    /// What connections took of late to be established: a round trip.
+    /// Estimate of the round-trip time, from recent connects.
     round_trip: Cell<Duration>,
     memory: BodyMemory,
-    /// Answers that could not be used.
+    /// Number of invalid answers.
     invalid_answers: OccurrenceCounter,
 }
 
-/// Reaches a peer's actor. The actor ends when it is dropped.
+/// Handle to a peer's actor. The actor ends when the handle is dropped.
 pub struct PeerHandle {
     commands: mpsc::Sender<PeerCommand>,
     peer: Rc<Peer>,
 }
 
 impl PeerHandle {
-    /// Puts a command into the actor's mailbox. False where that is full.
+    /// Puts a command into the actor's mailbox. Returns false if the mailbox is full.
     pub fn command(&self, command: PeerCommand) -> bool {
         self.commands.try_send(command).is_ok()
     }
 
-    /// Sets the server's state by the list. It goes by no mailbox: commands that wait there, and forwards whose
-    /// connection is being established, were ordered under the old list, and a full mailbox would lose the new one.
+    /// Sets the server's state from the endpoint list. The update bypasses the mailbox, because it has to apply to
+    /// queued commands and to forwards that are still connecting, and because a full mailbox would lose it.
     pub fn update(&self, endpoint: SocketAddr, accepts_forwards: bool) {
         self.peer.accepts_forwards.set(accepts_forwards);
         if self.peer.endpoint.replace(endpoint) != endpoint || !accepts_forwards {
@@ -147,7 +148,7 @@
     }
 }
 
-/// Starts the actor of a peer. `memory`: for long answers.
+/// Starts the actor of a peer. `memory` is the budget for long answers.
 pub fn start(
     cache: CacheIndex,
     endpoint: SocketAddr,
@@ -195,17 +196,17 @@
     peer.pool.close(peer.cache);
 }
 
-/// How far a forward came; read also where its exchange is dropped.
+/// Progress of a forward; also read after its exchange is dropped.
 #[derive(Default)]
 struct Progress {
-    /// It had a connection.
+    /// Whether the forward has acquired a connection.
     connected: Cell<bool>,
-    /// Its last byte was written.
+    /// Whether the last byte of the request was written.
     written: Cell<bool>,
 }
 
 impl Progress {
-    /// The outcome once the time is over. What was not written completely never ran.
+    /// The outcome after a timeout. A request that was not written completely was never executed.
     fn timed_out(&self) -> Outcome {
         match (self.connected.get(), self.written.get()) {
             (_, true) => Outcome::TimedOut,
@@ -215,10 +216,10 @@
     }
 }
 
-/// How an exchange ended.
+/// Result of an exchange.
 struct ExchangeResult {
     outcome: Outcome,
-    /// The answer, where there was a complete one.
+    /// The answer, if it was complete.
     answer: Option<(ResponseHead, Body)>,
 }
 
@@ -235,8 +236,8 @@
     async fn forward(self: Rc<Self>, forward: Forward, withdrawn: oneshot::Receiver<()>) {
         let progress = Progress::default();
         let deadline = forward.ordered_at + forward.timeout;
-        // Whatever ends it, the connection is closed or back in the pool before the decision actor hears of it: a next
-        // forward must not overlap this one.
+        // The connection is closed or back in the pool before the result is reported, so that the next forward can't
+        // overlap this one.
         let ExchangeResult { outcome, answer } = tokio::select! {
             biased;
             Ok(()) = withdrawn => Outcome::Withdrawn.into(),
@@ -264,9 +265,9 @@
         let _ = self.decisions.send(Message::Peer(event)).await;
     }
 
-    /// Waits until the close of a connection can have arrived. Guards against a next forward that is there before this
-    /// one's close: on the standing test, where a close and a send fell on one instant, each such pair counted as two
-    /// forwards out at once. Where the invocation is answered there is no next one.
+    /// Waits until the close of the connection can have arrived at the peer. Guards against a next forward that arrives
+    /// before the close: a close and a send at the same instant counted as two forwards in flight at once. There is no
+    /// next forward if the invocation is answered.
     async fn await_close_arrival(&self, is_answered: &Cell<bool>) {
         if is_answered.get() {
             return;
@@ -305,9 +306,9 @@
         self.exchange_result(reply, progress)
     }
 
-    /// While the connection was established things may have changed. Nothing is sent for an answered invocation, to a
-    /// server that drains or has moved, after the time until which a retry is dropped, or after the forward's own time;
-    /// none of it speaks against the server.
+    /// Checks the forward again after the connect. Nothing is sent for an answered invocation, to a server that is
+    /// draining or has moved, after `send_before`, or after the forward's timeout. None of these counts as a failure
+    /// of the server.
     fn may_send(&self, forward: &Forward, link: &Link) -> bool {
         let is_late = forward
             .send_before
@@ -344,37 +345,37 @@
         }
     }
 
-    /// Whether the connection leads to the server as it is listed now. Guards against an address that was another
-    /// server's when the connection was established.
+    /// Whether the connection leads to the server's listed address. Guards against an address that belonged to another
+    /// server when the connection was established.
     fn is_current(&self, link: &Link) -> bool {
         self.accepts_forwards.get() && link.endpoint == self.endpoint.get()
     }
 
-    /// Gives a connection back to the pool.
+    /// Returns a connection to the pool.
     fn release(&self, link: Link) {
         if self.is_current(&link) {
             self.pool.release(self.cache, link);
         }
     }
 
-    /// A connection of the pool, or a new one; the forward's outcome where there is none.
+    /// Acquires a connection from the pool, or a new one. The error is the outcome of the forward.
     async fn acquire_link(&self) -> Result<Link, Outcome> {
         if let Some(link) = self.pool.acquire(self.cache) {
             return Ok(link);
         }
-        // For want of descriptors here: no fault of the cache server.
+        // The node has no free descriptor, which is not a failure of the cache server.
         let descriptor = self.pool.reserve_descriptor().ok_or(Outcome::NotSent)?;
         let start = Instant::now();
         let connected =
             Link::connect(self.endpoint.get(), self.limits.connect_timeout, descriptor).await;
         if connected.is_ok() {
-            // The longest of late, falling by an eighth each time.
-            let faded = self.round_trip.get() * 7 / 8;
-            self.round_trip.set(start.elapsed().max(faded));
+            // Maximum of recent connects, which decays by an eighth with each connect.
+            let decayed = self.round_trip.get() * 7 / 8;
+            self.round_trip.set(start.elapsed().max(decayed));
             self.pool.opened.set(self.pool.opened.get() + 1);
         }
         connected.map_err(|error| match error.kind() {
-            // It was established and broke: somebody listens there.
+            // The connection was established and then reset, so the server is listening.
             ErrorKind::ConnectionReset => Outcome::Broken,
             _ => Outcome::Unavailable,
         })
@@ -389,7 +390,7 @@
         let _ = self.decisions.send(Message::Peer(event)).await;
     }
 
-    /// Whether it answers `/health/live` with 200; none without an answer.
+    /// Whether the server answers `/health/live` with 200; `None` without an answer.
     async fn is_live(&self) -> Option<bool> {
         let written = Cell::new(false);
         let link = self.acquire_link().await.ok()?;
--- a/crates/sparrouter-node/src/routing/quota.rs
+++ b/crates/sparrouter-node/src/routing/quota.rs
@@ -1,5 +1,5 @@
-//! This node's shares of the tenants' quotas that all nodes keep together. Lending and borrowing of shares is decided
-//! in `sparrouter-shares`; this module brings settings and time to it and its messages to the sockets.
+//! This node's shares of the tenants' quotas, which all nodes enforce together. `sparrouter-shares` decides on lending
+//! and borrowing; this module supplies it with settings and time, and passes its messages to the sockets.
 use crate::program::operator::QuotaShareConfig;
 use sparrouter_balancer::types::Nanos;
 use sparrouter_report::Share;
@@ -7,24 +7,24 @@
 use sparrouter_shares::shares::ClusterPosition;
 use sparrouter_shares::{Limit, QuotaShares, SECOND, message};
 
-/// Nanoseconds of a millisecond.
+/// One millisecond in nanoseconds.
 const MS: Nanos = 1_000_000;
-/// The number of a limit is one byte in messages between nodes: later tenants have no quota by shares.
+/// Maximum number of limits: quota messages number them in one byte. Tenants beyond it have no quota by shares.
 const MAX_LIMITS: usize = u8::MAX as usize;
 
 const _: () = assert!(SECOND == sparrouter_balancer::types::SECOND);
 
-/// The quotas of the tenants, by the tenants' indices in the settings.
+/// The tenants' quotas, indexed as the tenants in the settings.
 pub struct TenantQuotas {
     config: QuotaShareConfig,
-    /// Names of the tenants with a limit, as many as `shares` has limits.
+    /// Names of the tenants with a limit, one for each limit of `shares`.
     names: Vec<String>,
     shares: QuotaShares,
 }
 
-/// A quota message to another node.
+/// A quota message to be sent to another node.
 pub struct OutgoingMessage {
-    /// Number of the node.
+    /// Number of the receiving node.
     pub peer: usize,
     /// The encoded message.
     pub text: Vec<u8>,
@@ -62,7 +62,7 @@
 }
 
 impl TenantQuotas {
-    /// The quotas of a node that starts, or whose leases have other times from now on.
+    /// Returns the initial quotas, at the node's start or after the lease configuration has changed.
     pub fn new(
         config: &QuotaShareConfig,
         settings: &Settings,
@@ -83,8 +83,8 @@
         }
     }
 
-    /// The quotas under new settings: the old ones updated, new ones where the configuration of the leases differs,
-    /// none where the operator wants none.
+    /// Returns the quotas under new settings: `old` updated, or initial quotas if the lease configuration differs.
+    /// `None` if quota shares are not configured.
     pub fn apply_settings(
         old: Option<TenantQuotas>,
         config: Option<&QuotaShareConfig>,
@@ -105,7 +105,7 @@
         Some(quotas)
     }
 
-    /// Counts an invocation of a tenant. Returns whether it is within the quota; none for a tenant without a limit.
+    /// Counts an invocation of a tenant. Returns whether it is within the quota; `None` if the tenant has no limit.
     pub fn try_acquire(&mut self, tenant: usize, now: Nanos) -> Option<bool> {
         (tenant < self.names.len()).then(|| self.shares.try_acquire(tenant, now))
     }
@@ -115,17 +115,17 @@
         text.first() == Some(&message::FIRST_BYTE)
     }
 
-    /// Handles a quota message. Returns the answer to its sender, if there is one.
+    /// Handles a quota message. Returns the reply to the sender, if any.
     pub fn receive(&mut self, peer: usize, text: &[u8], now: Nanos) -> Option<Vec<u8>> {
         self.shares.receive(peer, text, now)
     }
 
-    /// When `tick` is due.
+    /// Time at which `tick` is due.
     pub fn next_tick(&self) -> Nanos {
         self.shares.next_tick()
     }
 
-    /// Renews what has to be renewed. Returns the messages to send.
+    /// Renews leases that are due. Returns the messages to send.
     pub fn tick(&mut self, now: Nanos) -> Vec<OutgoingMessage> {
         let messages = self.shares.tick(now);
         messages
@@ -134,7 +134,7 @@
             .collect()
     }
 
-    /// What the node's report says of each limit.
+    /// Returns the report's entry for each limit.
     pub fn report(&mut self, now: Nanos) -> Vec<Share> {
         let mut rows = Vec::with_capacity(self.names.len());
         for (limit, name) in self.names.iter().enumerate() {
--- a/crates/sparrouter-node/src/routing/tests/endpoint_list.rs
+++ b/crates/sparrouter-node/src/routing/tests/endpoint_list.rs
@@ -1,5 +1,4 @@
-//! The actor that follows the endpoint list alone, against a discovery that does what each case says, at the moment
-//! that it names.
+//! Tests of the endpoint list actor against a discovery that each case scripts.
 use crate::protocol::endpoint_list::ListUpdate;
 use crate::routing::Message;
 use crate::routing::endpoint_list::{EndpointListActor, ListEvent, ListRequest};
@@ -16,7 +15,7 @@
 const MS: Duration = Duration::from_millis(1);
 const OPEN: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// What the actor is connected to: the decision actor's mailbox, its own, and discovery's address.
+/// The channels of the actor: the decision actor's mailbox, its own mailbox, and discovery's address.
 struct ActorFixture {
     events: mpsc::Receiver<Message>,
     requests: mpsc::Sender<ListRequest>,
@@ -24,7 +23,7 @@
 }
 
 impl ActorFixture {
-    /// The next update; none for a call that failed, or a subscription that was lost.
+    /// The next event: an update, or `None` for a failed call or a lost subscription.
     async fn next_event(&mut self) -> Option<ListUpdate> {
         match timeout(5000 * MS, self.events.recv())
             .await
@@ -32,10 +31,10 @@
         {
             Some(Message::List(ListEvent::Updated(update))) => Some(update),
             Some(Message::List(ListEvent::Failed)) => None,
-            _ => panic!("the list's actor reports lists alone"),
+            _ => panic!("the endpoint list actor reports only list events"),
         }
     }
-    /// The next update, past what failed.
+    /// The next update, skipping failures.
     async fn next_update(&mut self) -> ListUpdate {
         loop {
             if let Some(update) = self.next_event().await {
@@ -61,7 +60,7 @@
         decisions,
         rev: 41,
         connect_timeout: 500 * MS,
-        // Far longer than any case waits: whatever needs it to run out fails.
+        // Much longer than any case waits, so that a case that depends on this timeout fails.
         call_timeout: 60_000 * MS,
         heartbeat: 600 * MS,
         is_pushed,
@@ -76,7 +75,7 @@
     }
 }
 
-/// The next call and its first line.
+/// Accepts the next call and reads its first line.
 async fn call(listener: &TcpListener) -> (TcpStream, String) {
     let (mut stream, _) = timeout(5000 * MS, listener.accept())
         .await
@@ -115,7 +114,7 @@
     format!(r#"{{"rev":{rev},"all":{all},"targets":[{target}]}}"#)
 }
 
-/// A subscription that is open, its first line reported.
+/// Starts an actor with an open subscription whose first line is reported.
 async fn subscribed(is_pushed: bool) -> (TcpListener, TcpStream, ActorFixture) {
     let (listener, address) = bind().await;
     let mut actor = start(address, is_pushed);
@@ -130,8 +129,8 @@
     (listener, stream, actor)
 }
 
-/// A discovery that ends or breaks each subscription, at once or behind a valid line, is called at the retry interval
-/// and not without a pause: every call costs both sides, and each lost subscription a line of the log.
+/// A discovery that ends or breaks each subscription, immediately or after a valid line, is called at the retry
+/// interval and not in a busy loop: each call costs both sides, and each lost subscription logs a line.
 #[test]
 fn a_pushed_subscription_that_is_lost_repeatedly_is_retried_at_the_interval() {
     let bad = "{\"rev\":oops}\n";
@@ -150,7 +149,8 @@
                 calls += 1;
                 while actor.events.try_recv().is_ok() {}
             }
-            // The interval is 100 ms and each wait at least half of it; one more without a delay in each of them.
+            // The interval is 100 ms and each delay at least half of it; each interval allows one more call without a
+            // delay.
             assert!(
                 (5..=35).contains(&calls),
                 "{text:?}: {calls} calls in a second"
@@ -159,8 +159,8 @@
     }
 }
 
-/// Where the list is pushed what changes counts as known at once: a subscription that was closed or reset is opened
-/// again at once, also while a call for the full list hangs.
+/// If the list is pushed, changes count as known at once: a closed or reset subscription is reopened immediately, even
+/// while a call for the full list hangs.
 #[test]
 fn a_pushed_subscription_that_ends_is_reopened_immediately() {
     for reset in [false, true] {
@@ -184,7 +184,7 @@
     }
 }
 
-/// Discovery goes down during a call and comes back: the call hangs for good, another is made beside it.
+/// Discovery goes down during a call and recovers: the call hangs forever, and the actor makes a second call.
 #[test]
 fn a_call_that_hangs_does_not_block_a_pushed_subscription() {
     run_local(async {
@@ -198,12 +198,12 @@
         stream.write_all(OPEN.as_bytes()).await.unwrap();
         write_chunk(&mut stream, &list(42, true, "in_service")).await;
         assert_eq!(actor.next_update().await.rev, 42);
-        // It is open again, so that no call follows.
+        // The subscription is open again, so no call follows.
         assert!(timeout(300 * MS, listener.accept()).await.is_err());
     });
 }
 
-/// A discovery that needs longer than the time between attempts is heard all the same.
+/// The answer of a discovery that takes longer than the time between attempts is still accepted.
 #[test]
 fn an_answer_slower_than_the_next_attempt_still_counts() {
     run_local(async {
@@ -221,8 +221,8 @@
     });
 }
 
-/// The time-out counts from the last complete line: an incomplete line, or a byte now and then, does not keep a
-/// subscription alive; nor does a call that is made meanwhile.
+/// The timeout starts at the last complete line: neither an incomplete line, nor single bytes, nor a concurrent call
+/// keeps a subscription alive.
 #[test]
 fn an_incomplete_line_and_a_trickle_time_out() {
     for trickle in [false, true] {
@@ -255,13 +255,13 @@
                 assert!(first.contains("watch=1&after=41"), "{first}");
             };
             tokio::select! { () = drip => {}, () = reopened => {} }
-            // Before three heartbeats are over it has to be open again, and the call takes its time.
+            // The subscription has to be open again within three heartbeats, including the time of the call.
             assert!(start.elapsed() < 1300 * MS, "{:?}", start.elapsed());
         });
     }
 }
 
-/// Lists may be indented, on a subscription and as a full list, with or without a line's end behind them.
+/// Lists may be indented, in a subscription and as a full list, with or without a final line end.
 #[test]
 fn indented_lists_are_read() {
     run_local(async {
@@ -283,7 +283,7 @@
         let text = format!("\n{}", list(44, true, "in_service").replace(',', ",\n\t"));
         answer(&mut full, &text).await.unwrap();
         assert_eq!(actor.next_update().await.rev, 44);
-        // The subscription has gone on meanwhile.
+        // The subscription has continued in the meantime.
         write_chunk(
             &mut stream,
             &format!("{}\n", list(45, false, "terminating")),
@@ -293,8 +293,8 @@
     });
 }
 
-/// A full list that was on its way while the subscription brought later changes would undo them, and so would changes
-/// to an older list.
+/// Guards against a full list, or changes to an older list, that undo later changes which the subscription has already
+/// delivered.
 #[test]
 fn an_older_list_does_not_undo_later_changes() {
     run_local(async {
@@ -315,7 +315,7 @@
             actor.next_event().await.is_none(),
             "lost, and nothing undone"
         );
-        // From the beginning: its versions may be invariant anew.
+        // The request starts from version 0: the new discovery may number its versions from the start.
         actor.requests.send(ListRequest::Subscribe).await.unwrap();
         let (mut stream, first) = call(&listener).await;
         assert!(first.contains("watch=1&after=0"), "{first}");
@@ -325,7 +325,7 @@
     });
 }
 
-/// A list of the old discovery that is still on its way when the node is sent to another.
+/// Guards against a list of the old discovery that is in transit when the discovery address changes.
 #[test]
 fn calls_in_flight_when_discovery_moves_are_dropped() {
     run_local(async {
@@ -351,8 +351,8 @@
     });
 }
 
-/// Where the policy requests subscriptions, it alone requests them again: one call for each request, and each is
-/// answered.
+/// If the policy requests subscriptions, the actor does not retry on its own: it makes one call for each request and
+/// reports each result.
 #[test]
 fn a_requested_subscription_is_left_to_the_policy() {
     run_local(async {
@@ -361,7 +361,7 @@
         assert!(actor.next_event().await.is_none());
         assert!(
             timeout(300 * MS, listener.accept()).await.is_err(),
-            "nobody has requested it"
+            "no subscription was requested"
         );
         actor.requests.send(ListRequest::Subscribe).await.unwrap();
         let (mut refused, _) = call(&listener).await;
@@ -370,7 +370,7 @@
             .await
             .unwrap();
         assert!(actor.next_event().await.is_none());
-        // One that hangs gives way to the next.
+        // A hanging call is replaced by the next.
         actor.requests.send(ListRequest::Subscribe).await.unwrap();
         let (_hangs, _) = call(&listener).await;
         actor.requests.send(ListRequest::Subscribe).await.unwrap();
--- a/crates/sparrouter-node/src/routing/tests/peer.rs
+++ b/crates/sparrouter-node/src/routing/tests/peer.rs
@@ -1,4 +1,4 @@
-//! A peer's actor alone, against a cache server that does what each case says, at the moment that it names.
+//! Tests of a peer's actor against a cache server that each case scripts.
 use crate::protocol::messages::Invocation;
 use crate::routing::Message;
 use crate::routing::peer::{
@@ -53,8 +53,8 @@
     }
 }
 
-/// One forward that the other side has received completely, then withdrawn: when the other side saw the close, and when
-/// the decision actor got the result, both since the withdrawal.
+/// Withdraws a forward that the cache server has received completely. Returns the times from the withdrawal until the
+/// cache server saw the close and until the decision actor got the result.
 fn withdraw_forward() -> (Duration, Duration) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -97,8 +97,8 @@
     })
 }
 
-/// Guards against two forwards at once where hedging is not allowed: a next forward may be sent only once the close of
-/// the one before can have arrived.
+/// Guards against two forwards in flight if hedging is not allowed: the next forward may be sent only after the close
+/// of the previous one can have arrived.
 #[test]
 fn a_withdrawn_forward_is_reported_once_its_close_can_have_arrived() {
     let (closed, reported) = withdraw_forward();
@@ -108,8 +108,8 @@
     );
 }
 
-/// A peer's actor and the cache server's side of it. That side's streams are those of the standard library, so that what
-/// it does has reached the system before the actor runs again, while the runtime has not looked yet.
+/// A peer's actor and a scripted cache server. The server uses blocking streams of the standard library, so that its
+/// writes and closes have reached the kernel before the actor runs again and before the runtime has polled the socket.
 struct PeerFixture {
     listener: TcpListener,
     peer: PeerHandle,
@@ -164,7 +164,7 @@
             _ => panic!("nothing but a forward's end"),
         }
     }
-    /// One forward on a new connection, answered; the connection is idle from now on.
+    /// Completes one forward on a new connection, which is idle afterwards.
     async fn idle_connection(&mut self) -> TcpStream {
         self.send(1);
         let mut stream = self.accept().await;
@@ -175,7 +175,7 @@
     }
 }
 
-/// The next byte; none at the end. The runtime goes on while there is none yet.
+/// Reads the next byte; `None` at the end of the stream. The runtime runs while no byte is available.
 async fn byte(stream: &mut TcpStream) -> Option<u8> {
     let mut byte = [0];
     for _ in 0..5000 {
@@ -200,8 +200,8 @@
     head(stream).await;
 }
 
-/// The cache server closes an idle connection, or writes into it what nobody requested, just as a request is to be
-/// sent: it goes out on another connection, and what was written there is no answer to it.
+/// The cache server closes an idle connection, or writes unrequested data to it, just before a request is sent: the
+/// request is sent on another connection, and the unrequested data is not taken for its answer.
 #[test]
 fn bytes_on_an_idle_connection_are_noticed_before_a_request_is_sent() {
     for unsolicited in [&b""[..], b"HTTP/1.", HIT] {
@@ -227,7 +227,7 @@
     }
 }
 
-/// By the list the server drains, or has moved, while a forward waits in the mailbox or its connection is established.
+/// The list marks the server as draining or changes its address while a forward waits in the mailbox or connects.
 #[test]
 fn the_list_applies_to_forwards_already_ordered() {
     run_local(async {
@@ -245,7 +245,7 @@
             None,
             "nothing is sent to one that drains"
         );
-        // Its connection leads to the old address when another one is listed.
+        // The connection leads to the old address after another one is listed.
         fixture.peer.update(old, true);
         fixture.send(2);
         let mut in_flight = fixture.accept().await;
@@ -264,7 +264,7 @@
     });
 }
 
-/// The time within which a retry is dropped ends between the decision and the write, or during the write.
+/// The deduplication window of a retry ends between the decision and the write, or during the write.
 #[test]
 fn nothing_is_sent_past_the_deduplication_window() {
     run_local(async {
@@ -275,7 +275,7 @@
             Some(Instant::now())
         ))));
         assert_eq!(fixture.forward_result().await.outcome, Outcome::NotSent);
-        // The connection that was established for it is idle, and the next one uses it.
+        // The connection that was established for the forward is idle, and the next forward uses it.
         let mut stream = fixture.accept().await;
         assert!(fixture.peer.command(PeerCommand::Forward(forward(
             2,
@@ -285,7 +285,7 @@
         request(&mut stream).await;
         stream.write_all(HIT).unwrap();
         assert_eq!(fixture.forward_result().await.outcome, Outcome::Succeeded);
-        // More than the buffers of the connection take while nobody reads.
+        // Longer than the buffers of the connection, which the server does not read.
         let body = Bytes::from(vec![b'x'; 32 << 20]);
         let long = Invocation {
             body: body.clone(),
@@ -306,13 +306,13 @@
     });
 }
 
-/// The invocation is answered, by its client's time-out for one, while its forward's write waits for a server that does
-/// not read: what is not written yet never is, also before the withdrawal has come through the mailbox.
+/// The invocation is answered, for example by its client timeout, while its forward's write waits for a server that
+/// does not read: the rest is not written, even before the withdrawal has passed the mailbox.
 #[test]
 fn a_write_that_waits_ends_once_its_invocation_is_answered() {
     run_local(async {
         let mut fixture = PeerFixture::new().await;
-        // More than the buffers of the connection take while nobody reads.
+        // Longer than the buffers of the connection, which the server does not read.
         let body = Bytes::from(vec![b'x'; 32 << 20]);
         let long = Invocation {
             body: body.clone(),
@@ -333,7 +333,8 @@
     });
 }
 
-/// An answer without a length ends with its connection; a reset is no end, soon after the head or long after.
+/// An answer without a length ends with its connection. A reset is not a valid end, soon after the head or long after
+/// it.
 #[test]
 fn an_answer_without_a_length_ends_with_its_connection_and_with_nothing_else() {
     for (reset, late) in [(false, 0), (false, 60), (true, 0), (true, 60)] {
@@ -362,15 +363,15 @@
                 (Outcome::Succeeded, &b"all"[..])
             };
             assert_eq!((result.outcome, &result.body.bytes[..]), expected);
-            // It carries no other exchange.
+            // The connection carries no other exchange.
             fixture.send(2);
             request(&mut fixture.accept().await).await;
         });
     }
 }
 
-/// The client has left while the connection for its forward was established: nothing is written, and the connection is
-/// there for the next one.
+/// The client disconnected while its forward was connecting: nothing is written, and the connection is available for
+/// the next forward.
 #[test]
 fn a_connection_established_for_a_client_that_left_carries_nothing_of_it() {
     run_local(async {
@@ -397,7 +398,7 @@
     });
 }
 
-/// The client timeout ends while a forward waits in the mailbox: an idle connection would take it at once.
+/// The client timeout ends while a forward waits in the mailbox. An idle connection is available, but nothing is sent.
 #[test]
 fn nothing_is_sent_after_its_timeout() {
     run_local(async {
--- a/crates/sparrouter-node/src/transport/budget.rs
+++ b/crates/sparrouter-node/src/transport/budget.rs
@@ -1,26 +1,27 @@
-//! The descriptors that a process may hold, split between those who open sockets, and memory for long answers.
+//! Budgets of file descriptors, split between clients and peers, and of memory for long answers.
 use crate::protocol::{MAX_BODY, MAX_HEAD};
 use bytes::Bytes;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Descriptors for the runtime, the listener, gossip, discovery and the log.
+/// Descriptors reserved for the runtime, the listener, gossip, discovery and the log.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Fraction of the rest for client connections.
+/// Fraction of the remaining descriptors for client connections.
 const CLIENT_FRACTION: f64 = 0.6;
-/// Fraction of the rest for client connections beyond those, which are accepted to be rejected.
+/// Fraction of the remaining descriptors for excess client connections, which are accepted only to reject their
+/// requests.
 const OVERFLOW_FRACTION: f64 = 0.05;
 
-/// So many descriptors, or pages of memory, for one use.
+/// A limited number of descriptors or memory units for one purpose.
 pub struct Budget {
     limit: usize,
-    /// The sum of all reservations; at most `limit`.
+    /// Sum of all reservations; at most `limit`.
     reserved: Cell<usize>,
     released: Notify,
 }
 
-/// The right to so much of a budget, given back when dropped.
+/// A reserved part of a budget, released on drop.
 pub struct Reservation {
     budget: Rc<Budget>,
     count: usize,
@@ -35,7 +36,7 @@
 }
 
 impl Budget {
-    /// A budget of `limit`, at least 1.
+    /// Returns a budget of `limit` units, at least 1.
     pub fn new(limit: usize) -> Rc<Budget> {
         Rc::new(Budget {
             limit: limit.max(1),
@@ -44,12 +45,12 @@
         })
     }
 
-    /// How much is reserved now.
+    /// Number of reserved units.
     pub fn reserved(&self) -> usize {
         self.reserved.get()
     }
 
-    /// Reserves one, if there is one left.
+    /// Reserves one unit; `None` if the budget is exhausted.
     pub fn reserve(self: &Rc<Self>) -> Option<Reservation> {
         self.reserve_many(1)
     }
@@ -64,28 +65,28 @@
         })
     }
 
-    /// Waits until a reservation is given back.
+    /// Waits until a reservation is released.
     pub async fn released(&self) {
         self.released.notified().await;
     }
 }
 
-/// Memory for what of a body goes beyond the usual `MAX_BODY`. Guards against answers of some hundred KiB that were
-/// valid and thrown away, and against many at once that would exhaust the node's memory.
+/// Memory for bodies longer than the usual `MAX_BODY`. It allows valid answers of some hundred KiB, and guards against
+/// many of them at once exhausting the node's memory.
 #[derive(Clone)]
 pub struct BodyMemory(Option<Rc<Budget>>);
 
 impl BodyMemory {
-    /// None beyond the usual.
+    /// No memory beyond `MAX_BODY`.
     pub const USUAL: BodyMemory = BodyMemory(None);
 
-    /// A quarter of the node's memory, which is in bytes.
+    /// Returns a budget of a quarter of the node's `memory`, in bytes.
     pub fn of(memory: usize) -> BodyMemory {
         BodyMemory(Some(Budget::new(memory / 4 / MAX_BODY)))
     }
 
-    /// Reserves memory for a body of `length` bytes, beyond what was reserved for it before. One body gets a quarter at
-    /// most. False where there is not enough.
+    /// Extends the body's reservations to `length` bytes. One body gets at most a quarter of the budget. Returns false
+    /// if the remaining budget is too small.
     pub fn reserve(&self, length: usize, reservations: &mut Vec<Reservation>) -> bool {
         let pages = length.div_ceil(MAX_BODY).saturating_sub(1);
         let reserved = reservations.iter().map(|r| r.count).sum();
@@ -102,27 +103,27 @@
     }
 }
 
-/// A complete body, with the right to the memory that it takes.
+/// A complete body with its memory reservations.
 #[derive(Default)]
 pub struct Body {
-    /// Its bytes.
+    /// The bytes of the body.
     pub bytes: Bytes,
-    /// What was reserved for it beyond the usual.
+    /// Reservations for the length beyond `MAX_BODY`.
     pub reservations: Vec<Reservation>,
 }
 
-/// How the descriptors are split.
+/// The split of the descriptors between clients and peers.
 pub struct DescriptorSplit {
-    /// For client connections, also those that are accepted to be rejected.
+    /// Descriptors for client connections, including those whose requests are rejected.
     pub clients: Rc<Budget>,
-    /// How many clients are served.
+    /// Maximum number of clients that are served.
     pub max_served: usize,
-    /// For connections to peers.
+    /// Descriptors for connections to peers.
     pub peers: Rc<Budget>,
 }
 
-/// Splits `sockets` descriptors. Each connection may at the worst have one message that is read and one that is
-/// written, so `memory`, in bytes, bounds them too.
+/// Splits `sockets` descriptors. In the worst case each connection buffers one message for reading and one for writing,
+/// so `memory`, in bytes, limits the number of connections too.
 pub fn split(sockets: usize, memory: usize) -> DescriptorSplit {
     let free = sockets.saturating_sub(RESERVED_DESCRIPTORS) as f64;
     let max_by_memory = (memory / 4 / (MAX_HEAD + MAX_BODY)).max(1);
--- a/crates/sparrouter-node/src/transport/client.rs
+++ b/crates/sparrouter-node/src/transport/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection: one invocation at a time, each with exactly one answer.
+//! A client connection, which carries one invocation at a time, each with exactly one answer.
 use super::budget::{BodyMemory, Reservation};
 use super::idle::IdleConnections;
 use super::reading::{self, ReadError};
@@ -15,27 +15,27 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// A connection with nothing in flight may be closed after 2 s; one that idles for good occupies a descriptor.
+/// Idle timeout of a client connection, which occupies a descriptor. The protocol allows the close after 2 s.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
-/// A complete message takes no longer, the first one counted from the connect: by 3 s a client whose message can't be
-/// used has to get an error or a close.
+/// Timeout for receiving a complete message; for the first message it starts at the connect. Within 3 s a client with
+/// an unusable message has to get an error or a close.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2600);
-/// The first message of a connection that was accepted while the node drains is waited for so long.
+/// Timeout for the first message of a connection that was accepted while the node drains.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Between looks whether a client that has sent more has closed its side.
+/// Interval of checks whether a client that has sent further data has closed its side.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Bytes that are read at a time of what the system has buffered.
+/// Size of one read, in bytes.
 const READ_SIZE: usize = 4 << 10;
-/// How long the end of the client's side is waited for after the node has closed its own.
+/// Timeout for the client's close after the node has closed its side.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// How many bytes are still read of what a client sends after an error.
+/// Maximum number of bytes that are read from a client after an error.
 const LINGER_BYTES: usize = 256 << 10;
 
-/// The final answer, with the right to the memory that it takes until it is written.
+/// The final answer, with its memory reservations until it is written.
 pub struct ReservedAnswer {
-    /// The answer.
+    /// The final answer.
     pub answer: Answer,
-    /// What was reserved for its body beyond the usual.
+    /// Reservations for the length of the body beyond `MAX_BODY`.
     pub memory: Vec<Reservation>,
 }
 
@@ -48,50 +48,50 @@
     }
 }
 
-/// What a client's connection reports to the decision actor.
+/// An event from a client connection to the decision actor.
 pub enum ClientEvent {
     /// An invocation was received.
     Received {
-        /// The node's number for it.
+        /// Index of the invocation in this node.
         inv: InvocationIndex,
-        /// What the client sent.
+        /// The client's request.
         invocation: Rc<Invocation>,
-        /// When it was received completely.
+        /// Time at which the request was received completely.
         received_at: Instant,
-        /// Where its one answer goes.
+        /// Channel for the only answer.
         answer: oneshot::Sender<ReservedAnswer>,
     },
-    /// The client has left, or closed its side, while its invocation was in flight.
+    /// The client has disconnected, or closed its side, while its invocation was in flight.
     Left {
-        /// The node's number for the invocation.
+        /// Index of the invocation in this node.
         inv: InvocationIndex,
     },
 }
 
-/// How far the node is in its graceful shutdown.
+/// Stage of the node's graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 pub enum ServingStage {
     /// Not shutting down.
     Serving,
-    /// Not ready any more, but all that is received is still answered.
+    /// The node is not ready, but still answers all received requests.
     Draining,
-    /// Connections between invocations are closed.
+    /// Idle connections are closed.
     Closing,
 }
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub struct ClientContext<M> {
     /// The decision actor's mailbox.
     pub mailbox: mpsc::Sender<M>,
-    /// How far the node is in its shutdown.
+    /// Stage of the node's shutdown.
     pub stage: watch::Receiver<ServingStage>,
-    /// The idle connections.
+    /// The idle client connections.
     pub idle: Rc<IdleConnections>,
-    /// Longest time for a message to be received or an answer to be written: the longest client timeout.
+    /// Timeout for receiving a message or writing an answer: the longest client timeout.
     pub max_timeout: Cell<Duration>,
-    /// Once the node drains: an invocation that may not be over by then is rejected.
+    /// Set once the node drains: an invocation that may not complete before this time is rejected.
     pub shutdown_deadline: Cell<Option<Instant>>,
-    /// Number of the next invocation.
+    /// Index of the next invocation.
     pub next_invocation: Cell<InvocationIndex>,
 }
 
@@ -100,15 +100,15 @@
     buffer: BytesMut,
     context: Rc<ClientContext<M>>,
     connected_at: Instant,
-    /// No complete message has been received.
+    /// Whether no complete message has been received yet.
     is_new: bool,
-    /// Beyond what the node can serve: answered at once, without the decision actor.
+    /// Whether the node has too many clients to serve this one: requests are rejected without the decision actor.
     is_rejected: bool,
-    /// It has closed its side.
+    /// Whether the client has closed its side.
     has_closed: bool,
 }
 
-/// Serves a client's connection until it closes. `is_rejected`: its invocations are answered 503 at once.
+/// Serves a client connection until it closes. If `is_rejected` is true, invocations are answered with 503 immediately.
 pub async fn serve_connection<M: From<ClientEvent>>(
     stream: TcpStream,
     descriptor: Reservation,
@@ -134,12 +134,12 @@
         *self.context.stage.borrow()
     }
 
-    /// Reads one message and answers it; none once the connection is to be closed.
+    /// Reads one message and answers it. Returns `None` if the connection is to be closed.
     async fn serve_message(&mut self) -> Option<()> {
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
             let first = timeout(IDLE_TIMEOUT, self.wait_for_message()).await;
-            // Guards against closing over a message that was received since the runtime last looked.
+            // Guards against closing a connection whose next message was received since the last poll.
             let is_idle = first.ok().flatten().is_none();
             if is_idle && (!self.read_buffered() || self.buffer.is_empty()) {
                 return None;
@@ -156,7 +156,7 @@
                 .await;
         }
         let ReservedAnswer { answer, memory } = self.answer(&request, body, received_at).await?;
-        // What has been read behind it is answered first.
+        // Pipelined messages that are already read are answered first.
         let has_more = !self.buffer.is_empty() && self.stage() < ServingStage::Closing;
         let stays_open = self.stage() == ServingStage::Serving && !self.has_closed;
         let keep_alive = request.keep_alive && !self.is_rejected && (has_more || stays_open);
@@ -167,8 +167,8 @@
         sent
     }
 
-    /// Receives the rest of a message. Where it can't be used, or its descriptor is needed, the client gets its answer
-    /// here and the connection is to be closed.
+    /// Receives the rest of a message. If the message is invalid, or the descriptor is needed for another client, this
+    /// function answers the client and returns `None`: the connection is to be closed.
     async fn receive_message(&mut self) -> Option<(RequestHead, Bytes)> {
         let start = if self.is_new {
             self.connected_at
@@ -176,8 +176,7 @@
             Instant::now()
         };
         let deadline = start + MESSAGE_TIMEOUT.min(self.context.max_timeout.get());
-        // Guards against clients that each send an incomplete message: they occupied all descriptors until it was too
-        // late for others.
+        // Guards against clients with incomplete messages that occupy all descriptors until other clients time out.
         let idle = self.context.idle.enter(false);
         let read = tokio::select! {
             biased;
@@ -192,7 +191,7 @@
             Ok(message) => Some(message),
             Err(ReadError::Closed | ReadError::Reset) => None,
             Err(ReadError::Bad(error)) => {
-                log::debug!("bad input from a client: {}", error.0);
+                log::debug!("invalid request from a client: {}", error.0);
                 let answer = Answer::Bad(error.0);
                 self.write(messages::answer(&answer, false)).await?;
                 self.linger().await;
@@ -201,7 +200,7 @@
         }
     }
 
-    /// The answer to a request; none if the node ends first.
+    /// Returns the answer to a request; `None` if the node exits first.
     async fn answer(
         &mut self,
         request: &RequestHead,
@@ -213,25 +212,29 @@
             Ok(invocation) => invocation,
         };
         if self.is_rejected || self.is_too_late(&invocation, received_at) || !self.read_buffered() {
-            log::debug!("not begun: {:?}", invocation.id);
+            log::debug!(
+                "invocation {:?} answered 503 without being submitted",
+                invocation.id
+            );
             return Some(Answer::Throttled { retry_after: 0 }.into());
         }
         self.submit(Rc::new(invocation), received_at).await
     }
 
-    /// Answers an incomplete message whose descriptor is needed.
+    /// Rejects an incomplete message because its descriptor is needed for another client.
     async fn reject_incomplete(&mut self) {
         let answer = Answer::Throttled { retry_after: 0 };
         let written = self.write(messages::answer(&answer, false)).await;
         if written.is_none() {
             return;
         }
-        // More may be on its way: the answer gets a start on the reset, and the others wait no longer than that.
+        // The client may still be sending, which causes a reset. The shutdown lets the answer precede the reset without
+        // keeping other clients waiting.
         let _ = self.stream.shutdown().await;
         sleep(CLOSE_POLL_INTERVAL).await;
     }
 
-    /// Whether it may take longer than the node runs.
+    /// Whether the invocation may not complete before the shutdown deadline.
     fn is_too_late(&self, invocation: &Invocation, received_at: Instant) -> bool {
         let max_timeout = self.context.max_timeout.get();
         let client_timeout = invocation
@@ -243,8 +246,8 @@
             .is_some_and(|deadline| received_at + client_timeout > deadline)
     }
 
-    /// Reads what the system has buffered by now; false where the client has closed its side. Guards against submitting
-    /// what waited here, behind others or while the node was suspended, after its client had left.
+    /// Reads the data in the socket buffer. Returns false if the client has closed its side. Guards against submitting
+    /// an invocation that was queued here, or received while the process was suspended, after its client disconnected.
     fn read_buffered(&mut self) -> bool {
         let mut bytes = [0; READ_SIZE];
         while !self.has_closed && self.buffer.len() <= MAX_BODY {
@@ -257,7 +260,7 @@
         !self.has_closed
     }
 
-    /// Sends an answer, and closes this side behind it where the connection is not kept alive.
+    /// Sends an answer, then closes the node's side unless `keep_alive` is true.
     async fn send(&mut self, answer: EncodedAnswer, keep_alive: bool) -> Option<()> {
         self.write(answer).await?;
         if !keep_alive {
@@ -267,8 +270,8 @@
         Some(())
     }
 
-    /// Closes this side and waits for the client's. Guards against a reset that overtakes the answer where more was
-    /// received meanwhile. Nothing is read any more: what crosses the close has not been received.
+    /// Closes the node's side and waits for the client's close. Guards against a reset that overtakes the answer if
+    /// further data was received. Data that arrives after the close counts as not received and is not read.
     async fn close_gracefully(&mut self) {
         let idle = self.context.idle.enter(true);
         let _ = self.stream.shutdown().await;
@@ -292,7 +295,7 @@
     async fn read_message(&mut self) -> Result<(RequestHead, Bytes), ReadError> {
         let head = reading::head(&mut self.stream, &mut self.buffer, b"").await?;
         let request = head::parse_request(&head)?;
-        // A client that waits for the go-ahead would delay its body.
+        // Without the interim answer the client would delay its body.
         if request.fields.text("Expect") == Some("100-continue") && self.buffer.is_empty() {
             let written = self.stream.write_all(messages::CONTINUE).await;
             written.map_err(|_| ReadError::Reset)?;
@@ -307,8 +310,8 @@
         Ok((request, body.bytes))
     }
 
-    /// Reads on for a while after an error. Guards against a reset that overtakes the error: closed with bytes unread,
-    /// a connection is reset, and its client may never see the answer.
+    /// Continues to read for a limited time after an error. Guards against a reset that overtakes the error answer:
+    /// closing a connection with unread bytes resets it, and the client may never receive the answer.
     async fn linger(&mut self) {
         let _ = self.stream.shutdown().await;
         let mut remaining = LINGER_BYTES;
@@ -324,7 +327,7 @@
         let _ = timeout(LINGER_TIMEOUT, rest).await;
     }
 
-    /// Waits for the first byte of the next message. Asked to close, it first looks whether one was received.
+    /// Waits for the first byte of the next message. On a request to close, it first checks whether one was received.
     async fn wait_for_message(&mut self) -> Option<()> {
         let idle = self.context.idle.enter(!self.is_new);
         let mut stage = self.context.stage.clone();
@@ -334,7 +337,7 @@
                 .wait_for(|s| *s == ServingStage::Closing)
                 .await
                 .is_ok();
-            // Its first message is on the way, and its client would not send it again.
+            // The first message of a new connection may be in transit, and its client would not retry it.
             if is_closing && is_new {
                 sleep_until(connected_at + FIRST_MESSAGE_TIMEOUT).await;
             }
@@ -347,7 +350,7 @@
         }
     }
 
-    /// Submits an invocation and waits for its answer; reports if the client leaves meanwhile.
+    /// Submits an invocation and waits for its answer. Reports to the decision actor if the client disconnects first.
     async fn submit(
         &mut self,
         invocation: Rc<Invocation>,
@@ -364,14 +367,14 @@
         };
         self.context.mailbox.send(received.into()).await.ok()?;
         loop {
-            // A client sends nothing more before its answer; what it sends all the same waits in the buffer.
+            // Clients are not expected to send further data before the answer; such data stays in the buffer.
             let may_read = self.buffer.len() <= MAX_BODY;
             tokio::select! {
                 biased;
                 answer = &mut answered => return answer.ok(),
                 read = reading::more(&mut self.stream, &mut self.buffer), if may_read && !self.has_closed => {
                     if read.is_err() {
-                        // It may have closed only its side: it gets the answer.
+                        // The client may have closed only its sending side, so it still gets the answer.
                         self.has_closed = true;
                         let _ = self.context.mailbox.send(ClientEvent::Left { inv }.into()).await;
                     }
--- a/crates/sparrouter-node/src/transport/discovery.rs
+++ b/crates/sparrouter-node/src/transport/discovery.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery: the full list once, or a subscription that stays open.
+//! Calls to discovery: a single fetch of the full list, or an open subscription.
 use super::reading::{self, ReadError};
 use crate::protocol::chunks::{ChunkDecoder, ChunkEvent};
 use crate::protocol::endpoint_list::{self, Frame, FrameSplitter, ListUpdate};
@@ -11,27 +11,28 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// An answer that is being read.
+/// A call to discovery whose answer is being read.
 pub struct DiscoveryCall {
     stream: TcpStream,
     buffer: BytesMut,
     body: BodyState,
-    /// What of the body has not been parsed.
+    /// Received bytes of the body that are not parsed yet.
     text: BytesMut,
     splitter: FrameSplitter,
 }
 
-/// How far the body is read.
+/// Framing of the body and the position in it.
 enum BodyState {
     Chunked(ChunkDecoder),
-    /// Bytes that are still to come.
+    /// Number of remaining bytes.
     Length(usize),
-    /// As many bytes as come before the end of the stream.
+    /// The body extends to the end of the stream.
     ToEnd,
 }
 
 impl DiscoveryCall {
-    /// Calls for changes `after` that version, or for the full list. Open once discovery has answered with 200.
+    /// Requests the changes after version `after`, or the full list. The call is open once discovery has answered with
+    /// 200.
     ///
     /// # Errors
     ///
@@ -45,7 +46,8 @@
             Some(rev) => format!("/registry/instances?watch=1&after={rev}"),
             None => "/registry/instances".to_string(),
         };
-        // A connection to a partitioned machine would neither be established nor fail: the next call finds it sooner.
+        // A connect to a partitioned machine neither succeeds nor fails. The timeout lets the next call detect its
+        // recovery sooner.
         let connected = timeout(connect_timeout, TcpStream::connect(address))
             .await
             .map_err(|_| ReadError::Reset)?;
@@ -75,8 +77,8 @@
         })
     }
 
-    /// The next update; none for an empty line, by which an idle discovery shows that it is there. The end of the body
-    /// ends an update too. Cancel-safe.
+    /// Reads the next update; `None` for an empty line, which an idle discovery sends as a heartbeat. The end of the
+    /// body also ends an update. Cancel-safe.
     ///
     /// # Errors
     ///
@@ -99,11 +101,11 @@
         }
     }
 
-    /// The full list, past the empty lines before it.
+    /// Reads the full list, skipping empty lines before it.
     ///
     /// # Errors
     ///
-    /// As [`DiscoveryCall::next_update`].
+    /// Returns the errors of [`DiscoveryCall::next_update`].
     pub async fn full_list(mut self) -> Result<ListUpdate, ReadError> {
         loop {
             if let Some(list) = self.next_update().await? {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Reads more of the body; false at its end.
+    /// Reads more of the body. Returns false at its end.
     async fn fill(&mut self) -> Result<bool, ReadError> {
         match &mut self.body {
             BodyState::Chunked(chunks) => loop {
--- a/crates/sparrouter-node/src/transport/gossip.rs
+++ b/crates/sparrouter-node/src/transport/gossip.rs
@@ -1,30 +1,30 @@
-//! Gossip between nodes, in datagrams. They may be lost, so nothing here waits or retries.
+//! Gossip between nodes by UDP datagrams, which may be lost: nothing here waits or retries.
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// Longest datagram that may be sent, in bytes.
+/// Maximum size of a datagram, in bytes.
 pub const MAX_DATAGRAM: usize = 256;
 
 /// A datagram from another node.
 pub struct GossipEvent {
-    /// Number of the node.
+    /// Number of the sending node.
     pub peer: usize,
-    /// What it sent, at most `MAX_DATAGRAM` bytes.
+    /// Payload, at most `MAX_DATAGRAM` bytes.
     pub text: Vec<u8>,
 }
 
-/// The socket to the other nodes.
+/// The gossip socket.
 pub struct GossipSocket {
     socket: UdpSocket,
-    /// Addresses of all nodes, by number.
+    /// Addresses of all nodes, indexed by node number.
     nodes: RefCell<Vec<SocketAddr>>,
 }
 
 impl GossipSocket {
-    /// Binds the socket. `nodes`: addresses of all nodes, by number.
+    /// Binds the socket. `nodes` are the addresses of all nodes, indexed by node number.
     ///
     /// # Errors
     ///
@@ -39,12 +39,12 @@
         }))
     }
 
-    /// Other nodes from now on, by number.
+    /// Replaces the addresses of the nodes, indexed by node number.
     pub fn apply_settings(&self, nodes: Vec<SocketAddr>) {
         *self.nodes.borrow_mut() = nodes;
     }
 
-    /// Sends a datagram to a node; drops it where that can't be done at once.
+    /// Sends a datagram to a node, or drops it if the send would block.
     pub fn send(&self, peer: usize, text: &[u8]) {
         let Some(to) = self.nodes.borrow().get(peer).copied() else {
             return;
@@ -53,17 +53,17 @@
             return log::error!("note of {} bytes not sent", text.len());
         }
         if let Err(error) = self.socket.try_send_to(text, to) {
-            log::debug!("note to {to}: {error}");
+            log::debug!("gossip message to {to} not sent: {error}");
         }
     }
 
-    /// Receives datagrams for good and puts them into the mailbox; what comes from nobody known, or is too long, is
-    /// dropped.
+    /// Receives datagrams and puts them into the mailbox until the task ends. Datagrams from unknown addresses and too
+    /// long ones are dropped.
     pub async fn receive<M: From<GossipEvent>>(self: Rc<Self>, mailbox: mpsc::Sender<M>) {
-        // One byte more than allowed shows what is too long.
+        // The additional byte detects datagrams that are too long.
         let mut buffer = [0; MAX_DATAGRAM + 1];
         loop {
-            // An error here is about an earlier send (its receiver is down): the next read goes on.
+            // The error belongs to an earlier send (its receiver is down); reading continues.
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
                 continue;
             };
@@ -71,7 +71,7 @@
             match peer {
                 Some(peer) if length <= MAX_DATAGRAM => {
                     let text = buffer[..length].to_vec();
-                    // Dropped where the mailbox is full: gossip is not worth a wait.
+                    // A datagram is dropped if the mailbox is full: gossip may be lost, so nothing waits for it.
                     let _ = mailbox.try_send(GossipEvent { peer, text }.into());
                 }
                 _ => log::debug!("datagram of {length} bytes from {from} dropped"),
--- a/crates/sparrouter-node/src/transport/idle.rs
+++ b/crates/sparrouter-node/src/transport/idle.rs
@@ -1,4 +1,4 @@
-//! Client connections between two invocations, and which of them is closed when descriptors are short.
+//! Idle client connections, and which of them is closed when descriptors run out.
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -6,31 +6,31 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Fraction of all descriptors: client connections that idle between invocations.
+/// Maximum number of client connections that idle between invocations, as a fraction of all descriptors.
 const IDLE_FRACTION: f64 = 0.1;
-/// The first message of a connection is waited for so long before another may have its descriptor.
+/// Time that a new connection has for its first message before its descriptor may be used for another client.
 const FIRST_MESSAGE_GRACE: Duration = Duration::from_millis(250);
 
-/// Idle connections in the order in which they became idle: since when, and what asks them to close.
+/// Idle connections in the order in which they became idle, each with that time and the notification to close.
 type IdleQueue = RefCell<BTreeMap<u64, (Instant, Rc<Notify>)>>;
 
-/// The idle client connections. They close when others need their descriptors: first those that have sent no complete
-/// message for a while, then the longest idle.
+/// The idle client connections. They are closed when other clients need their descriptors: first those that have not
+/// sent a complete message within the grace time, then the longest idle.
 ///
-/// Guards against floods that only connect; and against closing those that were just accepted, which displaced one
-/// another by hundreds a second, each before its message arrived. Only so many of the others may idle at once, the
-/// longest idle close beyond that: where clients sent one request and stayed, all that they may hold idled, and nobody
-/// else could connect.
+/// The order guards against floods of connects without messages. The grace time guards against closing new connections
+/// before their message arrives: without it, new connections displaced each other at hundreds per second. The number of
+/// used idle connections is limited, and the longest idle are closed beyond the limit: otherwise clients that send one
+/// request and keep the connection occupy all client descriptors, and no other client can connect.
 pub struct IdleConnections {
     max_idle: usize,
     next_number: Cell<u64>,
-    /// Those that have sent no complete message yet.
+    /// Connections that have not sent a complete message yet.
     new: IdleQueue,
-    /// Those that have; at most `max_idle`, and one more for a moment.
+    /// Connections that have sent a complete message; at most `max_idle`, briefly one more.
     used: IdleQueue,
 }
 
-/// One idle connection; it is not idle any more once this is dropped.
+/// Registration of an idle connection; dropping it marks the connection as not idle.
 pub struct IdleConnection {
     all: Rc<IdleConnections>,
     is_used: bool,
@@ -39,7 +39,7 @@
 }
 
 impl IdleConnections {
-    /// None yet, of a node with so many descriptors.
+    /// Returns an empty registry for a node with `sockets` descriptors.
     pub fn new(sockets: usize) -> Rc<IdleConnections> {
         Rc::new(IdleConnections {
             max_idle: (sockets as f64 * IDLE_FRACTION).ceil() as usize,
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Enters a connection that is idle from now on. `is_used`: it has sent a complete message before.
+    /// Registers a connection as idle. `is_used` is true if it has sent a complete message before.
     pub fn enter(self: &Rc<Self>, is_used: bool) -> IdleConnection {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -75,7 +75,7 @@
         if is_used { &self.used } else { &self.new }
     }
 
-    /// Asks one connection to close; false where none is idle.
+    /// Asks one connection to close. Returns false if none can be closed.
     pub fn close_one(&self) -> bool {
         let mut new = self.new.borrow_mut();
         let unused = new
--- a/crates/sparrouter-node/src/transport/link.rs
+++ b/crates/sparrouter-node/src/transport/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a cache server or the origin, which carries one exchange at a time.
+//! A connection to a cache server or the origin, which carries one exchange at a time.
 use super::budget::{Body, BodyMemory, Reservation};
 use super::reading::{self, ReadError};
 use crate::protocol::ParseError;
@@ -16,17 +16,17 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// Interim answers (1xx) allowed ahead of the final one.
+/// Maximum number of interim answers (1xx) before the final one.
 const MAX_INTERIM: usize = 16;
 
-/// One connection to a peer.
+/// A connection to a peer.
 pub struct Link {
     stream: TcpStream,
-    /// What was read beyond the last answer; empty while the connection is idle.
+    /// Bytes read beyond the last answer; empty while the connection is idle.
     buffer: BytesMut,
-    /// Where it leads.
+    /// Address of the peer.
     pub endpoint: SocketAddr,
-    /// How long it stood idle before its present use; none for a new one.
+    /// Idle time before the current use; `None` for a new connection.
     pub idle: Option<Duration>,
     _descriptor: Reservation,
 }
@@ -37,24 +37,24 @@
     pub head: Bytes,
     /// The body.
     pub body: Bytes,
-    /// The request is written completely by then or the exchange ends.
+    /// Deadline for writing the complete request, after which the exchange ends.
     pub send_before: Option<Instant>,
-    /// Once this is set, nothing more of the request is written and the exchange ends.
+    /// Set to stop writing the request and end the exchange.
     pub is_cancelled: Rc<Cell<bool>>,
 }
 
 /// A complete answer, and the connection if it can carry another exchange.
 pub struct Reply {
-    /// The head.
+    /// Head of the answer.
     pub head: ResponseHead,
-    /// The body.
+    /// Body of the answer.
     pub body: Body,
     /// The connection, if it can be reused.
     pub link: Option<Link>,
 }
 
 impl Link {
-    /// Connects.
+    /// Establishes a connection.
     ///
     /// # Errors
     ///
@@ -75,19 +75,19 @@
         })
     }
 
-    /// Open and without unread bytes, as an idle connection must be: one that was closed, or has bytes that nobody
-    /// requested, would hand a late answer to the wrong invocation.
+    /// Whether the connection is open and without unread bytes, as an idle connection must be. Otherwise a late answer
+    /// on it could be taken for the answer to another invocation.
     pub fn is_quiet(&self) -> bool {
         self.buffer.is_empty() && reading::read_available(&self.stream, &mut [0]).is_none()
     }
 
-    /// Sends once, and never retries by itself. `written` tells whether the last byte was written, also where this is
-    /// dropped before its end; dropping closes the connection. None where the request could not be written completely
-    /// before `send_before`, or before it was cancelled.
+    /// Sends the request once, without retries, and reads the answer. `written` is set once the last byte is written,
+    /// and stays readable if the future is dropped; dropping it closes the connection. Returns `None` if the request
+    /// was not written completely before `send_before` or before it was cancelled.
     ///
     /// # Errors
     ///
-    /// The connection broke, or the answer violates the protocol or is too long for the memory left.
+    /// The connection broke, or the answer violates the protocol or is too long for the remaining memory.
     pub async fn exchange(
         mut self,
         request: ExchangeRequest,
@@ -115,8 +115,8 @@
         }))
     }
 
-    /// Writes the request; false where it was cancelled first. Each attempt to write looks again, immediately before: an
-    /// earlier one may have had to wait for the other side or for its turn, and meanwhile the invocation was answered.
+    /// Writes the request. Returns false if it was cancelled first. Cancellation is checked immediately before each
+    /// write, because the invocation may be answered while an earlier write waits for the peer or for the scheduler.
     async fn write(&mut self, request: ExchangeRequest) -> io::Result<bool> {
         let mut bytes = request.head.chain(request.body);
         let mut writing = pin!(self.stream.write_all_buf(&mut bytes));
@@ -130,7 +130,7 @@
         .await
     }
 
-    /// The head of the final answer, past interim ones.
+    /// Reads the head of the final answer, skipping interim answers.
     async fn read_final_head(&mut self) -> Result<ResponseHead, ReadError> {
         let mut interim = 0;
         loop {
--- a/crates/sparrouter-node/src/transport/listener.rs
+++ b/crates/sparrouter-node/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients as long as there is any descriptor for them.
+//! Accepts clients while descriptors are available.
 use super::budget::{Budget, Reservation};
 use super::client::{self, ClientContext, ClientEvent};
 use crate::invariant::OccurrenceCounter;
@@ -7,12 +7,12 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// Delay while descriptors are short, so as not to spin.
+/// Delay between attempts while no descriptor is available, to avoid a busy loop.
 const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Accepts clients for good; `max_served` of them are served. A client beyond them gets the descriptor of an idle one,
-/// or is answered at once that it may retry: a message counts as received once it is in our kernel, so that not
-/// accepting would lose it.
+/// Accepts clients until the task ends; at most `max_served` of them are served. A further client gets the descriptor
+/// of an idle connection, or a 503 that allows a retry. It is accepted for this: a message counts as received once it
+/// is in this machine's kernel, so an unaccepted connection would lose it.
 pub async fn accept<M: From<ClientEvent> + 'static>(
     listener: TcpListener,
     budget: Rc<Budget>,
@@ -35,7 +35,7 @@
         let _ = stream.set_nodelay(true);
         let descriptor = reserve(&budget, &context).await;
         if budget.reserved() > max_served {
-            // Those just accepted show that they idle only once they have run.
+            // Connections that were just accepted register as idle only after their tasks have run.
             tokio::task::yield_now().await;
         }
         let is_rejected = budget.reserved() > max_served && !context.idle.close_one();
@@ -51,12 +51,12 @@
     }
 }
 
-/// Waits for a descriptor.
+/// Waits until a descriptor is available and reserves it.
 async fn reserve<M>(budget: &Rc<Budget>, context: &ClientContext<M>) -> Reservation {
     loop {
         match budget.reserve() {
             Some(descriptor) => return descriptor,
-            // Guards against waiting for connections that nobody has asked to close.
+            // Guards against waiting for connections that were not asked to close.
             None => {
                 context.idle.close_one();
                 let _ = timeout(RETRY_DELAY, budget.released()).await;
--- a/crates/sparrouter-node/src/transport/mod.rs
+++ b/crates/sparrouter-node/src/transport/mod.rs
@@ -1,16 +1,16 @@
-//! Sockets: the listener, client connections, connections to peers with their pool, calls to discovery, gossip between
-//! nodes, and the descriptors that all of them share.
+//! Sockets: the listener, client connections, pooled connections to peers, calls to discovery, gossip between nodes,
+//! and the shared budget of file descriptors.
 //!
-//! | module | its one job |
+//! | module | contents |
 //! | --- | --- |
-//! | `budget` | how many descriptors and how much memory each side may hold |
-//! | `idle` | which idle client connection is closed when descriptors are short |
+//! | `budget` | budgets of file descriptors and memory |
+//! | `idle` | idle client connections, and which is closed when descriptors run out |
 //! | `listener` | accepts clients |
-//! | `client` | one client's connection |
-//! | `link`, `pool` | one connection to a peer, and the idle ones of all peers |
+//! | `client` | one client connection |
+//! | `link`, `pool` | one connection to a peer, and the pool of idle connections |
 //! | `discovery` | calls to discovery |
 //! | `gossip` | datagrams between nodes |
-//! | `reading` | complete messages from a stream |
+//! | `reading` | reads complete messages from a stream |
 pub mod budget;
 pub mod client;
 pub mod discovery;
--- a/crates/sparrouter-node/src/transport/pool.rs
+++ b/crates/sparrouter-node/src/transport/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to all peers, under one budget of descriptors.
+//! Pool of idle connections to all peers, within one budget of descriptors.
 use super::budget::{Budget, Reservation};
 use super::link::Link;
 use std::cell::{Cell, RefCell};
@@ -7,26 +7,27 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Ages of idle connections that are counted apart, each twice as long as the one before.
+/// Number of idle-time classes with separate counts; each class covers twice the idle time of the previous one.
 const AGE_CLASSES: usize = 8;
-/// More exchanges than this of one age have to break before they count against it.
+/// An idle-time class counts as unsafe only if more than this number of its exchanges broke.
 const MIN_BROKEN: f64 = 2.0;
-/// They count against it where their rate is higher than that of new connections by more than this.
+/// An idle-time class counts as unsafe only if its rate of broken exchanges exceeds the rate of new connections by more
+/// than this.
 const EXCESS_BROKEN_RATE: f64 = 0.1;
-/// The counts are halved each time that so many of the longest idle times have passed.
+/// Interval at which the counts are halved, in multiples of the longest idle time.
 const HALVING_INTERVAL: u32 = 10;
 
-/// Exchanges on connections of one age; halved with time.
+/// Counts of exchanges on connections of one idle-time class; they are halved periodically.
 #[derive(Clone, Copy, Default)]
 struct ExchangeCounts {
     broken: f64,
     all: f64,
 }
 
-/// How exchanges ended by how long their connection had stood idle; the last entry is for new connections.
+/// Counts of broken exchanges by the idle time of their connection; the last entry is for new connections.
 ///
-/// Guards against writing into connections that a middlebox, or the other side, dropped silently long before the stated
-/// time: each such write ends as a reset, which may have run.
+/// Guards against writes to connections that a middlebox or the peer dropped silently long before the stated idle
+/// timeout: each such write ends in a reset, after which it is unknown whether the request was executed.
 #[derive(Default)]
 struct AgeStatistics {
     counts: [ExchangeCounts; AGE_CLASSES + 1],
@@ -54,7 +55,8 @@
         counts.all += 1.0;
     }
 
-    /// How long a connection may stand idle.
+    /// Returns the idle time after which connections are closed: the start of the first unsafe idle-time class, or
+    /// `max_idle` if there is none.
     fn limit(&self, max_idle: Duration) -> Duration {
         let new = &self.counts[AGE_CLASSES];
         let usual_rate = new.broken / new.all.max(1.0);
@@ -75,17 +77,17 @@
 
 /// The idle connections to all peers.
 pub struct Pool {
-    /// Connections established since the start.
+    /// Number of connections established since the start.
     pub opened: Rc<Cell<u64>>,
     budget: Rc<Budget>,
     max_idle: Duration,
     statistics: RefCell<AgeStatistics>,
-    /// By time since they were last used, the longest idle first.
+    /// Idle connections, the longest idle first.
     idle: RefCell<VecDeque<IdleLink>>,
 }
 
 impl Pool {
-    /// `max_idle`: how long a connection may stand idle, well before the other side would close it.
+    /// Creates an empty pool. `max_idle` is the idle timeout of connections, well below the peers' own idle timeout.
     pub fn new(budget: Rc<Budget>, max_idle: Duration) -> Rc<Pool> {
         Rc::new(Pool {
             opened: Rc::default(),
@@ -96,7 +98,7 @@
         })
     }
 
-    /// The connection to a peer that was used last, so that those not needed grow old together.
+    /// Returns the most recently used connection to a peer, so that surplus connections age and are closed.
     pub fn acquire(&self, peer: usize) -> Option<Link> {
         let mut idle = self.idle.borrow_mut();
         let limit = self.idle_limit();
@@ -117,7 +119,7 @@
         self.statistics.borrow().limit(self.max_idle)
     }
 
-    /// Counts how an exchange ended on a connection that had stood idle so long, or on a new one.
+    /// Counts the result of an exchange. `idle` is the connection's idle time before it; `None` for a new connection.
     pub fn learn(&self, idle: Option<Duration>, is_broken: bool) {
         let class = idle.map_or(AGE_CLASSES, |idle| {
             AgeStatistics::class(self.max_idle, idle)
@@ -127,7 +129,7 @@
             .learn(class, is_broken, self.max_idle * HALVING_INTERVAL);
     }
 
-    /// Takes a connection back that can carry another exchange.
+    /// Returns a reusable connection to the pool.
     pub fn release(&self, peer: usize, link: Link) {
         self.idle.borrow_mut().push_back(IdleLink {
             peer,
@@ -136,7 +138,7 @@
         });
     }
 
-    /// A descriptor for a new connection; the longest idle connection is closed where there is none.
+    /// Reserves a descriptor for a new connection. If none is available, the longest idle connection is closed.
     pub fn reserve_descriptor(&self) -> Option<Reservation> {
         self.budget.reserve().or_else(|| {
             drop(self.idle.borrow_mut().pop_front());
@@ -149,8 +151,8 @@
         self.idle.borrow_mut().retain(|i| i.peer != peer);
     }
 
-    /// Closes old connections, for good. Guards against writing into a connection that the other side is about to
-    /// close: that would end as a reset, which may have run.
+    /// Closes connections at the end of their idle time, until the task ends. Guards against a write to a connection
+    /// that the peer is about to close, which would end in a reset with an unknown result.
     pub async fn retire(self: Rc<Self>) {
         loop {
             tokio::time::sleep(self.max_idle / 8).await;
--- a/crates/sparrouter-node/src/transport/reading.rs
+++ b/crates/sparrouter-node/src/transport/reading.rs
@@ -1,4 +1,4 @@
-//! Complete messages from a stream, with bounded buffers.
+//! Reads complete messages from a stream into bounded buffers.
 use super::budget::{Body, BodyMemory, Reservation};
 use crate::protocol::chunks::{ChunkDecoder, ChunkEvent};
 use crate::protocol::head::Framing;
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// As [`sparrouter_http::reading::head`].
+/// Returns the errors of [`sparrouter_http::reading::head`].
 pub async fn head(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
@@ -21,7 +21,7 @@
     sparrouter_http::reading::head(stream, buffer, begins, MAX_HEAD).await
 }
 
-/// What may be read of one body.
+/// Limit for the size of one body.
 struct BodyLimit<'a> {
     memory: &'a BodyMemory,
     reservations: Vec<Reservation>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Reads a body, as long as there is memory for it.
+/// Reads a body, within the memory budget.
 ///
 /// # Errors
 ///
@@ -62,7 +62,8 @@
         }
         Framing::Chunked => chunked(stream, buffer, &mut limit).await?,
         Framing::ToEnd => {
-            // Nothing but its end tells how long it is: if that were cut off, it would pass for complete.
+            // Only the end of the stream marks the end of the body. A read error must not count as that end: a
+            // truncated body would be accepted as complete.
             loop {
                 match more(stream, buffer).await {
                     Ok(()) => limit.check(buffer.len())?,
--- a/crates/sparrouter-node/src/transport/tests.rs
+++ b/crates/sparrouter-node/src/transport/tests.rs
@@ -1,6 +1,6 @@
-//! A client's connection alone, between a client and the decision actor's mailbox. The client's stream is one of the
-//! standard library: what it does has reached the system before the connection's task runs again, while the runtime has
-//! not looked yet.
+//! Tests of a client connection between a client and the decision actor's mailbox. The client uses a blocking stream of
+//! the standard library: its writes and closes have reached the kernel before the connection's task runs again and
+//! before the runtime has polled the socket.
 use super::budget::Budget;
 use super::client::{self, ClientContext, ClientEvent, ReservedAnswer, ServingStage};
 use super::idle::IdleConnections;
@@ -93,7 +93,7 @@
             .expect("the event that it has left");
         assert!(matches!(event, Some(ClientEvent::Left { .. })));
     }
-    /// All that is received up to the end of the connection, and whether that was a reset.
+    /// Reads to the end of the connection. Returns the text and whether the connection was reset.
     async fn read_to_end(&mut self) -> (String, bool) {
         let (mut all, mut bytes) = (Vec::new(), [0; 4096]);
         for _ in 0..5000 {
@@ -106,7 +106,7 @@
         }
         panic!("the connection does not end");
     }
-    /// One invocation and its answer; the connection is idle from now on.
+    /// Completes one invocation, after which the connection is idle.
     async fn exchange_first(&mut self) {
         self.write(&request("first"));
         let (_, answer) = self.received().await;
@@ -125,13 +125,13 @@
     async fn task_ended(self) {
         timeout(2000 * MS, self.task)
             .await
-            .expect("nothing is left of it")
+            .expect("the connection task ends")
             .unwrap();
     }
 }
 
-/// A request is written on an idle connection just as the node closes it, in its shutdown or for want of descriptors.
-/// If it arrives before the close it is answered; after it, it is not read, and so never forwarded.
+/// A request is written on an idle connection while the node closes it, in its shutdown or because descriptors run out.
+/// If the request arrives before the close, it is answered; otherwise it is not read, and therefore never forwarded.
 #[test]
 fn a_request_that_crosses_the_close_is_answered_or_never_read() {
     for (shuts_down, is_first) in [(true, true), (false, true), (true, false), (false, false)] {
@@ -169,9 +169,9 @@
     }
 }
 
-/// A connection that came in the last moment is not closed before its message can be there.
+/// A connection that is accepted just before the close is not closed before its message can arrive.
 #[test]
-fn a_new_connection_is_served_though_the_node_closes() {
+fn a_new_connection_is_served_while_the_node_closes() {
     run_local(async {
         let mut f = ClientFixture::new().await;
         f.stage.send_replace(ServingStage::Closing);
@@ -184,7 +184,7 @@
     });
 }
 
-/// An invocation that may not be over before the node ends is rejected, not begun.
+/// An invocation that may not complete before the node exits is rejected and not submitted.
 #[test]
 fn an_invocation_that_would_outlive_the_node_is_rejected() {
     run_local(async {
@@ -208,8 +208,8 @@
     });
 }
 
-/// Its client had left before anybody looked, or behind an invocation that is not its last: nothing is submitted, and a
-/// client that only closed its side gets 503.
+/// The client disconnected before the node read its request, or while the request was queued behind another: nothing is
+/// submitted, and a client that closed only its side gets 503.
 #[test]
 fn a_request_that_waited_after_its_client_left_is_not_submitted() {
     for is_behind in [false, true] {
@@ -221,7 +221,7 @@
                 f.write(&request("behind"));
                 f.half_close();
                 let _ = answer.send(served(Bytes::from_static(b"1")));
-                // It may have been seen first that the client has left.
+                // The disconnect may be detected first.
                 let (text, _) = f.read_to_end().await;
                 assert_eq!(text.matches("HTTP/1.1 ").count(), 2, "{text}");
                 assert!(text.contains("HTTP/1.1 503 "));
@@ -241,8 +241,8 @@
     }
 }
 
-/// It leaves while its invocation is in flight: the decision actor is notified at once. Where only its side is closed,
-/// the client gets the answer.
+/// A client disconnects while its invocation is in flight: the decision actor is notified immediately. A client that
+/// closed only its side gets the answer.
 #[test]
 fn a_client_that_leaves_is_reported_immediately() {
     for reset in [false, true] {
@@ -256,7 +256,7 @@
                     .set_linger(Some(Duration::ZERO))
                     .unwrap();
                 f.client = TcpStream::connect(f.client.peer_addr().unwrap()).unwrap_or_else(|_| {
-                    // Nobody listens there any more; the old stream is dropped all the same.
+                    // There is no listener at the address; the old stream is dropped nevertheless.
                     let spare = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
                     TcpStream::connect(spare.local_addr().unwrap()).unwrap()
                 });
@@ -274,7 +274,8 @@
     }
 }
 
-/// Closed with bytes unread, a connection is reset, and what is not yet at the client of a long answer goes with it.
+/// Closing a connection with unread bytes resets it, and the part of a long answer that has not reached the client is
+/// lost.
 #[test]
 fn an_answer_reaches_a_client_that_has_sent_more() {
     run_local(async {
@@ -284,7 +285,7 @@
         f.stage.send_replace(ServingStage::Closing);
         let body = Bytes::from(vec![b'x'; 1 << 20]);
         let _ = answer.send(served(body.clone()));
-        // The head is there, most of the body is not, and more comes from the client.
+        // The client has received the head but not most of the body, and sends more data.
         sleep(5 * MS).await;
         let _ = f.client.write_all(request("crosses").as_bytes());
         sleep(50 * MS).await;
--- a/crates/sparrouter-node/tests/changes.rs
+++ b/crates/sparrouter-node/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Staged rollouts over sixteen real nodes, under the lab's clients, faults and audit. Bad versions have injected
+//! Staged rollouts over sixteen real nodes, with the lab's clients, faults and audit. Bad versions have injected
 //! defects.
 use sparrouter_lab::play::{Program, Run, play_with};
 use sparrouter_lab::rollout::{self, Tools};
@@ -6,7 +6,7 @@
 use sparrouter_lab::stand_ins::defect_proxy;
 use std::sync::Mutex;
 
-/// Two at a time: each is sixteen nodes of a debug build.
+/// Two runs at a time: each starts sixteen nodes of a debug build.
 static LANES: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
 
 const FLEET: &str = r#"
@@ -42,7 +42,7 @@
 client_timeout_ms = 1200
 "#;
 
-/// No tests by themselves: processes of their own, which the lab starts and kills.
+/// The following are not tests: the lab starts them as separate processes and kills them.
 #[test]
 #[ignore = "run by the tests below"]
 fn defect_in_a_process() {
@@ -88,8 +88,8 @@
     )
 }
 
-/// Cache servers crash, discovery is down, gossip passes one way, the conductor is killed four times: the rollout
-/// completes, no rule is broken and no answer is lost.
+/// Cache servers crash, discovery is down, gossip is delivered in one direction only, and the conductor is killed four
+/// times: the rollout completes, no rule is violated and no answer is lost.
 #[test]
 fn a_sound_change_goes_through_beside_faults_and_a_killed_conductor() {
     let run = played(
@@ -113,7 +113,8 @@
     assert_eq!(run.tally.total.unanswered, 0, "{}", describe(&run));
 }
 
-/// Stopped by the second stage, all rolled back, under 2 % of the value lost, whatever the defect.
+/// Runs a rollout of a defective version: it is stopped by the second stage, all nodes are rolled back, and less than 2
+/// % of the value is lost.
 fn stopped(lane: usize, name: &str, length_s: u32, change: &str, why: &[&str]) -> Run {
     let run = played(lane, name, length_s, change, "");
     let c = run.rollout.as_ref().unwrap();
@@ -142,8 +143,8 @@
 
 #[test]
 fn a_version_that_never_gets_ready_is_taken_back() {
-    // The time for a command is wide: how soon a sound node reports after its restart is not what is tested here, and beside
-    // 60 busy processes one took longer than the usual 8 s.
+    // The command timeout is generous: the time until a sound node reports after its restart is not tested here, and
+    // with 60 busy processes one node took longer than the usual 8 s.
     let run = stopped(
         0,
         "never ready",
@@ -167,7 +168,7 @@
 
 #[test]
 fn one_operation_that_errs_is_enough() {
-    // This defect closes a connection now and then in its shutdown: no rule is judged here.
+    // This defect occasionally closes a connection during the shutdown, so the rules are not checked.
     stopped(
         0,
         "one worse",
@@ -189,8 +190,8 @@
     assert!(run.verdict.kept(), "{}", describe(&run));
 }
 
-/// Gossip of garbage and of a later format is ignored by the others; the rollout may complete or be stopped, but does
-/// no harm.
+/// Other nodes ignore malformed gossip and gossip of a later format. The rollout may complete or be stopped, but no
+/// rule is violated.
 #[test]
 fn gossip_of_garbage_and_of_a_later_format_is_harmless() {
     for (lane, plant) in [(0, "rubbish"), (0, "newer_notes")] {
@@ -204,8 +205,8 @@
     }
 }
 
-/// Three nodes are killed at once during a rollout and restart: those that were changed count as crashed. Either way
-/// all nodes end with one version, and the rules hold for what was answered.
+/// Three nodes are killed at once during a rollout and restart: the changed nodes count as crashed. Whether the rollout
+/// completes or is rolled back, all nodes end with one version, and the rules hold for all answers.
 #[test]
 fn nodes_killed_in_mid_change_leave_all_nodes_on_one_side() {
     let run = played(
--- a/crates/sparrouter-node/tests/clients.rs
+++ b/crates/sparrouter-node/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, flood, or cancel and retry: nothing is done for those that left, and others are served.
+//! Clients that disconnect, flood, or cancel and retry: their requests are not processed, and other clients are served.
 mod harness;
 
 use harness::*;
@@ -8,7 +8,8 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Instant;
 
-/// Clients that wait for another's fetch leave in a burst: none of their invocations is forwarded when it ends.
+/// Clients that wait for another invocation's fetch disconnect in a burst: none of their invocations is forwarded when
+/// the fetch ends.
 #[test]
 fn waiting_invocations_of_clients_that_left_are_not_forwarded() {
     let (cache, origin) = (Server::always(Act::Miss), Server::always(Act::Late(300)));
@@ -26,7 +27,8 @@
     assert_eq!((cache.seen().len(), origin.seen().len()), (1, 1));
 }
 
-/// A flood on one connection by a client that leaves at once: a handful is forwarded, and others are served meanwhile.
+/// A client floods one connection and disconnects at once: at most a handful of its requests is forwarded, and other
+/// clients are served in the meantime.
 #[test]
 fn a_flood_of_a_client_that_left_is_not_processed() {
     let cache = Server::start(|seen| {
@@ -62,8 +64,8 @@
     assert!(after <= forwarded && forwarded < 12, "{forwarded}, {after}");
 }
 
-/// A client that cancels early and retries at once, repeatedly: nothing of what it cancelled stays, and the last is
-/// served.
+/// A client repeatedly cancels early and retries immediately: no state of the cancelled requests remains, and the last
+/// request is served.
 #[test]
 fn a_client_that_cancels_and_retries_immediately_is_served() {
     let cache = Server::start(|seen| {
@@ -84,7 +86,7 @@
             "get",
             "",
         );
-        // Some leave before, some while it is forwarded.
+        // Some clients disconnect before their request is forwarded, some while it is in flight.
         if n % 2 == 0 {
             until("that it is forwarded or rejected", || {
                 cache.seen().iter().any(|s| s.id() == format!("early{n}"))
@@ -100,7 +102,7 @@
     );
 }
 
-/// Whether the node has answered or closed there.
+/// Whether the node has answered on the connection or closed it.
 fn has_answer_or_end(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
     let is_readable = stream.peek(&mut [0]).is_ok();
@@ -118,6 +120,6 @@
     let start = Instant::now();
     drop(stream);
     until("the forward's end", || cache.closed.load(SeqCst) == 1);
-    // Sooner than by the timeout of the node.
+    // The forward ends before the node's timeout.
     assert!(start.elapsed() < 200 * MS);
 }
