--- a/crates/sparrouter-node/tests/connections.rs
+++ b/crates/sparrouter-node/tests/connections.rs
@@ -8,8 +8,8 @@
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
 
-/// Guards against keeping descriptors for clients that can't be used, and against errors that a reset overtakes. A
-/// request id that is in flight must not reach a cache server twice.
+/// Guards against descriptors that are held by clients with unusable requests, and against resets that overtake error
+/// answers. A request id that is in flight must not reach a cache server twice.
 #[test]
 fn unusable_clients_are_answered_or_closed_in_time() {
     let mut settings = SETTINGS.replace("900000", "4000000");
@@ -33,7 +33,7 @@
     send_request(&mut second, "GET", "/api/k", "same", "get", "");
     assert_eq!(read_answer(&mut second).unwrap().0, 400);
     assert_eq!(read_answer(&mut first).unwrap().0, 200);
-    // Free again once it is over.
+    // The request id is free again after the invocation has completed.
     send_request(&mut first, "GET", "/api/k", "same", "get", "");
     assert_eq!(
         (read_answer(&mut first).unwrap().0, cache.seen().len()),
@@ -78,12 +78,12 @@
 }
 
 #[test]
-fn bad_input_gets_400_or_a_closed_connection_and_harms_nobody() {
+fn invalid_requests_get_400_or_a_closed_connection_and_leave_the_node_serving() {
     let cache = Server::always(Act::Hit);
     let w = start_node(&[&cache], unused_address(), 256);
     for bad in invalid_requests() {
         let mut stream = w.client();
-        // The node may close before all of it is read.
+        // The node may close the connection before it has read the whole request.
         let _ = stream.write_all(bad.as_bytes());
         let status = read_answer(&mut stream).map(|a| a.0);
         assert!(
@@ -92,11 +92,11 @@
             &bad[..bad.len().min(90)]
         );
     }
-    // A head that never ends is not waited for longer than a client timeout.
+    // The node waits for an endless head no longer than a client timeout.
     let mut slow = w.client();
     slow.write_all(b"GET /api/k HTTP/1.1\r\n").unwrap();
     assert_eq!(slow.read(&mut [0; 1]).unwrap(), 0);
-    // Datagrams that no node sent, or that are truncated, or too long.
+    // Datagrams from unknown senders, truncated datagrams, and datagrams that are too long.
     let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     for text in [&[0u8; 0][..], &[255; 3], &[255; 256], &[7; 300]] {
         w.other.send_to(text, w.datagrams).unwrap();
@@ -104,7 +104,7 @@
     }
     assert_eq!(w.get("after"), 200);
     assert_eq!(cache.seen().len(), 1);
-    // Its own gossip is sent from the address that the others know.
+    // The node sends its gossip from the address that the other nodes know.
     let mut datagram = [0; 300];
     w.other
         .set_read_timeout(Some(Duration::from_secs(3)))
@@ -113,7 +113,7 @@
     assert!(length <= 256 && from == w.datagrams);
 }
 
-/// Guards against clients that occupy all descriptors: idle connections are closed, and nobody waits.
+/// Guards against clients that occupy all descriptors: idle connections are closed, and no client has to wait.
 #[test]
 fn few_descriptors_still_answer_all_clients() {
     let cache = Server::start(|seen| {
@@ -131,7 +131,7 @@
         .filter(|s| s.set_nonblocking(true).is_ok() && is_closed(s))
         .count();
     assert!(closed > 50, "{closed}");
-    // Far more at once than can be served: all get an answer.
+    // Many more concurrent clients than can be served: all get an answer.
     thread::scope(|scope| {
         for n in 0..60 {
             let w = &w;
@@ -140,7 +140,7 @@
     });
 }
 
-/// Guards against clients that each send an incomplete head until nobody else gets a connection.
+/// Guards against clients with incomplete heads that occupy all descriptors, so that no other client can connect.
 #[test]
 fn incomplete_messages_yield_to_complete_ones() {
     let cache = Server::always(Act::Hit);
@@ -154,12 +154,12 @@
         .collect();
     let start = Instant::now();
     w.reads("w", 20);
-    // Each may stay for 2.6 s, and only 0.25 s where others need its descriptor.
+    // Each connection may stay for 2.6 s, but only 0.25 s if another client needs its descriptor.
     assert!(start.elapsed() < 2000 * MS, "{:?}", start.elapsed());
     drop(half);
 }
 
-/// Guards against clients that send one request and stay until nobody else can connect.
+/// Guards against clients that send one request and keep the connection, so that no other client can connect.
 #[test]
 fn the_longest_idle_connections_are_closed_first() {
     let cache = Server::always(Act::Hit);
@@ -174,7 +174,7 @@
         .iter()
         .map(|s| s.set_nonblocking(true).is_ok() && !is_closed(s))
         .collect();
-    // A tenth of all descriptors, those used last, stays open.
+    // The most recently used connections stay open: a tenth of all descriptors.
     assert_eq!(
         (
             open.iter().filter(|o| **o).count(),
@@ -184,12 +184,12 @@
     );
 }
 
-/// Guards against new connections that displace one another before their messages arrive.
+/// Guards against new connections that displace each other before their messages arrive.
 #[test]
 fn new_connections_displace_the_longest_idle_and_not_each_other() {
     let cache = Server::always(Act::Hit);
     let w = start_node(&[&cache], unused_address(), 64);
-    // All descriptors are occupied by clients that sent one request and stay.
+    // All descriptors are occupied by clients that sent one request and keep the connection.
     let mut idle: Vec<TcpStream> = (0..26).map(|_| w.client()).collect();
     for (n, stream) in idle.iter_mut().enumerate() {
         send_request(stream, "GET", "/api/k", &format!("i{n}"), "get", "");
--- a/crates/sparrouter-node/tests/endpoint_list.rs
+++ b/crates/sparrouter-node/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: requested or pushed, lost, wrong, and with servers that come and go.
+//! The endpoint list: requested or pushed, lost subscriptions, wrong lists, and replaced servers.
 mod harness;
 
 use harness::*;
@@ -21,7 +21,8 @@
             target("c0", a.at, "box", state)
         )
     };
-    // Lost by its end here, and below by an invalid line: each time a new one, from the known version.
+    // The subscription is lost by its end here, and by an invalid line below. Each time the node opens a new one from
+    // the known version.
     w.list(42, &change(42, "terminating"));
     let before = a.seen().len();
     w.reads("d", 20);
@@ -32,7 +33,7 @@
     assert!(w.discovery.calls.lock().unwrap()[calls].contains("after=42"));
     w.list(43, &change(43, "in_service"));
     w.reads_until("reads there again", "e", || a.seen().len() > before);
-    // A full list that does not name a server says that it has left.
+    // A server that is missing in a full list has left.
     let all = format!(
         r#"{{"rev":44,"all":true,"targets":[{}]}}"#,
         target("c1", b.at, "box", "in_service")
@@ -41,7 +42,7 @@
     let before = a.seen().len();
     w.reads("f", 20);
     assert_eq!(a.seen().len(), before);
-    // Partitioned: the connection stays open and brings nothing any more.
+    // Discovery is partitioned: the connection stays open without traffic.
     let calls = w.discovery.calls();
     w.discovery.mute.store(1, SeqCst);
     until("a subscription after the time-out", || {
@@ -49,10 +50,10 @@
     });
 }
 
-/// Guards against a list that is wrong: where removal is advice, running servers that it calls terminated or does not
-/// name still get forwards; one that drained first does not.
+/// Guards against wrong lists: if removals are advisory, running servers that are listed as terminated or not listed
+/// still get forwards; a server that was draining before gets none.
 #[test]
-fn where_gone_is_advice_only_draining_binds() {
+fn if_removals_are_advisory_only_draining_is_binding() {
     let (a, b) = (Server::always(Act::Hit), Server::always(Act::Hit));
     let settings = SETTINGS.replace(
         "\"FallUs\":1000000",
@@ -61,8 +62,8 @@
     let w = start_node_with(&settings, &[&a, &b], unused_address(), 256);
     until("the subscription", || w.discovery.calls() == 1);
     let mut rev = 41;
-    // Servers that must get reads get some in the end, however long a loaded machine keeps the node from one of them; those
-    // that must not get none of so many.
+    // Servers that must get reads eventually get some, even if a loaded machine delays one of them. Servers that must
+    // not get reads get none of them.
     let mut reads = |all: bool, states: &[(usize, &str)], expected: (bool, bool)| {
         let addresses = [a.at, b.at];
         let target =
@@ -93,7 +94,7 @@
     reads(false, &[(0, "in_service")], both);
 }
 
-/// Where the list is pushed the policy requests nothing: the node keeps a subscription by itself.
+/// If the list is pushed, the policy requests nothing and the node maintains the subscription itself.
 #[test]
 fn a_pushed_list_is_subscribed_to_without_a_request() {
     let (a, b) = (Server::always(Act::Hit), Server::always(Act::Hit));
@@ -110,7 +111,7 @@
             target(uid, address, "box", "in_service")
         )
     };
-    // Once it is lost it is opened again at once, from the known version.
+    // A lost subscription is reopened immediately, from the known version.
     let start = Instant::now();
     w.discovery.say("end");
     until("a new subscription", || w.discovery.calls() == 2);
@@ -141,7 +142,7 @@
         until("the line", || w.discovery.feed.lock().unwrap().is_empty());
         sleep(20 * MS);
     };
-    // Each at the address of the one before.
+    // Each server replaces the previous one at its address.
     for n in 0..5 {
         say(&w, &format!("n{n}"), "in_service");
         say(
@@ -154,7 +155,8 @@
             "terminated",
         );
     }
-    // Twice the longest client timeout later, the five that left are released; another server gets the index of one.
+    // Twice the longest client timeout later, the five departed servers are released, and a new server reuses one of
+    // their indices.
     sleep(1900 * MS);
     say(&w, "unheard-of", "terminated");
     say(&w, "late", "in_service");
--- a/crates/sparrouter-node/tests/fleet.rs
+++ b/crates/sparrouter-node/tests/fleet.rs
@@ -1,10 +1,10 @@
-//! Real nodes in the lab's fleet, judged by its audit: every rule, every invocation.
+//! Real nodes in the lab's fleet. The lab's audit checks every rule for every invocation.
 use sparrouter_lab::ledger::figures::Tally;
 use sparrouter_lab::play::{Program, Run, play};
 use sparrouter_lab::scenario::Scenario;
 use std::sync::Mutex;
 
-/// One at a time: sixteen nodes of a debug build take the whole machine.
+/// One run at a time: sixteen nodes of a debug build use the whole machine.
 static ALONE: Mutex<()> = Mutex::new(());
 
 const OPERATIONS: &str = r#"
@@ -48,7 +48,7 @@
     run
 }
 
-/// How many were answered, in whatever way.
+/// Number of answered invocations, with any result.
 fn answered(t: &Tally) -> u64 {
     let c = &t.total;
     c.in_objective + c.past_objective + c.throttled + c.errored
@@ -69,7 +69,7 @@
     );
 }
 
-/// What was in flight at a killed node is retried by its client; what it had answered counts.
+/// Clients retry invocations that were in flight at a killed node; its earlier answers count.
 #[test]
 fn nodes_killed_in_the_middle_lose_nothing_that_they_had_answered() {
     let run = played(
@@ -85,8 +85,8 @@
     assert!(run.tally.good() > 0.85, "{:?}", run.tally.total);
 }
 
-/// Stopped and resumed with all that was in flight: nothing runs twice, and nothing is sent to a server that drained
-/// meanwhile later than the drain grace allows.
+/// Nodes are suspended and resumed with invocations in flight: nothing is executed twice, and nothing is sent to a
+/// server that started to drain in between after its drain grace.
 #[test]
 fn paused_nodes_that_resume_keep_the_rules() {
     let run = played(
@@ -95,7 +95,7 @@
          [[fault]]\nkind = \"node_pause\"\nat_s = 1.5\nlength_s = 0.8\npart = 0.67\n\
          [[fault]]\nkind = \"node_pause\"\nat_s = 4\nlength_s = 2\npart = 0.34\n",
     );
-    // They were paused: some of what was in flight was answered too late or not at all.
+    // Because of the pause some invocations in flight were answered too late or not at all.
     let late =
         run.tally.total.past_objective + run.tally.total.unanswered + run.tally.total.errored;
     assert!(
@@ -106,7 +106,7 @@
     );
 }
 
-/// Truncated replies, lost bytes and slow links before cache servers.
+/// Truncated replies, lost bytes and slow links between nodes and cache servers.
 #[test]
 fn links_that_lose_delay_and_break_keep_the_rules() {
     let fault = |at: f64, how: &str| {
--- a/crates/sparrouter-node/tests/forwards.rs
+++ b/crates/sparrouter-node/tests/forwards.rs
@@ -1,4 +1,4 @@
-//! Forwards of one node: what becomes of an invocation by what its forwards meet.
+//! Forwards of one node: results of invocations under faults of their forwards.
 mod harness;
 
 use harness::*;
@@ -30,10 +30,10 @@
         (cache.links.load(SeqCst), origin.links.load(SeqCst)),
         (1, 1)
     );
-    // Well before the other side may close them, at 600 ms, they are retired.
+    // Idle connections are closed well before the peer may close them, at 600 ms.
     sleep(590 * MS);
     assert_eq!(cache.closed.load(SeqCst), 1);
-    // Two at once on one connection, the first with its body in chunks: answered in order.
+    // Two pipelined requests on one connection, the first with a chunked body, are answered in order.
     let put = "PUT /api/k HTTP/1.1\r\nX-Request-Id: p1\r\nX-Class: pay\r\nIdempotency-Key: m\r\n\
                Transfer-Encoding: chunked\r\n\r\n2\r\nne\r\n1\r\nw\r\n0\r\n\r\n";
     stream.write_all(put.as_bytes()).unwrap();
@@ -49,14 +49,14 @@
         (put.body, field(&put.head, "idempotency-key").as_deref()),
         (b"new".to_vec(), Some("m"))
     );
-    // A client that waits for the go-ahead gets it.
+    // A client that expects `100 Continue` gets it.
     let put = "PUT /api/k HTTP/1.1\r\nX-Request-Id: p3\r\nX-Class: pay\r\nExpect: 100-continue\r\n\
                Content-Length: 3\r\n\r\n";
     stream.write_all(put.as_bytes()).unwrap();
     assert!(message(&mut stream).unwrap().0.starts_with("HTTP/1.1 100 "));
     stream.write_all(b"new").unwrap();
     assert_eq!(read_answer(&mut stream).unwrap().2, "value of p3");
-    // A write goes to the origin at once, with its body.
+    // A write is forwarded to the origin immediately, with its body.
     assert_eq!(w.call("PUT", "/api/k", "w1", "pay").0, 200);
     let write = origin.seen().pop().unwrap();
     assert_eq!(
@@ -66,7 +66,7 @@
     assert_eq!(cache.seen().len(), 4);
 }
 
-/// How an invocation that must not run twice is answered, by the fault of its forward.
+/// The answer to an invocation that must not be executed twice, for each fault of its forward.
 #[test]
 fn each_fault_of_a_forward_gives_the_outcome_of_the_protocol() {
     for (act, status, forwards) in [
@@ -85,13 +85,13 @@
             "{act:?}"
         );
     }
-    // Nothing was ever written: a retry is harmless.
+    // Nothing was written, so a retry is safe.
     let cache = Server::always(Act::Hit);
     let w = start_node(&[&cache], unused_address(), 256);
     let (got, head, _) = w.call("PUT", "/api/k", "w", "pay");
     assert_eq!(got, 503);
     assert!(field(&head, "retry-after").unwrap().parse::<f64>().unwrap() > 0.0);
-    // A read goes on to the next cache server after any of them.
+    // A read is retried at the next cache server after each of these faults.
     for act in [Act::Reset, Act::Half, Act::Broken, Act::NotRun] {
         let bad = Server::always(act);
         let w = start_node(&[&bad, &cache], unused_address(), 256);
@@ -103,7 +103,7 @@
     }
 }
 
-/// Guards against valid answers that were thrown away for their length, and against buffering endless ones.
+/// Guards against dropping valid answers because of their length, and against buffering endless answers.
 #[test]
 fn long_answers_are_relayed_as_far_as_memory_allows() {
     let (cache, origin) = (Server::always(Act::Long), Server::always(Act::Endless));
@@ -137,7 +137,7 @@
     assert!(start.elapsed() < 300 * MS);
 }
 
-/// Guards against waiting for the end of what can't be an answer, and against serving what may be truncated.
+/// Guards against waiting for the end of an invalid answer, and against serving an answer that may be truncated.
 #[test]
 fn invalid_answers_fail_immediately_and_valid_ones_with_extras_count() {
     for act in [Act::Noise, Act::Truncated, Act::Interims] {
@@ -168,7 +168,7 @@
     }
 }
 
-/// Guards against writing repeatedly into idle connections that were dropped silently.
+/// Guards against repeated writes to idle connections that were dropped silently.
 #[test]
 fn the_pool_learns_the_lifetime_of_idle_connections() {
     let last = Mutex::new(std::collections::HashMap::<usize, Instant>::new());
@@ -201,20 +201,20 @@
     socket.bind((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
     let unresponsive = socket.listen(1).unwrap();
     let address = unresponsive.local_addr().unwrap();
-    // Its queue is full from now on, and it accepts nobody.
+    // The listen queue is full from now on, so no further connection is accepted.
     let full = |_: &usize| TcpStream::connect_timeout(&address, 50 * MS);
     let connections: Vec<_> = (0..4).map_while(|n| full(&n).ok()).collect();
     assert!(connections.len() < 4, "connections there still come up");
     let w = start_node(&[&Server::always(Act::Hit)], address, 256);
     let start = Instant::now();
     let (status, ..) = w.call("PUT", "/api/k", "w", "pay");
-    // A write that was never sent may be retried, which its client learns once the connect timeout is over.
+    // A write that was never sent may be retried; its client is told so after the connect timeout.
     assert_eq!(status, 503);
     assert!(start.elapsed() >= 200 * MS && start.elapsed() < 900 * MS);
 }
 
 #[test]
-fn a_late_reply_reaches_no_other_invocation() {
+fn a_late_reply_is_never_delivered_to_another_invocation() {
     let cache = Server::start(|seen| {
         if seen.id() == "slow" {
             Act::Late(600)
@@ -242,10 +242,10 @@
     );
 }
 
-/// Guards against suspecting a cache server for what the node lacks itself: with three descriptors for forwards two of
-/// five can't be sent, and no server is suspected for it.
+/// Guards against suspecting a cache server because the node lacks descriptors: with three descriptors for forwards two
+/// of five can't be sent, and no server is suspected.
 #[test]
-fn own_lack_of_descriptors_makes_no_cache_server_suspected() {
+fn a_lack_of_descriptors_in_the_node_does_not_suspect_a_cache_server() {
     let cache = Server::start(|seen| {
         if seen.id().starts_with('s') {
             Act::Late(200)
@@ -267,7 +267,7 @@
     assert_eq!(w.get("after"), 200);
 }
 
-/// Guards against keeping an invocation for good that waited for another's fetch when its time was over.
+/// Guards against a leak of invocations that time out while they wait for another invocation's fetch.
 #[test]
 fn finished_invocations_leave_no_state() {
     let (cache, origin) = (Server::always(Act::Miss), Server::always(Act::NoAnswer));
--- a/crates/sparrouter-node/tests/harness/mod.rs
+++ b/crates/sparrouter-node/tests/harness/mod.rs
@@ -183,34 +183,35 @@
         });
         answer.expect("an answer")
     }
-    /// So many reads that succeed. Where there is one fast cache server and a loaded machine delays it for a moment,
-    /// the policy may suspect it and reject the next one.
+    /// Sends reads until `count` of them have succeeded. If a loaded machine delays the only fast cache server, the
+    /// policy may suspect it and reject a read.
     pub fn reads(&self, name: &str, count: usize) {
         let (mut n, mut good) = (0, 0);
-        until("so many reads", || {
+        until("the requested number of successful reads", || {
             let status = self.get(&format!("{name}{n}"));
             assert!(matches!(status, 200 | 503), "{status}");
             (n, good) = (n + 1, good + usize::from(status == 200));
             good >= count
         });
     }
-    /// Says a line of the list and returns once the node goes by it: the subscription ends behind the line, and the node
-    /// calls for what is newer than it. What is sent to the node from then on comes behind the line in its mailbox.
+    /// Sends a line of the endpoint list and returns once the node has applied it: discovery ends the subscription
+    /// after the line, and the node requests later changes. Messages that are sent to the node afterwards follow the
+    /// line in its mailbox.
     pub fn list(&self, rev: u32, line: &str) {
         let before = self.discovery.calls();
         self.discovery.say(line);
-        until("the line", || {
+        until("the line is sent", || {
             self.discovery.feed.lock().unwrap().is_empty()
         });
         self.discovery.say("end");
-        until("a call for what is newer", || {
+        until("a call for later changes", || {
             self.discovery.calls() > before
         });
         let calls = self.discovery.calls.lock().unwrap();
         let newest = calls.last().unwrap();
         assert!(newest.contains(&format!("after={rev}")), "{newest}");
     }
-    /// Reads until `holds`.
+    /// Sends reads until `holds` returns true.
     ///
     /// # Panics
     /// After 10 s.
@@ -234,14 +235,14 @@
                 .success()
         );
     }
-    /// Replaces the file of the configuration and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(self.folder.path().join("config.json"), config).unwrap();
         self.signal("-HUP");
     }
 }
 
-/// An address at which nobody listens.
+/// Returns an address without a listener.
 pub fn unused_address() -> SocketAddr {
     free()
 }
@@ -252,5 +253,5 @@
 }
 
 pub fn read_status(stream: &mut TcpStream) -> u16 {
-    read_answer(stream).expect("a whole answer").0
+    read_answer(stream).expect("a complete answer").0
 }
--- a/crates/sparrouter-node/tests/log.rs
+++ b/crates/sparrouter-node/tests/log.rs
@@ -6,24 +6,24 @@
 use std::io::Read;
 use std::net::UdpSocket;
 
-/// Datagrams that are no gossip, each of which leaves a line: several times what a pipe holds.
+/// Number of invalid datagrams, each of which logs one line: together several times the capacity of a pipe.
 const DATAGRAMS: usize = 6_000;
 
-/// A node whose standard error was a full pipe stood still in the middle of its work.
+/// Guards against a node that blocks because its standard error is a full pipe.
 #[test]
-fn a_log_that_nobody_reads_does_not_hold_the_node_up() {
+fn a_full_pipe_at_standard_error_does_not_block_the_node() {
     let cache = Server::always(Act::Hit);
     let mut w = start_node_with_log(SETTINGS, &[&cache], unused_address(), 256, "debug");
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     for n in 0..DATAGRAMS {
         stranger.send_to(b"no gossip", w.datagrams).unwrap();
         if n % 200 == 0 {
-            // The node has read what came so far.
+            // The answer shows that the node still reads its sockets.
             assert_eq!(w.get(&format!("d{n}")), 200);
         }
     }
     w.reads("after", 5);
-    // What was written first is there for whoever reads at last.
+    // The first lines of the log are still in the pipe.
     w.signal("-TERM");
     let mut log = String::new();
     let mut stderr = w.node.stderr.take().unwrap();
--- a/crates/sparrouter-node/tests/random_runs.rs
+++ b/crates/sparrouter-node/tests/random_runs.rs
@@ -27,8 +27,8 @@
 /// One invocation of a run: its operation, whether its client leaves, and its key.
 type Call = (&'static str, bool, u8);
 
-/// Three servers and the origin, each with its own sequence of acts; invocations, some writes, some clients that leave;
-/// each is checked as soon as it is over.
+/// Runs invocations against three servers and the origin, each with its own sequence of acts. Some invocations are
+/// writes, and some clients disconnect. Each invocation is checked as soon as it is complete.
 fn play(acts: [Vec<Act>; 4], calls: Vec<Call>) {
     let servers = acts.map(|acts| {
         let next = AtomicUsize::new(0);
@@ -60,7 +60,7 @@
         return;
     }
     let (status, _, body) = read_answer(&mut stream).expect("one answer");
-    // Slack of the settings, and a loaded machine's.
+    // Slack of the settings and of a loaded machine.
     assert!(start.elapsed() < 1200 * MS, "answered in time");
     let received = || {
         servers
@@ -69,13 +69,13 @@
             .filter(|s| s.id() == id)
             .collect::<Vec<_>>()
     };
-    // Also of forwards that were cancelled: the scripted servers notice a moment later.
+    // Includes cancelled forwards, which the scripted servers notice with a delay.
     until("the end of all forwards", || {
         received().iter().all(|s| s.until.is_some())
     });
     check(&received(), status, &body, operation, id);
-    // Nothing more is sent once it is answered, and no second answer follows. What was sent before may be read late on
-    // a loaded machine; what is sent after violates the program's own invariant.
+    // Nothing is sent after the answer, and no second answer follows. On a loaded machine a forward that was sent
+    // before may be read late; a forward that is sent afterwards violates an invariant of the program.
     sleep(100 * MS);
     let count = received().len();
     sleep(100 * MS);
@@ -104,11 +104,11 @@
         );
     }
     if let (Some(first), Some(last), "mark") = (may_have_run.first(), requests.last(), operation) {
-        // The window of the settings, and the time to get there.
+        // The window of the settings, plus the transmission time.
         assert!(last.from < *first + 350 * MS, "{requests:?}");
     }
     for pair in requests.windows(2) {
-        // What the node cancelled the scripted server notices late, more so on a loaded machine.
+        // The scripted server notices a cancelled forward with a delay, which is longer on a loaded machine.
         let over = pair[0]
             .until
             .is_some_and(|until| until <= pair[1].from + 150 * MS);
--- a/crates/sparrouter-node/tests/reload.rs
+++ b/crates/sparrouter-node/tests/reload.rs
@@ -9,9 +9,9 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-/// Guards against SIGHUP ending the node, and against staying with the discovery of the old file.
+/// Guards against a node that exits at SIGHUP, and against a node that keeps the old discovery address.
 #[test]
-fn sighup_moves_discovery_and_all_else_goes_on() {
+fn sighup_changes_the_discovery_address_without_interrupting_service() {
     let (cache, origin) = (Server::always(Act::Hit), Server::always(Act::Late(600)));
     let mut w = start_node(&[&cache], origin.at, 256);
     until("the subscription", || w.discovery.calls() == 1);
@@ -24,7 +24,7 @@
         assert_eq!(w.get("a"), 200);
     }
     assert_eq!(w.discovery.calls(), 1);
-    // One that accepts the call and never answers must not keep the node from the next.
+    // A discovery that accepts the call and never answers must not block the next call.
     let (hanging, unresponsive) = listen();
     let config = |address: SocketAddr| {
         w.config
@@ -36,7 +36,7 @@
     w.reload(&config(new.at));
     until("a subscription at the new one", || new.calls() == 1);
     assert!(start.elapsed() < 1000 * MS);
-    // It may count its versions anew.
+    // The new discovery may number its versions from the start.
     assert!(new.calls.lock().unwrap()[0].contains("watch=1&after=0"));
     assert_eq!(read_answer(&mut slow).unwrap().0, 200);
     let list = format!(
@@ -50,8 +50,8 @@
     assert!(w.node.try_wait().unwrap().is_none());
 }
 
-/// All that can change is applied at once; an invocation keeps the rules under which it was received. The writes wait
-/// at a slow origin: one was received under 900 ms, the other under 250.
+/// All changes are applied together; an invocation keeps the rules under which it was received. The writes wait at a
+/// slow origin: one was received with a timeout of 900 ms, the other with 250 ms.
 #[test]
 fn sighup_applies_settings_to_later_invocations() {
     let (cache, origin) = (Server::always(Act::Hit), Server::always(Act::Late(450)));
@@ -81,7 +81,7 @@
     assert!(start.elapsed() < 300 * MS, "{:?}", start.elapsed());
     assert_eq!(read_answer(&mut before).unwrap().0, 200);
     assert_eq!(w.get("a"), 200);
-    // A removed operation is unknown.
+    // A removed operation is rejected as unknown.
     w.reload(&shorter.replace("\"scan\"", "\"skim\""));
     until("the other operation", || {
         w.call("GET", "/api/t", "t", "skim").0 == 200
@@ -90,7 +90,7 @@
     assert!(w.node.try_wait().unwrap().is_none());
 }
 
-/// The operator's file alone: the generation changes, and another file for reports does not begin the counts anew.
+/// Only the operator's file changes: the generation changes, and a new report file does not reset the counts.
 #[test]
 fn sighup_applies_the_operators_file() {
     let cache = Server::always(Act::Hit);
@@ -131,7 +131,7 @@
         b.uptime_ms >= a.uptime_ms && a.settings == b.settings && !a.settings.is_empty(),
         "{a:?} {b:?}"
     );
-    // An invalid one changes nothing.
+    // An invalid file changes nothing.
     std::fs::write(folder.join("operator.toml"), "[report]\n").unwrap();
     w.signal("-HUP");
     let before = b.uptime_ms;
@@ -141,7 +141,7 @@
     assert_eq!(last("b.jsonl").unwrap().generation, "two");
 }
 
-/// One field can't change, so nothing of the rest is applied; the log names it.
+/// If one field can't change in a running node, no change is applied; the log names the field.
 #[test]
 fn sighup_with_a_fixed_field_applies_nothing_and_names_it() {
     let cache = Server::always(Act::Hit);
--- a/crates/sparrouter-node/tests/rollout.rs
+++ b/crates/sparrouter-node/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Staged rollouts over real nodes under traffic: good ones, bad ones, with the conductor killed and nodes stopped.
+//! Staged rollouts over real nodes under traffic, of good and bad settings, with a killed conductor and stopped nodes.
 use sparrouter_lab::scripted::{Act, Discovery, Server, free, target, until};
 use sparrouter_rollout::record::Outcome;
 use sparrouter_rollout::run::{self, Mode};
@@ -14,7 +14,7 @@
 const MS: Duration = Duration::from_millis(1);
 const NODES: usize = 4;
 
-/// Ends the process of a node and starts it in the state wanted. Safe to run again.
+/// Command that stops a node's process and starts it in the wanted state. It may be repeated.
 const CONTROL: &str = r#"#!/bin/bash
 # control.sh change|back|restart NAME
 cd "$(dirname "$0")" || exit 3
@@ -43,7 +43,7 @@
     _servers: Vec<Server>,
     discovery: Discovery,
     over: Arc<AtomicBool>,
-    /// Calls with an answer, and calls that their node accepted and did not answer.
+    /// Counts of answered calls, and of calls that the node accepted and did not answer.
     answered: Arc<AtomicUsize>,
     unanswered: Arc<AtomicUsize>,
     clients: Vec<JoinHandle<()>>,
@@ -123,7 +123,7 @@
         std::fs::write(self.path(name), text).unwrap();
     }
 
-    /// The files of one node, in the old and in the new state.
+    /// Writes the files of one node, in the old and in the new state.
     fn write_node_files(&self, n: usize, targets: &str, new_objective_us: u64) {
         let (listen, discovery) = (self.addresses[n], self.discovery.at);
         let report = self.path(&format!("n{n}.jsonl"));
@@ -142,7 +142,7 @@
         self.write(&format!("n{n}.pid"), "999999999\n");
     }
 
-    /// What the rollout's plan says of one node.
+    /// The entry of one node in the rollout's plan.
     fn plan_of(&self, n: usize) -> String {
         let control = self.path("control.sh");
         let command = |what| format!("[\"bash\", {control:?}, \"{what}\", \"n{n}\"]");
@@ -164,7 +164,7 @@
         c
     }
 
-    /// Some 60 calls a second to one node, each on its own connection.
+    /// Sends about 60 calls per second to one node, each on its own connection.
     fn client(&self, n: usize) -> JoinHandle<()> {
         let (address, over) = (self.addresses[n], self.over.clone());
         let (answered, unanswered) = (self.answered.clone(), self.unanswered.clone());
@@ -173,7 +173,7 @@
             while !over.load(SeqCst) {
                 id += 1;
                 sleep(5 * MS);
-                // A node that is down takes no connection: its front layer would send elsewhere.
+                // A node that is down accepts no connection: the front layer would use another node.
                 let Ok(mut stream) = TcpStream::connect(address) else {
                     continue;
                 };
@@ -222,15 +222,16 @@
     assert_eq!(fleet.run(Mode::Run), Outcome::Completed);
     assert_eq!(fleet.states(), ["new"; NODES]);
     let (answered, unanswered) = (fleet.answered.load(SeqCst), fleet.unanswered.load(SeqCst));
-    // These clients go on connecting until the process is gone; a few connects meet its end. The platform takes one
-    // in two hundred that is closed without an answer.
+    // These clients keep connecting until the process has exited, so a few connections are closed without an answer.
+    // The platform tolerates one in two hundred.
     assert!(
         answered > 1000 && unanswered * 200 <= answered,
         "{answered} answered, {unanswered} not"
     );
 }
 
-/// New settings under which each answer is shed as too late: stopped in the first stage and rolled back.
+/// Under the new settings each invocation is shed as too late: the rollout is stopped in the first stage and rolled
+/// back.
 #[test]
 fn settings_that_perform_worse_are_stopped_and_rolled_back() {
     let fleet = Fleet::start(3_000);
@@ -242,7 +243,7 @@
     assert_eq!(fleet.states(), ["old"; NODES]);
 }
 
-/// Not a test by itself: a conductor in a process of its own, so that it can be killed.
+/// Not a test: runs a conductor in a separate process, so that it can be killed.
 #[test]
 #[ignore = "run by the test below"]
 fn conductor_in_a_process() {
@@ -271,8 +272,8 @@
         .unwrap()
 }
 
-/// The conductor is killed repeatedly, and a node that is not being changed is stopped for a while: the rollout ends as
-/// it would have.
+/// The conductor is killed repeatedly, and a node that is not being changed is suspended for a while: the rollout has
+/// the same result as without these faults.
 #[test]
 fn a_killed_conductor_and_a_stopped_node_change_nothing_about_the_end() {
     let fleet = Fleet::start(300_000);
@@ -280,7 +281,7 @@
     let (began, mut kills) = (Instant::now(), 0u32);
     while !how.exists() && began.elapsed() < Duration::from_secs(150) {
         let mut c = conductor(&fleet);
-        // Each is given longer than the one before: none would get through a stage otherwise.
+        // Each conductor runs longer than the previous one; otherwise none would complete a stage.
         let patience = Duration::from_millis(1300) + 1000 * MS * kills;
         let started = Instant::now();
         while started.elapsed() < patience && c.try_wait().unwrap().is_none() {
--- a/crates/sparrouter-node/tests/shares.rs
+++ b/crates/sparrouter-node/tests/shares.rs
@@ -76,7 +76,7 @@
 node = 7
 "#;
 
-/// In no window more than a twentieth over the limit; and the quota is used once the faults are over.
+/// No window exceeds the limit by more than a twentieth, and the quota is used after the faults have ended.
 #[test]
 fn the_sum_of_quota_shares_stays_within_the_limit_through_faults() {
     let scenario = Scenario::parse("shares", FLEET).unwrap();
@@ -100,8 +100,9 @@
                 .collect();
             some.iter().sum::<f64>() / some.len().max(1) as f64
         };
-        // Nodes whose arrivals equal just their share lose a tenth of them to chance in windows this short.
-        // A liar may take what is idle and an eighth of the rest: that is given to it, and lost.
+        // Nodes whose arrival rate equals their share lose a tenth of the arrivals to random variation in windows this
+        // short. A node that reports a false need may borrow the idle shares and an eighth of the rest, which is then
+        // lost.
         assert!(steady(26.0, 30.0) > 0.55, "{limit}\n{all:#?}");
         assert!(
             steady(3.0, 5.0) > 0.75 && steady(21.0, 24.0) > 0.7,
--- a/crates/sparrouter-node/tests/shutdown.rs
+++ b/crates/sparrouter-node/tests/shutdown.rs
@@ -8,7 +8,7 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-/// Connections of which each is at another point of an exchange, in the order of the names.
+/// Opens connections that are each in another stage of an exchange, in the order of the names.
 fn in_flight(w: &TestNode, cache: &Server, origin: &Server) -> [TcpStream; 7] {
     let [
         mut idle,
@@ -37,8 +37,8 @@
     [idle, head, body, hangs, slow, misses, waits]
 }
 
-/// Connections that are idle, within a head, within a body, at a cache server that hangs, at one that is slow, between
-/// the miss and the origin's answer, behind another's fetch. Further signals do not stop the shutdown.
+/// Connections that are idle, within a head, within a body, waiting for a hanging cache server, for a slow one, between
+/// a miss and the origin's answer, or for another invocation's fetch. Further signals do not interrupt the shutdown.
 #[test]
 fn all_that_is_in_flight_is_answered_before_the_exit() {
     let cache = Server::start(|seen| match seen.id().as_str() {
@@ -74,7 +74,7 @@
     head.write_all(b"ass: get\r\n\r\n").unwrap();
     body.write_all(b"ves").unwrap();
     assert_eq!(read_status(&mut body), 200);
-    // The one cache server that hangs for some may be suspected for it, and reads then be rejected.
+    // The hanging cache server may be suspected, and reads are then rejected.
     for (name, stream) in [
         ("head", &mut head),
         ("slow", &mut slow),
@@ -85,19 +85,18 @@
     }
     assert!(matches!(read_status(&mut waits), 200 | 503));
     assert!(matches!(read_status(&mut hangs), 502 | 503));
-    // The idle one: closed without an answer, or its request is answered.
+    // The idle connection is closed without an answer, or its request is answered.
     send_request(&mut idle, "GET", "/api/r", "crosses", "get", "");
     let answered = read_answer(&mut idle).is_some();
     let is_forwarded = cache.seen().iter().any(|s| s.id() == "crosses");
     assert!(answered || !is_forwarded, "read, forwarded and lost");
     until("the end", || w.node.try_wait().unwrap().is_some());
     assert!(w.node.wait().unwrap().success());
-    // The longest client timeout, and 0.7 s.
+    // The longest client timeout plus 0.7 s.
     assert!(start.elapsed() < 1600 * MS, "{:?}", start.elapsed());
 }
 
-/// Forty idle connections, each written to a millisecond later than the one before, around the moment at which
-/// the node closes them.
+/// Writes to forty idle connections, one per millisecond, around the time at which the node closes them.
 #[test]
 fn requests_around_the_close_are_answered_or_never_forwarded() {
     let cache = Server::always(Act::Hit);
@@ -127,7 +126,7 @@
     }
 }
 
-/// A client that sends a byte now and then delays nothing, and a node without requests exits soon.
+/// A client that sends single bytes slowly does not delay the exit, and a node without requests exits promptly.
 #[test]
 fn slow_clients_do_not_delay_the_exit() {
     let cache = Server::always(Act::Hit);
@@ -160,7 +159,7 @@
     until("the forward", || origin.seen().len() == 1);
     w.signal("-TERM");
     sleep(50 * MS);
-    // Not ready, but it answers what it receives, on open connections and on new ones.
+    // The node is not ready, but answers requests on open and on new connections.
     assert_eq!(w.call("GET", "/health/ready", "", "").0, 503);
     send_request(&mut old, "GET", "/api/k", "o2", "get", "");
     let (status, head, _) = read_answer(&mut old).unwrap();
@@ -169,7 +168,7 @@
         (200, Some("close"))
     );
     assert_eq!(old.read(&mut [0; 1]).unwrap(), 0);
-    // For so long clients may still connect.
+    // Clients may connect for this time after SIGTERM.
     let start = Instant::now();
     for n in 0.. {
         assert!(matches!(w.get(&format!("late{n}")), 200 | 503));
--- a/crates/sparrouter-node/tests/start.rs
+++ b/crates/sparrouter-node/tests/start.rs
@@ -1,4 +1,4 @@
-//! The program starts while what it depends on is missing, and names what is invalid in its files.
+//! Start of the program: with unavailable dependencies, and with invalid configuration files.
 mod harness;
 
 use harness::*;
@@ -12,7 +12,7 @@
     sparrouter_lab::scripted::target(&format!("c{n}"), at, "box", state)
 }
 
-/// A discovery that answers this to every call, and then nothing more.
+/// Starts a discovery that answers every call with `text` and then sends nothing.
 fn discovery_that_answers(text: String) -> (TcpListener, SocketAddr) {
     let (listener, address) = listen();
     let acceptor = listener.try_clone().unwrap();
@@ -28,7 +28,7 @@
     (listener, address)
 }
 
-/// A node with one cache server that serves and one that drains by the list that it had, and how long it took to be
+/// Starts a node whose last known list has a serving and a draining cache server. Returns it with the time until it was
 /// ready.
 fn ready(
     discovery: SocketAddr,
@@ -89,10 +89,10 @@
     }
 }
 
-/// Discovery is down, silent, refuses, answers nonsense or an incomplete list: the node is ready at once, serves by the
-/// list that it had, and respects what drains there from the first moment.
+/// Discovery is down, silent, refuses, answers garbage or an incomplete list: the node is ready immediately, serves by
+/// its last known list, and sends nothing to a server that is draining in that list.
 #[test]
-fn ready_whatever_discovery_does_and_drains_bind_from_the_first_moment() {
+fn with_any_discovery_fault_the_node_is_ready_and_respects_draining_servers_of_the_known_list() {
     let open = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let incomplete = r#"{"rev":42,"all":true,"targets":[{"uid":"c0","#;
     let bad = "{\"rev\":oops}\n";
@@ -122,7 +122,7 @@
                 .map_or_else(unused_address, |(_, address)| *address);
             let (node, took) = ready(discovery, mode, &cache, &drains);
             assert!(took < Duration::from_secs(5), "{name}: {took:?}");
-            // Delayed on a loaded machine, the one that serves may be suspected for a moment.
+            // On a loaded machine the serving cache server may be delayed and briefly suspected.
             let (mut sent, mut good) = (0, 0);
             until(name, || {
                 let status = node.call("GET", &format!("k{sent}"));
@@ -135,8 +135,8 @@
     }
 }
 
-/// Seven of ten start in one moment, with no cache server to be reached: all are ready, and all that is asked of them
-/// is answered.
+/// Seven of ten nodes start at the same time without a reachable cache server: all become ready, and all requests are
+/// answered.
 #[test]
 fn many_that_start_at_once_are_ready_in_time() {
     let start = Instant::now();
@@ -171,7 +171,7 @@
     );
 }
 
-/// A valid text of the settings, an invalid one in its place, and the field that the error names.
+/// Valid text in the settings, its invalid replacement, and the field that the error names.
 const INVALID_SETTINGS: [(&str, &str, &str); 9] = [
     (r#""DeadlineUs":900000"#, r#""DeadlineUs":-1"#, "DeadlineUs"),
     (
@@ -212,7 +212,7 @@
     ),
 ];
 
-/// What is optional may be absent, and an invalid value is named by its field, with exit code 2.
+/// Optional fields may be absent. An invalid value exits with code 2 and an error that names the field.
 #[test]
 fn settings_are_accepted_or_rejected_by_field() {
     let minimal = r#"{"Areas":["x"],"Classes":[{"Name":"uus","ObjectiveUs":400000,"DeadlineUs":900000,"Effect":"read_like"}],
