--- a/crates/sparrouter-fleet/src/control/change.rs
+++ b/crates/sparrouter-fleet/src/control/change.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Shortest time that an attempt may be given; with less time remaining, none begins.
+/// Shortest time-out of an attempt; no further attempt begins if less time remains.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(10);
 /// Ratio of the remaining time that an attempt may use while other members can be tried after it.
 const ATTEMPT_TIME_RATIO: f64 = 0.6;
@@ -23,8 +23,8 @@
 pub struct ChangeAnswer {
     /// The answer of the shard's state machine.
     pub answer: Vec<u8>,
-    /// Whether an earlier attempt of the same call ended without an answer. Its copy may still be applied, to a later
-    /// state.
+    /// Whether an earlier attempt of the same call ended without an answer. The copy of the change that this attempt
+    /// sent may still be applied, to a later state.
     pub has_copies_in_flight: bool,
 }
 
@@ -92,19 +92,19 @@
         change: &change,
     };
     let addresses = addresses_to_ask(node, control, shard);
-    let last = addresses.len().saturating_sub(1);
+    let last_index = addresses.len().saturating_sub(1);
     let mut error = ChangeError::NoMember;
     for (index, address) in addresses.into_iter().enumerate() {
         let remaining = deadline.saturating_duration_since(Instant::now());
         if remaining < MIN_ATTEMPT_TIME {
             break;
         }
-        let time = if index == last {
+        let attempt_timeout = if index == last_index {
             remaining
         } else {
             remaining.mul_f64(ATTEMPT_TIME_RATIO)
         };
-        match attempt.at(address, time).await {
+        match attempt.send_to(address, attempt_timeout).await {
             AttemptOutcome::Answered(answer) => {
                 let has_copies_in_flight = error == ChangeError::Unknown;
                 return Ok(ChangeAnswer {
@@ -154,7 +154,7 @@
     control_nodes.into_iter().map(|n| n.address).collect()
 }
 
-/// One change, as it is sent to each node that is tried.
+/// A change, with the context that each attempt to make it needs.
 struct Attempt<'a> {
     node: &'a Rc<Node>,
     /// This node's control state; `None` if the node is no member.
@@ -164,20 +164,20 @@
 }
 
 impl Attempt<'_> {
-    async fn at(&self, address: SocketAddr, time: Duration) -> AttemptOutcome {
+    async fn send_to(&self, address: SocketAddr, timeout: Duration) -> AttemptOutcome {
         let own_address = self.node.own_record.borrow().internal_address.parse().ok();
         if Some(address) == own_address {
-            self.here(time).await
+            self.apply_here(timeout).await
         } else {
-            self.at_peer(address, time).await
+            self.send_to_peer(address, timeout).await
         }
     }
 
-    async fn here(&self, time: Duration) -> AttemptOutcome {
+    async fn apply_here(&self, timeout: Duration) -> AttemptOutcome {
         let Some(control) = self.own_register else {
             return AttemptOutcome::Unsent;
         };
-        let outcome = control.change_here(self.shard, self.change.to_vec(), time);
+        let outcome = control.change_here(self.shard, self.change.to_vec(), timeout);
         match outcome.await {
             Outcome::Answered(answer) => AttemptOutcome::Answered(answer),
             Outcome::Rejected(rejection) => AttemptOutcome::Rejected(ChangeError::Rejected {
@@ -188,13 +188,13 @@
         }
     }
 
-    async fn at_peer(&self, address: SocketAddr, time: Duration) -> AttemptOutcome {
+    async fn send_to_peer(&self, address: SocketAddr, timeout: Duration) -> AttemptOutcome {
         let call = Call::Change {
             shard: self.shard,
             change: Blob(self.change.to_vec()),
-            timeout_ms: time.as_millis() as u32,
+            timeout_ms: timeout.as_millis() as u32,
         };
-        let reply = self.node.links.call(address, &call, time + REPLY_MARGIN);
+        let reply = self.node.links.call(address, &call, timeout + REPLY_MARGIN);
         match reply.await {
             Ok(Reply::Applied(answer)) => AttemptOutcome::Answered(answer.0),
             Ok(Reply::NotApplied(reason)) => {
@@ -206,7 +206,7 @@
     }
 }
 
-/// Decodes the answer of the configuration's shard; `None` if it has the format of another release.
+/// Decodes the answer of the configuration's shard; `None` if this release cannot decode it.
 pub fn decode_verdict(answer: &[u8]) -> Option<Verdict> {
     sparrouter_codec::read(answer)
 }
--- a/crates/sparrouter-fleet/src/control/configuration_state/format.rs
+++ b/crates/sparrouter-fleet/src/control/configuration_state/format.rs
@@ -15,7 +15,8 @@
 use nanoserde::{DeBin, SerBin};
 use sparrouter_codec::Seq;
 
-/// Read as the version number with which format 1 begins, this header would be above 18 * 10^18.
+/// First bytes of a state since format 2. No state in format 1 begins with them: its first field is the version in
+/// force, which these bytes would make larger than 18 * 10^18.
 const HEADER: [u8; 8] = *b"config\xff\xff";
 /// The number of the format that this release writes.
 pub const FORMAT_VERSION: u32 = 2;
@@ -34,7 +35,7 @@
         /// Number of the format found.
         found: u32,
     },
-    /// The bytes are damaged, or no earlier release wrote their format.
+    /// The bytes are damaged, or have a format that neither this release nor an earlier one wrote.
     #[error(
         "the configuration's shard has a format that this release does not know: bring all nodes to one release"
     )]
@@ -80,22 +81,22 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(HEAD_BYTES + self.text.len());
         out.extend_from_slice(&HEADER);
-        let form = if rules::state_form_is_known() {
+        let format_number = if rules::state_form_is_known() {
             FORMAT_VERSION
         } else {
             u32::MAX
         };
-        form.ser_bin(&mut out);
+        format_number.ser_bin(&mut out);
         self.ser_bin(&mut out);
         out
     }
 }
 
 fn read_with_header(rest: &[u8]) -> Result<ConfigurationState, StateFormatError> {
-    let Some((form, state)) = rest.split_first_chunk() else {
+    let Some((format_number, state)) = rest.split_first_chunk() else {
         return Err(StateFormatError::Unreadable);
     };
-    match u32::from_le_bytes(*form) {
+    match u32::from_le_bytes(*format_number) {
         FORMAT_VERSION => read_state(state),
         found if found > FORMAT_VERSION => Err(StateFormatError::Newer { found }),
         _ => Err(StateFormatError::Unreadable),
--- a/crates/sparrouter-fleet/src/control/disk.rs
+++ b/crates/sparrouter-fleet/src/control/disk.rs
@@ -370,8 +370,8 @@
 
 impl DiskWriter for ThreadWriter {
     fn start(self: Box<Self>, outcomes: UnboundedSender<WriteOutcome>) -> WriteQueue {
-        // The queue is unbounded: each register has at most one record in flight, and the membership is skipped while a
-        // write of it is pending.
+        // The queue is unbounded: each register has at most one record in flight, and a write of the membership or of
+        // the version ages is skipped while an earlier one is pending.
         let (requests, queue) = std::sync::mpsc::channel();
         let mut store = self.0;
         std::thread::spawn(move || {
@@ -384,7 +384,7 @@
             }
         });
         Box::new(move |request| {
-            // The thread ends only with the process.
+            // This fails only if the receiver of the outcomes was dropped, which ends the thread.
             let _ = requests.send(request);
         })
     }
--- a/crates/sparrouter-fleet/src/control/groups.rs
+++ b/crates/sparrouter-fleet/src/control/groups.rs
@@ -15,8 +15,8 @@
 
 /// Time between two observations of the other nodes.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(200);
-/// The first group is formed once its candidates have been the same for this long, and [`MAX_WAIT_FOR_COUNTED`] allows
-/// it.
+/// The first group is formed once its candidates have been the same for this long, and either a node that counts toward
+/// the quorum is known or [`MAX_WAIT_FOR_COUNTED`] has passed.
 const STABLE_FOR: Duration = Duration::from_millis(900);
 /// Longest time after the start to wait for a node that counts toward the quorum before the first group is formed.
 const MAX_WAIT_FOR_COUNTED: Duration = Duration::from_millis(4_000);
@@ -75,7 +75,8 @@
         }
     }
 
-    /// A random other node from which to request state; `None` if every register here knows its group.
+    /// A random other node from which to request state; `None` if no other node is
+    /// observed or every register here knows its group.
     fn source_of_groups(&self, observations: &[NodeObservation]) -> Option<Member> {
         let others: Vec<&Member> = observations
             .iter()
@@ -135,7 +136,7 @@
         true
     }
 
-    /// Opens the registers with these records; `None` unless this node is a member by each of them.
+    /// Opens the registers with these records; `None` unless each record makes this node a member.
     fn registers_of(&self, records: &[Blob]) -> Option<Vec<Register<ShardMachine>>> {
         if records.len() != usize::from(LEASE_SHARDS) + 1 {
             return None;
@@ -187,9 +188,9 @@
     loop {
         tokio::time::sleep(BOOTSTRAP_INTERVAL).await;
         let membership = node.membership.borrow();
-        let now = candidates_in(&membership);
-        if now != candidates {
-            (candidates, unchanged_since) = (now, Instant::now());
+        let current = candidates_in(&membership);
+        if current != candidates {
+            (candidates, unchanged_since) = (current, Instant::now());
         }
         let any_counted = membership.nodes().any(|n| n.counts_toward_quorum);
         let is_stable = unchanged_since.elapsed() >= STABLE_FOR;
@@ -201,7 +202,8 @@
     }
 }
 
-/// The control nodes with a disk. If any of them counts toward the quorum, only those that do.
+/// The control nodes with a disk. If any control node counts toward the quorum, the nodes that do not count are left
+/// out.
 fn candidates_in(membership: &MembershipTable) -> Vec<Member> {
     let is_control = |n: &&NodeRecord| !n.control_address.is_empty();
     let any_counted = membership
--- a/crates/sparrouter-fleet/src/control/liveness.rs
+++ b/crates/sparrouter-fleet/src/control/liveness.rs
@@ -67,7 +67,7 @@
             .insert(name.to_owned(), self.node.now());
     }
 
-    /// Marks nodes that stopped polling as unresponsive. A node that polls another source refutes it.
+    /// Marks nodes that stopped polling as unresponsive. A node that polls another source refutes this mark.
     pub fn mark_unresponsive_pollers(&self) {
         let now = self.node.now();
         if !self.has_quorum_contact() && rules::watching_needs_contact() {
--- a/crates/sparrouter-fleet/src/control/mod.rs
+++ b/crates/sparrouter-fleet/src/control/mod.rs
@@ -175,11 +175,11 @@
     /// Injected defect: a proposal that this node accepted before its restart counts as chosen.
     fn inject_accepted_proposal(&self, records: &[Option<Vec<u8>>]) {
         if let Some(record) = records.first().and_then(Option::as_deref)
-            && let Some(vote) = Record::decode(record, MAX_MESSAGE_BYTES)
+            && let Some(proposal) = Record::decode(record, MAX_MESSAGE_BYTES)
                 .ok()
                 .and_then(|r| r.accepted)
         {
-            self.publish_configuration(vote.state.slot, &vote.state.body);
+            self.publish_configuration(proposal.state.slot, &proposal.state.body);
         }
     }
 }
@@ -203,7 +203,8 @@
         open_register(node, own_member, shard, record.as_deref(), 0).unwrap_or_else(|error| {
             // The records were checked when the disk was read.
             node.log_buffer.report_violation(&error.to_string());
-            open_register(node, own_member, shard, None, 0).expect("there is no record to misread")
+            open_register(node, own_member, shard, None, 0)
+                .expect("a register without a record opens")
         })
     };
     (0..).zip(records).map(open).collect()
--- a/crates/sparrouter-fleet/src/control/observation_window.rs
+++ b/crates/sparrouter-fleet/src/control/observation_window.rs
@@ -2,7 +2,7 @@
 //!
 //! A process that was frozen, or got hardly any processor time, receives no messages during that time. This proves
 //! nothing about the other members: the time after which they count as unresponsive starts after the pause, so that a
-//! member that thaws does not propose to remove the others from its groups.
+//! member that resumes does not propose to remove the others from its groups.
 use sparrouter_routing::Nanos;
 
 /// The period in which this process observed the other members without a pause; it observes them several times a
--- a/crates/sparrouter-fleet/src/control/quorum_contact.rs
+++ b/crates/sparrouter-fleet/src/control/quorum_contact.rs
@@ -8,7 +8,7 @@
 //! was last lost. Every change that was acknowledged before that read began is therefore known here.
 //!
 //! All times are of this process's steady clock, which runs on while the process is frozen, waits for a disk or gets no
-//! processor. Contact expires by time, so no task has to detect that it ended.
+//! processor time. Contact expires by time, so no task has to detect that it ended.
 //!
 //! Source: Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 6.4 (ReadIndex).
 use crate::platform::defects::rules;
--- a/crates/sparrouter-fleet/src/node/configuration.rs
+++ b/crates/sparrouter-fleet/src/node/configuration.rs
@@ -209,8 +209,8 @@
         self.record_models(&update.models);
     }
 
-    /// Records only the named versions. If a polling node knows a version that this process has forgotten, the earliest
-    /// time applies.
+    /// Records named versions of weights. A polling node may report a version that this process has forgotten or knows
+    /// with another time: the earliest reported time applies.
     pub fn record_models(&self, models: &[ModelUpdate]) {
         let now = self.now();
         let versions = &mut self.server_table.borrow_mut().versions;
--- a/crates/sparrouter-fleet/src/node/fleet_contact.rs
+++ b/crates/sparrouter-fleet/src/node/fleet_contact.rs
@@ -1,5 +1,5 @@
-//! When this process last heard from a node with quorum contact, and whether a quorum has confirmed its state since its
-//! start.
+//! When this process last heard from a node with quorum contact, and whether a quorum has confirmed the process's
+//! configuration since its start.
 use sparrouter_routing::Nanos;
 use std::cell::Cell;
 
--- a/crates/sparrouter-fleet/src/node/live_nodes.rs
+++ b/crates/sparrouter-fleet/src/node/live_nodes.rs
@@ -203,7 +203,7 @@
     (table, in_order)
 }
 
-/// The nodes with control state. If any of them counts toward the quorum, only those that do.
+/// The nodes with control state. If any of them counts toward the quorum, the nodes that do not count are left out.
 fn control_records<'a>(nodes: &[&'a NodeRecord]) -> Vec<&'a NodeRecord> {
     let mut control: Vec<&NodeRecord> = nodes
         .iter()
--- a/crates/sparrouter-fleet/src/node/records.rs
+++ b/crates/sparrouter-fleet/src/node/records.rs
@@ -30,8 +30,8 @@
         });
     }
 
-    /// Refutes records from other nodes that report this node as unresponsive, or that belong to an earlier process of
-    /// its name, by raising the incarnation.
+    /// Raises this node's incarnation to refute records from other nodes that report it as unresponsive or that describe
+    /// an earlier process with the same name.
     fn raise_incarnation(&self) {
         let mut own = self.own_record.borrow_mut();
         let mut membership = self.membership.borrow_mut();
--- a/crates/sparrouter-fleet/src/platform/defects.rs
+++ b/crates/sparrouter-fleet/src/platform/defects.rs
@@ -1,6 +1,6 @@
 //! Injected defects: deliberate mistakes, one at a time, by which tests show that they would detect them.
 //!
-//! Correct code does not name a defect. A guard that a defect disables asks for a *rule*, such as
+//! Correct code does not name a defect. A guard that a defect disables calls a *rule*, such as
 //! `rules::relay_needs_contact`: a rule holds unless its defect is injected. Without the feature `injected-defects`,
 //! which only tests enable, each rule is the constant `true`, and the program contains no injection code. The injected
 //! defect is thread-local, so that all nodes of a simulation share it.
@@ -25,7 +25,7 @@
                 /// Whether the rule holds.
                 #[cfg_attr(
                     not(feature = "injected-defects"),
-                    allow(dead_code, reason = "some rules are asked for where defects can be injected")
+                    allow(dead_code, reason = "some rules are called only if defects can be injected")
                 )]
                 pub(crate) fn $rule() -> bool {
                     !super::is_injected(super::Defect::$defect)
@@ -86,7 +86,7 @@
     ForeignAnswer => responses_match_request,
     /// A process that shuts down admits every request.
     RequestsAdmittedWhileLeaving => shutdown_limits_admission,
-    /// Where no server is ready the client gets the status of an unknown route.
+    /// If no server is ready, the client gets the status of an unknown route.
     NoServerReportedAsNoRoute => missing_server_is_no_missing_route,
     /// A repeated order is recognized only by its base and number.
     OrderDigestIgnored => order_digests_compared,
@@ -126,7 +126,7 @@
     UnconfirmedJoins => joins_need_stored_state,
     /// A member ends without handing over the state that only it has.
     LeavesWithoutHandover => shutdown_awaits_handover,
-    /// Members don't compare their states with each other.
+    /// Members do not compare their states with each other.
     AntiEntropyDisabled => members_compare_states,
     /// Quorum contact, once confirmed, never expires.
     ContactNeverLost => contact_expires,
@@ -164,7 +164,7 @@
     ForgottenNodeMovesLimits => forgotten_nodes_are_no_change,
     /// A process does not learn how long ago versions were named.
     VersionAgeUnreported => version_ages_reported,
-    /// The sum of stable periods sets no limit to older versions.
+    /// The total time on outdated weights, over all periods between changes of the core, is not limited.
     VersionSumIgnored => total_version_limit_applies,
     /// Nodes that poll do not report to a source that starts how long ago versions were named.
     VersionAgeUnreturned => pollers_report_version_ages,
@@ -247,11 +247,11 @@
 }
 
 /// The text of a new configuration; if `MixedSnapshot` is injected, combined with the tenants of the previous one.
-pub(crate) fn snapshot_text(text: &str, known: &str) -> String {
-    let tenants_at = |of: &str| of.find("\"tenants\":");
-    match (tenants_at(text), tenants_at(known)) {
+pub(crate) fn snapshot_text(text: &str, previous: &str) -> String {
+    let tenants_offset = |text: &str| text.find("\"tenants\":");
+    match (tenants_offset(text), tenants_offset(previous)) {
         (Some(new), Some(old)) if !rules::snapshots_apply_complete() => {
-            format!("{}{}", &text[..new], &known[old..])
+            format!("{}{}", &text[..new], &previous[old..])
         }
         _ => text.to_owned(),
     }
--- a/crates/sparrouter-fleet/tests/configuration_state.rs
+++ b/crates/sparrouter-fleet/tests/configuration_state.rs
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn given_a_base_older_than_the_history_when_the_version_is_not_then_the_change_is_rejected_with_412()
+fn given_an_unknown_base_when_the_new_version_is_newer_than_the_history_base_then_the_answer_is_412()
  {
     const CHANGES: u64 = MAX_KNOWN_ORDERS as u64 + 10;
     let mut shard = Shard::default();
