--- a/crates/sparrouter-fleet/src/control/groups.rs
+++ b/crates/sparrouter-fleet/src/control/groups.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// A random other node from which to request state; `None` if no other node is
-    /// observed or every register here knows its group.
+    /// A random other node from which to request state; `None` if no other node is observed or every register
+    /// here knows its group.
     fn source_of_groups(&self, observations: &[NodeObservation]) -> Option<Member> {
         let others: Vec<&Member> = observations
             .iter()
--- a/crates/sparrouter-fleet/src/control/shard_lease.rs
+++ b/crates/sparrouter-fleet/src/control/shard_lease.rs
@@ -17,8 +17,9 @@
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Maximum age of the last renewal when an order stops a server; if the renewal is older, the lease is renewed first.
 pub(crate) const MAX_RENEWAL_AGE: Duration = Duration::from_millis(400);
-/// How long a node waits for a live holder to release the lease before it acquires an unreleased lease. After such a
-/// takeover it must wait for the whole length of the previous lease, during which no node orders or grants.
+/// How long a node waits for a live holder to release the lease before it acquires the unreleased lease. After such a
+/// takeover it orders nothing for the whole length of the previous lease, and grants nothing for up to
+/// [`GRANTING_TIME`]; no other node does so in its place.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The release time-out for a holder that other nodes hear from and this node does not. Two nodes that do not hear each
 /// other would otherwise take the lease from each other in turn, and neither would ever have waited long enough to act.
--- a/crates/sparrouter-fleet/src/node/publication.rs
+++ b/crates/sparrouter-fleet/src/node/publication.rs
@@ -108,8 +108,8 @@
         changes.raised.notify_waiters();
     }
 
-    /// Publishes changed records: syncs the server table and sends the records to pollers, now or together
-    /// with the next changes.
+    /// Publishes changed records: syncs the server table and sends the records to pollers, now or together with the
+    /// next changes.
     pub fn publish_changes(&self) {
         self.publication.is_sync_pending.set(true);
         if let Some(next_at) = self.publish_pending()
--- a/crates/sparrouter-fleet/src/node/records.rs
+++ b/crates/sparrouter-fleet/src/node/records.rs
@@ -30,8 +30,8 @@
         });
     }
 
-    /// Raises this node's incarnation to refute records from other nodes that report it as unresponsive or that describe
-    /// an earlier process with the same name.
+    /// Raises this node's incarnation to refute records from other nodes that report it as unresponsive or that
+    /// describe an earlier process with the same name.
     fn raise_incarnation(&self) {
         let mut own = self.own_record.borrow_mut();
         let mut membership = self.membership.borrow_mut();
