--- a/crates/sparrouter-fleet/src/api/endpoint.rs
+++ b/crates/sparrouter-fleet/src/api/endpoint.rs
@@ -122,8 +122,8 @@
     serve_connections(&*listener, tree, MAX_IDLE_CONNECTIONS).await;
 }
 
-/// Serves a handler tree until the future is dropped. Each connection is closed after one request, so that the next
-/// request reaches the tree that serves the listener by then.
+/// Serves a handler tree until the future is dropped, when another tree takes over the listener. Each connection is closed
+/// after one request, so that it does not stay with this tree.
 pub async fn listen_meanwhile(listener: &dyn Listener, tree: Rc<Matcher>) {
     serve_connections(listener, tree, 0).await;
 }
--- a/crates/sparrouter-fleet/src/api/metrics.rs
+++ b/crates/sparrouter-fleet/src/api/metrics.rs
@@ -13,7 +13,7 @@
 use std::fmt::Write;
 
 /// Nanoseconds in a second.
-const SECOND: f64 = 1e9;
+const NANOS_PER_SECOND: f64 = 1e9;
 
 /// All metrics of a process as text. `control` is its control state, if it has one.
 pub fn show(node: &Node, control: Option<&Control>) -> String {
@@ -61,7 +61,7 @@
 }
 
 fn state_of_process(page: &mut Page, node: &Node, control: Option<&Control>) {
-    page.line("uptime_seconds", &[], node.now() as f64 / SECOND);
+    page.line("uptime_seconds", &[], node.now() as f64 / NANOS_PER_SECOND);
     page.flag("ready", node.is_confirmed() && !node.is_leaving());
     page.flag("leaving", node.is_leaving());
     page.line("open_requests", &[], node.traffic.open_requests() as f64);
@@ -79,7 +79,7 @@
     page.line(
         "quorum_heard_seconds_ago",
         &[],
-        since_contact as f64 / SECOND,
+        since_contact as f64 / NANOS_PER_SECOND,
     );
     page.flag("configuration_lease", node.has_configuration_lease());
     let Some(control) = control else { return };
@@ -100,7 +100,7 @@
 fn versions(page: &mut Page, node: &Node) {
     let now = node.now();
     let server_table = node.server_table.borrow();
-    let seconds_since = |at: Timestamp| (now as f64 - at as f64) / SECOND;
+    let seconds_since = |at: Timestamp| (now as f64 - at as f64) / NANOS_PER_SECOND;
     if let Some(at) = server_table.versions.core_changed_at() {
         page.line("core_changed_seconds_ago", &[], seconds_since(at));
     }
@@ -116,7 +116,7 @@
         page.line(
             "older_versions_allowed_seconds",
             &labels,
-            remaining / SECOND,
+            remaining / NANOS_PER_SECOND,
         );
     }
 }
--- a/crates/sparrouter-fleet/src/api/peer.rs
+++ b/crates/sparrouter-fleet/src/api/peer.rs
@@ -174,7 +174,7 @@
     }
 }
 
-/// The update for the sender of a poll; `None` if there is nothing new and the poll is not expired.
+/// The update for the sender of a poll; `None` if there is nothing new and the poll has not expired.
 fn update(
     services: &ControlServices,
     poll: &Poll,
@@ -206,9 +206,9 @@
     i64::try_from(ms).unwrap_or(i64::MIN)
 }
 
-/// Merges membership records that changed at the sender. The sender acknowledges a server's change once this node has
-/// acknowledged the records, so a node acknowledges them only with quorum contact: all other nodes get the records from
-/// such a node.
+/// Merges membership records that changed at the sender, and acknowledges them only if this node has quorum contact. The
+/// sender waits for one acknowledgement before it confirms a change to the server, so the records must be on a node from
+/// which the other nodes get them: a node with quorum contact.
 fn accept_notification(services: &ControlServices, delta: MembershipDelta) -> Reply {
     services.node.merge_records(delta);
     if services.has_quorum_contact() || !rules::notified_node_needs_contact() {
--- a/crates/sparrouter-fleet/src/api/status.rs
+++ b/crates/sparrouter-fleet/src/api/status.rs
@@ -1,7 +1,7 @@
 //! The status of a node as one JSON object, for operators.
 //!
-//! The operators' client parses this object too, also the one of an older release: fields are only added, never removed,
-//! and the names of the Rust fields are the names in the JSON object.
+//! The operators' client parses this object, and it may call nodes of an older release. Fields are therefore only added,
+//! never removed. The names of the Rust fields are the names in the JSON object.
 use crate::control::Control;
 use crate::node::Node;
 use crate::node::tenant_counts::TenantCount;
--- a/crates/sparrouter-fleet/src/client/commands.rs
+++ b/crates/sparrouter-fleet/src/client/commands.rs
@@ -327,7 +327,7 @@
     Ok((answers, failures))
 }
 
-/// Time for which the call to each further node is retried.
+/// Time for which the call to each node after the first is retried.
 const OTHER_NODE_RETRY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A node's status, both as JSON text and parsed.
--- a/crates/sparrouter-fleet/src/client/error.rs
+++ b/crates/sparrouter-fleet/src/client/error.rs
@@ -71,12 +71,12 @@
     Unreachable {
         /// The node of the last attempt.
         address: SocketAddr,
-        /// What happened there.
+        /// Outcome of the last attempt.
         last: String,
-        /// How long the call was repeated, in seconds.
+        /// Time for which the call was retried, in seconds.
         retry_timeout_s: u64,
     },
-    /// All nodes that answered rejected the call without changing anything until the retry time-out.
+    /// The retry time-out passed, and all nodes that answered had rejected the call without changing anything.
     #[error(
         "not done within {retry_timeout_s} s, and nothing was changed (last: {address}: {last}): look at `sparrouter status` \
          for a lost quorum, then send it again"
@@ -84,9 +84,9 @@
     NotApplied {
         /// The node of the last attempt.
         address: SocketAddr,
-        /// What happened there.
+        /// Outcome of the last attempt.
         last: String,
-        /// How long the call was repeated, in seconds.
+        /// Time for which the call was retried, in seconds.
         retry_timeout_s: u64,
     },
     /// There was no definite answer, so a change may be in force or not.
@@ -97,9 +97,9 @@
     Unclear {
         /// The node of the last attempt.
         address: SocketAddr,
-        /// What happened there.
+        /// Outcome of the last attempt.
         last: String,
-        /// How long the call was repeated, in seconds.
+        /// Time for which the call was retried, in seconds.
         retry_timeout_s: u64,
     },
     /// A node sent an answer that this release cannot parse.
@@ -111,7 +111,9 @@
         address: SocketAddr,
     },
     /// The async runtime cannot be started.
-    #[error("no runtime ({0}): free descriptors and memory of this machine")]
+    #[error(
+        "the async runtime cannot be started ({0}): free file descriptors and memory on this machine"
+    )]
     Runtime(std::io::Error),
     /// The result cannot be written.
     #[error("the answer cannot be written out ({0}): check where standard output goes")]
--- a/crates/sparrouter-fleet/src/client/options.rs
+++ b/crates/sparrouter-fleet/src/client/options.rs
@@ -46,14 +46,14 @@
     Put {
         /// The new configuration.
         file: PathBuf,
-        /// The version that it builds on; `None`: the one in force.
+        /// The version that the change builds on; `None` if it builds on the version in force.
         if_match: Option<u64>,
     },
     /// Change items of the configuration.
     Patch {
         /// The patch.
         file: PathBuf,
-        /// The version that it builds on; `None`: the one in force.
+        /// The version that the change builds on; `None` if it builds on the version in force.
         if_match: Option<u64>,
     },
     /// Name new weights of a model.
--- a/crates/sparrouter-fleet/src/client/quota.rs
+++ b/crates/sparrouter-fleet/src/client/quota.rs
@@ -7,7 +7,7 @@
 
 /// The answers of the nodes to a request for the tenant's status.
 pub struct NodeAnswers<'a> {
-    /// Statuses that show the tenant, first the status of the node whose list of nodes was used to find the others.
+    /// Statuses that were requested for the tenant. The first one is of the node whose node list was used to find the others.
     pub answers: Vec<&'a Status>,
     /// Names of nodes that did not answer.
     pub no_answer: Vec<String>,
@@ -72,7 +72,7 @@
     pub nodes: Vec<NodeCount>,
     /// Names of the nodes that did not answer; their counts and parts are missing.
     pub no_answer: Vec<String>,
-    /// Names of the nodes that were not asked, as they serve no control_plane; their metrics show their counts.
+    /// Names of the nodes that were not asked because they have no control_plane address; their metrics show their counts.
     pub not_asked: Vec<String>,
     /// Names of the nodes of an older release, which neither request nor grant permits.
     pub older_release: Vec<String>,
@@ -307,7 +307,8 @@
     }
 }
 
-/// Names of the nodes that serve no control_plane and did not answer, from the node list of the first node that answered.
+/// Names of the nodes without a control_plane address that did not answer, from the node list of the first node that
+/// answered.
 fn without_control_plane(answers: &[&Status]) -> Vec<String> {
     let nodes = answers.first().map(|first| first.nodes.as_slice());
     let unasked = nodes
--- a/crates/sparrouter-fleet/src/main.rs
+++ b/crates/sparrouter-fleet/src/main.rs
@@ -16,7 +16,9 @@
 /// Why a process of the fleet ends other than by a graceful shutdown.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
-    #[error("no runtime ({0}): free descriptors and memory of this machine")]
+    #[error(
+        "the async runtime cannot be started ({0}): free file descriptors and memory on this machine"
+    )]
     Runtime(std::io::Error),
     #[error(transparent)]
     Settings(#[from] SettingsError),
--- a/crates/sparrouter-fleet/src/process/endpoints.rs
+++ b/crates/sparrouter-fleet/src/process/endpoints.rs
@@ -16,9 +16,9 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Descriptors that are reserved for files and for the process's own connections.
+/// File descriptors that are reserved for files and for the process's own connections.
 const RESERVED_DESCRIPTORS: u64 = 300;
-/// Part of the other descriptors that client connections may use, as a fraction.
+/// Fraction of the remaining file descriptors that client connections may use.
 const CLIENT_PART_NUMERATOR: u64 = 6;
 const CLIENT_PART_DENOMINATOR: u64 = 10;
 
--- a/crates/sparrouter-fleet/src/process/error.rs
+++ b/crates/sparrouter-fleet/src/process/error.rs
@@ -21,6 +21,6 @@
     #[error("signals cannot be received: {0}")]
     Signals(io::Error),
     /// The data directory cannot be opened, for example because a newer release wrote it.
-    #[error("the data directory is not touched: {0}")]
+    #[error("the data directory cannot be opened, and is left unchanged: {0}")]
     Data(#[from] DiskError),
 }
--- a/crates/sparrouter-fleet/src/process/run.rs
+++ b/crates/sparrouter-fleet/src/process/run.rs
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 ///
-/// A [`RunError`] where the process does not start.
+/// A [`RunError`] if the process does not start.
 pub async fn run(
     role: Role,
     settings: ProcessSettings,
@@ -118,7 +118,7 @@
 ///
 /// # Errors
 ///
-/// A [`RunError`] where the process does not start.
+/// A [`RunError`] if the process does not start.
 pub async fn serve(
     role: Role,
     mut settings: ProcessSettings,
--- a/crates/sparrouter-fleet/src/settings/bounds.rs
+++ b/crates/sparrouter-fleet/src/settings/bounds.rs
@@ -1,5 +1,5 @@
 //! The limits that the operators' RULES.md refers to (`bounds.*` in a settings file).
-use super::fields::{Fields, PER_MS};
+use super::fields::{Fields, MS_PER_SECOND};
 use super::{SettingsError, nanos};
 use sparrouter_routing::RetryBudgetSettings;
 use std::time::Duration;
@@ -50,9 +50,9 @@
     pub version_all: Duration,
     /// Longest time that an event of a stream may take through the fleet.
     pub transit: Duration,
-    /// Period in which a repeated prefill of a shared prompt prefix is charged for. Informational: see
-    /// docs/design/versions.md.
-    pub retry_after: Duration,
+    /// Time within which a repeated prefill of a shared part of a prompt is priced (`bounds.again_s`). Informational: the
+    /// fleet does not use it, see docs/design/versions.md.
+    pub repeated_prefill_window: Duration,
     /// Time after a final fault until requests must be served again.
     pub recovery: Duration,
     /// Retries allowed per request; see [`RetryBudgetSettings::ratio`].
@@ -84,7 +84,7 @@
 
 impl Bounds {
     pub(super) fn read(fields: &Fields) -> Result<Bounds, SettingsError> {
-        let ms = |field: &str, default: f64| fields.duration(field, PER_MS, 0.0, default);
+        let ms = |field: &str, default: f64| fields.duration(field, MS_PER_SECOND, 0.0, default);
         let seconds = |field: &str, default: f64| fields.duration(field, 1.0, 0.0, default);
         let bounds = Bounds {
             seed_lag: seconds("bounds.seed_lag_s", 3.0)?,
@@ -105,7 +105,7 @@
             retry_budget_slack: fields.number("bounds.retry_budget_slack", 0.0..=1e9, 10.0)?,
             recovery: seconds("bounds.recovery_s", 12.0)?,
             transit: ms("bounds.transit_ms", 120.0)?,
-            retry_after: seconds("bounds.again_s", 0.0)?,
+            repeated_prefill_window: seconds("bounds.again_s", 0.0)?,
             fencing: fields.flag("bounds.fencing_enabled", true)?,
             lease: ms("bounds.lease_ms", 3_000.0)?,
             thaw: ms("bounds.thaw_ms", 300.0)?,
--- a/crates/sparrouter-fleet/src/settings/fields.rs
+++ b/crates/sparrouter-fleet/src/settings/fields.rs
@@ -9,8 +9,8 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Milliseconds in a second, the conversion of a field whose name ends in `_ms`.
-pub(super) const PER_MS: f64 = 1e3;
+/// Milliseconds in a second: the divisor that converts a field whose name ends in `_ms` to seconds.
+pub(super) const MS_PER_SECOND: f64 = 1e3;
 /// Maximum number of characters of a value that an error message quotes.
 const MAX_VALUE_CHARS: usize = 80;
 
@@ -177,7 +177,8 @@
         Ok(value)
     }
 
-    /// Reads a duration of at least `min`, in a unit of which `per_second` make a second.
+    /// Reads a duration. `min` and `default` are in the unit of the field; `per_second` is the number of these units in a
+    /// second.
     pub(super) fn duration(
         &self,
         field: &str,
--- a/crates/sparrouter-fleet/src/settings/mod.rs
+++ b/crates/sparrouter-fleet/src/settings/mod.rs
@@ -13,7 +13,7 @@
 pub use bounds::Bounds;
 pub use error::SettingsError;
 
-use fields::{Fields, PER_MS};
+use fields::{Fields, MS_PER_SECOND};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -204,7 +204,7 @@
                 .map(PathBuf::from),
             discovery: fields.text("discovery"),
             entry_mode: fields.text("entry_mode"),
-            heartbeat: fields.duration("heartbeat_ms", PER_MS, 1.0, 1_000.0)?,
+            heartbeat: fields.duration("heartbeat_ms", MS_PER_SECOND, 1.0, 1_000.0)?,
             active_contracts: fields.list("active_contracts", NAMES)?,
             tolerated_machines: fields.integer("fault_tolerance.machines", 0..=1_000, 1)? as u32,
             tolerated_zones: fields.integer("fault_tolerance.zones", 0..=1_000, 0)? as u32,
--- a/crates/sparrouter-fleet/tests/client.rs
+++ b/crates/sparrouter-fleet/tests/client.rs
@@ -89,9 +89,9 @@
     let net = ScriptedNet::default()
         .node(A, &[Behavior::NoReply])
         .node(B, &[replies(200, "taken")]);
-    let began = Instant::now();
+    let started_at = Instant::now();
     submit(net, &[A, B], change()).await.0.expect("taken");
-    assert!((Duration::from_secs(1)..Duration::from_millis(1_300)).contains(&began.elapsed()));
+    assert!((Duration::from_secs(1)..Duration::from_millis(1_300)).contains(&started_at.elapsed()));
 }
 
 #[tokio::test(start_paused = true)]
@@ -120,18 +120,18 @@
 
 #[tokio::test(start_paused = true)]
 async fn given_redirects_when_a_call_is_submitted_then_an_attempt_follows_at_most_two() {
-    let to = |at: &str| {
+    let redirect_to = |address: &str| {
         Behavior::Reply(format!(
-            "HTTP/1.1 307 Word\r\nLocation: http://{at}/api/config\r\nContent-Length: 0\r\n\r\n"
+            "HTTP/1.1 307 Word\r\nLocation: http://{address}/api/config\r\nContent-Length: 0\r\n\r\n"
         ))
     };
     let c = "10.0.0.3:80";
     let net = ScriptedNet::default()
-        .node(A, &[to(B)])
-        .node(B, &[to(c)])
+        .node(A, &[redirect_to(B)])
+        .node(B, &[redirect_to(c)])
         .node(c, &[replies(200, "taken")]);
     assert_eq!(submit(net, &[A], change()).await.0.expect("taken"), "taken");
-    let net = ScriptedNet::default().node(A, &[to(A)]);
+    let net = ScriptedNet::default().node(A, &[redirect_to(A)]);
     let (submitted, calls) = submit(net, &[A], change()).await;
     assert!(matches!(submitted, Err(ClientError::NotApplied { .. })));
     assert!(calls.len() % 3 == 0, "{}", calls.len());
@@ -148,7 +148,7 @@
         (Behavior::Disconnect, "may be in force or not"),
     ];
     for (behavior, expected) in cases {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let net = ScriptedNet::default().node(A, std::slice::from_ref(&behavior));
         let error = submit(net, &[A], change())
             .await
@@ -160,9 +160,9 @@
             "{behavior:?}: {error}"
         );
         assert!(
-            began.elapsed() <= Duration::from_secs(10),
+            started_at.elapsed() <= Duration::from_secs(10),
             "{:?}",
-            began.elapsed()
+            started_at.elapsed()
         );
     }
 }
--- a/crates/sparrouter-fleet/tests/endpoint.rs
+++ b/crates/sparrouter-fleet/tests/endpoint.rs
@@ -147,7 +147,7 @@
             assert_eq!(
                 idle.len(),
                 599,
-                "three quarters of the connections, one of them accepted for the next client"
+                "three quarters of the connection limit, less the permit that is reserved for the next connection"
             );
             assert!(call(address).await.is_none());
             idle.truncate(10);
