--- a/crates/sparrouter-node/src/program/reload.rs
+++ b/crates/sparrouter-node/src/program/reload.rs
@@ -2,7 +2,7 @@
 use super::config::{self, Config};
 use super::error::NodeError;
 use super::operator::OperatorConfig;
-use super::reporter::{Reporter, ReporterOrigin};
+use super::reporter::{ProcessCounts, Reporter};
 use crate::routing::decision::{ConfigurationChange, ReporterChange};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -37,11 +37,11 @@
     pub fn reporter(
         &self,
         name: &str,
-        origin: &ReporterOrigin,
+        process_counts: &ProcessCounts,
     ) -> Result<Option<Reporter>, NodeError> {
         let config = self.file.report.clone();
         config
-            .map(|c| Reporter::open(c, name, self.file.identity.clone(), origin.clone()))
+            .map(|c| Reporter::open(c, name, self.file.identity.clone(), process_counts.clone()))
             .transpose()
     }
 }
@@ -52,8 +52,8 @@
     pub config: Config,
     /// The operator's configuration.
     pub operator: ActiveOperatorConfig,
-    /// Process-wide counts with which a reporter to another file continues.
-    pub origin: ReporterOrigin,
+    /// Process-wide counts that a reporter continues when it is opened for another file.
+    pub process_counts: ProcessCounts,
     /// Longest time between two attempts to reopen a lost subscription.
     pub retry_interval: Duration,
 }
@@ -85,7 +85,7 @@
         let next = ActiveConfiguration {
             config,
             operator,
-            origin: self.origin.clone(),
+            process_counts: self.process_counts.clone(),
             retry_interval,
         };
         Ok(Reload { next, change })
@@ -104,7 +104,7 @@
         let reporter = if self.operator.file.report == operator.file.report {
             ReporterChange::Identify(operator.file.identity.clone())
         } else {
-            let reporter = operator.reporter(&config.name, &self.origin)?;
+            let reporter = operator.reporter(&config.name, &self.process_counts)?;
             ReporterChange::Replace(reporter.map(Box::new))
         };
         Ok(ConfigurationChange {
--- a/crates/sparrouter-node/src/program/reporter.rs
+++ b/crates/sparrouter-node/src/program/reporter.rs
@@ -22,19 +22,19 @@
 /// Size of a memory page in KiB, as on every Linux that Rust's standard library runs on by default.
 const PAGE_KIB: u64 = 4;
 
-/// Counts of the process that continue when the report's file changes.
+/// Start time of the process and its count of opened connections, which continue when the report's file changes.
 #[derive(Clone)]
-pub struct ReporterOrigin {
+pub struct ProcessCounts {
     /// Number of connections that the node has opened to peers.
     pub opened: Rc<Cell<u64>>,
     /// Time at which the node started.
     pub started_at: Instant,
 }
 
-impl ReporterOrigin {
+impl ProcessCounts {
     /// Returns the counts of a node that started at `started_at` and whose opened connections `pool` counts.
-    pub fn new(pool: &Pool, started_at: Instant) -> ReporterOrigin {
-        ReporterOrigin {
+    pub fn new(pool: &Pool, started_at: Instant) -> ProcessCounts {
+        ProcessCounts {
             opened: pool.opened.clone(),
             started_at,
         }
@@ -66,7 +66,7 @@
     file: File,
     /// Size of `file` in bytes.
     written: u64,
-    origin: ReporterOrigin,
+    process_counts: ProcessCounts,
     next_line: Instant,
     /// Values of the operations, indexed by the decision actor's operation index.
     values: Vec<OperationValue>,
@@ -88,7 +88,7 @@
         config: ReportConfig,
         name: &str,
         identity: Identity,
-        origin: ReporterOrigin,
+        process_counts: ProcessCounts,
     ) -> Result<Reporter, NodeError> {
         let file = open_for_append(&config.path).map_err(|error| NodeError::Report {
             path: config.path.clone(),
@@ -107,7 +107,7 @@
             config,
             file,
             written,
-            origin,
+            process_counts,
             next_line: Instant::now(),
             values: Vec::new(),
             report,
@@ -115,8 +115,8 @@
         })
     }
 
-    /// Changes the identity in the report.
-    pub fn identify(&mut self, identity: Identity) {
+    /// Replaces the identity of the node in its report.
+    pub fn set_identity(&mut self, identity: Identity) {
         self.report.generation = identity.generation;
     }
 
@@ -215,12 +215,12 @@
         let interval = *self.config.every_ms.get_ref();
         self.next_line = Instant::now() + Duration::from_millis(interval);
         let report = &mut self.report;
-        report.uptime_ms = self.origin.started_at.elapsed().as_millis() as u64;
+        report.uptime_ms = self.process_counts.started_at.elapsed().as_millis() as u64;
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH);
         report.unix_ms = unix_time.map_or(0, |d| d.as_millis() as u64);
         report.breaches = violations();
         report.shares = shares;
-        report.opened = self.origin.opened.get();
+        report.opened = self.process_counts.opened.get();
         report.doubts = policy.suspicions;
         report.cold_sends = policy.warm_up_forwards;
         report.given_up = SHED_REASONS
--- a/crates/sparrouter-node/src/program/serve.rs
+++ b/crates/sparrouter-node/src/program/serve.rs
@@ -17,8 +17,8 @@
 const DRAIN_PERIOD: Duration = Duration::from_millis(450);
 /// Minimum time between closing idle connections and exit, so that invocations received at that moment are answered.
 const CLOSE_PERIOD: Duration = Duration::from_millis(150);
-/// Maximum time that the shutdown waits for clients: a supervisor may kill the node after this time plus the time that
-/// the node needs to close, even if client timeouts are longer.
+/// Time after which a supervisor may kill the node, in addition to the drain and close periods, even if client timeouts
+/// are longer. An invocation that may not complete before then is rejected.
 const KILL_DELAY: Duration = Duration::from_secs(3);
 /// Interval between checks whether all connections are closed.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
--- a/crates/sparrouter-node/src/program/start.rs
+++ b/crates/sparrouter-node/src/program/start.rs
@@ -2,7 +2,7 @@
 use super::config::Config;
 use super::error::NodeError;
 use super::reload::{ActiveConfiguration, ActiveOperatorConfig};
-use super::reporter::{OperationRules, ReporterOrigin};
+use super::reporter::{OperationRules, ProcessCounts};
 use super::serve::{self, RunningNode, Signals};
 use crate::routing::clock::Clock;
 use crate::routing::decision::{DecisionActor, Parameters, PeerStarter};
@@ -149,13 +149,13 @@
     if let Some(gossip) = &sockets.gossip {
         tokio::task::spawn_local(gossip.clone().receive(mailbox.clone()));
     }
-    let origin = ReporterOrigin::new(&pool, started_at);
+    let process_counts = ProcessCounts::new(&pool, started_at);
     let links = Links {
         start_peer: peer_starter(pool, &mailbox, &plan, &config),
         list,
         gossip: sockets.gossip,
     };
-    let actor = decision_actor(&config, &operator, &origin, plan, links)?;
+    let actor = decision_actor(&config, &operator, &process_counts, plan, links)?;
     let decision_task =
         tokio::task::spawn_local(actor.run(config.known.clone(), messages, COUNTS_INTERVAL));
 
@@ -164,7 +164,7 @@
     let active = ActiveConfiguration {
         config,
         operator,
-        origin,
+        process_counts,
         retry_interval: retry_interval.get(),
     };
     Ok(RunningNode {
@@ -227,7 +227,7 @@
 fn decision_actor(
     config: &Config,
     operator: &ActiveOperatorConfig,
-    origin: &ReporterOrigin,
+    process_counts: &ProcessCounts,
     plan: Plan,
     links: Links,
 ) -> Result<DecisionActor, NodeError> {
@@ -247,7 +247,7 @@
         .enumerate()
         .map(|(index, (name, rules))| OperationRules { index, name, rules })
         .collect();
-    let mut reporter = operator.reporter(&config.name, origin)?;
+    let mut reporter = operator.reporter(&config.name, process_counts)?;
     if let Some(reporter) = &mut reporter {
         reporter.place_operations(config.fingerprint, &operations);
     }
--- a/crates/sparrouter-node/src/protocol/endpoint_list.rs
+++ b/crates/sparrouter-node/src/protocol/endpoint_list.rs
@@ -98,8 +98,9 @@
     offset: usize,
     /// Number of open braces and brackets.
     depth: usize,
-    /// Whether the offset is within a string; `is_escaped` if the previous byte is a backslash in it.
-    is_string: bool,
+    /// Whether the offset is within a string.
+    in_string: bool,
+    /// Whether the previous byte is a backslash that escapes the next byte of a string.
     is_escaped: bool,
 }
 
@@ -113,11 +114,11 @@
         while let Some(&byte) = text.get(self.offset) {
             self.offset += 1;
             match byte {
-                b'\n' if self.is_string => return Err(ParseError("json: line break in a string")),
+                b'\n' if self.in_string => return Err(ParseError("json: line break in a string")),
                 _ if self.is_escaped => self.is_escaped = false,
-                b'\\' if self.is_string => self.is_escaped = true,
-                b'"' => self.is_string = !self.is_string,
-                _ if self.is_string => {}
+                b'\\' if self.in_string => self.is_escaped = true,
+                b'"' => self.in_string = !self.in_string,
+                _ if self.in_string => {}
                 b'{' | b'[' => self.depth += 1,
                 b'}' | b']' => {
                     self.depth = self.depth.saturating_sub(1);
--- a/crates/sparrouter-node/src/routing/decision/mod.rs
+++ b/crates/sparrouter-node/src/routing/decision/mod.rs
@@ -95,8 +95,9 @@
     reported_shed: ShedCounts,
     reporter: Option<Reporter>,
     quotas: Option<TenantQuotas>,
-    /// Index of the origin's kind in the settings, and the cache indices of origins.
+    /// Index of the origin's kind in the settings; `None` if the node does not fetch from the origin itself.
     origin_kind: Option<usize>,
+    /// Cache indices of the servers that are origins.
     origins: HashSet<CacheIndex>,
 }
 
--- a/crates/sparrouter-node/src/routing/decision/reconfigure.rs
+++ b/crates/sparrouter-node/src/routing/decision/reconfigure.rs
@@ -24,7 +24,7 @@
     pub is_same: bool,
     /// The change to the reporter.
     pub reporter: ReporterChange,
-    /// The configuration of the quota shares, if quotas are kept by shares.
+    /// The configuration of the quota shares, if the operator configured them.
     pub quota_shares: Option<QuotaShareConfig>,
     /// Seed of the node's random number generator.
     pub seed: u64,
@@ -36,7 +36,7 @@
 pub enum ReporterChange {
     /// Keep the reporter, under this identity.
     Identify(Identity),
-    /// Replace the reporter by one to another file, or by none.
+    /// Replace the reporter by one that writes to another file, or remove it if `None`.
     Replace(Option<Box<Reporter>>),
 }
 
@@ -87,10 +87,10 @@
         match change {
             ReporterChange::Identify(identity) => {
                 if let Some(reporter) = &mut self.reporter {
-                    reporter.identify(identity);
+                    reporter.set_identity(identity);
                 }
             }
-            ReporterChange::Replace(other) => self.reporter = other.map(|r| *r),
+            ReporterChange::Replace(replacement) => self.reporter = replacement.map(|r| *r),
         }
     }
 }
--- a/crates/sparrouter-node/src/routing/endpoint_list.rs
+++ b/crates/sparrouter-node/src/routing/endpoint_list.rs
@@ -98,15 +98,17 @@
     /// while the second reaches it after its recovery.
     first: PendingCall<DiscoveryCall>,
     second: PendingCall<DiscoveryCall>,
-    /// The call for the full list, and the version known when it was started.
+    /// The call for the full list.
     full: PendingCall<ListUpdate>,
+    /// The list version that was known when the call for the full list was started.
     full_known_rev: u64,
     /// Time of the next attempt to open a subscription.
     retry_at: Option<Instant>,
     /// Time of the last attempt that was made without a delay.
     last_immediate: Option<Instant>,
+    /// Number of subscription calls that failed since the last one that succeeded.
     failures: OccurrenceCounter,
-    /// Number of consecutive subscriptions that were lost before any list was received.
+    /// Number of consecutive subscriptions that were lost before any line was received.
     lost_unanswered: OccurrenceCounter,
 }
 
@@ -205,7 +207,7 @@
         }
         calls.subscription = None;
         if self.is_pushed && self.may_call_immediately(calls) {
-            // Changes from now on count as known. Later attempts are delayed.
+            // Changes count as known even while no subscription is open, so this attempt is not delayed.
             calls.last_immediate = Some(Instant::now());
             self.subscribe(calls);
         } else if self.is_pushed {
--- a/crates/sparrouter-node/src/routing/peer.rs
+++ b/crates/sparrouter-node/src/routing/peer.rs
@@ -272,11 +272,11 @@
         if is_answered.get() {
             return;
         }
-        let longest = self.limits.connect_timeout / MAX_CLOSE_DELAY_DIVISOR;
+        let max_delay = self.limits.connect_timeout / MAX_CLOSE_DELAY_DIVISOR;
         let delay = self
             .round_trip
             .get()
-            .clamp(MIN_CLOSE_DELAY, longest.max(MIN_CLOSE_DELAY));
+            .clamp(MIN_CLOSE_DELAY, max_delay.max(MIN_CLOSE_DELAY));
         sleep(delay).await;
     }
 
--- a/crates/sparrouter-node/src/transport/budget.rs
+++ b/crates/sparrouter-node/src/transport/budget.rs
@@ -88,16 +88,16 @@
     /// Extends the body's reservations to `length` bytes. One body gets at most a quarter of the budget. Returns false
     /// if the remaining budget is too small.
     pub fn reserve(&self, length: usize, reservations: &mut Vec<Reservation>) -> bool {
-        let pages = length.div_ceil(MAX_BODY).saturating_sub(1);
+        let units = length.div_ceil(MAX_BODY).saturating_sub(1);
         let reserved = reservations.iter().map(|r| r.count).sum();
-        let missing = pages.saturating_sub(reserved);
+        let missing = units.saturating_sub(reserved);
         if missing == 0 {
             return true;
         }
         let reservation = self
             .0
             .as_ref()
-            .filter(|budget| pages <= budget.limit / 4)
+            .filter(|budget| units <= budget.limit / 4)
             .and_then(|budget| budget.reserve_many(missing));
         reservation.map(|r| reservations.push(r)).is_some()
     }
--- a/crates/sparrouter-node/src/transport/listener.rs
+++ b/crates/sparrouter-node/src/transport/listener.rs
@@ -11,8 +11,8 @@
 const RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Accepts clients until the task ends; at most `max_served` of them are served. A further client gets the descriptor
-/// of an idle connection, or a 503 that allows a retry. It is accepted for this: a message counts as received once it
-/// is in this machine's kernel, so an unaccepted connection would lose it.
+/// of an idle connection, or a 503 that allows a retry. It is accepted even to be rejected, because a message counts as
+/// received once it is in this machine's kernel: a connection that is never accepted would lose it.
 pub async fn accept<M: From<ClientEvent> + 'static>(
     listener: TcpListener,
     budget: Rc<Budget>,
@@ -56,7 +56,7 @@
     loop {
         match budget.reserve() {
             Some(descriptor) => return descriptor,
-            // Guards against waiting for connections that were not asked to close.
+            // Guards against waiting for a release without having asked any idle connection to close.
             None => {
                 context.idle.close_one();
                 let _ = timeout(RETRY_DELAY, budget.released()).await;
--- a/crates/sparrouter-node/src/transport/pool.rs
+++ b/crates/sparrouter-node/src/transport/pool.rs
@@ -60,11 +60,11 @@
     fn limit(&self, max_idle: Duration) -> Duration {
         let new = &self.counts[AGE_CLASSES];
         let usual_rate = new.broken / new.all.max(1.0);
-        let is_bad = |c: &ExchangeCounts| {
+        let is_unsafe = |c: &ExchangeCounts| {
             c.broken > MIN_BROKEN && c.broken / c.all > usual_rate + EXCESS_BROKEN_RATE
         };
-        let first_bad = self.counts[..AGE_CLASSES].iter().position(is_bad);
-        first_bad.map_or(max_idle, |class| max_idle / (1 << (AGE_CLASSES - class)))
+        let first_unsafe = self.counts[..AGE_CLASSES].iter().position(is_unsafe);
+        first_unsafe.map_or(max_idle, |class| max_idle / (1 << (AGE_CLASSES - class)))
     }
 }
 
@@ -98,7 +98,8 @@
         })
     }
 
-    /// Returns the most recently used connection to a peer, so that surplus connections age and are closed.
+    /// Returns the most recently used connection to a peer, so that surplus connections age and are closed. `None` if
+    /// the pool has no usable connection to the peer.
     pub fn acquire(&self, peer: usize) -> Option<Link> {
         let mut idle = self.idle.borrow_mut();
         let limit = self.idle_limit();
--- a/crates/sparrouter-node/src/transport/reading.rs
+++ b/crates/sparrouter-node/src/transport/reading.rs
@@ -8,7 +8,8 @@
 
 pub use sparrouter_http::reading::{ReadError, more, read_available};
 
-/// Reads a head up to and including its empty line, of at most `MAX_HEAD` bytes.
+/// Reads a head up to and including its empty line, of at most `MAX_HEAD` bytes. A head that does not
+/// start with `prefix` is rejected at once.
 ///
 /// # Errors
 ///
@@ -16,9 +17,9 @@
 pub async fn head(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
-    begins: &[u8],
+    prefix: &[u8],
 ) -> Result<Bytes, ReadError> {
-    sparrouter_http::reading::head(stream, buffer, begins, MAX_HEAD).await
+    sparrouter_http::reading::head(stream, buffer, prefix, MAX_HEAD).await
 }
 
 /// Limit for the size of one body.
