--- a/crates/sparrouter-node/src/protocol/tests.rs
+++ b/crates/sparrouter-node/src/protocol/tests.rs
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn two_statements_of_length_are_rejected() {
+fn a_body_with_two_lengths_is_rejected() {
     let read =
         |fields: &str| head::parse_response(&format!("HTTP/1.1 200 OK\r\n{fields}\r\n").into());
     assert!(read("Content-Length: 5\r\nContent-Length: 5\r\n").is_err());
@@ -142,6 +142,6 @@
     );
     assert!(
         !read("").unwrap().keep_alive,
-        "a body up to the end leaves nothing to keep"
+        "a connection whose body extends to its end cannot be kept alive"
     );
 }
--- a/crates/sparrouter-node/src/routing/tests/endpoint_list.rs
+++ b/crates/sparrouter-node/src/routing/tests/endpoint_list.rs
@@ -224,7 +224,7 @@
 /// The timeout starts at the last complete line: neither an incomplete line, nor single bytes, nor a concurrent call
 /// keeps a subscription alive.
 #[test]
-fn an_incomplete_line_and_a_trickle_time_out() {
+fn a_subscription_with_an_incomplete_line_or_single_bytes_times_out() {
     for trickle in [false, true] {
         run_local(async {
             let (listener, mut stream, actor) = subscribed(true).await;
@@ -308,12 +308,12 @@
         assert_eq!(
             full.read(&mut [0]).await.unwrap_or(0),
             0,
-            "it was read to its end"
+            "the full list is read to its end"
         );
         write_chunk(&mut stream, &list(42, false, "in_service")).await;
         assert!(
             actor.next_event().await.is_none(),
-            "lost, and nothing undone"
+            "the subscription is lost, and the older changes are not reported"
         );
         // The request starts from version 0: the new discovery may number its versions from the start.
         actor.requests.send(ListRequest::Subscribe).await.unwrap();
@@ -354,7 +354,7 @@
 /// If the policy requests subscriptions, the actor does not retry on its own: it makes one call for each request and
 /// reports each result.
 #[test]
-fn a_requested_subscription_is_left_to_the_policy() {
+fn a_subscription_requested_by_the_policy_is_not_retried_by_the_actor() {
     run_local(async {
         let (listener, stream, mut actor) = subscribed(false).await;
         drop(stream);
--- a/crates/sparrouter-node/src/routing/tests/peer.rs
+++ b/crates/sparrouter-node/src/routing/tests/peer.rs
@@ -86,7 +86,7 @@
         let reported = async {
             let Some(Message::Peer(PeerEvent::ForwardEnded { result, .. })) = events.recv().await
             else {
-                panic!("no end")
+                panic!("the event is not the end of a forward")
             };
             assert_eq!(result.outcome, Outcome::Withdrawn);
             start.elapsed()
@@ -161,7 +161,7 @@
             .expect("an end")
         {
             Some(Message::Peer(PeerEvent::ForwardEnded { result, .. })) => result,
-            _ => panic!("nothing but a forward's end"),
+            _ => panic!("the event is not the end of a forward"),
         }
     }
     /// Completes one forward on a new connection, which is idle afterwards.
@@ -185,7 +185,7 @@
             _ => return None,
         }
     }
-    panic!("neither a byte nor an end");
+    panic!("neither a byte nor the end of the stream was received");
 }
 
 async fn head(stream: &mut TcpStream) -> String {
@@ -203,7 +203,7 @@
 /// The cache server closes an idle connection, or writes unrequested data to it, just before a request is sent: the
 /// request is sent on another connection, and the unrequested data is not taken for its answer.
 #[test]
-fn bytes_on_an_idle_connection_are_noticed_before_a_request_is_sent() {
+fn an_idle_connection_that_is_closed_or_has_unrequested_data_is_not_reused() {
     for unsolicited in [&b""[..], b"HTTP/1.", HIT] {
         run_local(async {
             let mut fixture = PeerFixture::new().await;
@@ -229,7 +229,7 @@
 
 /// The list marks the server as draining or changes its address while a forward waits in the mailbox or connects.
 #[test]
-fn the_list_applies_to_forwards_already_ordered() {
+fn list_updates_apply_to_queued_and_connecting_forwards() {
     run_local(async {
         let (mut fixture, other) = (
             PeerFixture::new().await,
@@ -243,7 +243,7 @@
         assert_eq!(
             byte(&mut dialled).await,
             None,
-            "nothing is sent to one that drains"
+            "nothing is sent to a draining server"
         );
         // The connection leads to the old address after another one is listed.
         fixture.peer.update(old, true);
@@ -259,14 +259,14 @@
         assert_eq!(
             byte(&mut in_flight).await,
             None,
-            "not reused for the new address"
+            "the old connection is not reused for the new address"
         );
     });
 }
 
 /// The deduplication window of a retry ends between the decision and the write, or during the write.
 #[test]
-fn nothing_is_sent_past_the_deduplication_window() {
+fn a_retry_is_not_sent_after_its_deduplication_window() {
     run_local(async {
         let mut fixture = PeerFixture::new().await;
         assert!(fixture.peer.command(PeerCommand::Forward(forward(
@@ -336,7 +336,7 @@
 /// An answer without a length ends with its connection. A reset is not a valid end, soon after the head or long after
 /// it.
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection_and_with_nothing_else() {
+fn an_answer_without_a_length_ends_only_with_a_regular_close_of_its_connection() {
     for (reset, late) in [(false, 0), (false, 60), (true, 0), (true, 60)] {
         run_local(async {
             let mut fixture = PeerFixture::new().await;
@@ -347,7 +347,7 @@
             if late > 0 {
                 assert!(
                     timeout(late * MS, fixture.events.recv()).await.is_err(),
-                    "not before its end"
+                    "the forward ends only with the connection"
                 );
             }
             if reset {
@@ -373,7 +373,7 @@
 /// The client disconnected while its forward was connecting: nothing is written, and the connection is available for
 /// the next forward.
 #[test]
-fn a_connection_established_for_a_client_that_left_carries_nothing_of_it() {
+fn a_connection_established_for_a_client_that_left_carries_only_the_next_forward() {
     run_local(async {
         let mut fixture = PeerFixture::new().await;
         let departed = forward(1, invocation(), None);
@@ -400,7 +400,7 @@
 
 /// The client timeout ends while a forward waits in the mailbox. An idle connection is available, but nothing is sent.
 #[test]
-fn nothing_is_sent_after_its_timeout() {
+fn a_forward_is_not_sent_after_its_timeout() {
     run_local(async {
         let mut fixture = PeerFixture::new().await;
         let mut stream = fixture.idle_connection().await;
@@ -421,7 +421,7 @@
         );
         assert!(
             head(&mut stream).await.contains("X-Request-Id: next"),
-            "the first to come, on the same connection"
+            "the next forward is the first on the idle connection"
         );
     });
 }
--- a/crates/sparrouter-node/src/transport/tests.rs
+++ b/crates/sparrouter-node/src/transport/tests.rs
@@ -133,7 +133,7 @@
 /// A request is written on an idle connection while the node closes it, in its shutdown or because descriptors run out.
 /// If the request arrives before the close, it is answered; otherwise it is not read, and therefore never forwarded.
 #[test]
-fn a_request_that_crosses_the_close_is_answered_or_never_read() {
+fn a_request_sent_during_the_close_is_answered_or_never_read() {
     for (shuts_down, is_first) in [(true, true), (false, true), (true, false), (false, false)] {
         run_local(async {
             let mut f = ClientFixture::new().await;
@@ -162,7 +162,7 @@
                 assert_eq!(text, "");
                 assert!(
                     timeout(50 * MS, f.events.recv()).await.is_err(),
-                    "nothing of it is submitted"
+                    "no request is submitted"
                 );
             }
         });
@@ -186,7 +186,7 @@
 
 /// An invocation that may not complete before the node exits is rejected and not submitted.
 #[test]
-fn an_invocation_that_would_outlive_the_node_is_rejected() {
+fn an_invocation_that_may_not_complete_before_the_exit_is_rejected() {
     run_local(async {
         let mut f = ClientFixture::new().await;
         f.stage.send_replace(ServingStage::Draining);
@@ -294,7 +294,7 @@
         assert_eq!(text.matches('x').count(), body.len());
         assert!(
             f.events.try_recv().is_err(),
-            "what crosses the end is not submitted"
+            "a request sent during the close is not submitted"
         );
     });
 }
--- a/crates/sparrouter-node/tests/changes.rs
+++ b/crates/sparrouter-node/tests/changes.rs
@@ -42,7 +42,7 @@
 client_timeout_ms = 1200
 "#;
 
-/// The following are not tests: the lab starts them as separate processes and kills them.
+/// The next two functions are not tests: the lab starts them as separate processes and kills them.
 #[test]
 #[ignore = "run by the tests below"]
 fn defect_in_a_process() {
@@ -67,7 +67,7 @@
     }
 }
 
-fn played(lane: usize, name: &str, length_s: u32, change: &str, faults: &str) -> Run {
+fn run_scenario(lane: usize, name: &str, length_s: u32, change: &str, faults: &str) -> Run {
     let alone = LANES[lane].lock().unwrap_or_else(|e| e.into_inner());
     let text = format!(
         "name = {name:?}\nlength_s = {length_s}\n{FLEET}\n[rollout]\nhold_s = 4\nlongest_s = 20\nparts = [0.13, 0.5, 1.0]\n{change}\n{faults}"
@@ -91,8 +91,8 @@
 /// Cache servers crash, discovery is down, gossip is delivered in one direction only, and the conductor is killed four
 /// times: the rollout completes, no rule is violated and no answer is lost.
 #[test]
-fn a_sound_change_goes_through_beside_faults_and_a_killed_conductor() {
-    let run = played(
+fn a_sound_change_completes_despite_faults_and_conductor_kills() {
+    let run = run_scenario(
         0,
         "sound",
         90,
@@ -116,7 +116,7 @@
 /// Runs a rollout of a defective version: it is stopped by the second stage, all nodes are rolled back, and less than 2
 /// % of the value is lost.
 fn stopped(lane: usize, name: &str, length_s: u32, change: &str, why: &[&str]) -> Run {
-    let run = played(lane, name, length_s, change, "");
+    let run = run_scenario(lane, name, length_s, change, "");
     let c = run.rollout.as_ref().unwrap();
     assert_eq!(c.how, "back", "{}", describe(&run));
     assert!(c.stages <= 2 && c.changed.is_empty(), "{}", describe(&run));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_version_that_dies_is_taken_back_though_two_died_in_two_zones() {
+fn a_version_that_crashes_on_two_nodes_in_two_zones_is_rolled_back() {
     stopped(
         1,
         "dies",
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_version_that_never_gets_ready_is_taken_back() {
+fn a_version_that_never_gets_ready_is_rolled_back() {
     // The command timeout is generous: the time until a sound node reports after its restart is not tested here, and
     // with 60 busy processes one node took longer than the usual 8 s.
     let run = stopped(
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_version_that_sends_each_write_twice_is_taken_back() {
+fn a_version_that_sends_each_write_twice_is_rolled_back() {
     stopped(
         1,
         "twice",
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn one_operation_that_errs_is_enough() {
+fn a_version_with_errors_in_one_operation_is_rolled_back() {
     // This defect occasionally closes a connection during the shutdown, so the rules are not checked.
     stopped(
         0,
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn settings_that_some_nodes_refuse_are_taken_back() {
+fn settings_that_some_nodes_reject_are_rolled_back() {
     let run = stopped(
         1,
         "refused",
@@ -195,7 +195,7 @@
 #[test]
 fn gossip_of_garbage_and_of_a_later_format_is_harmless() {
     for (lane, plant) in [(0, "rubbish"), (0, "newer_notes")] {
-        let run = played(lane, plant, 20, &format!("plant = \"{plant}\""), "");
+        let run = run_scenario(lane, plant, 20, &format!("plant = \"{plant}\""), "");
         assert!(
             run.verdict.kept() && run.tally.value > 0.99,
             "{} {}",
@@ -208,8 +208,8 @@
 /// Three nodes are killed at once during a rollout and restart: the changed nodes count as crashed. Whether the rollout
 /// completes or is rolled back, all nodes end with one version, and the rules hold for all answers.
 #[test]
-fn nodes_killed_in_mid_change_leave_all_nodes_on_one_side() {
-    let run = played(
+fn nodes_killed_during_a_rollout_all_end_with_one_version() {
+    let run = run_scenario(
         1,
         "killed",
         60,
--- a/crates/sparrouter-node/tests/clients.rs
+++ b/crates/sparrouter-node/tests/clients.rs
@@ -50,7 +50,7 @@
         sent = n;
     }
     assert!(sent > 500, "{sent}");
-    until("the first", || !cache.seen().is_empty());
+    until("the first forward", || !cache.seen().is_empty());
     drop(flood);
     std::thread::sleep(300 * MS);
     let forwarded = cache.seen().len();
@@ -98,7 +98,7 @@
     let open = cache.seen().iter().filter(|s| s.until.is_none()).count();
     assert!(
         open <= 1,
-        "{open} forwards of clients that left are still out"
+        "{open} forwards of clients that left are still in flight"
     );
 }
 
--- a/crates/sparrouter-node/tests/connections.rs
+++ b/crates/sparrouter-node/tests/connections.rs
@@ -142,7 +142,7 @@
 
 /// Guards against clients with incomplete heads that occupy all descriptors, so that no other client can connect.
 #[test]
-fn incomplete_messages_yield_to_complete_ones() {
+fn clients_with_incomplete_messages_do_not_block_other_clients() {
     let cache = Server::always(Act::Hit);
     let w = start_node(&[&cache], unused_address(), 64);
     let half: Vec<TcpStream> = (0..120)
--- a/crates/sparrouter-node/tests/endpoint_list.rs
+++ b/crates/sparrouter-node/tests/endpoint_list.rs
@@ -32,7 +32,9 @@
     until("a new subscription", || w.discovery.calls() == calls + 1);
     assert!(w.discovery.calls.lock().unwrap()[calls].contains("after=42"));
     w.list(43, &change(43, "in_service"));
-    w.reads_until("reads there again", "e", || a.seen().len() > before);
+    w.reads_until("reads at the server that is in service again", "e", || {
+        a.seen().len() > before
+    });
     // A server that is missing in a full list has left.
     let all = format!(
         r#"{{"rev":44,"all":true,"targets":[{}]}}"#,
@@ -45,7 +47,7 @@
     // Discovery is partitioned: the connection stays open without traffic.
     let calls = w.discovery.calls();
     w.discovery.mute.store(1, SeqCst);
-    until("a subscription after the time-out", || {
+    until("a subscription after the timeout", || {
         w.discovery.calls() > calls
     });
 }
--- a/crates/sparrouter-node/tests/fleet.rs
+++ b/crates/sparrouter-node/tests/fleet.rs
@@ -32,7 +32,7 @@
 client_timeout_ms = 1200
 "#;
 
-fn played(text: &str) -> Run {
+fn run_scenario(text: &str) -> Run {
     let alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
     let scenario = Scenario::parse("fleet", &format!("seed = 5\n{text}{OPERATIONS}")).unwrap();
     let folder = tempfile::tempdir().unwrap();
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn a_crash_with_cold_return_and_a_rolling_deploy_keep_the_rules() {
-    let run = played(
+fn a_crash_with_a_cold_restart_and_a_rolling_deploy_keep_the_rules() {
+    let run = run_scenario(
         "name = \"deploy\"\nlength_s = 9\n[nodes]\ncount = 2\n[caches]\ncount = 6\nkeys = 600\ncold_s = 4\n\
          [origin]\nper_s = 150\n[load]\nrate_per_s = 120\nkeys = 800\n\
          [[fault]]\nkind = \"crash\"\nat_s = 1\nlength_s = 2\npart = 0.34\n\
@@ -71,8 +71,8 @@
 
 /// Clients retry invocations that were in flight at a killed node; its earlier answers count.
 #[test]
-fn nodes_killed_in_the_middle_lose_nothing_that_they_had_answered() {
-    let run = played(
+fn nodes_killed_with_invocations_in_flight_keep_the_rules() {
+    let run = run_scenario(
         "name = \"killed\"\nlength_s = 6\n[nodes]\ncount = 3\nfront_notices_s = 0.4\n[caches]\ncount = 6\n\
          [load]\nrate_per_s = 250\nretries = 2\n\
          [[fault]]\nkind = \"node_restart\"\nat_s = 1\nlength_s = 4\npart = 1\ndown_s = 0.5\nkilled = true\n",
@@ -89,7 +89,7 @@
 /// server that started to drain in between after its drain grace.
 #[test]
 fn paused_nodes_that_resume_keep_the_rules() {
-    let run = played(
+    let run = run_scenario(
         "name = \"paused\"\nlength_s = 7\n[nodes]\ncount = 3\nfront_notices_s = 0.4\n[caches]\ncount = 6\n\
          [load]\nrate_per_s = 200\nretries = 1\n\
          [[fault]]\nkind = \"node_pause\"\nat_s = 1.5\nlength_s = 0.8\npart = 0.67\n\
@@ -108,7 +108,7 @@
 
 /// Truncated replies, lost bytes and slow links between nodes and cache servers.
 #[test]
-fn links_that_lose_delay_and_break_keep_the_rules() {
+fn links_that_lose_bytes_delay_or_break_keep_the_rules() {
     let fault = |at: f64, how: &str| {
         format!(
             "[[fault]]\nkind = \"links\"\nat_s = {at}\nlength_s = 1.2\nbefore = \"caches\"\npart = 0.34\n{how}\n"
@@ -123,7 +123,7 @@
         fault(8.0, "how = \"lost_there\""),
         fault(9.5, "kib_per_s = 2"),
     ];
-    let run = played(&format!(
+    let run = run_scenario(&format!(
         "name = \"links\"\nlength_s = 11\n[caches]\ncount = 6\n[load]\nrate_per_s = 150\n\
          [[link]]\nbefore = \"caches\"\ndelay_ms = 1\njitter_ms = 1\n{}",
         faults.concat()
@@ -133,7 +133,7 @@
 
 #[test]
 fn sixteen_nodes_two_hundred_cache_servers_and_a_thousand_connections() {
-    let run = played(
+    let run = run_scenario(
         "name = \"wide\"\nlength_s = 4\n[nodes]\ncount = 16\nsockets = 1024\n[caches]\ncount = 200\n[origin]\nper_s = 800\n\
          [load]\nrate_per_s = 1500\nconnections = 64\n",
     );
--- a/crates/sparrouter-node/tests/forwards.rs
+++ b/crates/sparrouter-node/tests/forwards.rs
@@ -191,7 +191,7 @@
 
 /// A partitioned machine: connections to it are never established, and never refused.
 #[test]
-fn a_connect_that_times_out_proves_that_nothing_ran() {
+fn a_write_whose_connect_times_out_is_reported_as_not_executed() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .build()
--- a/crates/sparrouter-node/tests/harness/mod.rs
+++ b/crates/sparrouter-node/tests/harness/mod.rs
@@ -30,7 +30,7 @@
  "Safety":{"AnswerSlackUs":20000,"AskEveryUs":10000000,"StartCapacity":0.2,"ColdUs":1000000,"FallMultiple":3.0,
   "FallUs":1000000}}"#;
 
-/// A node beside caches and an origin, once it is ready.
+/// Starts a node with these cache servers and this origin, and returns it once it is ready.
 pub fn start_node(caches: &[&Server], origin: SocketAddr, sockets: usize) -> TestNode {
     start_node_with(SETTINGS, caches, origin, sockets)
 }
@@ -44,7 +44,7 @@
     start_node_with_log(settings, caches, origin, sockets, "info")
 }
 
-/// `level`: what its log has.
+/// Starts a node that logs at `level`, and returns it once it is ready.
 pub fn start_node_with_log(
     settings: &str,
     caches: &[&Server],
@@ -70,7 +70,7 @@
         discovery.at
     );
     let (node, folder) = spawn_node_with_log(&config, level);
-    let start_node = TestNode {
+    let test_node = TestNode {
         node,
         address,
         discovery,
@@ -81,16 +81,16 @@
     };
     until("ready", || {
         TcpStream::connect(address).is_ok()
-            && start_node.call("GET", "/health/ready", "", "").0 == 200
+            && test_node.call("GET", "/health/ready", "", "").0 == 200
     });
-    start_node
+    test_node
 }
 
 pub fn spawn_node(config: &str) -> (Child, tempfile::TempDir) {
     spawn_node_with_log(config, "info")
 }
 
-/// `level`: what its log has.
+/// Starts the program with `config` as its configuration file and `level` as its log level.
 pub fn spawn_node_with_log(config: &str, level: &str) -> (Child, tempfile::TempDir) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("config.json");
@@ -140,7 +140,7 @@
         "{method} {path} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: {id}\r\nX-Class: {operation}\r\n\
          X-Tenant: t\r\nX-Deadline-Ms: 900\r\n{length}\r\n{body}"
     );
-    // The node may have closed it: then no answer comes.
+    // The node may have closed the connection; reading the answer detects that.
     let _ = stream.write_all(text.as_bytes());
 }
 
@@ -161,7 +161,8 @@
             .unwrap();
         stream
     }
-    /// One request and its answer. A connection that the node closed before it read anything is opened again.
+    /// Sends one request and returns its answer. If the connection ends without an answer, the request is sent again on a
+    /// new connection, in at most three attempts.
     pub fn call(
         &self,
         method: &str,
--- a/crates/sparrouter-node/tests/random_runs.rs
+++ b/crates/sparrouter-node/tests/random_runs.rs
@@ -112,7 +112,7 @@
         let over = pair[0]
             .until
             .is_some_and(|until| until <= pair[1].from + 150 * MS);
-        assert!(over, "two at once: {pair:?}");
+        assert!(over, "two forwards in flight at once: {pair:?}");
     }
 }
 
--- a/crates/sparrouter-node/tests/reload.rs
+++ b/crates/sparrouter-node/tests/reload.rs
@@ -34,7 +34,7 @@
     let _connection = hanging.accept().unwrap();
     let (new, start) = (Discovery::start(), Instant::now());
     w.reload(&config(new.at));
-    until("a subscription at the new one", || new.calls() == 1);
+    until("a subscription at the new discovery", || new.calls() == 1);
     assert!(start.elapsed() < 1000 * MS);
     // The new discovery may number its versions from the start.
     assert!(new.calls.lock().unwrap()[0].contains("watch=1&after=0"));
@@ -143,7 +143,7 @@
 
 /// If one field can't change in a running node, no change is applied; the log names the field.
 #[test]
-fn sighup_with_a_fixed_field_applies_nothing_and_names_it() {
+fn sighup_with_a_field_that_needs_a_restart_applies_nothing_and_logs_its_name() {
     let cache = Server::always(Act::Hit);
     let mut w = start_node(&[&cache], unused_address(), 256);
     let log = w.node.stderr.take().unwrap();
--- a/crates/sparrouter-node/tests/rollout.rs
+++ b/crates/sparrouter-node/tests/rollout.rs
@@ -18,7 +18,7 @@
 const CONTROL: &str = r#"#!/bin/bash
 # control.sh change|back|restart NAME
 cd "$(dirname "$0")" || exit 3
-# One that a killed conductor began may still be at work.
+# A command that a killed conductor started may still be running.
 exec 9>"$2.lock"; flock 9
 state=$(cat "$2.state"); pid=$(cat "$2.pid")
 alive() { kill -0 "$pid" 2>/dev/null && ! grep -q '^State:.Z' "/proc/$pid/status" 2>/dev/null; }
@@ -43,8 +43,9 @@
     _servers: Vec<Server>,
     discovery: Discovery,
     over: Arc<AtomicBool>,
-    /// Counts of answered calls, and of calls that the node accepted and did not answer.
+    /// Number of answered calls.
     answered: Arc<AtomicUsize>,
+    /// Number of calls that a node accepted and did not answer.
     unanswered: Arc<AtomicUsize>,
     clients: Vec<JoinHandle<()>>,
 }
@@ -217,7 +218,7 @@
 }
 
 #[test]
-fn a_sound_change_goes_through_all_nodes_under_traffic() {
+fn a_sound_change_is_rolled_out_to_all_nodes_under_traffic() {
     let fleet = Fleet::start(300_000);
     assert_eq!(fleet.run(Mode::Run), Outcome::Completed);
     assert_eq!(fleet.states(), ["new"; NODES]);
@@ -275,16 +276,16 @@
 /// The conductor is killed repeatedly, and a node that is not being changed is suspended for a while: the rollout has
 /// the same result as without these faults.
 #[test]
-fn a_killed_conductor_and_a_stopped_node_change_nothing_about_the_end() {
+fn a_killed_conductor_and_a_suspended_node_do_not_change_the_result() {
     let fleet = Fleet::start(300_000);
     let how = fleet.path("plan.how");
     let (began, mut kills) = (Instant::now(), 0u32);
     while !how.exists() && began.elapsed() < Duration::from_secs(150) {
         let mut c = conductor(&fleet);
         // Each conductor runs longer than the previous one; otherwise none would complete a stage.
-        let patience = Duration::from_millis(1300) + 1000 * MS * kills;
+        let max_runtime = Duration::from_millis(1300) + 1000 * MS * kills;
         let started = Instant::now();
-        while started.elapsed() < patience && c.try_wait().unwrap().is_none() {
+        while started.elapsed() < max_runtime && c.try_wait().unwrap().is_none() {
             sleep(20 * MS);
         }
         let _ = c.kill();
--- a/crates/sparrouter-node/tests/shutdown.rs
+++ b/crates/sparrouter-node/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: all that was received is answered, and the program exits with 0.
+//! Graceful shutdown: all received requests are answered, and the program exits with 0.
 mod harness;
 
 use harness::*;
@@ -37,10 +37,10 @@
     [idle, head, body, hangs, slow, misses, waits]
 }
 
-/// Connections that are idle, within a head, within a body, waiting for a hanging cache server, for a slow one, between
+/// At SIGTERM there are connections that are idle, within a head, within a body, waiting for a hanging cache server, for a slow one, between
 /// a miss and the origin's answer, or for another invocation's fetch. Further signals do not interrupt the shutdown.
 #[test]
-fn all_that_is_in_flight_is_answered_before_the_exit() {
+fn all_requests_in_flight_are_answered_before_the_exit() {
     let cache = Server::start(|seen| match seen.id().as_str() {
         "hangs" => Act::NoAnswer,
         "slow" => Act::Late(300),
@@ -89,8 +89,8 @@
     send_request(&mut idle, "GET", "/api/r", "crosses", "get", "");
     let answered = read_answer(&mut idle).is_some();
     let is_forwarded = cache.seen().iter().any(|s| s.id() == "crosses");
-    assert!(answered || !is_forwarded, "read, forwarded and lost");
-    until("the end", || w.node.try_wait().unwrap().is_some());
+    assert!(answered || !is_forwarded, "forwarded but unanswered");
+    until("the exit", || w.node.try_wait().unwrap().is_some());
     assert!(w.node.wait().unwrap().success());
     // The longest client timeout plus 0.7 s.
     assert!(start.elapsed() < 1600 * MS, "{:?}", start.elapsed());
@@ -115,13 +115,13 @@
         send_request(stream, "GET", "/api/k", &format!("x{n}"), "get", "");
     }
     let answered: Vec<bool> = idle.iter_mut().map(|s| read_answer(s).is_some()).collect();
-    until("the end", || w.node.try_wait().unwrap().is_some());
+    until("the exit", || w.node.try_wait().unwrap().is_some());
     assert!(w.node.wait().unwrap().success());
     for (n, answered) in answered.iter().enumerate() {
         let is_forwarded = cache.seen().iter().any(|s| s.id() == format!("x{n}"));
         assert!(
             *answered || !is_forwarded,
-            "x{n} was read, forwarded and lost"
+            "x{n} was forwarded but not answered"
         );
     }
 }
@@ -144,12 +144,12 @@
     let mut w = start_node(&[&cache], unused_address(), 256);
     let start = Instant::now();
     w.signal("-TERM");
-    until("the end", || w.node.try_wait().unwrap().is_some());
+    until("the exit", || w.node.try_wait().unwrap().is_some());
     assert!(start.elapsed() < 1000 * MS, "{:?}", start.elapsed());
 }
 
 #[test]
-fn sigterm_answers_all_that_was_received_and_exits_in_time() {
+fn after_sigterm_received_requests_are_answered_and_the_node_exits_in_time() {
     let (cache, origin) = (Server::always(Act::Hit), Server::always(Act::Late(250)));
     let mut w = start_node(&[&cache], origin.at, 256);
     let (mut old, mut slow) = (w.client(), w.client());
@@ -178,6 +178,6 @@
     }
     assert_eq!(read_answer(&mut slow).unwrap().0, 200);
     let start = Instant::now();
-    until("the end", || w.node.try_wait().unwrap().is_some());
+    until("the exit", || w.node.try_wait().unwrap().is_some());
     assert!(w.node.wait().unwrap().success() && start.elapsed() < 700 * MS);
 }
