--- a/crates/sparrouter-node/src/program/reload.rs
+++ b/crates/sparrouter-node/src/program/reload.rs
@@ -113,7 +113,8 @@
             policy,
             operations,
             nodes: config.peers.clone(),
-            is_same: self.config.settings == config.settings && self.config.peers == config.peers,
+            is_policy_unchanged: self.config.settings == config.settings
+                && self.config.peers == config.peers,
             reporter,
             quota_shares: operator.file.quota_shares.clone(),
             seed: config.seed()?,
--- a/crates/sparrouter-node/src/program/start.rs
+++ b/crates/sparrouter-node/src/program/start.rs
@@ -150,12 +150,12 @@
         tokio::task::spawn_local(gossip.clone().receive(mailbox.clone()));
     }
     let process_counts = ProcessCounts::new(&pool, started_at);
-    let links = Links {
+    let channels = DecisionChannels {
         start_peer: peer_starter(pool, &mailbox, &plan, &config),
         list,
         gossip: sockets.gossip,
     };
-    let actor = decision_actor(&config, &operator, &process_counts, plan, links)?;
+    let actor = decision_actor(&config, &operator, &process_counts, plan, channels)?;
     let decision_task =
         tokio::task::spawn_local(actor.run(config.known.clone(), messages, COUNTS_INTERVAL));
 
@@ -218,7 +218,7 @@
 }
 
 /// Channels and sockets by which the decision actor reaches other actors and nodes.
-struct Links {
+struct DecisionChannels {
     start_peer: PeerStarter,
     list: mpsc::Sender<ListRequest>,
     gossip: Option<Rc<GossipSocket>>,
@@ -229,7 +229,7 @@
     operator: &ActiveOperatorConfig,
     process_counts: &ProcessCounts,
     plan: Plan,
-    links: Links,
+    channels: DecisionChannels,
 ) -> Result<DecisionActor, NodeError> {
     let settings = &config.settings;
     let actor = DecisionActor::new(Parameters {
@@ -237,9 +237,9 @@
         names: NameTable::new(settings),
         clock: Clock::new(),
         timeouts: plan.operations.iter().map(|o| o.client_timeout).collect(),
-        start_peer: links.start_peer,
-        list: links.list,
-        gossip: links.gossip,
+        start_peer: channels.start_peer,
+        list: channels.list,
+        gossip: channels.gossip,
     });
     let names = settings.classes.iter().map(|class| class.name.clone());
     let operations: Vec<OperationRules> = names
--- a/crates/sparrouter-node/src/routing/decision/reconfigure.rs
+++ b/crates/sparrouter-node/src/routing/decision/reconfigure.rs
@@ -20,8 +20,9 @@
     pub operations: Vec<Operation>,
     /// Gossip addresses of all nodes, indexed by node number.
     pub nodes: Vec<SocketAddr>,
-    /// Whether settings and nodes are unchanged, so that only discovery or the operator's file differs.
-    pub is_same: bool,
+    /// Whether the settings and the gossip addresses are unchanged: only discovery's address or the operator's file may
+    /// differ, and the policy keeps its learned state.
+    pub is_policy_unchanged: bool,
     /// The change to the reporter.
     pub reporter: ReporterChange,
     /// The configuration of the quota shares, if the operator configured them.
@@ -62,8 +63,7 @@
             change.seed,
             self.clock.now(),
         );
-        if change.is_same {
-            // The policy keeps its learned state.
+        if change.is_policy_unchanged {
             return;
         }
         let now = self.clock.now();
--- a/crates/sparrouter-node/tests/start.rs
+++ b/crates/sparrouter-node/tests/start.rs
@@ -135,8 +135,8 @@
     }
 }
 
-/// Seven of ten nodes start at the same time without a reachable cache server: all become ready, and all requests are
-/// answered.
+/// Fourteen nodes start at the same time, as when seven of ten nodes of a fleet restart, without a reachable cache
+/// server: all become ready, and all requests are answered.
 #[test]
 fn many_nodes_that_start_at_once_are_ready_in_time() {
     let start = Instant::now();
