--- a/crates/sparrouter-node/src/routing/decision/reconfigure.rs
+++ b/crates/sparrouter-node/src/routing/decision/reconfigure.rs
@@ -20,11 +20,12 @@
     pub operations: Vec<Operation>,
     /// Gossip addresses of all nodes, indexed by node number.
     pub nodes: Vec<SocketAddr>,
-    /// Whether settings and nodes are unchanged, so that only discovery or the operator's file differs.
-    pub is_same: bool,
+    /// Whether the settings and the gossip addresses are unchanged: only discovery's address or the operator's file may
+    /// differ, and the policy keeps its learned state.
+    pub is_policy_unchanged: bool,
     /// The change to the reporter.
     pub reporter: ReporterChange,
-    /// The configuration of the quota shares, if quotas are kept by shares.
+    /// The configuration of the quota shares, if the operator configured them.
     pub quota_shares: Option<QuotaShareConfig>,
     /// Seed of the node's random number generator.
     pub seed: u64,
@@ -36,7 +37,7 @@
 pub enum ReporterChange {
     /// Keep the reporter, under this identity.
     Identify(Identity),
-    /// Replace the reporter by one to another file, or by none.
+    /// Replace the reporter by one that writes to another file, or remove it if `None`.
     Replace(Option<Box<Reporter>>),
 }
 
@@ -62,8 +63,7 @@
             change.seed,
             self.clock.now(),
         );
-        if change.is_same {
-            // The policy keeps its learned state.
+        if change.is_policy_unchanged {
             return;
         }
         let now = self.clock.now();
@@ -87,10 +87,10 @@
         match change {
             ReporterChange::Identify(identity) => {
                 if let Some(reporter) = &mut self.reporter {
-                    reporter.identify(identity);
+                    reporter.set_identity(identity);
                 }
             }
-            ReporterChange::Replace(other) => self.reporter = other.map(|r| *r),
+            ReporterChange::Replace(replacement) => self.reporter = replacement.map(|r| *r),
         }
     }
 }
