--- a/crates/sparrouter-report/src/lib.rs
+++ b/crates/sparrouter-report/src/lib.rs
@@ -1,7 +1,7 @@
 //! The report a node writes about itself: one JSON object a line, by default once a second.
 //!
-//! Counters only rise while a process lives and start at 0 with each process. A lost line therefore loses no events:
-//! [`Report::since`] of any two lines of one process gives what happened between them. Field names are the JSON keys
+//! Counters start at 0 with each process and never decrease while it runs. A lost line therefore loses no events:
+//! [`Report::since`] computes the difference between any two lines of one process. Field names are the JSON keys
 //! that operators read (`docs/operating/shares.md`, `docs/operating/rollout.md`); they keep the terms of these pages.
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -16,12 +16,12 @@
     pub name: String,
     /// Billed value of all requests received.
     pub asked: f64,
-    /// Billed value earned: all of a request's value within the latency target, a configured fraction of it later; at
-    /// most `asked`.
+    /// Billed value earned, at most `asked`: a request answered within the latency target earns its full value, a later
+    /// one a configured fraction of it.
     pub in_time: f64,
     /// Requests received.
     pub taken: u64,
-    /// Requests answered with success.
+    /// Requests that succeeded.
     pub succeeded: u64,
     /// Requests rejected by a quota or shed.
     pub throttled: u64,
@@ -37,19 +37,19 @@
 pub struct Share {
     /// Name of the limit.
     pub limit: String,
-    /// Rate limit of all nodes together.
+    /// Rate limit of the whole fleet.
     pub per_s: f64,
-    /// Rate that this node may use now: its own quota share, less `lent`, plus `held`.
+    /// Rate that this node may use now: its own quota share minus `lent` plus `held`.
     pub part: f64,
-    /// Rate borrowed from other nodes, a part of `part`.
+    /// Rate borrowed from other nodes, included in `part`.
     pub held: f64,
     /// Rate loaned to other nodes.
     pub lent: f64,
     /// Rate that this node needs, estimated from its arrivals.
     pub need: f64,
-    /// Units that arrived since the process started.
+    /// Units requested since the process started.
     pub arrived: u64,
-    /// Units admitted as within the limit since the process started; at most `arrived`.
+    /// Units admitted under the limit since the process started; at most `arrived`.
     pub within: u64,
 }
 
@@ -61,13 +61,13 @@
     pub name: String,
     /// Version of the program.
     pub version: String,
-    /// Operator's name of the state of program and settings; a rollout tells changed nodes from unchanged ones by it.
+    /// Operator's label for the deployed program and settings; a rollout uses it to distinguish updated nodes.
     pub generation: String,
-    /// Digest of the cache servers chosen for sample keys: nodes that differ here place the same key elsewhere.
+    /// Digest of the cache servers chosen for sample keys: nodes with different digests place keys differently.
     pub placement: String,
     /// Digest of the settings in force: equal settings have equal digests.
     pub settings: String,
-    /// Formats of messages between nodes that this node reads.
+    /// Format versions of peer messages that this node can read.
     pub notes: Vec<u8>,
     /// Milliseconds since the process started.
     pub uptime_ms: u64,
@@ -77,23 +77,23 @@
     pub operations: Vec<Operation>,
     /// Requests forwarded to cache servers or the origin, each attempt counted.
     pub forwards: u64,
-    /// Those of `forwards` that went to the origin.
+    /// Requests forwarded to the origin, included in `forwards`.
     pub fetches: u64,
     /// Connections opened to cache servers and the origin.
     pub opened: u64,
-    /// Requests that got no value, by the reason they were rejected or shed for.
+    /// Requests that earned no value, by the reason for rejecting or shedding them.
     pub given_up: BTreeMap<String, u64>,
-    /// Times that a cache server became suspected.
+    /// Number of times a cache server became suspected.
     pub doubts: u64,
     /// Requests forwarded to cache servers that were warming up.
     pub cold_sends: u64,
-    /// Processor time of the process in milliseconds.
+    /// CPU time used by the process, in milliseconds.
     pub cpu_ms: u64,
     /// Resident memory in KiB at the time of the report.
     pub memory_kib: u64,
     /// Open file descriptors at the time of the report.
     pub descriptors: u64,
-    /// Quota shares; empty where common limits are not kept by leases.
+    /// Quota shares; empty if common limits are not enforced through leases.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub shares: Vec<Share>,
     /// Invariant violations.
@@ -103,20 +103,21 @@
 /// Number of buckets in a latency histogram.
 pub const BUCKETS: usize = 64;
 
-/// The histogram bucket of a latency in microseconds: twice its binary logarithm, so two buckets double the latency.
+/// Returns the histogram bucket of a latency in microseconds: twice its binary logarithm, so the latency doubles every
+/// two buckets.
 ///
 /// The result is below [`BUCKETS`]; 0 µs counts as 1 µs.
-pub fn bucket(us: u64) -> usize {
-    ((us.max(1) as f64).log2() * 2.0) as usize % BUCKETS
+pub fn bucket(latency_us: u64) -> usize {
+    ((latency_us.max(1) as f64).log2() * 2.0) as usize % BUCKETS
 }
 
-/// Reduces a counter by its earlier value. A counter that fell, which only a defect explains, counts as unchanged.
+/// Subtracts a counter's earlier value. A counter that decreased, which only a defect explains, counts as unchanged.
 fn subtract(counter: &mut u64, earlier: u64) {
     *counter = counter.saturating_sub(earlier);
 }
 
 impl Operation {
-    /// Reduces each counter by its value in an earlier report of the same process.
+    /// Subtracts the counters of an earlier report of the same process.
     fn subtract(&mut self, earlier: &Operation) {
         self.asked -= earlier.asked;
         self.in_time -= earlier.in_time;
@@ -131,11 +132,11 @@
 }
 
 impl Report {
-    /// What happened between an earlier report of the same process and this one.
+    /// Returns the difference between an earlier report of the same process and this one.
     ///
-    /// Counters of requests, connections and processor time become differences; states (name, memory, descriptors,
-    /// quota shares, invariant violations) stay as they are here. A shorter uptime than the earlier report's means
-    /// another process: then the whole report is returned, as its counters started at 0.
+    /// Counters of requests, connections and processor time become differences; all other fields (name, memory,
+    /// descriptors, quota shares, invariant violations) keep this report's values. If the uptime is shorter than in
+    /// the earlier report, the process was restarted and its counters began at 0, so the whole report is returned.
     pub fn since(&self, earlier: &Report) -> Report {
         if earlier.uptime_ms > self.uptime_ms {
             return self.clone();
@@ -151,7 +152,7 @@
         difference
     }
 
-    /// Reduces the counters of the node as a whole by their earlier values.
+    /// Subtracts the earlier values of the counters that are not kept per operation.
     fn subtract_node_counters(&mut self, earlier: &Report) {
         subtract(&mut self.forwards, earlier.forwards);
         subtract(&mut self.fetches, earlier.fetches);
--- a/crates/sparrouter-simhost/src/instance.rs
+++ b/crates/sparrouter-simhost/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of the decisions, behind maps between the simulator's ids and the decisions' small indices.
+//! One instance of the balancing policy, with maps between the simulator's ids and the policy's indices.
 use crate::error::HostError;
 use crate::wire::{self, Done, Enlist, Incoming, Ingress, Order, PeersKnown};
 use base64::{Engine, engine::general_purpose::STANDARD as BASE64};
@@ -10,18 +10,19 @@
 use sparrouter_settings::{ListEntry, NameTable, hash, nanos};
 use std::collections::{BTreeMap, HashMap};
 
-/// An invocation, as the simulator names it.
+/// An invocation with the simulator's id (ticket).
 struct Invocation {
     ticket: String,
+    /// Number of its forwards in flight.
     in_flight: usize,
-    /// Its final answer has not been given.
+    /// True until the final response is given or the client disconnects.
     is_open: bool,
 }
 
-/// The decisions of one simulated node.
+/// The balancing policy of one simulated node.
 ///
-/// Invariant: `indices` and `invocations` hold the same invocations; one is removed once it has its answer and no forward of
-/// it is in flight.
+/// Invariant: `indices` and `invocations` contain the same invocations. An invocation is removed once it has been answered
+/// and none of its forwards are in flight.
 pub struct Instance {
     number: i64,
     policy: Policy,
@@ -31,7 +32,7 @@
     next_index: InvocationIndex,
 }
 
-fn outcome(verb: &'static str, code: &str) -> Result<Outcome, HostError> {
+fn parse_outcome(verb: &'static str, code: &str) -> Result<Outcome, HostError> {
     Ok(match code {
         "OK" => Outcome::Succeeded,
         "INTERNAL" => Outcome::Error,
@@ -52,24 +53,24 @@
     })
 }
 
-fn load(info: Option<&BTreeMap<String, f64>>) -> Option<Load> {
-    info.map(|figures| Load {
-        active: figures.get("active").copied(),
-        waiting: figures.get("waiting").copied(),
+fn parse_load(info: Option<&BTreeMap<String, f64>>) -> Option<Load> {
+    info.map(|values| Load {
+        active: values.get("active").copied(),
+        waiting: values.get("waiting").copied(),
     })
 }
 
-/// Whole microseconds, rounded up: nothing may happen before its time.
+/// Converts to whole microseconds, rounded up so that no timer fires early.
 fn micros(time: Nanos) -> u64 {
     time.div_ceil(MICRO)
 }
 
 impl Instance {
-    /// An instance with the settings and the seed that the simulator gives it.
+    /// Creates an instance with the simulator's settings and seed.
     ///
     /// # Errors
     ///
-    /// [`HostError::Seed`] or [`HostError::Settings`].
+    /// [`HostError::Seed`] or [`HostError::Settings`] if the seed or the settings are invalid.
     pub fn new(enlist: Enlist) -> Result<Instance, HostError> {
         let settings = enlist.info;
         let unsigned = enlist.nonce.as_u64();
@@ -87,7 +88,7 @@
         })
     }
 
-    /// The event for the decisions; `None` for one that concerns an invocation that is over.
+    /// Translates a message into an event of the policy; `None` if it concerns a completed invocation.
     ///
     /// # Errors
     ///
@@ -95,7 +96,7 @@
     pub fn translate(&mut self, incoming: Incoming) -> Result<Option<Event>, HostError> {
         Ok(match incoming {
             Incoming::Enlist(_) | Incoming::Down { .. } => None,
-            Incoming::PeersKnown(list) => Some(self.list(&list)?),
+            Incoming::PeersKnown(list) => Some(self.list_event(&list)?),
             Incoming::Ingress(ingress) => Some(self.arrival(ingress)?),
             Incoming::Begun(begun) => {
                 let index = self.indices.get(&begun.ticket);
@@ -113,9 +114,9 @@
                 })
             }
             Incoming::Echo(echo) => Some(Event::HealthChecked {
-                is_answered: outcome("Echo", &echo.rc)? == Outcome::Succeeded,
+                is_answered: parse_outcome("Echo", &echo.rc)? == Outcome::Succeeded,
                 cache: self.cache("Echo", &echo.server)?,
-                load: load(echo.health_info.as_ref()),
+                load: parse_load(echo.health_info.as_ref()),
             }),
             Incoming::Datagram {
                 neighbour, payload, ..
@@ -126,7 +127,7 @@
         })
     }
 
-    fn list(&mut self, list: &PeersKnown) -> Result<Event, HostError> {
+    fn list_event(&mut self, list: &PeersKnown) -> Result<Event, HostError> {
         let kind = match list.form.as_str() {
             "INCREMENTAL" => ListKind::Changes,
             "FULL" => ListKind::Full,
@@ -198,7 +199,7 @@
 
     fn forward_ended(&mut self, done: &Done) -> Result<Option<Event>, HostError> {
         let cache = self.cache("Done", &done.server)?;
-        let outcome = outcome("Done", &done.rc)?;
+        let outcome = parse_outcome("Done", &done.rc)?;
         let Some(&inv) = self.indices.get(&done.ticket) else {
             return Ok(None);
         };
@@ -219,7 +220,7 @@
                 Some(3) => Some(CacheResult::MissWhileFetching),
                 _ => None,
             },
-            load: load(done.health_info.as_ref()),
+            load: parse_load(done.health_info.as_ref()),
         })))
     }
 
@@ -232,17 +233,17 @@
     }
 
     fn cache(&self, verb: &'static str, server: &str) -> Result<CacheIndex, HostError> {
-        let known = self.names.cache(server);
-        known.ok_or_else(|| HostError::UnknownServer {
+        let cache = self.names.cache(server);
+        cache.ok_or_else(|| HostError::UnknownServer {
             verb,
             server: server.to_owned(),
         })
     }
 
-    /// Hands an event to the decisions, and adds the orders that they make.
+    /// Passes an event to the policy and appends the resulting orders.
     pub fn handle(&mut self, now: Nanos, event: Option<Event>, orders: &mut Vec<Order>) {
         let Some(event) = event else { return };
-        // Invocations that may be over after this event.
+        // Invocations that may be complete after this event.
         let mut affected: Vec<InvocationIndex> = match &event {
             Event::ForwardEnded(ended) => vec![ended.inv],
             Event::ClientLeft { inv } => vec![*inv],
@@ -254,14 +255,14 @@
             if let Action::Throttle { inv, .. } | Action::Error { inv } = action {
                 affected.push(inv);
             }
-            orders.push(self.order(action));
+            orders.push(self.translate_action(action));
         }
         for inv in affected {
-            self.forget_if_over(inv);
+            self.remove_if_complete(inv);
         }
     }
 
-    fn order(&mut self, action: Action) -> Order {
+    fn translate_action(&mut self, action: Action) -> Order {
         let i = self.number;
         match action {
             Action::Forward {
@@ -274,12 +275,12 @@
             },
             Action::Throttle { inv, retry_after } => Order::Busy {
                 i,
-                ticket: self.close(inv),
+                ticket: self.mark_answered(inv),
                 retry_after_us: micros(retry_after),
             },
             Action::Error { inv } => Order::Abort {
                 i,
-                ticket: self.close(inv),
+                ticket: self.mark_answered(inv),
             },
             Action::SetTimer { after, token } => Order::NotifyMe {
                 i,
@@ -300,7 +301,8 @@
         }
     }
 
-    /// A forward leaves in the moment of its decision here, so that the time before which it must leave is always kept.
+    /// Makes the order to forward a request. The simulator sends it at the time of the decision, so it always meets its
+    /// send deadline.
     fn route(&mut self, inv: InvocationIndex, cache: CacheIndex, wait: Nanos) -> Order {
         let invocation = self.known_invocation(inv);
         invocation.in_flight += 1;
@@ -313,8 +315,8 @@
         }
     }
 
-    /// Marks an invocation as answered; gives its ticket.
-    fn close(&mut self, inv: InvocationIndex) -> String {
+    /// Marks an invocation as answered and returns its ticket.
+    fn mark_answered(&mut self, inv: InvocationIndex) -> String {
         let invocation = self.known_invocation(inv);
         invocation.is_open = false;
         invocation.ticket.clone()
@@ -323,10 +325,10 @@
     fn known_invocation(&mut self, inv: InvocationIndex) -> &mut Invocation {
         self.invocations
             .get_mut(&inv)
-            .expect("the decisions name open invocations only")
+            .expect("the policy names only known invocations")
     }
 
-    fn forget_if_over(&mut self, inv: InvocationIndex) {
+    fn remove_if_complete(&mut self, inv: InvocationIndex) {
         let Some(invocation) = self.invocations.get(&inv) else {
             return;
         };
--- a/crates/sparrouter-simhost/src/main.rs
+++ b/crates/sparrouter-simhost/src/main.rs
@@ -1,12 +1,13 @@
-//! Hosts instances of the older proxy's decisions for the simulator: one JSON batch a line in, one reply a line out. It
-//! translates between the simulator's messages and the decisions' events and actions, and decides nothing itself.
+//! Hosts instances of the older proxy's balancing policy for the simulator. It reads one JSON batch per input line and
+//! writes one reply per output line. It only translates between the simulator's messages and the policy's events and
+//! actions.
 //!
-//! | module | its one job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `wire` | the simulator's messages, in its own words |
-//! | `batch` | one line of input, for all instances |
-//! | `instance` | one instance: ids of the simulator and indices of the decisions |
-//! | `error` | why a batch cannot be processed |
+//! | `wire` | messages exchanged with the simulator |
+//! | `batch` | processing of one input line for all instances |
+//! | `instance` | one policy instance; maps the simulator's ids to the policy's indices |
+//! | `error` | errors of processing a batch |
 mod batch;
 mod error;
 mod instance;
@@ -22,13 +23,14 @@
 
 fn run() -> Result<(), HostError> {
     let mut instances = Instances::new();
-    let mut out = io::BufWriter::new(io::stdout().lock());
+    let mut output = io::BufWriter::new(io::stdout().lock());
     for line in io::stdin().lock().lines() {
         let line = line.map_err(HostError::Input)?;
         let orders = batch::process(&mut instances, &line)?;
-        serde_json::to_writer(&mut out, &Reply { orders }).map_err(HostError::Reply)?;
-        out.write_all(b"\n")
-            .and_then(|()| out.flush())
+        serde_json::to_writer(&mut output, &Reply { orders }).map_err(HostError::Reply)?;
+        output
+            .write_all(b"\n")
+            .and_then(|()| output.flush())
             .map_err(HostError::Output)?;
     }
     Ok(())
--- a/crates/sparrouter-simhost/src/tests.rs
+++ b/crates/sparrouter-simhost/src/tests.rs
@@ -1,16 +1,16 @@
-//! Whole lines in, orders out.
+//! Tests of whole input lines: the orders that a batch returns, and its errors.
 use crate::batch::{self, Instances};
 use crate::error::HostError;
 use crate::wire::Order;
 
-fn reply(line: &str) -> Result<Vec<Order>, HostError> {
+fn process_line(line: &str) -> Result<Vec<Order>, HostError> {
     batch::process(&mut Instances::new(), line)
 }
 
 #[test]
-fn bad_input_names_the_problem_and_the_field() {
-    for (line, part) in [
-        ("not json", "bad batch"),
+fn given_an_invalid_batch_when_processed_then_the_error_names_the_field_or_value() {
+    for (line, expected) in [
+        ("not json", "malformed batch"),
         (r#"{"events":[]}"#, "AtTimeUs"),
         (
             r#"{"AtTimeUs":1,"events":[{"verb":"Vanished","I":1}]}"#,
@@ -27,15 +27,18 @@
         ),
         (r#"{"AtTimeUs":-1,"events":[]}"#, "AtTimeUs"),
     ] {
-        let text = reply(line).err().map(|e| e.to_string()).unwrap_or_default();
-        assert!(text.contains(part), "{line}: {text}");
+        let text = process_line(line)
+            .err()
+            .map(|e| e.to_string())
+            .unwrap_or_default();
+        assert!(text.contains(expected), "{line}: {text}");
     }
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_whatever_else_it_holds() {
+fn given_a_batch_without_events_when_processed_then_no_orders_are_returned() {
     assert!(
-        reply(r#"{"AtTimeUs":5,"events":[],"New":{"x":1}}"#)
+        process_line(r#"{"AtTimeUs":5,"events":[],"New":{"x":1}}"#)
             .unwrap()
             .is_empty()
     );
@@ -51,17 +54,17 @@
  {"verb":"Ingress","I":3,"Ticket":"t","Object":"k","DueUs":901000,"Type":"get"}]}"#;
 
 fn routes(orders: &[Order]) -> Vec<(&str, &str)> {
-    let each = orders.iter().filter_map(|o| match o {
+    let routed = orders.iter().filter_map(|o| match o {
         Order::Route { ticket, server, .. } => Some((ticket.as_str(), server.as_str())),
         _ => None,
     });
-    each.collect()
+    routed.collect()
 }
 
 #[test]
-fn an_invocation_goes_to_a_cache_then_to_the_origin_and_is_forgotten() {
+fn given_a_cache_miss_when_the_origin_answers_then_the_invocation_is_removed() {
     let mut instances = Instances::new();
-    let done = |copy: u8, server: &str, rc: &str, last: bool| {
+    let done_line = |copy: u8, server: &str, rc: &str, last: bool| {
         format!(
             r#"{{"AtTimeUs":{},"events":[{{"verb":"Done","I":3,"Ticket":"t","Copy":{copy},"Server":"{server}","Rc":"{rc}","LagUs":900,"Last":{last}}}]}}"#,
             2000 + u64::from(copy)
@@ -69,28 +72,28 @@
     };
     let orders = batch::process(&mut instances, &ENLIST.replace('\n', "")).unwrap();
     assert_eq!(routes(&orders), [("t", "a:1")]);
-    let orders = batch::process(&mut instances, &done(0, "a:1", "NOT_FOUND", false)).unwrap();
+    let orders = batch::process(&mut instances, &done_line(0, "a:1", "NOT_FOUND", false)).unwrap();
     assert_eq!(routes(&orders), [("t", "o:1")]);
     assert!(
-        batch::process(&mut instances, &done(1, "o:1", "OK", true))
+        batch::process(&mut instances, &done_line(1, "o:1", "OK", true))
             .unwrap()
             .is_empty()
     );
-    // What is long over is ignored; an outcome or a server never heard of is an error.
+    // A result for a completed invocation is ignored; an unknown outcome or server is an error.
     assert!(
-        batch::process(&mut instances, &done(1, "o:1", "OK", true))
+        batch::process(&mut instances, &done_line(1, "o:1", "OK", true))
             .unwrap()
             .is_empty()
     );
     assert!(
-        batch::process(&mut instances, &done(1, "o:1", "SO_SO", true))
+        batch::process(&mut instances, &done_line(1, "o:1", "SO_SO", true))
             .err()
             .unwrap()
             .to_string()
             .contains("Rc")
     );
     assert!(
-        batch::process(&mut instances, &done(1, "z:9", "OK", true))
+        batch::process(&mut instances, &done_line(1, "z:9", "OK", true))
             .err()
             .unwrap()
             .to_string()
--- a/crates/sparrouter-simhost/src/wire.rs
+++ b/crates/sparrouter-simhost/src/wire.rs
@@ -1,18 +1,18 @@
-//! The simulator's messages. Names of verbs and fields are the simulator's own; `serde` maps the fields' case. Times that end
-//! in `Us` are microseconds.
+//! Messages exchanged with the simulator. The simulator defines the names of verbs and fields; `serde` maps the fields'
+//! case. Fields whose names end in `Us` are in microseconds.
 use serde::{Deserialize, Serialize};
 use sparrouter_settings::Settings;
 use std::collections::BTreeMap;
 
-/// A line of input: events at one moment.
+/// A line of input: events that occur at the same time.
 #[derive(Deserialize)]
 pub struct Batch {
     #[serde(rename = "AtTimeUs")]
-    pub at: i64,
+    pub time_us: i64,
     pub events: Vec<Incoming>,
 }
 
-/// A line of output.
+/// A line of output: the orders that result from a batch.
 #[derive(Serialize)]
 pub struct Reply {
     pub orders: Vec<Order>,
@@ -55,7 +55,7 @@
 }
 
 impl Incoming {
-    /// The number of the instance that it is for.
+    /// Returns the number of the instance that the event concerns.
     pub fn instance(&self) -> i64 {
         match self {
             Incoming::Enlist(e) => e.i,
@@ -70,7 +70,7 @@
             | Incoming::Datagram { i, .. } => *i,
         }
     }
-    /// Its verb.
+    /// Returns the event's verb.
     pub fn verb(&self) -> &'static str {
         match self {
             Incoming::Enlist(_) => "Enlist",
@@ -97,11 +97,11 @@
     pub info: Settings,
 }
 
-fn full() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// The list of cache servers, or changes of it.
+/// The list of cache servers, or changes to it.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct PeersKnown {
@@ -111,7 +111,7 @@
     pub rows: Vec<Row>,
 }
 
-/// An entry of the list.
+/// A cache server in the list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Row {
@@ -119,7 +119,7 @@
     pub condition: String,
     #[serde(default)]
     pub campus: String,
-    #[serde(default = "full")]
+    #[serde(default = "default_weight")]
     pub heft: f64,
     #[serde(default)]
     pub generation_hw: String,
@@ -147,7 +147,7 @@
     pub kind: String,
 }
 
-/// The first bytes of an answer arrived.
+/// The first bytes of a response arrived.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Begun {
@@ -156,7 +156,7 @@
     pub copy: usize,
 }
 
-/// A forward ended.
+/// A forwarded request ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Done {
@@ -172,7 +172,7 @@
     pub health_info: Option<BTreeMap<String, f64>>,
 }
 
-/// A health check ended.
+/// A health check completed.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Echo {
@@ -182,7 +182,7 @@
     pub health_info: Option<BTreeMap<String, f64>>,
 }
 
-/// What an instance wants done.
+/// A request from an instance to the simulator.
 #[derive(Serialize)]
 #[serde(tag = "verb")]
 pub enum Order {
