--- a/crates/sparrouter-fleet-lab/src/ledger.rs
+++ b/crates/sparrouter-fleet-lab/src/ledger.rs
@@ -1,145 +1,146 @@
-//! What clients sent, what servers ran and what came back: recorded by the stand-ins, read by the audit.
+//! Records of a run: requests and responses of the simulated clients, executions at the simulated servers, and operations
+//! of the operator. The audit reads them.
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use tokio::time::Instant;
 
-/// Whether a request may be repeated, and whether its answer is a stream.
+/// The kind of a request: whether it is idempotent, and whether its response is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// It may run more than once.
+    /// It may run more than once; its response has a fixed length.
     Idempotent,
-    /// It may run once.
+    /// It may run at most once; its response has a fixed length.
     NonIdempotent,
-    /// It may run once; its answer is a stream.
+    /// It may run at most once; its response is a stream.
     Streaming,
-    /// Its answer is a stream that another server may continue.
+    /// It may run more than once; its response is a stream that another server may resume.
     Resumable,
 }
 
 impl RequestKind {
-    /// Whether it may run at a second server.
+    /// Returns whether the request may run at a second server.
     pub fn is_idempotent(self) -> bool {
         matches!(self, RequestKind::Idempotent | RequestKind::Resumable)
     }
-    /// Whether its answer is a stream.
+    /// Returns whether the response is a stream.
     pub fn is_stream(self) -> bool {
         matches!(self, RequestKind::Streaming | RequestKind::Resumable)
     }
 }
 
-/// One attempt of a client, under an id of its own.
+/// An attempt of a client to send a request. Each attempt has a unique id.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Whether it may be repeated.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// Its body.
+    /// Body of the request.
     pub body: String,
-    /// Index of the node that it was sent to.
+    /// Index of the node that received the request.
     pub node: usize,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent: Instant,
-    /// What came back; `None` until it has ended.
+    /// The response; `None` until the attempt has ended.
     pub response: Option<Response>,
 }
 
-/// What came back on the client's connection.
+/// The response that a client received, possibly incomplete.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
-    /// When it ended.
+    /// Time at which the attempt ended.
     pub ended_at: Option<Instant>,
-    /// HTTP status; 0: none came.
+    /// HTTP status; 0 if no response head was received.
     pub status: u16,
-    /// Seal of the run that made it.
+    /// Seal of the run that produced the response.
     pub seal: String,
-    /// Id of the attempt that it answers.
+    /// Attempt id in the response's header.
     pub id: String,
-    /// The body, as far as it came.
+    /// The part of the body that was received.
     pub body: String,
-    /// The body ended as its framing says.
+    /// Whether the whole body was received, according to its HTTP framing.
     pub is_complete: bool,
-    /// The client stopped waiting.
+    /// Whether the client stopped waiting for the response.
     pub abandoned: bool,
-    /// What was wrong with bytes that are no HTTP answer.
+    /// The parse error if the received bytes are not a valid HTTP response.
     pub malformed: Option<String>,
 }
 
-/// A server began to work on a request.
+/// An execution of a request at a server.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// Id of the attempt.
     pub id: String,
-    /// Id of the server.
+    /// Instance id of the server.
     pub instance: String,
     /// Path of the request.
     pub path: String,
     /// Body of the request.
     pub body: String,
-    /// When it began.
+    /// Time at which the execution began.
     pub began_at: Instant,
-    /// Version of the weights that it ran on.
+    /// Version of the model's weights used.
     pub version: u64,
-    /// The event after which it continues a stream; 0: from the beginning.
+    /// The last event before the part of the stream that this run produces; 0 if it starts at the beginning.
     pub resumed: u64,
 }
 
-/// A version of the configuration. Version `n` adds the route `extra-n` and removes the one before.
+/// A version of the configuration. Version `n` adds the route `extra-n` and removes the route of version `n - 1`.
 #[derive(Clone, Copy, Debug)]
 pub struct Version {
-    /// Its number.
+    /// Number of the version.
     pub number: u64,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: Instant,
-    /// When it was acknowledged.
+    /// Time at which the fleet acknowledged it; `None` if it has not.
     pub acknowledged: Option<Instant>,
 }
 
-/// An order to a server to load new weights.
+/// A request to a server to load new model weights.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// Id of the server.
+    /// Instance id of the server.
     pub instance: String,
-    /// The node that sent it.
+    /// Id of the lease holder that sent the order.
     pub lease_holder: String,
-    /// Fencing token of that node's lease.
+    /// Fencing token of the holder's lease.
     pub fencing_token: u64,
-    /// Version of the weights.
+    /// Version of the weights to load.
     pub version: u64,
-    /// The server had to load it.
+    /// Whether the order made the server load the version.
     pub loads: bool,
 }
 
-/// All records of a run of the lab.
+/// All records of one run of the lab.
 #[derive(Default)]
 pub struct Ledger {
-    /// Attempts of clients, by id.
+    /// Attempts of clients by attempt id.
     pub attempts: RefCell<HashMap<String, Attempt>>,
-    /// Runs at servers, in order.
+    /// Executions at servers, in order of their start.
     pub runs: RefCell<Vec<Run>>,
-    /// Orders to servers, in order.
+    /// Orders to servers, in order of arrival.
     pub orders: RefCell<Vec<Order>>,
-    /// When draining was acknowledged, by server.
+    /// Time at which the fleet acknowledged that a server drains, by instance id.
     pub drains: RefCell<HashMap<String, Instant>>,
-    /// Servers that crashed.
+    /// Instance ids of crashed servers.
     pub crashed: RefCell<HashSet<String>>,
-    /// Versions of the configuration.
+    /// Versions of the configuration that the operator has sent.
     pub versions: RefCell<Vec<Version>>,
-    /// Versions of weights, and when each was acknowledged.
+    /// Versions of the weights set by the operator, with the time at which the fleet acknowledged each.
     pub named: RefCell<Vec<(u64, Instant)>>,
-    /// Violations of rules that were noticed during the run.
+    /// Rule violations detected during the run.
     pub violations: RefCell<Vec<String>>,
 }
 
 impl Ledger {
-    /// Records a run; gives its number, which its answer contains.
+    /// Records an execution and returns its number, which the response contains.
     pub fn record_run(&self, run: Run) -> usize {
         let mut runs = self.runs.borrow_mut();
         runs.push(run);
         runs.len() - 1
     }
 
-    /// Records that the operator sends a version of the configuration.
+    /// Records that the operator sent a version of the configuration.
     pub fn record_sent_version(&self, number: u64) {
         let sent = Instant::now();
         self.versions.borrow_mut().push(Version {
@@ -149,18 +150,20 @@
         });
     }
 
-    /// Records that a version was acknowledged.
+    /// Records that the fleet acknowledged a version of the configuration.
     ///
     /// # Panics
     ///
-    /// If it was not recorded as sent.
+    /// If the version was not recorded as sent.
     pub fn record_acknowledged_version(&self, number: u64) {
         let mut versions = self.versions.borrow_mut();
-        let known = versions.iter_mut().find(|v| v.number == number);
-        known.expect("it was sent").acknowledged = Some(Instant::now());
+        let version = versions.iter_mut().find(|v| v.number == number);
+        version
+            .expect("the version is recorded as sent")
+            .acknowledged = Some(Instant::now());
     }
 
-    /// A version of the configuration, by its number.
+    /// Returns the configuration version with a number, if it was sent.
     pub fn version(&self, number: u64) -> Option<Version> {
         self.versions
             .borrow()
@@ -169,23 +172,23 @@
             .copied()
     }
 
-    /// Records a violation of a rule.
-    pub fn record_violation(&self, what: impl Into<String>) {
-        self.violations.borrow_mut().push(what.into());
+    /// Records a rule violation.
+    pub fn record_violation(&self, violation: impl Into<String>) {
+        self.violations.borrow_mut().push(violation.into());
     }
 }
 
-/// One event of a run whose answer is a stream.
+/// Returns the text of one event in the stream that a run produces.
 pub fn event_of(run: usize, event: u64) -> String {
     format!("id: {event}\ndata: run {run} event {event}\n\n")
 }
 
-/// The answer's body of a run that is no stream.
+/// Returns the response body of a run that does not produce a stream.
 pub fn body_of(run: usize) -> String {
     format!("{{\"run\":{run}}}")
 }
 
-/// The seal of a run.
+/// Returns the seal of a run, which identifies the run in a response header.
 pub fn seal_of(run: usize) -> String {
     format!("{run:04x}.lab")
 }
--- a/crates/sparrouter-fleet-lab/src/lib.rs
+++ b/crates/sparrouter-fleet-lab/src/lib.rs
@@ -1,16 +1,16 @@
-//! The lab of the fleet: real `sparrouter` processes on loopback addresses with stand-ins for everything around them,
-//! faults while they serve, and an audit of every request.
+//! End-to-end test lab of the fleet: real `sparrouter` processes on loopback addresses, simulated model servers, clients
+//! and operator, fault injection under load, and an audit of every request.
 //!
-//! | module | its one job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`scenario`] | what is played: read from a file and checked |
-//! | [`addresses`] | free addresses under 127.0.0.0/8 |
-//! | [`machine`] | one process of the fleet |
-//! | [`model_server`] | a stand-in model server |
-//! | [`client`] | the platform in front of the fleet, and clients |
-//! | [`operator`] | configurations and versions of weights |
-//! | [`ledger`], [`audit`] | records of a run; which rules they violate |
-//! | [`play`], [`page`] | the whole run; its result as a table |
+//! | [`scenario`] | scenario files: parsing and validation |
+//! | [`addresses`] | selection of free addresses under 127.0.0.0/8 |
+//! | [`machine`] | one node process of the fleet |
+//! | [`model_server`] | a simulated model server |
+//! | [`client`] | simulated clients, and the platform's readiness checks |
+//! | [`operator`] | configuration updates and versions of model weights |
+//! | [`ledger`], [`audit`] | records of a run; checks of the records against the fleet's rules |
+//! | [`play`], [`page`] | execution of a run; its results as a table |
 pub mod addresses;
 pub mod audit;
 pub mod client;
@@ -22,22 +22,22 @@
 pub mod play;
 pub mod scenario;
 
-/// The one model that is served.
+/// Name of the only model served.
 pub const MODEL: &str = "model-1";
-/// The one service.
+/// Name of the only service.
 pub const SERVICE: &str = "models";
-/// The host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "fleet.example";
 
-/// Why a run could not be played. Each message names the remedy.
+/// An error that prevents a run. Each message says how to fix it.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
-    /// The scenario cannot be read.
+    /// The scenario file cannot be read.
     #[error(
         "{path}: cannot be read ({reason}): name a scenario such as crates/sparrouter-fleet-lab/scenarios/fleet-first.toml"
     )]
     Unreadable {
-        /// Its file.
+        /// Path of the scenario file.
         path: String,
         /// The error of the operating system.
         reason: String,
@@ -45,45 +45,45 @@
     /// The scenario is invalid.
     #[error("{path}: {reason}: correct the scenario")]
     Scenario {
-        /// Its file.
+        /// Path of the scenario file.
         path: String,
-        /// What is wrong, with the field.
+        /// The validation error, which names the field.
         reason: scenario::ScenarioError,
     },
     /// No free addresses were found.
-    #[error("no free ports under 127.0.0.0/8: end other labs on this machine and play again")]
+    #[error("no free ports under 127.0.0.0/8: stop other labs on this machine and run again")]
     NoFreeAddresses,
-    /// A process or stand-in cannot be started.
+    /// A process or simulated component cannot be started.
     #[error(
         "{program} cannot be started ({reason}): build it with `cargo build --release -p sparrouter-fleet`"
     )]
     Start {
-        /// What was started.
+        /// Name of the program or component.
         program: String,
         /// The error of the operating system.
         reason: String,
     },
     /// A file cannot be written.
     #[error(
-        "{subject} cannot be written ({reason}): make room in the directory for temporary files"
+        "{subject} cannot be written ({reason}): free disk space in the directory for temporary files"
     )]
     Write {
-        /// The file.
+        /// The file or directory.
         subject: String,
         /// The error of the operating system.
         reason: String,
     },
-    /// A step of the run took too long.
+    /// A part of the run timed out.
     #[error("{subject} within {seconds} s: the logs of the processes are in {logs}")]
     TimedOut {
-        /// What did not happen.
+        /// The condition that did not hold in time.
         subject: String,
-        /// How long it was waited for, in seconds.
+        /// The time limit in seconds.
         seconds: u64,
         /// The logs of the processes.
         logs: String,
     },
     /// The run was interrupted.
-    #[error("stopped by hand")]
+    #[error("run interrupted by Ctrl-C")]
     Stopped,
 }
--- a/crates/sparrouter-fleet-lab/src/machine.rs
+++ b/crates/sparrouter-fleet-lab/src/machine.rs
@@ -1,4 +1,5 @@
-//! One process of the fleet on an address of its own: settings file, start, signals, end. It does not outlive the lab.
+//! One node process of the fleet: its address, settings file, start, signals and exit. The process is killed when its
+//! handle is dropped.
 use crate::LabError;
 use crate::addresses::Addresses;
 use nix::sys::signal::{Signal, kill};
@@ -14,36 +15,36 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, timeout};
 
-/// The zones; nodes and servers are spread over them in turn.
+/// Names of the zones, assigned to nodes and servers round-robin.
 pub const ZONES: [&str; 3] = ["zone-1", "zone-2", "zone-3"];
-/// Time that a process has to end after SIGTERM.
+/// Grace period of a process after SIGTERM.
 pub const GRACE: Duration = Duration::from_secs(8);
-/// How often a process that ends is looked at.
+/// Interval between checks whether a terminating process has exited.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A machine of the fleet, with its process if one runs.
+/// A machine of the fleet, with its node process if one is running.
 pub struct Machine {
     /// Name of the node.
     pub name: String,
-    /// Its address.
+    /// IP address of the node.
     pub ip: IpAddr,
     addresses: Addresses,
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
     child: RefCell<Option<Child>>,
-    /// When its process was started or killed: requests around these moments may be cut off.
+    /// Times at which the process was started or killed: requests near these times may be interrupted.
     pub fault_times: RefCell<Vec<Instant>>,
     grace: Duration,
-    /// It counts toward the quorum, and has a disk.
+    /// Whether the node counts toward the quorum; such a node has a disk.
     pub counted: bool,
-    /// The platform considers it ready.
+    /// Whether the node is ready according to the platform's readiness checks.
     pub ready: Cell<bool>,
 }
 
 impl Machine {
-    /// The `n`th machine. Writes its settings under `directory`; the first `seeds` machines are seeds, `grace` is in whole
-    /// seconds.
+    /// Creates the `n`th machine and writes its settings file to `directory`. The first `seeds` machines are seed nodes;
+    /// `grace` is in whole seconds.
     ///
     /// # Errors
     ///
@@ -98,7 +99,7 @@
             .map(|n| format!("{}:{control}", self.addresses.node(n)))
             .collect();
         let mut text = String::new();
-        // Writing into a String does not fail.
+        // Writing to a String cannot fail.
         let _ = write!(
             text,
             "node_name={name}\nrole=proxy\nmachine_class=frontend\nserved_roles=frontend,control_plane\n\
@@ -120,15 +121,15 @@
         std::fs::write(&self.settings, text).map_err(|e| write_error(&self.settings, &e))
     }
 
-    /// Address for clients.
+    /// Returns the address for clients.
     pub fn front(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.addresses.front)
     }
-    /// Address for readiness checks.
+    /// Returns the address for readiness checks.
     pub fn readiness(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.addresses.readiness)
     }
-    /// Address for servers and operators.
+    /// Returns the control address for model servers and operators.
     pub fn control(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.addresses.control)
     }
@@ -137,11 +138,11 @@
     ///
     /// # Errors
     ///
-    /// [`LabError::Start`], or [`LabError::Write`] if its log cannot be written.
+    /// [`LabError::Start`] if the program cannot be executed; [`LabError::Write`] if its log cannot be written.
     pub fn start(&self) -> Result<(), LabError> {
         let log = File::options().create(true).append(true).open(&self.log);
         let log = log.map_err(|e| write_error(&self.log, &e))?;
-        let started = Command::new(&self.program)
+        let spawned = Command::new(&self.program)
             .arg("proxy")
             .env("SPARROUTER_BOOT", &self.settings)
             .stdin(Stdio::null())
@@ -150,7 +151,7 @@
             .kill_on_drop(true)
             .spawn();
         let program = self.program.display().to_string();
-        let child = started.map_err(|e| LabError::Start {
+        let child = spawned.map_err(|e| LabError::Start {
             program,
             reason: e.to_string(),
         })?;
@@ -159,11 +160,11 @@
         Ok(())
     }
 
-    /// Starts the process again, with `first_start=false`: the fleet is not new any more.
+    /// Restarts the process with `first_start=false`, since the fleet already has state.
     ///
     /// # Errors
     ///
-    /// As [`Machine::start`].
+    /// The errors of [`Machine::start`]; [`LabError::Write`] if the settings cannot be updated.
     pub fn restart(&self) -> Result<(), LabError> {
         let text =
             std::fs::read_to_string(&self.settings).map_err(|e| write_error(&self.settings, &e))?;
@@ -177,33 +178,35 @@
         self.fault_times.borrow_mut().push(Instant::now());
         let child = self.child.borrow_mut().take();
         if let Some(mut child) = child {
-            // An error means that it has ended by itself.
+            // An error means that the process has already exited.
             let _ = child.kill().await;
         }
     }
 
-    /// Sends SIGTERM and waits. False if the process did not end by itself, in time and with success.
+    /// Sends SIGTERM and waits for the process to exit. Returns whether it exited successfully within its grace period; if
+    /// it did not exit in time, it is killed.
     pub async fn terminate(&self) -> bool {
         let child = self.child.borrow_mut().take();
         let Some(mut child) = child else { return true };
         let Some(id) = child.id() else { return false };
         let signalled = kill(Pid::from_raw(id as i32), Signal::SIGTERM).is_ok();
-        let ended = self.end_in_time(&mut child, id).await;
-        let exited_cleanly = signalled && ended.is_some_and(|status| status.success());
-        if ended.is_none() {
+        let exit_status = self.wait_for_exit(&mut child, id).await;
+        let exited_cleanly = signalled && exit_status.is_some_and(|status| status.success());
+        if exit_status.is_none() {
             self.fault_times.borrow_mut().push(Instant::now());
             let _ = child.kill().await;
         }
         exited_cleanly
     }
 
-    /// The status with which a process ends within its grace period; none if it does not. What it waits for a processor
-    /// meanwhile is not its own time: beside 60 busy processes that is longer than what it ends ahead of the period.
-    async fn end_in_time(&self, child: &mut Child, id: u32) -> Option<ExitStatus> {
+    /// Returns the exit status of a process, or `None` if it does not exit within its grace period. Time that the process
+    /// spends waiting for a processor does not count: next to 60 busy processes this wait exceeds the margin by which the
+    /// process otherwise exits before the end of the period.
+    async fn wait_for_exit(&self, child: &mut Child, id: u32) -> Option<ExitStatus> {
         let (began, waited_before) = (Instant::now(), processor_wait(id));
         loop {
-            if let Ok(ended) = timeout(END_CHECK_INTERVAL, child.wait()).await {
-                return ended.ok();
+            if let Ok(exit_status) = timeout(END_CHECK_INTERVAL, child.wait()).await {
+                return exit_status.ok();
             }
             let waited = processor_wait(id).saturating_sub(waited_before);
             if began.elapsed().saturating_sub(waited) >= self.grace {
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process is running.
     pub fn is_running(&self) -> bool {
         self.child
             .borrow_mut()
@@ -220,16 +223,17 @@
             .is_some_and(|c| matches!(c.try_wait(), Ok(None)))
     }
 
-    /// What the process has written to standard error.
+    /// Returns the text that the process has written to standard error.
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 }
 
-/// How long a process that was ready to run has waited for a processor, by the system's account; zero where it gives none.
+/// Returns the total time that a runnable process has waited for a processor, from `/proc/ID/schedstat`; zero if this
+/// is not available.
 fn processor_wait(id: u32) -> Duration {
-    let account = std::fs::read_to_string(format!("/proc/{id}/schedstat")).unwrap_or_default();
-    let waited = account.split_whitespace().nth(1);
+    let schedstat = std::fs::read_to_string(format!("/proc/{id}/schedstat")).unwrap_or_default();
+    let waited = schedstat.split_whitespace().nth(1);
     Duration::from_nanos(waited.and_then(|nanos| nanos.parse().ok()).unwrap_or(0))
 }
 
--- a/crates/sparrouter-fleet-lab/src/main.rs
+++ b/crates/sparrouter-fleet-lab/src/main.rs
@@ -18,16 +18,16 @@
 
 fn command() -> OptionParser<Options> {
     let quick = long("quick")
-        .help("the built-in scenario, under 15 seconds")
+        .help("run the built-in scenario, which takes under 15 seconds")
         .switch();
     let program = long("program")
-        .help("the program to play with, default target/release/sparrouter")
+        .help("the program to test, default target/release/sparrouter")
         .argument::<PathBuf>("FILE")
         .fallback("target/release/sparrouter".into());
     let file = positional::<PathBuf>("FILE")
-        .help("a scenario, such as crates/sparrouter-fleet-lab/scenarios/fleet-first.toml")
+        .help("a scenario file, such as crates/sparrouter-fleet-lab/scenarios/fleet-first.toml")
         .optional();
-    let about = "Play a fleet on loopback, print what results of its requests; exit code 1 if a rule was violated";
+    let about = "Run a fleet on loopback addresses and print the results of its requests; exit code 1 if a rule was violated";
     let play = construct!(Options {
         quick,
         program,
@@ -40,7 +40,7 @@
     construct!([play])
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
-        .descr("The fleet's lab")
+        .descr("End-to-end test lab of the fleet")
 }
 
 async fn run(options: Options) -> Result<Report, LabError> {
@@ -51,7 +51,7 @@
     println!("{}: {}", scenario.name, scenario.about);
     tokio::select! {
         report = play(scenario, &options.program, |line| println!("{line}")) => report,
-        // What was started ends with the processes' handles.
+        // Dropping the processes' handles kills the processes.
         _ = tokio::signal::ctrl_c() => Err(LabError::Stopped),
     }
 }
@@ -68,7 +68,7 @@
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!(
-                "sparrouter-fleet-lab: no runtime ({error}): free descriptors and memory of this machine"
+                "sparrouter-fleet-lab: cannot create the async runtime ({error}): free file descriptors and memory on this machine"
             );
             return ExitCode::from(2);
         }
--- a/crates/sparrouter-fleet-lab/src/operator.rs
+++ b/crates/sparrouter-fleet-lab/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: sends configurations and versions of weights through the operators' client.
+//! The simulated operator: sends configurations and versions of model weights through the operators' client.
 use crate::{HOST, MODEL, SERVICE};
 use sparrouter_fleet::client::ClientError;
 use sparrouter_fleet::client::call::Call;
@@ -8,12 +8,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The operator of a run.
+/// The simulated operator of a run.
 pub struct Operator {
     fleet: Fleet,
 }
 
-/// The permanent routes: name, kind and whether they are resumable; see `model_server::kind_of`.
+/// Name, kind and resumability of each permanent route; see `model_server::kind_of`.
 const ROUTES: [(&str, &str, bool); 4] = [
     ("swap", "idempotent", false),
     ("assign", "non_idempotent", false),
@@ -29,24 +29,25 @@
     )
 }
 
-/// Name of the route that version `n` adds; its path prefix is the name between slashes.
+/// Returns the name of the route that version `n` adds. The route's path prefix is this name between slashes.
 pub fn extra(n: u64) -> String {
     format!("extra-{n}")
 }
 
 impl Operator {
-    /// `control`: control addresses of nodes; `patience`: how long each call is repeated.
+    /// Creates an operator. `control`: control addresses of nodes; `retry_timeout`: maximum time to retry each call.
     ///
     /// # Errors
     ///
-    /// [`ClientError::NoAddress`] without an address.
-    pub fn new(control: Vec<SocketAddr>, patience: Duration) -> Result<Operator, ClientError> {
+    /// [`ClientError::NoAddress`] if `control` is empty.
+    pub fn new(control: Vec<SocketAddr>, retry_timeout: Duration) -> Result<Operator, ClientError> {
         Ok(Operator {
-            fleet: Fleet::new(Rc::new(Sockets), control, patience)?,
+            fleet: Fleet::new(Rc::new(Sockets), control, retry_timeout)?,
         })
     }
 
-    /// Sends version 1, with the permanent routes and the first added one.
+    /// Sends version 1 of the configuration, with the permanent routes and the route `extra-1`. `slots`: concurrent
+    /// requests of each model server.
     ///
     /// # Errors
     ///
@@ -66,7 +67,7 @@
         self.change("PUT", 0, body).await
     }
 
-    /// Sends version `n`, which adds the route `extra-n` and removes the one before.
+    /// Sends version `n` of the configuration, which adds the route `extra-n` and removes the route of version `n - 1`.
     ///
     /// # Errors
     ///
@@ -83,7 +84,7 @@
     async fn change(
         &self,
         method: &'static str,
-        base: u64,
+        base_version: u64,
         body: String,
     ) -> Result<(), ClientError> {
         let body = Some(body.into_bytes());
@@ -91,14 +92,14 @@
             .submit(&Call {
                 method,
                 path: "/api/config".into(),
-                if_match: Some(base),
+                if_match: Some(base_version),
                 body,
             })
             .await
             .map(drop)
     }
 
-    /// Names a version of the model's weights.
+    /// Sets the version of the model's weights that servers are to load.
     ///
     /// # Errors
     ///
@@ -114,7 +115,7 @@
         self.fleet.submit(&call).await.map(drop)
     }
 
-    /// Reads the number of the version in force.
+    /// Reads the number of the active configuration version.
     ///
     /// # Errors
     ///
@@ -125,8 +126,9 @@
         struct ConfigVersion {
             version: u64,
         }
-        let read = miniserde::json::from_str::<ConfigVersion>(&reply.body);
-        read.map(|n| n.version)
+        let parsed = miniserde::json::from_str::<ConfigVersion>(&reply.body);
+        parsed
+            .map(|n| n.version)
             .map_err(|_| ClientError::UnreadableAnswer { address })
     }
 }
--- a/crates/sparrouter-fleet-lab/src/scenario.rs
+++ b/crates/sparrouter-fleet-lab/src/scenario.rs
@@ -1,22 +1,22 @@
-//! What a run plays, read from TOML; every range is checked.
+//! Scenarios of runs, read from TOML and checked for valid ranges.
 use crate::LabError;
 use serde::Deserialize;
 use std::path::Path;
 use std::time::Duration;
 
-/// A scenario.
+/// The fleet, traffic and faults of a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// What it shows.
+    /// Description of the scenario.
     #[serde(default)]
     pub about: String,
-    /// Seed of everything random but the addresses.
+    /// Seed of all random choices except the addresses.
     #[serde(default)]
     pub seed: u64,
-    /// Length of the clients' traffic, in seconds.
+    /// Duration of the clients' traffic, in seconds.
     pub length_s: f64,
     /// The nodes.
     pub nodes: Nodes,
@@ -33,22 +33,22 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Nodes {
-    /// How many have a disk and count toward the quorum.
+    /// Number of nodes that have a disk and count toward the quorum.
     pub core: usize,
-    /// How many do not.
+    /// Number of nodes that have no disk and do not count toward the quorum.
     #[serde(default)]
     pub plain: usize,
 }
 
-/// The model servers of a scenario, all alike.
+/// The model servers of a scenario, which all have the same settings.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Servers {
-    /// How many there are.
+    /// Number of servers.
     pub count: usize,
-    /// Requests that one works on at a time.
+    /// Concurrent requests of each server.
     pub slots: usize,
-    /// Time until the first event, in ms.
+    /// Time from the start of a request to its first event, in ms.
     pub work_ms: u64,
     /// Time between two events, in ms.
     pub gap_ms: u64,
@@ -62,70 +62,73 @@
 pub struct Load {
     /// Requests a second.
     pub rate_per_s: f64,
-    /// Events of a stream.
+    /// Number of events in a stream.
     pub events: u64,
-    /// Latency in ms up to which an answer is in time.
+    /// Latency target, in ms.
     pub objective_ms: u64,
-    /// How long a client waits for an answer, in ms.
+    /// Time limit of a client's request, in ms.
     pub client_timeout_ms: u64,
 }
 
-/// A fault or change.
+/// A fault or change at a given time of the run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// When, in seconds from the beginning of the traffic.
+    /// Time of the step, in seconds from the start of the traffic.
     pub at_s: f64,
-    /// What happens.
+    /// The fault or change.
     #[serde(rename = "do")]
     pub action: Action,
-    /// Which node, server or version; nodes and servers count from 0.
+    /// Index of the node or server, from 0, or number of the version.
     #[serde(default)]
     pub which: u64,
-    /// How long a node or server stays away, in seconds.
+    /// Time before a stopped node or server is restarted or replaced, in seconds.
     #[serde(default)]
     pub for_s: f64,
 }
 
-/// What a step does.
+/// The fault or change that a step makes.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Kills a node (SIGKILL) and starts it again.
+    /// Kills a node (SIGKILL) and restarts it.
     Kill,
-    /// Ends a node (SIGTERM) and starts it again.
+    /// Shuts a node down gracefully (SIGTERM) and restarts it.
     Restart,
-    /// A server drains and leaves; another one takes its place.
+    /// Drains and removes a server, then starts a replacement.
     Drain,
-    /// A server crashes; another one takes its place.
+    /// Crashes a server, then starts a replacement.
     Crash,
-    /// Adds a route to the configuration and removes the one added before.
+    /// Adds a route to the configuration and removes the previously added route.
     Patch,
-    /// Names new weights.
+    /// Sets a new version of the model's weights.
     Version,
 }
 
-/// Limits of all scenarios, since a run takes one machine, which others use too.
+/// Maximum number of nodes. These maxima apply to all scenarios, since a run uses one machine shared with others.
 const MAX_NODES: usize = 16;
+/// Maximum number of model servers.
 const MAX_SERVERS: usize = 32;
+/// Maximum rate of requests per second.
 const MAX_RATE: f64 = 2_000.0;
+/// Maximum duration in seconds.
 const MAX_SECONDS: f64 = 600.0;
 
-/// Under 15 s with start and end, for a first look and for the test.
+/// The built-in scenario, for demonstrations and tests: under 15 s including start and shutdown.
 const QUICK: &str = include_str!("../scenarios/fleet-quick.toml");
 
-/// What is wrong in a scenario.
+/// A validation error in a scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The text is no scenario.
+    /// The text cannot be parsed as a scenario.
     #[error(transparent)]
     Syntax(#[from] toml::de::Error),
-    /// A figure is out of its range.
+    /// A number is outside its valid range.
     #[error("{field} is {value}, not from {min} to {max}")]
     OutOfRange {
-        /// The field, or fields.
+        /// Name of the field or fields.
         field: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: f64,
         /// The lowest allowed value.
         min: f64,
@@ -135,11 +138,11 @@
 }
 
 impl Scenario {
-    /// The built-in scenario, which takes under 15 seconds.
+    /// Returns the built-in scenario, which takes under 15 seconds.
     ///
     /// # Errors
     ///
-    /// As [`Scenario::parse`].
+    /// The errors of [`Scenario::parse`].
     pub fn quick() -> Result<Scenario, LabError> {
         Scenario::parse("fleet-quick", QUICK)
     }
@@ -148,21 +151,21 @@
     ///
     /// # Errors
     ///
-    /// [`LabError::Unreadable`], or as [`Scenario::parse`].
+    /// [`LabError::Unreadable`], or the errors of [`Scenario::parse`].
     pub fn read(path: &Path) -> Result<Scenario, LabError> {
-        let shown = path.display().to_string();
+        let displayed_path = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| LabError::Unreadable {
-            path: shown.clone(),
+            path: displayed_path.clone(),
             reason: e.to_string(),
         })?;
-        Scenario::parse(&shown, &text)
+        Scenario::parse(&displayed_path, &text)
     }
 
     /// Parses and checks a scenario; `path` is for error messages only.
     ///
     /// # Errors
     ///
-    /// [`LabError::Scenario`] with the field that is wrong.
+    /// [`LabError::Scenario`] with the name of the invalid field.
     pub fn parse(path: &str, text: &str) -> Result<Scenario, LabError> {
         let invalid = |reason: ScenarioError| LabError::Scenario {
             path: path.to_owned(),
@@ -201,16 +204,16 @@
         check_range("step.for_s", step.for_s, 0.0, MAX_SECONDS)?;
         let last_node = (self.nodes.core + self.nodes.plain) as f64 - 1.0;
         let last_server = self.servers.count as f64 - 1.0;
-        let which = |min, max| check_range("step.which", step.which as f64, min, max);
+        let check_which = |min, max| check_range("step.which", step.which as f64, min, max);
         match step.action {
-            Action::Kill | Action::Restart => which(0.0, last_node),
-            Action::Drain | Action::Crash => which(0.0, last_server),
-            Action::Version => which(2.0, 1e9),
+            Action::Kill | Action::Restart => check_which(0.0, last_node),
+            Action::Drain | Action::Crash => check_which(0.0, last_server),
+            Action::Version => check_which(2.0, 1e9),
             Action::Patch => Ok(()),
         }
     }
 
-    /// Length of the clients' traffic.
+    /// Returns the duration of the clients' traffic.
     pub fn length(&self) -> Duration {
         Duration::from_secs_f64(self.length_s)
     }
--- a/crates/sparrouter-fleet-lab/tests/documentation.rs
+++ b/crates/sparrouter-fleet-lab/tests/documentation.rs
@@ -1,35 +1,36 @@
-//! Pages name files that exist, and the page for people on call has a row for each warning, error and metric.
+//! Checks that documentation pages refer to existing files, and that the on-call page lists each warning, error and
+//! metric.
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Folders of `docs/` whose pages are records: they keep the names of their time.
+/// Folders of `docs/` whose pages are historical records, which keep outdated names.
 const RECORDS: [&str; 2] = ["incidents", "measured"];
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
         .canonicalize()
-        .expect("the repository")
+        .expect("the repository root exists")
 }
 
-/// All files below a folder whose names end so, in order.
+/// Returns all files below a folder whose names end with `ending`, sorted.
 fn files_below(folder: &Path, ending: &str) -> Vec<PathBuf> {
-    let mut found = Vec::new();
-    let entries = fs::read_dir(folder).expect("a folder");
+    let mut files = Vec::new();
+    let entries = fs::read_dir(folder).expect("the folder is readable");
     for entry in entries {
-        let path = entry.expect("an entry").path();
+        let path = entry.expect("the directory entry is readable").path();
         if path.is_dir() {
-            found.extend(files_below(&path, ending));
+            files.extend(files_below(&path, ending));
         } else if path.to_string_lossy().ends_with(ending) {
-            found.push(path);
+            files.push(path);
         }
     }
-    found.sort();
-    found
+    files.sort();
+    files
 }
 
-/// The pages that must keep up with the code.
+/// Returns the pages that must match the current code.
 fn pages() -> Vec<PathBuf> {
     let root = root();
     let is_record = |page: &PathBuf| {
@@ -43,7 +44,7 @@
     pages
 }
 
-/// Words of a text that look like a path of a Rust file.
+/// Returns the words of a text that look like paths of Rust files.
 fn rust_paths(text: &str) -> BTreeSet<String> {
     let is_part_of_path = |c: char| c.is_ascii_alphanumeric() || "/_-.".contains(c);
     let words = text.split(|c: char| !is_part_of_path(c));
@@ -53,7 +54,8 @@
         .collect()
 }
 
-/// Where a path of a page may lie: from the root, or `fleet/...` for `crates/sparrouter-fleet/src/...`.
+/// Returns the files that a path in a page may refer to: relative to the root, or `fleet/...` for
+/// `crates/sparrouter-fleet/src/...`.
 fn candidates(path: &str) -> Vec<PathBuf> {
     let root = root();
     let (package, rest) = path.split_once('/').unwrap_or((path, ""));
@@ -66,10 +68,10 @@
 }
 
 #[test]
-fn given_the_pages_when_read_then_every_rust_file_they_name_exists() {
+fn given_documentation_pages_when_checked_then_every_rust_file_named_exists() {
     let mut missing = Vec::new();
     for page in pages() {
-        let text = fs::read_to_string(&page).expect("a page");
+        let text = fs::read_to_string(&page).expect("the page is readable");
         for path in rust_paths(&text) {
             if !candidates(&path)
                 .iter()
@@ -82,10 +84,10 @@
     assert!(missing.is_empty(), "{}", missing.join("\n"));
 }
 
-/// Targets of the links of a page, without those to other hosts and to headings of the page itself.
+/// Returns the link targets of a page, except links to other hosts and to headings of the same page.
 fn link_targets(text: &str) -> Vec<String> {
-    let behind = text.split("](").skip(1);
-    let targets = behind.filter_map(|rest| rest.split_once(')').map(|(target, _)| target));
+    let fragments = text.split("](").skip(1);
+    let targets = fragments.filter_map(|rest| rest.split_once(')').map(|(target, _)| target));
     targets
         .filter(|target| !target.contains("://"))
         .filter_map(|target| target.split('#').next())
@@ -95,11 +97,11 @@
 }
 
 #[test]
-fn given_the_pages_when_read_then_every_link_leads_to_a_file() {
+fn given_documentation_pages_when_checked_then_every_link_target_exists() {
     let mut broken = Vec::new();
     for page in pages() {
-        let text = fs::read_to_string(&page).expect("a page");
-        let folder = page.parent().expect("a folder");
+        let text = fs::read_to_string(&page).expect("the page is readable");
+        let folder = page.parent().expect("the folder is readable");
         for target in link_targets(&text) {
             if !folder.join(&target).exists() {
                 broken.push(format!("{}: {target}", page.display()));
@@ -109,11 +111,11 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// String literals that begin right behind a marker in a source text, without what an argument fills in: up to the first
-/// brace, or behind a leading argument.
-fn literals_behind(source: &str, marker: &str) -> Vec<String> {
-    let behind = source.split(marker).skip(1);
-    let literals = behind.filter_map(|rest| {
+/// Returns the string literals that directly follow a marker in source text. Of each literal it returns the longest part
+/// without a formatting argument.
+fn literals_after(source: &str, marker: &str) -> Vec<String> {
+    let fragments = source.split(marker).skip(1);
+    let literals = fragments.filter_map(|rest| {
         let rest = rest.trim_start_matches("&format!(").trim_start();
         let literal = rest.strip_prefix('"')?.split('"').next()?;
         let fixed = literal.split(['{', '}']).max_by_key(|part| part.len())?;
@@ -124,28 +126,27 @@
         .collect()
 }
 
-/// Whether a page quotes a text: as it stands, or its beginning.
+/// Returns whether a page contains the first 24 characters of a text.
 fn is_quoted(page: &str, text: &str) -> bool {
     let beginning: String = text.chars().take(24).collect();
     page.contains(beginning.trim_end())
 }
 
 fn on_call_page() -> String {
-    fs::read_to_string(root().join("docs/on-call.md")).expect("the page")
+    fs::read_to_string(root().join("docs/on-call.md")).expect("the on-call page is readable")
 }
 
 #[test]
-fn given_warnings_and_errors_of_both_programs_when_compared_then_the_page_for_people_on_call_has_each()
- {
+fn given_warnings_and_errors_of_both_programs_when_checked_then_the_on_call_page_lists_each() {
     let page = on_call_page();
     let markers = ["log::warn!(", "log::error!(", "report_violation("];
     let mut missing = Vec::new();
     let mut count = 0;
     for package in ["sparrouter-fleet", "sparrouter-node"] {
         for file in files_below(&root().join("crates").join(package).join("src"), ".rs") {
-            let source = fs::read_to_string(&file).expect("a source file");
+            let source = fs::read_to_string(&file).expect("the source file is readable");
             for marker in markers {
-                let literals = literals_behind(&source, marker);
+                let literals = literals_after(&source, marker);
                 count += literals.len();
                 let absent = literals
                     .into_iter()
@@ -159,14 +160,14 @@
 }
 
 #[test]
-fn given_the_metrics_of_the_fleet_when_compared_then_the_page_for_people_on_call_has_each() {
+fn given_the_metrics_of_the_fleet_when_checked_then_the_on_call_page_lists_each() {
     let page = on_call_page();
     let source = root().join("crates/sparrouter-fleet/src/api/metrics.rs");
-    let source = fs::read_to_string(source).expect("the metrics");
+    let source = fs::read_to_string(source).expect("the metrics source is readable");
     let markers = ["page.line(", "page.flag(", " line("];
     let names: BTreeSet<String> = markers
         .iter()
-        .flat_map(|marker| literals_behind(&source, marker))
+        .flat_map(|marker| literals_after(&source, marker))
         .collect();
     assert!(names.len() >= 25, "only {names:?} were found");
     let missing: Vec<&String> = names
--- a/crates/sparrouter-fleet-lab/tests/scenarios.rs
+++ b/crates/sparrouter-fleet-lab/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenario files: those that are shipped are valid, and errors name the field.
+//! Tests of scenario files: the shipped scenarios are valid, and validation errors name the field.
 use sparrouter_fleet_lab::scenario::Scenario;
 use std::path::Path;
 
@@ -6,28 +6,28 @@
 fn given_the_shipped_scenarios_when_read_then_all_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let files = std::fs::read_dir(folder)
-        .expect("the folder")
+        .expect("the folder of scenarios is readable")
         .filter_map(Result::ok)
         .map(|e| e.path());
-    let named = |p: &std::path::PathBuf| {
+    let is_fleet_scenario = |p: &std::path::PathBuf| {
         p.file_name()
             .is_some_and(|n| n.to_string_lossy().starts_with("fleet-"))
     };
-    let fleet: Vec<_> = files.filter(named).collect();
-    assert!(fleet.len() >= 2);
-    fleet
+    let scenarios: Vec<_> = files.filter(is_fleet_scenario).collect();
+    assert!(scenarios.len() >= 2);
+    scenarios
         .iter()
-        .for_each(|f| drop(Scenario::read(f).expect("valid")));
+        .for_each(|f| drop(Scenario::read(f).expect("the scenario is valid")));
 }
 
 #[test]
-fn given_a_scenario_out_of_bounds_when_read_then_the_field_is_named() {
+fn given_an_invalid_scenario_when_parsed_then_the_error_names_the_field() {
     let quick = include_str!("../scenarios/fleet-quick.toml");
     let error_of = |from: &str, to: &str| {
         let text = quick.replace(from, to);
-        assert_ne!(text, quick, "{from} stands in the scenario");
+        assert_ne!(text, quick, "the quick scenario contains {from}");
         Scenario::parse("x.toml", &text)
-            .expect_err("a fault")
+            .expect_err("the scenario is invalid")
             .to_string()
     };
     let cases = [
