--- a/crates/sparrouter-fleet-lab/src/client.rs
+++ b/crates/sparrouter-fleet-lab/src/client.rs
@@ -1,5 +1,5 @@
-//! The platform in front of the fleet, which checks the readiness of nodes, and clients by PROTOCOL.md: a new id for each
-//! attempt, retries as the answers allow, a whole answer or none.
+//! The simulated platform in front of the fleet, which checks the readiness of nodes, and simulated clients that follow
+//! PROTOCOL.md: each attempt has a new id, retries depend on the response, and only a complete response counts as served.
 use crate::ledger::{Attempt, Ledger, RequestKind, Response};
 use crate::machine::Machine;
 use crate::{HOST, MODEL};
@@ -16,91 +16,91 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// Time between two readiness checks of a node.
+/// Interval between readiness checks of a node.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Failed checks after which a node gets no new connections.
+/// Consecutive failed checks after which a node gets no new connections.
 const FAILED_CHECKS: u32 = 2;
-/// How long a client waits for a connection.
+/// Time limit for connecting to a node.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A client abandons an answer that pauses for so long.
+/// Maximum time between two reads of a response, after which a client abandons it.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// Attempts after the first one.
+/// Maximum number of retries of a request.
 const RETRIES: u32 = 2;
-/// Pause before a retry, unless the answer names another.
+/// Delay before a retry if the response has no `retry-after`.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Largest head of an answer, in bytes.
+/// Maximum size of a response head in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// Prompts begin with one of so many shared prefixes.
-const TOPICS: u8 = 8;
+/// Number of shared prompt prefixes, one of which each request uses.
+const SHARED_PREFIXES: u8 = 8;
 
-/// Checks the readiness of one node for ever.
+/// Checks the readiness of one node periodically, without end.
 pub async fn check_readiness(machine: Rc<Machine>) {
-    let mut failed = FAILED_CHECKS;
+    let mut failed_checks = FAILED_CHECKS;
     loop {
         let call = Call::get("/api/readiness");
         let answer = send_once(&Sockets, &call, &call.path, machine.readiness()).await;
         let is_ready = matches!(answer, Outcome::Replied(reply) if reply.status == 200);
-        failed = if is_ready { 0 } else { failed + 1 };
-        machine.ready.set(failed < FAILED_CHECKS);
+        failed_checks = if is_ready { 0 } else { failed_checks + 1 };
+        machine.ready.set(failed_checks < FAILED_CHECKS);
         sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// What a client wants.
+/// A request of a client.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Whether it may be repeated, and whether the answer is a stream.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// How long the client waits, over all attempts.
+    /// Time limit of the request, including all attempts.
     pub patience: Duration,
 }
 
-/// How a request ended, after all its attempts.
+/// The result of a request after all its attempts.
 #[derive(Clone, Debug)]
 pub struct RequestResult {
-    /// When the client began.
+    /// Time at which the client began the first attempt.
     pub began: Instant,
-    /// How it ended.
+    /// Outcome of the request.
     pub ending: Ending,
-    /// Time until the first bytes of the answer's body; 0 if it was not served.
+    /// Time until the first bytes of the response body; 0 if the request was not served.
     pub first: Duration,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With a whole answer.
+    /// A complete success response was received.
     Served,
-    /// With a refusal.
+    /// An error response was received.
     Refused,
-    /// Without a whole answer.
+    /// No complete response was received.
     Failed,
 }
 
 /// The clients of a run.
 pub struct Clients {
-    /// Records their attempts.
+    /// Records the clients' attempts.
     pub ledger: Rc<Ledger>,
-    /// The nodes that they may connect to.
+    /// The nodes that clients may connect to.
     pub machines: Vec<Rc<Machine>>,
     /// Chooses nodes, ids and prompts.
     pub rng: RefCell<fastrand::Rng>,
 }
 
-/// What came of an attempt that was connected.
+/// The result of an attempt that connected to a node.
 struct AttemptResult {
     response: Response,
-    /// When the first bytes of the body came.
+    /// Time at which the first bytes of the body arrived.
     first: Option<Instant>,
-    /// How long the answer asks the client to wait before a retry.
+    /// Delay before a retry that the response requests.
     retry_after: Option<Duration>,
 }
 
 impl Clients {
-    /// A node that the platform passes connections to: any ready one, or any at all if fewer than half are ready.
-    fn pick(&self) -> usize {
+    /// Picks a random ready node, as the platform does; if fewer than half of the nodes are ready, any node.
+    fn pick_node(&self) -> usize {
         let ready: Vec<usize> = (0..self.machines.len())
             .filter(|n| self.machines[*n].ready.get())
             .collect();
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Sends a request with its retries, to the nodes that the platform chooses, or to one node only.
+    /// Sends a request with retries, to nodes that the platform picks or, if `only` is given, to that node.
     pub async fn send(&self, request: &ClientRequest, only: Option<usize>) -> RequestResult {
         let began = Instant::now();
         let deadline = began + request.patience;
@@ -122,9 +122,9 @@
             first: Duration::ZERO,
         };
         for retry in 0..=RETRIES {
-            let node = only.unwrap_or_else(|| self.pick());
+            let node = only.unwrap_or_else(|| self.pick_node());
             let Some(attempt) = self.attempt(request, node, deadline).await else {
-                // Not connected, so the request was not read by anybody.
+                // No connection, so no node read the request.
                 result.ending = Ending::Failed;
                 sleep(RETRY_DELAY).await;
                 continue;
@@ -134,19 +134,25 @@
                 result.first = attempt.first.unwrap_or_else(Instant::now) - began;
                 return result;
             }
-            let left = deadline.saturating_duration_since(Instant::now());
+            let remaining = deadline.saturating_duration_since(Instant::now());
             if retry == RETRIES
-                || left.is_zero()
+                || remaining.is_zero()
                 || !may_retry(attempt.response.status, request.kind)
             {
                 break;
             }
-            sleep(attempt.retry_after.unwrap_or(RETRY_DELAY).min(left / 3)).await;
+            sleep(
+                attempt
+                    .retry_after
+                    .unwrap_or(RETRY_DELAY)
+                    .min(remaining / 3),
+            )
+            .await;
         }
         result
     }
 
-    /// Sends a request once; `None` if it could not be connected.
+    /// Sends a request once; `None` if the connection failed.
     async fn attempt(
         &self,
         request: &ClientRequest,
@@ -154,10 +160,10 @@
         deadline: Instant,
     ) -> Option<AttemptResult> {
         let address = self.machines[node].front();
-        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-        let mut stream = connected.ok()?.ok()?;
+        let connection = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        let mut stream = connection.ok()?.ok()?;
         let id = format!("{:016x}", self.rng.borrow_mut().u64(..));
-        let topic = self.rng.borrow_mut().u8(..TOPICS);
+        let shared_prefix = self.rng.borrow_mut().u8(..SHARED_PREFIXES);
         let body = format!("work of {id}");
         let sent = Instant::now();
         let attempt = Attempt {
@@ -172,8 +178,8 @@
             .attempts
             .borrow_mut()
             .insert(id.clone(), attempt);
-        let left = deadline.saturating_duration_since(sent);
-        let text = request_text(&request.path, &id, topic, left, &body);
+        let remaining = deadline.saturating_duration_since(sent);
+        let text = request_text(&request.path, &id, shared_prefix, remaining, &body);
         let mut result = AttemptResult {
             response: Response::default(),
             first: None,
@@ -184,7 +190,7 @@
                 .write_all(text.as_bytes())
                 .await
                 .map_err(|_| ReadError::Reset)?;
-            read_answer(&mut stream, &mut result).await
+            read_response(&mut stream, &mut result).await
         };
         match timeout_at(deadline, exchange).await {
             Ok(Err(ReadError::Bad(bad))) => result.response.malformed = Some(bad.0.to_owned()),
@@ -207,26 +213,35 @@
     }
 }
 
-/// Whether the protocol lets a client retry after this status; 0: none came.
+/// Returns whether the protocol lets a client retry after this status; 0 stands for no response.
 fn may_retry(status: u16, kind: RequestKind) -> bool {
     let is_final = matches!(status, 400 | 401 | 404 | 413 | 431);
     let has_not_run = matches!(status, 408 | 421 | 429 | 503);
     !is_final && (has_not_run || kind.is_idempotent())
 }
 
-fn request_text(path: &str, id: &str, topic: u8, left: Duration, body: &str) -> String {
-    let left_ms = left.as_millis().max(1);
+fn request_text(
+    path: &str,
+    id: &str,
+    shared_prefix: u8,
+    remaining: Duration,
+    body: &str,
+) -> String {
+    let remaining_ms = remaining.as_millis().max(1);
     format!(
         "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nSparrouter-Attempt-Id: {id}\r\nSparrouter-Model: {MODEL}\r\n\
-         Sparrouter-Token-Usage: 900,20\r\nSparrouter-Prompt-Prefix: {topic:08x}:800,{}:100\r\n\
-         Sparrouter-Deadline-Ms: {left_ms}\r\nSparrouter-Key: key-1\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
+         Sparrouter-Token-Usage: 900,20\r\nSparrouter-Prompt-Prefix: {shared_prefix:08x}:800,{}:100\r\n\
+         Sparrouter-Deadline-Ms: {remaining_ms}\r\nSparrouter-Key: key-1\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
         &id[..8],
         body.len()
     )
 }
 
-/// Reads an answer into `result`, which holds what has come so far if this is cancelled.
-async fn read_answer(stream: &mut TcpStream, result: &mut AttemptResult) -> Result<(), ReadError> {
+/// Reads a response into `result`, which contains the part received so far if the future is cancelled.
+async fn read_response(
+    stream: &mut TcpStream,
+    result: &mut AttemptResult,
+) -> Result<(), ReadError> {
     let mut buffer = BytesMut::new();
     let head = reading::head(stream, &mut buffer, head::RESPONSE_PREFIX, MAX_HEAD_BYTES).await?;
     let head = head::parse_response(&head)?;
@@ -241,7 +256,7 @@
     let mut chunks = ChunkDecoder::default();
     let mut body = Vec::new();
     loop {
-        result.response.is_complete = take_body(head.framing, &mut chunks, &mut buffer, &mut body)?;
+        result.response.is_complete = read_body(head.framing, &mut chunks, &mut buffer, &mut body)?;
         if result.first.is_none() && !body.is_empty() {
             result.first = Some(Instant::now());
         }
@@ -259,8 +274,8 @@
     }
 }
 
-/// Moves the part of a body that has come from the buffer to `body`; true once it is whole.
-fn take_body(
+/// Moves received bytes of a body from the buffer to `body`. Returns whether the body is complete.
+fn read_body(
     framing: Framing,
     chunks: &mut ChunkDecoder,
     buffer: &mut BytesMut,
@@ -274,7 +289,7 @@
         }
         Framing::Chunked => loop {
             match chunks.next(buffer)? {
-                ChunkEvent::Data(piece) => body.extend_from_slice(&piece),
+                ChunkEvent::Data(data) => body.extend_from_slice(&data),
                 ChunkEvent::Incomplete => return Ok(false),
                 ChunkEvent::End => return Ok(true),
             }
--- a/crates/sparrouter-fleet-lab/src/model_server.rs
+++ b/crates/sparrouter-fleet-lab/src/model_server.rs
@@ -1,4 +1,5 @@
-//! A stand-in model server by PROTOCOL.md: heartbeats, slots and a queue, streams and plain answers, resumption, orders.
+//! A simulated model server that follows PROTOCOL.md: heartbeats, slots and a queue, streamed and plain responses, stream
+//! resumption, and orders to load weights.
 use crate::ledger::{Ledger, Order, RequestKind, Run, body_of, event_of, seal_of};
 use crate::{MODEL, SERVICE};
 use bytes::BytesMut;
@@ -16,83 +17,83 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// Limits on requests.
+/// Size and time limits of requests.
 const READ_LIMITS: ReadLimits = ReadLimits {
     max_head_bytes: 32 << 10,
     max_body_bytes: 1 << 20,
     header_timeout: Duration::from_secs(5),
 };
-/// How long a connection may be idle.
+/// Maximum idle time of a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two heartbeats.
+/// Interval between heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 /// The default of `bounds.drain_timeout_ms`, which the machines of the lab use.
 pub const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a server serves beyond that.
+/// Time that a server continues to serve after the drain timeout.
 const DRAIN_MARGIN: Duration = Duration::from_millis(400);
-/// How often leaving is announced before the server stops all the same.
+/// Maximum number of attempts to deregister; the server stops afterwards even if none succeeded.
 const LEAVE_ATTEMPTS: u32 = 5;
-/// How long a call for KV events is held.
+/// Delay before an answer to a long-polling call for KV events.
 const KV_EVENTS_WAIT: Duration = Duration::from_millis(200);
-/// Deadline of a request that gives none, in ms.
+/// Deadline in ms of a request without a deadline header.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
 /// The settings of a server.
 #[derive(Clone, Debug)]
 pub struct ServerSettings {
-    /// Its instance id.
+    /// Instance id of the server.
     pub id: String,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Where it listens.
+    /// Listen address of the server.
     pub address: SocketAddr,
-    /// Requests that it works on at a time; twice as many may wait.
+    /// Maximum number of concurrent requests; twice as many may be queued.
     pub slots: usize,
-    /// Time from the beginning of a request to its first event or its answer.
+    /// Time from the start of a request to its first event or its response.
     pub work: Duration,
     /// Time between two events.
     pub gap: Duration,
     /// Time to load new weights.
     pub load: Duration,
-    /// Events of a stream.
+    /// Number of events in a stream.
     pub events: u64,
-    /// Version of the weights at the start.
+    /// Version of the model's weights at the start.
     pub version: u64,
     /// Control addresses of nodes.
     pub control: Vec<SocketAddr>,
 }
 
-/// A running server.
+/// A running simulated model server.
 pub struct ModelServer {
-    /// Its settings.
+    /// Settings of the server.
     pub settings: ServerSettings,
     ledger: Rc<Ledger>,
     rng: RefCell<fastrand::Rng>,
     slots: Semaphore,
     queued: Cell<usize>,
     running: Cell<usize>,
-    /// Version of the weights that it runs.
+    /// Version of the model's weights that is loaded.
     pub version: Cell<u64>,
     loading: Cell<bool>,
-    /// Orders that were accepted.
+    /// Number of accepted orders.
     orders: Cell<u64>,
-    /// Highest fencing token so far.
+    /// Highest fencing token received in an order.
     highest_fencing_token: Cell<u64>,
-    /// Number of the last call to the fleet.
+    /// Sequence number of the last call to the fleet.
     call_sequence: Cell<u64>,
     draining: Cell<bool>,
-    /// The node that the fleet named for heartbeats.
+    /// The node to which the fleet directed this server's heartbeats.
     heartbeat_target: Cell<Option<SocketAddr>>,
     tasks: RefCell<Vec<JoinHandle<()>>>,
 }
 
-/// The fleet's answer to a heartbeat.
+/// The fleet's response to a heartbeat.
 #[derive(Deserialize)]
 struct HeartbeatAnswer {
     heartbeat_target: Option<String>,
 }
 
-/// The body of an order.
+/// The body of an order to load weights.
 #[derive(Deserialize)]
 struct OrderBody {
     operation: String,
@@ -104,11 +105,11 @@
 }
 
 impl ModelServer {
-    /// Starts a server, with its heartbeats.
+    /// Starts a server and its heartbeats.
     ///
     /// # Errors
     ///
-    /// If it cannot listen on its address.
+    /// If the server cannot listen on its address.
     pub async fn start(
         settings: ServerSettings,
         ledger: Rc<Ledger>,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Crashes: all connections end at once.
+    /// Simulates a crash: closes all connections immediately.
     pub fn crash(&self) {
         self.ledger
             .crashed
@@ -162,12 +163,12 @@
         self.stop();
     }
 
-    /// Stops all tasks of the server.
+    /// Aborts all tasks of the server.
     pub fn stop(&self) {
         self.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
     }
 
-    /// Announces that it drains, serves on as long as it must, announces that it leaves, and stops.
+    /// Announces draining, serves for the drain timeout, deregisters from the fleet, and stops once all requests are complete.
     pub async fn drain(&self) {
         self.draining.set(true);
         while !self.call_fleet("PUT").await {
@@ -189,7 +190,7 @@
         self.stop();
     }
 
-    /// Sends a heartbeat (PUT), or that it leaves (DELETE). True if that was acknowledged.
+    /// Sends a heartbeat (PUT) or deregisters the server (DELETE). Returns whether the fleet acknowledged the call.
     async fn call_fleet(&self, method: &'static str) -> bool {
         self.call_sequence.set(self.call_sequence.get() + 1);
         let settings = &self.settings;
@@ -199,9 +200,9 @@
             if_match: None,
             body: (method == "PUT").then(|| self.heartbeat().into_bytes()),
         };
-        let any = settings.control[self.rng.borrow_mut().usize(..settings.control.len())];
-        let to = self.heartbeat_target.get().unwrap_or(any);
-        match send_once(&Sockets, &call, &call.path, to).await {
+        let random_node = settings.control[self.rng.borrow_mut().usize(..settings.control.len())];
+        let target_address = self.heartbeat_target.get().unwrap_or(random_node);
+        match send_once(&Sockets, &call, &call.path, target_address).await {
             Outcome::Replied(reply) if (200..300).contains(&reply.status) => {
                 let answer = json::from_str::<HeartbeatAnswer>(&reply.body).ok();
                 let target = answer.and_then(|a| a.heartbeat_target?.parse().ok());
@@ -217,7 +218,7 @@
         }
     }
 
-    /// The body of a heartbeat.
+    /// Returns the body of a heartbeat.
     fn heartbeat(&self) -> String {
         let settings = &self.settings;
         let state = if self.draining.get() {
@@ -238,7 +239,7 @@
     }
 
     async fn serve_connection(self: Rc<Self>, mut stream: TcpStream) {
-        // If this fails, small pieces are only sent later.
+        // If this fails, small writes are only delayed.
         let _ = stream.set_nodelay(true);
         let mut buffer = BytesMut::new();
         loop {
@@ -250,22 +251,22 @@
             };
             let method = &request.head.method[..];
             let answer = match (method, request.path()) {
-                (b"GET", "/health") => plain(
+                (b"GET", "/health") => plain_response(
                     200,
                     &format!("Sparrouter-Instance-Id: {}\r\n", self.settings.id),
                     "",
                 ),
-                (b"GET", "/api/report") => plain(200, "", &self.report()),
+                (b"GET", "/api/report") => plain_response(200, "", &self.report()),
                 (b"POST", "/api/order") => self.clone().accept_order(&request),
                 (b"GET", "/api/kv-events") => {
                     sleep(KV_EVENTS_WAIT).await;
-                    plain(
+                    plain_response(
                         200,
                         "",
                         "{\"epoch\":1,\"next_page_token\":0,\"lost_count\":false,\"events\":[]}",
                     )
                 }
-                (b"GET", "/api/kv-list") => plain(
+                (b"GET", "/api/kv-list") => plain_response(
                     200,
                     "",
                     "{\"epoch\":1,\"next_page_token\":0,\"held_count\":[]}",
@@ -281,7 +282,7 @@
         }
     }
 
-    /// The body of its report.
+    /// Returns the body of the server's status report.
     fn report(&self) -> String {
         format!(
             "{{\"serving_stage\":\"both\",\"models\":[{{\"name\":\"{MODEL}\",\"version\":{},\"adapters\":[]}}],\
@@ -295,11 +296,11 @@
         )
     }
 
-    /// Takes an order to load new weights.
+    /// Handles an order to load new weights; returns the response.
     fn accept_order(self: Rc<Self>, request: &Request) -> String {
         let text = std::str::from_utf8(&request.body).unwrap_or_default();
         let Ok(order) = json::from_str::<OrderBody>(text) else {
-            return plain(400, "", "");
+            return plain_response(400, "", "");
         };
         let loads = order.version > self.version.get() && !self.loading.get();
         self.ledger.orders.borrow_mut().push(Order {
@@ -310,26 +311,26 @@
             loads,
         });
         if order.operation != "version" || order.model != MODEL {
-            return plain(400, "", "");
+            return plain_response(400, "", "");
         }
         if order.fence_token < self.highest_fencing_token.get() {
-            return plain(412, "", "");
+            return plain_response(412, "", "");
         }
         self.highest_fencing_token.set(order.fence_token);
         if order.version <= self.version.get() {
-            return plain(200, "", "");
+            return plain_response(200, "", "");
         }
         if self.loading.get() || order.expected_count.is_some_and(|n| n != self.orders.get()) {
-            return plain(409, "", "");
+            return plain_response(409, "", "");
         }
         self.orders.set(self.orders.get() + 1);
         self.loading.set(true);
         let loading = spawn_local(self.clone().load(order.version));
         self.tasks.borrow_mut().push(loading);
-        plain(202, "", "")
+        plain_response(202, "", "")
     }
 
-    /// Loads weights once all runs have finished.
+    /// Loads a version of the weights once all running requests are complete.
     async fn load(self: Rc<Self>, version: u64) {
         while self.running.get() > 0 {
             sleep(Duration::from_millis(5)).await;
@@ -339,27 +340,27 @@
         self.loading.set(false);
     }
 
-    /// An answer that says that the request did not run.
-    fn decline(&self, status: u16, id: &str) -> String {
+    /// Returns a response which states that the request was not executed.
+    fn reject(&self, status: u16, id: &str) -> String {
         let fields = format!(
             "Sparrouter-Attempt-Id: {id}\r\nSparrouter-Not-Executed: 1\r\nSparrouter-Instance-Id: {}\r\n",
             self.settings.id
         );
-        plain(status, &fields, "")
+        plain_response(status, &fields, "")
     }
 
-    /// Serves a request of a client. `None` if the connection cannot carry another one.
+    /// Serves a client's request; `None` if the connection cannot be used again.
     async fn serve(&self, stream: &mut TcpStream, request: &Request) -> Option<()> {
-        let id = text_of(request, "sparrouter-attempt-id");
+        let id = header_value(request, "sparrouter-attempt-id");
         let _slot = match self.acquire_slot(request, &id).await {
             Ok(slot) => slot,
             Err(status) => {
-                let answer = self.decline(status, &id);
+                let answer = self.reject(status, &id);
                 return stream.write_all(answer.as_bytes()).await.ok();
             }
         };
         let _running = CountGuard::new(&self.running);
-        let resumed = text_of(request, "last-event-id")
+        let resumed = header_value(request, "last-event-id")
             .trim()
             .parse()
             .unwrap_or(0);
@@ -377,11 +378,11 @@
         if kind_of(request.path()).is_stream() {
             return self.stream_events(stream, &fields, run, resumed).await;
         }
-        let answer = plain(200, &fields, &body_of(run));
+        let answer = plain_response(200, &fields, &body_of(run));
         stream.write_all(answer.as_bytes()).await.ok()
     }
 
-    /// Waits for a slot. The error is the status that declines the request.
+    /// Waits for a free slot. The error is the HTTP status with which the request is rejected.
     async fn acquire_slot(&self, request: &Request, id: &str) -> Result<SemaphorePermit<'_>, u16> {
         let expects_version = |version: u64| {
             let expected = request.head.fields.text("expect-version");
@@ -400,11 +401,11 @@
         if !expects_version(self.version.get()) {
             return Err(421);
         }
-        let deadline_ms = text_of(request, "sparrouter-deadline-ms").parse();
-        let left = Duration::from_millis(deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
+        let deadline_ms = header_value(request, "sparrouter-deadline-ms").parse();
+        let remaining = Duration::from_millis(deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
         let slot = {
             let _queued = CountGuard::new(&self.queued);
-            let slot = tokio::time::timeout(left, self.slots.acquire()).await;
+            let slot = tokio::time::timeout(remaining, self.slots.acquire()).await;
             slot.ok().and_then(Result::ok).ok_or(503u16)?
         };
         // New weights may have been ordered, or loaded, while the request waited.
@@ -417,7 +418,7 @@
         Ok(slot)
     }
 
-    /// The header fields of an answer that is this server's own.
+    /// Returns the header fields of a response to an executed request.
     fn answer_fields(&self, id: &str, run: usize) -> String {
         format!(
             "Sparrouter-Attempt-Id: {id}\r\nSparrouter-Response-Seal: {}\r\nVersions: {}\r\n\
@@ -430,7 +431,7 @@
         )
     }
 
-    /// Answers with a stream of events, beginning behind the event `resumed`.
+    /// Sends a response with a stream of events, starting after the event `resumed`.
     async fn stream_events(
         &self,
         stream: &mut TcpStream,
@@ -454,13 +455,13 @@
     }
 }
 
-/// The value of a header field; empty without one.
-fn text_of(request: &Request, name: &str) -> String {
+/// Returns the value of a header field, or an empty string if it is absent.
+fn header_value(request: &Request, name: &str) -> String {
     let value = request.head.fields.text(name);
     value.unwrap_or_default().to_owned()
 }
 
-/// The kind of a request by the first segment of its path, as the operator's routes are named.
+/// Returns the kind of a request, determined by the first segment of its path, which is the name of its route.
 pub fn kind_of(path: &str) -> RequestKind {
     match path.split('/').nth(1) {
         Some("swap") => RequestKind::Idempotent,
@@ -470,8 +471,8 @@
     }
 }
 
-/// An answer with a body of known length. `fields`: further header fields, each with its line end.
-fn plain(status: u16, fields: &str, body: &str) -> String {
+/// Formats a response with a body of known length. `fields`: additional header fields, each ending in CR LF.
+fn plain_response(status: u16, fields: &str, body: &str) -> String {
     let reason = http::reason(status);
     format!(
         "HTTP/1.1 {status} {reason}\r\n{fields}Content-Length: {}\r\n\r\n{body}",
@@ -479,7 +480,7 @@
     )
 }
 
-/// Adds one to a count for as long as this lives.
+/// Increments a counter and decrements it when dropped.
 struct CountGuard<'a>(&'a Cell<usize>);
 
 impl<'a> CountGuard<'a> {
--- a/crates/sparrouter-fleet-lab/src/play.rs
+++ b/crates/sparrouter-fleet-lab/src/play.rs
@@ -1,4 +1,5 @@
-//! A whole run: the fleet starts, serves while the steps of the scenario happen, ends, and is audited.
+//! Execution of a run: starts the fleet, sends requests while it executes the scenario's steps, shuts the fleet down and
+//! audits the records.
 use crate::addresses::Addresses;
 use crate::client::{ClientRequest, Clients, RequestResult, check_readiness};
 use crate::ledger::Ledger;
@@ -16,24 +17,24 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Longest time until the first configuration is in force and all nodes are ready.
+/// Time limit until the first configuration is active and all nodes are ready.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time for the last requests and steps to end, and for the processes.
+/// Time limit for the last requests and steps to end, and again for the processes to exit.
 const END_TIMEOUT: Duration = Duration::from_secs(20);
-/// A little more than the default of `bounds.config_apply_ms`.
+/// Time to wait after a configuration change: slightly more than the default of `bounds.config_apply_ms`.
 const CONFIG_APPLY_TIME: Duration = Duration::from_millis(2_100);
 /// Time between the start, which counts as a fault, and the first request.
 const STABILIZATION_TIME: Duration = Duration::from_millis(500);
-/// Most nodes that are named as seeds.
+/// Maximum number of seed nodes.
 const MAX_SEEDS: usize = 3;
 
 /// The result of a run.
 pub struct Report {
-    /// How requests ended, phase by phase, and what the processes wrote.
+    /// Outcomes and latencies of requests by phase, and the logs of the processes.
     pub table: String,
-    /// The rules that were violated.
+    /// The rule violations.
     pub violations: Vec<String>,
-    /// How each request ended.
+    /// The result of each request.
     pub results: Vec<RequestResult>,
 }
 
@@ -44,26 +45,27 @@
     ledger: Rc<Ledger>,
     machines: Vec<Rc<Machine>>,
     servers: RefCell<Vec<Rc<ModelServer>>>,
-    /// How many servers were started.
+    /// Number of servers started so far.
     started: Cell<usize>,
     operator: Operator,
     clients: Clients,
-    /// Version of the configuration that was acknowledged last.
+    /// Latest acknowledged version of the configuration.
     version: Cell<u64>,
-    /// Held while the operator changes the configuration.
-    configuring: Mutex<()>,
-    /// Newest version of the weights that was named.
+    /// Locked while the operator changes the configuration.
+    configuration_lock: Mutex<()>,
+    /// Latest acknowledged version of the model's weights.
     weights: Cell<u64>,
-    /// Requests and steps under way.
-    open: Cell<usize>,
+    /// Number of requests and steps in progress.
+    in_progress: Cell<usize>,
     results: RefCell<Vec<RequestResult>>,
 }
 
-/// Plays a scenario with a program; `say` gets a line for each step. All processes have ended when it returns.
+/// Runs a scenario with the fleet program `program`; `say` receives a progress line for each step. All processes have
+/// exited when it returns.
 ///
 /// # Errors
 ///
-/// A [`LabError`] if the run could not be played to its end. Violations of rules are no errors, but in the report.
+/// A [`LabError`] if the run could not be completed. Rule violations are not errors; the report lists them.
 pub async fn play(
     scenario: Scenario,
     program: &Path,
@@ -78,7 +80,7 @@
     })?;
     let limit = START_TIMEOUT + scenario.length() + END_TIMEOUT * 2;
     let play = prepare(scenario, program, directory.path())?;
-    let played = timeout(limit, play.clone().run(&say)).await;
+    let run_result = timeout(limit, play.clone().run(&say)).await;
     play.servers
         .borrow()
         .iter()
@@ -86,14 +88,14 @@
     for machine in &play.machines {
         machine.kill().await;
     }
-    played.unwrap_or_else(|_| Err(play.timed_out("the run did not end", limit)))
+    run_result.unwrap_or_else(|_| Err(play.timed_out("the run did not end", limit)))
 }
 
 fn prepare(scenario: Scenario, program: &Path, directory: &Path) -> Result<Rc<Play>, LabError> {
     let mut rng = fastrand::Rng::with_seed(scenario.seed);
     let core = scenario.nodes.core;
     let nodes = core + scenario.nodes.plain;
-    // Addresses do not follow from the scenario's seed, so that two runs of one scenario can be played at a time.
+    // Addresses do not depend on the scenario's seed, so that two runs of one scenario can run at the same time.
     let addresses = Addresses::find(nodes, &mut fastrand::Rng::new())?;
     let seeds = core.min(MAX_SEEDS);
     let machine =
@@ -121,9 +123,9 @@
         operator,
         clients,
         version: Cell::new(0),
-        configuring: Mutex::new(()),
+        configuration_lock: Mutex::new(()),
         weights: Cell::new(1),
-        open: Cell::new(0),
+        in_progress: Cell::new(0),
         results: RefCell::default(),
     }))
 }
@@ -132,12 +134,12 @@
     async fn run(self: Rc<Self>, say: &impl Fn(&str)) -> Result<Report, LabError> {
         self.start_fleet(say).await?;
         let began = Instant::now();
-        let asking = spawn_local(self.clone().send_requests(began));
+        let request_task = spawn_local(self.clone().send_requests(began));
         let phases = self.play_steps(began, say).await;
         sleep_until(began + self.scenario.length()).await;
-        asking.abort();
+        request_task.abort();
         self.wait_until("requests or steps do not end", END_TIMEOUT, || {
-            self.open.get() == 0
+            self.in_progress.get() == 0
         })
         .await?;
         self.end_fleet().await;
@@ -173,7 +175,7 @@
         Ok(())
     }
 
-    /// Begins each step at its time; gives the phases that they begin.
+    /// Starts each step at its time and returns the phases that the steps begin.
     async fn play_steps(self: &Rc<Self>, began: Instant, say: &impl Fn(&str)) -> Vec<Phase> {
         let mut phases = vec![Phase {
             name: "calm".into(),
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Clients that send requests at a steady rate, however they end.
+    /// Sends requests at a constant rate, regardless of their results.
     async fn send_requests(self: Rc<Self>, from: Instant) {
         let interval = Duration::from_secs_f64(1.0 / self.scenario.load.rate_per_s);
         for n in 0u32.. {
@@ -222,11 +224,11 @@
             let route = ["swap", "assign", "notice", "audit"][n as usize % 4];
             let request = self.request(format!("/{route}/{n}"));
             let play = self.clone();
-            play.open.set(play.open.get() + 1);
+            play.in_progress.set(play.in_progress.get() + 1);
             spawn_local(async move {
                 let result = play.clients.send(&request, None).await;
                 play.results.borrow_mut().push(result);
-                play.open.set(play.open.get() - 1);
+                play.in_progress.set(play.in_progress.get() - 1);
             });
         }
     }
@@ -240,18 +242,18 @@
     }
 
     async fn step(self: Rc<Self>, step: Step) {
-        self.open.set(self.open.get() + 1);
+        self.in_progress.set(self.in_progress.get() + 1);
         let which = step.which as usize;
-        let away = Duration::from_secs_f64(step.for_s);
+        let downtime = Duration::from_secs_f64(step.for_s);
         match step.action {
             Action::Kill => {
                 self.machines[which].kill().await;
-                sleep(away).await;
+                sleep(downtime).await;
                 self.restart(which);
             }
             Action::Restart => {
                 self.terminate(which).await;
-                sleep(away).await;
+                sleep(downtime).await;
                 self.restart(which);
             }
             Action::Drain => {
@@ -263,14 +265,14 @@
             Action::Crash => {
                 if let Some(server) = self.server(which) {
                     server.crash();
-                    sleep(away).await;
+                    sleep(downtime).await;
                     self.replace(which).await;
                 }
             }
             Action::Patch => self.patch().await,
             Action::Version => self.name_version(step.which).await,
         }
-        self.open.set(self.open.get() - 1);
+        self.in_progress.set(self.in_progress.get() - 1);
     }
 
     fn server(&self, which: usize) -> Option<Rc<ModelServer>> {
@@ -280,8 +282,10 @@
     async fn terminate(&self, which: usize) {
         let machine = &self.machines[which];
         if !machine.terminate().await {
-            self.ledger
-                .record_violation(format!("LOST: {} did not end by itself", machine.name));
+            self.ledger.record_violation(format!(
+                "LOST: {} did not exit cleanly after SIGTERM",
+                machine.name
+            ));
         }
     }
 
@@ -293,7 +297,8 @@
 
     async fn name_version(&self, version: u64) {
         if let Err(error) = self.operator.name_version(version).await {
-            let violation = format!("ACKS: version {version} is not named: {error}");
+            let violation =
+                format!("ACKS: weights version {version} was not acknowledged: {error}");
             return self.ledger.record_violation(violation);
         }
         self.weights.set(self.weights.get().max(version));
@@ -301,19 +306,20 @@
         named.push((version, Instant::now()));
     }
 
-    /// Adds a route and removes one, then sends a request for each of the two to every node.
+    /// Adds a route and removes the previous one, then sends a request for each of the two to every ready node.
     async fn patch(&self) {
-        // There is one operator: a change that begins during another one waits for it.
-        let configuring = self.configuring.lock().await;
+        // There is one operator, so concurrent changes are serialized.
+        let configuration_lock = self.configuration_lock.lock().await;
         let next = self.version.get() + 1;
         self.ledger.record_sent_version(next);
         if let Err(error) = self.operator.patch(next).await {
-            let violation = format!("ACKS: version {next} is not taken: {error}");
+            let violation =
+                format!("ACKS: configuration version {next} was not acknowledged: {error}");
             return self.ledger.record_violation(violation);
         }
         self.ledger.record_acknowledged_version(next);
         self.version.set(next);
-        drop(configuring);
+        drop(configuration_lock);
         sleep(CONFIG_APPLY_TIME).await;
         for node in (0..self.machines.len()).filter(|n| self.machines[*n].ready.get()) {
             for route in [next, next - 1] {
@@ -350,7 +356,7 @@
         Ok(server)
     }
 
-    /// Starts a new server in the place of one that has left.
+    /// Starts a new server as the replacement of a removed one.
     async fn replace(&self, which: usize) {
         match self.add_server().await {
             Ok(_) => {
@@ -360,23 +366,23 @@
         }
     }
 
-    /// Checks that the newest configuration is still there and that every process runs, then ends all processes.
+    /// Checks that the latest configuration can be read and that every process is running, then terminates all processes.
     async fn end_fleet(&self) {
         match self.operator.read_back().await {
             Ok(version) if version == self.version.get() => {}
             Ok(version) => {
                 let newest = self.version.get();
                 self.ledger.record_violation(format!(
-                    "LOST: {newest} was acknowledged, {version} is read back"
+                    "LOST: configuration version {newest} was acknowledged, but {version} was read"
                 ));
             }
-            Err(error) => self
-                .ledger
-                .record_violation(format!("LOST: the configuration is not read back: {error}")),
+            Err(error) => self.ledger.record_violation(format!(
+                "LOST: the configuration could not be read: {error}"
+            )),
         }
         for machine in self.machines.iter().filter(|m| !m.is_running()) {
             self.ledger
-                .record_violation(format!("{} ended by itself", machine.name));
+                .record_violation(format!("{} exited unexpectedly", machine.name));
         }
         let ending: Vec<_> = self
             .machines
@@ -387,7 +393,7 @@
         for (machine, ending) in self.machines.iter().zip(ending) {
             if !ending.await.unwrap_or(false) {
                 self.ledger.record_violation(format!(
-                    "{} did not end after SIGTERM as it must",
+                    "{} did not exit cleanly after SIGTERM",
                     machine.name
                 ));
             }
@@ -396,29 +402,29 @@
 
     async fn wait_until(
         &self,
-        what: &str,
-        patience: Duration,
+        condition: &str,
+        time_limit: Duration,
         is_done: impl Fn() -> bool,
     ) -> Result<(), LabError> {
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + time_limit;
         while !is_done() {
             if Instant::now() >= deadline {
-                return Err(self.timed_out(what, patience));
+                return Err(self.timed_out(condition, time_limit));
             }
             sleep(Duration::from_millis(20)).await;
         }
         Ok(())
     }
 
-    fn timed_out(&self, what: &str, patience: Duration) -> LabError {
+    fn timed_out(&self, condition: &str, time_limit: Duration) -> LabError {
         LabError::TimedOut {
-            subject: what.to_owned(),
-            seconds: patience.as_secs(),
+            subject: condition.to_owned(),
+            seconds: time_limit.as_secs(),
             logs: format!("{}:\n{}", self.directory.display(), self.logs()),
         }
     }
 
-    /// What the processes wrote to standard error.
+    /// Returns the text that the processes wrote to standard error.
     fn logs(&self) -> String {
         let logs = self.machines.iter().map(|m| (m, m.log_text()));
         let logs = logs.filter(|(_, log)| !log.is_empty());
--- a/crates/sparrouter-fleet-lab/tests/audit.rs
+++ b/crates/sparrouter-fleet-lab/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit reports each violation of a rule, and nothing else.
+//! Tests that the audit reports each rule violation, and nothing for correct runs.
 use sparrouter_fleet_lab::audit::violations;
 use sparrouter_fleet_lab::ledger::{
     Attempt, Ledger, Order, RequestKind, Response, Run, Version, body_of, event_of, seal_of,
@@ -8,7 +8,7 @@
 
 const EVENTS: u64 = 3;
 
-/// Machines of a lab; they need no process here.
+/// Creates one machine without a process.
 fn machines() -> Vec<std::rc::Rc<sparrouter_fleet_lab::machine::Machine>> {
     let directory = tempfile::tempdir().expect("a directory");
     let addresses = sparrouter_fleet_lab::addresses::Addresses::find(1, &mut fastrand::Rng::new())
@@ -63,7 +63,7 @@
     }
 }
 
-/// A ledger with one attempt and its runs.
+/// Creates a ledger with one attempt, whose id is `a`, and its runs.
 fn ledger(attempt: Attempt, runs: Vec<Run>) -> Ledger {
     let ledger = Ledger::default();
     ledger.attempts.borrow_mut().insert("a".into(), attempt);
@@ -78,7 +78,7 @@
     let violations = violations(ledger, &machines(), EVENTS);
     assert!(
         violations.len() == 1 && violations[0].starts_with(rule),
-        "{rule} alone: {violations:?}"
+        "expected only a violation of {rule}: {violations:?}"
     );
 }
 
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn given_pieces_of_another_run_when_audited_then_order_is_reported() {
+fn given_a_stream_with_events_of_another_run_when_audited_then_order_is_reported() {
     let response = complete_response(0, &(events(0, 1, 2) + &events(7, 3, 3)));
     let ledger = ledger(
         attempt(RequestKind::Streaming, "/notice/1", Some(response)),
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn given_a_short_stream_that_looks_complete_when_audited_then_order_is_reported() {
+fn given_a_truncated_stream_with_a_regular_end_when_audited_then_order_is_reported() {
     let response = complete_response(0, &events(0, 1, 2));
     let ledger = ledger(
         attempt(RequestKind::Streaming, "/notice/1", Some(response)),
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn given_a_second_run_of_a_write_when_audited_then_twice_is_reported() {
+fn given_a_second_run_of_a_non_idempotent_request_when_audited_then_twice_is_reported() {
     let response = complete_response(0, &body_of(0));
     let runs = vec![run("a", "/assign/1", 0), run("a", "/assign/1", 0)];
     let ledger = ledger(
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn given_a_not_executed_answer_and_a_run_when_audited_then_refused_is_reported() {
+fn given_a_503_for_an_executed_request_when_audited_then_refused_is_reported() {
     let response = Response {
         ended_at: Some(Instant::now()),
         status: 503,
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn given_a_success_without_its_seal_when_audited_then_mixed_is_reported() {
+fn given_a_success_without_a_seal_when_audited_then_mixed_is_reported() {
     let response = Response {
         seal: String::new(),
         ..complete_response(0, &body_of(0))
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn given_a_connection_that_ended_without_a_fault_when_audited_then_lost_is_reported() {
+fn given_a_connection_closed_without_a_fault_when_audited_then_lost_is_reported() {
     let response = Response {
         ended_at: Some(Instant::now()),
         ..Response::default()
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn given_a_connection_that_ended_with_its_server_when_audited_then_nothing_is_reported() {
+fn given_a_connection_closed_by_a_server_crash_when_audited_then_nothing_is_reported() {
     let response = Response {
         ended_at: Some(Instant::now()),
         ..Response::default()
@@ -209,15 +209,18 @@
     );
 }
 
-/// Versions with what was sent and acknowledged so many seconds before now.
-fn versions(ledger: &Ledger, of: &[(u64, u64, Option<u64>)]) {
+/// Adds configuration versions, given as number, seconds since sending and seconds since acknowledgement.
+fn add_versions(ledger: &Ledger, timings: &[(u64, u64, Option<u64>)]) {
     let ago = |s: u64| Instant::now() - Duration::from_secs(s);
     let version = |v: &(u64, u64, Option<u64>)| Version {
         number: v.0,
         sent: ago(v.1),
         acknowledged: v.2.map(ago),
     };
-    ledger.versions.borrow_mut().extend(of.iter().map(version));
+    ledger
+        .versions
+        .borrow_mut()
+        .extend(timings.iter().map(version));
 }
 
 fn denied() -> Response {
@@ -230,7 +233,7 @@
 }
 
 #[test]
-fn given_a_permanent_route_when_denied_then_config_is_reported() {
+fn given_a_404_for_a_permanent_route_when_audited_then_config_is_reported() {
     assert_reported(
         &ledger(
             attempt(RequestKind::Streaming, "/notice/1", Some(denied())),
@@ -241,72 +244,72 @@
 }
 
 #[test]
-fn given_an_added_route_when_denied_then_config_is_reported_only_long_after() {
-    let of = || {
+fn given_a_404_for_an_added_route_when_audited_then_config_is_reported_only_after_the_apply_time() {
+    let new_ledger = || {
         ledger(
             attempt(RequestKind::Streaming, "/extra-2/look", Some(denied())),
             vec![],
         )
     };
-    let long = of();
-    versions(&long, &[(2, 10, Some(9))]);
-    assert_reported(&long, "CONFIG");
-    for early in [
+    let late_ledger = new_ledger();
+    add_versions(&late_ledger, &[(2, 10, Some(9))]);
+    assert_reported(&late_ledger, "CONFIG");
+    for early_timings in [
         &[(2, 10, Some(1))][..],
         &[(2, 10, None)],
         &[(2, 10, Some(9)), (3, 1, None)],
         &[],
     ] {
-        let early_of = of();
-        versions(&early_of, early);
+        let early_ledger = new_ledger();
+        add_versions(&early_ledger, early_timings);
         assert_eq!(
-            violations(&early_of, &machines(), EVENTS),
+            violations(&early_ledger, &machines(), EVENTS),
             Vec::<String>::new(),
-            "{early:?}"
+            "{early_timings:?}"
         );
     }
 }
 
 #[test]
-fn given_a_removed_route_when_it_still_runs_then_config_is_reported_only_long_after() {
+fn given_a_run_on_a_removed_route_when_audited_then_config_is_reported_only_after_the_apply_time() {
     let response = || Some(complete_response(0, &events(0, 1, 3)));
     let path = "/extra-2/look";
-    let of = || {
+    let new_ledger = || {
         ledger(
             attempt(RequestKind::Streaming, path, response()),
             vec![run("a", path, 0)],
         )
     };
-    for broken_by in [&[(2, 10, Some(9)), (3, 8, Some(7))][..], &[]] {
-        let late = of();
-        versions(&late, broken_by);
-        assert_reported(&late, "CONFIG");
+    for invalid_timings in [&[(2, 10, Some(9)), (3, 8, Some(7))][..], &[]] {
+        let late_ledger = new_ledger();
+        add_versions(&late_ledger, invalid_timings);
+        assert_reported(&late_ledger, "CONFIG");
     }
-    for fine in [
+    for valid_timings in [
         &[(2, 10, Some(9))][..],
         &[(2, 10, None)],
         &[(2, 10, Some(9)), (3, 8, Some(1))],
     ] {
-        let fine_of = of();
-        versions(&fine_of, fine);
+        let valid_ledger = new_ledger();
+        add_versions(&valid_ledger, valid_timings);
         assert_eq!(
-            violations(&fine_of, &machines(), EVENTS),
+            violations(&valid_ledger, &machines(), EVENTS),
             Vec::<String>::new(),
-            "{fine:?}"
+            "{valid_timings:?}"
         );
     }
 }
 
 #[test]
-fn given_a_drained_server_when_a_run_begins_late_then_drain_is_reported() {
+fn given_a_run_that_starts_after_the_drain_timeout_when_audited_then_drain_is_reported() {
     let response = complete_response(0, &body_of(0));
-    let late = Run {
+    let late_run = Run {
         began_at: Instant::now() + Duration::from_secs(3),
         ..run("a", "/swap/1", 0)
     };
     let ledger = ledger(
         attempt(RequestKind::Idempotent, "/swap/1", Some(response)),
-        vec![late],
+        vec![late_run],
     );
     ledger
         .drains
@@ -316,27 +319,27 @@
 }
 
 #[test]
-fn given_new_weights_when_a_run_begins_on_old_ones_late_then_version_is_reported() {
+fn given_a_late_run_on_old_weights_when_audited_then_version_is_reported() {
     let response = complete_response(0, &body_of(0));
-    let late = Run {
+    let late_run = Run {
         began_at: Instant::now() + Duration::from_secs(9),
         ..run("a", "/swap/1", 0)
     };
     let ledger = ledger(
         attempt(RequestKind::Idempotent, "/swap/1", Some(response)),
-        vec![late],
+        vec![late_run],
     );
     ledger.named.borrow_mut().push((2, Instant::now()));
     assert_reported(&ledger, "VERSION");
 }
 
 #[test]
-fn given_two_holders_under_one_fence_when_audited_then_one_is_reported() {
+fn given_two_holders_of_a_fencing_token_or_a_lower_token_when_audited_then_one_is_reported() {
     let ledger = Ledger::default();
-    let order = |holder: &str, fence| Order {
+    let order = |holder: &str, token| Order {
         instance: "i-1".into(),
         lease_holder: holder.into(),
-        fencing_token: fence,
+        fencing_token: token,
         version: 2,
         loads: false,
     };
