--- a/crates/sparrouter-rollout/src/controller/disruption.rs
+++ b/crates/sparrouter-rollout/src/controller/disruption.rs
@@ -48,9 +48,9 @@
 
     /// Whether a command may take a node down: no more nodes than the plan allows, and never in two zones.
     ///
-    /// A command for a node that is already unavailable is not blocked by other unresponsive nodes. Otherwise two changed
-    /// nodes that crashed in two zones would block each other's rollback. Nodes with a command in progress always count,
-    /// so that a partition that makes all nodes unresponsive does not lead to all of them being taken down.
+    /// A command for a node that is already unavailable is not blocked by other unresponsive nodes: two changed nodes
+    /// that had crashed in two zones blocked each other's rollback. Nodes with a command in progress always count: a
+    /// partition made all nodes unresponsive at once, and they must not all be taken down.
     fn may_take_down(&self, node: usize, unavailable: &Unavailable) -> bool {
         let zone = |other: usize| &self.plan.nodes[other].zone;
         let in_zone = |nodes: &[usize]| nodes.iter().all(|&o| o == node || zone(o) == zone(node));
@@ -66,7 +66,7 @@
 
     /// Starts as many of these commands as the disruption budget allows, in order, and returns whether any was started.
     /// Nodes in a zone other than the zone of the unavailable nodes are skipped: in strict order, nodes whose zones
-    /// alternate would be changed one at a time.
+    /// alternate were changed one at a time.
     pub(super) fn start_commands(&mut self, commands: &[(usize, CommandKind)], now: Nanos) -> bool {
         let mut unavailable = self.unavailable(now);
         let mut has_started = false;
--- a/crates/sparrouter-rollout/src/stages.rs
+++ b/crates/sparrouter-rollout/src/stages.rs
@@ -9,7 +9,7 @@
     x ^ (x >> 31)
 }
 
-/// Seeded and mixed FNV-1a hash of a name, the same on every machine.
+/// Seeded and mixed FNV-1a hash of a name: small, with a fixed definition, and the same on every machine.
 pub fn hash(seed: u64, name: &str) -> u64 {
     let start = 0xcbf2_9ce4_8422_2325 ^ mix(seed.wrapping_add(1));
     let fnv_1a = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
