--- a/crates/sparrouter-fleet-lab/src/audit.rs
+++ b/crates/sparrouter-fleet-lab/src/audit.rs
@@ -66,7 +66,7 @@
         self.violations.push(violation);
     }
 
-    /// UNASKED: each run belongs to an attempt, and its path and body are those that the client sent.
+    /// UNASKED: each run belongs to an attempt, with the path and the body that the client sent.
     fn check_unasked(&mut self, run: &Run, attempt: Option<&Attempt>) {
         match attempt {
             None => self.report(format!(
