--- a/crates/sparrouter-node/src/routing/peer.rs
+++ b/crates/sparrouter-node/src/routing/peer.rs
@@ -266,8 +266,8 @@
     }
 
     /// Waits until the close of the connection can have arrived at the peer. Guards against a next forward that arrives
-    /// before the close: a close and a send at the same instant counted as two forwards in flight at once. There is no
-    /// next forward if the invocation is answered.
+    /// before the close: in a test run where a close and a send fell on the same instant, each such pair counted as two
+    /// forwards in flight at once. There is no next forward if the invocation is answered.
     async fn await_close_arrival(&self, is_answered: &Cell<bool>) {
         if is_answered.get() {
             return;
--- a/crates/sparrouter-node/src/transport/client.rs
+++ b/crates/sparrouter-node/src/transport/client.rs
@@ -176,7 +176,7 @@
             Instant::now()
         };
         let deadline = start + MESSAGE_TIMEOUT.min(self.context.max_timeout.get());
-        // Guards against clients with incomplete messages that occupy all descriptors until other clients time out.
+        // Guards against clients with incomplete messages: they occupied all descriptors until other clients timed out.
         let idle = self.context.idle.enter(false);
         let read = tokio::select! {
             biased;
--- a/crates/sparrouter-node/src/transport/idle.rs
+++ b/crates/sparrouter-node/src/transport/idle.rs
@@ -19,8 +19,8 @@
 ///
 /// The order guards against floods of connects without messages. The grace time guards against closing new connections
 /// before their message arrives: without it, new connections displaced each other at hundreds per second. The number of
-/// used idle connections is limited, and the longest idle are closed beyond the limit: otherwise clients that send one
-/// request and keep the connection occupy all client descriptors, and no other client can connect.
+/// used idle connections is limited, and the longest idle are closed beyond the limit: clients that sent one request
+/// and kept the connection occupied all client descriptors, and no other client could connect.
 pub struct IdleConnections {
     max_idle: usize,
     next_number: Cell<u64>,
