--- a/crates/sparrouter-simhost/src/batch.rs
+++ b/crates/sparrouter-simhost/src/batch.rs
@@ -14,8 +14,8 @@
 ///
 /// # Errors
 ///
-/// A [`HostError`] that names the verb and field, if the batch is malformed or names an unknown_instance instance, server, operation,
-/// timer or value.
+/// A [`HostError`] that names the verb and field, if the batch is malformed or names an unknown instance, server,
+/// operation, timer or value.
 pub fn process(instances: &mut Instances, line: &str) -> Result<Vec<Order>, HostError> {
     let batch: Batch = serde_json::from_str(line).map_err(HostError::Batch)?;
     let now = sparrouter_settings::nanos("AtTimeUs", batch.time_us)?;
