--- a/crates/sparrouter-node/src/program/serve.rs
+++ b/crates/sparrouter-node/src/program/serve.rs
@@ -13,8 +13,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// Time from SIGTERM until idle connections are closed: clients may still connect for up to 0.4 s after SIGTERM. The node
-/// is not responsible for messages that were not written to a connection by the time it is closed.
+/// Time from SIGTERM until idle connections are closed: clients may still connect for up to 0.4 s after SIGTERM. The
+/// node is not responsible for messages that were not written to a connection by the time it is closed.
 const DRAIN_PERIOD: Duration = Duration::from_millis(450);
 /// Minimum time between closing idle connections and exit, so that invocations received at that moment are answered.
 const CLOSE_PERIOD: Duration = Duration::from_millis(150);
--- a/crates/sparrouter-node/tests/log.rs
+++ b/crates/sparrouter-node/tests/log.rs
@@ -9,7 +9,7 @@
 /// Number of invalid datagrams, each of which logs one line: together several times the capacity of a pipe.
 const DATAGRAMS: usize = 6_000;
 
-/// Guards against a node that blocks because its standard error is a full pipe.
+/// Guards against a full pipe at standard error, which blocked the node in the middle of its work.
 #[test]
 fn a_full_pipe_at_standard_error_does_not_block_the_node() {
     let cache = Server::always(Act::Hit);
--- a/crates/sparrouter-node/tests/shutdown.rs
+++ b/crates/sparrouter-node/tests/shutdown.rs
@@ -37,8 +37,9 @@
     [idle, head, body, hangs, slow, misses, waits]
 }
 
-/// At SIGTERM there are connections that are idle, within a head, within a body, waiting for a hanging cache server, for a slow one, between
-/// a miss and the origin's answer, or for another invocation's fetch. Further signals do not interrupt the shutdown.
+/// At SIGTERM there are connections that are idle, within a head, within a body, waiting for a hanging cache server or
+/// for a slow one, between a miss and the origin's answer, or waiting for another invocation's fetch. Further signals do
+/// not interrupt the shutdown.
 #[test]
 fn all_requests_in_flight_are_answered_before_the_exit() {
     let cache = Server::start(|seen| match seen.id().as_str() {
