--- a/crates/sparrouter-fleet/src/process/version_ages.rs
+++ b/crates/sparrouter-fleet/src/process/version_ages.rs
@@ -4,7 +4,7 @@
 //! The replicated register stores no timestamps, since clocks differ and may jump. Nodes report ages to each other, so
 //! one surviving node preserves them; without the copy on disk every time limit would restart if all processes ended at
 //! once. An age on disk is the age at its last write. The time since then, during which no process ran, is not added: a
-//! version's total limit adds up only the time in which the core was stable.
+//! version's total limit adds up only the time in which the core was stable, and without a process it was not.
 use crate::control::Control;
 use crate::node::Node;
 use crate::peer::messages::ModelUpdate;
