--- a/crates/sparrouter-rollout/src/controller/stage.rs
+++ b/crates/sparrouter-rollout/src/controller/stage.rs
@@ -162,8 +162,8 @@
         }
         let last_transition_at = self.last_transition_at();
         if self.plan.changes_placement {
-            // Nodes are changed one at a time, and the next one waits until the fetches reflect the last one: when nodes
-            // were started together, all their keys missed before the overload was visible.
+            // Nodes are changed one at a time, and the next one waits until the fetches reflect the last one: when
+            // nodes were started together, all their keys missed before the overload was visible.
             let fetches_visible_at =
                 last_transition_at + FETCHES_DELAY_INTERVALS * self.plan.sample_interval;
             if self.is_any_in_transition() || now < fetches_visible_at {
