--- a/crates/sparrouter-fleet/src/api/status.rs
+++ b/crates/sparrouter-fleet/src/api/status.rs
@@ -123,7 +123,7 @@
 pub struct QuotaStatus {
     /// Shards whose leases the node holds.
     pub shards: Vec<QuotaShardStatus>,
-    /// Shards of which no lease holder has answered the node in the last seconds.
+    /// Shards for which the node failed to reach a lease holder in the last seconds, and has reached none since.
     pub unavailable_shards: Vec<u16>,
     /// Tenants with a limit that sent requests to the node, in descending order of refusals, a hundred at most. If the
     /// status of one tenant was requested (`?tenant=NAME`): only this tenant, if the configuration has it.
