--- a/crates/sparrouter-rollout/src/controller/disruption.rs
+++ b/crates/sparrouter-rollout/src/controller/disruption.rs
@@ -49,8 +49,8 @@
     /// Whether a command may take a node down: no more nodes than the plan allows, and never in two zones.
     ///
     /// A command for a node that is already unavailable is not blocked by other unresponsive nodes: two changed nodes
-    /// that had crashed in two zones blocked each other's rollback. Nodes with a command in progress always count: a
-    /// partition made all nodes unresponsive at once, and they must not all be taken down.
+    /// that had crashed in two zones blocked each other's rollback. Nodes with a command in progress always count, so
+    /// that a partition that makes all nodes unresponsive does not lead to all of them being taken down.
     fn may_take_down(&self, node: usize, unavailable: &Unavailable) -> bool {
         let zone = |other: usize| &self.plan.nodes[other].zone;
         let in_zone = |nodes: &[usize]| nodes.iter().all(|&o| o == node || zone(o) == zone(node));
