--- a/crates/sparrouter-node/src/transport/budget.rs
+++ b/crates/sparrouter-node/src/transport/budget.rs
@@ -72,7 +72,7 @@
 }
 
 /// Memory for bodies longer than the usual `MAX_BODY`. Guards against discarding valid answers of some hundred KiB, as
-/// happened under the fixed limit, and against many of them at once exhausting the node's memory.
+/// has happened, and against many of them at once exhausting the node's memory.
 #[derive(Clone)]
 pub struct BodyMemory(Option<Rc<Budget>>);
 
